--- a/lab/explore/rollouts/world.go
+++ b/lab/explore/rollouts/world.go
@@ -191,7 +191,7 @@
 
 func (w *world) sendOne(s *sidecar, r *rollout.Rollout, known bool) {
 	chosen := s.split.Next(w.now)
-	toOld, toTarget := rollout.Serves, rollout.Serves
+	toOld, toTarget := rollout.Eligible, rollout.Eligible
 	if known {
 		toOld, toTarget = r.Eligibility(old, false), r.Eligibility(target, false)
 	}
@@ -202,16 +202,16 @@
 			s.chosen++
 		}
 		if stale {
-			toTarget = rollout.Serves
+			toTarget = rollout.Eligible
 		}
 	}
-	if w.defect.keepsOld && toOld == rollout.Finishes && r.Stage == rollout.Delivered {
-		toOld = rollout.Serves
+	if w.defect.keepsOld && toOld == rollout.NotEligible && r.Stage == rollout.Delivered {
+		toOld = rollout.Eligible
 	}
 	switch {
-	case toTarget == rollout.ServesShare && chosen || toTarget == rollout.Serves && toOld != rollout.Serves:
+	case toTarget == rollout.CanaryOnly && chosen || toTarget == rollout.Eligible && toOld != rollout.Eligible:
 		w.runAtTarget()
-	case toOld == rollout.Serves:
+	case toOld == rollout.Eligible:
 		w.runAtOld(s)
 	}
 }
@@ -282,7 +282,7 @@
 // confirm has a sidecar confirm what it sends by, once nothing is in flight that it forbids.
 func (w *world) confirm(s *sidecar) {
 	r, known := s.set.Find(service)
-	forbidsOld := known && r.Eligibility(old, false) == rollout.Finishes
+	forbidsOld := known && r.Eligibility(old, false) == rollout.NotEligible
 	if s.ready && (!forbidsOld || len(s.atOld) == 0 || w.defect.confirmsBusy) {
 		s.confirmed = s.set.Revision
 	}
--- a/mesh/controlplane/rollouts.go
+++ b/mesh/controlplane/rollouts.go
@@ -108,7 +108,7 @@
 // rolloutsView returns what this machine knows of the rollouts.
 func (s *Server) rolloutsView(service string) rolloutsView {
 	now, controller := s.now(), s.rollouts.controller
-	view := rolloutsView{endedLately: controller.EndedLately(now, service)}
+	view := rolloutsView{endedLately: controller.EndedRecently(now, service)}
 	set := s.pipeline.Committed().Value.Rollouts
 	if controller.Unconfirmed(now, set.Revision, s.rolloutMachines()) == 0 {
 		view.confirmed = set.Revision
@@ -338,7 +338,7 @@
 			TermS:       r.Term.Seconds(),
 			Reason:      r.Reason,
 			DecidedBy:   r.DecidedBy,
-			Evidence:    controller.Judgment(r.Service).Reason,
+			Evidence:    controller.LastVerdict(r.Service).Reason,
 			WaitsFor:    controller.WaitsFor(r.Service),
 			Unconfirmed: controller.Unconfirmed(now, set.Revision, s.rolloutMachines()),
 		})
--- a/mesh/dataplane/replay_test.go
+++ b/mesh/dataplane/replay_test.go
@@ -84,7 +84,7 @@
 		},
 		follow: func(entries []directory.Entry, now time.Duration) {
 			for _, name := range []string{"one", "two"} {
-				services[name].setEndpoints(entries, func(string) rollout.Eligibility { return rollout.Serves }, now)
+				services[name].setEndpoints(entries, func(string) rollout.Eligibility { return rollout.Eligible }, now)
 			}
 		},
 		end: func(by time.Time) {
--- a/mesh/dataplane/rollouts.go
+++ b/mesh/dataplane/rollouts.go
@@ -86,11 +86,11 @@
 	anyServes := known && p.rollouts.anyServes(entries, &r)
 	s.setEndpoints(entries, func(version string) rollout.Eligibility {
 		if !known {
-			return rollout.Serves
+			return rollout.Eligible
 		}
 		eligibility := p.rollouts.eligibility(&r, version)
-		if eligibility == rollout.ServesShare && !anyServes {
-			return rollout.Serves // there is no other version to send to
+		if eligibility == rollout.CanaryOnly && !anyServes {
+			return rollout.Eligible // there is no other version to send to
 		}
 		return eligibility
 	}, now)
@@ -101,8 +101,8 @@
 func (r *rollouts) eligibility(of *rollout.Rollout, version string) rollout.Eligibility {
 	f := r.followed[of.Service]
 	eligibility := of.Eligibility(version, f != nil && f.retired)
-	if eligibility == rollout.ServesShare && r.stale {
-		return rollout.Serves
+	if eligibility == rollout.CanaryOnly && r.stale {
+		return rollout.Eligible
 	}
 	return eligibility
 }
@@ -112,7 +112,7 @@
 	for i := range entries {
 		e := &entries[i]
 		takes := e.Service == of.Service && !e.Lost && e.State == directory.Accepting
-		if takes && r.eligibility(of, e.Version) == rollout.Serves {
+		if takes && r.eligibility(of, e.Version) == rollout.Eligible {
 			return true
 		}
 	}
@@ -239,7 +239,7 @@
 	var e directory.Entry
 	p.lastHop.fillEntry(&e)
 	r, ok := p.rollouts.set.Find(e.Service)
-	return ok && r.Stage == rollout.Promoting && r.Eligibility(e.Version, false) == rollout.Finishes
+	return ok && r.Stage == rollout.Promoting && r.Eligibility(e.Version, false) == rollout.NotEligible
 }
 
 // reportRollouts reports what the last hop has counted, when that is due. It returns when to be called again at the latest.
--- a/mesh/dataplane/rollouts_test.go
+++ b/mesh/dataplane/rollouts_test.go
@@ -24,20 +24,20 @@
 	server := func(version string, state directory.State) directory.Entry {
 		return directory.Entry{Service: "one", Version: version, State: state}
 	}
-	if got := r.eligibility(&canary, "v2"); got != rollout.ServesShare {
+	if got := r.eligibility(&canary, "v2"); got != rollout.CanaryOnly {
 		t.Errorf("the new version in canary: %d", got)
 	}
 	if r.anyServes([]directory.Entry{server("v2", directory.Accepting), server("v1", directory.Closing)}, &canary) ||
 		!r.anyServes([]directory.Entry{server("v2", directory.Accepting), server("v1", directory.Accepting)}, &canary) {
 		t.Error("whether there is another version")
 	}
-	if r.retire(time.Second+r.durations.Retirement) || r.eligibility(&delivered, "v1") != rollout.Finishes {
+	if r.retire(time.Second+r.durations.Retirement) || r.eligibility(&delivered, "v1") != rollout.NotEligible {
 		t.Error("the old version is used before it has retired")
 	}
-	if !r.retire(2*time.Second+r.durations.Retirement) || r.eligibility(&delivered, "v1") != rollout.Serves {
+	if !r.retire(2*time.Second+r.durations.Retirement) || r.eligibility(&delivered, "v1") != rollout.Eligible {
 		t.Error("servers that come long after a delivery get nothing")
 	}
-	if r.stale = true; r.eligibility(&canary, "v2") != rollout.Serves || r.eligibility(&canary, "v1") != rollout.Serves {
+	if r.stale = true; r.eligibility(&canary, "v2") != rollout.Eligible || r.eligibility(&canary, "v1") != rollout.Eligible {
 		t.Error("a sidecar that may have missed the end of a canary keeps to one version")
 	}
 }
--- a/mesh/dataplane/service.go
+++ b/mesh/dataplane/service.go
@@ -191,9 +191,9 @@
 		}
 		m := roster.Member{ID: e.Server, HostPort: e.Addr, Locality: e.Zone, Phase: "ready", Size: 1, Way: e.Incarnation}
 		switch eligibility := eligible(e.Version); {
-		case draining || eligibility == rollout.Finishes:
+		case draining || eligibility == rollout.NotEligible:
 			m.Phase = "draining"
-		case eligibility == rollout.ServesShare:
+		case eligibility == rollout.CanaryOnly:
 			m.Candidate = true
 		}
 		if left := float64(e.WarmUntil-now) / float64(time.Millisecond); left > 0 {
--- a/mesh/register/rollouts.go
+++ b/mesh/register/rollouts.go
@@ -11,11 +11,11 @@
 
 func (op StartRollout) complete(c commit) (Result, bool) {
 	switch c.value.Rollouts.StateOf(op.Order) {
-	case rollout.Taken:
+	case rollout.Accepted:
 		return Confirmed, c.answerable
-	case rollout.Conflicts:
+	case rollout.Conflicting:
 		return Conflict, c.answerable
-	case rollout.NotTaken:
+	case rollout.NotAccepted:
 	}
 	return Confirmed, false
 }
@@ -30,7 +30,7 @@
 }
 
 func (op AdvanceRollout) complete(c commit) (Result, bool) {
-	return Confirmed, c.answerable && !c.value.Rollouts.Awaits(op.Transition)
+	return Confirmed, c.answerable && !c.value.Rollouts.CanApply(op.Transition)
 }
 
 func (op AdvanceRollout) waitsForOthers() bool { return false }
--- a/mesh/rollout/controller.go
+++ b/mesh/rollout/controller.go
@@ -9,14 +9,14 @@
 
 const (
 	// minEvidence is the number of requests of the new version before it is promoted.
-	minEvidence = 24
+	minCandidateRequests = 24
 	// Parts of a rollout's term: when it is promoted and when it is delivered at the earliest, and how long the new version has to serve all
 	// requests before that. A version may turn bad late: until the delivery the old one can take over again.
-	promoteAfter     = 0.6
-	deliverAfter     = 0.8
-	promotingAtLeast = 0.1
+	promoteAfterShare = 0.6
+	deliverAfterShare = 0.8
+	minPromotingShare = 0.1
 	// giveUpAfter times its term after its order a rollout is recalled that is not delivered.
-	giveUpAfter = 2
+	recallAfterTerms = 2
 	// minCapacityShare is the part of the old version's slots that the new one has to have to be promoted.
 	minCapacityShare = 0.7
 )
@@ -56,13 +56,13 @@
 
 // progress is when this process has first seen a rollout, and its stage.
 type progress struct {
-	order        uint32
-	stage        Stage
-	orderedAt    time.Duration
-	stageSeenAt  time.Duration
-	judge        Judge
-	lastJudgment Verdict
-	waitsFor     string // what the rollout was waiting for at the last decision
+	order       uint32
+	stage       Stage
+	orderedAt   time.Duration
+	stageSeenAt time.Duration
+	judge       Judge
+	lastVerdict Verdict
+	waitsFor    string // what the rollout was waiting for at the last decision
 }
 
 // NewController returns a controller that has seen nothing. A bad version may get exposureSlack requests, however few its service has.
@@ -104,15 +104,15 @@
 }
 
 // EndedLately reports whether the rollout of a service was seen to end so short a time ago that copies of its order may still come.
-func (c *Controller) EndedLately(now time.Duration, service string) bool {
+func (c *Controller) EndedRecently(now time.Duration, service string) bool {
 	p := c.progress[service]
 	return p != nil && !p.stage.Active() && now-p.stageSeenAt <= c.durations.RepeatWindow
 }
 
 // Judgment returns the last judgement on the rollout of a service.
-func (c *Controller) Judgment(service string) Verdict {
+func (c *Controller) LastVerdict(service string) Verdict {
 	if p := c.progress[service]; p != nil {
-		return p.lastJudgment
+		return p.lastVerdict
 	}
 	return Verdict{}
 }
@@ -127,8 +127,8 @@
 
 // decide returns the stage that a rollout is to move to and why; 0: it stays.
 func (c *Controller) decide(now time.Duration, r *Rollout, p *progress, v *View) (to Stage, reason string) {
-	verdict := p.judge.Judge(r.Stage, samplesOf(r, v.Machines))
-	p.lastJudgment = verdict
+	verdict := p.judge.Evaluate(r.Stage, samplesOf(r, v.Machines))
+	p.lastVerdict = verdict
 	elapsed := now - p.orderedAt
 	switch {
 	case verdict.Bad:
@@ -139,7 +139,7 @@
 	case now <= c.durations.HoldUp: // until then this process may not know all machines yet
 		p.waitsFor = "reports of all sidecars to this machine, which has just started"
 		return 0, ""
-	case elapsed > giveUpAfter*r.Term:
+	case elapsed > recallAfterTerms*r.Term:
 		return Recalled, fmt.Sprintf("not delivered in %v: it waited for %s; %s", elapsed.Round(time.Second), p.waitsFor, verdict.Reason)
 	case r.Stage == Promoting:
 		to, p.waitsFor = c.decidePromoting(now, r, p, v)
@@ -158,12 +158,12 @@
 	// A service with so few requests can't give a bad version more than the rules allow.
 	idle := float64(verdict.Requests+verdict.BaseRequests) <= c.exposureSlack
 	switch {
-	case elapsed < part(r.Term, promoteAfter):
+	case elapsed < fractionOf(r.Term, promoteAfterShare):
 		return 0, "its time"
 	case candidate == 0 || float64(candidate) < minCapacityShare*float64(old):
 		return 0, fmt.Sprintf("servers of the new version: they have %d slots, those of the old one %d", candidate, old)
-	case verdict.Requests < minEvidence && !idle && old > 0:
-		return 0, fmt.Sprintf("requests of the new version: %d of %d", verdict.Requests, minEvidence)
+	case verdict.Requests < minCandidateRequests && !idle && old > 0:
+		return 0, fmt.Sprintf("requests of the new version: %d of %d", verdict.Requests, minCandidateRequests)
 	}
 	return Promoting, ""
 }
@@ -175,7 +175,7 @@
 	switch {
 	case candidate == 0:
 		return Recalled, "no server of the new version takes requests"
-	case now-p.orderedAt < part(r.Term, deliverAfter) || now-p.stageSeenAt < part(r.Term, promotingAtLeast):
+	case now-p.orderedAt < fractionOf(r.Term, deliverAfterShare) || now-p.stageSeenAt < fractionOf(r.Term, minPromotingShare):
 		return 0, "its time"
 	case unconfirmed > 0:
 		return 0, fmt.Sprintf("confirmations of %d sidecars", unconfirmed)
@@ -184,15 +184,17 @@
 }
 
 // part is a part of a duration.
-func part(d time.Duration, share float64) time.Duration { return time.Duration(share * float64(d)) }
+func fractionOf(d time.Duration, share float64) time.Duration {
+	return time.Duration(share * float64(d))
+}
 
 // Unconfirmed returns the number of sidecars that have not confirmed a revision. One that is lost counts for timing.Rollouts.HoldUp since
 // it was last seen.
 func (c *Controller) Unconfirmed(now time.Duration, revision uint32, machines []Machine) (count int) {
 	for i := range machines {
 		m := &machines[i]
-		gone := m.Lost && now-m.LastSeen > c.durations.HoldUp
-		if m.Confirmed < revision && !gone {
+		ignored := m.Lost && now-m.LastSeen > c.durations.HoldUp
+		if m.Confirmed < revision && !ignored {
 			count++
 		}
 	}
--- a/mesh/rollout/curve_test.go
+++ b/mesh/rollout/curve_test.go
@@ -11,28 +11,28 @@
 
 // trafficModel is how servers answer, in the model of the operating curve: latencies are log-normal, and servers of unequal speed.
 type trafficModel struct {
-	failures  float64 // share of the requests that fail
-	slowShare float64 // share of the requests that take slowTimes as long
-	slowTimes float64
+	failures   float64 // share of the requests that fail
+	slowShare  float64 // share of the requests that take slowTimes as long
+	slowFactor float64
 }
 
 const (
-	modelServers = 12
-	modelSpread  = 0.5 // standard deviation of the logarithm of a latency
+	modelServers       = 12
+	modelLatencySpread = 0.5 // standard deviation of the logarithm of a latency
 	// oldPerNew is how many requests the old version gets for each of the new one, as in a canary.
-	oldPerNew = 19
+	oldRequestsPerNew = 19
 	// lookInterval is how many requests of the new version come between two judgements, and maxRequests when a rollout is over.
-	lookInterval = 10
-	maxRequests  = 600
+	requestsPerJudgement = 10
+	maxCandidateRequests = 600
 )
 
-var modelSpeeds = [...]float64{0.7, 1, 1, 1.5}
+var modelServerSpeeds = [...]float64{0.7, 1, 1, 1.5}
 
 // answer draws a request at a server.
-func (m trafficModel) answer(random *rand.Rand, s *Statistics, server int) {
-	millis := 150 / modelSpeeds[server%len(modelSpeeds)] * math.Exp(modelSpread*random.NormFloat64())
+func (m trafficModel) serve(random *rand.Rand, s *Statistics, server int) {
+	millis := 150 / modelServerSpeeds[server%len(modelServerSpeeds)] * math.Exp(modelLatencySpread*random.NormFloat64())
 	if random.Float64() < m.slowShare {
-		millis *= m.slowTimes
+		millis *= m.slowFactor
 	}
 	s.Record(random.Float64() < m.failures, false, time.Duration(millis*float64(time.Millisecond)))
 }
@@ -44,14 +44,14 @@
 	for i := range samples {
 		samples[i] = Sample{Node: fmt.Sprint(i), Candidate: i >= modelServers, Classes: []Statistics{{Class: 1}}}
 	}
-	for n := 1; n <= maxRequests; n++ {
+	for n := 1; n <= maxCandidateRequests; n++ {
 		server := random.IntN(modelServers)
-		candidate.answer(random, &samples[modelServers+server].Classes[0], server)
-		for range oldPerNew {
+		candidate.serve(random, &samples[modelServers+server].Classes[0], server)
+		for range oldRequestsPerNew {
 			server := random.IntN(modelServers)
-			old.answer(random, &samples[server].Classes[0], server)
+			old.serve(random, &samples[server].Classes[0], server)
 		}
-		if n%lookInterval == 0 && judge.Judge(Canary, samples).Bad {
+		if n%requestsPerJudgement == 0 && judge.Evaluate(Canary, samples).Bad {
 			return n
 		}
 	}
@@ -61,8 +61,8 @@
 // What hits both versions is taken for a bad one less often than once in a thousand; what is bad is found by half of the 50 bad answers
 // that the rule allows, but for a version that is slow by 3, which is found within the canary.
 func TestOperatingCurve(t *testing.T) {
-	sound := trafficModel{failures: 0.004, slowTimes: 1}
-	ailing := trafficModel{failures: 0.05, slowShare: 0.2, slowTimes: 5}
+	healthy := trafficModel{failures: 0.004, slowFactor: 1}
+	degraded := trafficModel{failures: 0.05, slowShare: 0.2, slowFactor: 5}
 	for _, c := range []struct {
 		name           string
 		old, candidate trafficModel
@@ -71,13 +71,13 @@
 		minRecalled    int
 		maxMedian      int // requests to the recall
 	}{
-		{"both sound", sound, sound, 1000, 1, 0, 0},
-		{"a fault hits both", ailing, ailing, 1000, 1, 0, 0},
-		{"the old one is ill", ailing, sound, 500, 0, 0, 0},
-		{"half fail", sound, trafficModel{failures: 0.5, slowTimes: 1}, 300, 300, 300, 50},
-		{"a fifth fails", sound, trafficModel{failures: 0.2, slowTimes: 1}, 300, 300, 300, 125},
-		{"half take 8 times as long", sound, trafficModel{failures: 0.004, slowShare: 0.5, slowTimes: 8}, 300, 300, 300, 50},
-		{"half take 3 times as long", sound, trafficModel{failures: 0.004, slowShare: 0.5, slowTimes: 3}, 300, 300, 300, maxRequests},
+		{"both sound", healthy, healthy, 1000, 1, 0, 0},
+		{"a fault hits both", degraded, degraded, 1000, 1, 0, 0},
+		{"the old one is ill", degraded, healthy, 500, 0, 0, 0},
+		{"half fail", healthy, trafficModel{failures: 0.5, slowFactor: 1}, 300, 300, 300, 50},
+		{"a fifth fails", healthy, trafficModel{failures: 0.2, slowFactor: 1}, 300, 300, 300, 125},
+		{"half take 8 times as long", healthy, trafficModel{failures: 0.004, slowShare: 0.5, slowFactor: 8}, 300, 300, 300, 50},
+		{"half take 3 times as long", healthy, trafficModel{failures: 0.004, slowShare: 0.5, slowFactor: 3}, 300, 300, 300, maxCandidateRequests},
 	} {
 		var needed []int
 		for seed := range c.plays {
--- a/mesh/rollout/judge.go
+++ b/mesh/rollout/judge.go
@@ -10,26 +10,26 @@
 // Parameters of the tests. Both are one-sided: a new version that is better is never bad.
 const (
 	// minFailureRate is the failure rate that any version may have, and suspectRate the least that the sequential test tells from it.
-	minFailureRate = 0.02
-	suspectRate    = 0.15
+	minAllowedFailureRate = 0.02
+	minSuspectFailureRate = 0.15
 	// suspectFactor times the old version's rate is a rate that the tests tell from it, where that is above the suspect one.
-	suspectFactor = 3
-	maxSuspect    = 0.9
+	suspectFactor  = 3
+	maxSuspectRate = 0.9
 	// baseTail is the share of the old version's answers from whose latency on an answer counts as slow. A new version may have minSlowRate
 	// of such answers, and slowSuspectRate is the least that the test tells from it.
-	baseTail        = 0.05
-	minSlowRate     = 0.08
-	slowSuspectRate = 0.25
+	baseTailShare      = 0.05
+	minAllowedSlowRate = 0.08
+	minSuspectSlowRate = 0.25
 	// While the new version has all requests it alone bears what befalls the service: a burst, answers that are lost or garbled. An answer
 	// counts as slow promotingMargin buckets later then, and promotingRate may fail or be slow, which is told from promotingSuspectRate.
-	promotingMargin      = bucketsPerDoubling
-	promotingRate        = 0.1
-	promotingSuspectRate = 0.35
+	promotingMarginBuckets  = bucketsPerDoubling
+	minPromotingAllowedRate = 0.1
+	minPromotingSuspectRate = 0.35
 	// falseAlarmLog is the logarithm of one over the probability that a version of an allowed rate is called bad, each time that the test
 	// begins anew.
-	falseAlarmLog = 9.2 // 1 in 10,000
+	falseAlarmLogRatio = 9.2 // 1 in 10,000
 	// minBaseSamples is the least number of the old version's answers for a comparison of latencies.
-	minBaseSamples = 20
+	minBaseLatencies = 20
 	// minServersToExclude is the least number of servers of a version for the worst one to be left out: a fault of one server is no fault of
 	// its version.
 	minServersToExclude = 3
@@ -74,7 +74,9 @@
 }
 
 // failureRate is the share of failures, with one failure assumed where there are few requests.
-func (s *Statistics) failureRate() float64 { return float64(s.Failures+1) / float64(s.Requests+50) }
+func (s *Statistics) smoothedFailureRate() float64 {
+	return float64(s.Failures+1) / float64(s.Requests+50)
+}
 
 // Sample is what a server has counted since the last hop in front of it learned of the rollout.
 type Sample struct {
@@ -97,43 +99,43 @@
 // that turns bad late is found as soon as one that is bad at once. The worst server of the new version is left out where there are several.
 // It is not safe for concurrent use. The zero value has seen nothing.
 type Judge struct {
-	failures, slowness map[uint32]baseline // by class
+	failureBaselines, slownessBaselines map[uint32]baseline // by class
 }
 
 // baseline is what the servers had counted when a test began, by node.
 type baseline map[string]Statistics
 
 // counted is what one server has counted of one class of routes.
-type counted struct {
+type serverCounts struct {
 	node string
 	*Statistics
 }
 
 // since returns what the server has counted since a baseline.
-func (c *counted) since(b baseline) Statistics {
-	before := b[c.node]
-	return c.Statistics.since(&before)
+func (c *serverCounts) since(b baseline) Statistics {
+	start := b[c.node]
+	return c.Statistics.since(&start)
 }
 
 // classSamples are the counts of one class of routes, by version.
 type classSamples struct {
-	old, candidate []counted
-	base           Statistics // the sum of the old ones
+	old, candidate []serverCounts
+	oldTotal       Statistics // the sum of the old ones
 }
 
 // Judge judges what the servers have counted by now.
-func (j *Judge) Judge(stage Stage, samples []Sample) Verdict {
-	if j.failures == nil {
-		j.failures, j.slowness = map[uint32]baseline{}, map[uint32]baseline{}
+func (j *Judge) Evaluate(stage Stage, samples []Sample) Verdict {
+	if j.failureBaselines == nil {
+		j.failureBaselines, j.slownessBaselines = map[uint32]baseline{}, map[uint32]baseline{}
 	}
 	verdict := Verdict{}
 	for _, class := range classesOf(samples) {
-		all := samplesOfClass(samples, class)
-		verdict.BaseRequests += all.base.Requests
-		for i := range all.candidate {
-			verdict.Requests += all.candidate[i].Requests
+		counts := samplesOfClass(samples, class)
+		verdict.BaseRequests += counts.oldTotal.Requests
+		for i := range counts.candidate {
+			verdict.Requests += counts.candidate[i].Requests
 		}
-		if reason := j.judgeClass(stage, class, &all); reason != "" && !verdict.Bad {
+		if reason := j.judgeClass(stage, class, &counts); reason != "" && !verdict.Bad {
 			verdict.Bad, verdict.Reason = true, reason
 		}
 	}
@@ -154,29 +156,29 @@
 	return slices.Compact(classes)
 }
 
-func samplesOfClass(samples []Sample, class uint32) (all classSamples) {
+func samplesOfClass(samples []Sample, class uint32) (counts classSamples) {
 	for i := range samples {
-		at := slices.IndexFunc(samples[i].Classes, func(s Statistics) bool { return s.Class == class })
-		if at < 0 {
+		index := slices.IndexFunc(samples[i].Classes, func(s Statistics) bool { return s.Class == class })
+		if index < 0 {
 			continue
 		}
-		one := counted{node: samples[i].Node, Statistics: &samples[i].Classes[at]}
+		server := serverCounts{node: samples[i].Node, Statistics: &samples[i].Classes[index]}
 		if samples[i].Candidate {
-			all.candidate = append(all.candidate, one)
+			counts.candidate = append(counts.candidate, server)
 		} else {
-			all.old = append(all.old, one)
-			all.base.add(one.Statistics)
+			counts.old = append(counts.old, server)
+			counts.oldTotal.add(server.Statistics)
 		}
 	}
-	return all
+	return counts
 }
 
 // sumSince adds what servers have counted since a baseline.
-func sumSince(servers []counted, b baseline) (sum Statistics) {
-	var grown Statistics
+func sumSince(servers []serverCounts, b baseline) (sum Statistics) {
+	var delta Statistics
 	for i := range servers {
-		grown = servers[i].since(b)
-		sum.add(&grown)
+		delta = servers[i].since(b)
+		sum.add(&delta)
 	}
 	return sum
 }
@@ -184,7 +186,7 @@
 // setBaseline has a test begin with what the servers have counted by now.
 func (s *classSamples) setBaseline(b baseline) {
 	clear(b)
-	for _, servers := range [...][]counted{s.old, s.candidate} {
+	for _, servers := range [...][]serverCounts{s.old, s.candidate} {
 		for i := range servers {
 			b[servers[i].node] = *servers[i].Statistics
 		}
@@ -192,118 +194,120 @@
 }
 
 // judgeClass returns why the new version is bad for a class of routes; empty: it is not.
-func (j *Judge) judgeClass(stage Stage, class uint32, all *classSamples) string {
-	margin := 0
-	alone := stage == Promoting
-	if alone {
-		margin = promotingMargin
+func (j *Judge) judgeClass(stage Stage, class uint32, counts *classSamples) string {
+	marginBuckets := 0
+	hasAllRequests := stage == Promoting
+	if hasAllRequests {
+		marginBuckets = promotingMarginBuckets
 	}
-	if bad, reason := run(j.failures, class, all, alone, failureTest); bad {
+	if bad, reason := runTest(j.failureBaselines, class, counts, hasAllRequests, newFailureTest); bad {
 		return reason
 	}
-	_, reason := run(j.slowness, class, all, alone, func(base, recent *Statistics) (event, bool) {
-		return slownessTest(base, recent, margin)
+	_, reason := runTest(j.slownessBaselines, class, counts, hasAllRequests, func(base, recent *Statistics) (rateTest, bool) {
+		return newSlownessTest(base, recent, marginBuckets)
 	})
 	return reason
 }
 
 // event is what a test counts, with the rate that is allowed and the one that is suspect.
-type event struct {
-	name             string
-	allowed, suspect float64
-	of               func(s *Statistics) (bad, total uint32)
+type rateTest struct {
+	name                     string
+	allowedRate, suspectRate float64
+	countIn                  func(s *Statistics) (bad, total uint32)
 }
 
 // test returns what to count by what the old version's servers have counted in all, and since the test began; ok is false where that is too
 // little.
-type test func(base, recent *Statistics) (e event, ok bool)
+type testBuilder func(base, recent *Statistics) (e rateTest, ok bool)
 
 // run runs a test on what was counted since it began last, and begins it anew where it speaks for the new version, which may have all
 // requests alone.
-func run(begun map[uint32]baseline, class uint32, all *classSamples, alone bool, t test) (bad bool, reason string) {
-	since := begun[class]
-	if since == nil {
-		since = baseline{}
-		begun[class] = since
+func runTest(baselines map[uint32]baseline, class uint32, counts *classSamples, hasAllRequests bool, build testBuilder) (bad bool, reason string) {
+	start := baselines[class]
+	if start == nil {
+		start = baseline{}
+		baselines[class] = start
 	}
-	recent := sumSince(all.old, since)
-	e, ok := t(&all.base, &recent)
-	if alone {
-		e.allowed = max(e.allowed, promotingRate)
-		e.suspect = suspectOf(e.allowed, promotingSuspectRate)
+	recent := sumSince(counts.old, start)
+	t, ok := build(&counts.oldTotal, &recent)
+	if hasAllRequests {
+		t.allowedRate = max(t.allowedRate, minPromotingAllowedRate)
+		t.suspectRate = suspectRateOf(t.allowedRate, minPromotingSuspectRate)
 	}
-	if !ok || e.allowed >= e.suspect {
+	if !ok || t.allowedRate >= t.suspectRate {
 		return false, ""
 	}
-	if e.logRatio(e.count(all.candidate, since, false)) <= 0 {
-		all.setBaseline(since)
+	if t.logRatio(t.count(counts.candidate, start, false)) <= 0 {
+		counts.setBaseline(start)
 		return false, ""
 	}
-	failed, total := e.count(all.candidate, since, len(all.candidate) >= minServersToExclude)
-	if e.logRatio(failed, total) <= falseAlarmLog {
+	failed, total := t.count(counts.candidate, start, len(counts.candidate) >= minServersToExclude)
+	if t.logRatio(failed, total) <= falseAlarmLogRatio {
 		return false, ""
 	}
 	return true, fmt.Sprintf("class %08x: %d of %d requests %s at the new version, %.3f allowed by the old one",
-		class, failed, total, e.name, e.allowed)
+		class, failed, total, t.name, t.allowedRate)
 }
 
 // count counts the events and requests of servers since a baseline, if need be without the server with the most events.
-func (e *event) count(servers []counted, b baseline, withoutWorst bool) (bad, total uint32) {
+func (t *rateTest) count(servers []serverCounts, b baseline, excludeWorst bool) (bad, total uint32) {
 	worstBad, worstTotal := uint32(0), uint32(0)
-	var grown Statistics
+	var delta Statistics
 	for i := range servers {
-		grown = servers[i].since(b)
-		badHere, totalHere := e.of(&grown)
-		bad, total = bad+badHere, total+totalHere
-		if badHere > worstBad {
-			worstBad, worstTotal = badHere, totalHere
+		delta = servers[i].since(b)
+		serverBad, serverTotal := t.countIn(&delta)
+		bad, total = bad+serverBad, total+serverTotal
+		if serverBad > worstBad {
+			worstBad, worstTotal = serverBad, serverTotal
 		}
 	}
-	if withoutWorst {
+	if excludeWorst {
 		return bad - worstBad, total - worstTotal
 	}
 	return bad, total
 }
 
 // logRatio is how much likelier so many events of so many requests are at the suspect rate than at the allowed one, as a logarithm.
-func (e *event) logRatio(bad, total uint32) float64 {
-	return float64(bad)*math.Log(e.suspect/e.allowed) + float64(total-bad)*math.Log((1-e.suspect)/(1-e.allowed))
+func (t *rateTest) logRatio(bad, total uint32) float64 {
+	return float64(bad)*math.Log(t.suspectRate/t.allowedRate) + float64(total-bad)*math.Log((1-t.suspectRate)/(1-t.allowedRate))
 }
 
 // failureTest tests the share of failures.
-func failureTest(base, recent *Statistics) (event, bool) {
-	allowed := max(minFailureRate, base.failureRate(), recent.failureRate())
-	return event{
-		name:    "failed",
-		allowed: allowed,
-		suspect: suspectOf(allowed, suspectRate),
-		of:      func(s *Statistics) (bad, total uint32) { return s.Failures, s.Requests },
+func newFailureTest(base, recent *Statistics) (rateTest, bool) {
+	allowed := max(minAllowedFailureRate, base.smoothedFailureRate(), recent.smoothedFailureRate())
+	return rateTest{
+		name:        "failed",
+		allowedRate: allowed,
+		suspectRate: suspectRateOf(allowed, minSuspectFailureRate),
+		countIn:     func(s *Statistics) (bad, total uint32) { return s.Failures, s.Requests },
 	}, true
 }
 
 // slownessTest tests the share of answers that are slower than all but baseTail of the old version's, in all or lately, and by margin
 // buckets more.
-func slownessTest(base, recent *Statistics, margin int) (event, bool) {
-	if base.Latencies.count(0) < minBaseSamples {
-		return event{}, false
+func newSlownessTest(base, recent *Statistics, marginBuckets int) (rateTest, bool) {
+	if base.Latencies.countFrom(0) < minBaseLatencies {
+		return rateTest{}, false
 	}
-	from := base.Latencies.tailFrom(baseTail)
-	share := base.Latencies.tailShare(from)
-	if recent.Latencies.count(0) >= minBaseSamples {
-		from = max(from, recent.Latencies.tailFrom(baseTail))
-		share = max(base.Latencies.tailShare(from), recent.Latencies.tailShare(from))
+	firstSlowBucket := base.Latencies.tailStart(baseTailShare)
+	slowShare := base.Latencies.shareFrom(firstSlowBucket)
+	if recent.Latencies.countFrom(0) >= minBaseLatencies {
+		firstSlowBucket = max(firstSlowBucket, recent.Latencies.tailStart(baseTailShare))
+		slowShare = max(base.Latencies.shareFrom(firstSlowBucket), recent.Latencies.shareFrom(firstSlowBucket))
 	}
-	from += margin
-	allowed := max(minSlowRate, share)
-	return event{
-		name:    "were slow",
-		allowed: allowed,
-		suspect: suspectOf(allowed, slowSuspectRate),
-		of:      func(s *Statistics) (bad, total uint32) { return s.Latencies.count(from), s.Latencies.count(0) },
+	firstSlowBucket += marginBuckets
+	allowed := max(minAllowedSlowRate, slowShare)
+	return rateTest{
+		name:        "were slow",
+		allowedRate: allowed,
+		suspectRate: suspectRateOf(allowed, minSuspectSlowRate),
+		countIn: func(s *Statistics) (bad, total uint32) {
+			return s.Latencies.countFrom(firstSlowBucket), s.Latencies.countFrom(0)
+		},
 	}, true
 }
 
 // suspectOf is the rate that a test tells from an allowed one.
-func suspectOf(allowed, least float64) float64 {
-	return min(maxSuspect, max(least, suspectFactor*allowed))
+func suspectRateOf(allowed, minRate float64) float64 {
+	return min(maxSuspectRate, max(minRate, suspectFactor*allowed))
 }
--- a/mesh/rollout/latencies.go
+++ b/mesh/rollout/latencies.go
@@ -30,32 +30,32 @@
 
 // since returns what was counted since an earlier state. Counts below those of that state are of another process, which began anew.
 func (l *Latencies) since(earlier *Latencies) Latencies {
-	grown := *l
-	for i := range grown {
+	delta := *l
+	for i := range delta {
 		if earlier[i] > l[i] {
 			return *l
 		}
-		grown[i] -= earlier[i]
+		delta[i] -= earlier[i]
 	}
-	return grown
+	return delta
 }
 
 // count returns how many latencies were counted in the buckets from one on.
-func (l *Latencies) count(from int) (count uint32) {
-	for i := min(from, latencyBuckets); i < latencyBuckets; i++ {
+func (l *Latencies) countFrom(first int) (count uint32) {
+	for i := min(first, latencyBuckets); i < latencyBuckets; i++ {
 		count += l[i]
 	}
 	return count
 }
 
 // tailShare is the share of the latencies in the buckets from one on.
-func (l *Latencies) tailShare(from int) float64 {
-	return float64(l.count(from)) / float64(max(1, l.count(0)))
+func (l *Latencies) shareFrom(first int) float64 {
+	return float64(l.countFrom(first)) / float64(max(1, l.countFrom(0)))
 }
 
 // tailFrom returns the first bucket from which on there is a share of the latencies at most.
-func (l *Latencies) tailFrom(share float64) (bucket int) {
-	for l.tailShare(bucket) > share {
+func (l *Latencies) tailStart(share float64) (bucket int) {
+	for l.shareFrom(bucket) > share {
 		bucket++
 	}
 	return bucket
--- a/mesh/rollout/rollout.go
+++ b/mesh/rollout/rollout.go
@@ -59,11 +59,11 @@
 // The eligibilities.
 const (
 	// Serves: the server gets requests as without a rollout.
-	Serves Eligibility = iota
+	Eligible Eligibility = iota
 	// ServesShare: the server gets the first attempts of the requests that are chosen for the new version, and no others.
-	ServesShare
+	CanaryOnly
 	// Finishes: the server gets no new requests, and finishes what it has.
-	Finishes
+	NotEligible
 )
 
 // Eligibility returns what a sender may do with a server of a version; empty: the version is not known yet. A version that may be the one
@@ -74,24 +74,24 @@
 	switch r.Stage {
 	case Canary:
 		if isTarget {
-			return ServesShare
+			return CanaryOnly
 		}
-		return finishesUnless(version != "")
+		return eligibleIf(version != "")
 	case Promoting:
-		return finishesUnless(isTarget)
+		return eligibleIf(isTarget)
 	case Delivered:
-		return finishesUnless(isTarget || retired)
+		return eligibleIf(isTarget || retired)
 	case Recalled:
-		return finishesUnless(!isTarget && version != "")
+		return eligibleIf(!isTarget && version != "")
 	}
-	return Serves
+	return Eligible
 }
 
-func finishesUnless(serves bool) Eligibility {
-	if serves {
-		return Serves
+func eligibleIf(eligible bool) Eligibility {
+	if eligible {
+		return Eligible
 	}
-	return Finishes
+	return NotEligible
 }
 
 // Set is the newest rollout of each service. A Set is never changed: its methods return others.
@@ -104,11 +104,11 @@
 
 // Find returns the rollout of a service; ok is false where there is none.
 func (s Set) Find(service string) (r Rollout, ok bool) {
-	at, found := s.search(service)
+	index, found := s.search(service)
 	if !found {
 		return Rollout{}, false
 	}
-	return s.Rollouts[at], true
+	return s.Rollouts[index], true
 }
 
 // AnyActive reports whether a rollout is under way.
@@ -116,18 +116,18 @@
 	return slices.ContainsFunc(s.Rollouts, func(r Rollout) bool { return r.Stage.Active() })
 }
 
-func (s Set) search(service string) (at int, found bool) {
+func (s Set) search(service string) (index int, found bool) {
 	return slices.BinarySearchFunc(s.Rollouts, service, func(r Rollout, service string) int { return cmp.Compare(r.Service, service) })
 }
 
 // with returns the set with a rollout in place of the service's present one.
-func (s Set) with(r Rollout) Set {
-	at, found := s.search(r.Service)
+func (s Set) withRollout(r Rollout) Set {
+	index, found := s.search(r.Service)
 	rollouts := slices.Clone(s.Rollouts)
 	if found {
-		rollouts[at] = r
+		rollouts[index] = r
 	} else {
-		rollouts = slices.Insert(rollouts, at, r)
+		rollouts = slices.Insert(rollouts, index, r)
 	}
 	return Set{Revision: s.Revision + 1, Rollouts: rollouts}
 }
@@ -146,9 +146,9 @@
 
 // The states of an order.
 const (
-	NotTaken  OrderState = iota
-	Taken                // a rollout to its target stands after those that it supersedes
-	Conflicts            // one to another target does, or there are too many
+	NotAccepted OrderState = iota
+	Accepted               // a rollout to its target stands after those that it supersedes
+	Conflicting            // one to another target does, or there are too many
 )
 
 // StateOf returns what became of an order.
@@ -156,30 +156,30 @@
 	present, _ := s.Find(o.Service)
 	switch {
 	case present.Order <= o.Supersedes && (present.Order > 0 || len(s.Rollouts) < MaxRollouts):
-		return NotTaken
+		return NotAccepted
 	case present.Order > o.Supersedes && present.Target == o.Target:
-		return Taken
+		return Accepted
 	}
-	return Conflicts
+	return Conflicting
 }
 
 // Start returns the set with an order taken; s itself where that changes nothing.
 func (s Set) Start(o Order) Set {
 	present, _ := s.Find(o.Service)
-	if s.StateOf(o) != NotTaken || present.Stage.Active() {
+	if s.StateOf(o) != NotAccepted || present.Stage.Active() {
 		return s
 	}
-	return s.with(Rollout{Service: o.Service, Target: o.Target, Order: present.Order + 1, Stage: Canary, Term: o.Term})
+	return s.withRollout(Rollout{Service: o.Service, Target: o.Target, Order: present.Order + 1, Stage: Canary, Term: o.Term})
 }
 
 // Supersedes returns the number for the field of that name of an order that is asked for now. An order to the version of a rollout that has
 // just ended is taken for a late copy of that rollout's order.
-func (s Set) Supersedes(service, target string, endedLately bool) uint32 {
+func (s Set) Supersedes(service, target string, endedRecently bool) uint32 {
 	present, known := s.Find(service)
 	switch {
 	case !known:
 		return 0
-	case present.Stage.Active() || endedLately && present.Target == target:
+	case present.Stage.Active() || endedRecently && present.Target == target:
 		return present.Order - 1
 	}
 	return present.Order
@@ -197,15 +197,15 @@
 // transition.
 func (s Set) Apply(t Transition) Set {
 	r, ok := s.Find(t.Service)
-	if !ok || !s.Awaits(t) {
+	if !ok || !s.CanApply(t) {
 		return s
 	}
 	r.Stage, r.Reason, r.DecidedBy = t.To, t.Reason, t.DecidedBy
-	return s.with(r)
+	return s.withRollout(r)
 }
 
 // Awaits reports whether the rollout of a transition is at its order and stage.
-func (s Set) Awaits(t Transition) bool {
+func (s Set) CanApply(t Transition) bool {
 	r, ok := s.Find(t.Service)
 	return ok && r.Order == t.Order && r.Stage == t.From
 }
--- a/mesh/rollout/rollout_test.go
+++ b/mesh/rollout/rollout_test.go
@@ -15,18 +15,18 @@
 
 const service = "huvo11a"
 
-func started(s Set, target string) Set {
+func startRollout(s Set, target string) Set {
 	return s.Start(Order{Service: service, Target: target, Term: 10 * time.Second, Supersedes: s.Supersedes(service, target, false)})
 }
 
-func advanced(s Set, to Stage) Set {
+func moveTo(s Set, to Stage) Set {
 	r, _ := s.Find(service)
 	return s.Apply(Transition{Service: service, Order: r.Order, From: r.Stage, To: to})
 }
 
-func TestRepeatedOrderStartsNothingTwice(t *testing.T) {
-	canary := started(Set{}, "v2")
-	delivered := advanced(advanced(canary, Promoting), Delivered)
+func TestRepeatedOrderStartsOneRollout(t *testing.T) {
+	canary := startRollout(Set{}, "v2")
+	delivered := moveTo(moveTo(canary, Promoting), Delivered)
 	for _, c := range []struct {
 		name        string
 		present     Set
@@ -35,13 +35,13 @@
 		want        OrderState
 		order       uint32 // afterwards
 	}{
-		{"the first", Set{}, "v2", false, NotTaken, 1},
-		{"a copy while it is under way", canary, "v2", false, Taken, 1},
-		{"another version while it is under way", canary, "v3", false, Conflicts, 1},
-		{"a late copy of one that has ended", delivered, "v2", true, Taken, 1},
-		{"the same version again, long after", delivered, "v2", false, NotTaken, 2},
-		{"another version after it", delivered, "v3", true, NotTaken, 2},
-		{"back to a version that was recalled", advanced(canary, Recalled), "v2", false, NotTaken, 2},
+		{"the first", Set{}, "v2", false, NotAccepted, 1},
+		{"a copy while it is under way", canary, "v2", false, Accepted, 1},
+		{"another version while it is under way", canary, "v3", false, Conflicting, 1},
+		{"a late copy of one that has ended", delivered, "v2", true, Accepted, 1},
+		{"the same version again, long after", delivered, "v2", false, NotAccepted, 2},
+		{"another version after it", delivered, "v3", true, NotAccepted, 2},
+		{"back to a version that was recalled", moveTo(canary, Recalled), "v2", false, NotAccepted, 2},
 	} {
 		o := Order{Service: service, Target: c.target, Supersedes: c.present.Supersedes(service, c.target, c.endedLately)}
 		if got := c.present.StateOf(o); got != c.want {
@@ -60,7 +60,7 @@
 // Of two transitions from one stage the first wins: what was delivered is not recalled, and what was recalled not delivered.
 func TestRolloutHasOneOutcome(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, ended := started(Set{}, "v2"), Stage(0)
+		s, ended := startRollout(Set{}, "v2"), Stage(0)
 		for range rapid.IntRange(1, 12).Draw(t, "transitions") {
 			transition := Transition{
 				Service: service,
@@ -80,7 +80,7 @@
 	})
 }
 
-func TestVersionOnTrialGetsNoMoreThanItsShare(t *testing.T) {
+func TestCanaryGetsNoMoreThanItsShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		plan := Plan{
 			Order:  1,
@@ -137,16 +137,16 @@
 	}
 }
 
-func TestServersOfAVersionByStage(t *testing.T) {
+func TestEligibilityByStage(t *testing.T) {
 	for _, c := range []struct {
 		stage                    Stage
 		old, target, unknown     Eligibility
 		oldRetired, otherRetired Eligibility
 	}{
-		{Canary, Serves, ServesShare, Finishes, Serves, ServesShare},
-		{Promoting, Finishes, Serves, Finishes, Finishes, Serves},
-		{Delivered, Finishes, Serves, Finishes, Serves, Serves},
-		{Recalled, Serves, Finishes, Finishes, Serves, Finishes},
+		{Canary, Eligible, CanaryOnly, NotEligible, Eligible, CanaryOnly},
+		{Promoting, NotEligible, Eligible, NotEligible, NotEligible, Eligible},
+		{Delivered, NotEligible, Eligible, NotEligible, Eligible, Eligible},
+		{Recalled, Eligible, NotEligible, NotEligible, Eligible, NotEligible},
 	} {
 		r := Rollout{Target: "v2", Stage: c.stage}
 		got := [...]Eligibility{r.Eligibility("v1", false), r.Eligibility("v2", false), r.Eligibility("", false),
@@ -159,53 +159,53 @@
 
 // answers returns what servers have counted: of n requests each, a share failed, and the others took a time, with the given spread of its
 // logarithm.
-func answers(candidate bool, servers, n int, failing float64, latency time.Duration, spread float64) (samples []Sample) {
+func servedSamples(candidate bool, servers, n int, failureRate float64, latency time.Duration, spread float64) (samples []Sample) {
 	for server := range servers {
 		s := Statistics{Class: 7}
 		for i := range n {
 			offset := spread * (2*float64(i%5)/4 - 1)
-			failed := math.Floor(float64(i+1)*failing) > math.Floor(float64(i)*failing)
+			failed := math.Floor(float64(i+1)*failureRate) > math.Floor(float64(i)*failureRate)
 			s.Record(failed, false, time.Duration(float64(latency)*math.Exp(offset)))
 		}
-		node := fmt.Sprintf("%v-%d-%d-%v", candidate, n, server, failing)
+		node := fmt.Sprintf("%v-%d-%d-%v", candidate, n, server, failureRate)
 		samples = append(samples, Sample{Node: node, Candidate: candidate, Classes: []Statistics{s}})
 	}
 	return samples
 }
 
-const usual = 100 * time.Millisecond
+const usualLatency = 100 * time.Millisecond
 
 func TestJudge(t *testing.T) {
-	old := answers(false, 10, 100, 0.004, usual, 0.6)
-	oneBadServer := append(answers(true, 7, 10, 0, usual, 0.6), answers(true, 1, 10, 0.8, 5*usual, 0.6)...)
+	old := servedSamples(false, 10, 100, 0.004, usualLatency, 0.6)
+	oneBadServer := append(servedSamples(true, 7, 10, 0, usualLatency, 0.6), servedSamples(true, 1, 10, 0.8, 5*usualLatency, 0.6)...)
 	for _, c := range []struct {
 		name string
 		old  []Sample
 		new  []Sample
 		bad  bool
 	}{
-		{"as good", old, answers(true, 8, 40, 0.004, usual, 0.6), false},
-		{"faster", old, answers(true, 8, 40, 0, usual/3, 0.6), false},
-		{"fails half", old, answers(true, 8, 4, 0.5, usual, 0.6), true},
-		{"fails a fifth", old, answers(true, 8, 20, 0.2, usual, 0.6), true},
-		{"too few to tell", old, answers(true, 2, 1, 0.5, usual, 0.6), false},
-		{"three times as slow", old, answers(true, 8, 10, 0, 3*usual, 0.6), true},
-		{"slower by a tenth", old, answers(true, 8, 200, 0, usual*11/10, 0.6), false},
-		{"both fail, as in a burst", answers(false, 10, 100, 0.3, usual, 0.6), answers(true, 8, 40, 0.3, usual, 0.6), false},
-		{"both are slow", answers(false, 10, 100, 0, 4*usual, 0.6), answers(true, 8, 40, 0, 4*usual, 0.6), false},
+		{"as good", old, servedSamples(true, 8, 40, 0.004, usualLatency, 0.6), false},
+		{"faster", old, servedSamples(true, 8, 40, 0, usualLatency/3, 0.6), false},
+		{"fails half", old, servedSamples(true, 8, 4, 0.5, usualLatency, 0.6), true},
+		{"fails a fifth", old, servedSamples(true, 8, 20, 0.2, usualLatency, 0.6), true},
+		{"too few to tell", old, servedSamples(true, 2, 1, 0.5, usualLatency, 0.6), false},
+		{"three times as slow", old, servedSamples(true, 8, 10, 0, 3*usualLatency, 0.6), true},
+		{"slower by a tenth", old, servedSamples(true, 8, 200, 0, usualLatency*11/10, 0.6), false},
+		{"both fail, as in a burst", servedSamples(false, 10, 100, 0.3, usualLatency, 0.6), servedSamples(true, 8, 40, 0.3, usualLatency, 0.6), false},
+		{"both are slow", servedSamples(false, 10, 100, 0, 4*usualLatency, 0.6), servedSamples(true, 8, 40, 0, 4*usualLatency, 0.6), false},
 		{"one server of it is down", old, oneBadServer, false},
-		{"worse than an old one that fails", answers(false, 10, 100, 0.1, usual, 0.6), answers(true, 8, 40, 0.6, usual, 0.6), true},
-		{"no old version", nil, answers(true, 8, 40, 0, usual, 0.6), false},
+		{"worse than an old one that fails", servedSamples(false, 10, 100, 0.1, usualLatency, 0.6), servedSamples(true, 8, 40, 0.6, usualLatency, 0.6), true},
+		{"no old version", nil, servedSamples(true, 8, 40, 0, usualLatency, 0.6), false},
 	} {
-		if v := new(Judge).Judge(Canary, append(c.old, c.new...)); v.Bad != c.bad {
+		if v := new(Judge).Evaluate(Canary, append(c.old, c.new...)); v.Bad != c.bad {
 			t.Errorf("%s: bad is %v: %s", c.name, v.Bad, v.Reason)
 		}
 	}
 }
 
 // A fault in one class of routes is not hidden by the others.
-func TestBadClassIsNotAveraged(t *testing.T) {
-	samples := append(answers(false, 10, 1000, 0, usual, 0.6), answers(true, 8, 500, 0, usual, 0.6)...)
+func TestBadClassIsNotHiddenByOthers(t *testing.T) {
+	samples := append(servedSamples(false, 10, 1000, 0, usualLatency, 0.6), servedSamples(true, 8, 500, 0, usualLatency, 0.6)...)
 	for i := range samples {
 		rare := Statistics{Class: 9, Requests: 10}
 		if samples[i].Candidate {
@@ -213,13 +213,13 @@
 		}
 		samples[i].Classes = append(samples[i].Classes, rare)
 	}
-	if v := new(Judge).Judge(Canary, samples); !v.Bad {
+	if v := new(Judge).Evaluate(Canary, samples); !v.Bad {
 		t.Error(v.Reason)
 	}
 }
 
 // grown returns samples with more counted, server by server.
-func grown(samples, more []Sample) []Sample {
+func addCounts(samples, more []Sample) []Sample {
 	after := slices.Clone(samples)
 	for i := range after {
 		sum := samples[i].Classes[0]
@@ -230,60 +230,60 @@
 }
 
 // Hundreds of good answers don't excuse the bad ones that come after them.
-func TestVersionThatTurnsBadLateIsFoundAsSoon(t *testing.T) {
+func TestVersionThatTurnsBadLateIsDetected(t *testing.T) {
 	for name, turned := range map[string][]Sample{
-		"fails":   answers(true, 8, 4, 0.5, usual, 0.6),
-		"is slow": answers(true, 8, 4, 0, 5*usual, 0.6),
+		"fails":   servedSamples(true, 8, 4, 0.5, usualLatency, 0.6),
+		"is slow": servedSamples(true, 8, 4, 0, 5*usualLatency, 0.6),
 	} {
 		var judge Judge
-		old, candidate := answers(false, 10, 500, 0.004, usual, 0.6), answers(true, 8, 100, 0, usual, 0.6)
-		if v := judge.Judge(Canary, append(old, candidate...)); v.Bad {
+		old, candidate := servedSamples(false, 10, 500, 0.004, usualLatency, 0.6), servedSamples(true, 8, 100, 0, usualLatency, 0.6)
+		if v := judge.Evaluate(Canary, append(old, candidate...)); v.Bad {
 			t.Fatal(v.Reason)
 		}
-		old = grown(old, answers(false, 10, 40, 0, usual, 0.6))
-		if v := judge.Judge(Canary, append(old, grown(candidate, turned)...)); !v.Bad {
+		old = addCounts(old, servedSamples(false, 10, 40, 0, usualLatency, 0.6))
+		if v := judge.Evaluate(Canary, append(old, addCounts(candidate, turned)...)); !v.Bad {
 			t.Errorf("%s: %s", name, v.Reason)
 		}
 	}
 }
 
-func TestGarbledAnswersInThePromotionAreNoFaultOfTheVersion(t *testing.T) {
+func TestGarbledResponsesDuringPromotionDoNotRecall(t *testing.T) {
 	for failing, bad := range map[float64]bool{0.15: false, 0.5: true} {
 		var judge Judge
-		old, candidate := answers(false, 10, 500, 0.004, usual, 0.6), answers(true, 8, 100, 0.004, usual, 0.6)
-		judge.Judge(Promoting, append(old, candidate...))
-		v := judge.Judge(Promoting, append(old, grown(candidate, answers(true, 8, 20, failing, usual, 0.6))...))
+		old, candidate := servedSamples(false, 10, 500, 0.004, usualLatency, 0.6), servedSamples(true, 8, 100, 0.004, usualLatency, 0.6)
+		judge.Evaluate(Promoting, append(old, candidate...))
+		v := judge.Evaluate(Promoting, append(old, addCounts(candidate, servedSamples(true, 8, 20, failing, usualLatency, 0.6))...))
 		if v.Bad != bad {
 			t.Errorf("%v fail: %s", failing, v.Reason)
 		}
 	}
 }
 
-func TestBurstInThePromotionIsNoFaultOfTheVersion(t *testing.T) {
+func TestBurstDuringPromotionDoesNotRecall(t *testing.T) {
 	var judge Judge
-	old, candidate := answers(false, 10, 100, 0.004, usual, 0.6), answers(true, 8, 20, 0, usual, 0.6)
-	judge.Judge(Promoting, append(old, candidate...))
-	if v := judge.Judge(Promoting, append(old, grown(candidate, answers(true, 8, 40, 0.01, 2*usual, 0.6))...)); v.Bad {
+	old, candidate := servedSamples(false, 10, 100, 0.004, usualLatency, 0.6), servedSamples(true, 8, 20, 0, usualLatency, 0.6)
+	judge.Evaluate(Promoting, append(old, candidate...))
+	if v := judge.Evaluate(Promoting, append(old, addCounts(candidate, servedSamples(true, 8, 40, 0.01, 2*usualLatency, 0.6))...)); v.Bad {
 		t.Error(v.Reason)
 	}
 }
 
 // machines are five of the old and five of the new version, with sidecars that have confirmed a revision.
-func machines(confirmed uint32, newFails float64) (all []Machine) {
+func tenMachines(confirmed uint32, newFails float64) (all []Machine) {
 	for i := range 10 {
 		m := Machine{Node: fmt.Sprint("branch-", i), Service: service, Version: "v1", Accepting: true, Slots: 4, Confirmed: confirmed, Order: 1}
 		failing := 0.
 		if i >= 5 {
 			m.Version, failing = "v2", newFails
 		}
-		m.Classes = answers(i >= 5, 1, 40, failing, usual, 0.6)[0].Classes
+		m.Classes = servedSamples(i >= 5, 1, 40, failing, usualLatency, 0.6)[0].Classes
 		all = append(all, m)
 	}
 	return all
 }
 
 // ordered are machines that have known of the order for almost its term.
-func ordered(machines []Machine) []Machine {
+func longOrdered(machines []Machine) []Machine {
 	for i := range machines {
 		machines[i].OrderAge = 9 * time.Second
 	}
@@ -292,7 +292,7 @@
 
 // decided returns what a controller decides on machines that it knows some time after it has first seen the rollouts. Lost ones were last
 // seen then.
-func decided(v View, machines []Machine, after time.Duration) []Transition {
+func decideAfter(v View, machines []Machine, after time.Duration) []Transition {
 	controller := NewController(timing.Default().Rollouts, 50)
 	begin := time.Minute
 	for i := range machines {
@@ -306,26 +306,26 @@
 }
 
 // untried are machines whose servers of the new version have had few requests, and idle ones those of a service that has few.
-func untried() (untried, idle []Machine) {
-	untried, idle = machines(1, 0), machines(1, 0)
+func fewRequests() (untried, idle []Machine) {
+	untried, idle = tenMachines(1, 0), tenMachines(1, 0)
 	for i := range untried {
-		idle[i].Classes = answers(i >= 5, 1, 4, 0, usual, 0.6)[0].Classes
+		idle[i].Classes = servedSamples(i >= 5, 1, 4, 0, usualLatency, 0.6)[0].Classes
 		if i >= 5 {
-			untried[i].Classes = answers(true, 1, 4, 0, usual, 0.6)[0].Classes
+			untried[i].Classes = servedSamples(true, 1, 4, 0, usualLatency, 0.6)[0].Classes
 		}
 	}
 	return untried, idle
 }
 
 func TestControllerMovesStages(t *testing.T) {
-	canary := started(Set{}, "v2")
-	promoting := advanced(canary, Promoting)
-	lateLost := machines(promoting.Revision, 0)
+	canary := startRollout(Set{}, "v2")
+	promoting := moveTo(canary, Promoting)
+	lateLost := tenMachines(promoting.Revision, 0)
 	lateLost[2].Confirmed, lateLost[2].Lost = 0, true
-	unconfirmed := machines(promoting.Revision, 0)
+	unconfirmed := tenMachines(promoting.Revision, 0)
 	unconfirmed[3].Confirmed--
-	few := machines(canary.Revision, 0)[:7]
-	untried, idle := untried()
+	few := tenMachines(canary.Revision, 0)[:7]
+	untried, idle := fewRequests()
 	for _, c := range []struct {
 		name     string
 		set      Set
@@ -334,26 +334,26 @@
 		after    time.Duration // since the stage was first seen
 		want     Stage         // 0: it stays
 	}{
-		{"too early", canary, true, machines(1, 0), 5900 * time.Millisecond, 0},
-		{"promoted", canary, true, machines(1, 0), 6100 * time.Millisecond, Promoting},
+		{"too early", canary, true, tenMachines(1, 0), 5900 * time.Millisecond, 0},
+		{"promoted", canary, true, tenMachines(1, 0), 6100 * time.Millisecond, Promoting},
 		{"too little is known of the new version", canary, true, untried, 19 * time.Second, 0},
 		{"a service without requests", canary, true, idle, 6100 * time.Millisecond, Promoting},
-		{"ordered long before this process has started", canary, true, ordered(machines(1, 0)), time.Second, Promoting},
-		{"not the leader", canary, false, machines(1, 0), 7 * time.Second, 0},
-		{"bad, seen by any machine", canary, false, machines(1, 0.5), time.Second, Recalled},
+		{"ordered long before this process has started", canary, true, longOrdered(tenMachines(1, 0)), time.Second, Promoting},
+		{"not the leader", canary, false, tenMachines(1, 0), 7 * time.Second, 0},
+		{"bad, seen by any machine", canary, false, tenMachines(1, 0.5), time.Second, Recalled},
 		{"too few new servers", canary, true, few, 9 * time.Second, 0},
 		{"never delivered", canary, true, few, 21 * time.Second, Recalled},
-		{"all have confirmed", promoting, true, machines(promoting.Revision, 0), 8100 * time.Millisecond, Delivered},
-		{"the old version may still be needed", promoting, true, machines(promoting.Revision, 0), 7900 * time.Millisecond, 0},
-		{"not long enough", promoting, true, ordered(machines(promoting.Revision, 0)), 900 * time.Millisecond, 0},
-		{"ordered long before", promoting, true, ordered(machines(promoting.Revision, 0)), 1100 * time.Millisecond, Delivered},
+		{"all have confirmed", promoting, true, tenMachines(promoting.Revision, 0), 8100 * time.Millisecond, Delivered},
+		{"the old version may still be needed", promoting, true, tenMachines(promoting.Revision, 0), 7900 * time.Millisecond, 0},
+		{"not long enough", promoting, true, longOrdered(tenMachines(promoting.Revision, 0)), 900 * time.Millisecond, 0},
+		{"ordered long before", promoting, true, longOrdered(tenMachines(promoting.Revision, 0)), 1100 * time.Millisecond, Delivered},
 		{"one has not confirmed", promoting, true, unconfirmed, 9 * time.Second, 0},
 		{"one is lost lately", promoting, true, lateLost, 2 * time.Second, 0},
 		{"one is lost for long", promoting, true, lateLost, 9 * time.Second, Delivered},
-		{"bad when it has all requests", promoting, false, machines(promoting.Revision, 0.5), time.Second, Recalled},
-		{"its servers are gone", promoting, true, machines(promoting.Revision, 0)[:5], time.Second, Recalled},
+		{"bad when it has all requests", promoting, false, tenMachines(promoting.Revision, 0.5), time.Second, Recalled},
+		{"its servers are gone", promoting, true, tenMachines(promoting.Revision, 0)[:5], time.Second, Recalled},
 	} {
-		due := decided(View{Self: "self", Leader: c.leader, Set: c.set}, c.machines, c.after)
+		due := decideAfter(View{Self: "self", Leader: c.leader, Set: c.set}, c.machines, c.after)
 		switch {
 		case c.want == 0 && len(due) == 0:
 		case len(due) == 1 && due[0].To == c.want:
@@ -364,8 +364,8 @@
 }
 
 // A control machine that has just started does not know all sidecars: it neither delivers nor recalls for want of servers.
-func TestStartedMachineDecidesNothingOnWhatItLacks(t *testing.T) {
-	promoting := advanced(started(Set{}, "v2"), Promoting)
+func TestControllerWaitsForReportsAfterStart(t *testing.T) {
+	promoting := moveTo(startRollout(Set{}, "v2"), Promoting)
 	promoting.Rollouts[0].Term = time.Second
 	controller := NewController(timing.Default().Rollouts, 50)
 	for now := time.Duration(0); now <= timing.Default().Rollouts.HoldUp; now += 100 * time.Millisecond {
--- a/mesh/rollout/split.go
+++ b/mesh/rollout/split.go
@@ -8,7 +8,7 @@
 
 // canaryPart is the part of the share and of the slack that the rules allow a bad version which the canary gets. The rest is for the time
 // in which the new version gets all requests and is not judged yet.
-const canaryPart = 0.5
+const canaryBudgetShare = 0.5
 
 // Plan is how many requests of a service one sender gives a new version.
 type Plan struct {
@@ -25,9 +25,9 @@
 func CanaryPlan(r *Rollout, exposureShare, exposureSlack float64, senders int) Plan {
 	return Plan{
 		Order:  r.Order,
-		Share:  canaryPart * exposureShare,
-		Extra:  canaryPart * exposureSlack / float64(max(1, senders)),
-		Window: part(r.Term, promoteAfter),
+		Share:  canaryBudgetShare * exposureShare,
+		Extra:  canaryBudgetShare * exposureSlack / float64(max(1, senders)),
+		Window: fractionOf(r.Term, promoteAfterShare),
 	}
 }
 
@@ -38,21 +38,21 @@
 type Split struct {
 	active atomic.Bool
 
-	mu       sync.Mutex
-	plan     Plan
-	beganAt  time.Duration
-	start    float64
-	requests int
-	chosen   int
+	mu          sync.Mutex
+	plan        Plan
+	beganAt     time.Duration
+	startOffset float64
+	requests    int
+	chosen      int
 }
 
 // Begin has requests chosen by a plan from now on. The start is a random number from 0 up to 1. The plan of an order that is followed
 // already goes on, with its counts.
-func (s *Split) Begin(now time.Duration, p Plan, start float64) {
+func (s *Split) Begin(now time.Duration, p Plan, startOffset float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.plan.Order != p.Order {
-		s.plan, s.beganAt, s.start, s.requests, s.chosen = p, now, start, 0, 0
+		s.plan, s.beganAt, s.startOffset, s.requests, s.chosen = p, now, startOffset, 0, 0
 	}
 	s.active.Store(true)
 }
@@ -77,6 +77,6 @@
 
 // due is how many requests are to be chosen up to now, with the fraction. The caller holds mu.
 func (s *Split) due(now time.Duration) float64 {
-	passed := min(1, float64(now-s.beganAt)/float64(max(1, s.plan.Window)))
-	return s.start + s.plan.Share*float64(s.requests) + s.plan.Extra*passed
+	elapsedShare := min(1, float64(now-s.beganAt)/float64(max(1, s.plan.Window)))
+	return s.startOffset + s.plan.Share*float64(s.requests) + s.plan.Extra*elapsedShare
 }
