--- a/mesh/admission/controller.go
+++ b/mesh/admission/controller.go
@@ -37,10 +37,10 @@
 // time is admitted where it need not wait, so that requests find the servers with free slots; only one that was rejected elsewhere may
 // wait. The first rank has capacity left where the others fill theirs: if a call fails that a server makes for a request that it works on,
 // all work on that request is lost.
-var slotOvercommit = [...][3]float64{{1.5, 3, 3}, {1.1, 1.8, 2.25}, {1, 1.4, 1.75}}
+var maxRequestsPerSlot = [...][3]float64{{1.5, 3, 3}, {1.1, 1.8, 2.25}, {1, 1.4, 1.75}}
 
 // minLimit is how many requests any server may hold, however few slots it has.
-const minLimit = 2
+const minRequestLimit = 2
 
 const (
 	// checkAfter is how long a server that holds requests may neither respond nor send heartbeats until it is to be checked.
@@ -50,7 +50,7 @@
 )
 
 // maxDeparted bounds the servers that are remembered as departed.
-const maxDeparted = 64
+const maxDepartedServers = 64
 
 // Controller is admission control of one local server. Times are those of one clock that does not go back. It is not safe for concurrent
 // use.
@@ -68,10 +68,10 @@
 	departed  map[string]bool // ids of servers that ended here, so that a late heartbeat does not bring them back
 	// confirmBy is when the server has to be confirmed as one that goes on, whatever it responds to: what its sidecar knew of its end may be
 	// lost. 0: it is confirmed.
-	confirmBy  time.Duration
-	restarted  bool      // an earlier process may have acknowledged ends of servers of which this one knows nothing
-	lastBeat   Heartbeat // be it of the server or of another one
-	identified string    // the server whose health check has passed since the start of this process
+	confirmBy     time.Duration
+	restarted     bool      // an earlier process may have acknowledged ends of servers of which this one knows nothing
+	lastHeartbeat Heartbeat // be it of the server or of another one
+	identified    string    // the server whose health check has passed since the start of this process
 
 	// The server, by its requests.
 	inFlight     int
@@ -107,8 +107,8 @@
 
 // limit returns how many requests the server may hold at most for another one, of this rank and forwarded so often, to be admitted.
 func (c *Controller) limit(rank, forwarded int) int {
-	row := &slotOvercommit[min(max(rank, 0), len(slotOvercommit)-1)]
-	return max(minLimit, int(row[min(max(forwarded, 0), len(row)-1)]*float64(c.slots)))
+	row := &maxRequestsPerSlot[min(max(rank, 0), len(maxRequestsPerSlot)-1)]
+	return max(minRequestLimit, int(row[min(max(forwarded, 0), len(row)-1)]*float64(c.slots)))
 }
 
 // Release ends a request that was admitted for a server.
--- a/mesh/admission/health.go
+++ b/mesh/admission/health.go
@@ -13,11 +13,11 @@
 // Bounds: a request that was forwarded maxDiversions times is never diverted, so that no service is left out as a whole; and of the
 // idempotent requests one in admitOneIn is not, so that a server that has recovered is found healthy.
 type Health struct {
-	failureRate float64 // exponentially weighted, from 0 to 1
-	samples     float64 // that it rests on, up to minSamples
-	updatedAt   time.Duration
-	unhealthy   bool
-	candidates  int // idempotent requests that came while it was unhealthy
+	failureRate    float64 // exponentially weighted, from 0 to 1
+	samples        float64 // that it rests on, up to minSamples
+	updatedAt      time.Duration
+	unhealthy      bool
+	idempotentSeen int // idempotent requests that came while it was unhealthy
 }
 
 const (
@@ -80,6 +80,6 @@
 	if !idempotent {
 		return true
 	}
-	h.candidates++
-	return h.candidates%admitOneIn != 0
+	h.idempotentSeen++
+	return h.idempotentSeen%admitOneIn != 0
 }
--- a/mesh/admission/health_test.go
+++ b/mesh/admission/health_test.go
@@ -9,7 +9,7 @@
 
 // A server that fails two fifths of its requests is found unhealthy within twenty of them, and healthy again soon after it has recovered;
 // failing one in fifty, which is usual, does not make it unhealthy.
-func TestServersAreJudgedByTheirRequests(t *testing.T) {
+func TestHealthFollowsFailureRate(t *testing.T) {
 	var h Health
 	now := time.Duration(0)
 	run := func(n int, bad func(i int) bool) (first int) {
@@ -28,14 +28,14 @@
 	if at := run(40, func(i int) bool { return i%5 < 2 }); at < 0 || at > 20 {
 		t.Errorf("two in five fail: found after %d", at)
 	}
-	in := 0
+	admitted := 0
 	for range 100 {
 		if now += 10 * time.Millisecond; !h.ShouldDivert(now, true, 0) {
-			in++
+			admitted++
 		}
 	}
-	if in < 100/admitOneIn-2 || in > 100/admitOneIn+2 || !h.ShouldDivert(now, false, 0) || h.ShouldDivert(now, false, maxDiversions) {
-		t.Errorf("of idempotent requests %d of 100 are admitted; of the rest: none, and what was forwarded %d times", in, maxDiversions)
+	if admitted < 100/admitOneIn-2 || admitted > 100/admitOneIn+2 || !h.ShouldDivert(now, false, 0) || h.ShouldDivert(now, false, maxDiversions) {
+		t.Errorf("of idempotent requests %d of 100 are admitted; of the rest: none, and what was forwarded %d times", admitted, maxDiversions)
 	}
 	if run(15, func(int) bool { return false }); h.Unhealthy() {
 		t.Error("recovered, and still unhealthy after 15 requests")
@@ -43,7 +43,7 @@
 }
 
 // Whatever came before: what was forwarded often enough is admitted, and with no new results a server does not stay unhealthy.
-func TestNoServerIsDivertedFromForEver(t *testing.T) {
+func TestDiversionIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h Health
 		now := time.Duration(0)
--- a/mesh/admission/link_test.go
+++ b/mesh/admission/link_test.go
@@ -6,31 +6,31 @@
 )
 
 // Offered twice what the link carries, long responses fill it and no more: what may begin never waits for much longer than maxLinkDelay.
-func TestLongResponsesKeepToTheLink(t *testing.T) {
+func TestBulkResponsesAreBoundedByTheLink(t *testing.T) {
 	const bytes = 90 << 10
 	l := NewLink(8) // 1 MB a second
 	type response struct {
 		at time.Duration
 	}
-	var out []response
-	sent := 0
-	most := 0.
+	var inFlight []response
+	sentBytes := 0
+	maxDelaySeconds := 0.
 	for now := time.Duration(0); now < 20*time.Second; now += 10 * time.Millisecond {
-		for len(out) > 0 && out[0].at <= now {
+		for len(inFlight) > 0 && inFlight[0].at <= now {
 			l.Finish(now, bytes)
-			out = out[1:]
-			sent += bytes
+			inFlight = inFlight[1:]
+			sentBytes += bytes
 		}
-		most = max(most, l.backlog/l.rate)
+		maxDelaySeconds = max(maxDelaySeconds, l.backlogBytes/l.bytesPerSecond)
 		if now%(40*time.Millisecond) == 0 && l.TryBegin(now) { // 25 a second are offered
-			out = append(out, response{now + 150*time.Millisecond})
+			inFlight = append(inFlight, response{now + 150*time.Millisecond})
 		}
 	}
-	if rate := float64(sent) / 20; rate < 0.82e6 || rate > 0.95e6 {
+	if rate := float64(sentBytes) / 20; rate < 0.82e6 || rate > 0.95e6 {
 		t.Errorf("%.0f bytes a second go out", rate)
 	}
-	if most > 2*maxLinkDelay.Seconds() {
-		t.Errorf("responses wait %.2f s for the link", most)
+	if maxDelaySeconds > 2*maxLinkDelay.Seconds() {
+		t.Errorf("responses wait %.2f s for the link", maxDelaySeconds)
 	}
 	l = NewLink(0)
 	for range 2 {
--- a/mesh/admission/server.go
+++ b/mesh/admission/server.go
@@ -19,15 +19,15 @@
 
 // AfterRestart notes that earlier processes of this sidecar may have acknowledged ends of servers of which this one knows nothing. One
 // heartbeat may be a late one of such a server: it takes a second one, or a health check that has passed since, to confirm a server.
-func (c *Controller) AfterRestart() { c.restarted = true }
+func (c *Controller) MarkRestarted() { c.restarted = true }
 
 // HandleHeartbeat handles a heartbeat, unless a newer one came before or its server has departed. It reports whether it brought a change.
 func (c *Controller) HandleHeartbeat(now time.Duration, h Heartbeat) (changed bool) {
 	if c.departed[h.ServerID] || h.ServerID == c.serverID && h.Sequence <= c.sequence && h.Sequence > 0 {
 		return false
 	}
-	confirmed := c.confirmedBy(h)
-	c.lastBeat = h
+	confirmed := c.confirms(h)
+	c.lastHeartbeat = h
 	if !confirmed && h.ServerID != c.serverID && c.confirmBy == 0 && c.state == directory.Accepting {
 		return false // a late one must not end the server that goes on
 	}
@@ -52,14 +52,14 @@
 }
 
 // confirmedBy reports whether a heartbeat shows that its server goes on. The caller has not noted it as the last one yet.
-func (c *Controller) confirmedBy(h Heartbeat) bool {
+func (c *Controller) confirms(h Heartbeat) bool {
 	switch {
 	case !c.restarted || h.ServerID == c.identified:
 		return true
 	case h.ServerID == c.serverID && c.confirmBy == 0:
 		return true
 	}
-	return h.ServerID == c.lastBeat.ServerID && h.Sequence > c.lastBeat.Sequence
+	return h.ServerID == c.lastHeartbeat.ServerID && h.Sequence > c.lastHeartbeat.Sequence
 }
 
 // awaitConfirmation sets when a server that has sent a heartbeat has to be confirmed, unless it is.
@@ -74,12 +74,12 @@
 
 // AwaitsConfirmation reports whether a health check would show more of the server that has sent the last heartbeat.
 func (c *Controller) AwaitsConfirmation() bool {
-	id := c.lastBeat.ServerID
+	id := c.lastHeartbeat.ServerID
 	return id != "" && !c.departed[id] && id != c.identified && (id != c.serverID || c.confirmBy > 0)
 }
 
 // ServerLeft handles a server's deregistration. It reports whether that brought a change.
-func (c *Controller) ServerLeft(serverID string) (changed bool) {
+func (c *Controller) HandleDeregistration(serverID string) (changed bool) {
 	c.markDeparted(serverID)
 	if serverID != c.serverID || c.state == directory.Departed {
 		return false
@@ -93,9 +93,9 @@
 	if serverID == "" {
 		return
 	}
-	if len(c.departed) >= maxDeparted {
-		for old := range c.departed {
-			delete(c.departed, old)
+	if len(c.departed) >= maxDepartedServers {
+		for evicted := range c.departed {
+			delete(c.departed, evicted)
 			break
 		}
 	}
@@ -116,10 +116,10 @@
 func (c *Controller) Identify(now time.Duration, e *directory.Entry) {
 	c.identified = e.Server
 	switch {
-	case e.Server != c.lastBeat.ServerID:
+	case e.Server != c.lastHeartbeat.ServerID:
 		c.restore(now, e, min(c.durations.IdentifiedTimeout, max(0, c.durations.ConfirmBy-now)))
 	case e.Server != c.serverID:
-		c.HandleHeartbeat(now, c.lastBeat)
+		c.HandleHeartbeat(now, c.lastHeartbeat)
 	default:
 		c.confirmBy = 0
 		c.ResponseReceived(now)
@@ -131,11 +131,11 @@
 	case e.Server == "":
 		return
 	case e.State == directory.Departed:
-		c.restoreEnd(e)
+		c.restoreShutdown(e)
 		c.markDeparted(e.Server)
 		return
 	case c.serverID != "":
-		c.restoreEnd(e)
+		c.restoreShutdown(e)
 		return
 	case c.departed[e.Server]:
 		return
@@ -149,9 +149,9 @@
 }
 
 // restoreEnd takes over the end of a server that no heartbeat has confirmed, or its beginning.
-func (c *Controller) restoreEnd(e *directory.Entry) {
-	ends := e.State == directory.Departed || e.State == directory.Closing
-	if ends && e.Server == c.serverID && c.confirmBy > 0 {
+func (c *Controller) restoreShutdown(e *directory.Entry) {
+	shuttingDown := e.State == directory.Departed || e.State == directory.Closing
+	if shuttingDown && e.Server == c.serverID && c.confirmBy > 0 {
 		c.state = e.State
 	}
 }
--- a/mesh/attempts/log.go
+++ b/mesh/attempts/log.go
@@ -21,29 +21,29 @@
 
 // record is the log's entry of one attempt.
 type record[Q, R any] struct {
-	key        key
-	loggedAt   time.Duration
-	state      state
-	waiting    []Q
-	response   R
-	size       int // of the response, in bytes; 0: it is not cached
-	finishedAt time.Duration
+	key            key
+	loggedAt       time.Duration
+	state          state
+	waitingQueries []Q
+	response       R
+	responseBytes  int // of the response, in bytes; 0: it is not cached
+	finishedAt     time.Duration
 }
 
 // Log holds the attempts that have arrived at one last hop, or were queried there, with queries of type Q and responses of type R. All
 // times are those of one clock that does not go back. All of it is bounded by the constants of this package: a full log evicts its oldest
 // attempt. It is not safe for concurrent use.
 type Log[Q, R any] struct {
-	incarnation uint64
-	records     map[key]*record[Q, R]
-	order       []*record[Q, R] // by loggedAt
-	cached      []*record[Q, R] // those with a response, by finishedAt
-	cachedBytes int
-	evicted     []Q // queries that waited for attempts that were evicted
-
-	senders       map[string]*sender
-	recency       list.List // of *sender; the one that was last active is at the back
-	senderEvicted bool      // an unknown sender may have had attempts here before
+	incarnation    uint64
+	records        map[key]*record[Q, R]
+	byLoggedAt     []*record[Q, R] // by loggedAt
+	byFinishedAt   []*record[Q, R] // those with a response, by finishedAt
+	cachedBytes    int
+	evictedQueries []Q // queries that waited for attempts that were evicted
+
+	senders           map[string]*sender
+	sendersByActivity list.List // of *sender; the one that was last active is at the back
+	anySenderEvicted  bool      // an unknown sender may have had attempts here before
 }
 
 // New returns the log of a last hop's incarnation, which is not 0.
@@ -97,7 +97,7 @@
 	switch {
 	case id.Incarnation == 0 || id.Incarnation != l.incarnation: // it may have run in another process
 	case s != nil && id.Number <= s.floor: // its record may have been evicted
-	case s == nil && l.senderEvicted: // its sender's floor may have been evicted
+	case s == nil && l.anySenderEvicted: // its sender's floor may have been evicted
 	case l.insert(now, id, barred):
 		return NotStarted, response
 	}
@@ -109,29 +109,29 @@
 	switch {
 	case r.state == barred:
 		return NotStarted, response
-	case r.state == running && len(r.waiting) >= MaxWaitingQueries:
+	case r.state == running && len(r.waitingQueries) >= MaxWaitingQueries:
 		return Unknown, response
 	case r.state == running:
-		r.waiting = append(r.waiting, query)
+		r.waitingQueries = append(r.waitingQueries, query)
 		return Running, response
-	case r.size > 0:
+	case r.responseBytes > 0:
 		return Finished, r.response
 	}
 	return Discarded, response
 }
 
 // Finish ends an attempt that runs, with a response of so many bytes; 0: it is not to be cached. It returns the queries that wait.
-func (l *Log[Q, R]) Finish(now time.Duration, id ID, response R, size int) (waiting []Q) {
+func (l *Log[Q, R]) Finish(now time.Duration, id ID, response R, responseBytes int) (waiting []Q) {
 	r := l.records[key{id.Sender, id.Number}]
 	if r == nil || r.state != running {
 		return nil
 	}
-	waiting, r.waiting = r.waiting, nil
+	waiting, r.waitingQueries = r.waitingQueries, nil
 	r.state, r.finishedAt = finished, now
-	if size > 0 && size <= MaxResponseBytes {
-		r.response, r.size = response, size
-		l.cached = append(l.cached, r)
-		l.cachedBytes += size
+	if responseBytes > 0 && responseBytes <= MaxResponseBytes {
+		r.response, r.responseBytes = response, responseBytes
+		l.byFinishedAt = append(l.byFinishedAt, r)
+		l.cachedBytes += responseBytes
 	}
 	l.Tick(now)
 	return waiting
@@ -143,27 +143,27 @@
 	if r == nil || r.state != running {
 		return nil
 	}
-	waiting, r.waiting = r.waiting, nil
+	waiting, r.waitingQueries = r.waitingQueries, nil
 	r.state = barred
-	l.senders[id.Sender].bar(now)
+	l.senders[id.Sender].recordBar(now)
 	return waiting
 }
 
 // Tick evicts responses and attempts whose retention is over.
 func (l *Log[Q, R]) Tick(now time.Duration) {
-	for len(l.cached) > 0 && (l.cachedBytes > MaxCachedBytes || now-l.cached[0].finishedAt >= ResponseRetention) {
-		l.dropResponse(l.cached[0])
-		l.cached = l.cached[1:]
+	for len(l.byFinishedAt) > 0 && (l.cachedBytes > MaxCachedBytes || now-l.byFinishedAt[0].finishedAt >= ResponseRetention) {
+		l.evictResponse(l.byFinishedAt[0])
+		l.byFinishedAt = l.byFinishedAt[1:]
 	}
-	for len(l.order) > 0 && now-l.order[0].loggedAt >= Retention {
+	for len(l.byLoggedAt) > 0 && now-l.byLoggedAt[0].loggedAt >= Retention {
 		l.evictOldest()
 	}
 }
 
 // TakeEvicted returns, once, the queries that waited for attempts that were evicted: their status is Unknown.
 func (l *Log[Q, R]) TakeEvicted() []Q {
-	evicted := l.evicted
-	l.evicted = nil
+	evicted := l.evictedQueries
+	l.evictedQueries = nil
 	return evicted
 }
 
@@ -175,7 +175,7 @@
 
 // insert logs an attempt in a state. It reports whether there is room for its sender.
 func (l *Log[Q, R]) insert(now time.Duration, id ID, st state) bool {
-	if len(l.order) >= MaxAttempts {
+	if len(l.byLoggedAt) >= MaxAttempts {
 		l.evictOldest()
 	}
 	s := l.senders[id.Sender]
@@ -184,34 +184,34 @@
 			return false
 		}
 	}
-	l.recency.MoveToBack(s.element)
-	s.records++
+	l.sendersByActivity.MoveToBack(s.element)
+	s.loggedAttempts++
 	if st == barred {
-		s.bar(now)
+		s.recordBar(now)
 	}
 	r := &record[Q, R]{key: key{s.name, id.Number}, loggedAt: now, state: st}
 	l.records[r.key] = r
-	l.order = append(l.order, r)
+	l.byLoggedAt = append(l.byLoggedAt, r)
 	return true
 }
 
 // evictOldest evicts the oldest attempt, and raises its sender's floor to it.
 func (l *Log[Q, R]) evictOldest() {
-	r := l.order[0]
-	l.order[0] = nil
-	l.order = l.order[1:]
-	l.dropResponse(r)
-	l.evicted = append(l.evicted, r.waiting...)
-	r.waiting = nil
+	r := l.byLoggedAt[0]
+	l.byLoggedAt[0] = nil
+	l.byLoggedAt = l.byLoggedAt[1:]
+	l.evictResponse(r)
+	l.evictedQueries = append(l.evictedQueries, r.waitingQueries...)
+	r.waitingQueries = nil
 	delete(l.records, r.key)
 	s := l.senders[r.key.sender]
 	s.floor = max(s.floor, r.key.number)
-	s.records--
+	s.loggedAttempts--
 }
 
 // dropResponse evicts an attempt's response from the cache.
-func (l *Log[Q, R]) dropResponse(r *record[Q, R]) {
+func (l *Log[Q, R]) evictResponse(r *record[Q, R]) {
 	var none R
-	l.cachedBytes -= r.size
-	r.response, r.size = none, 0
+	l.cachedBytes -= r.responseBytes
+	r.response, r.responseBytes = none, 0
 }
--- a/mesh/attempts/log_test.go
+++ b/mesh/attempts/log_test.go
@@ -16,12 +16,12 @@
 	return ID{Sender: sender, Number: number, Incarnation: thisIncarnation}
 }
 
-func TestStatusOfAnAttempt(t *testing.T) {
+func TestStatusOfAttempt(t *testing.T) {
 	type log = Log[string, string]
-	mine, other := attempt("a", 1), ID{Sender: "a", Number: 1, Incarnation: thisIncarnation - 1}
-	finish := func(l *log, at time.Duration, size int) {
-		l.Begin(at, mine)
-		l.Finish(at, mine, "body", size)
+	current, previous := attempt("a", 1), ID{Sender: "a", Number: 1, Incarnation: thisIncarnation - 1}
+	runAndFinish := func(l *log, at time.Duration, size int) {
+		l.Begin(at, current)
+		l.Finish(at, current, "body", size)
 	}
 	for _, c := range []struct {
 		name    string
@@ -30,25 +30,25 @@
 		want    Status
 		then    Verdict // on the attempt, should it arrive after the query
 	}{
-		{"never arrived", func(*log) {}, mine, NotStarted, AlreadyBarred},
-		{"runs", func(l *log) { l.Begin(0, mine) }, mine, Running, Duplicate},
-		{"has ended", func(l *log) { finish(l, 0, 4) }, mine, Finished, Duplicate},
-		{"has ended with more than is cached", func(l *log) { finish(l, 0, MaxResponseBytes+1) }, mine, Discarded, Duplicate},
+		{"never arrived", func(*log) {}, current, NotStarted, AlreadyBarred},
+		{"runs", func(l *log) { l.Begin(0, current) }, current, Running, Duplicate},
+		{"has ended", func(l *log) { runAndFinish(l, 0, 4) }, current, Finished, Duplicate},
+		{"has ended with more than is cached", func(l *log) { runAndFinish(l, 0, MaxResponseBytes+1) }, current, Discarded, Duplicate},
 		{"was admitted, and the server was not reached", func(l *log) {
-			l.Begin(0, mine)
-			l.Withdraw(0, mine)
-		}, mine, NotStarted, AlreadyBarred},
-		{"was sent to the process before", func(*log) {}, other, Unknown, WrongIncarnation},
+			l.Begin(0, current)
+			l.Withdraw(0, current)
+		}, current, NotStarted, AlreadyBarred},
+		{"was sent to the process before", func(*log) {}, previous, Unknown, WrongIncarnation},
 		{"was sent without an incarnation", func(*log) {}, ID{Sender: "a", Number: 1}, Unknown, Admitted},
-		{"was sent before the incarnation changed", func(l *log) { l.SetIncarnation(8) }, mine, Unknown, WrongIncarnation},
-		{"is below the floor", func(l *log) { l.Begin(-Retention, attempt("a", 2)) }, mine, Unknown, TooOld},
-		{"ran longer ago than the retention", func(l *log) { finish(l, -Retention, 4) }, mine, Unknown, TooOld},
+		{"was sent before the incarnation changed", func(l *log) { l.SetIncarnation(8) }, current, Unknown, WrongIncarnation},
+		{"is below the floor", func(l *log) { l.Begin(-Retention, attempt("a", 2)) }, current, Unknown, TooOld},
+		{"ran longer ago than the retention", func(l *log) { runAndFinish(l, -Retention, 4) }, current, Unknown, TooOld},
 		{"has too many queries that wait", func(l *log) {
-			l.Begin(0, mine)
+			l.Begin(0, current)
 			for range MaxWaitingQueries {
-				l.Query(0, mine, "q")
+				l.Query(0, current, "q")
 			}
-		}, mine, Unknown, Duplicate},
+		}, current, Unknown, Duplicate},
 	} {
 		l := New[string, string](thisIncarnation)
 		c.before(l)
@@ -69,15 +69,15 @@
 		l.Begin(0, attempt("a", n))
 		l.Query(0, attempt("a", n), fmt.Sprint("q", n))
 	}
-	if got := l.Finish(1, attempt("a", 1), "body", 4); len(got) != 1 || got[0] != "q1" {
-		t.Errorf("at its end %v are answered", got)
+	if answered := l.Finish(1, attempt("a", 1), "body", 4); len(answered) != 1 || answered[0] != "q1" {
+		t.Errorf("at its end %v are answered", answered)
 	}
-	if got := l.Withdraw(1, attempt("a", 2)); len(got) != 1 || got[0] != "q2" {
-		t.Errorf("at its withdrawal %v are answered", got)
+	if answered := l.Withdraw(1, attempt("a", 2)); len(answered) != 1 || answered[0] != "q2" {
+		t.Errorf("at its withdrawal %v are answered", answered)
 	}
 	l.Tick(Retention)
-	if got := l.TakeEvicted(); len(got) != 1 || got[0] != "q3" {
-		t.Errorf("at its eviction %v are answered", got)
+	if answered := l.TakeEvicted(); len(answered) != 1 || answered[0] != "q3" {
+		t.Errorf("at its eviction %v are answered", answered)
 	}
 	if l.Len() != 0 || l.CachedBytes() != 0 {
 		t.Errorf("%d attempts and %d bytes are left", l.Len(), l.CachedBytes())
@@ -85,7 +85,7 @@
 }
 
 // However many attempts and senders there are, the log stays within its bounds, and nothing that ran has the status NotStarted.
-func TestEvictionNeverTurnsARunIntoNone(t *testing.T) {
+func TestEvictionNeverReportsAnExecutedAttemptAsNotStarted(t *testing.T) {
 	l := New[string, string](thisIncarnation)
 	const many = MaxSenders + 3*MaxAttempts
 	for i := range many {
@@ -111,7 +111,7 @@
 }
 
 // What was barred stays barred when its record is long evicted, and when there are more senders than are kept.
-func TestABarOutlivesItsRecord(t *testing.T) {
+func TestBarOutlivesEvictedRecord(t *testing.T) {
 	l := New[string, string](thisIncarnation)
 	if got, _ := l.Query(0, attempt("a", 5), ""); got != NotStarted {
 		t.Fatal(got)
@@ -128,7 +128,7 @@
 }
 
 // The same holds for an attempt that was admitted and withdrawn, whose queries are answered NotStarted.
-func TestTheBarOfAWithdrawnAttemptOutlivesItsRecord(t *testing.T) {
+func TestBarOfWithdrawnAttemptOutlivesEvictedRecord(t *testing.T) {
 	l := New[string, string](thisIncarnation)
 	l.Begin(0, attempt("a", 5))
 	l.Withdraw(0, attempt("a", 5))
--- a/mesh/attempts/senders.go
+++ b/mesh/attempts/senders.go
@@ -8,15 +8,15 @@
 
 // sender is what a log keeps of one sending sidecar.
 type sender struct {
-	name     string
-	element  *list.Element // in the log's recency
-	floor    uint64        // the highest number that was evicted
-	records  int           // attempts that are logged
-	hasBar   bool          // one of its attempts was barred: the floor has to be kept for BarRetention
-	barredAt time.Duration
+	name           string
+	element        *list.Element // in the log's recency
+	floor          uint64        // the highest number that was evicted
+	loggedAttempts int           // attempts that are logged
+	everBarred     bool          // one of its attempts was barred: the floor has to be kept for BarRetention
+	barredAt       time.Duration
 }
 
-func (s *sender) bar(now time.Duration) { s.hasBar, s.barredAt = true, now }
+func (s *sender) recordBar(now time.Duration) { s.everBarred, s.barredAt = true, now }
 
 // addSender adds the sender of an attempt, or returns nil where there is no room for it. If any sender was evicted before, this one may be
 // it, and all its attempts before this one count as evicted.
@@ -25,8 +25,8 @@
 		return nil
 	}
 	s := &sender{name: strings.Clone(id.Sender)} // the caller's is part of a longer text
-	s.element = l.recency.PushBack(s)
-	if l.senderEvicted {
+	s.element = l.sendersByActivity.PushBack(s)
+	if l.anySenderEvicted {
 		s.floor = id.Number - 1
 	}
 	l.senders[s.name] = s
@@ -36,14 +36,14 @@
 // evictSender evicts the sender that has been inactive for longest of those whose floor is not needed, and reports whether there was one.
 // After BarRetention no connection stands on which a barred attempt could still arrive: this alone rests on time.
 func (l *Log[Q, R]) evictSender(now time.Duration) bool {
-	for at := l.recency.Front(); at != nil; at = at.Next() {
-		s, ok := at.Value.(*sender)
-		if !ok || s.records > 0 || s.hasBar && now-s.barredAt < BarRetention {
+	for element := l.sendersByActivity.Front(); element != nil; element = element.Next() {
+		s, ok := element.Value.(*sender)
+		if !ok || s.loggedAttempts > 0 || s.everBarred && now-s.barredAt < BarRetention {
 			continue
 		}
-		l.recency.Remove(at)
+		l.sendersByActivity.Remove(element)
 		delete(l.senders, s.name)
-		l.senderEvicted = true
+		l.anySenderEvicted = true
 		return true
 	}
 	return false
--- a/mesh/dataplane/lasthop.go
+++ b/mesh/dataplane/lasthop.go
@@ -316,7 +316,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.guard.Closing(l.now(), id)
-	return l.gate.Admission.ServerLeft(id)
+	return l.gate.Admission.HandleDeregistration(id)
 }
 
 // serverConfirmed reports whether it is known which server is local, and a health check would show no more.
--- a/mesh/dataplane/lasthop/gate.go
+++ b/mesh/dataplane/lasthop/gate.go
@@ -106,7 +106,7 @@
 	if r.Bulk {
 		g.Link.Finish(now, result.Bytes)
 	} else {
-		g.Link.Sent(now, result.Bytes)
+		g.Link.RecordSent(now, result.Bytes)
 	}
 	switch {
 	case result.Refused:
--- a/mesh/dataplane/proxy.go
+++ b/mesh/dataplane/proxy.go
@@ -197,7 +197,7 @@
 	p.lastHop.changed = func() { p.post(serverChanged{}) }
 	p.lastHop.doubted = p.beginIdentifyingServer
 	if !settings.FirstStart {
-		p.lastHop.gate.Admission.AfterRestart()
+		p.lastHop.gate.Admission.MarkRestarted()
 	}
 	p.inFlight = inflight.New[*core.Attempt](settings.NodeName + "." + strconv.FormatUint(rand.Uint64(), 16))
 	p.queries = newOutcomeQueries(ctx, log, p.inFlight)
--- a/mesh/lease/lease.go
+++ b/mesh/lease/lease.go
@@ -46,13 +46,13 @@
 	nextTick  time.Duration
 
 	// The candidate.
-	released      bool   // for good: this machine requests no more votes
-	requestNumber uint64 // of the last request
-	requestedAt   time.Duration
-	votes         []string // for the last request; nil: none is under way
-	replies       []string // members that have answered the last request, whichever way
-	unanswered    int      // requests in a row that no majority answered in time
-	heldUntil     time.Duration
+	released           bool   // for good: this machine requests no more votes
+	requestNumber      uint64 // of the last request
+	requestedAt        time.Duration
+	voters             []string // for the last request; nil: none is under way
+	responders         []string // members that have answered the last request, whichever way
+	unansweredRequests int      // requests in a row that no majority answered in time
+	heldUntil          time.Duration
 
 	// The voter.
 	votedFor    string // empty: nobody
@@ -100,8 +100,8 @@
 	case !held && l.votedFor != "" && l.votedFor != l.self && now < l.voteExpires:
 		l.nextTick = l.voteExpires
 		return nil
-	case !held && l.votedFor == l.self && l.votes != nil:
-		l.endSplitVote(now)
+	case !held && l.votedFor == l.self && l.voters != nil:
+		l.abandonRequest(now)
 		return nil
 	}
 	return l.requestVotes(now)
@@ -109,20 +109,20 @@
 
 // endSplitVote frees the vote that this machine gave itself in a request that no majority granted. Late votes for it do not count, and the
 // candidates ask again one after the other.
-func (l *Lease) endSplitVote(now time.Duration) {
+func (l *Lease) abandonRequest(now time.Duration) {
 	l.requestNumber++
-	if len(l.replies) <= len(l.members)/2 {
-		l.unanswered++
+	if len(l.responders) <= len(l.members)/2 {
+		l.unansweredRequests++
 	}
-	l.votedFor, l.voteExpires, l.votes = "", now, nil
-	l.nextTick = now + l.turn()
+	l.votedFor, l.voteExpires, l.voters = "", now, nil
+	l.nextTick = now + l.staggerDelay()
 }
 
 // voteTimeout returns how long to wait for votes. It doubles with each request that no majority answered: where replies take longer than
 // expected, every one of them would come too late otherwise. A vote that was split has been answered.
 func (l *Lease) voteTimeout() time.Duration {
 	timeout := l.durations.VoteTimeout
-	for range l.unanswered {
+	for range l.unansweredRequests {
 		if timeout >= l.durations.MaxVoteTimeout {
 			break
 		}
@@ -132,43 +132,43 @@
 }
 
 // turn returns how long this machine waits for its turn to request votes when the lease has become free.
-func (l *Lease) turn() time.Duration {
+func (l *Lease) staggerDelay() time.Duration {
 	return l.durations.Stagger * time.Duration(1+slices.Index(l.members, l.self))
 }
 
 // requestVotes asks all members for a vote, to win the lease or to renew it.
-func (l *Lease) requestVotes(now time.Duration) (out []Message) {
+func (l *Lease) requestVotes(now time.Duration) (requests []Message) {
 	l.nextTick = now + l.voteTimeout()
 	if l.HeldAt(now) {
 		l.nextTick = now + l.durations.RenewInterval
 	}
 	l.requestNumber++
-	l.requestedAt, l.votes, l.replies = now, []string{}, nil
+	l.requestedAt, l.voters, l.responders = now, []string{}, nil
 	for _, member := range l.members {
 		request := Message{Kind: VoteRequest, From: l.self, To: member, Number: l.requestNumber}
 		if member == l.self {
 			l.countVote(l.vote(now, request))
 			continue
 		}
-		out = append(out, request)
+		requests = append(requests, request)
 	}
-	return out
+	return requests
 }
 
 // Release gives the lease up for good: this machine stops acting on it at once and requests no more votes. It returns the messages that
 // free the voters, so that the next holder need not wait until their votes expire. It continues to vote for others.
-func (l *Lease) Release(now time.Duration) (out []Message) {
-	l.released, l.heldUntil, l.votes = true, 0, nil
+func (l *Lease) Release(now time.Duration) (messages []Message) {
+	l.released, l.heldUntil, l.voters = true, 0, nil
 	for _, member := range l.members {
 		release := Message{Kind: Release, From: l.self, To: member, Number: l.requestNumber}
 		if member == l.self {
 			l.freeVote(now, release)
 			continue
 		}
-		out = append(out, release)
+		messages = append(messages, release)
 	}
 	l.requestNumber++ // late votes do not count
-	return out
+	return messages
 }
 
 // Handle processes a message and returns the response, if there is one.
@@ -195,18 +195,18 @@
 
 // countVote counts a vote for the last request; a majority grants or renews the lease.
 func (l *Lease) countVote(m Message) {
-	if m.Number != l.requestNumber || slices.Contains(l.replies, m.From) || !slices.Contains(l.members, m.From) {
+	if m.Number != l.requestNumber || slices.Contains(l.responders, m.From) || !slices.Contains(l.members, m.From) {
 		return
 	}
-	l.replies = append(l.replies, m.From)
-	if len(l.replies) > len(l.members)/2 {
-		l.unanswered = 0
+	l.responders = append(l.responders, m.From)
+	if len(l.responders) > len(l.members)/2 {
+		l.unansweredRequests = 0
 	}
 	if !m.Granted {
 		return
 	}
-	l.votes = append(l.votes, m.From)
-	if len(l.votes) > len(l.members)/2 {
+	l.voters = append(l.voters, m.From)
+	if len(l.voters) > len(l.members)/2 {
 		// Counted from the request on: no vote for it binds from an earlier time.
 		l.heldUntil = max(l.heldUntil, l.requestedAt+l.durations.LeaseDuration)
 	}
@@ -218,5 +218,5 @@
 		return
 	}
 	l.votedFor, l.voteExpires = "", now
-	l.nextTick = min(l.nextTick, now+l.turn())
+	l.nextTick = min(l.nextTick, now+l.staggerDelay())
 }
--- a/mesh/lease/lease_test.go
+++ b/mesh/lease/lease_test.go
@@ -22,21 +22,21 @@
 
 // cluster runs leases over links with a delay.
 type cluster struct {
-	names    []string
-	leases   []*Lease // nil: the machine is down
-	cut      map[int]bool
-	inFlight []delivery
-	log      []string
-	holders  string // at the last step
+	names       []string
+	leases      []*Lease // nil: the machine is down
+	partitioned map[int]bool
+	inFlight    []delivery
+	log         []string
+	holders     string // at the last step
 }
 
 type delivery struct {
-	at      time.Duration
+	dueAt   time.Duration
 	message Message
 }
 
 func newCluster(names []string) *cluster {
-	return &cluster{names: names, leases: make([]*Lease, len(names)), cut: map[int]bool{}}
+	return &cluster{names: names, leases: make([]*Lease, len(names)), partitioned: map[int]bool{}}
 }
 
 func (c *cluster) send(now time.Duration, messages ...Message) {
@@ -50,7 +50,7 @@
 	inFlight := c.inFlight
 	c.inFlight = nil
 	for _, d := range inFlight {
-		if d.at > now {
+		if d.dueAt > now {
 			c.inFlight = append(c.inFlight, d)
 		} else {
 			c.deliver(now, d.message)
@@ -66,18 +66,18 @@
 			holders = append(holders, c.names[i])
 		}
 	}
-	if held := strings.Join(holders, " and "); held != c.holders {
-		c.holders = held
-		if held == "" {
-			held = "nobody"
+	if current := strings.Join(holders, " and "); current != c.holders {
+		c.holders = current
+		if current == "" {
+			current = "nobody"
 		}
-		c.log = append(c.log, fmt.Sprintf("%5.2f  %s", now.Seconds(), held))
+		c.log = append(c.log, fmt.Sprintf("%5.2f  %s", now.Seconds(), current))
 	}
 }
 
 func (c *cluster) deliver(now time.Duration, m Message) {
 	from, to := slices.Index(c.names, m.From), slices.Index(c.names, m.To)
-	if c.leases[to] == nil || c.cut[from] || c.cut[to] {
+	if c.leases[to] == nil || c.partitioned[from] || c.partitioned[to] {
 		return
 	}
 	if response, ok := c.leases[to].Handle(now, m); ok {
@@ -86,7 +86,7 @@
 }
 
 // do plays a cell of a timeline.
-func (c *cluster) do(now time.Duration, i int, cell string) {
+func (c *cluster) applyCell(now time.Duration, i int, cell string) {
 	switch cell {
 	case "up":
 		c.leases[i] = New(c.names[i], now, 0, timing.NewLease(timing.DefaultVoteDuration))
@@ -96,9 +96,9 @@
 	case "kill":
 		c.leases[i] = nil
 	case "cut":
-		c.cut[i] = true
+		c.partitioned[i] = true
 	case "heal":
-		delete(c.cut, i)
+		delete(c.partitioned, i)
 	}
 }
 
@@ -109,24 +109,24 @@
 			t.Fatal(err)
 		}
 		c := newCluster(drawing.Names)
-		drawing.Play(tickInterval, c.step, c.do)
+		drawing.Play(tickInterval, c.step, c.applyCell)
 		return strings.Join(c.log, "\n") + "\n"
 	})
 }
 
 // At most one machine holds the lease, whatever machines are killed or cut off when.
-func TestAtMostOneHolds(t *testing.T) {
+func TestAtMostOneHolder(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		c := newCluster([]string{"a", "b", "c", "d", "e"})
 		for i := range c.leases {
-			c.do(0, i, "up")
+			c.applyCell(0, i, "up")
 		}
 		for now := time.Duration(0); now < 20*time.Second; now += tickInterval {
 			if i := random.IntN(2000); i < len(c.leases) {
 				cell := []string{"kill", "up", "cut", "heal"}[random.IntN(4)]
 				if cell != "up" || c.leases[i] == nil {
-					c.do(now, i, cell)
+					c.applyCell(now, i, cell)
 				}
 			}
 			if c.step(now); strings.Contains(c.holders, "and") {
@@ -137,7 +137,7 @@
 }
 
 // A release that arrives after a later request of the same machine frees no vote.
-func TestOvertakenReleaseFreesNothing(t *testing.T) {
+func TestLateReleaseFreesNoLaterVote(t *testing.T) {
 	durations := timing.NewLease(timing.DefaultVoteDuration)
 	voter := New("b", 0, 0, durations)
 	voter.SetMembers([]string{"a", "b", "c"})
@@ -172,7 +172,7 @@
 // Votes count for the request that they answer only: not once it was given up as a split vote, nor once the lease was released.
 func TestLateVotesDoNotCount(t *testing.T) {
 	durations := timing.NewLease(timing.DefaultVoteDuration)
-	for name, giveUp := range map[string]func(l *Lease, now time.Duration){
+	for name, abandon := range map[string]func(l *Lease, now time.Duration){
 		"a split vote":   func(l *Lease, now time.Duration) { l.Tick(now) },
 		"the release":    func(l *Lease, now time.Duration) { l.Release(now) },
 		"a next request": func(l *Lease, now time.Duration) { l.Tick(now); l.Tick(l.NextTick()) },
@@ -181,7 +181,7 @@
 		candidate.SetMembers([]string{"a", "b", "c", "d", "e"})
 		requests := candidate.Tick(durations.StartupDelay)
 		now := candidate.NextTick()
-		giveUp(candidate, now)
+		abandon(candidate, now)
 		for _, request := range requests {
 			vote := Message{Kind: VoteResponse, From: request.To, To: "a", Number: request.Number, Granted: true}
 			candidate.Handle(now+time.Millisecond, vote)
--- a/mesh/replacement/departure.go
+++ b/mesh/replacement/departure.go
@@ -37,9 +37,9 @@
 // Departure takes a machine that is shutting down out of the group: it hands over its membership, has the committed value replicated to a
 // quorum without it, and departs within timing.Replacement.DepartureTimeout. It is not safe for concurrent use.
 type Departure struct {
-	timeouts     timing.Replacement
+	durations    timing.Replacement
 	self         string
-	began        time.Duration
+	startedAt    time.Duration
 	proposedAt   time.Duration // of the last handover; never: there was none
 	replicating  bool          // ReplicateWithoutSelf was returned
 	hasSuccessor bool
@@ -47,17 +47,19 @@
 
 // NewDeparture begins the departure of a machine.
 func NewDeparture(t timing.Replacement, self string, now time.Duration) *Departure {
-	return &Departure{timeouts: t, self: self, began: now, proposedAt: never, hasSuccessor: true}
+	return &Departure{durations: t, self: self, startedAt: now, proposedAt: never, hasSuccessor: true}
 }
 
 // handoverDeadline returns when the membership has to be handed over.
-func (d *Departure) handoverDeadline() time.Duration { return d.began + d.timeouts.HandoverTimeout() }
+func (d *Departure) handoverDeadline() time.Duration {
+	return d.startedAt + d.durations.HandoverTimeout()
+}
 
 // Decide returns the next action. Replicated reports whether the register has completed ReplicateWithoutSelf.
 func (d *Departure) Decide(now time.Duration, g Group, replicated bool) Action {
 	member := g.isMember(d.self)
 	switch {
-	case now >= d.began+d.timeouts.DepartureTimeout:
+	case now >= d.startedAt+d.durations.DepartureTimeout:
 		return Action{Kind: Depart, Err: ErrDepartureTimeout}
 	case member && !d.replicating && now < d.handoverDeadline():
 		return d.handOver(now, g)
@@ -75,12 +77,12 @@
 
 // handOver proposes a change that gives this machine's membership to a successor, and proposes it again when it has timed out.
 func (d *Departure) handOver(now time.Duration, g Group) Action {
-	proposed := d.proposedAt != never && now < d.proposedAt+d.timeouts.ChangeTimeout
-	underWay := !slices.Contains(g.Members, d.self) // it is a prior member, which the change still needs
-	if proposed || underWay {
+	awaitingChange := d.proposedAt != never && now < d.proposedAt+d.durations.ChangeTimeout
+	changeInProgress := !slices.Contains(g.Members, d.self) // it is a prior member, which the change still needs
+	if awaitingChange || changeInProgress {
 		return Action{Kind: Wait}
 	}
-	c, ok := g.replace(now, &d.timeouts, []string{d.self})
+	c, ok := g.replace(now, &d.durations, []string{d.self})
 	if !ok {
 		d.hasSuccessor = false
 		return d.replicate()
--- a/mesh/replacement/departure_test.go
+++ b/mesh/replacement/departure_test.go
@@ -9,42 +9,42 @@
 )
 
 // A machine that departs hands over its membership, then has the value replicated, then ends; each only once the one before is done.
-func TestMemberDepartsInOrder(t *testing.T) {
-	d := NewDeparture(timeouts, "c", now)
-	g := Group{Members: []string{"a", "b", "c"}, Machines: up("a", "b", "c", "d")}
+func TestDepartureStepsInOrder(t *testing.T) {
+	d := NewDeparture(durations, "c", now)
+	g := Group{Members: []string{"a", "b", "c"}, Machines: machinesUp("a", "b", "c", "d")}
 	first := d.Decide(now, g, false)
 	handover := slices.Equal(first.Change.Members, []string{"a", "b", "d"}) && slices.Equal(first.Change.ExpectedMembers, g.Members)
 	if first.Kind != ProposeHandover || !handover {
 		t.Fatalf("first %+v", first)
 	}
-	if a := d.Decide(now+timeouts.ChangeTimeout/2, g, false); a.Kind != Wait {
+	if a := d.Decide(now+durations.ChangeTimeout/2, g, false); a.Kind != Wait {
 		t.Errorf("while the change is on its way: %+v", a)
 	}
 	g.Members, g.PriorMembers = []string{"a", "b", "d"}, g.Members
-	if a := d.Decide(now+timeouts.ChangeTimeout/2, g, false); a.Kind != Wait {
+	if a := d.Decide(now+durations.ChangeTimeout/2, g, false); a.Kind != Wait {
 		t.Errorf("while the change is not complete: %+v", a)
 	}
-	if a := d.Decide(now+timeouts.ChangeTimeout, g, false); a.Kind != Wait {
+	if a := d.Decide(now+durations.ChangeTimeout, g, false); a.Kind != Wait {
 		t.Errorf("while the change is not complete in its time: %+v", a)
 	}
 	g.PriorMembers = nil
-	if a := d.Decide(now+timeouts.ChangeTimeout/2, g, false); a.Kind != ReplicateWithoutSelf {
+	if a := d.Decide(now+durations.ChangeTimeout/2, g, false); a.Kind != ReplicateWithoutSelf {
 		t.Errorf("when the change is complete: %+v", a)
 	}
-	if a := d.Decide(now+timeouts.ChangeTimeout, g, false); a.Kind != Wait {
+	if a := d.Decide(now+durations.ChangeTimeout, g, false); a.Kind != Wait {
 		t.Errorf("before the value is replicated: %+v", a)
 	}
-	if a := d.Decide(now+timeouts.ChangeTimeout, g, true); a.Kind != Depart || a.Err != nil {
+	if a := d.Decide(now+durations.ChangeTimeout, g, true); a.Kind != Depart || a.Err != nil {
 		t.Errorf("in the end: %+v", a)
 	}
 }
 
 // Without a successor the value is replicated all the same; and graceS is kept whatever fails.
-func TestMemberDepartsWithoutSuccessor(t *testing.T) {
+func TestDepartureWithoutSuccessor(t *testing.T) {
 	for name, all := range map[string][]Machine{
-		"nobody stands by": up("a", "b", "c"), "the stand-by drains too": with(up("a", "b", "c", "d"), "d", draining),
+		"nobody stands by": machinesUp("a", "b", "c"), "the stand-by drains too": withChange(machinesUp("a", "b", "c", "d"), "d", draining),
 	} {
-		d := NewDeparture(timeouts, "c", now)
+		d := NewDeparture(durations, "c", now)
 		g := Group{Members: []string{"a", "b", "c"}, Machines: all}
 		if a := d.Decide(now, g, false); a.Kind != ReplicateWithoutSelf {
 			t.Errorf("%s: first %+v", name, a)
@@ -52,26 +52,26 @@
 		if a := d.Decide(now+time.Second, g, false); a.Kind != Wait {
 			t.Errorf("%s: not replicated: %+v", name, a)
 		}
-		if a := d.Decide(now+timeouts.DepartureTimeout, g, false); a.Kind != Depart || !errors.Is(a.Err, ErrDepartureTimeout) {
+		if a := d.Decide(now+durations.DepartureTimeout, g, false); a.Kind != Depart || !errors.Is(a.Err, ErrDepartureTimeout) {
 			t.Errorf("%s: at the end of its time: %+v", name, a)
 		}
 	}
 }
 
 // Whoever departs while it is still a member says why: nobody could succeed it, or the change did not complete.
-func TestDepartureNamesItsError(t *testing.T) {
+func TestDepartureReturnsCause(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		machines []Machine
 		want     error
 	}{
-		{"nobody stands by", up("a", "b", "c"), ErrNoSuccessor},
-		{"the change does not complete", up("a", "b", "c", "d"), ErrHandoverTimeout},
+		{"nobody stands by", machinesUp("a", "b", "c"), ErrNoSuccessor},
+		{"the change does not complete", machinesUp("a", "b", "c", "d"), ErrHandoverTimeout},
 	} {
-		d := NewDeparture(timeouts, "c", now)
+		d := NewDeparture(durations, "c", now)
 		g := Group{Members: []string{"a", "b", "c"}, Machines: c.machines}
 		d.Decide(now, g, false)
-		late := now + timeouts.DepartureTimeout*2/3
+		late := now + durations.DepartureTimeout*2/3
 		d.Decide(late, g, false) // the replication begins here at the latest
 		if a := d.Decide(late, g, true); a.Kind != Depart || !errors.Is(a.Err, c.want) {
 			t.Errorf("%s: %+v, want %v", c.name, a, c.want)
--- a/mesh/replacement/planner.go
+++ b/mesh/replacement/planner.go
@@ -20,9 +20,9 @@
 
 // Planner decides on changes of members, at the machine that holds the lease. It is not safe for concurrent use.
 type Planner struct {
-	timeouts  timing.Replacement
-	tolerance int // members that are replaced in one change at most
-	size      int // of the group, where there are as many machines
+	durations         timing.Replacement
+	maxReplacedAtOnce int // members that are replaced in one change at most
+	groupSize         int // of the group, where there are as many machines
 
 	proposedAt time.Duration // of lastChange; never: there is none
 	lastChange Change
@@ -31,23 +31,23 @@
 // NewPlanner returns a planner that replaces up to tolerance members in one change, and at least one, and that adds members up to the
 // GroupSize of the tolerance.
 func NewPlanner(t timing.Replacement, tolerance int) *Planner {
-	return &Planner{timeouts: t, tolerance: max(1, tolerance), size: GroupSize(tolerance), proposedAt: never}
+	return &Planner{durations: t, maxReplacedAtOnce: max(1, tolerance), groupSize: GroupSize(tolerance), proposedAt: never}
 }
 
 // Decide returns the change of members that is to be proposed now; ok is false where there is none. The caller must hold the lease. The
 // time counts from its start.
 func (p *Planner) Decide(now time.Duration, g Group) (c Change, ok bool) {
-	if now < p.timeouts.ObservationPeriod || len(g.Members) == 0 {
+	if now < p.durations.ObservationPeriod || len(g.Members) == 0 {
 		return Change{}, false
 	}
-	c, ok = g.replace(now, &p.timeouts, p.lostMembers(now, &g))
+	c, ok = g.replace(now, &p.durations, p.lostMembers(now, &g))
 	if !ok {
-		c, ok = g.grow(now, &p.timeouts, p.size)
+		c, ok = g.grow(now, &p.durations, p.groupSize)
 	}
 	if !ok {
-		c, ok = g.spread(now, &p.timeouts)
+		c, ok = g.spread(now, &p.durations)
 	}
-	if !ok || !p.due(now, c) {
+	if !ok || !p.proposalDue(now, c) {
 		return Change{}, false
 	}
 	p.proposedAt, p.lastChange = now, c
@@ -57,7 +57,7 @@
 // lostMembers returns the members that count as lost, up to the tolerance.
 func (p *Planner) lostMembers(now time.Duration, g *Group) (lost []string) {
 	for _, addr := range g.Members {
-		if m := g.machine(addr); len(lost) < p.tolerance && m.lost(now, &p.timeouts) {
+		if m := g.machine(addr); len(lost) < p.maxReplacedAtOnce && m.lost(now, &p.durations) {
 			lost = append(lost, addr)
 		}
 	}
@@ -66,14 +66,14 @@
 
 // due reports whether a change may be proposed: one on the members of the last one when that has timed out, another after the least time
 // between two changes.
-func (p *Planner) due(now time.Duration, c Change) bool {
+func (p *Planner) proposalDue(now time.Duration, c Change) bool {
 	switch {
 	case p.proposedAt == never:
 		return true
 	case slices.Equal(c.ExpectedMembers, p.lastChange.ExpectedMembers):
-		return now >= p.proposedAt+p.timeouts.ChangeTimeout
+		return now >= p.proposedAt+p.durations.ChangeTimeout
 	}
-	return now >= p.proposedAt+p.timeouts.MinChangeInterval
+	return now >= p.proposedAt+p.durations.MinChangeInterval
 }
 
 // replace returns the change that replaces members by successors; ok is false where there is none. Members without a successor
@@ -128,20 +128,20 @@
 	if len(g.PriorMembers) > 0 {
 		return Change{}, false
 	}
-	perZone := map[string]int{}
+	membersPerZone := map[string]int{}
 	for _, addr := range g.Members {
 		m := g.machine(addr)
 		if !m.CaughtUp || m.Zone == "" || !m.eligible(now, t) {
 			return Change{}, false
 		}
-		perZone[m.Zone]++
+		membersPerZone[m.Zone]++
 	}
-	crowded := slices.MaxFunc(g.Members, func(a, b string) int {
-		return cmp.Or(cmp.Compare(perZone[g.machine(a).Zone], perZone[g.machine(b).Zone]), cmp.Compare(a, b))
+	replaced := slices.MaxFunc(g.Members, func(a, b string) int {
+		return cmp.Or(cmp.Compare(membersPerZone[g.machine(a).Zone], membersPerZone[g.machine(b).Zone]), cmp.Compare(a, b))
 	})
-	remaining := slices.DeleteFunc(slices.Clone(g.Members), func(member string) bool { return member == crowded })
+	remaining := slices.DeleteFunc(slices.Clone(g.Members), func(member string) bool { return member == replaced })
 	successor, found := g.successor(now, t, remaining)
-	if !found || perZone[g.machine(successor).Zone]+2 > perZone[g.machine(crowded).Zone] {
+	if !found || membersPerZone[g.machine(successor).Zone]+2 > membersPerZone[g.machine(replaced).Zone] {
 		return Change{}, false
 	}
 	c = Change{ExpectedMembers: g.Members, Members: append(remaining, successor), Successors: []string{successor}}
@@ -161,13 +161,13 @@
 	if len(eligible) == 0 {
 		return "", false
 	}
-	perZone := map[string]int{}
+	membersPerZone := map[string]int{}
 	for _, member := range remaining {
-		perZone[g.machine(member).Zone]++
+		membersPerZone[g.machine(member).Zone]++
 	}
 	best := slices.MinFunc(eligible, func(a, b Machine) int {
 		return cmp.Or(
-			cmp.Compare(perZone[a.Zone], perZone[b.Zone]),
+			cmp.Compare(membersPerZone[a.Zone], membersPerZone[b.Zone]),
 			trueFirst(a.CaughtUp, b.CaughtUp),
 			cmp.Compare(a.Addr, b.Addr),
 		)
--- a/mesh/replacement/planner_test.go
+++ b/mesh/replacement/planner_test.go
@@ -8,12 +8,12 @@
 	"firplank/mesh/timing"
 )
 
-var timeouts = timing.NewReplacement(4*time.Second, 6*time.Second)
+var durations = timing.NewReplacement(4*time.Second, 6*time.Second)
 
 const now = 60 * time.Second
 
 // up returns machines that are up, each a voter with a full copy in a zone of its own.
-func up(names ...string) (all []Machine) {
+func machinesUp(names ...string) (all []Machine) {
 	for _, name := range names {
 		all = append(all, Machine{
 			Addr:        name,
@@ -28,26 +28,26 @@
 }
 
 // with returns the machines with a change to one of them.
-func with(all []Machine, name string, change func(*Machine)) []Machine {
+func withChange(all []Machine, name string, change func(*Machine)) []Machine {
 	all = slices.Clone(all)
 	change(&all[slices.IndexFunc(all, func(m Machine) bool { return m.Addr == name })])
 	return all
 }
 
 // silent is a change to a machine that was not heard of for a time.
-func silent(since time.Duration, connected bool) func(*Machine) {
+func lastSeenAgo(since time.Duration, connected bool) func(*Machine) {
 	return func(m *Machine) { m.LastContact, m.Connected = now-since, connected }
 }
 
-func lost(m *Machine)       { m.LastContact, m.Connected = 0, false }
-func notVoter(m *Machine)   { m.Voter = false }
-func draining(m *Machine)   { m.Draining = true }
-func diskFailed(m *Machine) { m.DiskFailed = true }
-func behind(m *Machine)     { m.CaughtUp = false }
+func lost(m *Machine)        { m.LastContact, m.Connected = 0, false }
+func notVoter(m *Machine)    { m.Voter = false }
+func draining(m *Machine)    { m.Draining = true }
+func diskFailed(m *Machine)  { m.DiskFailed = true }
+func notCaughtUp(m *Machine) { m.CaughtUp = false }
 
-func TestLostMemberIsReplacedByOneThatIsUp(t *testing.T) {
-	four, five := up("a", "b", "c", "d"), up("a", "b", "c", "d", "e")
-	withoutB, twoSpares := with(four, "b", lost), with(five, "b", lost)
+func TestLostMemberIsReplacedByEligibleStandby(t *testing.T) {
+	four, five := machinesUp("a", "b", "c", "d"), machinesUp("a", "b", "c", "d", "e")
+	lostB, twoSpares := withChange(four, "b", lost), withChange(five, "b", lost)
 	inZoneOfA := func(m *Machine) { m.Zone = "zone of a" }
 	for _, c := range []struct {
 		name     string
@@ -55,22 +55,22 @@
 		want     []string
 	}{
 		{"all are up", four, nil},
-		{"one is lost, a stand-by is up", with(four, "b", silent(5*time.Second, false)), []string{"a", "c", "d"}},
-		{"just longer than the timeout", with(four, "b", silent(timeouts.DetectionTimeout+time.Millisecond, false)), []string{"a", "c", "d"}},
-		{"not lost for long enough", with(four, "b", silent(timeouts.DetectionTimeout, false)), nil},
-		{"silent, but its connection stands", with(four, "b", silent(timeouts.FrozenTimeout, true)), nil},
-		{"silent for longer than a process is slow", with(four, "b", silent(timeouts.FrozenTimeout+1, true)), []string{"a", "c", "d"}},
-		{"nobody stands by", with(up("a", "b", "c"), "b", lost), nil},
-		{"the stand-by is lost itself", with(withoutB, "d", silent(2*time.Second, false)), nil},
-		{"the stand-by was not heard of lately", with(withoutB, "d", silent(timeouts.MaxContactAge, true)), nil},
-		{"two are lost: one at a time", with(twoSpares, "c", lost), []string{"a", "c", "d"}},
-		{"the stand-by is no voter yet", with(withoutB, "d", notVoter), nil},
-		{"the stand-by drains", with(withoutB, "d", draining), nil},
-		{"the stand-by's disk fails", with(withoutB, "d", diskFailed), nil},
-		{"one stand-by is in a member's zone", with(twoSpares, "d", inZoneOfA), []string{"a", "c", "e"}},
-		{"one stand-by has the committed value", with(twoSpares, "d", behind), []string{"a", "c", "e"}},
+		{"one is lost, a stand-by is up", withChange(four, "b", lastSeenAgo(5*time.Second, false)), []string{"a", "c", "d"}},
+		{"just longer than the timeout", withChange(four, "b", lastSeenAgo(durations.DetectionTimeout+time.Millisecond, false)), []string{"a", "c", "d"}},
+		{"not lost for long enough", withChange(four, "b", lastSeenAgo(durations.DetectionTimeout, false)), nil},
+		{"silent, but its connection stands", withChange(four, "b", lastSeenAgo(durations.FrozenTimeout, true)), nil},
+		{"silent for longer than a process is slow", withChange(four, "b", lastSeenAgo(durations.FrozenTimeout+1, true)), []string{"a", "c", "d"}},
+		{"nobody stands by", withChange(machinesUp("a", "b", "c"), "b", lost), nil},
+		{"the stand-by is lost itself", withChange(lostB, "d", lastSeenAgo(2*time.Second, false)), nil},
+		{"the stand-by was not heard of lately", withChange(lostB, "d", lastSeenAgo(durations.MaxContactAge, true)), nil},
+		{"two are lost: one at a time", withChange(twoSpares, "c", lost), []string{"a", "c", "d"}},
+		{"the stand-by is no voter yet", withChange(lostB, "d", notVoter), nil},
+		{"the stand-by drains", withChange(lostB, "d", draining), nil},
+		{"the stand-by's disk fails", withChange(lostB, "d", diskFailed), nil},
+		{"one stand-by is in a member's zone", withChange(twoSpares, "d", inZoneOfA), []string{"a", "c", "e"}},
+		{"one stand-by has the committed value", withChange(twoSpares, "d", notCaughtUp), []string{"a", "c", "e"}},
 	} {
-		got, _ := NewPlanner(timeouts, 1).Decide(now, Group{Members: []string{"a", "b", "c"}, Machines: c.machines})
+		got, _ := NewPlanner(durations, 1).Decide(now, Group{Members: []string{"a", "b", "c"}, Machines: c.machines})
 		if !slices.Equal(got.Members, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, got.Members, c.want)
 		}
@@ -78,24 +78,24 @@
 }
 
 // A machine that has just started has heard of nobody: it decides once it could have.
-func TestMachineThatJustStartedReplacesNobody(t *testing.T) {
-	all := with(up("a", "b", "c", "d"), "b", lost)
+func TestNoReplacementDuringObservationPeriod(t *testing.T) {
+	all := withChange(machinesUp("a", "b", "c", "d"), "b", lost)
 	for i := range all {
-		all[i].LastContact -= now - timeouts.ObservationPeriod
+		all[i].LastContact -= now - durations.ObservationPeriod
 	}
 	g := Group{Members: []string{"a", "b", "c"}, Machines: all}
-	if c, ok := NewPlanner(timeouts, 1).Decide(timeouts.ObservationPeriod-1, g); ok {
+	if c, ok := NewPlanner(durations, 1).Decide(durations.ObservationPeriod-1, g); ok {
 		t.Errorf("it proposes %v", c.Members)
 	}
-	if _, ok := NewPlanner(timeouts, 1).Decide(timeouts.ObservationPeriod, g); !ok {
+	if _, ok := NewPlanner(durations, 1).Decide(durations.ObservationPeriod, g); !ok {
 		t.Error("it proposes nothing after its observation period")
 	}
 }
 
 // Where two may be lost at once, both are replaced at once: a second change would take too long.
-func TestAsManyAsToleratedAreReplacedAtOnce(t *testing.T) {
-	all := with(with(up("a", "b", "c", "d", "e", "f", "g"), "b", lost), "c", lost)
-	c, _ := NewPlanner(timeouts, 2).Decide(now, Group{Members: []string{"a", "b", "c", "d", "e"}, Machines: all})
+func TestToleratedLossesAreReplacedInOneChange(t *testing.T) {
+	all := withChange(withChange(machinesUp("a", "b", "c", "d", "e", "f", "g"), "b", lost), "c", lost)
+	c, _ := NewPlanner(durations, 2).Decide(now, Group{Members: []string{"a", "b", "c", "d", "e"}, Machines: all})
 	if want := []string{"a", "d", "e", "f", "g"}; !slices.Equal(c.Members, want) {
 		t.Errorf("%v, want %v", c.Members, want)
 	}
@@ -103,7 +103,7 @@
 
 // A group grows to the size that the tolerance needs, by an odd number of machines that are eligible, and not while a change is under way.
 func TestGroupGrowsToItsTolerance(t *testing.T) {
-	three, seven := []string{"a", "b", "c"}, up("a", "b", "c", "d", "e", "f", "g")
+	three, seven := []string{"a", "b", "c"}, machinesUp("a", "b", "c", "d", "e", "f", "g")
 	for _, c := range []struct {
 		name      string
 		tolerance int
@@ -115,12 +115,12 @@
 		{"a tolerance of three", 3, Group{Members: three, Machines: seven}, []string{"a", "b", "c", "d", "e", "f", "g"}},
 		{"too few machines", 3, Group{Members: three, Machines: seven[:6]}, []string{"a", "b", "c", "d", "e"}},
 		{"one machine stands by", 2, Group{Members: three, Machines: seven[:4]}, nil},
-		{"a machine that is no voter yet", 2, Group{Members: three, Machines: with(seven[:5], "e", notVoter)}, nil},
+		{"a machine that is no voter yet", 2, Group{Members: three, Machines: withChange(seven[:5], "e", notVoter)}, nil},
 		{"it has its size", 2, Group{Members: []string{"a", "b", "c", "d", "e"}, Machines: seven}, nil},
 		{"a change is under way", 2, Group{Members: three, PriorMembers: []string{"a", "b", "d"}, Machines: seven}, nil},
-		{"a lost member goes first", 2, Group{Members: three, Machines: with(seven, "b", lost)}, []string{"a", "c", "d"}},
+		{"a lost member goes first", 2, Group{Members: three, Machines: withChange(seven, "b", lost)}, []string{"a", "c", "d"}},
 	} {
-		got, _ := NewPlanner(timeouts, c.tolerance).Decide(now, c.group)
+		got, _ := NewPlanner(durations, c.tolerance).Decide(now, c.group)
 		if !slices.Equal(got.Members, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, got.Members, c.want)
 		}
@@ -128,17 +128,17 @@
 }
 
 // However often machines seem lost, changes keep their interval; the same one is proposed again when it has timed out.
-func TestChangesAreBounded(t *testing.T) {
-	p, g := NewPlanner(timeouts, 1), Group{Members: []string{"a", "b", "c"}}
+func TestChangeRateIsBounded(t *testing.T) {
+	p, g := NewPlanner(durations, 1), Group{Members: []string{"a", "b", "c"}}
 	proposed := 0
-	for at := time.Duration(0); at < 10*timeouts.MinChangeInterval; at += timeouts.CheckInterval {
-		g.Machines = up("a", "b", "c", "d")
-		gone := g.Members[proposed%3]
+	for at := time.Duration(0); at < 10*durations.MinChangeInterval; at += durations.CheckInterval {
+		g.Machines = machinesUp("a", "b", "c", "d")
+		lostMember := g.Members[proposed%3]
 		for i := range g.Machines {
 			g.Machines[i].LastContact = now + at
-			g.Machines[i].Connected = g.Machines[i].Addr != gone
-			if g.Machines[i].Addr == gone {
-				g.Machines[i].LastContact -= 2 * timeouts.DetectionTimeout
+			g.Machines[i].Connected = g.Machines[i].Addr != lostMember
+			if g.Machines[i].Addr == lostMember {
+				g.Machines[i].LastContact -= 2 * durations.DetectionTimeout
 			}
 		}
 		if c, ok := p.Decide(now+at, g); ok {
@@ -148,15 +148,15 @@
 	if proposed > 10 {
 		t.Errorf("%d changes in ten intervals", proposed)
 	}
-	p, g = NewPlanner(timeouts, 1), Group{Members: []string{"a", "b", "c"}, Machines: with(up("a", "b", "c", "d"), "b", lost)}
+	p, g = NewPlanner(durations, 1), Group{Members: []string{"a", "b", "c"}, Machines: withChange(machinesUp("a", "b", "c", "d"), "b", lost)}
 	_, first := p.Decide(now, g)
-	_, soon := p.Decide(now+timeouts.ChangeTimeout-1, g)
+	_, early := p.Decide(now+durations.ChangeTimeout-1, g)
 	for i := range g.Machines {
-		g.Machines[i].LastContact += timeouts.ChangeTimeout
+		g.Machines[i].LastContact += durations.ChangeTimeout
 	}
-	g.Machines = with(g.Machines, "b", lost)
-	if _, again := p.Decide(now+timeouts.ChangeTimeout, g); !first || soon || !again {
-		t.Errorf("proposed at once %v, too soon %v, again in time %v", first, soon, again)
+	g.Machines = withChange(g.Machines, "b", lost)
+	if _, again := p.Decide(now+durations.ChangeTimeout, g); !first || early || !again {
+		t.Errorf("proposed at once %v, too soon %v, again in time %v", first, early, again)
 	}
 }
 
@@ -164,7 +164,7 @@
 // helps.
 func TestMembersAreSpreadOverZones(t *testing.T) {
 	inOneZone := func(names ...string) (all []Machine) {
-		all = up("a", "b", "c", "d", "e")
+		all = machinesUp("a", "b", "c", "d", "e")
 		for i := range all {
 			if slices.Contains(names, all[i].Addr) {
 				all[i].Zone = "zone of all"
@@ -182,11 +182,11 @@
 		{"two in one zone, a machine elsewhere", Group{Members: []string{"a", "b", "d"}, Machines: crowded}, []string{"a", "d", "e"}},
 		{"spread", Group{Members: []string{"a", "d", "e"}, Machines: crowded}, nil},
 		{"nobody stands elsewhere", Group{Members: []string{"a", "b", "c"}, Machines: inOneZone("a", "b", "c", "d", "e")}, nil},
-		{"a member has not caught up", Group{Members: []string{"a", "b", "c"}, Machines: with(crowded, "b", behind)}, nil},
-		{"a member is silent", Group{Members: []string{"a", "b", "c"}, Machines: with(crowded, "b", silent(time.Second, true))}, nil},
+		{"a member has not caught up", Group{Members: []string{"a", "b", "c"}, Machines: withChange(crowded, "b", notCaughtUp)}, nil},
+		{"a member is silent", Group{Members: []string{"a", "b", "c"}, Machines: withChange(crowded, "b", lastSeenAgo(time.Second, true))}, nil},
 		{"a change is under way", Group{Members: []string{"a", "b", "c"}, PriorMembers: []string{"a", "b", "d"}, Machines: crowded}, nil},
 	} {
-		got, _ := NewPlanner(timeouts, 1).Decide(now, c.group)
+		got, _ := NewPlanner(durations, 1).Decide(now, c.group)
 		if !slices.Equal(got.Members, c.want) || len(got.Lost) > 0 {
 			t.Errorf("%s: %+v, want %v", c.name, got, c.want)
 		}
--- a/mesh/rollout/judge.go
+++ b/mesh/rollout/judge.go
@@ -222,7 +222,9 @@
 
 // run runs a test on what was counted since it began last, and begins it anew where it speaks for the new version, which may have all
 // requests alone.
-func runTest(baselines map[uint32]baseline, class uint32, counts *classSamples, hasAllRequests bool, build testBuilder) (bad bool, reason string) {
+func runTest(
+	baselines map[uint32]baseline, class uint32, counts *classSamples, hasAllRequests bool, build testBuilder,
+) (bad bool, reason string) {
 	start := baselines[class]
 	if start == nil {
 		start = baseline{}
--- a/mesh/rollout/rollout_test.go
+++ b/mesh/rollout/rollout_test.go
@@ -191,10 +191,12 @@
 		{"too few to tell", old, servedSamples(true, 2, 1, 0.5, usualLatency, 0.6), false},
 		{"three times as slow", old, servedSamples(true, 8, 10, 0, 3*usualLatency, 0.6), true},
 		{"slower by a tenth", old, servedSamples(true, 8, 200, 0, usualLatency*11/10, 0.6), false},
-		{"both fail, as in a burst", servedSamples(false, 10, 100, 0.3, usualLatency, 0.6), servedSamples(true, 8, 40, 0.3, usualLatency, 0.6), false},
+		{"both fail, as in a burst", servedSamples(false, 10, 100, 0.3, usualLatency, 0.6),
+			servedSamples(true, 8, 40, 0.3, usualLatency, 0.6), false},
 		{"both are slow", servedSamples(false, 10, 100, 0, 4*usualLatency, 0.6), servedSamples(true, 8, 40, 0, 4*usualLatency, 0.6), false},
 		{"one server of it is down", old, oneBadServer, false},
-		{"worse than an old one that fails", servedSamples(false, 10, 100, 0.1, usualLatency, 0.6), servedSamples(true, 8, 40, 0.6, usualLatency, 0.6), true},
+		{"worse than an old one that fails", servedSamples(false, 10, 100, 0.1, usualLatency, 0.6),
+			servedSamples(true, 8, 40, 0.6, usualLatency, 0.6), true},
 		{"no old version", nil, servedSamples(true, 8, 40, 0, usualLatency, 0.6), false},
 	} {
 		if v := new(Judge).Evaluate(Canary, append(c.old, c.new...)); v.Bad != c.bad {
