--- a/mesh/rollout/controller.go
+++ b/mesh/rollout/controller.go
@@ -8,53 +8,53 @@
 )
 
 const (
-	// minEvidence is the number of requests of the new version before it is promoted.
+	// minCandidateRequests is the least number of requests that the new version has to have answered to be promoted.
 	minCandidateRequests = 24
-	// Parts of a rollout's term: when it is promoted and when it is delivered at the earliest, and how long the new version has to serve all
-	// requests before that. A version may turn bad late: until the delivery the old one can take over again.
+	// Shares of a rollout's term: the earliest promotion, the earliest delivery, and the least time between the two, in which the new version
+	// serves all requests. A version may turn bad late, and until the delivery the old version can take over again.
 	promoteAfterShare = 0.6
 	deliverAfterShare = 0.8
 	minPromotingShare = 0.1
-	// giveUpAfter times its term after its order a rollout is recalled that is not delivered.
+	// recallAfterTerms is the number of terms after its order when a rollout that is not delivered is recalled.
 	recallAfterTerms = 2
-	// minCapacityShare is the part of the old version's slots that the new one has to have to be promoted.
+	// minCapacityShare is the new version's least number of slots for a promotion, as a share of the old version's.
 	minCapacityShare = 0.7
 )
 
-// Machine is what a control machine knows of a sidecar and the server beside it.
+// Machine is what a control machine knows of a machine's sidecar and server.
 type Machine struct {
 	Node             string
 	Service, Version string
-	Accepting        bool // the server takes requests
+	Accepting        bool // the server accepts requests
 	Slots            int
-	Lost             bool // there was no heartbeat for too long
+	Lost             bool // the sidecar's heartbeats have timed out
 	LastSeen         time.Duration
-	// Confirmed is the revision of the Set up to which the sidecar sends by it, and has nothing in flight that it forbids.
+	// Confirmed is the highest revision of the Set that the sidecar applies to new requests and that forbids none of its requests in flight.
 	Confirmed uint32
-	// Order is that of the rollout that Classes were counted in, and OrderAge for how long the sidecar has known of it.
+	// Order is the number of the order that Classes were counted in, and OrderAge is for how long the sidecar has known of that order.
 	Order    uint32
 	OrderAge time.Duration
 	Classes  []Statistics
 }
 
-// View is what a control machine decides on.
+// View is the state that a control machine decides on.
 type View struct {
 	Self     string
-	Leader   bool // this machine holds the lease: it alone promotes and delivers; any machine recalls
+	Leader   bool // this machine holds the lease: only the holder promotes and delivers, but any control machine may recall
 	Set      Set
 	Machines []Machine
 }
 
-// Controller decides on the stages of rollouts. Times of stages count from when this process has first seen them: after a restart a stage
-// takes longer, never shorter. Only the time since the order counts from when a sidecar has first seen it. Times are measured from the
-// start of the process. It is not safe for concurrent use.
+// Controller decides when rollouts change their stage. The time in a stage counts from when this process first saw the stage, so a restart
+// can only prolong a stage. The time since the order counts from when any sidecar first saw the order. All times are measured from the
+// start of the process. A Controller is not safe for concurrent use.
 type Controller struct {
 	durations     timing.Rollouts
 	exposureSlack float64
 	progress      map[string]*progress // by service
 }
 
-// progress is when this process has first seen a rollout, and its stage.
+// progress is what this process has observed of a service's newest rollout.
 type progress struct {
 	order       uint32
 	stage       Stage
@@ -65,12 +65,13 @@
 	waitsFor    string // what the rollout was waiting for at the last decision
 }
 
-// NewController returns a controller that has seen nothing. A bad version may get exposureSlack requests, however few its service has.
+// NewController returns a controller that has observed no rollout. A bad version may get exposureSlack requests, however few requests its
+// service has.
 func NewController(t timing.Rollouts, exposureSlack float64) *Controller {
 	return &Controller{durations: t, exposureSlack: exposureSlack, progress: map[string]*progress{}}
 }
 
-// Decide returns the transitions that are due. It is called several times a second.
+// Decide returns the transitions that are due. The control machine calls it several times a second.
 func (c *Controller) Decide(now time.Duration, v View) (due []Transition) {
 	for i := range v.Set.Rollouts {
 		r := &v.Set.Rollouts[i]
@@ -85,7 +86,7 @@
 	return due
 }
 
-// observe records when a rollout and its stage were first seen.
+// observe records when a rollout and its present stage were first seen.
 func (c *Controller) observe(now time.Duration, r *Rollout, machines []Machine) *progress {
 	p := c.progress[r.Service]
 	if p == nil || p.order != r.Order {
@@ -103,13 +104,13 @@
 	return p
 }
 
-// EndedLately reports whether the rollout of a service was seen to end so short a time ago that copies of its order may still come.
+// EndedRecently reports whether the rollout of a service ended so recently that copies of its order may still arrive.
 func (c *Controller) EndedRecently(now time.Duration, service string) bool {
 	p := c.progress[service]
 	return p != nil && !p.stage.Active() && now-p.stageSeenAt <= c.durations.RepeatWindow
 }
 
-// Judgment returns the last judgement on the rollout of a service.
+// LastVerdict returns the last verdict on the rollout of a service.
 func (c *Controller) LastVerdict(service string) Verdict {
 	if p := c.progress[service]; p != nil {
 		return p.lastVerdict
@@ -125,7 +126,7 @@
 	return ""
 }
 
-// decide returns the stage that a rollout is to move to and why; 0: it stays.
+// decide returns the stage that a rollout is to move to, and the reason. Stage 0 means that the rollout stays where it is.
 func (c *Controller) decide(now time.Duration, r *Rollout, p *progress, v *View) (to Stage, reason string) {
 	verdict := p.judge.Evaluate(r.Stage, samplesOf(r, v.Machines))
 	p.lastVerdict = verdict
@@ -136,7 +137,7 @@
 	case !v.Leader:
 		p.waitsFor = "the holder of the lease"
 		return 0, ""
-	case now <= c.durations.HoldUp: // until then this process may not know all machines yet
+	case now <= c.durations.HoldUp: // this process may not have received the reports of all sidecars yet
 		p.waitsFor = "reports of all sidecars to this machine, which has just started"
 		return 0, ""
 	case elapsed > recallAfterTerms*r.Term:
@@ -152,10 +153,10 @@
 	return to, verdict.Reason
 }
 
-// decideCanary returns whether a canary is promoted, or what it waits for.
+// decideCanary decides whether a canary is promoted. Otherwise it returns stage 0 and what the rollout waits for.
 func (c *Controller) decideCanary(elapsed time.Duration, r *Rollout, verdict *Verdict, v *View) (to Stage, waitsFor string) {
 	old, candidate := slotsOf(r, v.Machines)
-	// A service with so few requests can't give a bad version more than the rules allow.
+	// With so few requests a bad version can't get more of them than the exposure rule allows.
 	idle := float64(verdict.Requests+verdict.BaseRequests) <= c.exposureSlack
 	switch {
 	case elapsed < fractionOf(r.Term, promoteAfterShare):
@@ -168,7 +169,8 @@
 	return Promoting, ""
 }
 
-// decidePromoting returns whether a promoted rollout is delivered or recalled for want of servers, or what it waits for.
+// decidePromoting decides whether a promoted rollout is delivered, or recalled because the new version has no server. Otherwise it returns
+// stage 0 and what the rollout waits for.
 func (c *Controller) decidePromoting(now time.Duration, r *Rollout, p *progress, v *View) (to Stage, waitsFor string) {
 	_, candidate := slotsOf(r, v.Machines)
 	unconfirmed := c.Unconfirmed(now, v.Set.Revision, v.Machines)
@@ -183,13 +185,12 @@
 	return Delivered, ""
 }
 
-// part is a part of a duration.
 func fractionOf(d time.Duration, share float64) time.Duration {
 	return time.Duration(share * float64(d))
 }
 
-// Unconfirmed returns the number of sidecars that have not confirmed a revision. One that is lost counts for timing.Rollouts.HoldUp since
-// it was last seen.
+// Unconfirmed returns the number of sidecars that have not confirmed a revision. A lost sidecar counts until timing.Rollouts.HoldUp has
+// passed since it was last seen.
 func (c *Controller) Unconfirmed(now time.Duration, revision uint32, machines []Machine) (count int) {
 	for i := range machines {
 		m := &machines[i]
@@ -201,7 +202,7 @@
 	return count
 }
 
-// samplesOf returns what the servers of a rollout's service have counted in it.
+// samplesOf returns the counts of a rollout, for each server of its service.
 func samplesOf(r *Rollout, machines []Machine) (samples []Sample) {
 	for i := range machines {
 		if m := &machines[i]; m.Service == r.Service && m.Order == r.Order && m.Version != "" {
@@ -211,7 +212,7 @@
 	return samples
 }
 
-// slotsOf returns how many requests the accepting servers of the old and of the new version work on at once.
+// slotsOf returns the number of slots of the accepting servers of the old and of the new version.
 func slotsOf(r *Rollout, machines []Machine) (old, candidate int) {
 	for i := range machines {
 		m := &machines[i]
--- a/mesh/rollout/curve_test.go
+++ b/mesh/rollout/curve_test.go
@@ -9,26 +9,27 @@
 	"time"
 )
 
-// trafficModel is how servers answer, in the model of the operating curve: latencies are log-normal, and servers of unequal speed.
+// trafficModel is the behaviour of a version's servers in the model of the operating curve. Latencies are log-normal, and the servers
+// differ in speed.
 type trafficModel struct {
 	failures   float64 // share of the requests that fail
-	slowShare  float64 // share of the requests that take slowTimes as long
+	slowShare  float64 // share of the requests that take slowFactor times as long
 	slowFactor float64
 }
 
 const (
 	modelServers       = 12
 	modelLatencySpread = 0.5 // standard deviation of the logarithm of a latency
-	// oldPerNew is how many requests the old version gets for each of the new one, as in a canary.
+	// oldRequestsPerNew is the number of requests of the old version for each request of the new one, as in a canary.
 	oldRequestsPerNew = 19
-	// lookInterval is how many requests of the new version come between two judgements, and maxRequests when a rollout is over.
+	// The judge evaluates every requestsPerJudgement requests of the new version. The rollout ends after maxCandidateRequests.
 	requestsPerJudgement = 10
 	maxCandidateRequests = 600
 )
 
 var modelServerSpeeds = [...]float64{0.7, 1, 1, 1.5}
 
-// answer draws a request at a server.
+// serve draws the result of a request at a server and records it.
 func (m trafficModel) serve(random *rand.Rand, s *Statistics, server int) {
 	millis := 150 / modelServerSpeeds[server%len(modelServerSpeeds)] * math.Exp(modelLatencySpread*random.NormFloat64())
 	if random.Float64() < m.slowShare {
@@ -37,7 +38,8 @@
 	s.Record(random.Float64() < m.failures, false, time.Duration(millis*float64(time.Millisecond)))
 }
 
-// requestsToRecall plays a rollout and returns after how many requests of the new version it is called bad; 0: it is not.
+// requestsToRecall simulates a rollout. It returns the number of requests of the new version until the version is called bad, or 0 if it
+// never is.
 func requestsToRecall(random *rand.Rand, old, candidate trafficModel) int {
 	var judge Judge
 	samples := make([]Sample, 2*modelServers)
@@ -58,8 +60,8 @@
 	return 0
 }
 
-// What hits both versions is taken for a bad one less often than once in a thousand; what is bad is found by half of the 50 bad answers
-// that the rule allows, but for a version that is slow by 3, which is found within the canary.
+// A fault of both versions recalls the new one in at most 1 of 1000 rollouts. A bad version is detected within half of the 50 bad responses
+// that the exposure rule allows; one that is only 3 times as slow is detected within the canary.
 func TestOperatingCurve(t *testing.T) {
 	healthy := trafficModel{failures: 0.004, slowFactor: 1}
 	degraded := trafficModel{failures: 0.05, slowShare: 0.2, slowFactor: 5}
@@ -71,9 +73,9 @@
 		minRecalled    int
 		maxMedian      int // requests to the recall
 	}{
-		{"both sound", healthy, healthy, 1000, 1, 0, 0},
-		{"a fault hits both", degraded, degraded, 1000, 1, 0, 0},
-		{"the old one is ill", degraded, healthy, 500, 0, 0, 0},
+		{"both are healthy", healthy, healthy, 1000, 1, 0, 0},
+		{"both are degraded", degraded, degraded, 1000, 1, 0, 0},
+		{"only the old one is degraded", degraded, healthy, 500, 0, 0, 0},
 		{"half fail", healthy, trafficModel{failures: 0.5, slowFactor: 1}, 300, 300, 300, 50},
 		{"a fifth fails", healthy, trafficModel{failures: 0.2, slowFactor: 1}, 300, 300, 300, 125},
 		{"half take 8 times as long", healthy, trafficModel{failures: 0.004, slowShare: 0.5, slowFactor: 8}, 300, 300, 300, 50},
--- a/mesh/rollout/judge.go
+++ b/mesh/rollout/judge.go
@@ -7,42 +7,45 @@
 	"time"
 )
 
-// Parameters of the tests. Both are one-sided: a new version that is better is never bad.
+// Parameters of the tests. Both tests are one-sided: a new version that is better than the old one is never called bad.
 const (
-	// minFailureRate is the failure rate that any version may have, and suspectRate the least that the sequential test tells from it.
+	// minAllowedFailureRate is the failure rate that any version may have. minSuspectFailureRate is the lowest failure rate that the
+	// sequential test distinguishes from an allowed one.
 	minAllowedFailureRate = 0.02
 	minSuspectFailureRate = 0.15
-	// suspectFactor times the old version's rate is a rate that the tests tell from it, where that is above the suspect one.
+	// The suspect rate is suspectFactor times the allowed one, within the least suspect rate of the test and maxSuspectRate.
 	suspectFactor  = 3
 	maxSuspectRate = 0.9
-	// baseTail is the share of the old version's answers from whose latency on an answer counts as slow. A new version may have minSlowRate
-	// of such answers, and slowSuspectRate is the least that the test tells from it.
+	// A response counts as slow from the latency that at most baseTailShare of the old version's responses reach. minAllowedSlowRate is the
+	// share of slow responses that any version may have. minSuspectSlowRate is the lowest share that the test distinguishes from an allowed
+	// one.
 	baseTailShare      = 0.05
 	minAllowedSlowRate = 0.08
 	minSuspectSlowRate = 0.25
-	// While the new version has all requests it alone bears what befalls the service: a burst, answers that are lost or garbled. An answer
-	// counts as slow promotingMargin buckets later then, and promotingRate may fail or be slow, which is told from promotingSuspectRate.
+	// While the new version gets all requests, it alone is affected by faults of the service as a whole: bursts, lost or garbled responses.
+	// Therefore a response then counts as slow only promotingMarginBuckets later, minPromotingAllowedRate of the requests may fail or be slow,
+	// and the test distinguishes that from a rate of at least minPromotingSuspectRate.
 	promotingMarginBuckets  = bucketsPerDoubling
 	minPromotingAllowedRate = 0.1
 	minPromotingSuspectRate = 0.35
-	// falseAlarmLog is the logarithm of one over the probability that a version of an allowed rate is called bad, each time that the test
-	// begins anew.
+	// falseAlarmLogRatio is the log-likelihood ratio from which on a version is called bad. It is the logarithm of one over the probability
+	// of a false alarm, for each time that the test restarts.
 	falseAlarmLogRatio = 9.2 // 1 in 10,000
-	// minBaseSamples is the least number of the old version's answers for a comparison of latencies.
+	// minBaseLatencies is the least number of the old version's latencies for a comparison.
 	minBaseLatencies = 20
-	// minServersToExclude is the least number of servers of a version for the worst one to be left out: a fault of one server is no fault of
-	// its version.
+	// minServersToExclude is the least number of servers of a version for the worst one to be excluded, so that the fault of a single server
+	// does not count as a fault of its version.
 	minServersToExclude = 3
 )
 
-// Statistics count the requests of one class of routes at one server. They only grow, and can be added.
+// Statistics counts the requests of one class of routes at one server. The counts only grow, and those of several servers can be added.
 type Statistics struct {
-	Class              uint32 // of routes
+	Class              uint32 // class of routes
 	Requests, Failures uint32
-	Latencies          Latencies // of the requests that have not failed, but for those in a slow start
+	Latencies          Latencies // of the requests that succeeded outside a slow start
 }
 
-// Record counts a request. In a slow start its latency says nothing.
+// Record counts a request. Latencies during a slow start are not representative and are left out.
 func (s *Statistics) Record(failed, warmingUp bool, latency time.Duration) {
 	s.Requests++
 	switch {
@@ -53,14 +56,15 @@
 	}
 }
 
-// add adds those of another server.
+// add adds the counts of another server.
 func (s *Statistics) add(o *Statistics) {
 	s.Requests += o.Requests
 	s.Failures += o.Failures
 	s.Latencies.add(&o.Latencies)
 }
 
-// since returns what was counted since an earlier state. Counts below those of that state are of another process, which began anew.
+// since returns what was counted since an earlier state. Lower counts than in that state mean that the process has restarted and counted
+// from zero.
 func (s *Statistics) since(earlier *Statistics) Statistics {
 	if earlier.Requests > s.Requests || earlier.Failures > s.Failures {
 		return *s
@@ -73,39 +77,39 @@
 	}
 }
 
-// failureRate is the share of failures, with one failure assumed where there are few requests.
+// smoothedFailureRate is the share of failures, with one failure in 50 requests added so that few requests give no extreme rate.
 func (s *Statistics) smoothedFailureRate() float64 {
 	return float64(s.Failures+1) / float64(s.Requests+50)
 }
 
-// Sample is what a server has counted since the last hop in front of it learned of the rollout.
+// Sample is what the last hop of a server has counted since it received the rollout.
 type Sample struct {
-	Node      string // that the server is on
-	Candidate bool   // it is of the new version
+	Node      string // the server's machine
+	Candidate bool   // the server runs the new version
 	Classes   []Statistics
 }
 
-// Verdict is the judgement on a new version.
+// Verdict is the result of a comparison of a new version with the old one.
 type Verdict struct {
 	Bad bool
-	// Reason is the evidence, as text.
+	// Reason describes the evidence.
 	Reason string
-	// Requests are those that the new version has answered, and BaseRequests those that the old one has.
+	// Requests is the number of requests that the new version has answered, and BaseRequests the number that the old version has.
 	Requests, BaseRequests uint32
 }
 
-// Judge compares a new version with the old one, class by class: by the shares of failures and of slow answers, each by a sequential
-// probability ratio test (Wald, 1945) that begins anew whenever it speaks for the new version (a cumulative sum, Page, 1954), so that one
-// that turns bad late is found as soon as one that is bad at once. The worst server of the new version is left out where there are several.
-// It is not safe for concurrent use. The zero value has seen nothing.
+// Judge compares a new version with the old one for each class of routes, by the share of failures and by the share of slow responses. Each
+// is a sequential probability ratio test (Wald, 1945) that restarts whenever it favours the new version (a cumulative sum, Page, 1954), so
+// that a version that turns bad late is detected as quickly as one that is bad from the start. The worst server of the new version is
+// excluded where the version has at least minServersToExclude. A Judge is not safe for concurrent use. The zero value is ready for use.
 type Judge struct {
 	failureBaselines, slownessBaselines map[uint32]baseline // by class
 }
 
-// baseline is what the servers had counted when a test began, by node.
+// baseline is what the servers had counted when a test last restarted, by node.
 type baseline map[string]Statistics
 
-// counted is what one server has counted of one class of routes.
+// serverCounts is what one server has counted for one class of routes.
 type serverCounts struct {
 	node string
 	*Statistics
@@ -120,10 +124,10 @@
 // classSamples are the counts of one class of routes, by version.
 type classSamples struct {
 	old, candidate []serverCounts
-	oldTotal       Statistics // the sum of the old ones
+	oldTotal       Statistics // the sum over the servers of the old version
 }
 
-// Judge judges what the servers have counted by now.
+// Evaluate compares the versions by all that their servers have counted so far.
 func (j *Judge) Evaluate(stage Stage, samples []Sample) Verdict {
 	if j.failureBaselines == nil {
 		j.failureBaselines, j.slownessBaselines = map[uint32]baseline{}, map[uint32]baseline{}
@@ -173,7 +177,7 @@
 	return counts
 }
 
-// sumSince adds what servers have counted since a baseline.
+// sumSince returns the sum of what servers have counted since a baseline.
 func sumSince(servers []serverCounts, b baseline) (sum Statistics) {
 	var delta Statistics
 	for i := range servers {
@@ -183,7 +187,7 @@
 	return sum
 }
 
-// setBaseline has a test begin with what the servers have counted by now.
+// setBaseline sets a baseline to what the servers have counted so far.
 func (s *classSamples) setBaseline(b baseline) {
 	clear(b)
 	for _, servers := range [...][]serverCounts{s.old, s.candidate} {
@@ -193,7 +197,7 @@
 	}
 }
 
-// judgeClass returns why the new version is bad for a class of routes; empty: it is not.
+// judgeClass returns why the new version is bad for a class of routes, or an empty string if it is not.
 func (j *Judge) judgeClass(stage Stage, class uint32, counts *classSamples) string {
 	marginBuckets := 0
 	hasAllRequests := stage == Promoting
@@ -209,19 +213,19 @@
 	return reason
 }
 
-// event is what a test counts, with the rate that is allowed and the one that is suspect.
+// rateTest is a sequential test of the rate of one kind of bad event, such as a failure.
 type rateTest struct {
 	name                     string
 	allowedRate, suspectRate float64
 	countIn                  func(s *Statistics) (bad, total uint32)
 }
 
-// test returns what to count by what the old version's servers have counted in all, and since the test began; ok is false where that is too
-// little.
+// testBuilder returns the test for what the old version's servers have counted in all and since the test last restarted. It returns ok =
+// false where there is too little data.
 type testBuilder func(base, recent *Statistics) (e rateTest, ok bool)
 
-// run runs a test on what was counted since it began last, and begins it anew where it speaks for the new version, which may have all
-// requests alone.
+// runTest runs a test on what was counted since its last restart, and restarts it where it favours the new version. If hasAllRequests is
+// set, the new version gets all requests, and the rates of a promotion apply.
 func runTest(
 	baselines map[uint32]baseline, class uint32, counts *classSamples, hasAllRequests bool, build testBuilder,
 ) (bad bool, reason string) {
@@ -251,7 +255,8 @@
 		class, failed, total, t.name, t.allowedRate)
 }
 
-// count counts the events and requests of servers since a baseline, if need be without the server with the most events.
+// count returns the number of bad events and of requests since a baseline. With excludeWorst it leaves out the server with the most bad
+// events.
 func (t *rateTest) count(servers []serverCounts, b baseline, excludeWorst bool) (bad, total uint32) {
 	worstBad, worstTotal := uint32(0), uint32(0)
 	var delta Statistics
@@ -269,12 +274,12 @@
 	return bad, total
 }
 
-// logRatio is how much likelier so many events of so many requests are at the suspect rate than at the allowed one, as a logarithm.
+// logRatio returns the log-likelihood ratio of the suspect rate to the allowed one, for so many bad events among the requests.
 func (t *rateTest) logRatio(bad, total uint32) float64 {
 	return float64(bad)*math.Log(t.suspectRate/t.allowedRate) + float64(total-bad)*math.Log((1-t.suspectRate)/(1-t.allowedRate))
 }
 
-// failureTest tests the share of failures.
+// newFailureTest returns the test of the share of failures.
 func newFailureTest(base, recent *Statistics) (rateTest, bool) {
 	allowed := max(minAllowedFailureRate, base.smoothedFailureRate(), recent.smoothedFailureRate())
 	return rateTest{
@@ -285,8 +290,8 @@
 	}, true
 }
 
-// slownessTest tests the share of answers that are slower than all but baseTail of the old version's, in all or lately, and by margin
-// buckets more.
+// newSlownessTest returns the test of the share of slow responses. A response is slow if its bucket is at least marginBuckets above the one
+// from which on there are at most baseTailShare of the old version's responses, in all and since the test last restarted.
 func newSlownessTest(base, recent *Statistics, marginBuckets int) (rateTest, bool) {
 	if base.Latencies.countFrom(0) < minBaseLatencies {
 		return rateTest{}, false
@@ -309,7 +314,7 @@
 	}, true
 }
 
-// suspectOf is the rate that a test tells from an allowed one.
+// suspectRateOf returns the suspect rate of a test with an allowed rate; minRate is its lower bound.
 func suspectRateOf(allowed, minRate float64) float64 {
 	return min(maxSuspectRate, max(minRate, suspectFactor*allowed))
 }
--- a/mesh/rollout/latencies.go
+++ b/mesh/rollout/latencies.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	// latencyBuckets are the buckets of a histogram of latencies, and bucketsPerDoubling how many of them stand for twice the time.
+	// latencyBuckets is the number of buckets of a histogram. The bounds of the buckets double every bucketsPerDoubling buckets.
 	latencyBuckets     = 56
 	bucketsPerDoubling = 4
 )
 
-// Latencies is a histogram of latencies in buckets of equal ratio, from a millisecond up. Histograms can be added.
+// Latencies is a histogram of latencies with exponential buckets, from one millisecond up. Histograms can be added.
 type Latencies [latencyBuckets]uint32
 
 // Record counts a latency.
@@ -28,7 +28,8 @@
 	}
 }
 
-// since returns what was counted since an earlier state. Counts below those of that state are of another process, which began anew.
+// since returns what was counted since an earlier state. Lower counts than in that state mean that the process has restarted and counted
+// from zero.
 func (l *Latencies) since(earlier *Latencies) Latencies {
 	delta := *l
 	for i := range delta {
@@ -40,7 +41,7 @@
 	return delta
 }
 
-// count returns how many latencies were counted in the buckets from one on.
+// countFrom returns the number of latencies in a bucket and all higher ones.
 func (l *Latencies) countFrom(first int) (count uint32) {
 	for i := min(first, latencyBuckets); i < latencyBuckets; i++ {
 		count += l[i]
@@ -48,12 +49,12 @@
 	return count
 }
 
-// tailShare is the share of the latencies in the buckets from one on.
+// shareFrom returns the share of the latencies that are in a bucket and all higher ones.
 func (l *Latencies) shareFrom(first int) float64 {
 	return float64(l.countFrom(first)) / float64(max(1, l.countFrom(0)))
 }
 
-// tailFrom returns the first bucket from which on there is a share of the latencies at most.
+// tailStart returns the lowest bucket for which it and all higher ones hold at most a share of the latencies.
 func (l *Latencies) tailStart(share float64) (bucket int) {
 	for l.shareFrom(bucket) > share {
 		bucket++
--- a/mesh/rollout/rollout.go
+++ b/mesh/rollout/rollout.go
@@ -1,8 +1,8 @@
-// Package rollout decides how a new version of a service takes over the service's traffic: which servers a sender may use while a rollout
-// is under way (Rollout.Eligibility), whether the new version is worse than the old one (Judge), and when the rollout goes on, is delivered
-// or recalled (Controller). The state of all rollouts is a Set, which the register holds.
+// Package rollout controls how a new version of a service takes over the service's traffic: which servers a sender may use during a rollout
+// (Rollout.Eligibility), whether the new version is worse than the old one (Judge), and when a rollout is promoted, delivered (completed)
+// or recalled (rolled back) (Controller). The state of all rollouts is a Set, which the register stores.
 //
-// The package has no I/O, no goroutine and no clock: times are arguments. docs/design/rollout.md states what holds by construction and why.
+// The package has no I/O, no goroutine and no clock; times are arguments. docs/design/rollout.md states its guarantees and the reasons.
 //
 // Start reading at Stage and Controller.Decide.
 package rollout
@@ -13,25 +13,25 @@
 	"time"
 )
 
-// MaxRollouts bounds the services that a Set has a rollout of; orders for more are refused.
+// MaxRollouts is the greatest number of services with a rollout in a Set. Orders for further services are rejected.
 const MaxRollouts = 512
 
-// Stage is how far a rollout is. The values are part of the wire format: append, never reorder.
+// Stage is the stage of a rollout. The values are part of the wire format: append new ones, and never reorder them.
 type Stage uint8
 
 // The stages of a rollout.
 const (
-	// Canary: the new version gets a small share of the requests, the same at each sender.
+	// Canary means that the new version gets a small share of the requests, which is the same at each sender.
 	Canary Stage = iota + 1
-	// Promoting: the new version gets all requests, and servers of the old one finish what they have. They still run.
+	// Promoting means that the new version gets all new requests. The servers of the old version still run and finish theirs.
 	Promoting
-	// Delivered: nobody sends to servers of the old version any more, and they may be stopped.
+	// Delivered means that the rollout is complete: no sidecar sends to the servers of the old version, and they may be stopped.
 	Delivered
-	// Recalled: the new version gets no requests.
+	// Recalled means that the rollout is rolled back: the new version gets no requests.
 	Recalled
 )
 
-// String is a stage's name in logs and in the status.
+// String returns the stage's name in logs and in the status.
 func (s Stage) String() string {
 	return [...]string{"none", "canary", "promoting", "delivered", "recalled", "unknown"}[min(s, Recalled+1)]
 }
@@ -44,31 +44,31 @@
 	Service string
 	// Target is the version that takes over.
 	Target string
-	// Order numbers the orders of a service, from 1.
+	// Order is the number of the rollout's order among those of the service, from 1.
 	Order uint32
 	Stage Stage
-	// Term is the time within which the rollout is to end, from the order on.
+	// Term is the time from the order within which the rollout is to end.
 	Term time.Duration
-	// Reason is the evidence for the present stage, as text; DecidedBy is the control machine that decided on it.
+	// Reason describes the evidence for the present stage. DecidedBy is the control machine that decided on the stage.
 	Reason, DecidedBy string
 }
 
-// Eligibility is what a sender may do with a server while a rollout of its service is known.
+// Eligibility is which requests a sender may send to a server during a rollout of its service.
 type Eligibility uint8
 
 // The eligibilities.
 const (
-	// Serves: the server gets requests as without a rollout.
+	// Eligible means that the server gets requests as without a rollout.
 	Eligible Eligibility = iota
-	// ServesShare: the server gets the first attempts of the requests that are chosen for the new version, and no others.
+	// CanaryOnly means that the server gets only first attempts, of the requests that are selected for the new version.
 	CanaryOnly
-	// Finishes: the server gets no new requests, and finishes what it has.
+	// NotEligible means that the server gets no new requests. It finishes those in flight.
 	NotEligible
 )
 
-// Eligibility returns what a sender may do with a server of a version; empty: the version is not known yet. A version that may be the one
-// on trial gets no requests. Retired is whether the servers of the old version have had time to stop since the rollout was delivered: any
-// that appear after that are new ones.
+// Eligibility returns the eligibility of a server of a version. An empty version is not known yet; where it may be the version that is
+// under test, the server gets no requests. Retired is set once the servers of the old version have had time to stop after the delivery:
+// servers of that version that appear later are new ones.
 func (r *Rollout) Eligibility(version string, retired bool) Eligibility {
 	isTarget := version == r.Target
 	switch r.Stage {
@@ -94,15 +94,15 @@
 	return NotEligible
 }
 
-// Set is the newest rollout of each service. A Set is never changed: its methods return others.
+// Set holds the newest rollout of each service. It is immutable: methods that change something return a new Set.
 type Set struct {
-	// Revision counts the changes.
+	// Revision rises by one with each change.
 	Revision uint32
-	// Rollouts are in order of service, one for each at most.
+	// Rollouts is sorted by service, with at most one rollout for each.
 	Rollouts []Rollout
 }
 
-// Find returns the rollout of a service; ok is false where there is none.
+// Find returns the rollout of a service, and false if there is none.
 func (s Set) Find(service string) (r Rollout, ok bool) {
 	index, found := s.search(service)
 	if !found {
@@ -120,7 +120,7 @@
 	return slices.BinarySearchFunc(s.Rollouts, service, func(r Rollout, service string) int { return cmp.Compare(r.Service, service) })
 }
 
-// with returns the set with a rollout in place of the service's present one.
+// withRollout returns the set with a rollout in place of the present one of its service.
 func (s Set) withRollout(r Rollout) Set {
 	index, found := s.search(r.Service)
 	rollouts := slices.Clone(s.Rollouts)
@@ -132,26 +132,26 @@
 	return Set{Revision: s.Revision + 1, Rollouts: rollouts}
 }
 
-// Order asks for a rollout.
+// Order is an operator's request for a rollout.
 type Order struct {
 	Service, Target string
 	Term            time.Duration
-	// Supersedes is the number of the service's last order, which has ended, as known to whoever asks; 0: there was none. Where a later one
-	// exists the order does not begin another rollout: it is a repetition of that one, or conflicts with it.
+	// Supersedes is the number of the service's last order, whose rollout has ended, to the knowledge of the requester; 0 if there was none.
+	// Where a later order exists, this one starts no rollout: it either repeats that order or conflicts with it.
 	Supersedes uint32
 }
 
-// OrderState is what became of an order.
+// OrderState is the state of an order.
 type OrderState uint8
 
 // The states of an order.
 const (
-	NotAccepted OrderState = iota
-	Accepted               // a rollout to its target stands after those that it supersedes
-	Conflicting            // one to another target does, or there are too many
+	NotAccepted OrderState = iota // there is no later order than the one that it supersedes
+	Accepted                      // there is a rollout to its target after the order that it supersedes
+	Conflicting                   // there is a later rollout to another target, or there are too many rollouts
 )
 
-// StateOf returns what became of an order.
+// StateOf returns the state of an order.
 func (s Set) StateOf(o Order) OrderState {
 	present, _ := s.Find(o.Service)
 	switch {
@@ -163,7 +163,8 @@
 	return Conflicting
 }
 
-// Start returns the set with an order taken; s itself where that changes nothing.
+// Start returns the set with the rollout of an order started. It returns s itself where the order is not new or a rollout of its service is
+// active.
 func (s Set) Start(o Order) Set {
 	present, _ := s.Find(o.Service)
 	if s.StateOf(o) != NotAccepted || present.Stage.Active() {
@@ -172,8 +173,8 @@
 	return s.withRollout(Rollout{Service: o.Service, Target: o.Target, Order: present.Order + 1, Stage: Canary, Term: o.Term})
 }
 
-// Supersedes returns the number for the field of that name of an order that is asked for now. An order to the version of a rollout that has
-// just ended is taken for a late copy of that rollout's order.
+// Supersedes returns the value of Order.Supersedes for an order that arrives now. An order to the target of a rollout that has just ended
+// counts as a late copy of that rollout's order.
 func (s Set) Supersedes(service, target string, endedRecently bool) uint32 {
 	present, known := s.Find(service)
 	switch {
@@ -185,7 +186,7 @@
 	return present.Order
 }
 
-// Transition moves a rollout from a stage to another one.
+// Transition is a change of a rollout's stage.
 type Transition struct {
 	Service           string
 	Order             uint32
@@ -193,8 +194,8 @@
 	Reason, DecidedBy string
 }
 
-// Apply returns the set with a transition made; s itself where the rollout is not at the transition's order and stage, as after another
-// transition.
+// Apply returns the set after a transition. It returns s itself where the rollout is not at the transition's order and stage any more, as
+// after another transition.
 func (s Set) Apply(t Transition) Set {
 	r, ok := s.Find(t.Service)
 	if !ok || !s.CanApply(t) {
@@ -204,7 +205,7 @@
 	return s.withRollout(r)
 }
 
-// Awaits reports whether the rollout of a transition is at its order and stage.
+// CanApply reports whether the rollout is at the order and stage that a transition starts from.
 func (s Set) CanApply(t Transition) bool {
 	r, ok := s.Find(t.Service)
 	return ok && r.Order == t.Order && r.Stage == t.From
--- a/mesh/rollout/rollout_test.go
+++ b/mesh/rollout/rollout_test.go
@@ -52,12 +52,12 @@
 			t.Errorf("%s: order %d, want %d", c.name, r.Order, c.order)
 		}
 		if again := after.Start(o); again.Revision != after.Revision {
-			t.Errorf("%s: the same order changes something twice", c.name)
+			t.Errorf("%s: a repeated order changes the set", c.name)
 		}
 	}
 }
 
-// Of two transitions from one stage the first wins: what was delivered is not recalled, and what was recalled not delivered.
+// The first of two transitions from a stage wins, so that no rollout is both delivered and recalled.
 func TestRolloutHasOneOutcome(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, ended := startRollout(Set{}, "v2"), Stage(0)
@@ -94,7 +94,7 @@
 		chosen, now := 0, time.Duration(0)
 		for n := 1; n <= rapid.IntRange(1, 2000).Draw(t, "requests"); n++ {
 			now += time.Duration(rapid.IntRange(0, 50).Draw(t, "pause")) * time.Millisecond
-			s.Begin(now, plan, 0.999) // as after each change of the directory
+			s.Begin(now, plan, 0.999) // as after each change of the directory; the plan continues
 			if s.Next(now) {
 				chosen++
 			}
@@ -105,7 +105,8 @@
 	})
 }
 
-// A canary that a sender's first twenty requests never reach is no evidence for a promotion: many senders have fewer by then.
+// Guards against a sampling that always skips the first requests of a sender: many senders have fewer than twenty requests until the
+// promotion, so that the new version would get none from them and the promotion would lack evidence.
 func TestCanaryIsSampledFromTheFirstRequestsOn(t *testing.T) {
 	const (
 		senders   = 85
@@ -157,8 +158,8 @@
 	}
 }
 
-// answers returns what servers have counted: of n requests each, a share failed, and the others took a time, with the given spread of its
-// logarithm.
+// servedSamples returns the samples of servers with n requests each. A share of the requests failed, and the others took the latency, with
+// the given spread of its logarithm.
 func servedSamples(candidate bool, servers, n int, failureRate float64, latency time.Duration, spread float64) (samples []Sample) {
 	for server := range servers {
 		s := Statistics{Class: 7}
@@ -205,7 +206,7 @@
 	}
 }
 
-// A fault in one class of routes is not hidden by the others.
+// Guards against averaging over the classes of routes, which would hide a fault in a class with few requests.
 func TestBadClassIsNotHiddenByOthers(t *testing.T) {
 	samples := append(servedSamples(false, 10, 1000, 0, usualLatency, 0.6), servedSamples(true, 8, 500, 0, usualLatency, 0.6)...)
 	for i := range samples {
@@ -220,7 +221,7 @@
 	}
 }
 
-// grown returns samples with more counted, server by server.
+// addCounts returns samples with the counts of more added, server by server.
 func addCounts(samples, more []Sample) []Sample {
 	after := slices.Clone(samples)
 	for i := range after {
@@ -231,7 +232,7 @@
 	return after
 }
 
-// Hundreds of good answers don't excuse the bad ones that come after them.
+// Guards against a test that never restarts: hundreds of good responses would outweigh the bad ones that follow.
 func TestVersionThatTurnsBadLateIsDetected(t *testing.T) {
 	for name, turned := range map[string][]Sample{
 		"fails":   servedSamples(true, 8, 4, 0.5, usualLatency, 0.6),
@@ -270,7 +271,7 @@
 	}
 }
 
-// machines are five of the old and five of the new version, with sidecars that have confirmed a revision.
+// tenMachines returns five machines of the old and five of the new version, whose sidecars have confirmed a revision.
 func tenMachines(confirmed uint32, newFails float64) (all []Machine) {
 	for i := range 10 {
 		m := Machine{Node: fmt.Sprint("branch-", i), Service: service, Version: "v1", Accepting: true, Slots: 4, Confirmed: confirmed, Order: 1}
@@ -284,7 +285,7 @@
 	return all
 }
 
-// ordered are machines that have known of the order for almost its term.
+// longOrdered returns machines that have known of the order for almost its term.
 func longOrdered(machines []Machine) []Machine {
 	for i := range machines {
 		machines[i].OrderAge = 9 * time.Second
@@ -292,8 +293,8 @@
 	return machines
 }
 
-// decided returns what a controller decides on machines that it knows some time after it has first seen the rollouts. Lost ones were last
-// seen then.
+// decideAfter returns a controller's decision on machines some time after it first saw the rollouts. Lost machines were last seen at that
+// first time.
 func decideAfter(v View, machines []Machine, after time.Duration) []Transition {
 	controller := NewController(timing.Default().Rollouts, 50)
 	begin := time.Minute
@@ -307,7 +308,7 @@
 	return controller.Decide(begin+after, v)
 }
 
-// untried are machines whose servers of the new version have had few requests, and idle ones those of a service that has few.
+// fewRequests returns machines whose servers of the new version have had few requests, and the idle machines of a service that has few.
 func fewRequests() (untried, idle []Machine) {
 	untried, idle = tenMachines(1, 0), tenMachines(1, 0)
 	for i := range untried {
@@ -334,13 +335,13 @@
 		leader   bool
 		machines []Machine
 		after    time.Duration // since the stage was first seen
-		want     Stage         // 0: it stays
+		want     Stage         // 0: the stage stays
 	}{
 		{"too early", canary, true, tenMachines(1, 0), 5900 * time.Millisecond, 0},
 		{"promoted", canary, true, tenMachines(1, 0), 6100 * time.Millisecond, Promoting},
-		{"too little is known of the new version", canary, true, untried, 19 * time.Second, 0},
+		{"too few requests of the new version", canary, true, untried, 19 * time.Second, 0},
 		{"a service without requests", canary, true, idle, 6100 * time.Millisecond, Promoting},
-		{"ordered long before this process has started", canary, true, longOrdered(tenMachines(1, 0)), time.Second, Promoting},
+		{"ordered long before this process started", canary, true, longOrdered(tenMachines(1, 0)), time.Second, Promoting},
 		{"not the leader", canary, false, tenMachines(1, 0), 7 * time.Second, 0},
 		{"bad, seen by any machine", canary, false, tenMachines(1, 0.5), time.Second, Recalled},
 		{"too few new servers", canary, true, few, 9 * time.Second, 0},
@@ -350,10 +351,10 @@
 		{"not long enough", promoting, true, longOrdered(tenMachines(promoting.Revision, 0)), 900 * time.Millisecond, 0},
 		{"ordered long before", promoting, true, longOrdered(tenMachines(promoting.Revision, 0)), 1100 * time.Millisecond, Delivered},
 		{"one has not confirmed", promoting, true, unconfirmed, 9 * time.Second, 0},
-		{"one is lost lately", promoting, true, lateLost, 2 * time.Second, 0},
-		{"one is lost for long", promoting, true, lateLost, 9 * time.Second, Delivered},
-		{"bad when it has all requests", promoting, false, tenMachines(promoting.Revision, 0.5), time.Second, Recalled},
-		{"its servers are gone", promoting, true, tenMachines(promoting.Revision, 0)[:5], time.Second, Recalled},
+		{"one was lost recently", promoting, true, lateLost, 2 * time.Second, 0},
+		{"one was lost long ago", promoting, true, lateLost, 9 * time.Second, Delivered},
+		{"bad while it gets all requests", promoting, false, tenMachines(promoting.Revision, 0.5), time.Second, Recalled},
+		{"no server of the new version is left", promoting, true, tenMachines(promoting.Revision, 0)[:5], time.Second, Recalled},
 	} {
 		due := decideAfter(View{Self: "self", Leader: c.leader, Set: c.set}, c.machines, c.after)
 		switch {
@@ -365,7 +366,8 @@
 	}
 }
 
-// A control machine that has just started does not know all sidecars: it neither delivers nor recalls for want of servers.
+// A control machine that has just started has not received the reports of all sidecars. It neither delivers a rollout nor recalls one
+// because servers are missing.
 func TestControllerWaitsForReportsAfterStart(t *testing.T) {
 	promoting := moveTo(startRollout(Set{}, "v2"), Promoting)
 	promoting.Rollouts[0].Term = time.Second
--- a/mesh/rollout/split.go
+++ b/mesh/rollout/split.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// canaryPart is the part of the share and of the slack that the rules allow a bad version which the canary gets. The rest is for the time
-// in which the new version gets all requests and is not judged yet.
+// canaryBudgetShare is the part of the requests that the exposure rule allows a bad version, in share and slack, which the canary uses. The
+// rest is left for the time in which the new version gets all requests and is not judged yet.
 const canaryBudgetShare = 0.5
 
-// Plan is how many requests of a service one sender gives a new version.
+// Plan is how many of its requests for a service one sender sends to the new version.
 type Plan struct {
-	// Order is that of the rollout.
+	// Order is the number of the rollout's order.
 	Order uint32
-	// Share is the part of the sender's requests, and Extra how many more there are in all, evenly over Window. Where a service has few
-	// requests it is by the extra ones that its new version can be judged in time.
+	// Share is the share of the sender's requests. Extra is the number of further requests, spread evenly over Window. They let the new
+	// version be judged in time where a service has few requests.
 	Share, Extra float64
 	Window       time.Duration
 }
 
-// CanaryPlan returns the plan of one of so many senders for a canary, where the rules allow a bad version the given share of a service's
-// requests and slack more.
+// CanaryPlan returns the plan of one of the given number of senders for a canary, where a bad version may get exposureShare of a service's
+// requests and exposureSlack more.
 func CanaryPlan(r *Rollout, exposureShare, exposureSlack float64, senders int) Plan {
 	return Plan{
 		Order:  r.Order,
@@ -31,10 +31,10 @@
 	}
 }
 
-// Split chooses the requests for a new version at one sender, by systematic sampling with a random start: of n requests up to a time within
-// the window it chooses n times the share and the part of the extra ones that is due by then, rounded up or down by the start, and never
-// more. So the sum over all senders is the share of all requests in expectation, whatever each of them has received. The zero value chooses
-// none. It is safe for concurrent use.
+// Split selects the requests for a new version at one sender, by systematic sampling with a random start. Of the first n requests it
+// selects at most n times the share plus the extra requests that are due by then, rounded up or down by the start. The sum over all senders
+// is therefore the planned share of all requests in expectation, however few requests each sender has. The zero value selects none. A Split
+// is safe for concurrent use.
 type Split struct {
 	active atomic.Bool
 
@@ -46,8 +46,8 @@
 	chosen      int
 }
 
-// Begin has requests chosen by a plan from now on. The start is a random number from 0 up to 1. The plan of an order that is followed
-// already goes on, with its counts.
+// Begin starts the selection of requests by a plan. The startOffset is a random number from 0 to below 1. If a plan of the same order is in
+// use, it continues with its counts.
 func (s *Split) Begin(now time.Duration, p Plan, startOffset float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,10 +57,10 @@
 	s.active.Store(true)
 }
 
-// Stop has no request chosen any more.
+// Stop ends the selection of requests.
 func (s *Split) Stop() { s.active.Store(false) }
 
-// Next reports whether the next request is chosen.
+// Next counts a request and reports whether it is selected for the new version.
 func (s *Split) Next(now time.Duration) bool {
 	if !s.active.Load() {
 		return false
@@ -75,7 +75,7 @@
 	return true
 }
 
-// due is how many requests are to be chosen up to now, with the fraction. The caller holds mu.
+// due returns the number of requests to select up to now, with its fraction. The caller holds mu.
 func (s *Split) due(now time.Duration) float64 {
 	elapsedShare := min(1, float64(now-s.beganAt)/float64(max(1, s.plan.Window)))
 	return s.startOffset + s.plan.Share*float64(s.requests) + s.plan.Extra*elapsedShare
