--- a/mesh/admission/controller_test.go
+++ b/mesh/admission/controller_test.go
@@ -17,7 +17,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// played is a controller with the log of what it was given and decided.
+// timelineRun is a controller with a log of its inputs and decisions.
 type timelineRun struct {
 	controller *Controller
 	log        []string
@@ -27,14 +27,13 @@
 	p.log = append(p.log, fmt.Sprintf("%4.1f  ", now.Seconds())+fmt.Sprintf(format, args...))
 }
 
-// noteIf notes a change.
 func (p *timelineRun) logIf(changed bool, now time.Duration, format string, args ...any) {
 	if changed {
 		p.logf(now, format, args...)
 	}
 }
 
-// handle plays the cell of a timeline in the column of a server or of a sidecar.
+// applyCell applies a cell of a timeline, in the column of a server or of a sidecar.
 func (p *timelineRun) applyCell(now time.Duration, name, cell string) {
 	c := p.controller
 	verb, arg, _ := strings.Cut(cell, ":")
@@ -61,7 +60,7 @@
 			"": directory.Accepting, "closing": directory.Closing, "ending": directory.Draining, "left": directory.Departed,
 		}[state]
 		c.Restore(now, &directory.Entry{Server: id, Service: "records", Slots: 2, State: restored})
-	case "ask": // for whom, of what rank, forwarded how often
+	case "ask": // server, rank, how often the request was forwarded
 		parts := strings.Split(arg+":0:0", ":")
 		rank, _ := strconv.Atoi(parts[1])
 		forwarded, _ := strconv.Atoi(parts[2])
@@ -69,7 +68,8 @@
 	}
 }
 
-// The columns are the server, or servers one after another at the same address, the sidecars that send, and admission control's own clock.
+// The columns of a timeline are the server, or several servers one after another at the same address, the sending sidecars, and the clock
+// of admission control.
 func TestTimelines(t *testing.T) {
 	datadriven.RunTest(t, "testdata/timelines", func(t *testing.T, d *datadriven.TestData) string {
 		drawing, err := timeline.Parse(d.Input)
--- a/mesh/admission/health.go
+++ b/mesh/admission/health.go
@@ -17,24 +17,25 @@
 	samples        float64 // that it rests on, up to minSamples
 	updatedAt      time.Duration
 	unhealthy      bool
-	idempotentSeen int // idempotent requests that came while it was unhealthy
+	idempotentSeen int // idempotent requests that arrived while it was unhealthy
 }
 
 const (
-	// failureGain is the weight of one result in the failure rate, and minSamples how many results it takes for a judgement.
+	// failureGain is the weight of one result in the failure rate. minSamples is the least number of results for a server to be unhealthy.
 	failureGain = 0.08
 	minSamples  = 10
-	// From unhealthyFrom a server counts as unhealthy, and up to healthyUpTo as healthy; in between it stays what it was.
+	// A server becomes unhealthy at a failure rate of unhealthyFrom and healthy again at healthyUpTo (hysteresis).
 	unhealthyFrom = 0.22
 	healthyUpTo   = 0.1
-	// decayHalfLife is the time in which half of the failure rate decays: while nothing is admitted, nothing new is learned.
+	// decayHalfLife is the half-life of the failure rate. The rate decays with time because there are no new results while no request is
+	// admitted.
 	decayHalfLife = 4 * time.Second
-	// maxDiversions is how often a request is diverted from unhealthy servers, and admitOneIn which of the idempotent ones is admitted.
+	// maxDiversions bounds how often a request is diverted from unhealthy servers. One in admitOneIn idempotent requests is admitted.
 	maxDiversions = 2
 	admitOneIn    = 5
 )
 
-// Record adds the result of a request that the server received.
+// Record records the result of a request that the server received.
 func (h *Health) Record(now time.Duration, success bool) {
 	h.decay(now)
 	gain := failureGain
@@ -49,13 +50,13 @@
 	h.classify()
 }
 
-// decay lets the failure rate decay up to now.
+// decay applies the decay of the failure rate up to now.
 func (h *Health) decay(now time.Duration) {
 	h.failureRate *= math.Exp2(-(now - h.updatedAt).Seconds() / decayHalfLife.Seconds())
 	h.updatedAt = now
 }
 
-// classify judges the server by its failure rate, with hysteresis.
+// classify sets whether the server is unhealthy by its failure rate, with hysteresis.
 func (h *Health) classify() {
 	switch {
 	case h.samples >= minSamples && h.failureRate >= unhealthyFrom:
@@ -68,7 +69,7 @@
 // Unhealthy reports whether the server counts as unhealthy.
 func (h *Health) Unhealthy() bool { return h.unhealthy }
 
-// ShouldDivert reports whether a request, forwarded so often before, is to be rejected, as the server is unhealthy.
+// ShouldDivert reports whether to reject a request because the server is unhealthy. Forwarded is how often it was forwarded before.
 func (h *Health) ShouldDivert(now time.Duration, idempotent bool, forwarded int) bool {
 	if !h.unhealthy {
 		return false
--- a/mesh/admission/health_test.go
+++ b/mesh/admission/health_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// A server that fails two fifths of its requests is found unhealthy within twenty of them, and healthy again soon after it has recovered;
-// failing one in fifty, which is usual, does not make it unhealthy.
+// A server that fails two fifths of its requests is unhealthy within twenty of them, and healthy again soon after it has recovered. A
+// server that fails one request in fifty, which is usual, stays healthy.
 func TestHealthFollowsFailureRate(t *testing.T) {
 	var h Health
 	now := time.Duration(0)
@@ -26,7 +26,7 @@
 		t.Errorf("unhealthy after %d requests of which one in fifty failed", at)
 	}
 	if at := run(40, func(i int) bool { return i%5 < 2 }); at < 0 || at > 20 {
-		t.Errorf("two in five fail: found after %d", at)
+		t.Errorf("two in five fail: unhealthy after %d", at)
 	}
 	admitted := 0
 	for range 100 {
@@ -34,15 +34,17 @@
 			admitted++
 		}
 	}
-	if admitted < 100/admitOneIn-2 || admitted > 100/admitOneIn+2 || !h.ShouldDivert(now, false, 0) || h.ShouldDivert(now, false, maxDiversions) {
-		t.Errorf("of idempotent requests %d of 100 are admitted; of the rest: none, and what was forwarded %d times", admitted, maxDiversions)
+	if admitted < 100/admitOneIn-2 || admitted > 100/admitOneIn+2 ||
+		!h.ShouldDivert(now, false, 0) || h.ShouldDivert(now, false, maxDiversions) {
+		t.Errorf("%d of 100 idempotent requests are admitted; of the others, only one that was forwarded %d times may be", admitted, maxDiversions)
 	}
 	if run(15, func(int) bool { return false }); h.Unhealthy() {
-		t.Error("recovered, and still unhealthy after 15 requests")
+		t.Error("still unhealthy 15 requests after the recovery")
 	}
 }
 
-// Whatever came before: what was forwarded often enough is admitted, and with no new results a server does not stay unhealthy.
+// Whatever the results so far, a request that was forwarded maxDiversions times is not diverted, and without new results a server does not
+// stay unhealthy.
 func TestDiversionIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h Health
@@ -51,7 +53,7 @@
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond
 			h.Record(now, rapid.Bool().Draw(t, "success"))
 			if h.ShouldDivert(now, rapid.Bool().Draw(t, "idempotent"), maxDiversions) {
-				t.Fatal("diverted once more")
+				t.Fatal("a request was diverted more than maxDiversions times")
 			}
 		}
 		if now += 4 * decayHalfLife; h.ShouldDivert(now, false, 0) {
--- a/mesh/admission/link.go
+++ b/mesh/admission/link.go
@@ -3,40 +3,41 @@
 import "time"
 
 const (
-	// bytesPerMegabit converts the rate of a link.
+	// bytesPerMegabit converts a link's rate from megabits to bytes a second.
 	bytesPerMegabit = 1e6 / 8
-	// maxLinkUtilization is the part of the machine's link that responses may fill.
+	// maxLinkUtilization is the share of the machine's link that responses may use.
 	maxLinkUtilization = 0.93
-	// maxLinkDelay is how long what is queued for the link may take to go out for another long response to be begun.
+	// maxLinkDelay bounds the queueing delay of the link: above it no further long response is begun.
 	maxLinkDelay = 300 * time.Millisecond
-	// initialBulkBytes is what a long response counts as until some were seen, and bulkGain the weight of each in their mean.
+	// initialMeanBulkBytes is the assumed size of a long response before any was measured. bulkMeanGain is the weight of each response in the
+	// mean.
 	initialMeanBulkBytes = 64 << 10
 	bulkMeanGain         = 0.1
 )
 
-// Link bounds the long responses that one machine has under way by what its link carries: short responses queue behind them, among them
-// those that other servers need for the requests that they work on. The backlog is estimated from the link's rate. The zero value bounds
-// nothing. It is not safe for concurrent use.
+// Link limits the long responses that one machine has in flight by the capacity of its link. Short responses queue behind long ones, also
+// those that other servers wait for. The backlog is estimated from the link's rate. The zero value is unlimited. A Link is not safe for
+// concurrent use.
 type Link struct {
-	bytesPerSecond float64 // bytes a second; 0: no bound
-	backlogBytes   float64 // bytes that are yet to go out
+	bytesPerSecond float64 // 0: no limit
+	backlogBytes   float64 // bytes that are still to be sent
 	updatedAt      time.Duration
 	meanBulkBytes  float64 // of a long response
-	bulkInFlight   int     // long responses that are yet to come
+	bulkInFlight   int     // long responses that were begun and not finished
 }
 
-// NewLink returns the bound for a link of so many megabits a second; 0: none.
+// NewLink returns the limit for a link of mbps megabits a second; 0 means no limit.
 func NewLink(mbps float64) *Link {
 	return &Link{bytesPerSecond: mbps * bytesPerMegabit * maxLinkUtilization, meanBulkBytes: initialMeanBulkBytes}
 }
 
-// drain lets the backlog go out up to now.
+// drain removes from the backlog what has been sent up to now.
 func (l *Link) drain(now time.Duration) {
 	l.backlogBytes = max(0, l.backlogBytes-l.bytesPerSecond*(now-l.updatedAt).Seconds())
 	l.updatedAt = now
 }
 
-// TryBegin reports whether a request with a long response may begin. Where it may, Finish has to be called once.
+// TryBegin reports whether a request with a long response may begin. If so, the caller must call Finish once.
 func (l *Link) TryBegin(now time.Duration) bool {
 	if l.bytesPerSecond == 0 {
 		l.bulkInFlight++
@@ -50,7 +51,7 @@
 	return true
 }
 
-// Finish records the size of a long response that TryBegin has admitted, as it goes out; 0: there is none.
+// Finish records the size of a long response that TryBegin has admitted, when it is sent; 0 if there is no response.
 func (l *Link) Finish(now time.Duration, bytes int) {
 	l.bulkInFlight--
 	if bytes > 0 {
@@ -59,7 +60,7 @@
 	}
 }
 
-// Sent records the size of any other response, as it goes out.
+// RecordSent records the size of any other response, when it is sent.
 func (l *Link) RecordSent(now time.Duration, bytes int) {
 	l.drain(now)
 	l.backlogBytes += float64(bytes)
--- a/mesh/admission/link_test.go
+++ b/mesh/admission/link_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Offered twice what the link carries, long responses fill it and no more: what may begin never waits for much longer than maxLinkDelay.
+// When twice the link's capacity is offered, the admitted long responses use the link fully, and the queueing delay never exceeds
+// maxLinkDelay by much.
 func TestBulkResponsesAreBoundedByTheLink(t *testing.T) {
 	const bytes = 90 << 10
 	l := NewLink(8) // 1 MB a second
@@ -27,7 +28,7 @@
 		}
 	}
 	if rate := float64(sentBytes) / 20; rate < 0.82e6 || rate > 0.95e6 {
-		t.Errorf("%.0f bytes a second go out", rate)
+		t.Errorf("%.0f bytes a second are sent", rate)
 	}
 	if maxDelaySeconds > 2*maxLinkDelay.Seconds() {
 		t.Errorf("responses wait %.2f s for the link", maxDelaySeconds)
@@ -35,7 +36,7 @@
 	l = NewLink(0)
 	for range 2 {
 		if !l.TryBegin(0) {
-			t.Error("without a bound long responses are rejected")
+			t.Error("a link without a limit rejects long responses")
 		}
 	}
 }
--- a/mesh/admission/server.go
+++ b/mesh/admission/server.go
@@ -6,22 +6,24 @@
 	"firplank/mesh/directory"
 )
 
-// Heartbeat is what a server announces of itself.
+// Heartbeat is a server's announcement of its own state.
 type Heartbeat struct {
-	ServerID   string // of the server's run: another process has another id
-	Service    string // that it belongs to
-	Version    string // of its software
-	Slots      int    // requests that it works on at once
-	Closing    bool   // it has begun its shutdown; otherwise it accepts requests
+	ServerID   string // identifies the server process; a restarted server has another id
+	Service    string // the service that the server belongs to
+	Version    string // the version of its software
+	Slots      int    // requests that it can process at once
+	Closing    bool   // its shutdown has begun; otherwise it accepts requests
 	WarmUpLeft time.Duration
-	Sequence   uint64 // of the heartbeat; 0: not numbered
+	Sequence   uint64 // number of the heartbeat; 0: not numbered
 }
 
-// AfterRestart notes that earlier processes of this sidecar may have acknowledged ends of servers of which this one knows nothing. One
-// heartbeat may be a late one of such a server: it takes a second one, or a health check that has passed since, to confirm a server.
+// MarkRestarted records that earlier processes of this sidecar may have acknowledged shutdowns of servers that this process does not know
+// of. A single heartbeat may be a late one of such a server. A server is then confirmed only by a second, later heartbeat or by a health
+// check that has passed since.
 func (c *Controller) MarkRestarted() { c.restarted = true }
 
-// HandleHeartbeat handles a heartbeat, unless a newer one came before or its server has departed. It reports whether it brought a change.
+// HandleHeartbeat handles a heartbeat. It ignores one that is older than the last, or of a departed server. It reports whether the server's
+// entry changed.
 func (c *Controller) HandleHeartbeat(now time.Duration, h Heartbeat) (changed bool) {
 	if c.departed[h.ServerID] || h.ServerID == c.serverID && h.Sequence <= c.sequence && h.Sequence > 0 {
 		return false
@@ -29,14 +31,14 @@
 	confirmed := c.confirms(h)
 	c.lastHeartbeat = h
 	if !confirmed && h.ServerID != c.serverID && c.confirmBy == 0 && c.state == directory.Accepting {
-		return false // a late one must not end the server that goes on
+		return false // a late heartbeat must not replace the running server
 	}
 	c.awaitConfirmation(h.ServerID, confirmed)
 	state := directory.Accepting
 	if c.unconfirmed(now) {
 		state = directory.Unresponsive
 	}
-	if h.Closing || h.ServerID == c.serverID && c.state == directory.Closing { // a shutdown is not taken back
+	if h.Closing || h.ServerID == c.serverID && c.state == directory.Closing { // a shutdown is never cancelled
 		state = directory.Closing
 	}
 	if h.ServerID != c.serverID {
@@ -51,7 +53,8 @@
 	return changed
 }
 
-// confirmedBy reports whether a heartbeat shows that its server goes on. The caller has not noted it as the last one yet.
+// confirms reports whether a heartbeat proves that its server is running and has not shut down. It must be called before the heartbeat
+// becomes lastHeartbeat.
 func (c *Controller) confirms(h Heartbeat) bool {
 	switch {
 	case !c.restarted || h.ServerID == c.identified:
@@ -62,7 +65,7 @@
 	return h.ServerID == c.lastHeartbeat.ServerID && h.Sequence > c.lastHeartbeat.Sequence
 }
 
-// awaitConfirmation sets when a server that has sent a heartbeat has to be confirmed, unless it is.
+// awaitConfirmation sets the time by which the sender of a heartbeat has to be confirmed, or clears it if the server is confirmed.
 func (c *Controller) awaitConfirmation(serverID string, confirmed bool) {
 	switch {
 	case confirmed:
@@ -72,13 +75,13 @@
 	}
 }
 
-// AwaitsConfirmation reports whether a health check would show more of the server that has sent the last heartbeat.
+// AwaitsConfirmation reports whether the server that sent the last heartbeat still needs a health check to be confirmed.
 func (c *Controller) AwaitsConfirmation() bool {
 	id := c.lastHeartbeat.ServerID
 	return id != "" && !c.departed[id] && id != c.identified && (id != c.serverID || c.confirmBy > 0)
 }
 
-// ServerLeft handles a server's deregistration. It reports whether that brought a change.
+// HandleDeregistration handles a server's deregistration. It reports whether the server's entry changed.
 func (c *Controller) HandleDeregistration(serverID string) (changed bool) {
 	c.markDeparted(serverID)
 	if serverID != c.serverID || c.state == directory.Departed {
@@ -88,7 +91,7 @@
 	return true
 }
 
-// markDeparted remembers a server as departed, in place of any other where there are too many.
+// markDeparted records a server as departed. If there are too many records, it replaces an arbitrary one.
 func (c *Controller) markDeparted(serverID string) {
 	if serverID == "" {
 		return
@@ -102,17 +105,17 @@
 	c.departed[serverID] = true
 }
 
-// Restore takes over the entry that an earlier incarnation of this sidecar announced, unless a server has sent a heartbeat since. The
-// states that describe that sidecar, or its view, are not restored: for Unresponsive and Draining the server counts as accepting, until
-// timing.Server.RestoredTimeout has passed without a heartbeat. Of a later entry only the server's end counts.
+// Restore restores the server from the entry that an earlier incarnation of this sidecar announced, unless a server is known already; then
+// only a shutdown in the entry is applied. States that describe the earlier sidecar or its view are not restored: for Unresponsive and
+// Draining the server counts as accepting, until timing.Server.RestoredTimeout has passed without a heartbeat.
 func (c *Controller) Restore(now time.Duration, e *directory.Entry) {
 	c.restore(now, e, c.durations.RestoredTimeout)
 }
 
-// Identify takes over what a server's health check says, as Restore does where nothing else is known of it. The server may have announced
-// its end to an earlier incarnation of this sidecar, with nobody left that knows, and health checks may lie; so it has to send a heartbeat
-// before this machine is in touch (timing.Server.IdentifiedTimeout, ConfirmBy). A server that has sent one is confirmed by its health
-// check.
+// Identify handles a health check that has passed. A server that has sent a heartbeat is confirmed by it. Any other is restored from the
+// entry, as by Restore. Such a server may have announced its shutdown to an earlier incarnation of this sidecar, with no record of it left,
+// and health checks may be wrong. It therefore has to send a heartbeat before this machine counts as in touch
+// (timing.Server.IdentifiedTimeout, ConfirmBy).
 func (c *Controller) Identify(now time.Duration, e *directory.Entry) {
 	c.identified = e.Server
 	switch {
@@ -148,7 +151,7 @@
 	}
 }
 
-// restoreEnd takes over the end of a server that no heartbeat has confirmed, or its beginning.
+// restoreShutdown applies the shutdown, begun or complete, of a server that is not confirmed.
 func (c *Controller) restoreShutdown(e *directory.Entry) {
 	shuttingDown := e.State == directory.Departed || e.State == directory.Closing
 	if shuttingDown && e.Server == c.serverID && c.confirmBy > 0 {
@@ -156,10 +159,10 @@
 	}
 }
 
-// unconfirmed reports whether the server is not confirmed for longer than that may be.
+// unconfirmed reports whether the time by which the server has to be confirmed has passed.
 func (c *Controller) unconfirmed(now time.Duration) bool { return c.confirmBy > 0 && now > c.confirmBy }
 
-// ConnectionRefused records that nobody listens at the server's address. It reports whether that brought a change.
+// ConnectionRefused records that no process listens at the server's address. It reports whether the server's state changed.
 func (c *Controller) ConnectionRefused() (changed bool) {
 	if c.state != directory.Accepting {
 		return false
@@ -168,7 +171,7 @@
 	return true
 }
 
-// ResponseReceived records that the server has responded. It reports whether that brought a change.
+// ResponseReceived records that the server has responded. It reports whether the server's state changed.
 func (c *Controller) ResponseReceived(now time.Duration) (changed bool) {
 	c.lastSeen, c.lastResponse = max(c.lastSeen, now), now
 	if c.state != directory.Unresponsive || c.unconfirmed(now) {
@@ -178,8 +181,8 @@
 	return true
 }
 
-// Tick counts the server as unresponsive after its heartbeat time-out, or where nothing confirms what was restored. It reports whether that
-// brought a change.
+// Tick marks the server as unresponsive after its heartbeat time-out, or when it has not been confirmed in time. It reports whether the
+// server's state changed.
 func (c *Controller) Tick(now time.Duration) (changed bool) {
 	if c.state != directory.Accepting || now-c.lastSeen <= c.durations.HeartbeatTimeout && !c.unconfirmed(now) {
 		return false
@@ -191,10 +194,10 @@
 // WarmingUp reports whether the server is in its slow start.
 func (c *Controller) WarmingUp(now time.Duration) bool { return now < c.warmUntil }
 
-// HasServer reports whether it is known which server is local.
+// HasServer reports whether the local server is known.
 func (c *Controller) HasServer() bool { return c.serverID != "" }
 
-// FillEntry writes what the directory announces of the server into an entry.
+// FillEntry sets the fields of a directory entry that describe the server.
 func (c *Controller) FillEntry(e *directory.Entry) {
 	e.Server, e.Service, e.State = c.serverID, c.service, c.state
 	e.Version, e.Slots, e.WarmUntil = c.version, c.slots, c.warmUntil
