--- a/mesh/admission/health.go
+++ b/mesh/admission/health.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// Health judges the local server by the results of the requests that admission control let through: all of them pass here, where each
-// sender sees only a few. A server that fails part of its requests while it announces nothing is found unhealthy, and healthy again, by
-// the same measure: an exponentially weighted failure rate. Nothing that the server announces counts. The zero value is healthy. It is
-// not safe for concurrent use.
+// Health classifies the local server as healthy or unhealthy by the results of its admitted requests. The last hop sees all of them, while
+// each sender sees only a few. The measure is an exponentially weighted failure rate, which also finds a server that fails part of its
+// requests without announcing any problem; the server's announcements don't count. The zero value is healthy. A Health is not safe for
+// concurrent use.
 //
-// Bounds: a request that was forwarded maxDiversions times is never diverted, so that no service is left out as a whole; and of the
-// idempotent requests one in admitOneIn is not, so that a server that has recovered is found healthy.
+// Requests are diverted from an unhealthy server, within two bounds. A request that was forwarded maxDiversions times is not diverted, so
+// that a service whose servers are all unhealthy still gets requests. Of the idempotent requests one in admitOneIn is not diverted, so that
+// the recovery of the server is detected.
 type Health struct {
 	failureRate    float64 // exponentially weighted, from 0 to 1
-	samples        float64 // that it rests on, up to minSamples
+	samples        float64 // number of results in it, up to minSamples
 	updatedAt      time.Duration
 	unhealthy      bool
 	idempotentSeen int // idempotent requests that arrived while it was unhealthy
--- a/mesh/admission/health_test.go
+++ b/mesh/admission/health_test.go
@@ -36,7 +36,7 @@
 	}
 	if admitted < 100/admitOneIn-2 || admitted > 100/admitOneIn+2 ||
 		!h.ShouldDivert(now, false, 0) || h.ShouldDivert(now, false, maxDiversions) {
-		t.Errorf("%d of 100 idempotent requests are admitted; of the others, only one that was forwarded %d times may be", admitted, maxDiversions)
+		t.Errorf("%d of 100 idempotent requests admitted; of the others, only one forwarded %d times may be", admitted, maxDiversions)
 	}
 	if run(15, func(int) bool { return false }); h.Unhealthy() {
 		t.Error("still unhealthy 15 requests after the recovery")
--- a/mesh/admission/link.go
+++ b/mesh/admission/link.go
@@ -7,7 +7,7 @@
 	bytesPerMegabit = 1e6 / 8
 	// maxLinkUtilization is the share of the machine's link that responses may use.
 	maxLinkUtilization = 0.93
-	// maxLinkDelay bounds the queueing delay of the link: above it no further long response is begun.
+	// maxLinkDelay bounds the queueing delay of the link: above it no long response is begun beside others in flight.
 	maxLinkDelay = 300 * time.Millisecond
 	// initialMeanBulkBytes is the assumed size of a long response before any was measured. bulkMeanGain is the weight of each response in the
 	// mean.
