--- a/mesh/attempts/evidence.go
+++ b/mesh/attempts/evidence.go
@@ -1,40 +1,41 @@
 package attempts
 
-// Outcome is the header by which a last hop reports to the sending sidecar what became of a request. Its values are on the wire.
+// Outcome is the value of the header in which a last hop reports the outcome of a request to the sending sidecar. The values are part of
+// the wire format.
 type Outcome string
 
 // The outcomes.
 const (
 	Executed         Outcome = "ran"    // the response is the server's
 	NotReceived      Outcome = "unmet"  // the server has not received it
-	Rejected         Outcome = "shed"   // the server has rejected it, and has not run it
+	Rejected         Outcome = "shed"   // the server has rejected it without running it
 	Indeterminate    Outcome = "broken" // it may have run
-	DeadlineExceeded Outcome = "late"   // it may have run, and its deadline is over
-	Barred           Outcome = "barred" // of a query: its attempt has not started, and never will here
+	DeadlineExceeded Outcome = "late"   // it may have run, and its deadline has passed
+	Barred           Outcome = "barred" // reply to a query: the attempt has not started, and never will at this last hop
 )
 
-// Evidence is what a response proves of an attempt. The sender may conclude so whatever the network does.
+// Evidence is what a response proves about an attempt. It holds whatever messages the network loses, delays or duplicates.
 type Evidence uint8
 
 // The kinds of evidence.
 const (
 	Inconclusive     Evidence = iota // it may have run
 	Succeeded                        // it ran, with this response
-	Failed                           // it ran, with this response, which is no success
-	RejectedByServer                 // a server has received it, and has not run it
-	NeverExecuted                    // no server has received it, or ever will
-	TimedOut                         // it may have run, and its deadline is over
+	Failed                           // it ran, with this response, which is a failure
+	RejectedByServer                 // a server has received it and has not run it
+	NeverExecuted                    // no server has received it or ever will
+	TimedOut                         // it may have run, and its deadline has passed
 )
 
-// Response is what evidence is drawn from in a response, besides the outcome.
+// Response holds the properties of a response, besides the outcome, that evidence is derived from.
 type Response struct {
 	Success        bool // its status is 2xx
-	MatchesRequest bool // it carries the id of the request that waits for it
-	Postmarked     bool // it has what a server's own success has
-	NotDelivered   bool // it denies that the server has run the request
+	MatchesRequest bool // it carries the id of the pending request
+	Postmarked     bool // it has the header that only a server's own successful response has
+	NotDelivered   bool // it states that the server has not run the request
 }
 
-// FromServer is the evidence of a server's response. One that does not carry the request's id may be another request's, whatever its
+// FromServer returns the evidence of a server's response. A response without the request's id may belong to another request, whatever its
 // contents.
 func FromServer(r Response) Evidence {
 	switch {
@@ -50,7 +51,7 @@
 	return Failed
 }
 
-// FromLastHop is the evidence of the last hop's response to an attempt.
+// FromLastHop returns the evidence of the last hop's response to an attempt.
 func FromLastHop(outcome Outcome, r Response) Evidence {
 	switch {
 	case outcome == NotReceived:
@@ -67,8 +68,8 @@
 	return Inconclusive
 }
 
-// FromQuery is the evidence of the last hop's response to a query, about the query's attempt. It reports whether the query was answered:
-// one that was itself rejected proves nothing about its attempt.
+// FromQuery returns the evidence of the last hop's response to a query about an attempt. It also reports whether the query was answered: a
+// query that was itself rejected proves nothing about the attempt.
 func FromQuery(outcome Outcome, r Response) (evidence Evidence, answered bool) {
 	switch outcome {
 	case NotReceived:
--- a/mesh/attempts/evidence_test.go
+++ b/mesh/attempts/evidence_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// All evidence that a sender can draw, over all outcomes and responses: a retry is safe after NeverExecuted and RejectedByServer alone, and
-// those need an outcome, or a request id, that proves them.
+// Checks the evidence for all kinds of outcomes and responses. A retry is safe only after NeverExecuted and RejectedByServer, so these must
+// result only from an outcome, or a response with the request's id, that proves them.
 func TestEvidence(t *testing.T) {
 	ok := Response{Success: true, MatchesRequest: true, Postmarked: true}
 	failure := Response{MatchesRequest: true}
@@ -18,8 +18,8 @@
 		{"success", Executed, ok, Succeeded, Succeeded, Succeeded, true},
 		{"failure", Executed, failure, Failed, Failed, Failed, true},
 		{"success without postmark", Executed, Response{Success: true, MatchesRequest: true}, Inconclusive, Inconclusive, Inconclusive, true},
-		{"success without a name", Executed, Response{Success: true, Postmarked: true}, Inconclusive, Succeeded, Succeeded, true},
-		{"denial without a name", Executed, Response{NotDelivered: true}, Inconclusive, Failed, Failed, true},
+		{"success without the request's id", Executed, Response{Success: true, Postmarked: true}, Inconclusive, Succeeded, Succeeded, true},
+		{"not delivered, without the request's id", Executed, Response{NotDelivered: true}, Inconclusive, Failed, Failed, true},
 		{"rejected", Rejected, denial, RejectedByServer, RejectedByServer, RejectedByServer, true},
 		{"not received", NotReceived, Response{}, Inconclusive, NeverExecuted, Inconclusive, false},
 		{"barred", Barred, Response{}, Inconclusive, Inconclusive, NeverExecuted, true},
--- a/mesh/attempts/log.go
+++ b/mesh/attempts/log.go
@@ -13,7 +13,7 @@
 	finished
 )
 
-// key is an ID without the incarnation of the last hop.
+// key is an ID without the last hop's incarnation.
 type key struct {
 	sender string
 	number uint64
@@ -30,34 +30,34 @@
 	finishedAt     time.Duration
 }
 
-// Log holds the attempts that have arrived at one last hop, or were queried there, with queries of type Q and responses of type R. All
-// times are those of one clock that does not go back. All of it is bounded by the constants of this package: a full log evicts its oldest
-// attempt. It is not safe for concurrent use.
+// Log holds the attempts that have arrived at one last hop or were queried there, with queries of type Q and responses of type R. All times
+// are from one monotonic clock. The constants of this package bound the size: a full log evicts its oldest attempt. A Log is not safe for
+// concurrent use.
 type Log[Q, R any] struct {
 	incarnation    uint64
 	records        map[key]*record[Q, R]
-	byLoggedAt     []*record[Q, R] // by loggedAt
-	byFinishedAt   []*record[Q, R] // those with a response, by finishedAt
+	byLoggedAt     []*record[Q, R] // all records, oldest first
+	byFinishedAt   []*record[Q, R] // records with a cached response, oldest first
 	cachedBytes    int
-	evictedQueries []Q // queries that waited for attempts that were evicted
+	evictedQueries []Q // queries that waited for evicted attempts
 
 	senders           map[string]*sender
-	sendersByActivity list.List // of *sender; the one that was last active is at the back
-	anySenderEvicted  bool      // an unknown sender may have had attempts here before
+	sendersByActivity list.List // of *sender; the most recently active is at the back
+	anySenderEvicted  bool      // an unknown sender may have had attempts at this last hop before
 }
 
-// New returns the log of a last hop's incarnation, which is not 0.
+// New returns an empty log for an incarnation of the last hop, which must not be 0.
 func New[Q, R any](incarnation uint64) *Log[Q, R] {
 	return &Log[Q, R]{incarnation: incarnation, records: map[key]*record[Q, R]{}, senders: map[string]*sender{}}
 }
 
-// Incarnation is the incarnation of the last hop that the log speaks for.
+// Incarnation returns the present incarnation of the last hop.
 func (l *Log[Q, R]) Incarnation() uint64 { return l.incarnation }
 
-// SetIncarnation gives the last hop another incarnation: attempts sent to the one before do not start any more.
+// SetIncarnation sets a new incarnation of the last hop. Attempts that were sent to an earlier one are no longer admitted.
 func (l *Log[Q, R]) SetIncarnation(incarnation uint64) { l.incarnation = incarnation }
 
-// Check returns the verdict on an attempt that arrives, without logging it.
+// Check returns the verdict on an arriving attempt, without logging it.
 func (l *Log[Q, R]) Check(id ID) Verdict {
 	if r := l.records[key{id.Sender, id.Number}]; r != nil {
 		if r.state == barred {
@@ -74,7 +74,7 @@
 	return Admitted
 }
 
-// Begin logs an attempt that arrives as running, if its verdict is Admitted. Finish or Withdraw ends it.
+// Begin returns the verdict on an arriving attempt, and logs it as running if the verdict is Admitted. Finish or Withdraw ends the attempt.
 func (l *Log[Q, R]) Begin(now time.Duration, id ID) Verdict {
 	l.Tick(now)
 	if v := l.Check(id); v != Admitted {
@@ -86,8 +86,8 @@
 	return Admitted
 }
 
-// Query answers a query about an attempt, with the response where the status is Finished. Where the status is NotStarted, the attempt is
-// barred before Query returns. Where it is Running, the query is returned by Finish, Withdraw or TakeEvicted.
+// Query returns the status of an attempt, with its response if the status is Finished. If the status is NotStarted, the attempt is barred
+// before Query returns. If the status is Running, the query waits and is later returned by Finish, Withdraw or TakeEvicted.
 func (l *Log[Q, R]) Query(now time.Duration, id ID, query Q) (status Status, response R) {
 	l.Tick(now)
 	if r := l.records[key{id.Sender, id.Number}]; r != nil {
@@ -104,7 +104,7 @@
 	return Unknown, response
 }
 
-// status answers a query about an attempt that is logged.
+// status returns the status of a logged attempt. If it is running, the query waits for its end.
 func (l *Log[Q, R]) status(r *record[Q, R], query Q) (status Status, response R) {
 	switch {
 	case r.state == barred:
@@ -120,7 +120,8 @@
 	return Discarded, response
 }
 
-// Finish ends an attempt that runs, with a response of so many bytes; 0: it is not to be cached. It returns the queries that wait.
+// Finish ends a running attempt. It caches the response, unless responseBytes is 0 or more than MaxResponseBytes. It returns the queries
+// that waited for the attempt.
 func (l *Log[Q, R]) Finish(now time.Duration, id ID, response R, responseBytes int) (waiting []Q) {
 	r := l.records[key{id.Sender, id.Number}]
 	if r == nil || r.state != running {
@@ -137,7 +138,7 @@
 	return waiting
 }
 
-// Withdraw bars an attempt that was admitted and has not reached the server after all. It returns the queries that wait.
+// Withdraw bars an attempt that was admitted but has not reached the server. It returns the queries that waited for the attempt.
 func (l *Log[Q, R]) Withdraw(now time.Duration, id ID) (waiting []Q) {
 	r := l.records[key{id.Sender, id.Number}]
 	if r == nil || r.state != running {
@@ -149,7 +150,7 @@
 	return waiting
 }
 
-// Tick evicts responses and attempts whose retention is over.
+// Tick evicts responses and attempts whose retention has ended.
 func (l *Log[Q, R]) Tick(now time.Duration) {
 	for len(l.byFinishedAt) > 0 && (l.cachedBytes > MaxCachedBytes || now-l.byFinishedAt[0].finishedAt >= ResponseRetention) {
 		l.evictResponse(l.byFinishedAt[0])
@@ -160,20 +161,20 @@
 	}
 }
 
-// TakeEvicted returns, once, the queries that waited for attempts that were evicted: their status is Unknown.
+// TakeEvicted returns the queries that waited for attempts that were evicted since the last call. The status of these attempts is Unknown.
 func (l *Log[Q, R]) TakeEvicted() []Q {
 	evicted := l.evictedQueries
 	l.evictedQueries = nil
 	return evicted
 }
 
-// Len is how many attempts are logged.
+// Len returns the number of logged attempts.
 func (l *Log[Q, R]) Len() int { return len(l.records) }
 
-// CachedBytes is the size of all cached responses.
+// CachedBytes returns the total size of the cached responses.
 func (l *Log[Q, R]) CachedBytes() int { return l.cachedBytes }
 
-// insert logs an attempt in a state. It reports whether there is room for its sender.
+// insert logs an attempt in a state. It returns false, and logs nothing, if there is no room for the attempt's sender.
 func (l *Log[Q, R]) insert(now time.Duration, id ID, st state) bool {
 	if len(l.byLoggedAt) >= MaxAttempts {
 		l.evictOldest()
@@ -195,7 +196,7 @@
 	return true
 }
 
-// evictOldest evicts the oldest attempt, and raises its sender's floor to it.
+// evictOldest evicts the oldest attempt and raises its sender's floor to the attempt's number.
 func (l *Log[Q, R]) evictOldest() {
 	r := l.byLoggedAt[0]
 	l.byLoggedAt[0] = nil
@@ -209,7 +210,7 @@
 	s.loggedAttempts--
 }
 
-// dropResponse evicts an attempt's response from the cache.
+// evictResponse removes an attempt's response from the cache.
 func (l *Log[Q, R]) evictResponse(r *record[Q, R]) {
 	var none R
 	l.cachedBytes -= r.responseBytes
--- a/mesh/attempts/log_test.go
+++ b/mesh/attempts/log_test.go
@@ -28,22 +28,22 @@
 		before  func(*log)
 		queried ID
 		want    Status
-		then    Verdict // on the attempt, should it arrive after the query
+		then    Verdict // on the attempt, if it arrives after the query
 	}{
 		{"never arrived", func(*log) {}, current, NotStarted, AlreadyBarred},
-		{"runs", func(l *log) { l.Begin(0, current) }, current, Running, Duplicate},
+		{"is running", func(l *log) { l.Begin(0, current) }, current, Running, Duplicate},
 		{"has ended", func(l *log) { runAndFinish(l, 0, 4) }, current, Finished, Duplicate},
-		{"has ended with more than is cached", func(l *log) { runAndFinish(l, 0, MaxResponseBytes+1) }, current, Discarded, Duplicate},
-		{"was admitted, and the server was not reached", func(l *log) {
+		{"its response was too large to cache", func(l *log) { runAndFinish(l, 0, MaxResponseBytes+1) }, current, Discarded, Duplicate},
+		{"was admitted, but did not reach the server", func(l *log) {
 			l.Begin(0, current)
 			l.Withdraw(0, current)
 		}, current, NotStarted, AlreadyBarred},
-		{"was sent to the process before", func(*log) {}, previous, Unknown, WrongIncarnation},
+		{"was sent to the previous process", func(*log) {}, previous, Unknown, WrongIncarnation},
 		{"was sent without an incarnation", func(*log) {}, ID{Sender: "a", Number: 1}, Unknown, Admitted},
 		{"was sent before the incarnation changed", func(l *log) { l.SetIncarnation(8) }, current, Unknown, WrongIncarnation},
 		{"is below the floor", func(l *log) { l.Begin(-Retention, attempt("a", 2)) }, current, Unknown, TooOld},
 		{"ran longer ago than the retention", func(l *log) { runAndFinish(l, -Retention, 4) }, current, Unknown, TooOld},
-		{"has too many queries that wait", func(l *log) {
+		{"has too many waiting queries", func(l *log) {
 			l.Begin(0, current)
 			for range MaxWaitingQueries {
 				l.Query(0, current, "q")
@@ -52,13 +52,13 @@
 	} {
 		l := New[string, string](thisIncarnation)
 		c.before(l)
-		for range 2 { // a second query gets the same
+		for range 2 { // a second query returns the same status
 			if got, _ := l.Query(0, c.queried, "q"); got != c.want {
 				t.Errorf("%s: %v, want %v", c.name, got, c.want)
 			}
 		}
 		if got := l.Begin(0, c.queried); got != c.then {
-			t.Errorf("%s: then it arrives: %v, want %v", c.name, got, c.then)
+			t.Errorf("%s: verdict after the query %v, want %v", c.name, got, c.then)
 		}
 	}
 }
@@ -70,21 +70,21 @@
 		l.Query(0, attempt("a", n), fmt.Sprint("q", n))
 	}
 	if answered := l.Finish(1, attempt("a", 1), "body", 4); len(answered) != 1 || answered[0] != "q1" {
-		t.Errorf("at its end %v are answered", answered)
+		t.Errorf("Finish returns the queries %v", answered)
 	}
 	if answered := l.Withdraw(1, attempt("a", 2)); len(answered) != 1 || answered[0] != "q2" {
-		t.Errorf("at its withdrawal %v are answered", answered)
+		t.Errorf("Withdraw returns the queries %v", answered)
 	}
 	l.Tick(Retention)
 	if answered := l.TakeEvicted(); len(answered) != 1 || answered[0] != "q3" {
-		t.Errorf("at its eviction %v are answered", answered)
+		t.Errorf("TakeEvicted returns the queries %v", answered)
 	}
 	if l.Len() != 0 || l.CachedBytes() != 0 {
 		t.Errorf("%d attempts and %d bytes are left", l.Len(), l.CachedBytes())
 	}
 }
 
-// However many attempts and senders there are, the log stays within its bounds, and nothing that ran has the status NotStarted.
+// With any number of attempts and senders the log stays within its bounds, and no attempt that ran has the status NotStarted.
 func TestEvictionNeverReportsAnExecutedAttemptAsNotStarted(t *testing.T) {
 	l := New[string, string](thisIncarnation)
 	const many = MaxSenders + 3*MaxAttempts
@@ -106,11 +106,11 @@
 	}
 	l.Tick(ResponseRetention)
 	if l.CachedBytes() != 0 {
-		t.Errorf("%d bytes are cached after their retention", l.CachedBytes())
+		t.Errorf("%d bytes are still cached after their retention", l.CachedBytes())
 	}
 }
 
-// What was barred stays barred when its record is long evicted, and when there are more senders than are kept.
+// A barred attempt stays barred after its record was evicted, also when there are more senders than MaxSenders.
 func TestBarOutlivesEvictedRecord(t *testing.T) {
 	l := New[string, string](thisIncarnation)
 	if got, _ := l.Query(0, attempt("a", 5), ""); got != NotStarted {
@@ -120,14 +120,14 @@
 		l.Begin(2*Retention, attempt(fmt.Sprint("s", i), 1))
 	}
 	if v := l.Begin(BarRetention-time.Second, attempt("a", 5)); v != TooOld {
-		t.Errorf("it arrives after all: %v", v)
+		t.Errorf("verdict on the barred attempt: %v", v)
 	}
 	if v := l.Begin(BarRetention-time.Second, attempt("a", 6)); v != Admitted {
-		t.Errorf("the next is %v", v)
+		t.Errorf("verdict on the next attempt: %v", v)
 	}
 }
 
-// The same holds for an attempt that was admitted and withdrawn, whose queries are answered NotStarted.
+// An attempt that was admitted and withdrawn stays barred as well, because queries about it return NotStarted.
 func TestBarOfWithdrawnAttemptOutlivesEvictedRecord(t *testing.T) {
 	l := New[string, string](thisIncarnation)
 	l.Begin(0, attempt("a", 5))
@@ -136,6 +136,6 @@
 		l.Begin(2*Retention, attempt(fmt.Sprint("s", i), 1))
 	}
 	if s := l.senders["a"]; s == nil || s.floor != 5 {
-		t.Errorf("the floor of its sender is not kept: %+v", s)
+		t.Errorf("the sender's floor was evicted: %+v", s)
 	}
 }
