--- a/mesh/lease/lease_test.go
+++ b/mesh/lease/lease_test.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	// linkDelay is how long a message takes in a cluster, and tickInterval the time between two steps of it.
+	// linkDelay is the delay of each message in a cluster. tickInterval is the time between two steps of the cluster.
 	linkDelay    = 5 * time.Millisecond
 	tickInterval = 5 * time.Millisecond
 )
 
-// cluster runs leases over links with a delay.
+// cluster simulates leases over links with a delay.
 type cluster struct {
 	names       []string
 	leases      []*Lease // nil: the machine is down
@@ -45,7 +45,7 @@
 	}
 }
 
-// step delivers what has arrived, lets leases do what is due, and logs a change of the holder.
+// step delivers the messages that are due, calls Tick of each lease, and logs a change of the holder.
 func (c *cluster) step(now time.Duration) {
 	inFlight := c.inFlight
 	c.inFlight = nil
@@ -85,7 +85,7 @@
 	}
 }
 
-// do plays a cell of a timeline.
+// applyCell applies a cell of a timeline.
 func (c *cluster) applyCell(now time.Duration, i int, cell string) {
 	switch cell {
 	case "up":
@@ -114,7 +114,7 @@
 	})
 }
 
-// At most one machine holds the lease, whatever machines are killed or cut off when.
+// At most one machine holds the lease at any time while machines are killed, restarted, cut off and reconnected at random.
 func TestAtMostOneHolder(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -136,7 +136,7 @@
 	}
 }
 
-// A release that arrives after a later request of the same machine frees no vote.
+// A release that is delivered after a later request of the same machine does not free the vote for that request.
 func TestLateReleaseFreesNoLaterVote(t *testing.T) {
 	durations := timing.NewLease(timing.DefaultVoteDuration)
 	voter := New("b", 0, 0, durations)
@@ -145,15 +145,15 @@
 	voter.Handle(now, Message{Kind: VoteRequest, From: "a", To: "b", Number: 8})
 	voter.Handle(now, Message{Kind: Release, From: "a", To: "b", Number: 7})
 	if response, _ := voter.Handle(now+1, Message{Kind: VoteRequest, From: "c", To: "b", Number: 1}); response.Granted {
-		t.Error("the voter votes for another while its vote is bound")
+		t.Error("the voter votes for another candidate while its vote is bound")
 	}
 	voter.Handle(now, Message{Kind: Release, From: "a", To: "b", Number: 8})
 	if response, _ := voter.Handle(now+1, Message{Kind: VoteRequest, From: "c", To: "b", Number: 1}); !response.Granted {
-		t.Error("the voter is bound by a vote that was released")
+		t.Error("the voter is still bound by a released vote")
 	}
 }
 
-// Whatever is due, a Tick puts the next one off: who runs it never runs it in circles.
+// After each Tick the next one is due later. Otherwise the caller would call Tick in a busy loop.
 func TestNextTickIsLaterAfterTick(t *testing.T) {
 	l := New("a", 0, 0, timing.NewLease(timing.DefaultVoteDuration))
 	for now := time.Duration(0); now < 20*time.Second; now += 10 * time.Millisecond {
@@ -169,7 +169,7 @@
 	}
 }
 
-// Votes count for the request that they answer only: not once it was given up as a split vote, nor once the lease was released.
+// A vote counts only for its own request, and only until that request was abandoned after a split vote or the lease was released.
 func TestLateVotesDoNotCount(t *testing.T) {
 	durations := timing.NewLease(timing.DefaultVoteDuration)
 	for name, abandon := range map[string]func(l *Lease, now time.Duration){
--- a/mesh/lease/timing_test.go
+++ b/mesh/lease/timing_test.go
@@ -7,7 +7,8 @@
 	"firplank/mesh/timing"
 )
 
-// A holder's lease ends, by its own clock, before the votes that granted it do, and late or foreign votes do not prolong it.
+// A holder's lease ends, by its own clock, before the votes that granted it expire. Neither late votes nor votes of machines that are no
+// members prolong it.
 func TestLeaseEndsBeforeItsVotes(t *testing.T) {
 	durations := timing.NewLease(timing.DefaultVoteDuration)
 	candidate, voter := New("a", 0, 0, durations), New("b", 0, 0, durations)
@@ -22,7 +23,7 @@
 	}
 	candidate.Handle(now+2*time.Millisecond, Message{Kind: VoteResponse, From: "d", To: "a", Number: response.Number, Granted: true})
 	if candidate.HeldAt(now + 2*time.Millisecond) {
-		t.Error("the vote of a machine that is no member counts")
+		t.Error("a vote of a machine that is not a member counts")
 	}
 	candidate.Handle(now+3*time.Millisecond, response)
 	if end := now + durations.LeaseDuration; !candidate.HeldAt(end-1) || candidate.HeldAt(end) {
@@ -30,9 +31,9 @@
 	}
 	rival := Message{Kind: VoteRequest, From: "c", To: "b", Number: 1}
 	if denied, _ := voter.Handle(now+durations.LeaseDuration, rival); denied.Granted {
-		t.Error("the voter votes for another as soon as the lease has ended")
+		t.Error("the voter votes for another candidate before its vote expires")
 	}
 	if granted, _ := voter.Handle(now+time.Millisecond+durations.VoteDuration, rival); !granted.Granted {
-		t.Error("the vote binds for longer than its duration")
+		t.Error("the vote binds the voter for longer than its duration")
 	}
 }
