--- a/mesh/replacement/departure.go
+++ b/mesh/replacement/departure.go
@@ -9,38 +9,39 @@
 	"firplank/mesh/timing"
 )
 
-// ActionKind is the next action of a machine that drains.
+// ActionKind is the kind of a draining machine's next action.
 type ActionKind uint8
 
-// The actions, in their order.
+// The kinds of actions, in the order in which they are taken.
 const (
-	Wait                 ActionKind = iota // until the operation under way completes
+	Wait                 ActionKind = iota // until the operation in progress completes
 	ProposeHandover                        // propose Action.Change to the register
 	ReplicateWithoutSelf                   // have the register replicate the committed value to a quorum without this machine
 	Depart                                 // notify the peers, and terminate
 )
 
-// Why a machine departs while it is still a member, or before the committed value was replicated.
+// Errors of a departure while the machine is still a member or before the committed value was replicated.
 var (
 	ErrDepartureTimeout = errors.New("the departure timed out")
 	ErrNoSuccessor      = errors.New("no machine can take over the membership")
 	ErrHandoverTimeout  = errors.New("the change of members did not complete in time")
 )
 
-// Action is an action with its arguments.
+// Action is the next action of a draining machine, with its arguments.
 type Action struct {
 	Kind   ActionKind
-	Change Change // of ProposeHandover
-	Err    error  // of Depart: one of this package's errors; nil: the machine departs in order
+	Change Change // for ProposeHandover
+	Err    error  // for Depart: one of this package's errors; nil if all steps were completed
 }
 
-// Departure takes a machine that is shutting down out of the group: it hands over its membership, has the committed value replicated to a
-// quorum without it, and departs within timing.Replacement.DepartureTimeout. It is not safe for concurrent use.
+// Departure removes a machine that is shutting down from the group. The machine hands over its membership, has the committed value
+// replicated to a quorum without itself, and departs within timing.Replacement.DepartureTimeout. A Departure is not safe for concurrent
+// use.
 type Departure struct {
 	durations    timing.Replacement
 	self         string
 	startedAt    time.Duration
-	proposedAt   time.Duration // of the last handover; never: there was none
+	proposedAt   time.Duration // when the last handover was proposed; never: none was
 	replicating  bool          // ReplicateWithoutSelf was returned
 	hasSuccessor bool
 }
@@ -50,7 +51,7 @@
 	return &Departure{durations: t, self: self, startedAt: now, proposedAt: never, hasSuccessor: true}
 }
 
-// handoverDeadline returns when the membership has to be handed over.
+// handoverDeadline returns the time by which the membership has to be handed over.
 func (d *Departure) handoverDeadline() time.Duration {
 	return d.startedAt + d.durations.HandoverTimeout()
 }
@@ -75,10 +76,10 @@
 	return Action{Kind: Depart}
 }
 
-// handOver proposes a change that gives this machine's membership to a successor, and proposes it again when it has timed out.
+// handOver proposes a change that transfers this machine's membership to a successor, and proposes it again after a time-out.
 func (d *Departure) handOver(now time.Duration, g Group) Action {
 	awaitingChange := d.proposedAt != never && now < d.proposedAt+d.durations.ChangeTimeout
-	changeInProgress := !slices.Contains(g.Members, d.self) // it is a prior member, which the change still needs
+	changeInProgress := !slices.Contains(g.Members, d.self) // this machine is a prior member, which the change still needs
 	if awaitingChange || changeInProgress {
 		return Action{Kind: Wait}
 	}
--- a/mesh/replacement/departure_test.go
+++ b/mesh/replacement/departure_test.go
@@ -8,7 +8,8 @@
 	"github.com/go-faster/errors"
 )
 
-// A machine that departs hands over its membership, then has the value replicated, then ends; each only once the one before is done.
+// A departing machine hands over its membership, then has the value replicated, then terminates. Each step begins only when the previous
+// one is complete.
 func TestDepartureStepsInOrder(t *testing.T) {
 	d := NewDeparture(durations, "c", now)
 	g := Group{Members: []string{"a", "b", "c"}, Machines: machinesUp("a", "b", "c", "d")}
@@ -18,14 +19,14 @@
 		t.Fatalf("first %+v", first)
 	}
 	if a := d.Decide(now+durations.ChangeTimeout/2, g, false); a.Kind != Wait {
-		t.Errorf("while the change is on its way: %+v", a)
+		t.Errorf("while the change is proposed: %+v", a)
 	}
 	g.Members, g.PriorMembers = []string{"a", "b", "d"}, g.Members
 	if a := d.Decide(now+durations.ChangeTimeout/2, g, false); a.Kind != Wait {
 		t.Errorf("while the change is not complete: %+v", a)
 	}
 	if a := d.Decide(now+durations.ChangeTimeout, g, false); a.Kind != Wait {
-		t.Errorf("while the change is not complete in its time: %+v", a)
+		t.Errorf("when the change has not completed in time: %+v", a)
 	}
 	g.PriorMembers = nil
 	if a := d.Decide(now+durations.ChangeTimeout/2, g, false); a.Kind != ReplicateWithoutSelf {
@@ -35,14 +36,14 @@
 		t.Errorf("before the value is replicated: %+v", a)
 	}
 	if a := d.Decide(now+durations.ChangeTimeout, g, true); a.Kind != Depart || a.Err != nil {
-		t.Errorf("in the end: %+v", a)
+		t.Errorf("when all steps are complete: %+v", a)
 	}
 }
 
-// Without a successor the value is replicated all the same; and graceS is kept whatever fails.
+// Without a successor the value is still replicated, and the machine departs after DepartureTimeout (the setting graceS) whatever fails.
 func TestDepartureWithoutSuccessor(t *testing.T) {
 	for name, all := range map[string][]Machine{
-		"nobody stands by": machinesUp("a", "b", "c"), "the stand-by drains too": withChange(machinesUp("a", "b", "c", "d"), "d", draining),
+		"no stand-by": machinesUp("a", "b", "c"), "the stand-by is draining too": withChange(machinesUp("a", "b", "c", "d"), "d", draining),
 	} {
 		d := NewDeparture(durations, "c", now)
 		g := Group{Members: []string{"a", "b", "c"}, Machines: all}
@@ -53,26 +54,26 @@
 			t.Errorf("%s: not replicated: %+v", name, a)
 		}
 		if a := d.Decide(now+durations.DepartureTimeout, g, false); a.Kind != Depart || !errors.Is(a.Err, ErrDepartureTimeout) {
-			t.Errorf("%s: at the end of its time: %+v", name, a)
+			t.Errorf("%s: at the departure time-out: %+v", name, a)
 		}
 	}
 }
 
-// Whoever departs while it is still a member says why: nobody could succeed it, or the change did not complete.
+// A machine that departs while it is still a member returns the cause: there was no successor, or the change did not complete.
 func TestDepartureReturnsCause(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		machines []Machine
 		want     error
 	}{
-		{"nobody stands by", machinesUp("a", "b", "c"), ErrNoSuccessor},
+		{"no stand-by", machinesUp("a", "b", "c"), ErrNoSuccessor},
 		{"the change does not complete", machinesUp("a", "b", "c", "d"), ErrHandoverTimeout},
 	} {
 		d := NewDeparture(durations, "c", now)
 		g := Group{Members: []string{"a", "b", "c"}, Machines: c.machines}
 		d.Decide(now, g, false)
 		late := now + durations.DepartureTimeout*2/3
-		d.Decide(late, g, false) // the replication begins here at the latest
+		d.Decide(late, g, false) // starts the replication at the latest
 		if a := d.Decide(late, g, true); a.Kind != Depart || !errors.Is(a.Err, c.want) {
 			t.Errorf("%s: %+v, want %v", c.name, a, c.want)
 		}
--- a/mesh/replacement/group.go
+++ b/mesh/replacement/group.go
@@ -10,17 +10,17 @@
 // Machine is the observed state of a control machine.
 type Machine struct {
 	Addr        string
-	Zone        string        // the failure domain
+	Zone        string        // its failure domain
 	LastContact time.Duration // when its last message or hello was received; 0: never
 	Connected   bool          // a connection to it is established
-	Voter       bool          // its replica of the register takes part in quorums
+	Voter       bool          // its replica of the register votes in quorums
 	Draining    bool          // it is shutting down
-	DiskFailed  bool          // its disk refuses writes or stalls
-	CaughtUp    bool          // its disk has the committed value, by its last hello
+	DiskFailed  bool          // its disk rejects writes or stalls
+	CaughtUp    bool          // its disk has the committed value, according to its last hello
 }
 
-// lost reports whether a member counts as lost. One that is still connected is slow, not lost, until its process has been silent for so
-// long that it is taken for frozen.
+// lost reports whether a member counts as lost. A member that is still connected counts as slow until FrozenTimeout, after which its
+// process is assumed to be frozen.
 func (m *Machine) lost(now time.Duration, t *timing.Replacement) bool {
 	timeout := t.DetectionTimeout
 	if m.Connected {
@@ -34,14 +34,14 @@
 	return m.Connected && now-m.LastContact < t.MaxContactAge && m.Voter && !m.Draining && !m.DiskFailed
 }
 
-// Group is the members of the register, and the observed state of all control machines, including the one that decides.
+// Group holds the members of the register and the observed state of all control machines, including the one that decides.
 type Group struct {
 	Members      []string
-	PriorMembers []string // the members before, while a change is under way
+	PriorMembers []string // the previous members, while a change is in progress
 	Machines     []Machine
 }
 
-// machine returns the observed state of a machine; of an unknown one, only its address.
+// machine returns the observed state of a machine. For an unknown machine only the address is set.
 func (g *Group) machine(addr string) Machine {
 	for _, m := range g.Machines {
 		if m.Addr == addr {
@@ -51,15 +51,15 @@
 	return Machine{Addr: addr}
 }
 
-// isMember reports whether a machine is a member, or a prior member while a change is under way.
+// isMember reports whether a machine is a member, or a prior member while a change is in progress.
 func (g *Group) isMember(addr string) bool {
 	return slices.Contains(g.Members, addr) || slices.Contains(g.PriorMembers, addr)
 }
 
 // Change is a change of members.
 type Change struct {
-	ExpectedMembers []string // it was decided on these, and must have no effect on others
+	ExpectedMembers []string // the present members; the change must have no effect if they differ
 	Members         []string // the new members, sorted
-	Lost            []string // the members that are replaced because they are lost; none where the group grows or is spread over zones
-	Successors      []string // the machines that replace them, in the same order, or that are added
+	Lost            []string // the members that are replaced because they are lost; empty if the change only adds or spreads members
+	Successors      []string // the machines that replace the lost members, in the same order, or that are added
 }
--- a/mesh/replacement/planner.go
+++ b/mesh/replacement/planner.go
@@ -8,34 +8,34 @@
 	"firplank/mesh/timing"
 )
 
-// never is the time of what has not happened yet.
+// never is the time of an event that has not happened.
 const never = time.Duration(-1)
 
-// minMembers is the least number of members that a group is brought to.
+// minMembers is the least size of a group.
 const minMembers = 3
 
-// GroupSize returns how many members a group needs, so that a majority of them is left when as many are lost as the tolerance says: lost
-// with their disks, too, as a member with an empty disk has no vote until a majority of the others has replied to it.
+// GroupSize returns the number of members for which a majority is left when as many members are lost as the tolerance says. This also holds
+// when members lose their disks, because a member with an empty disk has no vote until a majority of the others has replied to it.
 func GroupSize(tolerance int) int { return max(minMembers, 2*tolerance+1) }
 
 // Planner decides on changes of members, at the machine that holds the lease. It is not safe for concurrent use.
 type Planner struct {
 	durations         timing.Replacement
-	maxReplacedAtOnce int // members that are replaced in one change at most
-	groupSize         int // of the group, where there are as many machines
+	maxReplacedAtOnce int // by one change
+	groupSize         int // target number of members
 
-	proposedAt time.Duration // of lastChange; never: there is none
+	proposedAt time.Duration // when lastChange was proposed; never: there is none
 	lastChange Change
 }
 
-// NewPlanner returns a planner that replaces up to tolerance members in one change, and at least one, and that adds members up to the
-// GroupSize of the tolerance.
+// NewPlanner returns a planner that replaces up to tolerance members (at least one) by one change, and adds members up to the GroupSize of
+// the tolerance.
 func NewPlanner(t timing.Replacement, tolerance int) *Planner {
 	return &Planner{durations: t, maxReplacedAtOnce: max(1, tolerance), groupSize: GroupSize(tolerance), proposedAt: never}
 }
 
-// Decide returns the change of members that is to be proposed now; ok is false where there is none. The caller must hold the lease. The
-// time counts from its start.
+// Decide returns the change of members to propose now, and false if there is none. The caller must hold the lease. The time counts from the
+// start of the caller's process.
 func (p *Planner) Decide(now time.Duration, g Group) (c Change, ok bool) {
 	if now < p.durations.ObservationPeriod || len(g.Members) == 0 {
 		return Change{}, false
@@ -54,7 +54,7 @@
 	return c, true
 }
 
-// lostMembers returns the members that count as lost, up to the tolerance.
+// lostMembers returns the members that count as lost, up to maxReplacedAtOnce.
 func (p *Planner) lostMembers(now time.Duration, g *Group) (lost []string) {
 	for _, addr := range g.Members {
 		if m := g.machine(addr); len(lost) < p.maxReplacedAtOnce && m.lost(now, &p.durations) {
@@ -64,8 +64,8 @@
 	return lost
 }
 
-// due reports whether a change may be proposed: one on the members of the last one when that has timed out, another after the least time
-// between two changes.
+// proposalDue reports whether a change may be proposed. A change of the same members as the last one may be proposed when the last one has
+// timed out, any other after MinChangeInterval.
 func (p *Planner) proposalDue(now time.Duration, c Change) bool {
 	switch {
 	case p.proposedAt == never:
@@ -76,8 +76,7 @@
 	return now >= p.proposedAt+p.durations.MinChangeInterval
 }
 
-// replace returns the change that replaces members by successors; ok is false where there is none. Members without a successor
-// stay.
+// replace returns the change that replaces lost members by successors, and false if there is none. Members without a successor stay.
 func (g *Group) replace(now time.Duration, t *timing.Replacement, lost []string) (c Change, ok bool) {
 	c.ExpectedMembers = g.Members
 	members := slices.Clone(g.Members)
@@ -97,7 +96,7 @@
 }
 
 // grow returns the change that adds members up to a size, or to the highest odd number below it for which there are eligible machines: an
-// even number bears no more losses than the odd one below it. Ok is false where there is nothing to add, or a change is under way.
+// even number tolerates no more losses than the odd number below it. It returns false if no member can be added or a change is in progress.
 func (g *Group) grow(now time.Duration, t *timing.Replacement, size int) (c Change, ok bool) {
 	if len(g.PriorMembers) > 0 {
 		return Change{}, false
@@ -121,9 +120,9 @@
 	return c, len(c.Successors) > 0
 }
 
-// spread returns the change that replaces a member of the zone with the most members by a machine of a zone with the fewest, where that has
-// at least two fewer: the first members are those that the settings name, which may all stand in one zone. Ok is false where there is none,
-// or not every member is in order.
+// spread returns the change that replaces a member in the zone with the most members by a machine in the zone with the fewest, if that has
+// at least two fewer. The initial members are those that the settings name, which may all be in one zone. It returns false if there is no
+// such change, a change is in progress, or a member is not eligible or not caught up.
 func (g *Group) spread(now time.Duration, t *timing.Replacement) (c Change, ok bool) {
 	if len(g.PriorMembers) > 0 {
 		return Change{}, false
@@ -149,8 +148,8 @@
 	return c, true
 }
 
-// successor returns the eligible machine that joins the remaining members; ok is false where there is none. It prefers one in the zone
-// that has the fewest of them, then one that has the committed value already.
+// successor returns the eligible machine that is to join the remaining members, and false if there is none. It prefers a machine in the
+// zone with the fewest of them, then one that already has the committed value.
 func (g *Group) successor(now time.Duration, t *timing.Replacement, remaining []string) (addr string, ok bool) {
 	var eligible []Machine
 	for _, m := range g.Machines {
--- a/mesh/replacement/planner_test.go
+++ b/mesh/replacement/planner_test.go
@@ -12,7 +12,7 @@
 
 const now = 60 * time.Second
 
-// up returns machines that are up, each a voter with a full copy in a zone of its own.
+// machinesUp returns machines that are up. Each is a voter with a full copy, in a zone of its own.
 func machinesUp(names ...string) (all []Machine) {
 	for _, name := range names {
 		all = append(all, Machine{
@@ -27,14 +27,14 @@
 	return all
 }
 
-// with returns the machines with a change to one of them.
+// withChange returns the machines with a change to one of them.
 func withChange(all []Machine, name string, change func(*Machine)) []Machine {
 	all = slices.Clone(all)
 	change(&all[slices.IndexFunc(all, func(m Machine) bool { return m.Addr == name })])
 	return all
 }
 
-// silent is a change to a machine that was not heard of for a time.
+// lastSeenAgo returns a change that sets how long ago the last message of a machine was received, and whether it is connected.
 func lastSeenAgo(since time.Duration, connected bool) func(*Machine) {
 	return func(m *Machine) { m.LastContact, m.Connected = now-since, connected }
 }
@@ -56,17 +56,19 @@
 	}{
 		{"all are up", four, nil},
 		{"one is lost, a stand-by is up", withChange(four, "b", lastSeenAgo(5*time.Second, false)), []string{"a", "c", "d"}},
-		{"just longer than the timeout", withChange(four, "b", lastSeenAgo(durations.DetectionTimeout+time.Millisecond, false)), []string{"a", "c", "d"}},
-		{"not lost for long enough", withChange(four, "b", lastSeenAgo(durations.DetectionTimeout, false)), nil},
-		{"silent, but its connection stands", withChange(four, "b", lastSeenAgo(durations.FrozenTimeout, true)), nil},
-		{"silent for longer than a process is slow", withChange(four, "b", lastSeenAgo(durations.FrozenTimeout+1, true)), []string{"a", "c", "d"}},
-		{"nobody stands by", withChange(machinesUp("a", "b", "c"), "b", lost), nil},
+		{"lost just longer than the time-out",
+			withChange(four, "b", lastSeenAgo(durations.DetectionTimeout+time.Millisecond, false)), []string{"a", "c", "d"}},
+		{"lost for the time-out exactly", withChange(four, "b", lastSeenAgo(durations.DetectionTimeout, false)), nil},
+		{"no message, but still connected", withChange(four, "b", lastSeenAgo(durations.FrozenTimeout, true)), nil},
+		{"no message for longer than FrozenTimeout",
+			withChange(four, "b", lastSeenAgo(durations.FrozenTimeout+1, true)), []string{"a", "c", "d"}},
+		{"no stand-by", withChange(machinesUp("a", "b", "c"), "b", lost), nil},
 		{"the stand-by is lost itself", withChange(lostB, "d", lastSeenAgo(2*time.Second, false)), nil},
-		{"the stand-by was not heard of lately", withChange(lostB, "d", lastSeenAgo(durations.MaxContactAge, true)), nil},
+		{"the stand-by was not seen recently", withChange(lostB, "d", lastSeenAgo(durations.MaxContactAge, true)), nil},
 		{"two are lost: one at a time", withChange(twoSpares, "c", lost), []string{"a", "c", "d"}},
 		{"the stand-by is no voter yet", withChange(lostB, "d", notVoter), nil},
-		{"the stand-by drains", withChange(lostB, "d", draining), nil},
-		{"the stand-by's disk fails", withChange(lostB, "d", diskFailed), nil},
+		{"the stand-by is draining", withChange(lostB, "d", draining), nil},
+		{"the stand-by's disk has failed", withChange(lostB, "d", diskFailed), nil},
 		{"one stand-by is in a member's zone", withChange(twoSpares, "d", inZoneOfA), []string{"a", "c", "e"}},
 		{"one stand-by has the committed value", withChange(twoSpares, "d", notCaughtUp), []string{"a", "c", "e"}},
 	} {
@@ -77,7 +79,7 @@
 	}
 }
 
-// A machine that has just started has heard of nobody: it decides once it could have.
+// A machine that has just started has not received messages of the others yet. It decides only after ObservationPeriod.
 func TestNoReplacementDuringObservationPeriod(t *testing.T) {
 	all := withChange(machinesUp("a", "b", "c", "d"), "b", lost)
 	for i := range all {
@@ -85,14 +87,14 @@
 	}
 	g := Group{Members: []string{"a", "b", "c"}, Machines: all}
 	if c, ok := NewPlanner(durations, 1).Decide(durations.ObservationPeriod-1, g); ok {
-		t.Errorf("it proposes %v", c.Members)
+		t.Errorf("it proposes %v during the observation period", c.Members)
 	}
 	if _, ok := NewPlanner(durations, 1).Decide(durations.ObservationPeriod, g); !ok {
 		t.Error("it proposes nothing after its observation period")
 	}
 }
 
-// Where two may be lost at once, both are replaced at once: a second change would take too long.
+// If two losses are tolerated, two lost members are replaced by one change, because a second change would take too long.
 func TestToleratedLossesAreReplacedInOneChange(t *testing.T) {
 	all := withChange(withChange(machinesUp("a", "b", "c", "d", "e", "f", "g"), "b", lost), "c", lost)
 	c, _ := NewPlanner(durations, 2).Decide(now, Group{Members: []string{"a", "b", "c", "d", "e"}, Machines: all})
@@ -101,7 +103,8 @@
 	}
 }
 
-// A group grows to the size that the tolerance needs, by an odd number of machines that are eligible, and not while a change is under way.
+// A group grows to the size that the tolerance requires, to an odd number of members, only by eligible machines, and not while a change is
+// in progress.
 func TestGroupGrowsToItsTolerance(t *testing.T) {
 	three, seven := []string{"a", "b", "c"}, machinesUp("a", "b", "c", "d", "e", "f", "g")
 	for _, c := range []struct {
@@ -114,11 +117,11 @@
 		{"a tolerance of two", 2, Group{Members: three, Machines: seven}, []string{"a", "b", "c", "d", "e"}},
 		{"a tolerance of three", 3, Group{Members: three, Machines: seven}, []string{"a", "b", "c", "d", "e", "f", "g"}},
 		{"too few machines", 3, Group{Members: three, Machines: seven[:6]}, []string{"a", "b", "c", "d", "e"}},
-		{"one machine stands by", 2, Group{Members: three, Machines: seven[:4]}, nil},
+		{"only one stand-by", 2, Group{Members: three, Machines: seven[:4]}, nil},
 		{"a machine that is no voter yet", 2, Group{Members: three, Machines: withChange(seven[:5], "e", notVoter)}, nil},
-		{"it has its size", 2, Group{Members: []string{"a", "b", "c", "d", "e"}, Machines: seven}, nil},
+		{"the group is large enough", 2, Group{Members: []string{"a", "b", "c", "d", "e"}, Machines: seven}, nil},
 		{"a change is under way", 2, Group{Members: three, PriorMembers: []string{"a", "b", "d"}, Machines: seven}, nil},
-		{"a lost member goes first", 2, Group{Members: three, Machines: withChange(seven, "b", lost)}, []string{"a", "c", "d"}},
+		{"a lost member is replaced first", 2, Group{Members: three, Machines: withChange(seven, "b", lost)}, []string{"a", "c", "d"}},
 	} {
 		got, _ := NewPlanner(durations, c.tolerance).Decide(now, c.group)
 		if !slices.Equal(got.Members, c.want) {
@@ -127,7 +130,8 @@
 	}
 }
 
-// However often machines seem lost, changes keep their interval; the same one is proposed again when it has timed out.
+// However often machines seem to be lost, changes are proposed no more often than every MinChangeInterval. The same change is proposed
+// again after its time-out.
 func TestChangeRateIsBounded(t *testing.T) {
 	p, g := NewPlanner(durations, 1), Group{Members: []string{"a", "b", "c"}}
 	proposed := 0
@@ -146,7 +150,7 @@
 		}
 	}
 	if proposed > 10 {
-		t.Errorf("%d changes in ten intervals", proposed)
+		t.Errorf("%d changes in ten times MinChangeInterval", proposed)
 	}
 	p, g = NewPlanner(durations, 1), Group{Members: []string{"a", "b", "c"}, Machines: withChange(machinesUp("a", "b", "c", "d"), "b", lost)}
 	_, first := p.Decide(now, g)
@@ -156,12 +160,12 @@
 	}
 	g.Machines = withChange(g.Machines, "b", lost)
 	if _, again := p.Decide(now+durations.ChangeTimeout, g); !first || early || !again {
-		t.Errorf("proposed at once %v, too soon %v, again in time %v", first, early, again)
+		t.Errorf("proposed at once %v, before the time-out %v, after the time-out %v", first, early, again)
 	}
 }
 
-// Members that the settings name may all stand in one zone: they are spread one by one, while all is in order, and no further than that
-// helps.
+// The members that the settings name may all be in one zone. They are spread over zones one at a time, only while all members are eligible,
+// and only as long as the distribution improves.
 func TestMembersAreSpreadOverZones(t *testing.T) {
 	inOneZone := func(names ...string) (all []Machine) {
 		all = machinesUp("a", "b", "c", "d", "e")
@@ -180,10 +184,11 @@
 	}{
 		{"three in one zone", Group{Members: []string{"a", "b", "c"}, Machines: crowded}, []string{"a", "b", "d"}},
 		{"two in one zone, a machine elsewhere", Group{Members: []string{"a", "b", "d"}, Machines: crowded}, []string{"a", "d", "e"}},
-		{"spread", Group{Members: []string{"a", "d", "e"}, Machines: crowded}, nil},
-		{"nobody stands elsewhere", Group{Members: []string{"a", "b", "c"}, Machines: inOneZone("a", "b", "c", "d", "e")}, nil},
+		{"already spread", Group{Members: []string{"a", "d", "e"}, Machines: crowded}, nil},
+		{"no machine in another zone", Group{Members: []string{"a", "b", "c"}, Machines: inOneZone("a", "b", "c", "d", "e")}, nil},
 		{"a member has not caught up", Group{Members: []string{"a", "b", "c"}, Machines: withChange(crowded, "b", notCaughtUp)}, nil},
-		{"a member is silent", Group{Members: []string{"a", "b", "c"}, Machines: withChange(crowded, "b", lastSeenAgo(time.Second, true))}, nil},
+		{"a member was not seen recently",
+			Group{Members: []string{"a", "b", "c"}, Machines: withChange(crowded, "b", lastSeenAgo(time.Second, true))}, nil},
 		{"a change is under way", Group{Members: []string{"a", "b", "c"}, PriorMembers: []string{"a", "b", "d"}, Machines: crowded}, nil},
 	} {
 		got, _ := NewPlanner(durations, 1).Decide(now, c.group)
