--- a/mesh/replacement/departure_test.go
+++ b/mesh/replacement/departure_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// Without a successor the value is still replicated, and the machine departs after DepartureTimeout (the setting graceS) whatever fails.
+// Without a successor the value is still replicated, and the machine departs at DepartureTimeout, within graceS, whatever fails.
 func TestDepartureWithoutSuccessor(t *testing.T) {
 	for name, all := range map[string][]Machine{
 		"no stand-by": machinesUp("a", "b", "c"), "the stand-by is draining too": withChange(machinesUp("a", "b", "c", "d"), "d", draining),
