--- a/mesh/admission/controller_test.go
+++ b/mesh/admission/controller_test.go
@@ -20,11 +20,11 @@
 // timelineRun is a controller with a log of its inputs and decisions.
 type timelineRun struct {
 	controller *Controller
-	log        []string
+	entries    []string
 }
 
 func (p *timelineRun) logf(now time.Duration, format string, args ...any) {
-	p.log = append(p.log, fmt.Sprintf("%4.1f  ", now.Seconds())+fmt.Sprintf(format, args...))
+	p.entries = append(p.entries, fmt.Sprintf("%4.1f  ", now.Seconds())+fmt.Sprintf(format, args...))
 }
 
 func (p *timelineRun) logIf(changed bool, now time.Duration, format string, args ...any) {
@@ -86,6 +86,6 @@
 		drawing.Play(100*time.Millisecond, tick, func(now time.Duration, column int, cell string) {
 			p.applyCell(now, drawing.Names[column], cell)
 		})
-		return strings.Join(p.log, "\n") + "\n"
+		return strings.Join(p.entries, "\n") + "\n"
 	})
 }
--- a/mesh/admission/health_test.go
+++ b/mesh/admission/health_test.go
@@ -12,7 +12,7 @@
 func TestHealthFollowsFailureRate(t *testing.T) {
 	var h Health
 	now := time.Duration(0)
-	run := func(n int, bad func(i int) bool) (first int) {
+	record := func(n int, bad func(i int) bool) (first int) {
 		first = -1
 		for i := range n {
 			now += 50 * time.Millisecond
@@ -22,10 +22,10 @@
 		}
 		return first
 	}
-	if at := run(400, func(i int) bool { return i%50 == 0 }); at >= 0 {
+	if at := record(400, func(i int) bool { return i%50 == 0 }); at >= 0 {
 		t.Errorf("unhealthy after %d requests of which one in fifty failed", at)
 	}
-	if at := run(40, func(i int) bool { return i%5 < 2 }); at < 0 || at > 20 {
+	if at := record(40, func(i int) bool { return i%5 < 2 }); at < 0 || at > 20 {
 		t.Errorf("two in five fail: unhealthy after %d", at)
 	}
 	admitted := 0
@@ -38,7 +38,7 @@
 		!h.ShouldDivert(now, false, 0) || h.ShouldDivert(now, false, maxDiversions) {
 		t.Errorf("%d of 100 idempotent requests admitted; of the others, only one forwarded %d times may be", admitted, maxDiversions)
 	}
-	if run(15, func(int) bool { return false }); h.Unhealthy() {
+	if record(15, func(int) bool { return false }); h.Unhealthy() {
 		t.Error("still unhealthy 15 requests after the recovery")
 	}
 }
--- a/mesh/attempts/log_test.go
+++ b/mesh/attempts/log_test.go
@@ -87,8 +87,8 @@
 // With any number of attempts and senders the log stays within its bounds, and no attempt that ran has the status NotStarted.
 func TestEvictionNeverReportsAnExecutedAttemptAsNotStarted(t *testing.T) {
 	l := New[string, string](thisIncarnation)
-	const many = MaxSenders + 3*MaxAttempts
-	for i := range many {
+	const attempts = MaxSenders + 3*MaxAttempts
+	for i := range attempts {
 		s := fmt.Sprint("s", i%(MaxSenders+500))
 		if v := l.Begin(0, attempt(s, uint64(i+1))); v != Admitted {
 			t.Fatalf("attempt %d: %v", i, v)
@@ -98,7 +98,7 @@
 			t.Fatalf("%d attempts, %d senders, %d bytes", l.Len(), len(l.senders), l.CachedBytes())
 		}
 	}
-	for i := range many {
+	for i := range attempts {
 		s := fmt.Sprint("s", i%(MaxSenders+500))
 		if got, _ := l.Query(0, attempt(s, uint64(i+1)), ""); got == NotStarted {
 			t.Fatalf("attempt %d of %s ran, and has the status %v", i, s, got)
--- a/mesh/lease/lease.go
+++ b/mesh/lease/lease.go
@@ -47,13 +47,13 @@
 	nextTick  time.Duration
 
 	// State as a candidate.
-	released           bool   // this machine has released the lease and requests no more votes
-	requestNumber      uint64 // of the last request
-	requestedAt        time.Duration
-	voters             []string // members that have granted the last request; nil: no request is pending
-	responders         []string // members that have responded to the last request, whether they granted it or not
-	unansweredRequests int      // consecutive requests without responses of a majority in time
-	heldUntil          time.Duration
+	released         bool   // this machine has released the lease and requests no more votes
+	requestNumber    uint64 // of the last request
+	requestedAt      time.Duration
+	voters           []string // members that have granted the last request; nil: no request is pending
+	responders       []string // members that have responded to the last request, whether they granted it or not
+	timedOutRequests int      // consecutive requests without responses of a majority in time
+	heldUntil        time.Duration
 
 	// State as a voter.
 	votedFor    string // empty: no vote
@@ -113,7 +113,7 @@
 func (l *Lease) abandonRequest(now time.Duration) {
 	l.requestNumber++
 	if len(l.responders) <= len(l.members)/2 {
-		l.unansweredRequests++
+		l.timedOutRequests++
 	}
 	l.votedFor, l.voteExpires, l.voters = "", now, nil
 	l.nextTick = now + l.staggerDelay()
@@ -123,7 +123,7 @@
 // take longer than expected, they would otherwise always come too late. A split vote has been responded to and does not count.
 func (l *Lease) voteTimeout() time.Duration {
 	timeout := l.durations.VoteTimeout
-	for range l.unansweredRequests {
+	for range l.timedOutRequests {
 		if timeout >= l.durations.MaxVoteTimeout {
 			break
 		}
@@ -202,7 +202,7 @@
 	}
 	l.responders = append(l.responders, m.From)
 	if len(l.responders) > len(l.members)/2 {
-		l.unansweredRequests = 0
+		l.timedOutRequests = 0
 	}
 	if !m.Granted {
 		return
--- a/mesh/lease/timing_test.go
+++ b/mesh/lease/timing_test.go
@@ -29,11 +29,11 @@
 	if end := now + durations.LeaseDuration; !candidate.HeldAt(end-1) || candidate.HeldAt(end) {
 		t.Error("the lease does not end with its duration, counted from the request")
 	}
-	rival := Message{Kind: VoteRequest, From: "c", To: "b", Number: 1}
-	if denied, _ := voter.Handle(now+durations.LeaseDuration, rival); denied.Granted {
+	otherRequest := Message{Kind: VoteRequest, From: "c", To: "b", Number: 1}
+	if denied, _ := voter.Handle(now+durations.LeaseDuration, otherRequest); denied.Granted {
 		t.Error("the voter votes for another candidate before its vote expires")
 	}
-	if granted, _ := voter.Handle(now+time.Millisecond+durations.VoteDuration, rival); !granted.Granted {
+	if granted, _ := voter.Handle(now+time.Millisecond+durations.VoteDuration, otherRequest); !granted.Granted {
 		t.Error("the vote binds the voter for longer than its duration")
 	}
 }
--- a/mesh/rollout/curve_test.go
+++ b/mesh/rollout/curve_test.go
@@ -12,9 +12,9 @@
 // trafficModel is the behaviour of a version's servers in the model of the operating curve. Latencies are log-normal, and the servers
 // differ in speed.
 type trafficModel struct {
-	failures   float64 // share of the requests that fail
-	slowShare  float64 // share of the requests that take slowFactor times as long
-	slowFactor float64
+	failureRate float64 // share of the requests that fail
+	slowShare   float64 // share of the requests that take slowFactor times as long
+	slowFactor  float64
 }
 
 const (
@@ -35,7 +35,7 @@
 	if random.Float64() < m.slowShare {
 		millis *= m.slowFactor
 	}
-	s.Record(random.Float64() < m.failures, false, time.Duration(millis*float64(time.Millisecond)))
+	s.Record(random.Float64() < m.failureRate, false, time.Duration(millis*float64(time.Millisecond)))
 }
 
 // requestsToRecall simulates a rollout. It returns the number of requests of the new version until the version is called bad, or 0 if it
@@ -63,8 +63,8 @@
 // A fault of both versions recalls the new one in at most 1 of 1000 rollouts. A bad version is detected within half of the 50 bad responses
 // that the exposure rule allows; one that is only 3 times as slow is detected within the canary.
 func TestOperatingCurve(t *testing.T) {
-	healthy := trafficModel{failures: 0.004, slowFactor: 1}
-	degraded := trafficModel{failures: 0.05, slowShare: 0.2, slowFactor: 5}
+	healthy := trafficModel{failureRate: 0.004, slowFactor: 1}
+	degraded := trafficModel{failureRate: 0.05, slowShare: 0.2, slowFactor: 5}
 	for _, c := range []struct {
 		name           string
 		old, candidate trafficModel
@@ -76,25 +76,25 @@
 		{"both are healthy", healthy, healthy, 1000, 1, 0, 0},
 		{"both are degraded", degraded, degraded, 1000, 1, 0, 0},
 		{"only the old one is degraded", degraded, healthy, 500, 0, 0, 0},
-		{"half fail", healthy, trafficModel{failures: 0.5, slowFactor: 1}, 300, 300, 300, 50},
-		{"a fifth fails", healthy, trafficModel{failures: 0.2, slowFactor: 1}, 300, 300, 300, 125},
-		{"half take 8 times as long", healthy, trafficModel{failures: 0.004, slowShare: 0.5, slowFactor: 8}, 300, 300, 300, 50},
-		{"half take 3 times as long", healthy, trafficModel{failures: 0.004, slowShare: 0.5, slowFactor: 3}, 300, 300, 300, maxCandidateRequests},
+		{"half fail", healthy, trafficModel{failureRate: 0.5, slowFactor: 1}, 300, 300, 300, 50},
+		{"a fifth fails", healthy, trafficModel{failureRate: 0.2, slowFactor: 1}, 300, 300, 300, 125},
+		{"half take 8 times as long", healthy, trafficModel{failureRate: 0.004, slowShare: 0.5, slowFactor: 8}, 300, 300, 300, 50},
+		{"half take 3 times as long", healthy, trafficModel{failureRate: 0.004, slowShare: 0.5, slowFactor: 3}, 300, 300, 300, maxCandidateRequests},
 	} {
-		var needed []int
+		var recalledAfter []int
 		for seed := range c.plays {
 			if n := requestsToRecall(rand.New(rand.NewPCG(uint64(seed), 1)), c.old, c.candidate); n > 0 {
-				needed = append(needed, n)
+				recalledAfter = append(recalledAfter, n)
 			}
 		}
-		slices.Sort(needed)
-		median, worst := 0, 0
-		if len(needed) > 0 {
-			median, worst = needed[len(needed)/2], needed[len(needed)-1]
+		slices.Sort(recalledAfter)
+		median, maximum := 0, 0
+		if len(recalledAfter) > 0 {
+			median, maximum = recalledAfter[len(recalledAfter)/2], recalledAfter[len(recalledAfter)-1]
 		}
-		t.Logf("%-28s recalled %4d of %4d, after %d requests in the median, %d at most", c.name, len(needed), c.plays, median, worst)
-		if len(needed) > c.maxRecalled || len(needed) < c.minRecalled || c.minRecalled > 0 && median > c.maxMedian {
-			t.Errorf("%s: %d of %d recalled, median %d", c.name, len(needed), c.plays, median)
+		t.Logf("%-28s recalled %4d of %4d, after %d requests in the median, %d at most", c.name, len(recalledAfter), c.plays, median, maximum)
+		if len(recalledAfter) > c.maxRecalled || len(recalledAfter) < c.minRecalled || c.minRecalled > 0 && median > c.maxMedian {
+			t.Errorf("%s: %d of %d recalled, median %d", c.name, len(recalledAfter), c.plays, median)
 		}
 	}
 }
--- a/mesh/rollout/judge.go
+++ b/mesh/rollout/judge.go
@@ -134,12 +134,12 @@
 	}
 	verdict := Verdict{}
 	for _, class := range classesOf(samples) {
-		counts := samplesOfClass(samples, class)
-		verdict.BaseRequests += counts.oldTotal.Requests
-		for i := range counts.candidate {
-			verdict.Requests += counts.candidate[i].Requests
+		classCounts := samplesOfClass(samples, class)
+		verdict.BaseRequests += classCounts.oldTotal.Requests
+		for i := range classCounts.candidate {
+			verdict.Requests += classCounts.candidate[i].Requests
 		}
-		if reason := j.judgeClass(stage, class, &counts); reason != "" && !verdict.Bad {
+		if reason := j.judgeClass(stage, class, &classCounts); reason != "" && !verdict.Bad {
 			verdict.Bad, verdict.Reason = true, reason
 		}
 	}
--- a/mesh/rollout/rollout_test.go
+++ b/mesh/rollout/rollout_test.go
@@ -91,15 +91,15 @@
 		start := rapid.Float64Range(0, 0.999).Draw(t, "start")
 		var s Split
 		s.Begin(0, plan, start)
-		chosen, now := 0, time.Duration(0)
+		selected, now := 0, time.Duration(0)
 		for n := 1; n <= rapid.IntRange(1, 2000).Draw(t, "requests"); n++ {
 			now += time.Duration(rapid.IntRange(0, 50).Draw(t, "pause")) * time.Millisecond
 			s.Begin(now, plan, 0.999) // as after each change of the directory; the plan continues
 			if s.Next(now) {
-				chosen++
+				selected++
 			}
-			if most := start + plan.Share*float64(n) + plan.Extra*min(1, now.Seconds()/10); float64(chosen) > most {
-				t.Fatalf("%d of %d chosen, %v allowed", chosen, n, most)
+			if allowed := start + plan.Share*float64(n) + plan.Extra*min(1, now.Seconds()/10); float64(selected) > allowed {
+				t.Fatalf("%d of %d chosen, %v allowed", selected, n, allowed)
 			}
 		}
 	})
@@ -109,32 +109,32 @@
 // promotion, so that the new version would get none from them and the promotion would lack evidence.
 func TestCanaryIsSampledFromTheFirstRequestsOn(t *testing.T) {
 	const (
-		senders   = 85
-		perSender = 8
-		plays     = 200
+		senders     = 85
+		perSender   = 8
+		simulations = 200
 	)
 	r := Rollout{Order: 1, Term: 16 * time.Second}
 	random := rand.New(rand.NewPCG(1, 2))
-	sum, most := 0, 0
-	for range plays {
-		chosen := 0
+	sum, maxSelected := 0, 0
+	for range simulations {
+		selected := 0
 		for range senders {
 			var s Split
 			s.Begin(0, CanaryPlan(&r, 0.1, 50, senders), random.Float64())
 			for n := range perSender {
 				if s.Next(time.Duration(n) * time.Second) {
-					chosen++
+					selected++
 				}
 			}
 		}
-		sum, most = sum+chosen, max(most, chosen)
+		sum, maxSelected = sum+selected, max(maxSelected, selected)
 	}
-	mean, requests := float64(sum)/plays, float64(senders*perSender)
+	mean, requests := float64(sum)/simulations, float64(senders*perSender)
 	if want := 0.05*requests + 25*7/8.8; math.Abs(mean-want) > 2 {
 		t.Errorf("%.1f of %v requests chosen in the mean, want %.1f", mean, requests, want)
 	}
-	if float64(most) > 0.1*requests+50 {
-		t.Errorf("%d of %v requests chosen", most, requests)
+	if float64(maxSelected) > 0.1*requests+50 {
+		t.Errorf("%d of %v requests chosen", maxSelected, requests)
 	}
 }
 
@@ -210,11 +210,11 @@
 func TestBadClassIsNotHiddenByOthers(t *testing.T) {
 	samples := append(servedSamples(false, 10, 1000, 0, usualLatency, 0.6), servedSamples(true, 8, 500, 0, usualLatency, 0.6)...)
 	for i := range samples {
-		rare := Statistics{Class: 9, Requests: 10}
+		rareClass := Statistics{Class: 9, Requests: 10}
 		if samples[i].Candidate {
-			rare.Failures = 5
+			rareClass.Failures = 5
 		}
-		samples[i].Classes = append(samples[i].Classes, rare)
+		samples[i].Classes = append(samples[i].Classes, rareClass)
 	}
 	if v := new(Judge).Evaluate(Canary, samples); !v.Bad {
 		t.Error(v.Reason)
@@ -234,7 +234,7 @@
 
 // Guards against a test that never restarts: hundreds of good responses would outweigh the bad ones that follow.
 func TestVersionThatTurnsBadLateIsDetected(t *testing.T) {
-	for name, turned := range map[string][]Sample{
+	for name, later := range map[string][]Sample{
 		"fails":   servedSamples(true, 8, 4, 0.5, usualLatency, 0.6),
 		"is slow": servedSamples(true, 8, 4, 0, 5*usualLatency, 0.6),
 	} {
@@ -244,7 +244,7 @@
 			t.Fatal(v.Reason)
 		}
 		old = addCounts(old, servedSamples(false, 10, 40, 0, usualLatency, 0.6))
-		if v := judge.Evaluate(Canary, append(old, addCounts(candidate, turned)...)); !v.Bad {
+		if v := judge.Evaluate(Canary, append(old, addCounts(candidate, later)...)); !v.Bad {
 			t.Errorf("%s: %s", name, v.Reason)
 		}
 	}
@@ -323,11 +323,11 @@
 func TestControllerMovesStages(t *testing.T) {
 	canary := startRollout(Set{}, "v2")
 	promoting := moveTo(canary, Promoting)
-	lateLost := tenMachines(promoting.Revision, 0)
-	lateLost[2].Confirmed, lateLost[2].Lost = 0, true
+	recentlyLost := tenMachines(promoting.Revision, 0)
+	recentlyLost[2].Confirmed, recentlyLost[2].Lost = 0, true
 	unconfirmed := tenMachines(promoting.Revision, 0)
 	unconfirmed[3].Confirmed--
-	few := tenMachines(canary.Revision, 0)[:7]
+	fewCandidates := tenMachines(canary.Revision, 0)[:7]
 	untried, idle := fewRequests()
 	for _, c := range []struct {
 		name     string
@@ -344,15 +344,15 @@
 		{"ordered long before this process started", canary, true, longOrdered(tenMachines(1, 0)), time.Second, Promoting},
 		{"not the leader", canary, false, tenMachines(1, 0), 7 * time.Second, 0},
 		{"bad, seen by any machine", canary, false, tenMachines(1, 0.5), time.Second, Recalled},
-		{"too few new servers", canary, true, few, 9 * time.Second, 0},
-		{"never delivered", canary, true, few, 21 * time.Second, Recalled},
+		{"too few new servers", canary, true, fewCandidates, 9 * time.Second, 0},
+		{"never delivered", canary, true, fewCandidates, 21 * time.Second, Recalled},
 		{"all have confirmed", promoting, true, tenMachines(promoting.Revision, 0), 8100 * time.Millisecond, Delivered},
 		{"the old version may still be needed", promoting, true, tenMachines(promoting.Revision, 0), 7900 * time.Millisecond, 0},
 		{"not long enough", promoting, true, longOrdered(tenMachines(promoting.Revision, 0)), 900 * time.Millisecond, 0},
 		{"ordered long before", promoting, true, longOrdered(tenMachines(promoting.Revision, 0)), 1100 * time.Millisecond, Delivered},
 		{"one has not confirmed", promoting, true, unconfirmed, 9 * time.Second, 0},
-		{"one was lost recently", promoting, true, lateLost, 2 * time.Second, 0},
-		{"one was lost long ago", promoting, true, lateLost, 9 * time.Second, Delivered},
+		{"one was lost recently", promoting, true, recentlyLost, 2 * time.Second, 0},
+		{"one was lost long ago", promoting, true, recentlyLost, 9 * time.Second, Delivered},
 		{"bad while it gets all requests", promoting, false, tenMachines(promoting.Revision, 0.5), time.Second, Recalled},
 		{"no server of the new version is left", promoting, true, tenMachines(promoting.Revision, 0)[:5], time.Second, Recalled},
 	} {
@@ -373,8 +373,8 @@
 	promoting.Rollouts[0].Term = time.Second
 	controller := NewController(timing.Default().Rollouts, 50)
 	for now := time.Duration(0); now <= timing.Default().Rollouts.HoldUp; now += 100 * time.Millisecond {
-		if due := controller.Decide(now, View{Leader: true, Set: promoting}); len(due) > 0 {
-			t.Fatalf("at %v: %+v", now, due)
+		if transitions := controller.Decide(now, View{Leader: true, Set: promoting}); len(transitions) > 0 {
+			t.Fatalf("at %v: %+v", now, transitions)
 		}
 	}
 }
--- a/mesh/rollout/split.go
+++ b/mesh/rollout/split.go
@@ -43,7 +43,7 @@
 	beganAt     time.Duration
 	startOffset float64
 	requests    int
-	chosen      int
+	selected    int
 }
 
 // Begin starts the selection of requests by a plan. The startOffset is a random number from 0 to below 1. If a plan of the same order is in
@@ -52,7 +52,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.plan.Order != p.Order {
-		s.plan, s.beganAt, s.startOffset, s.requests, s.chosen = p, now, startOffset, 0, 0
+		s.plan, s.beganAt, s.startOffset, s.requests, s.selected = p, now, startOffset, 0, 0
 	}
 	s.active.Store(true)
 }
@@ -68,10 +68,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.requests++
-	if float64(s.chosen+1) > s.due(now) {
+	if float64(s.selected+1) > s.due(now) {
 		return false
 	}
-	s.chosen++
+	s.selected++
 	return true
 }
 
