--- a/mesh/attempts/log_test.go
+++ b/mesh/attempts/log_test.go
@@ -31,7 +31,7 @@
 		then    Verdict // on the attempt, if it arrives after the query
 	}{
 		{"never arrived", func(*log) {}, current, NotStarted, AlreadyBarred},
-		{"is running", func(l *log) { l.Begin(0, current) }, current, Running, Duplicate},
+		{"runs", func(l *log) { l.Begin(0, current) }, current, Running, Duplicate},
 		{"has ended", func(l *log) { runAndFinish(l, 0, 4) }, current, Finished, Duplicate},
 		{"its response was too large to cache", func(l *log) { runAndFinish(l, 0, MaxResponseBytes+1) }, current, Discarded, Duplicate},
 		{"was admitted, but did not reach the server", func(l *log) {
@@ -136,6 +136,6 @@
 		l.Begin(2*Retention, attempt(fmt.Sprint("s", i), 1))
 	}
 	if s := l.senders["a"]; s == nil || s.floor != 5 {
-		t.Errorf("the sender's floor was evicted: %+v", s)
+		t.Errorf("the sender's floor is not kept: %+v", s)
 	}
 }
--- a/mesh/replacement/planner_test.go
+++ b/mesh/replacement/planner_test.go
@@ -184,7 +184,7 @@
 	}{
 		{"three in one zone", Group{Members: []string{"a", "b", "c"}, Machines: crowded}, []string{"a", "b", "d"}},
 		{"two in one zone, a machine elsewhere", Group{Members: []string{"a", "b", "d"}, Machines: crowded}, []string{"a", "d", "e"}},
-		{"already spread", Group{Members: []string{"a", "d", "e"}, Machines: crowded}, nil},
+		{"spread", Group{Members: []string{"a", "d", "e"}, Machines: crowded}, nil},
 		{"no machine in another zone", Group{Members: []string{"a", "b", "c"}, Machines: inOneZone("a", "b", "c", "d", "e")}, nil},
 		{"a member has not caught up", Group{Members: []string{"a", "b", "c"}, Machines: withChange(crowded, "b", notCaughtUp)}, nil},
 		{"a member was not seen recently",
--- a/mesh/rollout/curve_test.go
+++ b/mesh/rollout/curve_test.go
@@ -79,7 +79,8 @@
 		{"half fail", healthy, trafficModel{failureRate: 0.5, slowFactor: 1}, 300, 300, 300, 50},
 		{"a fifth fails", healthy, trafficModel{failureRate: 0.2, slowFactor: 1}, 300, 300, 300, 125},
 		{"half take 8 times as long", healthy, trafficModel{failureRate: 0.004, slowShare: 0.5, slowFactor: 8}, 300, 300, 300, 50},
-		{"half take 3 times as long", healthy, trafficModel{failureRate: 0.004, slowShare: 0.5, slowFactor: 3}, 300, 300, 300, maxCandidateRequests},
+		{"half take 3 times as long", healthy, trafficModel{failureRate: 0.004, slowShare: 0.5, slowFactor: 3}, 300, 300, 300,
+			maxCandidateRequests},
 	} {
 		var recalledAfter []int
 		for seed := range c.plays {
--- a/mesh/rollout/judge.go
+++ b/mesh/rollout/judge.go
@@ -13,7 +13,8 @@
 	// sequential test distinguishes from an allowed one.
 	minAllowedFailureRate = 0.02
 	minSuspectFailureRate = 0.15
-	// The suspect rate is suspectFactor times the allowed one, within the least suspect rate of the test and maxSuspectRate.
+	// The suspect rate of a test is suspectFactor times the allowed one, but at least the test's lowest suspect rate and at most
+	// maxSuspectRate.
 	suspectFactor  = 3
 	maxSuspectRate = 0.9
 	// A response counts as slow from the latency that at most baseTailShare of the old version's responses reach. minAllowedSlowRate is the
@@ -77,7 +78,7 @@
 	}
 }
 
-// smoothedFailureRate is the share of failures, with one failure in 50 requests added so that few requests give no extreme rate.
+// smoothedFailureRate is the share of failures, with one failure in 50 requests added so that few requests don't give too low a rate.
 func (s *Statistics) smoothedFailureRate() float64 {
 	return float64(s.Failures+1) / float64(s.Requests+50)
 }
