--- a/mesh/rollout/judge.go
+++ b/mesh/rollout/judge.go
@@ -223,7 +223,7 @@
 
 // testBuilder returns the test for what the old version's servers have counted in all and since the test last restarted. It returns ok =
 // false where there is too little data.
-type testBuilder func(base, recent *Statistics) (e rateTest, ok bool)
+type testBuilder func(base, recent *Statistics) (t rateTest, ok bool)
 
 // runTest runs a test on what was counted since its last restart, and restarts it where it favours the new version. If hasAllRequests is
 // set, the new version gets all requests, and the rates of a promotion apply.
