--- a/cmd/firplank/contracts.go
+++ b/cmd/firplank/contracts.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return err
 	}
-	printer.Printf("%d teams, no fault\n", set.Teams())
+	printer.Printf("%d teams, no fault\n", set.TeamCount())
 	return printer.Err()
 }
 
@@ -58,26 +58,27 @@
 		return err
 	}
 	d, names := cfg.Deployment(), cfg.Catalog().ClassNames()
-	printer.Printf("capacity %g worth/s, of which this instance has %.3g\n", d.Capacity, d.Part)
+	printer.Printf("capacity %g worth/s, of which this instance has %.3g\n", d.Capacity, d.InstanceShare)
 	t := output.NewTable(out, 0, 0, 2, ' ', 0)
 	t.Println("team\tworth/s\tburst\tguaranteed\tmost\tover\tretries\tclasses")
-	for i := range set.Teams() {
+	for i := range set.TeamCount() {
 		terms := set.Terms(i)
 		var classes []string
 		for _, ct := range terms.Classes {
 			text := names[ct.Class]
-			if ct.Degrade >= 0 {
-				text += " (else " + names[ct.Degrade] + ")"
+			if ct.DegradeTo >= 0 {
+				text += " (else " + names[ct.DegradeTo] + ")"
 			}
 			classes = append(classes, text)
 		}
-		t.Printf("%s\t%g\t%g\t%s\t%s\t%s\t%g of first tries + %g/s\t%s\n", terms.Team, terms.Worth, terms.Burst,
-			share(terms.Guaranteed), share(terms.Most), overNames[terms.Over], terms.Retries.Share, terms.Retries.Floor, strings.Join(classes, ", "))
+		t.Printf("%s\t%g\t%g\t%s\t%s\t%s\t%g of first tries + %g/s\t%s\n", terms.Team, terms.WorthPerSecond, terms.Burst,
+			share(terms.GuaranteedShare), share(terms.MaxShare), overNames[terms.OverPolicy], terms.Retries.Share, terms.Retries.FloorPerSecond,
+			strings.Join(classes, ", "))
 	}
 	return t.Flush()
 }
 
-var overNames = map[contract.Over]string{contract.Refuse: "refuse", contract.Borrow: "borrow", contract.Degrade: "degrade"}
+var overNames = map[contract.OverPolicy]string{contract.Refuse: "refuse", contract.Borrow: "borrow", contract.Degrade: "degrade"}
 
 func share(v float64) string {
 	if v == 0 {
@@ -103,7 +104,7 @@
 	if err != nil {
 		return err
 	}
-	team, ok := set.Find(c.Team)
+	team, ok := set.TeamByName(c.Team)
 	class, known := cfg.Catalog().Class(c.Class)
 	switch {
 	case !ok:
@@ -155,8 +156,8 @@
 		if marked {
 			retries--
 		}
-		got := b.Admit(at, contract.Ask{Team: team, Class: class, Marked: marked})
-		b.Done(at, got.Grant, true)
+		got := b.Admit(at, contract.Request{Team: team, Class: class, MarkedRetry: marked})
+		b.Release(at, got.Grant, true)
 		reason := got.Reason.String()
 		count[reason]++
 		if _, ok := first[reason]; !ok {
@@ -168,14 +169,14 @@
 
 // busy lets every other team ask for more than it may have in some milliseconds.
 func busy(b *contract.Broker, set *contract.Set, but int, now time.Duration) {
-	for team := range set.Teams() {
+	for team := range set.TeamCount() {
 		if team == but {
 			continue
 		}
 		for _, ct := range set.Terms(team).Classes {
 			for range 20 {
-				got := b.Admit(now, contract.Ask{Team: team, Class: ct.Class})
-				b.Done(now, got.Grant, true)
+				got := b.Admit(now, contract.Request{Team: team, Class: ct.Class})
+				b.Release(now, got.Grant, true)
 				if got.Verdict != contract.Admitted {
 					break
 				}
--- a/contract/broker_test.go
+++ b/contract/broker_test.go
@@ -18,103 +18,103 @@
 
 const ms = time.Millisecond
 
-func (b *Broker) ask(now time.Duration, team, class int) Decision {
-	return b.Admit(now, Ask{Team: team, Class: class})
+func (b *Broker) admit(now time.Duration, team, class int) Decision {
+	return b.Admit(now, Request{Team: team, Class: class})
 }
 
 // want checks a decision.
-func want(t *testing.T, what string, d Decision, reason Reason) Decision {
+func checkReason(t *testing.T, name string, d Decision, want Reason) Decision {
 	t.Helper()
-	if d.Reason != reason || (d.Verdict == Admitted) != (reason <= Degraded) || d.Grant.Valid() != (reason <= Degraded) {
-		t.Errorf("%s: %v, verdict %d, valid grant %v: want %v", what, d.Reason, d.Verdict, d.Grant.Valid(), reason)
+	if d.Reason != want || (d.Verdict == Admitted) != (want <= Degraded) || d.Grant.Valid() != (want <= Degraded) {
+		t.Errorf("%s: %v, verdict %d, valid grant %v: want %v", name, d.Reason, d.Verdict, d.Grant.Valid(), want)
 	}
 	return d
 }
 
 // A budget is spent, refused, and there again when the hold-off says so: neither earlier nor later.
-func TestHoldOffIsHonest(t *testing.T) {
+func TestRetryAfterIsExact(t *testing.T) {
 	b := New(0, compile(t, deployment(0), terms("a", 10, 16)))
 	for range 2 {
-		want(t, "within the burst", b.ask(0, 0, reserve), Within)
+		checkReason(t, "within the burst", b.admit(0, 0, reserve), WithinBudget)
 	}
-	d := want(t, "beyond", b.ask(0, 0, reserve), OverBudget)
-	if d.HoldOff != 800*ms {
-		t.Errorf("hold-off %v for a worth of 8 at 10 a second", d.HoldOff)
+	d := checkReason(t, "beyond", b.admit(0, 0, reserve), OverBudget)
+	if d.RetryAfter != 800*ms {
+		t.Errorf("hold-off %v for a worth of 8 at 10 a second", d.RetryAfter)
 	}
-	want(t, "a little early", b.ask(d.HoldOff-2*ms, 0, reserve), OverBudget)
-	want(t, "when told", b.ask(d.HoldOff, 0, reserve), Within)
+	checkReason(t, "a little early", b.admit(d.RetryAfter-2*ms, 0, reserve), OverBudget)
+	checkReason(t, "when told", b.admit(d.RetryAfter, 0, reserve), WithinBudget)
 }
 
 // A team without a budget is refused, and told a time that ends.
 func TestZeroBudget(t *testing.T) {
 	b := New(0, compile(t, deployment(0), terms("a", 0, 0)))
-	if d := want(t, "nothing", b.ask(time.Hour, 0, lite), OverBudget); d.HoldOff != mostHold {
-		t.Errorf("hold-off %v", d.HoldOff)
+	if d := checkReason(t, "nothing", b.admit(time.Hour, 0, lite), OverBudget); d.RetryAfter != maxRetryAfter {
+		t.Errorf("hold-off %v", d.RetryAfter)
 	}
 }
 
-func TestNotInTheContract(t *testing.T) {
+func TestDeniesUnknownTeamAndClass(t *testing.T) {
 	a := terms("a", 10, 20)
 	a.Classes = a.Classes[:2]
 	b := New(0, compile(t, deployment(0), a))
-	if d := want(t, "a class of others", b.ask(0, 0, lite), NoClass); d.Verdict != Denied {
+	if d := checkReason(t, "a class of others", b.admit(0, 0, lite), ClassNotAllowed); d.Verdict != Denied {
 		t.Errorf("verdict %d", d.Verdict)
 	}
-	if d := b.Nobody(); d.Verdict != Denied || b.Report(0).Nobody != 1 {
+	if d := b.DenyUnknownTeam(); d.Verdict != Denied || b.Report(0).UnknownTeam != 1 {
 		t.Errorf("nobody: %+v", d)
 	}
 }
 
 // When the budget runs short the classes of a lower priority stop first.
-func TestPriorityWithinATeam(t *testing.T) {
+func TestLowPriorityIsRejectedFirst(t *testing.T) {
 	a := terms("a", 1, 20)
 	a.Classes = []ClassTerms{{reserve, 2, -1}, {lookup, 1, -1}, {lite, 0, -1}}
 	b := New(0, compile(t, deployment(0), a))
 	for _, c := range []struct {
 		class int
 		want  Reason
-	}{{lookup, Within}, {lite, Within}, {lookup, Within}, {lookup, Within}, {lite, OverBudget}, {lookup, Within},
+	}{{lookup, WithinBudget}, {lite, WithinBudget}, {lookup, WithinBudget}, {lookup, WithinBudget}, {lite, OverBudget}, {lookup, WithinBudget},
 		{lookup, OverBudget}, {reserve, OverBudget}} {
-		want(t, fmt.Sprint(c.class, " at ", b.accounts[0].budget.have), b.ask(0, 0, c.class), c.want)
+		checkReason(t, fmt.Sprint(c.class, " at ", b.accounts[0].budget.available), b.admit(0, 0, c.class), c.want)
 	}
 }
 
-func TestDegrades(t *testing.T) {
+func TestDegradesOverBudget(t *testing.T) {
 	a := terms("a", 1, 10)
-	a.Over, a.Classes[1].Degrade = Degrade, lite
+	a.OverPolicy, a.Classes[1].DegradeTo = Degrade, lite
 	b := New(0, compile(t, deployment(0), a))
 	for range 3 {
-		want(t, "within", b.ask(0, 0, lookup), Within)
+		checkReason(t, "within", b.admit(0, 0, lookup), WithinBudget)
 	}
-	if d := want(t, "beyond", b.ask(0, 0, lookup), Degraded); d.Class != lite {
+	if d := checkReason(t, "beyond", b.admit(0, 0, lookup), Degraded); d.Class != lite {
 		t.Errorf("goes as %d", d.Class)
 	}
-	want(t, "beyond that too", b.ask(0, 0, lookup), OverBudget)
+	checkReason(t, "beyond that too", b.admit(0, 0, lookup), OverBudget)
 }
 
 // What nothing ran for is given back, once, and never beyond the burst.
-func TestGivesBack(t *testing.T) {
+func TestUnusedGrantIsRefundedOnce(t *testing.T) {
 	b := New(0, compile(t, deployment(0), terms("a", 1e-9, 16)))
-	first, second := b.ask(0, 0, reserve), b.ask(0, 0, reserve)
-	b.Done(0, first.Grant, false)
-	want(t, "after one was given back", b.ask(0, 0, reserve), Within)
-	b.Done(0, second.Grant, true)
-	want(t, "after one that ran", b.ask(0, 0, reserve), OverBudget)
-	b.Done(0, Grant{}, false)
-	if a := b.accounts[0]; a.open != 1 || a.held != 8 || a.back != 8 {
-		t.Errorf("%d open, %v held, %v given back", a.open, a.held, a.back)
+	first, second := b.admit(0, 0, reserve), b.admit(0, 0, reserve)
+	b.Release(0, first.Grant, false)
+	checkReason(t, "after one was given back", b.admit(0, 0, reserve), WithinBudget)
+	b.Release(0, second.Grant, true)
+	checkReason(t, "after one that ran", b.admit(0, 0, reserve), OverBudget)
+	b.Release(0, Grant{}, false)
+	if a := b.accounts[0]; a.open != 1 || a.heldWorth != 8 || a.returnedWorth != 8 {
+		t.Errorf("%d open, %v held, %v given back", a.open, a.heldWorth, a.returnedWorth)
 	}
 }
 
-func TestMostOpen(t *testing.T) {
+func TestMaxOpen(t *testing.T) {
 	a := terms("a", 1000, 1000)
-	a.MostOpen = 2
+	a.MaxOpen = 2
 	b := New(0, compile(t, deployment(0), a))
-	first := b.ask(0, 0, lite)
-	b.ask(0, 0, lite)
-	want(t, "a third", b.ask(0, 0, lite), OverOpen)
-	b.Done(0, first.Grant, true)
-	want(t, "after one has ended", b.ask(0, 0, lite), Within)
+	first := b.admit(0, 0, lite)
+	b.admit(0, 0, lite)
+	checkReason(t, "a third", b.admit(0, 0, lite), OverMaxOpen)
+	b.Release(0, first.Grant, true)
+	checkReason(t, "after one has ended", b.admit(0, 0, lite), WithinBudget)
 }
 
 // A team that retries past its share is refused with the reason, under whichever mark the retries come; so is one that
@@ -122,14 +122,14 @@
 func TestRetryBudget(t *testing.T) {
 	a := terms("a", 1e6, 1e6)
 	a.Retries = RetryTerms{Share: 0.1, Window: 10 * time.Second}
-	for name, retry := range map[string]func(i int) Ask{
-		"marked":            func(int) Ask { return Ask{Class: lite, Marked: true} },
-		"by their identity": func(i int) Ask { return Ask{Class: lite, Identity: 1 + uint64(i%100)} },
+	for name, retry := range map[string]func(i int) Request{
+		"marked":            func(int) Request { return Request{Class: lite, MarkedRetry: true} },
+		"by their identity": func(i int) Request { return Request{Class: lite, Identity: 1 + uint64(i%100)} },
 	} {
 		b := New(0, compile(t, deployment(0), a))
-		b.accounts[0].retries.have = 0
+		b.accounts[0].retries.available = 0
 		for i := range 100 { // first tries, which earn ten retries at the most that may be saved: one
-			want(t, name, b.Admit(0, Ask{Class: lite, Identity: 1 + uint64(i)}), Within)
+			checkReason(t, name, b.Admit(0, Request{Class: lite, Identity: 1 + uint64(i)}), WithinBudget)
 		}
 		admitted := 0
 		for i := range 50 {
@@ -140,7 +140,7 @@
 		if admitted != 1 {
 			t.Errorf("%s: %d of 50 retries went through: want the one that was saved up", name, admitted)
 		}
-		if got := b.accounts[0].count[OverRetries]; got != 49 {
+		if got := b.accounts[0].countByReason[OverRetries]; got != 49 {
 			t.Errorf("%s: %d were refused for that", name, got)
 		}
 	}
@@ -149,11 +149,11 @@
 // A trickle may retry by its floor, however few its first tries are.
 func TestRetryFloor(t *testing.T) {
 	a := terms("a", 1e6, 1e6)
-	a.Retries = RetryTerms{Floor: 1, Window: 10 * time.Second}
+	a.Retries = RetryTerms{FloorPerSecond: 1, Window: 10 * time.Second}
 	b := New(0, compile(t, deployment(0), a))
 	admitted := 0
 	for i := range 1000 {
-		if b.Admit(time.Duration(i)*100*ms, Ask{Class: lite, Marked: true}).Verdict == Admitted {
+		if b.Admit(time.Duration(i)*100*ms, Request{Class: lite, MarkedRetry: true}).Verdict == Admitted {
 			admitted++
 		}
 	}
@@ -164,28 +164,28 @@
 
 // What a contract has refused never ran. When it comes back as it was told it is no retry, and no new first try either;
 // when it comes back sooner it is a retry.
-func TestRefusedAndComesBack(t *testing.T) {
+func TestRetryAfterRejection(t *testing.T) {
 	a := terms("a", 1, 8)
 	a.Retries = RetryTerms{Share: 1, Window: time.Minute}
 	b := New(0, compile(t, deployment(0), a))
-	b.accounts[0].retries.have = 0
-	want(t, "the first", b.ask(0, 0, reserve), Within) // earns a retry
-	d := want(t, "beyond", b.Admit(0, Ask{Class: reserve, Identity: 7}), OverBudget)
-	want(t, "too early, by the one retry", b.Admit(d.HoldOff/2, Ask{Class: reserve, Identity: 7}), OverBudget)
-	before := b.accounts[0].retries.have
-	want(t, "as told", b.Admit(20*time.Second, Ask{Class: reserve, Identity: 7, Marked: true}), Within)
-	if after := b.accounts[0].retries.have; after != before {
+	b.accounts[0].retries.available = 0
+	checkReason(t, "the first", b.admit(0, 0, reserve), WithinBudget) // earns a retry
+	d := checkReason(t, "beyond", b.Admit(0, Request{Class: reserve, Identity: 7}), OverBudget)
+	checkReason(t, "too early, by the one retry", b.Admit(d.RetryAfter/2, Request{Class: reserve, Identity: 7}), OverBudget)
+	before := b.accounts[0].retries.available
+	checkReason(t, "as told", b.Admit(20*time.Second, Request{Class: reserve, Identity: 7, MarkedRetry: true}), WithinBudget)
+	if after := b.accounts[0].retries.available; after != before {
 		t.Errorf("it earned or spent a retry: %v before, %v after", before, after)
 	}
-	b.accounts[0].retries.have = 0
-	want(t, "once let in, again", b.Admit(40*time.Second, Ask{Class: reserve, Identity: 7}), OverRetries)
+	b.accounts[0].retries.available = 0
+	checkReason(t, "once let in, again", b.Admit(40*time.Second, Request{Class: reserve, Identity: 7}), OverRetries)
 }
 
 // What the table has no room for counts as new: its size is fixed.
-func TestForgetsTheOldest(t *testing.T) {
-	r := newRecent(16)
+func TestAttemptTableEvictsOldest(t *testing.T) {
+	r := newAttemptTable(16)
 	for i := range uint64(1000) {
-		r.put(time.Duration(i), i+1, time.Second, false, 0)
+		r.record(time.Duration(i), i+1, time.Second, false, 0)
 	}
 	kept := 0
 	for i := range uint64(1000) {
@@ -193,7 +193,7 @@
 			kept++
 		}
 	}
-	if kept > 16 || kept < 8 || len(r.entries) != 16 {
+	if kept > 16 || kept < 8 || len(r.slots) != 16 {
 		t.Errorf("%d of 1000 kept in 16 places", kept)
 	}
 	if r.find(2*time.Second, 1000, time.Second) != nil {
@@ -202,47 +202,47 @@
 }
 
 // The lender has its guarantee back at once, with a borrower in mid-surge: within 100 ms it gets what it is promised.
-func TestLenderReturns(t *testing.T) {
+func TestLenderRegainsGuarantee(t *testing.T) {
 	lender, borrower := terms("lender", 800, 100), terms("borrower", 200, 50)
-	lender.Guaranteed, borrower.Guaranteed, borrower.Over = 0.8, 0.2, Borrow
+	lender.GuaranteedShare, borrower.GuaranteedShare, borrower.OverPolicy = 0.8, 0.2, Borrow
 	b := New(0, compile(t, deployment(1000), lender, borrower))
-	got := [2][2]float64{} // by who and when
+	admitted := [2][2]float64{} // by who and when
 	for now := time.Duration(0); now < 4*time.Second; now += ms {
-		later := 0
+		phase := 0
 		if now >= 2*time.Second {
-			later = 1
-			if d := b.ask(now, 0, lite); d.Verdict == Admitted && now < 2*time.Second+100*ms {
-				got[0][later]++
+			phase = 1
+			if d := b.admit(now, 0, lite); d.Verdict == Admitted && now < 2*time.Second+100*ms {
+				admitted[0][phase]++
 			}
 		}
 		for range 20 { // 20,000 a second
-			if d := b.ask(now, 1, lite); d.Verdict == Admitted {
-				got[1][later]++
+			if d := b.admit(now, 1, lite); d.Verdict == Admitted {
+				admitted[1][phase]++
 			}
 		}
 	}
-	if got[0][1] < 79 { // of the 80 that 100 ms of 800 a second are
-		t.Errorf("the lender got %v in its first 100 ms", got[0][1])
+	if admitted[0][1] < 79 { // of the 80 that 100 ms of 800 a second are
+		t.Errorf("the lender got %v in its first 100 ms", admitted[0][1])
 	}
-	if alone := got[1][0] / 2; alone < 950 || alone > 1100 {
+	if alone := admitted[1][0] / 2; alone < 950 || alone > 1100 {
 		t.Errorf("the borrower had %v a second alone", alone)
 	}
-	if beside := got[1][1] / 2; beside > 320 {
+	if beside := admitted[1][1] / 2; beside > 320 {
 		t.Errorf("the borrower had %v a second beside the lender", beside)
 	}
 }
 
 // Who is within budget finds room beside a borrower that takes all there is, without any guarantee.
-func TestBudgetGoesBeforeBorrowing(t *testing.T) {
+func TestBudgetBeforeBorrowing(t *testing.T) {
 	modest, borrower := terms("modest", 300, 100), terms("borrower", 10, 10)
-	borrower.Over = Borrow
+	borrower.OverPolicy = Borrow
 	b := New(0, compile(t, deployment(1000), modest, borrower))
 	for now := time.Duration(0); now < 2*time.Second; now += ms {
 		for range 20 {
-			b.ask(now, 1, lite)
+			b.admit(now, 1, lite)
 		}
 		if now%(10*ms) == 0 {
-			if d := b.ask(now, 0, lite); d.Verdict != Admitted {
+			if d := b.admit(now, 0, lite); d.Verdict != Admitted {
 				t.Fatalf("at %v: %v", now, d.Reason)
 			}
 		}
@@ -252,25 +252,25 @@
 // A guarantee holds against any mix of the others.
 func TestGuaranteeHolds(t *testing.T) {
 	all := []Terms{terms("a", 300, 100), terms("b", 5000, 5000), terms("c", 0, 0), terms("d", 2000, 100)}
-	all[0].Guaranteed, all[3].Guaranteed = 0.3, 0.5
-	all[1].Over, all[2].Over, all[3].Over = Borrow, Borrow, Borrow
+	all[0].GuaranteedShare, all[3].GuaranteedShare = 0.3, 0.5
+	all[1].OverPolicy, all[2].OverPolicy, all[3].OverPolicy = Borrow, Borrow, Borrow
 	b := New(0, compile(t, deployment(1000), all...))
-	got, asked := 0.0, 0.0
+	admitted, requested := 0.0, 0.0
 	for now := time.Duration(0); now < 5*time.Second; now += ms {
 		for range 10 {
 			for _, other := range []int{1, 2, 3} {
-				b.ask(now, other, int(now/ms)%3)
+				b.admit(now, other, int(now/ms)%3)
 			}
 		}
 		if now%(10*ms) == 0 { // 300 a second
-			asked += 3
-			if b.ask(now, 0, lookup).Verdict == Admitted {
-				got += 3
+			requested += 3
+			if b.admit(now, 0, lookup).Verdict == Admitted {
+				admitted += 3
 			}
 		}
 	}
-	if got < asked {
-		t.Errorf("%v of %v within the guarantee", got, asked)
+	if admitted < requested {
+		t.Errorf("%v of %v within the guarantee", admitted, requested)
 	}
 }
 
@@ -279,20 +279,20 @@
 func TestSharesConverge(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	weights := []float64{100, 200, 300, 400}
-	push := []float64{20, 5, 3, 2} // times its budget
+	load := []float64{20, 5, 3, 2} // times its budget
 	var all []Terms
 	for i, w := range weights {
 		one := terms(fmt.Sprint(i), w, 50)
-		one.Over = Borrow
+		one.OverPolicy = Borrow
 		all = append(all, one)
 	}
 	b := New(0, compile(t, deployment(500), all...))
-	got, sum := make([]float64, 4), 0.0
+	admitted, sum := make([]float64, 4), 0.0
 	for now := time.Duration(0); now < 20*time.Second; now += ms {
 		for i, w := range weights {
-			for range int(w * push[i] / 1000 * 2 * (0.5 + r.Float64())) {
-				if d := b.ask(now, i, lite); d.Verdict == Admitted && now > time.Second {
-					got[i]++
+			for range int(w * load[i] / 1000 * 2 * (0.5 + r.Float64())) {
+				if d := b.admit(now, i, lite); d.Verdict == Admitted && now > time.Second {
+					admitted[i]++
 					sum++
 				}
 			}
@@ -301,8 +301,8 @@
 	if rate := sum / 19; rate < 490 || rate > 520 {
 		t.Errorf("%v a second of 500", rate)
 	}
-	for i := range got {
-		if share := got[i] / sum; math.Abs(share-weights[i]/1000) > 0.02 {
+	for i := range admitted {
+		if share := admitted[i] / sum; math.Abs(share-weights[i]/1000) > 0.02 {
 			t.Errorf("team %d got %.3f of it: want %.3f", i, share, weights[i]/1000)
 		}
 	}
@@ -311,11 +311,11 @@
 // A clock that steps back takes nothing and gives nothing; one that jumps ahead fills no more than a burst.
 func TestClockJumps(t *testing.T) {
 	b := New(0, compile(t, deployment(0), terms("a", 10, 8)))
-	want(t, "first", b.ask(0, 0, reserve), Within)
-	want(t, "an hour ahead", b.ask(time.Hour, 0, reserve), Within)
-	want(t, "back", b.ask(0, 0, reserve), OverBudget)
-	want(t, "0.4 s on", b.ask(400*ms, 0, reserve), OverBudget)
-	want(t, "0.8 s on", b.ask(800*ms, 0, reserve), Within)
+	checkReason(t, "first", b.admit(0, 0, reserve), WithinBudget)
+	checkReason(t, "an hour ahead", b.admit(time.Hour, 0, reserve), WithinBudget)
+	checkReason(t, "back", b.admit(0, 0, reserve), OverBudget)
+	checkReason(t, "0.4 s on", b.admit(400*ms, 0, reserve), OverBudget)
+	checkReason(t, "0.8 s on", b.admit(800*ms, 0, reserve), WithinBudget)
 }
 
 // Contracts change while requests are open: a smaller budget holds for the next request, a team that is gone keeps its
@@ -324,11 +324,11 @@
 	d := deployment(0)
 	a, z := terms("a", 1e-9, 100), terms("z", 1e-9, 100)
 	b := New(0, compile(t, d, a, z))
-	open := b.ask(0, 0, reserve)
-	other := b.ask(0, 1, reserve)
+	open := b.admit(0, 0, reserve)
+	other := b.admit(0, 1, reserve)
 	a.Burst = 16
 	b.Swap(0, compile(t, d, z, a))
-	if b.Version() != 2 || b.accounts[1].open != 1 || b.accounts[1].budget.have != 16 || b.accounts[0].budget.have != 92 {
+	if b.Version() != 2 || b.accounts[1].open != 1 || b.accounts[1].budget.available != 16 || b.accounts[0].budget.available != 92 {
 		t.Errorf("after the swap: %+v", b.Report(0))
 	}
 	b.Swap(0, compile(t, d, z))
@@ -339,12 +339,12 @@
 	if r := b.Report(0); len(r.Teams) != 2 {
 		t.Errorf("with the team back: %+v", r)
 	}
-	b.Done(0, open.Grant, false)
-	if b.accounts[0].open != 0 || b.accounts[0].budget.have != 16 || len(b.leaving) != 0 {
+	b.Release(0, open.Grant, false)
+	if b.accounts[0].open != 0 || b.accounts[0].budget.available != 16 || len(b.leaving) != 0 {
 		t.Errorf("after its return: %+v", b.Report(0))
 	}
 	b.Swap(0, compile(t, d, a))
-	b.Done(0, other.Grant, true)
+	b.Release(0, other.Grant, true)
 	if len(b.leaving) != 0 {
 		t.Error("a team that is gone is kept after its last answer")
 	}
@@ -360,22 +360,22 @@
 			t.Fatal(err)
 		}
 		b := New(0, set)
-		type taken struct {
+		type admission struct {
 			at    time.Duration
 			worth float64
 		}
-		var all []taken
+		var all []admission
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 200).Draw(t, "asks") {
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "gap")) * ms
-			d := b.ask(now, 0, rapid.IntRange(0, 2).Draw(t, "class"))
+			d := b.admit(now, 0, rapid.IntRange(0, 2).Draw(t, "class"))
 			if d.Verdict != Admitted {
 				continue
 			}
 			ran := rapid.Bool().Draw(t, "ran")
-			b.Done(now, d.Grant, ran)
+			b.Release(now, d.Grant, ran)
 			if ran {
-				all = append(all, taken{now, d.Grant.worth})
+				all = append(all, admission{now, d.Grant.worth})
 			}
 			sum := 0.0
 			for i := len(all) - 1; i >= 0; i-- {
@@ -393,8 +393,8 @@
 	var all []Terms
 	for i := range 1 + r.IntN(6) {
 		one := terms(fmt.Sprint(i), 10+r.Float64()*200, 8+r.Float64()*50)
-		one.Over, one.Guaranteed, one.MostOpen = Over(r.IntN(3)), 0.1, r.IntN(50)
-		one.Retries = RetryTerms{Share: 0.2, Floor: 1, Window: time.Second}
+		one.OverPolicy, one.GuaranteedShare, one.MaxOpen = OverPolicy(r.IntN(3)), 0.1, r.IntN(50)
+		one.Retries = RetryTerms{Share: 0.2, FloorPerSecond: 1, Window: time.Second}
 		all = append(all, one)
 	}
 	r.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
@@ -410,7 +410,7 @@
 	}
 	got := 0.0
 	for _, s := range report.Teams {
-		got += s.Held
+		got += s.HeldWorth
 		n += s.Open
 	}
 	if n != len(open) || math.Abs(got-held) > 1e-6 {
@@ -419,7 +419,7 @@
 }
 
 // Nothing leaks over a million random events with contract changes among them: what is held is what is open.
-func TestNothingLeaks(t *testing.T) {
+func TestNoGrantLeaks(t *testing.T) {
 	r := rand.New(rand.NewPCG(7, 7))
 	d := deployment(500)
 	version := func() *Set { return compile(t, d, drawTerms(r)...) }
@@ -433,15 +433,15 @@
 			b.Swap(now, version())
 		case r.IntN(2) == 0 && len(open) > 0:
 			at := r.IntN(len(open))
-			b.Done(now, open[at].Grant, r.IntN(3) > 0)
+			b.Release(now, open[at].Grant, r.IntN(3) > 0)
 			open[at] = open[len(open)-1]
 			open = open[:len(open)-1]
 		default:
-			got := b.Admit(now, Ask{Team: r.IntN(len(b.accounts)), Class: r.IntN(3), Marked: r.IntN(9) == 0, Identity: r.Uint64N(5000)})
+			got := b.Admit(now, Request{Team: r.IntN(len(b.accounts)), Class: r.IntN(3), MarkedRetry: r.IntN(9) == 0, Identity: r.Uint64N(5000)})
 			if got.Verdict == Admitted {
 				open = append(open, got)
-			} else if got.HoldOff < leastHold || got.HoldOff > mostHold {
-				t.Fatalf("hold-off %v", got.HoldOff)
+			} else if got.RetryAfter < minRetryAfter || got.RetryAfter > maxRetryAfter {
+				t.Fatalf("hold-off %v", got.RetryAfter)
 			}
 		}
 		if i%10_000 == 0 {
@@ -449,19 +449,19 @@
 		}
 	}
 	for _, o := range open {
-		b.Done(now, o.Grant, true)
+		b.Release(now, o.Grant, true)
 	}
-	short := 0
-	for s := b.shares.first; s != nil; s = s.next {
-		short++
+	backlogged := 0
+	for s := b.fair.oldest; s != nil; s = s.next {
+		backlogged++
 	}
 	for _, s := range b.Report(now).Teams {
-		if s.Open != 0 || s.Held != 0 || s.Leaving {
+		if s.Open != 0 || s.HeldWorth != 0 || s.Leaving {
 			t.Errorf("left over: %+v", s)
 		}
 	}
-	if short > len(b.accounts) {
-		t.Errorf("%d short of %d teams", short, len(b.accounts))
+	if backlogged > len(b.accounts) {
+		t.Errorf("%d short of %d teams", backlogged, len(b.accounts))
 	}
 }
 
@@ -473,12 +473,12 @@
 				all := make([]Terms, n)
 				for i := range all {
 					all[i] = terms(fmt.Sprint(i), 1e9, 1e9)
-					all[i].Retries = RetryTerms{Share: 0.1, Floor: 1, Window: time.Second}
+					all[i].Retries = RetryTerms{Share: 0.1, FloorPerSecond: 1, Window: time.Second}
 					if kind != "within" {
-						all[i].Worth, all[i].Burst = 1, 8
+						all[i].WorthPerSecond, all[i].Burst = 1, 8
 					}
 					if kind == "borrowed" {
-						all[i].Over = Borrow
+						all[i].OverPolicy = Borrow
 					}
 				}
 				b := New(0, compile(bm, deployment(1e9), all...))
@@ -486,8 +486,8 @@
 				i := 0
 				for bm.Loop() {
 					now := time.Duration(i) * time.Microsecond
-					d := b.Admit(now, Ask{Team: i * 7919 % n, Class: lookup, Identity: uint64(i)})
-					b.Done(now, d.Grant, true)
+					d := b.Admit(now, Request{Team: i * 7919 % n, Class: lookup, Identity: uint64(i)})
+					b.Release(now, d.Grant, true)
 					i++
 				}
 			})
@@ -498,24 +498,24 @@
 // What even parts of a budget cost when the load is uneven, and what stated parts give back: docs/measurements/broker.md.
 func TestUnevenInstances(t *testing.T) {
 	load := []float64{0.5, 0.2, 0.2, 0.1}
-	admitted := func(parts []float64) float64 {
+	admittedShare := func(parts []float64) float64 {
 		r := rand.New(rand.NewPCG(3, 4))
-		got, asked := 0.0, 0.0
+		admittedCount, requested := 0.0, 0.0
 		for i, part := range parts {
 			d := deployment(0)
-			d.Part = part
+			d.InstanceShare = part
 			b := New(0, compile(t, d, terms("a", 400, 120)))
 			rate := 0.8 * 400 * load[i] / 3 // requests a second, at four fifths of the budget
 			for now := time.Duration(0); now < time.Minute; now += time.Duration(r.ExpFloat64() / rate * float64(time.Second)) {
-				asked++
-				if b.ask(now, 0, lookup).Verdict == Admitted {
-					got++
+				requested++
+				if b.admit(now, 0, lookup).Verdict == Admitted {
+					admittedCount++
 				}
 			}
 		}
-		return got / asked
+		return admittedCount / requested
 	}
-	even, stated := admitted([]float64{0.25, 0.25, 0.25, 0.25}), admitted(load)
+	even, stated := admittedShare([]float64{0.25, 0.25, 0.25, 0.25}), admittedShare(load)
 	t.Logf("admitted with even parts %.3f, with stated ones %.3f", even, stated)
 	if even > 0.85 || even < 0.75 || stated < 0.98 {
 		t.Errorf("admitted with even parts %.3f, with stated ones %.3f", even, stated)
--- a/contract/contract_test.go
+++ b/contract/contract_test.go
@@ -16,7 +16,7 @@
 // team is a contract for all classes.
 func terms(name string, worth, burst float64) Terms {
 	return Terms{
-		Team: name, Tenants: []string{name}, Worth: worth, Burst: burst,
+		Team: name, Tenants: []string{name}, WorthPerSecond: worth, Burst: burst,
 		Classes: []ClassTerms{{0, 0, -1}, {1, 0, -1}, {2, 0, -1}},
 	}
 }
@@ -31,7 +31,7 @@
 }
 
 // A claim is one team's or nobody's; a token that is wrong is not made good by a tenant's name.
-func TestClaims(t *testing.T) {
+func TestTeamByClaim(t *testing.T) {
 	a, b := terms("a", 1, 8), terms("b", 1, 8)
 	a.Tokens, b.Listeners = []Digest{DigestOf("secret")}, []string{"inner"}
 	set := compile(t, deployment(0), a, b)
@@ -47,38 +47,38 @@
 		{Claim{Tenant: "c", Listener: "outer"}, 0, false},
 		{Claim{}, 0, false},
 	} {
-		if got, ok := set.Team(&c.claim); ok != c.ok || ok && got != c.want {
+		if got, ok := set.TeamByClaim(&c.claim); ok != c.ok || ok && got != c.want {
 			t.Errorf("%+v: team %d, %v", c.claim, got, ok)
 		}
 	}
 	wrong := DigestOf("secret")
 	wrong[31]++ // the same first bytes
-	if _, ok := set.Team(&Claim{Token: wrong, HasToken: true}); ok {
+	if _, ok := set.TeamByClaim(&Claim{Token: wrong, HasToken: true}); ok {
 		t.Error("a digest that differs in its last byte is taken")
 	}
 }
 
 // Every fault of every team is named, with its key, and none is compiled.
-func TestFaults(t *testing.T) {
+func TestFaultsNameTeamAndKey(t *testing.T) {
 	for want, change := range map[string]func(a, b *Terms){
 		"team 1: name: a team without":          func(a, _ *Terms) { a.Team = "" },
 		"team 2: name: \"a\" is there twice":    func(_, b *Terms) { b.Team = "a" },
 		"team 1: tenants: nothing says who":     func(a, _ *Terms) { a.Tenants = nil },
 		"team 2: tenants: \"a\" is empty, or":   func(_, b *Terms) { b.Tenants = []string{"a"} },
 		"team 2: token_sha256: team \"a\" has":  func(a, b *Terms) { a.Tokens = []Digest{{1}}; b.Tokens = a.Tokens },
-		"team 1: worth_per_s: NaN":              func(a, _ *Terms) { a.Worth = math.NaN() },
-		"team 1: worth_per_s: -1":               func(a, _ *Terms) { a.Worth = -1 },
+		"team 1: worth_per_s: NaN":              func(a, _ *Terms) { a.WorthPerSecond = math.NaN() },
+		"team 1: worth_per_s: -1":               func(a, _ *Terms) { a.WorthPerSecond = -1 },
 		"team 1: burst: 7 is less than one":     func(a, _ *Terms) { a.Burst = 7 },
-		"team 2: guaranteed: with it 1.100":     func(a, b *Terms) { a.Guaranteed, b.Guaranteed = 0.6, 0.5 },
-		"team 1: most: 0.1 is less than the":    func(a, _ *Terms) { a.Guaranteed, a.Most = 0.2, 0.1 },
+		"team 2: guaranteed: with it 1.100":     func(a, b *Terms) { a.GuaranteedShare, b.GuaranteedShare = 0.6, 0.5 },
+		"team 1: most: 0.1 is less than the":    func(a, _ *Terms) { a.GuaranteedShare, a.MaxShare = 0.2, 0.1 },
 		"team 1: class: there is none":          func(a, _ *Terms) { a.Classes = nil },
 		"team 1: class: the settings have no":   func(a, _ *Terms) { a.Classes[0].Class = 9 },
 		"team 1: class: \"lookup\" is there":    func(a, _ *Terms) { a.Classes[0].Class = 1 },
-		"team 1: degrade: \"reserve\" is worth": func(a, _ *Terms) { a.Classes[1].Degrade = 0 },
-		"team 1: degrade: \"lite\" may not be":  func(a, _ *Terms) { a.Classes[0].Degrade = 2 },
+		"team 1: degrade: \"reserve\" is worth": func(a, _ *Terms) { a.Classes[1].DegradeTo = 0 },
+		"team 1: degrade: \"lite\" may not be":  func(a, _ *Terms) { a.Classes[0].DegradeTo = 2 },
 		"team 1: retries.share: 2":              func(a, _ *Terms) { a.Retries.Share = 2 },
 		"team 1: retries.window_s: 1h0m0s":      func(a, _ *Terms) { a.Retries.Window = time.Hour },
-		"team 1: most_open: -1":                 func(a, _ *Terms) { a.MostOpen = -1 },
+		"team 1: most_open: -1":                 func(a, _ *Terms) { a.MaxOpen = -1 },
 	} {
 		a, b := terms("a", 10, 20), terms("b", 10, 20)
 		change(&a, &b)
@@ -90,7 +90,7 @@
 	}
 	for _, key := range []string{"guaranteed", "most", "over"} {
 		a := terms("a", 10, 20)
-		a.Guaranteed, a.Most, a.Over = 0.1, 0.2, Borrow
+		a.GuaranteedShare, a.MaxShare, a.OverPolicy = 0.1, 0.2, Borrow
 		if _, err := Compile(deployment(0), []Terms{a}); err == nil || !strings.Contains(err.Error(), key+": ") {
 			t.Errorf("%s without a capacity: %v", key, err)
 		}
@@ -98,11 +98,11 @@
 }
 
 // An instance's part of a burst still lets one request in.
-func TestPartOfABudget(t *testing.T) {
+func TestInstanceShareOfBudget(t *testing.T) {
 	d := deployment(100)
-	d.Part = 0.1
+	d.InstanceShare = 0.1
 	set := compile(t, d, terms("a", 50, 40))
-	if set.capacity != 10 || set.teams[0].worth != 5 || set.teams[0].burst != 8 {
-		t.Errorf("capacity %v, worth %v, burst %v", set.capacity, set.teams[0].worth, set.teams[0].burst)
+	if set.capacity != 10 || set.teams[0].localWorthPerSecond != 5 || set.teams[0].localBurst != 8 {
+		t.Errorf("capacity %v, worth %v, burst %v", set.capacity, set.teams[0].localWorthPerSecond, set.teams[0].localBurst)
 	}
 }
--- a/internal/broker/gate.go
+++ b/internal/broker/gate.go
@@ -39,16 +39,16 @@
 	if claim == nil {
 		claim = &contract.Claim{Tenant: c.Message.Tenant}
 	}
-	set := g.broker.Set()
-	team, ok := set.Team(claim)
+	set := g.broker.CurrentSet()
+	team, ok := set.TeamByClaim(claim)
 	if !ok {
-		return contract.Grant{}, Answer(g.broker.Nobody(), g.retryAfter)
+		return contract.Grant{}, Answer(g.broker.DenyUnknownTeam(), g.retryAfter)
 	}
-	d := g.broker.Admit(now, contract.Ask{
-		Team:     team,
-		Class:    c.Request.Class,
-		Marked:   c.Request.Retry,
-		Identity: identity(set.Terms(team), &c.Message),
+	d := g.broker.Admit(now, contract.Request{
+		Team:        team,
+		Class:       c.Request.Class,
+		MarkedRetry: c.Request.Retry,
+		Identity:    identity(set.Terms(team), &c.Message),
 	})
 	if d.Verdict != contract.Admitted {
 		return contract.Grant{}, Answer(d, g.retryAfter)
@@ -62,7 +62,7 @@
 
 // Release implements core.Gate.
 func (g *Gate) Release(now time.Duration, grant contract.Grant, ran bool) {
-	g.broker.Done(now, grant, ran)
+	g.broker.Release(now, grant, ran)
 }
 
 // identity hashes what a client's attempts at one request have in common; 0 where that is nothing.
@@ -99,7 +99,7 @@
 		Text:   "refused by contract, trying again is harmless: " + d.Reason.String(),
 	}
 	if retryAfter {
-		a.RetryAfter = d.HoldOff
+		a.RetryAfter = d.RetryAfter
 	}
 	return a
 }
--- a/internal/broker/load.go
+++ b/internal/broker/load.go
@@ -64,7 +64,7 @@
 )
 
 // overPolicies are the values of the key over.
-var overPolicies = map[string]contract.Over{
+var overPolicies = map[string]contract.OverPolicy{
 	"":        contract.Refuse,
 	"refuse":  contract.Refuse,
 	"borrow":  contract.Borrow,
@@ -72,9 +72,9 @@
 }
 
 // retryIdentities are the values of the key retries.identity.
-var retryIdentities = map[string]contract.Identity{
-	"":       contract.ByKey,
-	"key":    contract.ByKey,
+var retryIdentities = map[string]contract.RetryIdentity{
+	"":       contract.ByIdempotencyKey,
+	"key":    contract.ByIdempotencyKey,
 	"object": contract.ByObject,
 }
 
@@ -173,25 +173,25 @@
 // convert checks a team and returns its terms.
 func (l *loader) convert(i int, t *team) contract.Terms {
 	terms := contract.Terms{
-		Team:       t.Name,
-		Tenants:    t.Tenants,
-		Listeners:  t.Listeners,
-		Worth:      t.Worth,
-		Burst:      t.Burst,
-		Guaranteed: t.Guaranteed,
-		Most:       t.Most,
-		MostOpen:   t.MostOpen,
+		Team:            t.Name,
+		Tenants:         t.Tenants,
+		Listeners:       t.Listeners,
+		WorthPerSecond:  t.Worth,
+		Burst:           t.Burst,
+		GuaranteedShare: t.Guaranteed,
+		MaxShare:        t.Most,
+		MaxOpen:         t.MostOpen,
 		Retries: contract.RetryTerms{
-			Share:  valueOr(t.Retries.Share, defaultRetryShare),
-			Floor:  valueOr(t.Retries.Floor, defaultRetryFloor),
-			Window: defaultRetryWindow,
+			Share:          valueOr(t.Retries.Share, defaultRetryShare),
+			FloorPerSecond: valueOr(t.Retries.Floor, defaultRetryFloor),
+			Window:         defaultRetryWindow,
 		},
 	}
 	if w := t.Retries.Window; w != nil {
 		terms.Retries.Window = time.Duration(max(-1, min(*w, maxRetryWindowS)) * float64(time.Second))
 	}
 	var ok bool
-	if terms.Over, ok = overPolicies[t.Over]; !ok {
+	if terms.OverPolicy, ok = overPolicies[t.Over]; !ok {
 		l.addFault(i, "over", "%q: want refuse, borrow or degrade", t.Over)
 	}
 	if terms.Retries.Identity, ok = retryIdentities[t.Retries.Identity]; !ok {
@@ -220,14 +220,14 @@
 // classes reads the classes of a team. Where all of them are faulty it returns one, as none would be another fault.
 func (l *loader) classes(i int, t *team) (classes []contract.ClassTerms) {
 	for _, c := range t.Classes {
-		terms := contract.ClassTerms{Priority: c.Priority, Degrade: -1}
+		terms := contract.ClassTerms{Priority: c.Priority, DegradeTo: -1}
 		var ok bool
 		if terms.Class, ok = l.catalog.Class(c.Name); !ok {
 			l.addFault(i, "class", "the settings have no class %q", c.Name)
 			continue
 		}
 		if c.Degrade != "" {
-			if terms.Degrade, ok = l.catalog.Class(c.Degrade); !ok {
+			if terms.DegradeTo, ok = l.catalog.Class(c.Degrade); !ok {
 				l.addFault(i, "degrade", "the settings have no class %q", c.Degrade)
 				continue
 			}
@@ -235,7 +235,7 @@
 		classes = append(classes, terms)
 	}
 	if len(t.Classes) > 0 && len(classes) == 0 {
-		return []contract.ClassTerms{{Degrade: -1}}
+		return []contract.ClassTerms{{DegradeTo: -1}}
 	}
 	return classes
 }
--- a/internal/sidecar/contracts.go
+++ b/internal/sidecar/contracts.go
@@ -15,9 +15,9 @@
 // capacity. Without a configured share that is an equal part for each sidecar.
 func (c *Config) Deployment() contract.Deployment {
 	o := &c.Options.Broker
-	d := contract.Deployment{Capacity: o.Capacity, Part: o.Part}
-	if d.Part == 0 {
-		d.Part = 1 / float64(max(1, c.Balance.Peers))
+	d := contract.Deployment{Capacity: o.Capacity, InstanceShare: o.Part}
+	if d.InstanceShare == 0 {
+		d.InstanceShare = 1 / float64(max(1, c.Balance.Peers))
 	}
 	for i, name := range c.catalog.ClassNames() {
 		rules := &c.Balance.Classes[i]
@@ -59,7 +59,7 @@
 		return
 	}
 	exchange.Inspect(func(now time.Duration) { gate.Swap(now, set) })
-	log.Info("contracts reloaded", "teams", set.Teams())
+	log.Info("contracts reloaded", "teams", set.TeamCount())
 }
 
 // statusPages returns the operators' pages of the components that are on, by path.
