--- a/contract/broker.go
+++ b/contract/broker.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// Verdict is what a contract says of a request.
+// Verdict is the outcome of a decision.
 type Verdict uint8
 
 // The verdicts.
 const (
 	Admitted Verdict = iota
-	Limited          // over a limit: trying again later is harmless
-	Denied           // not in the contract: trying again does not help
+	Limited          // over a limit: a retry after a delay may succeed
+	Denied           // not in the contract: retries are denied too
 )
 
-// Reason is the clause that decided.
+// Reason is the rule by which a request was admitted or rejected.
 type Reason uint8
 
-// The reasons. Those up to Degraded admit.
+// The reasons. Requests with those up to Degraded are admitted.
 const (
 	Guaranteed        Reason = iota // within budget and within the guaranteed share
 	WithinBudget                    // within budget
-	Borrowed                        // beyond the budget, of what others leave
-	Degraded                        // beyond the budget, as another class
+	Borrowed                        // beyond the budget, from capacity that others leave unused
+	Degraded                        // beyond the budget, as a cheaper class
 	OverBudget                      // beyond the budget
-	CapacityExhausted               // within budget, but beyond the guarantee while capacity is short
-	OverMaxShare                    // beyond the most that the team may have
-	OverRetries                     // a retry, and the team's retries are used up
-	OverMaxOpen                     // too many requests open
-	UnknownTeam                     // nobody's
-	ClassNotAllowed                 // not a class of the team's
-	reasonCount                     // how many there are
+	CapacityExhausted               // within budget, but beyond the guaranteed share and without capacity left
+	OverMaxShare                    // beyond the team's maximum share of the capacity
+	OverRetries                     // a retry without retry budget
+	OverMaxOpen                     // too many requests in flight
+	UnknownTeam                     // the request identifies no team
+	ClassNotAllowed                 // the team's contract doesn't contain the class
+	reasonCount                     // the number of reasons
 )
 
 var reasonNames = [reasonCount]string{
@@ -39,50 +39,50 @@
 	"no_team", "no_class",
 }
 
-// String returns the reason as reports and logs write it.
+// String returns the name of the reason in reports and logs.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Reasons names all of them, in the order of their numbers.
+// ReasonNames returns the names of all reasons, indexed by Reason.
 func ReasonNames() []string { return reasonNames[:] }
 
-// Ask is a request as the broker sees it.
+// Request is the part of a request that a decision depends on.
 type Request struct {
-	Team        int // of the version in force
+	Team        int // its number in CurrentSet
 	Class       int
-	MarkedRetry bool   // its client says that it is a retry
-	Identity    uint64 // a hash of what its tries have in common; 0: nothing known
+	MarkedRetry bool   // the client marked it as a retry
+	Identity    uint64 // a hash that all attempts at one request share; 0: unknown
 }
 
-// Decision is what becomes of an Ask.
+// Decision is the broker's decision on a Request.
 type Decision struct {
 	Verdict    Verdict
 	Reason     Reason
-	Class      int           // that it goes as, where it is admitted
-	RetryAfter time.Duration // of Limited: when there will be room, as far as can be told now
-	Grant      Grant         // of Admitted: to be given back with Done
+	Class      int           // of an admitted request: the class to send it as
+	RetryAfter time.Duration // of Limited: estimate of when the request can be admitted
+	Grant      Grant         // of Admitted: to be passed to Release
 }
 
-// Grant is what an admitted request holds of its team's budget, under the version that admitted it.
+// Grant is what an admitted request was charged. It stays valid across versions.
 type Grant struct {
 	account *account
 	worth   float64
 	reason  Reason
 }
 
-// Valid reports whether there is anything to give back.
+// Valid reports whether the request was admitted, and so has to be released.
 func (g Grant) Valid() bool { return g.account != nil }
 
 const (
-	// Hold-offs are never shorter or longer than this: a client that is told a moment comes back in the same rush, and one
-	// that is told an hour never does.
+	// After a shorter delay a client would retry in the same burst of load, and after a much longer one, such as an hour, not at all.
 	minRetryAfter, maxRetryAfter = 20 * time.Millisecond, 60 * time.Second
-	maxOpenRetryAfter            = 100 * time.Millisecond // where too many are open: no bucket tells when one ends
-	// retryBurst is how many seconds' worth of a floor a team's retries may save up, and leastRetries their number at once.
+	maxOpenRetryAfter            = 100 * time.Millisecond // beyond MaxOpen, as the end of a request can't be predicted
+	// The burst of a retry budget is retryBurstSeconds of its floor, and at least minRetryBurst retries, or proportionally fewer where
+	// floor and share add up to less than 1.
 	retryBurstSeconds = 10
 	minRetryBurst     = 10
 )
 
-// bucket holds what may be taken at once, and fills at a rate a second.
+// bucket is a token bucket, refilled at a rate per second up to burst.
 type bucket struct {
 	available, rate, burst float64
 	refilledAt             time.Duration
@@ -93,7 +93,7 @@
 	b.refilledAt = now
 }
 
-// wait is when there will be need in the bucket.
+// timeUntil returns the time until the bucket holds need, within the bounds of a Decision's RetryAfter.
 func (b *bucket) timeUntil(need float64) time.Duration {
 	if b.rate <= 0 {
 		return maxRetryAfter
@@ -101,7 +101,7 @@
 	return boundedRetryAfter((need - b.available) / b.rate)
 }
 
-// resize puts other terms in force: what was saved up stays as far as it fits.
+// resize changes the limits. What is available stays, up to the new burst.
 func (b *bucket) resize(now time.Duration, rate, burst float64) {
 	b.refill(now)
 	b.rate, b.burst = rate, burst
@@ -109,13 +109,13 @@
 }
 
 func boundedRetryAfter(seconds float64) time.Duration {
-	if !(seconds < maxRetryAfter.Seconds()) { // infinity too
+	if !(seconds < maxRetryAfter.Seconds()) { // also for NaN and infinity
 		return maxRetryAfter
 	}
 	return max(minRetryAfter, time.Duration(math.Ceil(seconds*1e9)))
 }
 
-// account is what a team has asked for and holds. It outlives the versions of its contract.
+// account has the token buckets and counters of a team. It is kept when the contracts change.
 type account struct {
 	name      string
 	budget    bucket
@@ -125,48 +125,48 @@
 	flow      flow
 
 	open           int
-	heldWorth      float64 // worth of those open
+	heldWorth      float64 // worth of the requests in flight
 	requestedWorth float64
 	countByReason  [reasonCount]int64
 	worthByReason  [reasonCount]float64
-	returnedWorth  float64 // worth given back: nothing had run
-	returnedCount  int64   // and how often
+	returnedWorth  float64 // worth of admitted requests that were never executed
+	returnedCount  int64   // the number of these requests
 }
 
-// Broker keeps the accounts. It is not safe for concurrent use.
+// Broker admits requests by the contracts and keeps the teams' accounts. It is not safe for concurrent use.
 type Broker struct {
 	set         *Set
 	version     uint64
-	accounts    []*account        // by the version's numbers
-	leaving     map[*account]bool // of teams that are gone, until the last answer
+	accounts    []*account        // by team number in set
+	leaving     map[*account]bool // accounts of removed teams that have requests in flight
 	fair        fairLimiter
 	attempts    *attemptTable
-	unknownTeam [reasonCount]int64 // asked by no team
+	unknownTeam [reasonCount]int64 // requests of no team, by reason
 
-	lastClock time.Duration // what the clock said
-	elapsed   time.Duration // ... without its steps back
+	lastClock time.Duration // the last time that was passed in
+	elapsed   time.Duration // time since New without backward steps; all state uses this time
 }
 
-// remembered is how many first tries a broker remembers, over all teams. The oldest go first; their retries count as first
-// tries then.
+// attemptTableSize is the number of first attempts that a broker remembers, over all teams. Retries of evicted ones count as first
+// attempts.
 const attemptTableSize = 1 << 16
 
-// New returns a broker with the contracts of a version, at a time.
+// New returns a broker with the contracts of a set.
 func New(now time.Duration, set *Set) *Broker {
 	b := &Broker{leaving: map[*account]bool{}, attempts: newAttemptTable(attemptTableSize), lastClock: now}
 	b.Swap(now, set)
 	return b
 }
 
-// tick takes in the time. A clock that steps back stands still here, and one that jumps fills no more than a burst.
+// advance returns the elapsed time. Backward steps of the clock are ignored, and a forward jump refills at most one burst.
 func (b *Broker) advance(clock time.Duration) time.Duration {
 	b.elapsed += max(0, clock-b.lastClock)
 	b.lastClock = clock
 	return b.elapsed
 }
 
-// Swap puts another version in force. Accounts stay: what a request holds is given back to its team's account under the new
-// terms, and a team that is gone is kept until its last answer. New teams begin with a whole burst.
+// Swap replaces the contracts. Accounts are kept: requests in flight are released to their team's account under the new terms, and the
+// account of a removed team is kept until its last request is released. New teams start with a full burst.
 func (b *Broker) Swap(clock time.Duration, set *Set) {
 	now := b.advance(clock)
 	accountsByName := make(map[string]*account, len(b.accounts))
@@ -206,8 +206,7 @@
 	b.version++
 }
 
-// apply puts a contract's terms in force. A guarantee and a bound on the share save up a tenth of a second, but no less than
-// one request.
+// apply sets the limits of a contract. Shares of the capacity have a burst of shareBurstSeconds, and at least one request.
 func (a *account) apply(now time.Duration, t *compiledTeam, set *Set) {
 	a.budget.resize(now, t.localWorthPerSecond, t.localBurst)
 	a.guarantee.resize(now, t.GuaranteedShare*set.capacity,
@@ -219,8 +218,8 @@
 	a.flow.weight = max(t.localWorthPerSecond, minWeight)
 }
 
-// saving is for how long a share that is not used is kept, in seconds; least keeps a team without a budget from a weight of
-// nothing.
+// shareBurstSeconds is the burst of a share of the capacity, in seconds of that share. minWeight keeps the weight of a team without a
+// budget above zero, as weights are divisors.
 const shareBurstSeconds, minWeight = 0.1, 1e-6
 
 func atLeast(v, floor, share float64) float64 {
@@ -230,19 +229,19 @@
 	return max(v, floor)
 }
 
-// Set returns the version in force.
+// CurrentSet returns the current contracts.
 func (b *Broker) CurrentSet() *Set { return b.set }
 
-// Version returns the number of the version in force, from 1.
+// Version returns the number of the current version. It starts at 1, and each Swap increments it.
 func (b *Broker) Version() uint64 { return b.version }
 
-// Nobody notes a request that no team has sent.
+// DenyUnknownTeam counts and denies a request that identifies no team.
 func (b *Broker) DenyUnknownTeam() Decision {
 	b.unknownTeam[UnknownTeam]++
 	return Decision{Verdict: Denied, Reason: UnknownTeam}
 }
 
-// Admit decides on a request.
+// Admit decides on a request and charges its team. Release has to be called for each admitted request.
 func (b *Broker) Admit(clock time.Duration, req Request) Decision {
 	now := b.advance(clock)
 	terms, a := &b.set.teams[req.Team], b.accounts[req.Team]
@@ -253,7 +252,7 @@
 	}
 	a.requestedWorth += class.worth
 	previous := b.attempts.find(now, req.Identity, terms.Retries.Window)
-	// What a contract has refused never ran: when it comes back as it was told, it is neither a new first try nor a retry.
+	// A rejected attempt was not executed: another one after RetryAfter is neither a first attempt nor a retry, an earlier one is a retry.
 	afterRejection := previous != nil && previous.rejected
 	isRetry := req.MarkedRetry && !afterRejection || previous != nil && !previous.rejected || afterRejection && now < previous.retryAt
 	a.retries.refill(now)
@@ -291,7 +290,7 @@
 	return d
 }
 
-// limit notes a refusal.
+// reject counts and returns a rejection.
 func (b *Broker) reject(now time.Duration, a *account, req Request, worth float64, reason Reason, retryAfter time.Duration) Decision {
 	retryAfter = min(max(retryAfter, minRetryAfter), maxRetryAfter)
 	a.countByReason[reason]++
@@ -300,7 +299,8 @@
 	return Decision{Verdict: Limited, Reason: reason, RetryAfter: retryAfter}
 }
 
-// charge takes worth from a team's account if its contract allows that; hold is when it will, else.
+// charge takes worth from a team's buckets if its contract permits. A reason above Degraded is a rejection with retryAfter. A budget keeps
+// back reservedBurst for classes of a higher priority.
 func (b *Broker) charge(
 	now time.Duration, a *account, terms *compiledTeam, worth, reservedBurst float64,
 ) (reason Reason, retryAfter time.Duration) {
@@ -341,8 +341,8 @@
 	return reason, 0
 }
 
-// Done takes a grant back when its request has its final answer. Where nothing ran for it, what it took is given back to its
-// team under the terms that are in force now.
+// Release ends a request that was admitted; a zero Grant is ignored. If no server executed the request (ran is false), its charge is
+// refunded to its team, up to the bursts of the current contract.
 func (b *Broker) Release(clock time.Duration, g Grant, ran bool) {
 	if g.account == nil {
 		return
@@ -351,7 +351,7 @@
 	a.open--
 	a.heldWorth -= g.worth
 	if a.open == 0 {
-		a.heldWorth = 0 // what sums of fractions leave
+		a.heldWorth = 0 // discards rounding errors
 		delete(b.leaving, a)
 	}
 	if ran {
@@ -373,29 +373,29 @@
 	b.fair.refund(now, g.worth)
 }
 
-// Status is what an operator sees of a team.
+// TeamStatus is the state of a team's account on the operators' page.
 type TeamStatus struct {
 	Team           string             `json:"team"`
-	Leaving        bool               `json:"leaving,omitempty"` // it is in no contract any more, and has requests open
+	Leaving        bool               `json:"leaving,omitempty"` // removed from the contracts, with requests in flight
 	Open           int                `json:"open"`
 	HeldWorth      float64            `json:"held_worth"`
 	RequestedWorth float64            `json:"asked_worth"`
-	ReturnedWorth  float64            `json:"returned_worth"` // admitted, but nothing ran
+	ReturnedWorth  float64            `json:"returned_worth"` // admitted, but not executed
 	BudgetLeft     float64            `json:"budget_left"`
-	Requests       map[string]int64   `json:"requests"` // by reason
-	Worth          map[string]float64 `json:"worth"`
+	Requests       map[string]int64   `json:"requests"` // by name of the reason
+	Worth          map[string]float64 `json:"worth"`    // by name of the reason
 }
 
-// Report is what an operator sees of all of them.
+// Report is the state of a Broker on the operators' page.
 type Report struct {
 	Version     uint64       `json:"version"`
 	Capacity    float64      `json:"capacity_per_s"`
-	Spare       float64      `json:"spare"` // of the capacity, now
+	Spare       float64      `json:"spare"` // worth of the capacity that is available now
 	UnknownTeam int64        `json:"no_team"`
 	Teams       []TeamStatus `json:"teams"`
 }
 
-// Report tells how things stand. Its cost grows with the number of teams.
+// Report returns the current state. Its cost is linear in the number of teams.
 func (b *Broker) Report(clock time.Duration) Report {
 	now := b.advance(clock)
 	b.fair.spare.refill(now)
--- a/contract/broker_test.go
+++ b/contract/broker_test.go
@@ -22,7 +22,7 @@
 	return b.Admit(now, Request{Team: team, Class: class})
 }
 
-// want checks a decision.
+// checkReason compares a decision's reason with want, and its verdict and grant with the reason.
 func checkReason(t *testing.T, name string, d Decision, want Reason) Decision {
 	t.Helper()
 	if d.Reason != want || (d.Verdict == Admitted) != (want <= Degraded) || d.Grant.Valid() != (want <= Degraded) {
@@ -31,7 +31,7 @@
 	return d
 }
 
-// A budget is spent, refused, and there again when the hold-off says so: neither earlier nor later.
+// RetryAfter is the exact time at which the budget suffices again: a request just before it is rejected, and one at that time admitted.
 func TestRetryAfterIsExact(t *testing.T) {
 	b := New(0, compile(t, deployment(0), terms("a", 10, 16)))
 	for range 2 {
@@ -39,17 +39,17 @@
 	}
 	d := checkReason(t, "beyond", b.admit(0, 0, reserve), OverBudget)
 	if d.RetryAfter != 800*ms {
-		t.Errorf("hold-off %v for a worth of 8 at 10 a second", d.RetryAfter)
+		t.Errorf("retry after %v for a worth of 8 at 10 a second", d.RetryAfter)
 	}
 	checkReason(t, "a little early", b.admit(d.RetryAfter-2*ms, 0, reserve), OverBudget)
 	checkReason(t, "when told", b.admit(d.RetryAfter, 0, reserve), WithinBudget)
 }
 
-// A team without a budget is refused, and told a time that ends.
+// A team without a budget is rejected with a finite RetryAfter, although its bucket is never refilled.
 func TestZeroBudget(t *testing.T) {
 	b := New(0, compile(t, deployment(0), terms("a", 0, 0)))
 	if d := checkReason(t, "nothing", b.admit(time.Hour, 0, lite), OverBudget); d.RetryAfter != maxRetryAfter {
-		t.Errorf("hold-off %v", d.RetryAfter)
+		t.Errorf("retry after %v", d.RetryAfter)
 	}
 }
 
@@ -61,11 +61,11 @@
 		t.Errorf("verdict %d", d.Verdict)
 	}
 	if d := b.DenyUnknownTeam(); d.Verdict != Denied || b.Report(0).UnknownTeam != 1 {
-		t.Errorf("nobody: %+v", d)
+		t.Errorf("unknown team: %+v", d)
 	}
 }
 
-// When the budget runs short the classes of a lower priority stop first.
+// When the budget runs low, classes of a lower priority are rejected first.
 func TestLowPriorityIsRejectedFirst(t *testing.T) {
 	a := terms("a", 1, 20)
 	a.Classes = []ClassTerms{{reserve, 2, -1}, {lookup, 1, -1}, {lite, 0, -1}}
@@ -87,12 +87,12 @@
 		checkReason(t, "within", b.admit(0, 0, lookup), WithinBudget)
 	}
 	if d := checkReason(t, "beyond", b.admit(0, 0, lookup), Degraded); d.Class != lite {
-		t.Errorf("goes as %d", d.Class)
+		t.Errorf("degraded to class %d", d.Class)
 	}
 	checkReason(t, "beyond that too", b.admit(0, 0, lookup), OverBudget)
 }
 
-// What nothing ran for is given back, once, and never beyond the burst.
+// The charge of a request that was not executed is refunded once, and never beyond the burst.
 func TestUnusedGrantIsRefundedOnce(t *testing.T) {
 	b := New(0, compile(t, deployment(0), terms("a", 1e-9, 16)))
 	first, second := b.admit(0, 0, reserve), b.admit(0, 0, reserve)
@@ -102,7 +102,7 @@
 	checkReason(t, "after one that ran", b.admit(0, 0, reserve), OverBudget)
 	b.Release(0, Grant{}, false)
 	if a := b.accounts[0]; a.open != 1 || a.heldWorth != 8 || a.returnedWorth != 8 {
-		t.Errorf("%d open, %v held, %v given back", a.open, a.heldWorth, a.returnedWorth)
+		t.Errorf("%d open, %v held, %v refunded", a.open, a.heldWorth, a.returnedWorth)
 	}
 }
 
@@ -117,8 +117,7 @@
 	checkReason(t, "after one has ended", b.admit(0, 0, lite), WithinBudget)
 }
 
-// A team that retries past its share is refused with the reason, under whichever mark the retries come; so is one that
-// changes its ids but asks about the same thing.
+// Retries beyond the retry budget are rejected as such, whether the client marks them or they are detected by their identity.
 func TestRetryBudget(t *testing.T) {
 	a := terms("a", 1e6, 1e6)
 	a.Retries = RetryTerms{Share: 0.1, Window: 10 * time.Second}
@@ -128,7 +127,7 @@
 	} {
 		b := New(0, compile(t, deployment(0), a))
 		b.accounts[0].retries.available = 0
-		for i := range 100 { // first tries, which earn ten retries at the most that may be saved: one
+		for i := range 100 { // first attempts, which earn ten retries, of which the burst keeps one
 			checkReason(t, name, b.Admit(0, Request{Class: lite, Identity: 1 + uint64(i)}), WithinBudget)
 		}
 		admitted := 0
@@ -138,15 +137,15 @@
 			}
 		}
 		if admitted != 1 {
-			t.Errorf("%s: %d of 50 retries went through: want the one that was saved up", name, admitted)
+			t.Errorf("%s: %d of 50 retries were admitted: want the one in the burst", name, admitted)
 		}
 		if got := b.accounts[0].countByReason[OverRetries]; got != 49 {
-			t.Errorf("%s: %d were refused for that", name, got)
+			t.Errorf("%s: %d were rejected for that", name, got)
 		}
 	}
 }
 
-// A trickle may retry by its floor, however few its first tries are.
+// The floor admits retries at low rates, also without first attempts.
 func TestRetryFloor(t *testing.T) {
 	a := terms("a", 1e6, 1e6)
 	a.Retries = RetryTerms{FloorPerSecond: 1, Window: 10 * time.Second}
@@ -157,13 +156,13 @@
 			admitted++
 		}
 	}
-	if admitted < 105 || admitted > 111 { // ten saved up, and one a second for 100 s
+	if admitted < 105 || admitted > 111 { // a burst of ten, and one a second for 100 s
 		t.Errorf("%d retries in 100 s", admitted)
 	}
 }
 
-// What a contract has refused never ran. When it comes back as it was told it is no retry, and no new first try either;
-// when it comes back sooner it is a retry.
+// A rejected request was not executed. Another attempt after RetryAfter is neither a retry nor a first attempt, which would earn a retry;
+// an attempt before RetryAfter is a retry.
 func TestRetryAfterRejection(t *testing.T) {
 	a := terms("a", 1, 8)
 	a.Retries = RetryTerms{Share: 1, Window: time.Minute}
@@ -175,13 +174,13 @@
 	before := b.accounts[0].retries.available
 	checkReason(t, "as told", b.Admit(20*time.Second, Request{Class: reserve, Identity: 7, MarkedRetry: true}), WithinBudget)
 	if after := b.accounts[0].retries.available; after != before {
-		t.Errorf("it earned or spent a retry: %v before, %v after", before, after)
+		t.Errorf("the attempt changed the retry budget: %v before, %v after", before, after)
 	}
 	b.accounts[0].retries.available = 0
-	checkReason(t, "once let in, again", b.Admit(40*time.Second, Request{Class: reserve, Identity: 7}), OverRetries)
+	checkReason(t, "again, after it was admitted", b.Admit(40*time.Second, Request{Class: reserve, Identity: 7}), OverRetries)
 }
 
-// What the table has no room for counts as new: its size is fixed.
+// The table has a fixed size and evicts the oldest attempts.
 func TestAttemptTableEvictsOldest(t *testing.T) {
 	r := newAttemptTable(16)
 	for i := range uint64(1000) {
@@ -201,12 +200,12 @@
 	}
 }
 
-// The lender has its guarantee back at once, with a borrower in mid-surge: within 100 ms it gets what it is promised.
+// A team that left its guaranteed share unused regains it within 100 ms, while another team borrows and sends far more than its budget.
 func TestLenderRegainsGuarantee(t *testing.T) {
 	lender, borrower := terms("lender", 800, 100), terms("borrower", 200, 50)
 	lender.GuaranteedShare, borrower.GuaranteedShare, borrower.OverPolicy = 0.8, 0.2, Borrow
 	b := New(0, compile(t, deployment(1000), lender, borrower))
-	admitted := [2][2]float64{} // by who and when
+	admitted := [2][2]float64{} // by team and phase
 	for now := time.Duration(0); now < 4*time.Second; now += ms {
 		phase := 0
 		if now >= 2*time.Second {
@@ -232,7 +231,7 @@
 	}
 }
 
-// Who is within budget finds room beside a borrower that takes all there is, without any guarantee.
+// A team within its budget is admitted beside a team that borrows all spare capacity, also without a guaranteed share.
 func TestBudgetBeforeBorrowing(t *testing.T) {
 	modest, borrower := terms("modest", 300, 100), terms("borrower", 10, 10)
 	borrower.OverPolicy = Borrow
@@ -249,7 +248,7 @@
 	}
 }
 
-// A guarantee holds against any mix of the others.
+// A team gets its guaranteed share beside any mix of other teams' requests.
 func TestGuaranteeHolds(t *testing.T) {
 	all := []Terms{terms("a", 300, 100), terms("b", 5000, 5000), terms("c", 0, 0), terms("d", 2000, 100)}
 	all[0].GuaranteedShare, all[3].GuaranteedShare = 0.3, 0.5
@@ -274,12 +273,11 @@
 	}
 }
 
-// With a backlog of all teams, what they get converges on their weights, however hard each pushes, and nothing is left
-// over.
+// While all teams are backlogged, their shares converge to their weights whatever their request rates, and the whole capacity is used.
 func TestSharesConverge(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	weights := []float64{100, 200, 300, 400}
-	load := []float64{20, 5, 3, 2} // times its budget
+	load := []float64{20, 5, 3, 2} // request rate, in multiples of the budget
 	var all []Terms
 	for i, w := range weights {
 		one := terms(fmt.Sprint(i), w, 50)
@@ -308,7 +306,7 @@
 	}
 }
 
-// A clock that steps back takes nothing and gives nothing; one that jumps ahead fills no more than a burst.
+// A backward step of the clock doesn't change the buckets, and a forward jump refills at most one burst.
 func TestClockJumps(t *testing.T) {
 	b := New(0, compile(t, deployment(0), terms("a", 10, 8)))
 	checkReason(t, "first", b.admit(0, 0, reserve), WithinBudget)
@@ -318,8 +316,8 @@
 	checkReason(t, "0.8 s on", b.admit(800*ms, 0, reserve), WithinBudget)
 }
 
-// Contracts change while requests are open: a smaller budget holds for the next request, a team that is gone keeps its
-// account until its last answer, and one that returns meanwhile finds it again.
+// Contracts change while requests are in flight: a smaller budget applies to the next request, the account of a removed team is kept until
+// its last request is released, and is used again if the team returns before.
 func TestSwap(t *testing.T) {
 	d := deployment(0)
 	a, z := terms("a", 1e-9, 100), terms("z", 1e-9, 100)
@@ -346,12 +344,11 @@
 	b.Swap(0, compile(t, d, a))
 	b.Release(0, other.Grant, true)
 	if len(b.leaving) != 0 {
-		t.Error("a team that is gone is kept after its last answer")
+		t.Error("the account of a removed team is kept after its last request was released")
 	}
 }
 
-// Over any window the worth that is admitted within a budget is no more than the budget for that time and a burst, whatever
-// is asked and given back.
+// Over any window the admitted worth is at most the budget for the window plus one burst, whatever is requested and refunded.
 func TestNeverMoreThanTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		worth, burst := rapid.Float64Range(0, 200).Draw(t, "worth"), rapid.Float64Range(8, 100).Draw(t, "burst")
@@ -388,7 +385,7 @@
 	})
 }
 
-// drawTerms draws the contracts of one to six teams, in any order.
+// drawTerms returns random contracts of one to six teams, in random order.
 func drawTerms(r *rand.Rand) []Terms {
 	var all []Terms
 	for i := range 1 + r.IntN(6) {
@@ -401,7 +398,7 @@
 	return all
 }
 
-// checkHeld compares what a report says is held with what the decisions that are open hold.
+// checkHeld compares the requests in flight of a report, and their worth, with the grants that have not been released.
 func checkHeld(t *testing.T, report Report, open []Decision) {
 	t.Helper()
 	held, n := 0.0, 0
@@ -418,7 +415,7 @@
 	}
 }
 
-// Nothing leaks over a million random events with contract changes among them: what is held is what is open.
+// Over a million random events with contract changes, the accounts hold exactly the grants that have not been released.
 func TestNoGrantLeaks(t *testing.T) {
 	r := rand.New(rand.NewPCG(7, 7))
 	d := deployment(500)
@@ -427,7 +424,7 @@
 	var open []Decision
 	now := time.Duration(0)
 	for i := range 1_000_000 {
-		now += time.Duration(r.IntN(2000)-200) * time.Microsecond // at times a step back
+		now += time.Duration(r.IntN(2000)-200) * time.Microsecond // sometimes a backward step
 		switch {
 		case i%1000 == 0:
 			b.Swap(now, version())
@@ -441,7 +438,7 @@
 			if got.Verdict == Admitted {
 				open = append(open, got)
 			} else if got.RetryAfter < minRetryAfter || got.RetryAfter > maxRetryAfter {
-				t.Fatalf("hold-off %v", got.RetryAfter)
+				t.Fatalf("retry after %v", got.RetryAfter)
 			}
 		}
 		if i%10_000 == 0 {
@@ -461,11 +458,11 @@
 		}
 	}
 	if backlogged > len(b.accounts) {
-		t.Errorf("%d short of %d teams", backlogged, len(b.accounts))
+		t.Errorf("%d of %d teams are backlogged", backlogged, len(b.accounts))
 	}
 }
 
-// A decision costs the same with ten thousand teams as with three.
+// BenchmarkAdmit shows that the cost of a decision doesn't depend on the number of teams.
 func BenchmarkAdmit(bm *testing.B) {
 	for _, n := range []int{3, 100, 10_000} {
 		for _, kind := range []string{"within", "refused", "borrowed"} {
@@ -495,7 +492,8 @@
 	}
 }
 
-// What even parts of a budget cost when the load is uneven, and what stated parts give back: docs/measurements/broker.md.
+// Equal shares of a budget reject requests within the budget when the load of the instances is uneven; configured shares that match the
+// load don't. See docs/measurements/broker.md.
 func TestUnevenInstances(t *testing.T) {
 	load := []float64{0.5, 0.2, 0.2, 0.1}
 	admittedShare := func(parts []float64) float64 {
@@ -516,8 +514,8 @@
 		return admittedCount / requested
 	}
 	even, stated := admittedShare([]float64{0.25, 0.25, 0.25, 0.25}), admittedShare(load)
-	t.Logf("admitted with even parts %.3f, with stated ones %.3f", even, stated)
+	t.Logf("admitted with equal shares %.3f, with configured ones %.3f", even, stated)
 	if even > 0.85 || even < 0.75 || stated < 0.98 {
-		t.Errorf("admitted with even parts %.3f, with stated ones %.3f", even, stated)
+		t.Errorf("admitted with equal shares %.3f, with configured ones %.3f", even, stated)
 	}
 }
--- a/contract/contract.go
+++ b/contract/contract.go
@@ -1,10 +1,13 @@
-// Package contract decides what each team may ask for: which classes, how much worth a second, what happens beyond that,
-// and how teams share what is scarce. It owns the terms, their checks, and each team's account. It does no I/O, starts no
-// goroutine and has no clock: every call carries the time, and its whole behaviour can be replayed from a list of calls.
-// What a request goes to, and whether again, it leaves to package balance, which is asked after it.
+// Package contract is admission control by team. A team's contract states which classes of requests it may send, its rate limit, and what
+// happens to requests beyond that limit. Requests are charged by worth, the cost that the settings assign to each class. The package checks
+// contracts, keeps an account for each team, and divides the capacity that no team is guaranteed. Package balance is called afterwards, and
+// chooses servers and retries.
 //
-// contract.go states and checks the terms, broker.go keeps the accounts, fair.go shares what nobody is guaranteed, and
-// recent.go tells a retry from a first try. Begin with Compile and Broker.
+// The package does no I/O, starts no goroutine and reads no clock: every call carries the time, so that its behaviour can be replayed from
+// a list of calls.
+//
+// contract.go defines and checks the contracts, broker.go keeps the accounts, fair.go divides the capacity, and recent.go detects retries.
+// Start reading at Compile and Broker.
 package contract
 
 import (
@@ -17,26 +20,26 @@
 	"time"
 )
 
-// Over says what happens to a request beyond its team's budget.
+// OverPolicy is what happens to a request beyond its team's budget.
 type OverPolicy uint8
 
-// The ways.
+// The policies.
 const (
-	Refuse  OverPolicy = iota // it is refused, and told when the budget will have room
-	Borrow                    // it may use what no team within its budget wants
-	Degrade                   // it goes as the class that the contract names for that, if there is room for its worth
+	Refuse  OverPolicy = iota // it is rejected, with the time after which the budget suffices
+	Borrow                    // it may use capacity that teams within their budgets leave unused
+	Degrade                   // it is sent as the cheaper class that the contract names, if the budget suffices for that
 )
 
-// Identity says what a retry has in common with its first try, besides the client's own mark.
+// RetryIdentity is how a retry that the client didn't mark is matched with its first attempt.
 type RetryIdentity uint8
 
 // The identities.
 const (
-	ByIdempotencyKey RetryIdentity = iota // the idempotency key, where there is one
-	ByObject                              // class and what the request is about
+	ByIdempotencyKey RetryIdentity = iota // by the idempotency key; without one there is no match
+	ByObject                              // by the idempotency key, or by class and object without one
 )
 
-// Digest is a bearer token as a contract holds it: its SHA-256. The token itself is never kept.
+// Digest is the SHA-256 of a bearer token. The token itself is never stored.
 type Digest [sha256.Size]byte
 
 // DigestOf returns the digest of a token.
@@ -45,62 +48,62 @@
 // ClassTerms is a class that a team may send.
 type ClassTerms struct {
 	Class     int
-	Priority  int // among the team's own classes: those of a higher number go first when the budget runs short
-	DegradeTo int // the class that it goes as beyond the budget; -1: none
+	Priority  int // among the team's own classes: when the budget runs low, lower numbers are rejected first
+	DegradeTo int // the class to degrade to beyond the budget; -1: none
 }
 
-// RetryTerms bound a team's retries.
+// RetryTerms are a team's retry budget.
 type RetryTerms struct {
-	Share          float64       // retries for each first try that was admitted
-	FloorPerSecond float64       // retries a second besides, so that a trickle may retry too
-	Window         time.Duration // how long after its first try a request counts as a retry of that
+	Share          float64       // retries for each first attempt that was admitted
+	FloorPerSecond float64       // retries a second in addition, which allow retries at low rates
+	Window         time.Duration // how long after a first attempt another one counts as its retry; 0: only marked retries count
 	Identity       RetryIdentity
 }
 
-// Terms are one team's contract. Worth is what the classes' settings say.
+// Terms are one team's contract.
 type Terms struct {
 	Team string
 
-	// Who it is: any of these. A token goes before a tenant, a tenant before a listener.
+	// A request with any of these is the team's. A token takes precedence over a tenant, a tenant over a listener.
 	Tokens    []Digest
 	Tenants   []string
 	Listeners []string
 
 	Classes         []ClassTerms
-	WorthPerSecond  float64 // a second, over all instances
-	Burst           float64 // worth at once
-	GuaranteedShare float64 // share of the capacity that it gets whatever others do
-	MaxShare        float64 // share of the capacity that it may have at all; 0: no bound but the budget's
+	WorthPerSecond  float64 // rate limit over all instances
+	Burst           float64 // worth admitted at once, over all instances
+	GuaranteedShare float64 // of the capacity, whatever other teams send
+	MaxShare        float64 // upper bound, of the capacity; 0: bounded by the budget only
 	OverPolicy      OverPolicy
 	Retries         RetryTerms
-	MaxOpen         int // requests at once; 0: no bound
+	MaxOpen         int // requests in flight, over all instances; 0: no bound
 }
 
-// Class is what the deployment says of a class.
+// Class is a class of requests in the settings.
 type Class struct {
 	Name   string
 	Worth  float64
-	Effect uint8 // a request may only be degraded to a class of the same effect
+	Effect uint8 // a balance.Effect; a request may only be degraded to a class of the same effect
 }
 
-// Deployment is what contracts are checked against.
+// Deployment is the part of the settings that contracts are checked against.
 type Deployment struct {
 	Classes       []Class
-	Capacity      float64 // worth a second that is there to be shared, over all instances; 0: no scarcity is reckoned with
-	InstanceShare float64 // of every budget that is this instance's; 0: all of it
+	Capacity      float64 // worth a second that all instances can serve; 0: unlimited
+	InstanceShare float64 // this instance's share of the capacity and of every budget; 0: all of it
 }
 
-// Fault is what is wrong with a contract, at a key of a team's; Team is -1 where it is about all of them.
+// Fault is a validation error at a key of a team's contract. Team is the contract's index; -1: the fault concerns all contracts.
 type Fault struct {
 	Team int
 	Key  string
 	Text string
 }
 
-// Faults are all the faults of a version.
+// Faults are all validation errors of a version.
 type Faults []Fault
 
-// Error returns all the faults, one a line.
+// Error returns all faults, one a line.
 func (f Faults) Error() string {
 	var all []string
 	for _, one := range f {
@@ -109,11 +112,11 @@
 	return strings.Join(all, "\n")
 }
 
-// Set is one version of all contracts, compiled. It is never changed.
+// Set is a compiled version of all contracts. It is immutable. Teams are numbered by their index in the terms.
 type Set struct {
 	teams       []compiledTeam
 	capacity    float64
-	tokens      map[uint64]tokenOwner // by the first bytes of the digest, which tell nothing of the token
+	tokens      map[uint64]tokenOwner // by the first 8 bytes of the digest, which reveal nothing of the token
 	tenants     map[string]int
 	listeners   map[string]int
 	classWorths []float64 // by class
@@ -125,7 +128,7 @@
 	team   int
 }
 
-// team is a contract with this instance's part of its figures.
+// compiledTeam is a contract with this instance's share of its limits.
 type compiledTeam struct {
 	Terms
 	classes             []compiledClass // by class
@@ -137,18 +140,18 @@
 type compiledClass struct {
 	allowed       bool
 	worth         float64
-	reservedBurst float64 // of the burst that it leaves to classes of a higher priority
+	reservedBurst float64 // worth of the burst that is reserved for classes of a higher priority
 	degradeTo     int
 }
 
-// The bounds of what a contract may say.
+// Bounds of the values in a contract.
 const (
 	MaxTeams       = 100_000
 	maxValue       = 1e12
 	maxRetryWindow = 10 * time.Minute
 )
 
-// Compile checks contracts as a whole and makes a version of them. The error is Faults, which names all that is wrong.
+// Compile checks all contracts together and returns a version of them. The error is of type Faults and contains every fault.
 func Compile(d Deployment, terms []Terms) (*Set, error) {
 	instanceShare := d.InstanceShare
 	if instanceShare == 0 {
@@ -160,7 +163,7 @@
 			capacity: d.Capacity * instanceShare, tokens: map[uint64]tokenOwner{}, tenants: map[string]int{}, listeners: map[string]int{},
 		},
 	}
-	c.faultIf(len(terms) > MaxTeams, -1, "team", "%d teams: at most %d", len(terms), MaxTeams)
+	c.faultIf(len(terms) > MaxTeams, -1, "team", "%d teams: want at most %d", len(terms), MaxTeams)
 	c.faultIf(!(instanceShare > 0 && instanceShare <= 1), -1, "part", "%v: want more than 0 and at most 1", d.InstanceShare)
 	c.faultIf(!(d.Capacity >= 0 && d.Capacity <= maxValue), -1, "capacity", "%v: want 0 or more", d.Capacity)
 	for _, class := range d.Classes {
@@ -172,7 +175,7 @@
 		c.checkTerms(i, &terms[i])
 		guaranteed += terms[i].GuaranteedShare
 		c.faultIf(guaranteed > 1+1e-9 && guaranteed-terms[i].GuaranteedShare <= 1+1e-9, i, "guaranteed",
-			"with it %.3f of the capacity is guaranteed, which is more than there is", guaranteed)
+			"the guarantees add up to %.3f of the capacity: want at most 1", guaranteed)
 	}
 	if len(c.faults) > 0 {
 		return nil, c.faults
@@ -196,8 +199,8 @@
 }
 
 func (c *compiler) checkTerms(i int, t *Terms) {
-	c.faultIf(t.Team == "", i, "name", "a team without a name")
-	c.faultIf(c.names[t.Team], i, "name", "%q is there twice", t.Team)
+	c.faultIf(t.Team == "", i, "name", "team name is missing")
+	c.faultIf(c.names[t.Team], i, "name", "duplicate team %q", t.Team)
 	c.names[t.Team] = true
 	c.addIdentities(i, t)
 	checkRange := func(key string, v, maximum float64) {
@@ -210,22 +213,23 @@
 	checkRange("retries.share", t.Retries.Share, 1)
 	checkRange("retries.floor_per_s", t.Retries.FloorPerSecond, maxValue)
 	checkRange("most_open", float64(t.MaxOpen), math.MaxInt32)
-	c.faultIf(t.MaxShare > 0 && t.MaxShare < t.GuaranteedShare, i, "most", "%v is less than the %v that is guaranteed",
+	c.faultIf(t.MaxShare > 0 && t.MaxShare < t.GuaranteedShare, i, "most", "%v is less than the guaranteed share %v",
 		t.MaxShare, t.GuaranteedShare)
-	c.faultIf(t.GuaranteedShare > 0 && c.deployment.Capacity == 0, i, "guaranteed", "a share of a capacity that is not stated")
-	c.faultIf(t.MaxShare > 0 && c.deployment.Capacity == 0, i, "most", "a share of a capacity that is not stated")
-	c.faultIf(t.OverPolicy == Borrow && c.deployment.Capacity == 0, i, "over", "borrow: there is no stated capacity to borrow from")
+	c.faultIf(t.GuaranteedShare > 0 && c.deployment.Capacity == 0, i, "guaranteed",
+		"a share of the capacity, but the settings have no capacity")
+	c.faultIf(t.MaxShare > 0 && c.deployment.Capacity == 0, i, "most", "a share of the capacity, but the settings have no capacity")
+	c.faultIf(t.OverPolicy == Borrow && c.deployment.Capacity == 0, i, "over", "borrow: the settings have no capacity to borrow from")
 	c.faultIf(t.Retries.Window < 0 || t.Retries.Window > maxRetryWindow, i, "retries.window_s", "%v: want 0 to %v",
 		t.Retries.Window, maxRetryWindow)
 	c.addTeam(i, t)
 }
 
 func (c *compiler) addIdentities(i int, t *Terms) {
-	c.faultIf(len(t.Tokens)+len(t.Tenants)+len(t.Listeners) == 0, i, "tenants", "nothing says who the team is: tokens, tenants or listeners")
+	c.faultIf(len(t.Tokens)+len(t.Tenants)+len(t.Listeners) == 0, i, "tenants", "the team needs at least one token, tenant or listener")
 	for _, d := range t.Tokens {
 		prefix := binary.BigEndian.Uint64(d[:])
 		if other, ok := c.set.tokens[prefix]; ok {
-			c.faultIf(true, i, "token_sha256", "team %q has the same", c.set.teams[other.team].Team)
+			c.faultIf(true, i, "token_sha256", "team %q has the same token hash", c.set.teams[other.team].Team)
 			continue
 		}
 		c.set.tokens[prefix] = tokenOwner{d, i}
@@ -237,7 +241,7 @@
 				if ok && other < len(c.set.teams) {
 					owner = c.set.teams[other].Team
 				}
-				c.faultIf(true, i, key, "%q is empty, or team %q has it already", n, owner)
+				c.faultIf(true, i, key, "%q is empty or already used by team %q", n, owner)
 				continue
 			}
 			teams[n] = i
@@ -257,7 +261,7 @@
 	if t.MaxOpen > 0 {
 		compiled.localMaxOpen = max(1, int(float64(t.MaxOpen)*c.instanceShare))
 	}
-	c.faultIf(len(t.Classes) == 0, i, "class", "there is none")
+	c.faultIf(len(t.Classes) == 0, i, "class", "the team has no class")
 	lowestPriority, highestPriority, maxClassWorth := math.MaxInt, math.MinInt, 0.0
 	for _, ct := range t.Classes {
 		lowestPriority, highestPriority = min(lowestPriority, ct.Priority), max(highestPriority, ct.Priority)
@@ -267,7 +271,7 @@
 			continue
 		}
 		class := c.deployment.Classes[ct.Class]
-		c.faultIf(compiled.classes[ct.Class].allowed, i, "class", "%q is there twice", class.Name)
+		c.faultIf(compiled.classes[ct.Class].allowed, i, "class", "duplicate class %q", class.Name)
 		maxClassWorth = max(maxClassWorth, class.Worth)
 		compiled.classes[ct.Class] = compiledClass{allowed: true, worth: class.Worth, degradeTo: ct.DegradeTo}
 		if ct.DegradeTo < 0 {
@@ -277,15 +281,15 @@
 			continue
 		}
 		target := c.deployment.Classes[ct.DegradeTo]
-		c.faultIf(target.Worth >= class.Worth, i, "degrade", "%q is worth %v, no less than the %v of %q",
+		c.faultIf(target.Worth >= class.Worth, i, "degrade", "%q has worth %v: want less than the %v of %q",
 			target.Name, target.Worth, class.Worth, class.Name)
-		c.faultIf(target.Effect != class.Effect, i, "degrade", "%q may not be repeated as %q may", target.Name, class.Name)
+		c.faultIf(target.Effect != class.Effect, i, "degrade", "%q has another effect than %q", target.Name, class.Name)
 	}
-	// A request that is worth more than the burst could never be admitted.
-	c.faultIf(t.WorthPerSecond > 0 && t.Burst < maxClassWorth, i, "burst", "%v is less than one request of the team's can be worth, %v",
+	// A request with more worth than the burst could never be admitted.
+	c.faultIf(t.WorthPerSecond > 0 && t.Burst < maxClassWorth, i, "burst", "%v is less than the largest worth of the team's requests, %v",
 		t.Burst, maxClassWorth)
 	if t.WorthPerSecond > 0 {
-		compiled.localBurst = max(compiled.localBurst, maxClassWorth) // a part of a burst still has to let one request in
+		compiled.localBurst = max(compiled.localBurst, maxClassWorth) // this instance's share has to admit at least one request
 	}
 	for _, ct := range t.Classes {
 		if highestPriority > lowestPriority && ct.Class >= 0 && ct.Class < len(compiled.classes) {
@@ -297,18 +301,19 @@
 	c.set.teams = append(c.set.teams, compiled)
 }
 
-// keptShare is the part of a burst that the class of the lowest priority leaves to those above it.
+// maxReservedBurstShare is the share of a burst that the class of the lowest priority leaves to the others.
 const maxReservedBurstShare = 0.5
 
-// Claim is what a request says of who sends it.
+// Claim is what identifies the sender of a request.
 type Claim struct {
-	Token    Digest // of a bearer token; counts with HasToken
+	Token    Digest // of the bearer token; valid if HasToken
 	HasToken bool
 	Tenant   string
 	Listener string
 }
 
-// Team returns the number of the team that a claim is of. A token that nobody has is nobody's claim, whatever else it says.
+// TeamByClaim returns the number of the team that a claim identifies. A claim with an unknown token has no team, whatever its tenant and
+// listener are.
 func (s *Set) TeamByClaim(c *Claim) (int, bool) {
 	if c.HasToken {
 		owner, ok := s.tokens[binary.BigEndian.Uint64(c.Token[:])]
@@ -324,13 +329,13 @@
 	return team, ok
 }
 
-// Teams returns the number of teams.
+// TeamCount returns the number of teams.
 func (s *Set) TeamCount() int { return len(s.teams) }
 
-// Terms returns what a team was promised.
+// Terms returns the contract of a team.
 func (s *Set) Terms(team int) *Terms { return &s.teams[team].Terms }
 
-// Find returns the number of the team with a name, and whether there is one.
+// TeamByName returns the number of the team with a name, and whether there is one.
 func (s *Set) TeamByName(name string) (int, bool) {
 	for i := range s.teams {
 		if s.teams[i].Team == name {
--- a/contract/contract_test.go
+++ b/contract/contract_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// deployment has classes of worth 8, 3 and 1; the last two have the same effect.
+// deployment returns settings with classes of worth 8, 3 and 1; the last two have the same effect.
 func deployment(capacity float64) Deployment {
 	return Deployment{Classes: []Class{{"reserve", 8, 1}, {"lookup", 3, 0}, {"lite", 1, 0}}, Capacity: capacity}
 }
 
-// team is a contract for all classes.
+// terms returns a contract for all classes.
 func terms(name string, worth, burst float64) Terms {
 	return Terms{
 		Team: name, Tenants: []string{name}, WorthPerSecond: worth, Burst: burst,
@@ -30,7 +30,7 @@
 	return set
 }
 
-// A claim is one team's or nobody's; a token that is wrong is not made good by a tenant's name.
+// A claim identifies at most one team. A claim with a wrong token must not be accepted for its tenant.
 func TestTeamByClaim(t *testing.T) {
 	a, b := terms("a", 1, 8), terms("b", 1, 8)
 	a.Tokens, b.Listeners = []Digest{DigestOf("secret")}, []string{"inner"}
@@ -54,31 +54,31 @@
 	wrong := DigestOf("secret")
 	wrong[31]++ // the same first bytes
 	if _, ok := set.TeamByClaim(&Claim{Token: wrong, HasToken: true}); ok {
-		t.Error("a digest that differs in its last byte is taken")
+		t.Error("a digest that differs in its last byte was accepted")
 	}
 }
 
-// Every fault of every team is named, with its key, and none is compiled.
+// Each fault is reported with its team and key, and faulty contracts are not compiled.
 func TestFaultsNameTeamAndKey(t *testing.T) {
 	for want, change := range map[string]func(a, b *Terms){
-		"team 1: name: a team without":          func(a, _ *Terms) { a.Team = "" },
-		"team 2: name: \"a\" is there twice":    func(_, b *Terms) { b.Team = "a" },
-		"team 1: tenants: nothing says who":     func(a, _ *Terms) { a.Tenants = nil },
-		"team 2: tenants: \"a\" is empty, or":   func(_, b *Terms) { b.Tenants = []string{"a"} },
-		"team 2: token_sha256: team \"a\" has":  func(a, b *Terms) { a.Tokens = []Digest{{1}}; b.Tokens = a.Tokens },
-		"team 1: worth_per_s: NaN":              func(a, _ *Terms) { a.WorthPerSecond = math.NaN() },
-		"team 1: worth_per_s: -1":               func(a, _ *Terms) { a.WorthPerSecond = -1 },
-		"team 1: burst: 7 is less than one":     func(a, _ *Terms) { a.Burst = 7 },
-		"team 2: guaranteed: with it 1.100":     func(a, b *Terms) { a.GuaranteedShare, b.GuaranteedShare = 0.6, 0.5 },
-		"team 1: most: 0.1 is less than the":    func(a, _ *Terms) { a.GuaranteedShare, a.MaxShare = 0.2, 0.1 },
-		"team 1: class: there is none":          func(a, _ *Terms) { a.Classes = nil },
-		"team 1: class: the settings have no":   func(a, _ *Terms) { a.Classes[0].Class = 9 },
-		"team 1: class: \"lookup\" is there":    func(a, _ *Terms) { a.Classes[0].Class = 1 },
-		"team 1: degrade: \"reserve\" is worth": func(a, _ *Terms) { a.Classes[1].DegradeTo = 0 },
-		"team 1: degrade: \"lite\" may not be":  func(a, _ *Terms) { a.Classes[0].DegradeTo = 2 },
-		"team 1: retries.share: 2":              func(a, _ *Terms) { a.Retries.Share = 2 },
-		"team 1: retries.window_s: 1h0m0s":      func(a, _ *Terms) { a.Retries.Window = time.Hour },
-		"team 1: most_open: -1":                 func(a, _ *Terms) { a.MaxOpen = -1 },
+		"team 1: name: team name is missing":                 func(a, _ *Terms) { a.Team = "" },
+		"team 2: name: duplicate team \"a\"":                 func(_, b *Terms) { b.Team = "a" },
+		"team 1: tenants: the team needs at least one":       func(a, _ *Terms) { a.Tenants = nil },
+		"team 2: tenants: \"a\" is empty or already used by": func(_, b *Terms) { b.Tenants = []string{"a"} },
+		"team 2: token_sha256: team \"a\" has":               func(a, b *Terms) { a.Tokens = []Digest{{1}}; b.Tokens = a.Tokens },
+		"team 1: worth_per_s: NaN":                           func(a, _ *Terms) { a.WorthPerSecond = math.NaN() },
+		"team 1: worth_per_s: -1":                            func(a, _ *Terms) { a.WorthPerSecond = -1 },
+		"team 1: burst: 7 is less than the largest worth":    func(a, _ *Terms) { a.Burst = 7 },
+		"team 2: guaranteed: the guarantees add up to 1.100": func(a, b *Terms) { a.GuaranteedShare, b.GuaranteedShare = 0.6, 0.5 },
+		"team 1: most: 0.1 is less than the":                 func(a, _ *Terms) { a.GuaranteedShare, a.MaxShare = 0.2, 0.1 },
+		"team 1: class: the team has no class":               func(a, _ *Terms) { a.Classes = nil },
+		"team 1: class: the settings have no":                func(a, _ *Terms) { a.Classes[0].Class = 9 },
+		"team 1: class: duplicate class \"lookup\"":          func(a, _ *Terms) { a.Classes[0].Class = 1 },
+		"team 1: degrade: \"reserve\" has worth":             func(a, _ *Terms) { a.Classes[1].DegradeTo = 0 },
+		"team 1: degrade: \"lite\" has another effect":       func(a, _ *Terms) { a.Classes[0].DegradeTo = 2 },
+		"team 1: retries.share: 2":                           func(a, _ *Terms) { a.Retries.Share = 2 },
+		"team 1: retries.window_s: 1h0m0s":                   func(a, _ *Terms) { a.Retries.Window = time.Hour },
+		"team 1: most_open: -1":                              func(a, _ *Terms) { a.MaxOpen = -1 },
 	} {
 		a, b := terms("a", 10, 20), terms("b", 10, 20)
 		change(&a, &b)
@@ -97,7 +97,7 @@
 	}
 }
 
-// An instance's part of a burst still lets one request in.
+// An instance's share of a burst must still admit one request of the class with the largest worth.
 func TestInstanceShareOfBudget(t *testing.T) {
 	d := deployment(100)
 	d.InstanceShare = 0.1
--- a/contract/fair.go
+++ b/contract/fair.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// shares divides what nobody is guaranteed. There is no queue: a request is admitted or refused at once, so that fairness
-// lies in who is refused. Each team has a tag that runs ahead by worth over weight with what it takes, as in start-time
-// fair queueing; the common tag runs with what all take, over the weights of those that are short. A team whose tag is
-// ahead of the common one by more than a slack waits for the others, if there are others that are short. All of it costs
-// the same whatever the number of teams.
+// fairLimiter divides the capacity beyond the guaranteed shares among teams by weight. It follows start-time fair queueing, but has no
+// queue: requests are admitted or rejected at once, and fairness comes from the choice of the rejected ones. A team that was rejected for
+// lack of capacity counts as backlogged. An admitted request advances its team's start tag by its worth over the team's weight, and the
+// virtual time by its worth over the weights of the team and all other backlogged ones. While others are backlogged, a team whose start tag
+// is ahead of the virtual time by more than a burst is rejected. The amortized cost of all operations is constant in the number of teams.
 type fairLimiter struct {
-	spare            bucket  // capacity; guaranteed work may take it below nothing
-	virtualTime      float64 // the common tag
-	backloggedWeight float64 // of the weights of those that are short
-	oldest           *flow   // those that are short, the one longest ago first
+	spare            bucket // capacity left; guaranteed requests may make it negative
+	virtualTime      float64
+	backloggedWeight float64 // sum over the backlogged flows
+	oldest           *flow   // list of the backlogged flows, by backloggedAt
 	newest           *flow
 }
 
-// sharer is a team's place in the sharing.
+// flow is the state of a team in a fairLimiter.
 type flow struct {
 	weight        float64
 	startTag      float64
 	backlogged    bool
-	countedWeight float64       // the weight that is in the sum
-	backloggedAt  time.Duration // when it was last short
+	countedWeight float64       // its weight in backloggedWeight; weight may have changed since
+	backloggedAt  time.Duration // when it was last rejected for lack of capacity
 	prev, next    *flow
 }
 
 const (
-	// shortFor is how long a team counts as short after it was refused for want of capacity: a team that wants no more
-	// holds nobody up for longer.
+	// backlogTimeout is how long a team counts as backlogged after a rejection. It bounds how long a team that sends nothing more holds
+	// back the others.
 	backlogTimeout = 100 * time.Millisecond
-	// lent is the part of the spare capacity's burst that borrowers leave alone: who is within budget finds something.
+	// borrowReserveShare is the share of the spare capacity's burst that is reserved for teams within their budgets.
 	borrowReserveShare = 0.5
 )
 
@@ -41,10 +41,10 @@
 	}
 }
 
-// take counts work that is let in whatever is left, and give takes it back.
+// consume takes worth for a guaranteed request, also if too little capacity is left. refund returns it.
 func (l *fairLimiter) consume(now time.Duration, worth float64) {
 	l.spare.refill(now)
-	// Guaranteed work is no more than the capacity over time; a rush of it is owed for no longer than one burst.
+	// Over time guaranteed requests are within the capacity. A burst of them leaves a debt of at most one burst.
 	l.spare.available = max(l.spare.available-worth, -l.spare.burst)
 }
 
@@ -53,7 +53,8 @@
 	l.spare.available = min(l.spare.burst, l.spare.available+worth)
 }
 
-// share lets worth in for a team if there is room and it is its turn.
+// admit takes worth for a team if enough capacity is left and the team isn't ahead of its fair share. Otherwise it returns the time after
+// which a retry may succeed.
 func (l *fairLimiter) admit(now time.Duration, f *flow, worth float64, borrowing bool) (retryAfter time.Duration, ok bool) {
 	l.spare.refill(now)
 	l.expire(now)
@@ -79,7 +80,7 @@
 	return 0, true
 }
 
-// markShort notes that a team wants more than there is.
+// markBacklogged appends a flow to the list of backlogged ones, or moves it to the end.
 func (l *fairLimiter) markBacklogged(now time.Duration, f *flow) {
 	l.unlink(f)
 	f.backlogged, f.backloggedAt, f.countedWeight = true, now, f.weight
@@ -110,11 +111,12 @@
 	f.backlogged, f.prev, f.next = false, nil, nil
 	l.backloggedWeight -= f.countedWeight
 	if l.oldest == nil {
-		l.backloggedWeight = 0 // what sums of fractions leave
+		l.backloggedWeight = 0 // discards rounding errors
 	}
 }
 
-// expire lets go of teams that were short a while ago. Each refusal is let go once, so that the cost is shared by them.
+// expire removes flows whose last rejection was backlogTimeout ago. Each rejection adds at most one flow, so that the amortized cost is
+// constant.
 func (l *fairLimiter) expire(now time.Duration) {
 	for l.oldest != nil && now-l.oldest.backloggedAt >= backlogTimeout {
 		l.unlink(l.oldest)
--- a/contract/recent.go
+++ b/contract/recent.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// recent remembers tries for a while, in a table of a fixed size: sets of ways entries, in which the oldest gives way. What
-// it forgets counts as new.
+// attemptTable remembers recent first attempts, to detect their retries. It is a set-associative table of a fixed size: within a set of
+// entriesPerSet entries the oldest is evicted. A retry of an evicted attempt counts as a first attempt.
 type attemptTable struct {
 	slots []attempt
 	mask  uint64
@@ -11,12 +11,12 @@
 
 const entriesPerSet = 4
 
-// entry is a try. The zero value is none.
+// attempt is an entry of the table. The zero value is an empty one.
 type attempt struct {
 	identity uint64
-	firstAt  time.Duration // of the first try
-	retryAt  time.Duration // when it was told to come back
-	rejected bool          // its contract refused it: it has not run
+	firstAt  time.Duration // time of the first attempt
+	retryAt  time.Duration // end of the RetryAfter of a rejection
+	rejected bool          // all attempts were rejected by the contract, so that none was executed
 }
 
 func newAttemptTable(size int) *attemptTable {
@@ -29,7 +29,7 @@
 	return t.slots[first : first+entriesPerSet]
 }
 
-// find returns the try of an identity within a window; nil if there is none.
+// find returns the entry of an identity whose first attempt was within the window; nil if there is none.
 func (t *attemptTable) find(now time.Duration, identity uint64, window time.Duration) *attempt {
 	if identity == 0 || window == 0 {
 		return nil
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// put notes what became of a try. The window counts from the first one.
+// record stores the outcome of an attempt. The window starts at the first attempt.
 func (t *attemptTable) record(now time.Duration, identity uint64, window time.Duration, rejected bool, retryAt time.Duration) {
 	if identity == 0 || window == 0 {
 		return
@@ -53,7 +53,7 @@
 	for i := range set {
 		e := &set[i]
 		if e.identity == identity && now-e.firstAt < window {
-			// Once it was let in it may have run, whatever becomes of a later try.
+			// An earlier attempt that was admitted may have been executed, whatever the outcome of this one.
 			e.rejected, e.retryAt = e.rejected && rejected, retryAt
 			return
 		}
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -83,7 +83,7 @@
 		t.Error("a folder without contracts is read")
 	}
 	if _, err := load(t, map[string]string{"a.toml": north, "b.toml": north}); err == nil ||
-		!strings.Contains(err.Error(), "b.toml:3: team \"north\": name: \"north\" is there twice") {
+		!strings.Contains(err.Error(), "b.toml:3: team \"north\": name: duplicate team \"north\"") {
 		t.Errorf("one team in two files: %v", err)
 	}
 }
