--- a/contract/broker.go
+++ b/contract/broker.go
@@ -75,7 +75,7 @@
 const (
 	// After a shorter delay a client would retry in the same burst of load, and after a much longer one, such as an hour, not at all.
 	minRetryAfter, maxRetryAfter = 20 * time.Millisecond, 60 * time.Second
-	maxOpenRetryAfter            = 100 * time.Millisecond // beyond MaxOpen, as the end of a request can't be predicted
+	openLimitRetryAfter          = 100 * time.Millisecond // beyond MaxOpen, as the end of a request can't be predicted
 	// The burst of a retry budget is retryBurstSeconds of its floor, and at least minRetryBurst retries, or proportionally fewer where
 	// floor and share add up to less than 1.
 	retryBurstSeconds = 10
@@ -260,7 +260,7 @@
 		return b.reject(now, a, req, class.worth, OverRetries, a.retries.timeUntil(1))
 	}
 	if terms.localMaxOpen > 0 && a.open >= terms.localMaxOpen {
-		return b.reject(now, a, req, class.worth, OverMaxOpen, maxOpenRetryAfter)
+		return b.reject(now, a, req, class.worth, OverMaxOpen, openLimitRetryAfter)
 	}
 	d := Decision{Class: req.Class}
 	worth := class.worth
--- a/contract/broker_test.go
+++ b/contract/broker_test.go
@@ -513,9 +513,9 @@
 		}
 		return admittedCount / requested
 	}
-	even, stated := admittedShare([]float64{0.25, 0.25, 0.25, 0.25}), admittedShare(load)
-	t.Logf("admitted with equal shares %.3f, with configured ones %.3f", even, stated)
-	if even > 0.85 || even < 0.75 || stated < 0.98 {
-		t.Errorf("admitted with equal shares %.3f, with configured ones %.3f", even, stated)
+	equal, configured := admittedShare([]float64{0.25, 0.25, 0.25, 0.25}), admittedShare(load)
+	t.Logf("admitted with equal shares %.3f, with configured ones %.3f", equal, configured)
+	if equal > 0.85 || equal < 0.75 || configured < 0.98 {
+		t.Errorf("admitted with equal shares %.3f, with configured ones %.3f", equal, configured)
 	}
 }
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -57,7 +57,7 @@
 `
 
 // Every fault of every file is named at once, with its file and line.
-func TestFaultsHaveTheirPlaces(t *testing.T) {
+func TestErrorsHaveFileAndLine(t *testing.T) {
 	for change, want := range map[[2]string]string{
 		{`burst = 8`, `burst = 7`}:                                "a.toml:6: team \"north\": burst: 7 is less",
 		{`"degrade"`, `"steal"`}:                                  "a.toml:7: team \"north\": over: \"steal\"",
@@ -105,7 +105,7 @@
 }
 
 // A request is charged, degraded with its deadline and its name, refused with a hold-off, or denied.
-func TestGate(t *testing.T) {
+func TestGateAdmit(t *testing.T) {
 	g := newGate(t)
 	first, a := g.Admit(0, newCall(1, "lookup"))
 	if a != nil || !first.Valid() {
--- a/internal/broker/gate.go
+++ b/internal/broker/gate.go
@@ -67,11 +67,11 @@
 
 // identity hashes what a client's attempts at one request have in common; 0 where that is nothing.
 func identity(t *contract.Terms, m *core.Message) uint64 {
-	what := m.IdempotencyKey
-	if what == "" && t.Retries.Identity == contract.ByObject {
-		what = m.Object
+	key := m.IdempotencyKey
+	if key == "" && t.Retries.Identity == contract.ByObject {
+		key = m.Object
 	}
-	if what == "" {
+	if key == "" {
 		return 0
 	}
 	var d xxhash.Digest
@@ -80,7 +80,7 @@
 		_, _ = d.WriteString(part) // a hash's Write does not fail
 		_, _ = d.Write([]byte{0})  // a hash's Write does not fail
 	}
-	_, _ = d.WriteString(what) // a hash's Write does not fail
+	_, _ = d.WriteString(key) // a hash's Write does not fail
 	return max(1, d.Sum64())
 }
 
--- a/internal/broker/load.go
+++ b/internal/broker/load.go
@@ -38,9 +38,9 @@
 	Worth      float64  `toml:"worth_per_s"`
 	Burst      float64  `toml:"burst"`
 	Guaranteed float64  `toml:"guaranteed"`
-	Most       float64  `toml:"most"`
+	MaxShare   float64  `toml:"most"`
 	Over       string   `toml:"over"`
-	MostOpen   int      `toml:"most_open"`
+	MaxOpen    int      `toml:"most_open"`
 	Retries    struct {
 		Share    *float64 `toml:"share"`
 		Floor    *float64 `toml:"floor_per_s"`
@@ -179,8 +179,8 @@
 		WorthPerSecond:  t.Worth,
 		Burst:           t.Burst,
 		GuaranteedShare: t.Guaranteed,
-		MaxShare:        t.Most,
-		MaxOpen:         t.MostOpen,
+		MaxShare:        t.MaxShare,
+		MaxOpen:         t.MaxOpen,
 		Retries: contract.RetryTerms{
 			Share:          valueOr(t.Retries.Share, defaultRetryShare),
 			FloorPerSecond: valueOr(t.Retries.Floor, defaultRetryFloor),
@@ -241,9 +241,9 @@
 }
 
 // valueOr returns the value of an optional key.
-func valueOr(v *float64, otherwise float64) float64 {
+func valueOr(v *float64, fallback float64) float64 {
 	if v == nil {
-		return otherwise
+		return fallback
 	}
 	return *v
 }
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -27,7 +27,7 @@
 
 // applyList applies a list to the endpoints and passes it to the balancer.
 func (l *Loop) applyList(update *roster.List, kind balance.ListKind) {
-	list := balance.ServerList{Kind: kind, ZonePreference: update.Favour}
+	list := balance.ServerList{Kind: kind, ZonePreference: update.ZonePreference}
 	listed := map[string]bool{}
 	for i := range update.Members {
 		m := &update.Members[i]
@@ -84,7 +84,7 @@
 		State:           m.State(),
 		StartedAt:       max(0, m.UpSince),
 		Rating:          m.Size,
-		PathIncarnation: m.Way,
+		PathIncarnation: m.PathIncarnation,
 		Candidate:       m.Candidate,
 		Cell:            m.Cell,
 		Zone:            position(l.cfg.Zones, m.Locality),
--- a/internal/roster/follow/fleet_test.go
+++ b/internal/roster/follow/fleet_test.go
@@ -8,64 +8,64 @@
 
 // discovery answers a fleet in virtual time: it works through calls in turn, turns away what it has not come to after two seconds, and
 // writes news to open watches at no cost.
-type discovery struct {
-	perCall  time.Duration
-	freeAt   time.Duration
-	revision int64
-	calls    []time.Duration // when each came
+type fakeDiscovery struct {
+	perCall   time.Duration
+	freeAt    time.Duration
+	revision  int64
+	callTimes []time.Duration // when each came
 }
 
-type member struct {
-	plan *Plan
-	out  []booked
-	have int64
+type sidecar struct {
+	plan     *Plan
+	calls    []pendingCall
+	revision int64
 }
 
-type booked struct {
+type pendingCall struct {
 	id       int
 	from     int64
-	at       time.Duration // when it ends; never: it waits for news
-	turned   bool
-	waits    time.Duration
-	accepted bool
+	endsAt   time.Duration // when it ends; never: it waits for news
+	rejected bool
+	hold     time.Duration
+	waiting  bool
 }
 
 type fleet struct {
-	t       *testing.T
-	d       discovery
-	members []*member
-	now     time.Duration
-	fenced  int // times a member was seen with a list that is out of date
+	t         *testing.T
+	discovery fakeDiscovery
+	sidecars  []*sidecar
+	now       time.Duration
+	fenced    int // times a member was seen with a list that is out of date
 }
 
 func newFleet(t *testing.T, n int, perSecond float64) *fleet {
-	f := &fleet{t: t, d: discovery{perCall: time.Duration(float64(time.Second) / perSecond), revision: 1}}
+	f := &fleet{t: t, discovery: fakeDiscovery{perCall: time.Duration(float64(time.Second) / perSecond), revision: 1}}
 	for i := range n {
-		m := &member{plan: New(Config{Number: i, Sidecars: n, RefreshLimit: 10 * time.Second, HasList: true, Revision: 1}), have: 1}
-		f.members = append(f.members, m)
-		f.tell(m, Event{Kind: Started})
+		m := &sidecar{plan: New(Config{Number: i, Sidecars: n, RefreshLimit: 10 * time.Second, HasList: true, Revision: 1}), revision: 1}
+		f.sidecars = append(f.sidecars, m)
+		f.handle(m, Event{Kind: Started})
 	}
 	return f
 }
 
-func (f *fleet) tell(m *member, ev Event) {
+func (f *fleet) handle(m *sidecar, ev Event) {
 	for _, a := range append([]Action(nil), m.plan.Handle(f.now, ev)...) {
 		switch a.Kind {
 		case StartCall:
-			f.d.calls = append(f.d.calls, f.now)
-			start := max(f.now, f.d.freeAt)
-			c := booked{id: a.Call, from: a.From, waits: a.Hold}
-			if c.turned = start-f.now > 2*time.Second; c.turned {
-				c.at = f.now + 2*time.Second
+			f.discovery.callTimes = append(f.discovery.callTimes, f.now)
+			start := max(f.now, f.discovery.freeAt)
+			c := pendingCall{id: a.Call, from: a.From, hold: a.Hold}
+			if c.rejected = start-f.now > 2*time.Second; c.rejected {
+				c.endsAt = f.now + 2*time.Second
 			} else {
-				f.d.freeAt = start + f.d.perCall
-				c.at = f.d.freeAt
+				f.discovery.freeAt = start + f.discovery.perCall
+				c.endsAt = f.discovery.freeAt
 			}
-			m.out = append(m.out, c)
+			m.calls = append(m.calls, c)
 		case CancelCall:
-			for i := range m.out {
-				if m.out[i].id == a.Call {
-					m.out = append(m.out[:i:i], m.out[i+1:]...)
+			for i := range m.calls {
+				if m.calls[i].id == a.Call {
+					m.calls = append(m.calls[:i:i], m.calls[i+1:]...)
 					break
 				}
 			}
@@ -78,39 +78,39 @@
 
 // step goes on to the next thing that happens, at most until a time, and reports whether there was one.
 func (f *fleet) step(until time.Duration) bool {
-	next, who, what := until, -1, -1
-	for i, m := range f.members {
+	next, sidecarIndex, callIndex := until, -1, -1
+	for i, m := range f.sidecars {
 		if at := max(m.plan.Next(), f.now); at < next {
-			next, who, what = at, i, -1
+			next, sidecarIndex, callIndex = at, i, -1
 		}
-		for j, c := range m.out {
-			if c.at < next {
-				next, who, what = c.at, i, j
+		for j, c := range m.calls {
+			if c.endsAt < next {
+				next, sidecarIndex, callIndex = c.endsAt, i, j
 			}
 		}
 	}
 	f.now = next
-	if who < 0 {
+	if sidecarIndex < 0 {
 		return false
 	}
-	m := f.members[who]
-	if what < 0 {
-		f.tell(m, Event{Kind: Tick})
+	m := f.sidecars[sidecarIndex]
+	if callIndex < 0 {
+		f.handle(m, Event{Kind: Tick})
 		return true
 	}
-	c := &m.out[what]
-	if !c.turned && c.from == f.d.revision && !c.accepted { // it waits for news now
-		c.accepted, c.at = true, c.at+c.waits
+	c := &m.calls[callIndex]
+	if !c.rejected && c.from == f.discovery.revision && !c.waiting { // it waits for news now
+		c.waiting, c.endsAt = true, c.endsAt+c.hold
 		return true
 	}
-	ev := Event{Kind: ListReceived, Call: c.id, Revision: f.d.revision, Complete: c.from < 0}
-	if c.turned {
+	ev := Event{Kind: ListReceived, Call: c.id, Revision: f.discovery.revision, Complete: c.from < 0}
+	if c.rejected {
 		ev.Kind = Rejected
 	} else {
-		m.have = f.d.revision
+		m.revision = f.discovery.revision
 	}
-	m.out = append(m.out[:what:what], m.out[what+1:]...)
-	f.tell(m, ev)
+	m.calls = append(m.calls[:callIndex:callIndex], m.calls[callIndex+1:]...)
+	f.handle(m, ev)
 	return true
 }
 
@@ -120,48 +120,48 @@
 }
 
 // change makes news, which open watches hear at once; those of the silent do not.
-func (f *fleet) change(silent func(i int) bool) {
-	f.d.revision++
-	for i, m := range f.members {
-		for j := range m.out {
-			switch c := &m.out[j]; {
-			case c.accepted && silent(i):
-				c.at = never
-			case c.accepted:
-				c.at = f.now
+func (f *fleet) publish(stalled func(i int) bool) {
+	f.discovery.revision++
+	for i, m := range f.sidecars {
+		for j := range m.calls {
+			switch c := &m.calls[j]; {
+			case c.waiting && stalled(i):
+				c.endsAt = never
+			case c.waiting:
+				c.endsAt = f.now
 			}
 		}
 	}
 }
 
 // markReset ends all calls.
-func (f *fleet) cut() {
-	for _, m := range f.members {
-		for _, c := range append([]booked(nil), m.out...) {
-			f.tell(m, Event{Kind: ConnectionReset, Call: c.id})
+func (f *fleet) resetCalls() {
+	for _, m := range f.sidecars {
+		for _, c := range append([]pendingCall(nil), m.calls...) {
+			f.handle(m, Event{Kind: ConnectionReset, Call: c.id})
 		}
-		m.out = nil
-		f.tell(m, Event{Kind: Tick})
+		m.calls = nil
+		f.handle(m, Event{Kind: Tick})
 	}
 }
 
 // worst is the most calls in any half second from a time on.
-func (f *fleet) worst(from time.Duration) (most int) {
+func (f *fleet) maxCallsPerHalfSecond(from time.Duration) (maxCalls int) {
 	first := 0
-	for i, at := range f.d.calls { // in the order of their times
-		for f.d.calls[first] <= at-500*time.Millisecond || f.d.calls[first] < from {
+	for i, at := range f.discovery.callTimes { // in the order of their times
+		for f.discovery.callTimes[first] <= at-500*time.Millisecond || f.discovery.callTimes[first] < from {
 			if first++; first > i {
 				break
 			}
 		}
-		most = max(most, i-first+1)
+		maxCalls = max(maxCalls, i-first+1)
 	}
-	return most
+	return maxCalls
 }
 
-func (f *fleet) know() (n int) {
-	for _, m := range f.members {
-		if m.have == f.d.revision {
+func (f *fleet) upToDate() (n int) {
+	for _, m := range f.sidecars {
+		if m.revision == f.discovery.revision {
 			n++
 		}
 	}
@@ -169,26 +169,26 @@
 }
 
 // The calls of a whole fleet in any half second stay under a bound that does not depend on luck, whatever made them call together.
-func TestCallsOfAWholeFleet(t *testing.T) {
-	const plenty = 1e6 // calls a second
-	nobody := func(int) bool { return false }
+func TestFleetCallRateIsBounded(t *testing.T) {
+	const callsPerSecond = 1e6 // calls a second
+	noneStalled := func(int) bool { return false }
 	for _, c := range []struct{ sidecars, start, quiet, cut int }{
 		{8, 8, 10, 17}, {80, 11, 22, 161}, {300, 39, 56, 262}, {1000, 127, 180, 870},
 	} {
 		t.Run(fmt.Sprint(c.sidecars), func(t *testing.T) {
-			f := newFleet(t, c.sidecars, plenty)
+			f := newFleet(t, c.sidecars, callsPerSecond)
 			f.run(8 * time.Second)
-			start := f.worst(0)
+			start := f.maxCallsPerHalfSecond(0)
 			f.run(45 * time.Second)
-			quiet := f.worst(10 * time.Second)
-			f.change(nobody)
+			quiet := f.maxCallsPerHalfSecond(10 * time.Second)
+			f.publish(noneStalled)
 			f.run(50 * time.Second)
 			fenced := f.fenced
-			f.cut()
+			f.resetCalls()
 			f.run(55 * time.Second)
-			cut := f.worst(50 * time.Second)
+			cut := f.maxCallsPerHalfSecond(50 * time.Second)
 			t.Logf("%d sidecars, calls in the worst half second: start %d, quiet %d, all watches cut %d; %.0f calls a second on the mean",
-				c.sidecars, start, quiet, cut, float64(len(f.d.calls))/55)
+				c.sidecars, start, quiet, cut, float64(len(f.discovery.callTimes))/55)
 			if start > c.start || quiet > c.quiet || cut > c.cut {
 				t.Errorf("more than %d, %d, %d", c.start, c.quiet, c.cut)
 			}
@@ -200,22 +200,22 @@
 }
 
 // A discovery that can answer a sixth of the fleet in a second has all of it know a change that half of the watches missed.
-func TestAnOverbookedDiscoveryIsHeard(t *testing.T) {
+func TestUpdateReachesFleetOfOverloadedDiscovery(t *testing.T) {
 	for _, sidecars := range []int{80, 300} {
 		f := newFleet(t, sidecars, float64(sidecars)/6)
 		f.run(30 * time.Second)
-		f.change(func(i int) bool { return i%2 == 0 })
-		at := f.now
-		for f.know() < sidecars*9/10 && f.now < at+time.Minute {
+		f.publish(func(i int) bool { return i%2 == 0 })
+		changedAt := f.now
+		for f.upToDate() < sidecars*9/10 && f.now < changedAt+time.Minute {
 			f.run(f.now + 100*time.Millisecond)
 		}
-		tenths := f.now - at
-		for f.know() < sidecars && f.now < at+time.Minute {
+		ninetyPercent := f.now - changedAt
+		for f.upToDate() < sidecars && f.now < changedAt+time.Minute {
 			f.run(f.now + 100*time.Millisecond)
 		}
-		t.Logf("%d sidecars: nine tenths know after %v, all after %v; seen out of date %d times", sidecars, tenths, f.now-at, f.fenced)
-		if tenths > 12*time.Second || f.know() < sidecars {
-			t.Errorf("%d sidecars: %d know after %v", sidecars, f.know(), f.now-at)
+		t.Logf("%d sidecars: nine tenths know after %v, all after %v; seen out of date %d times", sidecars, ninetyPercent, f.now-changedAt, f.fenced)
+		if ninetyPercent > 12*time.Second || f.upToDate() < sidecars {
+			t.Errorf("%d sidecars: %d know after %v", sidecars, f.upToDate(), f.now-changedAt)
 		}
 	}
 }
--- a/internal/roster/follow/plan.go
+++ b/internal/roster/follow/plan.go
@@ -220,19 +220,19 @@
 
 // onCall handles an event of a call in progress.
 func (p *Plan) onCall(ev Event) {
-	at := p.find(ev.Call)
-	if at < 0 {
+	index := p.find(ev.Call)
+	if index < 0 {
 		return
 	}
-	c := p.calls[at]
+	c := p.calls[index]
 	if ev.Kind == DataReceived {
 		if !c.responding && c.role != fullFetch { // its hold has ended
 			p.unseen.expedite(c, p.now+updateGrace)
 		}
-		p.calls[at].responding, p.calls[at].lastByte = true, p.now
+		p.calls[index].responding, p.calls[index].lastByte = true, p.now
 		return
 	}
-	p.calls = append(p.calls[:at], p.calls[at+1:]...)
+	p.calls = append(p.calls[:index], p.calls[index+1:]...)
 	switch ev.Kind {
 	case ListReceived:
 		p.listReceived(c, ev)
@@ -330,8 +330,8 @@
 	if p.now < p.nextCallAt {
 		return
 	}
-	if again := p.lastListAt + watchResumeWindow; !p.cfg.Pushed && p.lastListAt < p.now && p.now < again {
-		p.nextCallAt = again
+	if resumeEnd := p.lastListAt + watchResumeWindow; !p.cfg.Pushed && p.lastListAt < p.now && p.now < resumeEnd {
+		p.nextCallAt = resumeEnd
 		return
 	}
 	p.nextCallAt = never
--- a/internal/roster/follow/spread.go
+++ b/internal/roster/follow/spread.go
@@ -51,11 +51,11 @@
 
 // positionAt returns this sidecar's position, from 0 to 1, after so many rotations.
 func (s *spread) positionAt(turns int) float64 {
-	x := s.position + float64(turns)*goldenSection
-	return x - float64(int(x))
+	position := s.position + float64(turns)*goldenSection
+	return position - float64(int(position))
 }
 
-func scale(d time.Duration, of float64) time.Duration { return time.Duration(float64(d) * of) }
+func scale(d time.Duration, factor float64) time.Duration { return time.Duration(float64(d) * factor) }
 
 // firstDelay is the delay of a sidecar's first call.
 func (s *spread) firstDelay() time.Duration {
@@ -72,25 +72,25 @@
 }
 
 // backoff is the delay after so many consecutive calls that failed without a part of a response.
-func (s *spread) backoff(fails int, moved bool) time.Duration {
+func (s *spread) backoff(failures int, moved bool) time.Duration {
 	if s.pushed || moved {
-		pause := agentBackoffBase << min(fails, maxAgentDoublings)
-		return pause/2 + scale(pause/2, s.positionAt(fails))
+		pause := agentBackoffBase << min(failures, maxAgentDoublings)
+		return pause/2 + scale(pause/2, s.positionAt(failures))
 	}
 	pause := backoffBase + scale(backoffPerSidecar, max(0, s.sidecars-smallFleet))
-	pause <<= min(fails, maxDoublings)
+	pause <<= min(failures, maxDoublings)
 	pause = min(pause, scale(s.refreshLimit, max(minLimitShare, min(maxLimitShare, s.sidecars/largeFleet))))
-	least := 0.5
+	minShare := 0.5
 	if s.sidecars >= smallFleet {
-		least = 0.1
+		minShare = 0.1
 	}
-	return scale(pause, least+(1-least)*s.positionAt(fails))
+	return scale(pause, minShare+(1-minShare)*s.positionAt(failures))
 }
 
 // refetchDelay is the delay before the call that follows a truncated response.
-func (s *spread) refetchDelay(fails int) time.Duration {
-	wait := scale(min(scale(refetchDelayPerSidecar, s.sidecars), maxRefetchDelay), s.positionAt(fails))
-	if fails > 0 {
+func (s *spread) refetchDelay(failures int) time.Duration {
+	wait := scale(min(scale(refetchDelayPerSidecar, s.sidecars), maxRefetchDelay), s.positionAt(failures))
+	if failures > 0 {
 		wait += repeatedRefetchDelay
 	}
 	return wait
--- a/internal/roster/follow/unseen.go
+++ b/internal/roster/follow/unseen.go
@@ -18,7 +18,7 @@
 const maxAbandoned = 8
 
 // unseenSet is a set of unseen updates. The zero value is empty.
-type unseenSet struct{ all []unseenUpdates }
+type unseenSet struct{ entries []unseenUpdates }
 
 // open adds a call that starts; when its updates count as acknowledged is known from the start.
 func (u *unseenSet) open(c call) {
@@ -31,8 +31,8 @@
 
 // expedite moves the time at which a call's updates count as acknowledged forward.
 func (u *unseenSet) expedite(c call, due time.Duration) {
-	for i := range u.all {
-		if x := &u.all[i]; x.call == c.id {
+	for i := range u.entries {
+		if x := &u.entries[i]; x.call == c.id {
 			x.due = min(x.due, due)
 			return
 		}
@@ -42,8 +42,8 @@
 
 // markReset marks a call's updates as those of a connection that was reset before a byte.
 func (u *unseenSet) markReset(id int) {
-	for i := range u.all {
-		if x := &u.all[i]; x.call == id {
+	for i := range u.entries {
+		if x := &u.entries[i]; x.call == id {
 			x.reset = true
 		}
 	}
@@ -51,61 +51,61 @@
 
 // remove removes a call that has ended and delivered all updates.
 func (u *unseenSet) remove(id int) {
-	u.all = slices.DeleteFunc(u.all, func(x unseenUpdates) bool { return x.call == id && id != 0 })
+	u.entries = slices.DeleteFunc(u.entries, func(x unseenUpdates) bool { return x.call == id && id != 0 })
 }
 
 // abandon marks a call as ended that may have had undelivered updates.
 func (u *unseenSet) abandon(id int, now time.Duration) {
-	for i := range u.all {
-		if x := &u.all[i]; x.call == id {
+	for i := range u.entries {
+		if x := &u.entries[i]; x.call == id {
 			x.call, x.until = 0, now
 		}
 	}
-	u.bound()
+	u.mergeAbandoned()
 }
 
 // confirm handles a complete response, which contains all updates up to its call's start, and up to its end on the same call.
 func (u *unseenSet) confirm(c call) {
 	u.remove(c.id)
-	u.all = slices.DeleteFunc(u.all, func(x unseenUpdates) bool { return x.until <= c.began })
+	u.entries = slices.DeleteFunc(u.entries, func(x unseenUpdates) bool { return x.until <= c.began })
 }
 
 // removeResets removes calls that were reset: discovery is down, and was so when it ended them.
 func (u *unseenSet) removeResets() {
-	u.all = slices.DeleteFunc(u.all, func(x unseenUpdates) bool { return x.reset })
+	u.entries = slices.DeleteFunc(u.entries, func(x unseenUpdates) bool { return x.reset })
 }
 
 func (u *unseenSet) add(x unseenUpdates) {
-	u.all = append(u.all, x)
-	u.bound()
+	u.entries = append(u.entries, x)
+	u.mergeAbandoned()
 }
 
-func (u *unseenSet) bound() {
-	over := 0
-	for _, x := range u.all {
+func (u *unseenSet) mergeAbandoned() {
+	abandoned := 0
+	for _, x := range u.entries {
 		if x.call == 0 {
-			over++
+			abandoned++
 		}
 	}
-	if over <= maxAbandoned {
+	if abandoned <= maxAbandoned {
 		return
 	}
 	// Merged into one, they are due with the earliest and confirmed with the latest.
-	sum := unseenUpdates{due: never}
-	u.all = slices.DeleteFunc(u.all, func(x unseenUpdates) bool {
+	merged := unseenUpdates{due: never}
+	u.entries = slices.DeleteFunc(u.entries, func(x unseenUpdates) bool {
 		if x.call != 0 {
 			return false
 		}
-		sum.due, sum.until, sum.reset = min(sum.due, x.due), max(sum.until, x.until), false
+		merged.due, merged.until, merged.reset = min(merged.due, x.due), max(merged.until, x.until), false
 		return true
 	})
-	u.all = append(u.all, sum)
+	u.entries = append(u.entries, merged)
 }
 
 // due is when the first of all counts as acknowledged.
 func (u *unseenSet) due() time.Duration {
 	due := never
-	for _, x := range u.all {
+	for _, x := range u.entries {
 		due = min(due, x.due)
 	}
 	return due
@@ -114,7 +114,7 @@
 // dueAbandoned is the same for abandoned calls.
 func (u *unseenSet) dueAbandoned() time.Duration {
 	due := never
-	for _, x := range u.all {
+	for _, x := range u.entries {
 		if x.call == 0 {
 			due = min(due, x.due)
 		}
--- a/internal/roster/follower.go
+++ b/internal/roster/follower.go
@@ -32,20 +32,20 @@
 	Complete bool     `json:"complete"`
 	Members  []Member `json:"members"`
 	// Favour is balance.ServerList's, set by a source that knows more than the entries show.
-	Favour float64 `json:"-"`
+	ZonePreference float64 `json:"-"`
 }
 
 // Member is a server in the list.
 type Member struct {
-	ID       string  `json:"id"`
-	HostPort string  `json:"host_port"`
-	Locality string  `json:"locality"`
-	Flavor   string  `json:"flavor"`
-	Cell     int     `json:"cell"`
-	Phase    string  `json:"phase"`
-	Size     float64 `json:"size"`
-	UpSince  float64 `json:"up_since_ms"`
-	Way      uint64  `json:"-"` // balance.Server's
+	ID              string  `json:"id"`
+	HostPort        string  `json:"host_port"`
+	Locality        string  `json:"locality"`
+	Flavor          string  `json:"flavor"`
+	Cell            int     `json:"cell"`
+	Phase           string  `json:"phase"`
+	Size            float64 `json:"size"`
+	UpSince         float64 `json:"up_since_ms"`
+	PathIncarnation uint64  `json:"-"` // balance.Server's
 
 	Candidate bool `json:"-"` // balance.Server's
 }
--- a/internal/roster/follower_test.go
+++ b/internal/roster/follower_test.go
@@ -15,9 +15,9 @@
 // recordedEvents passes on what the follower tells, one after the other.
 type recordedEvents chan any
 
-func (h recordedEvents) Listed(l *List)             { h <- l }
-func (h recordedEvents) ListFailed(err error)       { h <- err }
-func (h recordedEvents) Valid(time.Time, time.Time) {}
+func (r recordedEvents) Listed(l *List)             { r <- l }
+func (r recordedEvents) ListFailed(err error)       { r <- err }
+func (r recordedEvents) Valid(time.Time, time.Time) {}
 
 func start(t *testing.T, cfg Config) recordedEvents {
 	t.Helper()
@@ -34,12 +34,12 @@
 }
 
 // held is a list that was known at the start.
-func held(revision int64) *List { return &List{Revision: revision, Complete: true} }
+func knownList(revision int64) *List { return &List{Revision: revision, Complete: true} }
 
 // Revision 0 was taken for no list at all: each call asked for the whole list again, thousands a second.
-func TestWatchesFromRevisionZero(t *testing.T) {
+func TestWatchFromRevisionZero(t *testing.T) {
 	r := testbed.NewRoster(t)
-	start(t, Config{Addr: r.Addr, Known: held(0)})
+	start(t, Config{Addr: r.Addr, Known: knownList(0)})
 	if got := testbed.Next(t, r.Calls); !strings.HasPrefix(got, "from=0&hold_ms=") {
 		t.Errorf("first call: %q", got)
 	}
@@ -54,7 +54,7 @@
 }
 
 // Where no list is held there is nothing to watch from.
-func TestListsFirst(t *testing.T) {
+func TestFullListFirst(t *testing.T) {
 	r := testbed.NewRoster(t)
 	start(t, Config{Addr: r.Addr, Known: &List{}})
 	if got := testbed.Next(t, r.Calls); got != "" {
@@ -67,9 +67,9 @@
 }
 
 // An older revision with changes only cannot be applied to the list held.
-func TestListsAgainAfterStepBack(t *testing.T) {
+func TestFullListAfterRevisionDecrease(t *testing.T) {
 	r := testbed.NewRoster(t)
-	events := start(t, Config{Addr: r.Addr, Known: held(41)})
+	events := start(t, Config{Addr: r.Addr, Known: knownList(41)})
 	testbed.Next(t, r.Calls)
 	r.Lists <- List{Revision: 2}
 	if got := testbed.Next(t, r.Calls); got != "" {
@@ -82,7 +82,7 @@
 }
 
 // An agent that does not hold a watch must not be called in a tight loop.
-func TestPausesWhereNothingIsNew(t *testing.T) {
+func TestPausesBetweenUnchangedLists(t *testing.T) {
 	calls := make(chan time.Time, 100)
 	addr := testbed.ServeHTTP(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		select {
@@ -91,7 +91,7 @@
 		}
 		_ = json.NewEncoder(w).Encode(List{Revision: 41})
 	}))
-	start(t, Config{Addr: addr, Known: held(41)})
+	start(t, Config{Addr: addr, Known: knownList(41)})
 	first := testbed.Next(t, calls)
 	for range 3 {
 		testbed.Next(t, calls)
@@ -102,11 +102,11 @@
 }
 
 // A failed call is told, and made again without anybody's word.
-func TestFailedCalls(t *testing.T) {
+func TestReportsAndRetriesFailedCalls(t *testing.T) {
 	for name, pushed := range map[string]bool{"asked": false, "pushed": true} {
 		t.Run(name, func(t *testing.T) {
 			s := testbed.NewScript(t, testbed.Say(503, ""), testbed.Say(503, ""), testbed.Say(200, `{"revision":42}`), testbed.Stop(""))
-			events := start(t, Config{Addr: s.Addr, Pushed: pushed, Known: held(41)})
+			events := start(t, Config{Addr: s.Addr, Pushed: pushed, Known: knownList(41)})
 			for range 2 {
 				if ev := testbed.Next[any](t, events); !errors.Is(ev.(error), errStatus) {
 					t.Errorf("heard %v", ev)
@@ -121,27 +121,27 @@
 
 // Discovery may break an answer off, or send what can't be read. What it was to tell counts as told, and may be a drain: it is asked
 // again at once, also where the next call fails.
-func TestAsksAgainAtOnceAfterASpoiltAnswer(t *testing.T) {
-	whole := `{"revision":42,"complete":true,"members":[{"id":"s-1","host_port":"127.0.0.1:9","phase":"draining"}]}`
+func TestRetriesAtOnceAfterTruncatedResponse(t *testing.T) {
+	fullList := `{"revision":42,"complete":true,"members":[{"id":"s-1","host_port":"127.0.0.1:9","phase":"draining"}]}`
 	for name, c := range map[string]struct {
-		first   testbed.Step
-		spoiled bool
+		first     testbed.Step
+		truncated bool
 	}{
 		"within the status line": {testbed.BreakOff("HTTP/1"), true},
-		"within the list":        {testbed.BreakOff("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n" + whole[:60]), true},
+		"within the list":        {testbed.BreakOff("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n" + fullList[:60]), true},
 		"reset":                  {testbed.Cut(), true},
 		"stopped in the line":    {testbed.Stop("HTTP/1"), true},
-		"stopped in the list":    {testbed.Stop("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n" + whole[:60]), true},
+		"stopped in the list":    {testbed.Stop("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n" + fullList[:60]), true},
 		"no JSON":                {testbed.Say(200, "gibberish"), true},
 		"a member without id":    {testbed.Say(200, `{"revision":42,"complete":true,"members":[{"phase":"ready"}]}`), true},
 		"busy":                   {testbed.Say(503, ""), false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := testbed.NewScript(t, c.first, testbed.Say(503, ""), testbed.Say(200, whole)) // discovery is busy, too
-			f := start(t, Config{Addr: s.Addr, Known: held(41)})
+			s := testbed.NewScript(t, c.first, testbed.Say(503, ""), testbed.Say(200, fullList)) // discovery is busy, too
+			events := start(t, Config{Addr: s.Addr, Known: knownList(41)})
 			began, failed := time.Now(), 0
 			for {
-				ev := testbed.Next[any](t, f)
+				ev := testbed.Next[any](t, events)
 				if _, ok := ev.(error); ok {
 					failed++
 					continue
@@ -151,7 +151,7 @@
 				}
 				break
 			}
-			if took := time.Since(began); failed < 1 || c.spoiled && took > 2*time.Second {
+			if took := time.Since(began); failed < 1 || c.truncated && took > 2*time.Second {
 				t.Errorf("after %v and %d failures", took, failed)
 			}
 		})
@@ -160,10 +160,10 @@
 
 // A watch may fall silent on a connection that stays open. A proof beside it shows what it has missed, and it is made anew; held for long
 // with nothing beside it, it missed the replacement of the whole fleet.
-func TestSilentWatchIsNoticed(t *testing.T) {
+func TestStalledWatchIsReplaced(t *testing.T) {
 	t.Parallel()
 	r := testbed.NewRoster(t)
-	events := start(t, Config{Addr: r.Addr, Known: held(41)})
+	events := start(t, Config{Addr: r.Addr, Known: knownList(41)})
 	if got := testbed.Next(t, r.Calls); got != "from=41&hold_ms=40000" {
 		t.Errorf("first call: %s", got)
 	}
@@ -183,12 +183,12 @@
 
 // The new discovery may not be up yet. It is asked again soon, and without the module, which waits for long
 // after many failures.
-func TestMoveOutlastsARefusal(t *testing.T) {
+func TestRetriesAfterMoveToUnreachableAddress(t *testing.T) {
 	ln := testbed.Listen(t)
 	_ = ln.Close()
 	r := testbed.NewRoster(t)
 	events := make(recordedEvents, 100)
-	f := New(Config{Addr: r.Addr, Known: held(41)}, events)
+	f := New(Config{Addr: r.Addr, Known: knownList(41)}, events)
 	run(t, f)
 	testbed.Next(t, r.Calls)
 	f.Move(ln.Addr().String())
@@ -204,7 +204,7 @@
 }
 
 // Several moves in a row end at the last address, and so does one before the first list.
-func TestMovesInARow(t *testing.T) {
+func TestConsecutiveMoves(t *testing.T) {
 	first, second, third := testbed.NewRoster(t), testbed.NewRoster(t), testbed.NewRoster(t)
 	events := make(recordedEvents, 100)
 	f := New(Config{Addr: first.Addr, Known: &List{}}, events)
--- a/internal/roster/unreadbytes.go
+++ b/internal/roster/unreadbytes.go
@@ -15,13 +15,13 @@
 	if err != nil {
 		return false
 	}
-	var waits bool
+	var unread bool
 	if err := raw.Control(func(fd uintptr) {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		waits = err == nil
+		unread = err == nil
 	}); err != nil {
 		return false
 	}
-	return waits
+	return unread
 }
--- a/mesh/dataplane/service.go
+++ b/mesh/dataplane/service.go
@@ -181,7 +181,7 @@
 // setEndpoints brings the exchange to the servers of a directory, and the attempts in flight to their sidecars' incarnations.
 // Eligible tells what a rollout makes of a server of a version.
 func (s *service) setEndpoints(entries []directory.Entry, eligible func(version string) rollout.Eligibility, now time.Duration) {
-	list := &roster.List{Complete: true, Favour: s.localWeight(entries)}
+	list := &roster.List{Complete: true, ZonePreference: s.localWeight(entries)}
 	clockMillis := float64(time.Now().UnixMicro()) / 1000
 	for i := range entries {
 		e := &entries[i]
@@ -189,7 +189,7 @@
 		if e.Service != s.name || e.Lost || e.Server == "" || e.State != directory.Accepting && !draining {
 			continue
 		}
-		m := roster.Member{ID: e.Server, HostPort: e.Addr, Locality: e.Zone, Phase: "ready", Size: 1, Way: e.Incarnation}
+		m := roster.Member{ID: e.Server, HostPort: e.Addr, Locality: e.Zone, Phase: "ready", Size: 1, PathIncarnation: e.Incarnation}
 		switch eligibility := eligible(e.Version); {
 		case draining || eligibility == rollout.Finishes:
 			m.Phase = "draining"
--- a/mesh/locality/locality.go
+++ b/mesh/locality/locality.go
@@ -26,18 +26,18 @@
 	if own.Slots <= 0 || own.Callers <= 0 || all.Slots <= 0 {
 		return 0
 	}
-	supply := float64(own.Slots) / float64(all.Slots)
-	demand := float64(own.Callers) / float64(all.Callers)
-	return min(maxLocalShare, localCapacityShare*supply/demand)
+	slotShare := float64(own.Slots) / float64(all.Slots)
+	callerShare := float64(own.Callers) / float64(all.Callers)
+	return min(maxLocalShare, localCapacityShare*slotShare/callerShare)
 }
 
 // LocalWeight is the factor for the weight of the own zone's servers by which LocalShare of the requests stay, if all other servers have
 // the weight 1. It is at least 1, or 0 where there is nothing to prefer.
 func LocalWeight(own, all Zone) float64 {
-	stay := LocalShare(own, all)
-	if stay == 0 || own.Slots >= all.Slots {
+	localShare := LocalShare(own, all)
+	if localShare == 0 || own.Slots >= all.Slots {
 		return 0
 	}
-	part := float64(own.Slots) / float64(all.Slots)
-	return max(1, stay*(1-part)/(part*(1-stay)))
+	slotShare := float64(own.Slots) / float64(all.Slots)
+	return max(1, localShare*(1-slotShare)/(slotShare*(1-localShare)))
 }
--- a/mesh/locality/locality_test.go
+++ b/mesh/locality/locality_test.go
@@ -10,7 +10,7 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // However servers and callers are spread, a zone's servers get no more from their own zone than their part of the whole allows.
-func TestNoZoneCarriesMoreThanItsPart(t *testing.T) {
+func TestLocalRequestsWithinZoneCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := make([]Zone, rapid.IntRange(2, 5).Draw(t, "zones"))
 		var all Zone
--- a/mesh/retrybudget/budget_test.go
+++ b/mesh/retrybudget/budget_test.go
@@ -10,22 +10,22 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // In no window is more spent than the ratio of the requests in it and in the slots at its ends, plus the slack.
-func TestNeverSpendsMoreThanItHolds(t *testing.T) {
+func TestNeverExceedsBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const window = 1000.
-		p := New(0.1, 1.5, window)
-		var asked, spent []float64
+		budget := New(0.1, 1.5, window)
+		var requests, spent []float64
 		now := 1e12
 		for range rapid.IntRange(1, 400).Draw(t, "events") {
 			now += rapid.Float64Range(0, 60).Draw(t, "pause")
 			if rapid.Bool().Draw(t, "asks") {
-				p.Deposit(now)
-				asked = append(asked, now)
-			} else if p.TryWithdraw(now) {
+				budget.Deposit(now)
+				requests = append(requests, now)
+			} else if budget.TryWithdraw(now) {
 				spent = append(spent, now)
 			}
 		}
-		in := func(all []float64, from, to float64) (n float64) {
+		countIn := func(all []float64, from, to float64) (n float64) {
 			for _, at := range all {
 				if at > from && at <= to {
 					n++
@@ -34,7 +34,7 @@
 			return n
 		}
 		for _, end := range spent {
-			if s, a := in(spent, end-window, end), in(asked, end-window*(1+2./slotCount), end); s > 0.1*a+1.5 {
+			if s, a := countIn(spent, end-window, end), countIn(requests, end-window*(1+2./slotCount), end); s > 0.1*a+1.5 {
 				t.Fatalf("%v spent of %v asked", s, a)
 			}
 		}
