--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -26,7 +26,7 @@
 	Classes: []contract.Class{{Name: "reserve", Worth: 8, Effect: 1}, {Name: "lookup", Worth: 3}, {Name: "lite", Worth: 1}}, Capacity: 100,
 }
 
-// load reads files of contracts, by name.
+// load writes files of contracts, by name, to a folder and loads them.
 func load(t *testing.T, files map[string]string) (*contract.Set, error) {
 	t.Helper()
 	dir := t.TempDir()
@@ -56,7 +56,7 @@
 degrade = "lite"
 `
 
-// Every fault of every file is named at once, with its file and line.
+// All faults of all files are reported at once, with file and line. A token that was configured instead of its hash is not printed.
 func TestErrorsHaveFileAndLine(t *testing.T) {
 	for change, want := range map[[2]string]string{
 		{`burst = 8`, `burst = 7`}:                                "a.toml:6: team \"north\": burst: 7 is less",
@@ -76,11 +76,11 @@
 			t.Errorf("%v: %v", change, err)
 		}
 		if err != nil && strings.Contains(err.Error(), "secret") {
-			t.Errorf("a token is shown: %v", err)
+			t.Errorf("the error contains a token: %v", err)
 		}
 	}
 	if _, err := load(t, map[string]string{"a.txt": ""}); err == nil {
-		t.Error("a folder without contracts is read")
+		t.Error("a folder without contracts was loaded")
 	}
 	if _, err := load(t, map[string]string{"a.toml": north, "b.toml": north}); err == nil ||
 		!strings.Contains(err.Error(), "b.toml:3: team \"north\": name: duplicate team \"north\"") {
@@ -104,14 +104,14 @@
 	}
 }
 
-// A request is charged, degraded with its deadline and its name, refused with a hold-off, or denied.
+// A request is charged, degraded with the class's name and deadline, rejected with a RetryAfter, or denied.
 func TestGateAdmit(t *testing.T) {
 	g := newGate(t)
 	first, a := g.Admit(0, newCall(1, "lookup"))
 	if a != nil || !first.Valid() {
 		t.Fatalf("the first: %+v", a)
 	}
-	g.Release(0, first, false) // nothing ran
+	g.Release(0, first, false) // not executed, so that the charge is refunded
 	call := newCall(0, "reserve")
 	call.Message.Object = "plate 8"
 	if _, a := g.Admit(0, call); a != nil {
@@ -129,7 +129,7 @@
 		a.RetryAfter != 800*time.Millisecond {
 		t.Errorf("over budget: %+v", a)
 	}
-	again := newCall(1, "lookup") // the same object: a retry, under whatever id, and there are none
+	again := newCall(1, "lookup") // the same object counts as a retry, and there is no retry budget
 	if _, a := g.Admit(5*time.Second, again); a == nil || !strings.Contains(a.Text, "over_retries") {
 		t.Errorf("a retry: %+v", a)
 	}
@@ -142,7 +142,7 @@
 	}
 }
 
-// What may come from a file: an error or a version, never a panic.
+// Any file yields either an error or a set of contracts, and no panic.
 func FuzzLoad(f *testing.F) {
 	f.Add(north)
 	f.Add("[[team]]\n[[team]]\nname = \"a\"\n[team.retries]\nwindow_s = -1e300\n")
--- a/internal/broker/gate.go
+++ b/internal/broker/gate.go
@@ -9,8 +9,8 @@
 	"firplank/internal/core"
 )
 
-// Gate admits requests to the exchange by the teams' contracts. It implements core.Gate. It is not safe for concurrent use: it
-// belongs to the exchange's goroutine.
+// Gate admits requests to the exchange by the teams' contracts. It implements core.Gate. It is not safe for concurrent use: only the
+// exchange's goroutine may use it.
 type Gate struct {
 	broker     *contract.Broker
 	classes    []string // by number
@@ -65,7 +65,8 @@
 	g.broker.Release(now, grant, ran)
 }
 
-// identity hashes what a client's attempts at one request have in common; 0 where that is nothing.
+// identity returns a hash that a client's attempts at one request share: of the team, the class, and the idempotency key or object. It is 0
+// if the request has neither.
 func identity(t *contract.Terms, m *core.Message) uint64 {
 	key := m.IdempotencyKey
 	if key == "" && t.Retries.Identity == contract.ByObject {
--- a/internal/broker/load.go
+++ b/internal/broker/load.go
@@ -1,5 +1,5 @@
 // Package broker connects contracts to the program: it loads them from files, is the exchange's gate, and turns their decisions
-// into responses. Decisions are terms by package contract.
+// into responses. Package contract makes the decisions.
 //
 // load.go loads contracts and locates errors in their files, gate.go asks for a decision on each request. Start reading at Load
 // and New.
@@ -54,7 +54,7 @@
 	} `toml:"class"`
 }
 
-// The retry budget of a contract that has none: as in well-known proxies, a fifth of the first attempts, and one a second at
+// The retry budget of a contract that has none: as in well-known proxies, a fifth of the first attempts plus one a second, which matters at
 // low rates.
 const (
 	defaultRetryShare  = 0.2
@@ -84,14 +84,14 @@
 	maxTotalBytes = 64 << 20
 )
 
-// source is the place of a team's contract.
+// source is the location of a team's contract.
 type source struct {
 	name  string
 	lines map[string]int // by key; "" is the line at which the team begins
 }
 
-// Load reads all files of a folder that end in .toml, in the order of their names, and compiles them to one version. An error
-// joins all faults, each with its file and line.
+// Load reads all files of a folder that end in .toml, in the order of their names, and compiles them to one version. An error joins all
+// faults, each with its file and line.
 func Load(dir string, d contract.Deployment, catalog *core.Catalog) (*contract.Set, error) {
 	names, err := filepath.Glob(filepath.Join(dir, "*.toml"))
 	if err != nil {
@@ -136,7 +136,7 @@
 	errs    []error
 }
 
-// addFault records a fault at a key of a team; a negative team is none.
+// addFault records a fault at a key of a team; a negative team means that the fault concerns all of them.
 func (l *loader) addFault(team int, key, format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	if team < 0 {
@@ -208,7 +208,7 @@
 		var d contract.Digest
 		b, err := hex.DecodeString(text)
 		if err != nil || len(b) != len(d) {
-			l.addFault(i, "token_sha256", "one that is no SHA-256 in hexadecimal") // not its text: it may be the token
+			l.addFault(i, "token_sha256", "not a SHA-256 in hexadecimal") // without the text, which may be the token itself
 			continue
 		}
 		copy(d[:], b)
@@ -217,7 +217,7 @@
 	return digests
 }
 
-// classes reads the classes of a team. Where all of them are faulty it returns one, as none would be another fault.
+// classes reads the classes of a team. If all of them are faulty it returns one, as an empty list would be reported as a further fault.
 func (l *loader) classes(i int, t *team) (classes []contract.ClassTerms) {
 	for _, c := range t.Classes {
 		terms := contract.ClassTerms{Priority: c.Priority, DegradeTo: -1}
@@ -248,8 +248,8 @@
 	return *v
 }
 
-// keyLines returns, for each team of a valid file, the line of each of its keys. Of a key that occurs more than once, as those of
-// classes do, it is the first.
+// keyLines returns, for each team of a valid file, the line of each of its keys. For a key that occurs more than once, as those of classes
+// do, it is the first line.
 func keyLines(text []byte) (teams []map[string]int) {
 	var p unstable.Parser
 	p.Reset(text)
@@ -281,7 +281,7 @@
 		case unstable.KeyValue:
 			key := strings.Join(path, ".")
 			if prefix == "class" {
-				recordLine(teams, key, line) // a fault of a class is found by the key's own name
+				recordLine(teams, key, line) // contract.Fault names keys of a class without a prefix
 			} else if prefix != "" {
 				key = prefix + "." + key
 			}
--- a/internal/roster/follow/fleet_test.go
+++ b/internal/roster/follow/fleet_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// discovery answers a fleet in virtual time: it works through calls in turn, turns away what it has not come to after two seconds, and
-// writes news to open watches at no cost.
+// fakeDiscovery serves a fleet in virtual time. It processes calls one at a time, rejects those that would wait for more than two seconds,
+// and sends updates to open watches at no cost.
 type fakeDiscovery struct {
 	perCall   time.Duration
 	freeAt    time.Duration
 	revision  int64
-	callTimes []time.Duration // when each came
+	callTimes []time.Duration // start of each call
 }
 
 type sidecar struct {
@@ -24,10 +24,10 @@
 type pendingCall struct {
 	id       int
 	from     int64
-	endsAt   time.Duration // when it ends; never: it waits for news
+	endsAt   time.Duration // when it ends or starts to wait; never: the watch has stalled
 	rejected bool
 	hold     time.Duration
-	waiting  bool
+	waiting  bool // processed, and waits for updates until endsAt
 }
 
 type fleet struct {
@@ -35,7 +35,7 @@
 	discovery fakeDiscovery
 	sidecars  []*sidecar
 	now       time.Duration
-	fenced    int // times a member was seen with a list that is out of date
+	fenced    int // how often a sidecar's list was found to be no longer valid
 }
 
 func newFleet(t *testing.T, n int, perSecond float64) *fleet {
@@ -76,7 +76,7 @@
 	}
 }
 
-// step goes on to the next thing that happens, at most until a time, and reports whether there was one.
+// step advances to the next event before until and handles it. It reports whether there was one.
 func (f *fleet) step(until time.Duration) bool {
 	next, sidecarIndex, callIndex := until, -1, -1
 	for i, m := range f.sidecars {
@@ -99,7 +99,7 @@
 		return true
 	}
 	c := &m.calls[callIndex]
-	if !c.rejected && c.from == f.discovery.revision && !c.waiting { // it waits for news now
+	if !c.rejected && c.from == f.discovery.revision && !c.waiting { // starts to wait for updates
 		c.waiting, c.endsAt = true, c.endsAt+c.hold
 		return true
 	}
@@ -119,7 +119,7 @@
 	}
 }
 
-// change makes news, which open watches hear at once; those of the silent do not.
+// publish makes an update. Open watches receive it at once, except those of stalled sidecars, which never end.
 func (f *fleet) publish(stalled func(i int) bool) {
 	f.discovery.revision++
 	for i, m := range f.sidecars {
@@ -134,7 +134,7 @@
 	}
 }
 
-// markReset ends all calls.
+// resetCalls resets the connections of all calls.
 func (f *fleet) resetCalls() {
 	for _, m := range f.sidecars {
 		for _, c := range append([]pendingCall(nil), m.calls...) {
@@ -145,10 +145,10 @@
 	}
 }
 
-// worst is the most calls in any half second from a time on.
+// maxCallsPerHalfSecond returns the maximum number of calls that started in any half second after from.
 func (f *fleet) maxCallsPerHalfSecond(from time.Duration) (maxCalls int) {
 	first := 0
-	for i, at := range f.discovery.callTimes { // in the order of their times
+	for i, at := range f.discovery.callTimes { // in ascending order
 		for f.discovery.callTimes[first] <= at-500*time.Millisecond || f.discovery.callTimes[first] < from {
 			if first++; first > i {
 				break
@@ -168,9 +168,10 @@
 	return n
 }
 
-// The calls of a whole fleet in any half second stay under a bound that does not depend on luck, whatever made them call together.
+// The calls of a fleet in any half second are bounded, whatever makes the sidecars call at the same time. The bounds are deterministic, as
+// calls are spread by the sidecars' numbers and not at random.
 func TestFleetCallRateIsBounded(t *testing.T) {
-	const callsPerSecond = 1e6 // calls a second
+	const callsPerSecond = 1e6 // of discovery, so that it is never overloaded
 	noneStalled := func(int) bool { return false }
 	for _, c := range []struct{ sidecars, start, quiet, cut int }{
 		{8, 8, 10, 17}, {80, 11, 22, 161}, {300, 39, 56, 262}, {1000, 127, 180, 870},
@@ -187,19 +188,19 @@
 			f.resetCalls()
 			f.run(55 * time.Second)
 			cut := f.maxCallsPerHalfSecond(50 * time.Second)
-			t.Logf("%d sidecars, calls in the worst half second: start %d, quiet %d, all watches cut %d; %.0f calls a second on the mean",
+			t.Logf("%d sidecars, maximum calls in half a second: start %d, steady state %d, all watches reset %d; %.0f calls a second on average",
 				c.sidecars, start, quiet, cut, float64(len(f.discovery.callTimes))/55)
 			if start > c.start || quiet > c.quiet || cut > c.cut {
 				t.Errorf("more than %d, %d, %d", c.start, c.quiet, c.cut)
 			}
 			if fenced > 0 {
-				t.Errorf("%d times a list was out of date while discovery served all", fenced)
+				t.Errorf("%d times a list was no longer valid although discovery served all calls", fenced)
 			}
 		})
 	}
 }
 
-// A discovery that can answer a sixth of the fleet in a second has all of it know a change that half of the watches missed.
+// An update that half of the watches missed reaches the whole fleet, although discovery can serve only a sixth of the sidecars per second.
 func TestUpdateReachesFleetOfOverloadedDiscovery(t *testing.T) {
 	for _, sidecars := range []int{80, 300} {
 		f := newFleet(t, sidecars, float64(sidecars)/6)
@@ -213,9 +214,10 @@
 		for f.upToDate() < sidecars && f.now < changedAt+time.Minute {
 			f.run(f.now + 100*time.Millisecond)
 		}
-		t.Logf("%d sidecars: nine tenths know after %v, all after %v; seen out of date %d times", sidecars, ninetyPercent, f.now-changedAt, f.fenced)
+		t.Logf("%d sidecars: 90 %% updated after %v, all after %v; lists no longer valid %d times", sidecars,
+			ninetyPercent, f.now-changedAt, f.fenced)
 		if ninetyPercent > 12*time.Second || f.upToDate() < sidecars {
-			t.Errorf("%d sidecars: %d know after %v", sidecars, f.upToDate(), f.now-changedAt)
+			t.Errorf("%d sidecars: %d updated after %v", sidecars, f.upToDate(), f.now-changedAt)
 		}
 	}
 }
--- a/internal/roster/follow/plan.go
+++ b/internal/roster/follow/plan.go
@@ -1,6 +1,6 @@
 // Package follow decides how the list of servers is followed: when discovery is called and for how long, when a call times out, when
-// it is retried, and until when the current list contains every change that counts as acknowledged. It owns all intervals and bounds
-// of that, and does no I/O: it has no socket, goroutine or clock. Handle takes an event with its time and returns actions. Plans are
+// it is retried, and until when the current list contains every change that counts as acknowledged. It defines all intervals and bounds
+// for that, and does no I/O: it has no socket, goroutine or clock. Handle takes an event with its time and returns actions. Plans are
 // deterministic, so that any order of events can be replayed.
 //
 // One long call, the watch, waits at discovery for updates. At intervals short calls, the probes, check that there are none, which
@@ -12,7 +12,7 @@
 
 import "time"
 
-// Times of the users' pages, after which an update counts as acknowledged by this sidecar.
+// The times of discovery's specification after which an update counts as acknowledged by this sidecar.
 const (
 	updateGrace      = 2 * time.Second // after the hold of a call has ended
 	listGrace        = 6 * time.Second // after the start of a call without a hold
@@ -20,10 +20,10 @@
 )
 
 const (
-	// Hold is how long a watch waits at discovery. What a stalled one misses counts as acknowledged only after that, which leaves
+	// Hold is how long a watch waits at discovery. Updates that a stalled watch misses count as acknowledged only after that, which leaves
 	// time for many probes.
 	Hold = 40 * time.Second
-	// ProbeHold is the hold of a probe: next to none, but with one the response contains only what has changed.
+	// ProbeHold is the hold of a probe. It is short, but not zero, as the response to a call with a hold contains only what has changed.
 	ProbeHold = time.Millisecond
 
 	// A discovery that can't serve a call rejects it after two seconds; one that takes longer is stalled. slowCallTimeout applies
@@ -36,12 +36,12 @@
 	// maxWatchAge is the age of a watch after which a probe without updates starts another one that replaces it.
 	maxWatchAge  = 20 * time.Second
 	urgentMargin = 3 * time.Second // before unseen updates are due, their probe is not postponed
-	// watchResumeWindow: to discovery, a call within 200 ms of a response resumes its watch, and what has changed in between counts as
-	// acknowledged at once. Calls therefore start with the response or after that time.
+	// Discovery takes a call within 200 ms of a response for the continuation of the watch, and updates in between count as acknowledged at
+	// once. Calls therefore start either with the response or after watchResumeWindow.
 	watchResumeWindow = 210 * time.Millisecond
 	minCallGap        = 100 * time.Millisecond // between calls to an agent, which may respond at once each time
-	// maxFenceShare bounds how long the list may not be used once unseen updates are due, in refresh limits: after it the list is used
-	// again, as a discovery that is down for so long must not end the service.
+	// maxFenceShare bounds how long the list may not be used once unseen updates are due, in refresh limits. After that the list is used
+	// again, as a long outage of discovery must not end the service.
 	maxFenceShare       = 0.5
 	defaultRefreshLimit = 10 * time.Second // where the settings have none
 )
@@ -251,7 +251,7 @@
 // listReceived handles a complete response.
 func (p *Plan) listReceived(c call, ev Event) {
 	if p.hasList && c.role != fullFetch && !ev.Complete && ev.Revision < p.revision {
-		// Changes to an older revision: discovery was reset, and only a complete list helps. What it counts as acknowledged has
+		// Changes to an older revision: discovery was reset, so that a complete list is needed. Updates that it counts as acknowledged have
 		// not arrived, and the revisions of other calls are void.
 		p.unseen.expedite(c, p.now+updateGrace)
 		p.unseen.abandon(c.id, p.now)
@@ -336,7 +336,7 @@
 	}
 	p.nextCallAt = never
 	switch {
-	case p.shortCallPending(): // its end starts the next
+	case p.shortCallPending(): // the next call starts when it ends
 	case !p.hasList:
 		p.begin(fullFetch)
 	case p.watching() == nil && p.unseen.noneAbandoned():
--- a/internal/roster/follow/spread.go
+++ b/internal/roster/follow/spread.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// The calls of a fleet are spread by the sidecars' numbers: of N sidecars that start an interval in the same instant each has a
-// position of its own in it, so that any part of the interval has its share of the N calls, and at most one more. The positions of the
-// next interval are the same, rotated by the golden section.
+// The calls of a fleet are spread by the sidecars' numbers. If N sidecars start an interval at the same time, each has its own position in
+// the interval, so that any part of it contains its share of the N calls, and at most one more. The positions in the next interval are the
+// same, rotated by the golden section.
 const (
 	minProbeInterval      = 4 * time.Second // between a response and the probe that follows
 	maxProbeSpread        = 5 * time.Second // added, by the fleet's size and the position
@@ -41,7 +41,7 @@
 
 func newSpread(cfg Config) spread {
 	n := max(1, cfg.Sidecars)
-	if cfg.Pushed { // the agent is this sidecar's alone
+	if cfg.Pushed { // the agent has no other sidecars
 		n = 1
 	}
 	return spread{
@@ -49,7 +49,7 @@
 	}
 }
 
-// positionAt returns this sidecar's position, from 0 to 1, after so many rotations.
+// positionAt returns this sidecar's position, from 0 to 1, after a number of rotations.
 func (s *spread) positionAt(turns int) float64 {
 	position := s.position + float64(turns)*goldenSection
 	return position - float64(int(position))
@@ -71,7 +71,7 @@
 	return minProbeInterval + scale(max(time.Second, min(maxProbeSpread, scale(probeSpreadPerSidecar, s.sidecars))), s.positionAt(s.turns))
 }
 
-// backoff is the delay after so many consecutive calls that failed without a part of a response.
+// backoff is the delay after a call that failed without a part of a response, by the number of consecutive failures.
 func (s *spread) backoff(failures int, moved bool) time.Duration {
 	if s.pushed || moved {
 		pause := agentBackoffBase << min(failures, maxAgentDoublings)
--- a/internal/roster/follow/unseen.go
+++ b/internal/roster/follow/unseen.go
@@ -20,7 +20,7 @@
 // unseenSet is a set of unseen updates. The zero value is empty.
 type unseenSet struct{ entries []unseenUpdates }
 
-// open adds a call that starts; when its updates count as acknowledged is known from the start.
+// open adds a call that starts. Its kind and start determine when its updates count as acknowledged.
 func (u *unseenSet) open(c call) {
 	due := c.began + listGrace
 	if c.role == watch {
@@ -70,7 +70,7 @@
 	u.entries = slices.DeleteFunc(u.entries, func(x unseenUpdates) bool { return x.until <= c.began })
 }
 
-// removeResets removes calls that were reset: discovery is down, and was so when it ended them.
+// removeResets removes calls that were reset. It is called when discovery is found to be down, which explains the resets.
 func (u *unseenSet) removeResets() {
 	u.entries = slices.DeleteFunc(u.entries, func(x unseenUpdates) bool { return x.reset })
 }
@@ -90,7 +90,7 @@
 	if abandoned <= maxAbandoned {
 		return
 	}
-	// Merged into one, they are due with the earliest and confirmed with the latest.
+	// The merged entry is due at the earliest of their times and confirmed at the latest.
 	merged := unseenUpdates{due: never}
 	u.entries = slices.DeleteFunc(u.entries, func(x unseenUpdates) bool {
 		if x.call != 0 {
@@ -102,7 +102,7 @@
 	u.entries = append(u.entries, merged)
 }
 
-// due is when the first of all counts as acknowledged.
+// due is when the first unseen update counts as acknowledged.
 func (u *unseenSet) due() time.Duration {
 	due := never
 	for _, x := range u.entries {
@@ -111,7 +111,7 @@
 	return due
 }
 
-// dueAbandoned is the same for abandoned calls.
+// dueAbandoned is when the first unseen update of an abandoned call counts as acknowledged.
 func (u *unseenSet) dueAbandoned() time.Duration {
 	due := never
 	for _, x := range u.entries {
--- a/internal/roster/follower.go
+++ b/internal/roster/follower.go
@@ -1,5 +1,6 @@
-// Package roster follows the list of servers at a deployment's discovery. It owns the list's wire format, its checks and the calls;
-// package follow decides when to call, and Events is notified of each list. What a change means is the exchange's concern.
+// Package roster follows the list of servers at a deployment's discovery service. It defines the list's wire format, validates lists, and
+// makes the calls. Package follow decides when to call, and Events is notified of each list; the exchange implements Events.
+//
 // Start reading at Follower.
 package roster
 
@@ -31,7 +32,7 @@
 	Revision int64    `json:"revision"`
 	Complete bool     `json:"complete"`
 	Members  []Member `json:"members"`
-	// Favour is balance.ServerList's, set by a source that knows more than the entries show.
+	// ZonePreference is passed on as balance.ServerList.ZonePreference. It is set by sources other than discovery only.
 	ZonePreference float64 `json:"-"`
 }
 
@@ -45,17 +46,17 @@
 	Phase           string  `json:"phase"`
 	Size            float64 `json:"size"`
 	UpSince         float64 `json:"up_since_ms"`
-	PathIncarnation uint64  `json:"-"` // balance.Server's
+	PathIncarnation uint64  `json:"-"` // as in balance.Server
 
-	Candidate bool `json:"-"` // balance.Server's
+	Candidate bool `json:"-"` // as in balance.Server
 }
 
-// State is the member's state in a list that has passed Check.
+// State returns the member's state. The list must have passed Check.
 func (m *Member) State() balance.State { return phases[m.Phase] }
 
 var phases = map[string]balance.State{"ready": balance.Ready, "draining": balance.Draining, "gone": balance.Gone}
 
-// Check returns the first fault of a list, which is then rejected as a whole: an entry skipped could be a drain missed.
+// Check returns the first fault of a list. A faulty list is rejected as a whole, as a skipped entry could be a server that is draining.
 func (l *List) Check() error {
 	for _, m := range l.Members {
 		if m.ID == "" {
@@ -76,17 +77,17 @@
 type Events interface {
 	// Listed delivers a list, or changes to the last one.
 	Listed(*List)
-	// ListFailed reports a call that failed.
+	// ListFailed reports the error of a failed call.
 	ListFailed(error)
-	// Valid reports until when the delivered list contains every change that counts as acknowledged. From then on no listed server
-	// may be used, until lapsed, when that ends. Zero times: there is no end.
+	// Valid reports until when the delivered list contains every change that counts as acknowledged. From then on no listed server may be
+	// used, until lapsed, when the restriction ends. Zero times: the list stays valid.
 	Valid(until, lapsed time.Time)
 }
 
 // Config configures a Follower.
 type Config struct {
 	Addr   string
-	Pushed bool  // the address is that of a local agent, to which the list is pushed
+	Pushed bool  // the address is a local agent's, to which the list is pushed
 	Known  *List // the last list
 
 	Number, Sidecars int           // this sidecar's number, and how many use the same discovery; 0: not known
@@ -136,7 +137,7 @@
 // never is the latest time.
 const never = time.Duration(1<<63 - 1)
 
-// New returns a follower; Run makes its first call.
+// New returns a follower. Run makes the first call.
 func New(cfg Config, events Events) *Follower {
 	return &Follower{
 		addr:   cfg.Addr,
@@ -253,7 +254,7 @@
 	}
 }
 
-// removeCall forgets a call that has ended or was cancelled.
+// removeCall removes a call that has ended or was cancelled.
 func (f *Follower) removeCall(call int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -276,7 +277,7 @@
 
 // errTimeout is a call without a complete response in time, errStatus a response without a list.
 var (
-	errTimeout = errors.New("discovery: no answer, or one that stopped short of its end")
+	errTimeout = errors.New("discovery: no complete response in time")
 	errStatus  = errors.New("discovery")
 )
 
@@ -305,7 +306,7 @@
 	send(callResult{event: outcome(l, err, c.responded.Load()), list: l, err: err})
 }
 
-// outcome is the event that ends a call, of whose response some bytes may have been received.
+// outcome returns the event that ends a call. responded is whether some bytes of the response have been received.
 func outcome(l *List, err error, responded bool) follow.Event {
 	var network *net.OpError
 	switch {
@@ -321,7 +322,7 @@
 	return follow.Event{Kind: follow.ConnectionReset}
 }
 
-// notifyingReader calls on after each read that returns bytes.
+// notifyingReader calls on after each read that returned bytes.
 type notifyingReader struct {
 	from io.Reader
 	on   func()
@@ -346,7 +347,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "discovery")
 	}
-	defer func() { _ = resp.Body.Close() }() // the body has been read, or is not wanted
+	defer func() { _ = resp.Body.Close() }() // the body has been read, or is ignored
 	body, err := io.ReadAll(io.LimitReader(notifyingReader{from: resp.Body, on: received}, maxListBytes))
 	if err != nil {
 		return nil, errors.Wrap(err, "discovery")
--- a/internal/roster/follower_test.go
+++ b/internal/roster/follower_test.go
@@ -12,7 +12,7 @@
 	"firplank/internal/testbed"
 )
 
-// recordedEvents passes on what the follower tells, one after the other.
+// recordedEvents receives the lists and errors that the follower reports, in order.
 type recordedEvents chan any
 
 func (r recordedEvents) Listed(l *List)             { r <- l }
@@ -33,10 +33,11 @@
 	t.Cleanup(func() { cancel(); <-done })
 }
 
-// held is a list that was known at the start.
+// knownList returns a complete list to start from.
 func knownList(revision int64) *List { return &List{Revision: revision, Complete: true} }
 
-// Revision 0 was taken for no list at all: each call asked for the whole list again, thousands a second.
+// A list with revision 0 must be watched like any other. When it was treated as missing, the complete list was fetched thousands of times a
+// second.
 func TestWatchFromRevisionZero(t *testing.T) {
 	r := testbed.NewRoster(t)
 	start(t, Config{Addr: r.Addr, Known: knownList(0)})
@@ -53,7 +54,7 @@
 	}
 }
 
-// Where no list is held there is nothing to watch from.
+// Without a known list the first call fetches the complete one, as there is no revision to watch from.
 func TestFullListFirst(t *testing.T) {
 	r := testbed.NewRoster(t)
 	start(t, Config{Addr: r.Addr, Known: &List{}})
@@ -66,18 +67,18 @@
 	}
 }
 
-// An older revision with changes only cannot be applied to the list held.
+// Changes with an older revision than the current list's can't be applied: the complete list is fetched again.
 func TestFullListAfterRevisionDecrease(t *testing.T) {
 	r := testbed.NewRoster(t)
 	events := start(t, Config{Addr: r.Addr, Known: knownList(41)})
 	testbed.Next(t, r.Calls)
 	r.Lists <- List{Revision: 2}
 	if got := testbed.Next(t, r.Calls); got != "" {
-		t.Errorf("call after the testbed.Step back: %q", got)
+		t.Errorf("call after the lower revision: %q", got)
 	}
 	r.Lists <- List{Revision: 2, Complete: true}
 	if ev, ok := testbed.Next[any](t, events).(*List); !ok || !ev.Complete {
-		t.Errorf("heard %#v", ev)
+		t.Errorf("received %#v", ev)
 	}
 }
 
@@ -101,7 +102,7 @@
 	}
 }
 
-// A failed call is told, and made again without anybody's word.
+// A failed call is reported and retried.
 func TestReportsAndRetriesFailedCalls(t *testing.T) {
 	for name, pushed := range map[string]bool{"asked": false, "pushed": true} {
 		t.Run(name, func(t *testing.T) {
@@ -109,18 +110,18 @@
 			events := start(t, Config{Addr: s.Addr, Pushed: pushed, Known: knownList(41)})
 			for range 2 {
 				if ev := testbed.Next[any](t, events); !errors.Is(ev.(error), errStatus) {
-					t.Errorf("heard %v", ev)
+					t.Errorf("received %v", ev)
 				}
 			}
 			if l, ok := testbed.Next[any](t, events).(*List); !ok || l.Revision != 42 {
-				t.Errorf("heard %v", l)
+				t.Errorf("received %v", l)
 			}
 		})
 	}
 }
 
-// Discovery may break an answer off, or send what can't be read. What it was to tell counts as told, and may be a drain: it is asked
-// again at once, also where the next call fails.
+// A response may be truncated or invalid. Its changes count as acknowledged, and may include a draining server: the call is repeated at
+// once, also if the next one fails.
 func TestRetriesAtOnceAfterTruncatedResponse(t *testing.T) {
 	fullList := `{"revision":42,"complete":true,"members":[{"id":"s-1","host_port":"127.0.0.1:9","phase":"draining"}]}`
 	for name, c := range map[string]struct {
@@ -137,7 +138,7 @@
 		"busy":                   {testbed.Say(503, ""), false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := testbed.NewScript(t, c.first, testbed.Say(503, ""), testbed.Say(200, fullList)) // discovery is busy, too
+			s := testbed.NewScript(t, c.first, testbed.Say(503, ""), testbed.Say(200, fullList)) // discovery is also overloaded
 			events := start(t, Config{Addr: s.Addr, Known: knownList(41)})
 			began, failed := time.Now(), 0
 			for {
@@ -147,7 +148,7 @@
 					continue
 				}
 				if l := ev.(*List); l.Revision != 42 || len(l.Members) != 1 {
-					t.Errorf("heard %#v", ev)
+					t.Errorf("received %#v", ev)
 				}
 				break
 			}
@@ -158,8 +159,8 @@
 	}
 }
 
-// A watch may fall silent on a connection that stays open. A proof beside it shows what it has missed, and it is made anew; held for long
-// with nothing beside it, it missed the replacement of the whole fleet.
+// A watch may stall on a connection that stays open. A probe detects the changes that it has missed, and the watch is replaced. Without
+// probes a stalled watch missed the replacement of all servers.
 func TestStalledWatchIsReplaced(t *testing.T) {
 	t.Parallel()
 	r := testbed.NewRoster(t)
@@ -170,10 +171,10 @@
 	if got := testbed.Next(t, r.Calls); got != "from=41&hold_ms=1" {
 		t.Errorf("second call: %s", got)
 	}
-	// The stand-in gives the list to either call; where it is the watch, the proof is what is given up.
+	// The stand-in sends the list in response to either call. If that is the watch, the probe is cancelled.
 	r.Lists <- List{Revision: 42}
 	if l, ok := testbed.Next[any](t, events).(*List); !ok || l.Revision != 42 {
-		t.Errorf("heard %v", l)
+		t.Errorf("received %v", l)
 	}
 	if got := testbed.Next(t, r.Calls); got != "from=42&hold_ms=40000" {
 		t.Errorf("third call: %s", got)
@@ -181,8 +182,8 @@
 	testbed.Next(t, r.Cut)
 }
 
-// The new discovery may not be up yet. It is asked again soon, and without the module, which waits for long
-// after many failures.
+// After a move the new discovery may not be up yet. Calls to it are retried soon, without the long backoff that follows repeated failures
+// of the same discovery.
 func TestRetriesAfterMoveToUnreachableAddress(t *testing.T) {
 	ln := testbed.Listen(t)
 	_ = ln.Close()
@@ -192,9 +193,9 @@
 	run(t, f)
 	testbed.Next(t, r.Calls)
 	f.Move(ln.Addr().String())
-	for range 3 { // none of them asked for
+	for range 3 { // retries
 		if _, ok := testbed.Next[any](t, events).(error); !ok {
-			t.Error("the refusal went unheard")
+			t.Error("the failed call was not reported")
 		}
 	}
 	f.Move(r.Addr)
@@ -203,7 +204,7 @@
 	}
 }
 
-// Several moves in a row end at the last address, and so does one before the first list.
+// Consecutive moves end at the last address, also before Run and before the first list.
 func TestConsecutiveMoves(t *testing.T) {
 	first, second, third := testbed.NewRoster(t), testbed.NewRoster(t), testbed.NewRoster(t)
 	events := make(recordedEvents, 100)
@@ -216,6 +217,6 @@
 	testbed.Next(t, third.Calls)
 	third.Lists <- List{Revision: 1, Complete: true}
 	if l, ok := testbed.Next[any](t, events).(*List); !ok || l.Revision != 1 {
-		t.Errorf("heard %#v", l)
+		t.Errorf("received %#v", l)
 	}
 }
--- a/internal/roster/unreadbytes.go
+++ b/internal/roster/unreadbytes.go
@@ -5,7 +5,8 @@
 	"syscall"
 )
 
-// hasUnread reports whether a connection has bytes to read, or its end. It is false where the system cannot tell.
+// hasUnread reports whether a connection has unread bytes or has been closed by the peer. It is false if the connection doesn't support the
+// system call.
 func hasUnread(conn net.Conn) bool {
 	c, ok := conn.(syscall.Conn)
 	if !ok {
--- a/mesh/locality/locality_test.go
+++ b/mesh/locality/locality_test.go
@@ -9,7 +9,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// However servers and callers are spread, a zone's servers get no more from their own zone than their part of the whole allows.
+// With any distribution of servers and callers, a zone's servers get at most localCapacityShare of their fair load from their own zone.
 func TestLocalRequestsWithinZoneCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := make([]Zone, rapid.IntRange(2, 5).Draw(t, "zones"))
@@ -25,7 +25,7 @@
 		for i, z := range zones {
 			own := LocalShare(z, all) * float64(z.Callers) / float64(all.Callers)
 			if part := float64(z.Slots) / float64(all.Slots); own > localCapacityShare*part+1e-9 {
-				t.Fatalf("zone %d: %.3f of its own, part %.3f", i, own, part)
+				t.Fatalf("zone %d: local load %.3f, share of all slots %.3f", i, own, part)
 			}
 			if f := LocalWeight(z, all); f != 0 && f < 1 {
 				t.Fatalf("zone %d: weight %v", i, f)
--- a/mesh/retrybudget/budget_test.go
+++ b/mesh/retrybudget/budget_test.go
@@ -9,7 +9,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// In no window is more spent than the ratio of the requests in it and in the slots at its ends, plus the slack.
+// In every window the retries are at most the ratio of the requests in the window and in the slots at its ends, plus the slack.
 func TestNeverExceedsBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const window = 1000.
@@ -35,7 +35,7 @@
 		}
 		for _, end := range spent {
 			if s, a := countIn(spent, end-window, end), countIn(requests, end-window*(1+2./slotCount), end); s > 0.1*a+1.5 {
-				t.Fatalf("%v spent of %v asked", s, a)
+				t.Fatalf("%v retries for %v requests", s, a)
 			}
 		}
 	})
