--- a/contract/broker.go
+++ b/contract/broker.go
@@ -108,6 +108,7 @@
 	b.available = min(b.available, burst)
 }
 
+// boundedRetryAfter converts seconds to a duration from minRetryAfter to maxRetryAfter.
 func boundedRetryAfter(seconds float64) time.Duration {
 	if !(seconds < maxRetryAfter.Seconds()) { // also for NaN and infinity
 		return maxRetryAfter
@@ -222,6 +223,7 @@
 // budget above zero, as weights are divisors.
 const shareBurstSeconds, minWeight = 0.1, 1e-6
 
+// atLeast returns the maximum of v and floor, or 0 for a share of 0.
 func atLeast(v, floor, share float64) float64 {
 	if share <= 0 {
 		return 0
--- a/contract/broker_test.go
+++ b/contract/broker_test.go
@@ -41,8 +41,8 @@
 	if d.RetryAfter != 800*ms {
 		t.Errorf("retry after %v for a worth of 8 at 10 a second", d.RetryAfter)
 	}
-	checkReason(t, "a little early", b.admit(d.RetryAfter-2*ms, 0, reserve), OverBudget)
-	checkReason(t, "when told", b.admit(d.RetryAfter, 0, reserve), WithinBudget)
+	checkReason(t, "2 ms before RetryAfter", b.admit(d.RetryAfter-2*ms, 0, reserve), OverBudget)
+	checkReason(t, "after RetryAfter", b.admit(d.RetryAfter, 0, reserve), WithinBudget)
 }
 
 // A team without a budget is rejected with a finite RetryAfter, although its bucket is never refilled.
@@ -57,7 +57,7 @@
 	a := terms("a", 10, 20)
 	a.Classes = a.Classes[:2]
 	b := New(0, compile(t, deployment(0), a))
-	if d := checkReason(t, "a class of others", b.admit(0, 0, lite), ClassNotAllowed); d.Verdict != Denied {
+	if d := checkReason(t, "a class outside the contract", b.admit(0, 0, lite), ClassNotAllowed); d.Verdict != Denied {
 		t.Errorf("verdict %d", d.Verdict)
 	}
 	if d := b.DenyUnknownTeam(); d.Verdict != Denied || b.Report(0).UnknownTeam != 1 {
@@ -89,7 +89,7 @@
 	if d := checkReason(t, "beyond", b.admit(0, 0, lookup), Degraded); d.Class != lite {
 		t.Errorf("degraded to class %d", d.Class)
 	}
-	checkReason(t, "beyond that too", b.admit(0, 0, lookup), OverBudget)
+	checkReason(t, "beyond the degraded class too", b.admit(0, 0, lookup), OverBudget)
 }
 
 // The charge of a request that was not executed is refunded once, and never beyond the burst.
@@ -97,9 +97,9 @@
 	b := New(0, compile(t, deployment(0), terms("a", 1e-9, 16)))
 	first, second := b.admit(0, 0, reserve), b.admit(0, 0, reserve)
 	b.Release(0, first.Grant, false)
-	checkReason(t, "after one was given back", b.admit(0, 0, reserve), WithinBudget)
+	checkReason(t, "after a refund", b.admit(0, 0, reserve), WithinBudget)
 	b.Release(0, second.Grant, true)
-	checkReason(t, "after one that ran", b.admit(0, 0, reserve), OverBudget)
+	checkReason(t, "after one was executed", b.admit(0, 0, reserve), OverBudget)
 	b.Release(0, Grant{}, false)
 	if a := b.accounts[0]; a.open != 1 || a.heldWorth != 8 || a.returnedWorth != 8 {
 		t.Errorf("%d open, %v held, %v refunded", a.open, a.heldWorth, a.returnedWorth)
@@ -112,7 +112,7 @@
 	b := New(0, compile(t, deployment(0), a))
 	first := b.admit(0, 0, lite)
 	b.admit(0, 0, lite)
-	checkReason(t, "a third", b.admit(0, 0, lite), OverMaxOpen)
+	checkReason(t, "a third in flight", b.admit(0, 0, lite), OverMaxOpen)
 	b.Release(0, first.Grant, true)
 	checkReason(t, "after one has ended", b.admit(0, 0, lite), WithinBudget)
 }
@@ -140,7 +140,7 @@
 			t.Errorf("%s: %d of 50 retries were admitted: want the one in the burst", name, admitted)
 		}
 		if got := b.accounts[0].countByReason[OverRetries]; got != 49 {
-			t.Errorf("%s: %d were rejected for that", name, got)
+			t.Errorf("%s: %d were rejected as over the retry budget", name, got)
 		}
 	}
 }
@@ -170,9 +170,9 @@
 	b.accounts[0].retries.available = 0
 	checkReason(t, "the first", b.admit(0, 0, reserve), WithinBudget) // earns a retry
 	d := checkReason(t, "beyond", b.Admit(0, Request{Class: reserve, Identity: 7}), OverBudget)
-	checkReason(t, "too early, by the one retry", b.Admit(d.RetryAfter/2, Request{Class: reserve, Identity: 7}), OverBudget)
+	checkReason(t, "before RetryAfter, charged as a retry", b.Admit(d.RetryAfter/2, Request{Class: reserve, Identity: 7}), OverBudget)
 	before := b.accounts[0].retries.available
-	checkReason(t, "as told", b.Admit(20*time.Second, Request{Class: reserve, Identity: 7, MarkedRetry: true}), WithinBudget)
+	checkReason(t, "after RetryAfter", b.Admit(20*time.Second, Request{Class: reserve, Identity: 7, MarkedRetry: true}), WithinBudget)
 	if after := b.accounts[0].retries.available; after != before {
 		t.Errorf("the attempt changed the retry budget: %v before, %v after", before, after)
 	}
@@ -297,11 +297,11 @@
 		}
 	}
 	if rate := sum / 19; rate < 490 || rate > 520 {
-		t.Errorf("%v a second of 500", rate)
+		t.Errorf("admitted %v a second of a capacity of 500", rate)
 	}
 	for i := range admitted {
 		if share := admitted[i] / sum; math.Abs(share-weights[i]/1000) > 0.02 {
-			t.Errorf("team %d got %.3f of it: want %.3f", i, share, weights[i]/1000)
+			t.Errorf("team %d got a share of %.3f: want %.3f", i, share, weights[i]/1000)
 		}
 	}
 }
@@ -331,15 +331,15 @@
 	}
 	b.Swap(0, compile(t, d, z))
 	if r := b.Report(0); len(r.Teams) != 2 || !r.Teams[1].Leaving || r.Teams[1].Open != 1 {
-		t.Errorf("with a team gone: %+v", r)
+		t.Errorf("after a team was removed: %+v", r)
 	}
 	b.Swap(0, compile(t, d, a, z))
 	if r := b.Report(0); len(r.Teams) != 2 {
-		t.Errorf("with the team back: %+v", r)
+		t.Errorf("after the team was added again: %+v", r)
 	}
 	b.Release(0, open.Grant, false)
 	if b.accounts[0].open != 0 || b.accounts[0].budget.available != 16 || len(b.leaving) != 0 {
-		t.Errorf("after its return: %+v", b.Report(0))
+		t.Errorf("after the last release: %+v", b.Report(0))
 	}
 	b.Swap(0, compile(t, d, a))
 	b.Release(0, other.Grant, true)
@@ -454,7 +454,7 @@
 	}
 	for _, s := range b.Report(now).Teams {
 		if s.Open != 0 || s.HeldWorth != 0 || s.Leaving {
-			t.Errorf("left over: %+v", s)
+			t.Errorf("account not empty after all releases: %+v", s)
 		}
 	}
 	if backlogged > len(b.accounts) {
--- a/contract/contract.go
+++ b/contract/contract.go
@@ -191,6 +191,7 @@
 	faults        Faults
 }
 
+// faultIf records a fault if a condition holds, and returns the condition.
 func (c *compiler) faultIf(condition bool, team int, key, format string, args ...any) bool {
 	if condition {
 		c.faults = append(c.faults, Fault{team, key, fmt.Sprintf(format, args...)})
@@ -224,6 +225,7 @@
 	c.addTeam(i, t)
 }
 
+// addIdentities adds what identifies a team to the set, unless another team has it.
 func (c *compiler) addIdentities(i int, t *Terms) {
 	c.faultIf(len(t.Tokens)+len(t.Tenants)+len(t.Listeners) == 0, i, "tenants", "the team needs at least one token, tenant or listener")
 	for _, d := range t.Tokens {
@@ -251,6 +253,7 @@
 	addNames("listeners", t.Listeners, c.set.listeners)
 }
 
+// addTeam checks a team's classes and adds its compiled contract to the set.
 func (c *compiler) addTeam(i int, t *Terms) {
 	compiled := compiledTeam{
 		Terms:               *t,
