--- a/contract/contract.go
+++ b/contract/contract.go
@@ -225,7 +225,7 @@
 	c.addTeam(i, t)
 }
 
-// addIdentities adds what identifies a team to the set, unless another team has it.
+// addIdentities adds a team's tokens, tenants and listeners to the set. One that another team has is a fault.
 func (c *compiler) addIdentities(i int, t *Terms) {
 	c.faultIf(len(t.Tokens)+len(t.Tenants)+len(t.Listeners) == 0, i, "tenants", "the team needs at least one token, tenant or listener")
 	for _, d := range t.Tokens {
