--- a/contract/recent.go
+++ b/contract/recent.go
@@ -2,68 +2,68 @@
 
 import "time"
 
-// recent remembers tries for a while, in a table of a fixed size: sets of ways entries, in which the oldest gives way. What
-// it forgets counts as new.
-type recent struct {
-	entries []entry
-	mask    uint64
+// attemptTable remembers recent first attempts, to detect their retries. It is a set-associative table of a fixed size: within a set of
+// entriesPerSet entries the oldest is evicted. A retry of an evicted attempt counts as a first attempt.
+type attemptTable struct {
+	slots []attempt
+	mask  uint64
 }
 
-const ways = 4
+const entriesPerSet = 4
 
-// entry is a try. The zero value is none.
-type entry struct {
+// attempt is an entry of the table. The zero value is an empty one.
+type attempt struct {
 	identity uint64
-	at       time.Duration // of the first try
-	until    time.Duration // when it was told to come back
-	refused  bool          // its contract refused it: it has not run
+	firstAt  time.Duration // time of the first attempt
+	retryAt  time.Duration // end of the RetryAfter of a rejection
+	rejected bool          // all attempts were rejected by the contract, so that none was executed
 }
 
-func newRecent(size int) *recent {
-	return &recent{entries: make([]entry, size), mask: uint64(size/ways - 1)}
+func newAttemptTable(size int) *attemptTable {
+	return &attemptTable{slots: make([]attempt, size), mask: uint64(size/entriesPerSet - 1)}
 }
 
-func (r *recent) set(identity uint64) []entry {
-	h := identity * 0x9e3779b97f4a7c15
-	at := (h >> 32 & r.mask) * ways
-	return r.entries[at : at+ways]
+func (t *attemptTable) set(identity uint64) []attempt {
+	hash := identity * 0x9e3779b97f4a7c15
+	first := (hash >> 32 & t.mask) * entriesPerSet
+	return t.slots[first : first+entriesPerSet]
 }
 
-// find returns the try of an identity within a window; nil if there is none.
-func (r *recent) find(now time.Duration, identity uint64, window time.Duration) *entry {
+// find returns the entry of an identity whose first attempt was within the window; nil if there is none.
+func (t *attemptTable) find(now time.Duration, identity uint64, window time.Duration) *attempt {
 	if identity == 0 || window == 0 {
 		return nil
 	}
-	set := r.set(identity)
+	set := t.set(identity)
 	for i := range set {
-		if e := &set[i]; e.identity == identity && now-e.at < window {
+		if e := &set[i]; e.identity == identity && now-e.firstAt < window {
 			return e
 		}
 	}
 	return nil
 }
 
-// put notes what became of a try. The window counts from the first one.
-func (r *recent) put(now time.Duration, identity uint64, window time.Duration, refused bool, until time.Duration) {
+// record stores the outcome of an attempt. The window starts at the first attempt.
+func (t *attemptTable) record(now time.Duration, identity uint64, window time.Duration, rejected bool, retryAt time.Duration) {
 	if identity == 0 || window == 0 {
 		return
 	}
-	set := r.set(identity)
-	old := &set[0]
+	set := t.set(identity)
+	target := &set[0]
 	for i := range set {
 		e := &set[i]
-		if e.identity == identity && now-e.at < window {
-			// Once it was let in it may have run, whatever becomes of a later try.
-			e.refused, e.until = e.refused && refused, until
+		if e.identity == identity && now-e.firstAt < window {
+			// An earlier attempt that was admitted may have been executed, whatever the outcome of this one.
+			e.rejected, e.retryAt = e.rejected && rejected, retryAt
 			return
 		}
 		if e.identity == 0 || e.identity == identity {
-			old = e
+			target = e
 			break
 		}
-		if e.at < old.at {
-			old = e
+		if e.firstAt < target.firstAt {
+			target = e
 		}
 	}
-	*old = entry{identity, now, until, refused}
+	*target = attempt{identity, now, retryAt, rejected}
 }
--- a/internal/broker/gate.go
+++ b/internal/broker/gate.go
@@ -9,8 +9,8 @@
 	"firplank/internal/core"
 )
 
-// Gate admits requests to the exchange by the teams' contracts. It implements core.Gate. It is not safe for concurrent use: it
-// belongs to the exchange's goroutine.
+// Gate admits requests to the exchange by the teams' contracts. It implements core.Gate. It is not safe for concurrent use: only the
+// exchange's goroutine may use it.
 type Gate struct {
 	broker     *contract.Broker
 	classes    []string // by number
@@ -39,16 +39,16 @@
 	if claim == nil {
 		claim = &contract.Claim{Tenant: c.Message.Tenant}
 	}
-	set := g.broker.Set()
-	team, ok := set.Team(claim)
+	set := g.broker.CurrentSet()
+	team, ok := set.TeamByClaim(claim)
 	if !ok {
-		return contract.Grant{}, Answer(g.broker.Nobody(), g.retryAfter)
+		return contract.Grant{}, Answer(g.broker.DenyUnknownTeam(), g.retryAfter)
 	}
-	d := g.broker.Admit(now, contract.Ask{
-		Team:     team,
-		Class:    c.Request.Class,
-		Marked:   c.Request.Retry,
-		Identity: identity(set.Terms(team), &c.Message),
+	d := g.broker.Admit(now, contract.Request{
+		Team:        team,
+		Class:       c.Request.Class,
+		MarkedRetry: c.Request.Retry,
+		Identity:    identity(set.Terms(team), &c.Message),
 	})
 	if d.Verdict != contract.Admitted {
 		return contract.Grant{}, Answer(d, g.retryAfter)
@@ -62,16 +62,17 @@
 
 // Release implements core.Gate.
 func (g *Gate) Release(now time.Duration, grant contract.Grant, ran bool) {
-	g.broker.Done(now, grant, ran)
+	g.broker.Release(now, grant, ran)
 }
 
-// identity hashes what a client's attempts at one request have in common; 0 where that is nothing.
+// identity returns a hash that a client's attempts at one request share: of the team, the class, and the idempotency key or object. It is 0
+// if the request has neither.
 func identity(t *contract.Terms, m *core.Message) uint64 {
-	what := m.IdempotencyKey
-	if what == "" && t.Retries.Identity == contract.ByObject {
-		what = m.Object
+	key := m.IdempotencyKey
+	if key == "" && t.Retries.Identity == contract.ByObject {
+		key = m.Object
 	}
-	if what == "" {
+	if key == "" {
 		return 0
 	}
 	var d xxhash.Digest
@@ -80,7 +81,7 @@
 		_, _ = d.WriteString(part) // a hash's Write does not fail
 		_, _ = d.Write([]byte{0})  // a hash's Write does not fail
 	}
-	_, _ = d.WriteString(what) // a hash's Write does not fail
+	_, _ = d.WriteString(key) // a hash's Write does not fail
 	return max(1, d.Sum64())
 }
 
@@ -99,7 +100,7 @@
 		Text:   "refused by contract, trying again is harmless: " + d.Reason.String(),
 	}
 	if retryAfter {
-		a.RetryAfter = d.HoldOff
+		a.RetryAfter = d.RetryAfter
 	}
 	return a
 }
--- a/internal/roster/unreadbytes.go
+++ b/internal/roster/unreadbytes.go
@@ -5,7 +5,8 @@
 	"syscall"
 )
 
-// hasUnread reports whether a connection has bytes to read, or its end. It is false where the system cannot tell.
+// hasUnread reports whether a connection has unread bytes or has been closed by the peer. It is false if the connection doesn't support the
+// system call.
 func hasUnread(conn net.Conn) bool {
 	c, ok := conn.(syscall.Conn)
 	if !ok {
@@ -15,13 +16,13 @@
 	if err != nil {
 		return false
 	}
-	var waits bool
+	var unread bool
 	if err := raw.Control(func(fd uintptr) {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		waits = err == nil
+		unread = err == nil
 	}); err != nil {
 		return false
 	}
-	return waits
+	return unread
 }
