--- a/cmd/firplank-lab/explore.go
+++ b/cmd/firplank-lab/explore.go
@@ -164,7 +164,7 @@
 	deep := talk.Bounds{Members: c.Members, Faults: 10 * c.Faults}
 	if c.Defects {
 		missed := 0
-		for d := fleet.NoDefect + 1; d < fleet.Defects; d++ {
+		for d := fleet.NoDefect + 1; d < fleet.DefectCount; d++ {
 			missed += found(printer, d.String(), explore.Random(talk.Start(deep, d), c.Seed, c.Runs, c.Deep))
 		}
 		return missing(printer, missed)
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -21,31 +21,31 @@
 	Incarnation     Incarnation // of this start: NewIncarnation
 	Seed            uint64
 	Cells           int     // things that are counted apart; the same at all members
-	Most            float64 // requests a second that this member takes at most, whatever comes; see Pace
+	MaxRate         float64 // requests a second that this member takes at most, whatever comes; see Pace
 }
 
 // The figures of the protocol. All members hold the same.
 const (
-	Interval  = 250 * time.Millisecond // between two rounds of datagrams
-	Fanout    = 8                      // datagrams in a round, at most
-	Largest   = 256                    // bytes of a datagram
-	MostCells = 1024
-	mostLives = 2 // former lives of a member that are kept apart
-	mostHot   = 2048
+	Interval              = 250 * time.Millisecond // between two rounds of datagrams
+	Fanout                = 8                      // datagrams in a round, at most
+	MaxDatagramSize       = 256                    // bytes of a datagram
+	MaxCells              = 1024
+	maxFormerIncarnations = 2 // former lives of a member that are kept apart
+	maxBroadcasts         = 2048
 )
 
 // BytesPerSecond bounds what a member sends, however many there are.
-const BytesPerSecond = Largest * Fanout * int(time.Second/Interval)
+const MaxBytesPerSecond = MaxDatagramSize * Fanout * int(time.Second/Interval)
 
 // Incarnation tells the lives of a member apart and orders them: milliseconds of the wall clock at the start, and chance. Where the clock
 // went back, or two starts look alike, the member hears of its other life and goes above it (Node.outbid).
 type Incarnation uint64
 
-const chanceBits = 20
+const randomBits = 20
 
 // NewIncarnation returns the incarnation of a start.
-func NewIncarnation(wall time.Time, chance uint64) Incarnation {
-	return Incarnation(uint64(wall.UnixMilli())<<chanceBits | chance&(1<<chanceBits-1))
+func NewIncarnation(wallTime time.Time, random uint64) Incarnation {
+	return Incarnation(uint64(wallTime.UnixMilli())<<randomBits | random&(1<<randomBits-1))
 }
 
 // Event is something that happened: one of the types below.
@@ -69,7 +69,7 @@
 // The actions.
 const (
 	Send ActionKind = iota // To, Data
-	Note                   // Member, Text: for the log
+	Log                    // Member, Text: for the log
 )
 
 // Action is one thing to do.
@@ -90,47 +90,47 @@
 // member some 100 bytes, and for each topic heard 60 and its value, of which there are 1 + 2 × Cells for each of the
 // member's lives that is kept.
 type Node struct {
-	cfg Config
-	rng uint64
-	now time.Duration
-	out []Action
+	cfg     Config
+	rng     uint64
+	now     time.Duration
+	actions []Action
 
 	members []member
 
-	counters  []Counters // as last told to us
-	base      []Counters // what an earlier life of this process had told of them: only where it was outbid
-	published time.Duration
-	seq       uint32
-	beats     [beatsKept]sentBeat
-
-	order  []int // partners of this round of rounds
-	next   int
-	hot    []key
-	hotAt  int
-	scan   int // where the background has got to
-	block  int // whose digest is told next
-	outbid struct {
-		times int
-		last  time.Duration
-		mute  time.Duration // until then this member says nothing: its number is taken
+	counters    []Counters // as last told to us
+	counterBase []Counters // what an earlier life of this process had told of them: only where it was outbid
+	publishedAt time.Duration
+	seq         uint32
+	heartbeats  [heartbeatsKept]sentHeartbeat
+
+	partners      []int // partners of this round of rounds
+	partnerIndex  int
+	broadcasts    []recordKey
+	broadcastHead int
+	scanIndex     int // where the background has got to
+	digestBlock   int // whose digest is told next
+	raises        struct {
+		count       int
+		last        time.Duration
+		silentUntil time.Duration // until then this member says nothing: its number is taken
 	}
-	lastTick  time.Duration
-	woke      time.Duration // when it last went on after standing still
-	wasAlone  bool
-	drops     Dropped
-	bytesSent int
-	planted   Defect
+	lastTick    time.Duration
+	resumedAt   time.Duration // when it last went on after standing still
+	wasIsolated bool
+	drops       Dropped
+	bytesSent   int
+	planted     Defect
 }
 
 // beatsKept bounds the beats whose times are remembered, to know how old an acknowledgement is.
-const beatsKept = 512
+const heartbeatsKept = 512
 
-type sentBeat struct {
+type sentHeartbeat struct {
 	version uint32
-	at      time.Duration
+	sentAt  time.Duration
 }
 
-type key struct {
+type recordKey struct {
 	member uint16
 	topic  uint16
 }
@@ -140,15 +140,15 @@
 	switch {
 	case cfg.Members < 1 || cfg.Members > 1<<14 || cfg.Number < 0 || cfg.Number >= cfg.Members:
 		return nil, fmt.Errorf("fleet: member %d of %d", cfg.Number, cfg.Members)
-	case cfg.Cells < 0 || cfg.Cells > MostCells:
-		return nil, fmt.Errorf("fleet: %d cells: want %d at most", cfg.Cells, MostCells)
+	case cfg.Cells < 0 || cfg.Cells > MaxCells:
+		return nil, fmt.Errorf("fleet: %d cells: want %d at most", cfg.Cells, MaxCells)
 	}
 	n := &Node{
-		cfg: cfg, rng: cfg.Seed, members: make([]member, cfg.Members), counters: make([]Counters, cfg.Cells), base: make([]Counters, cfg.Cells),
-		published: -time.Hour,
+		cfg: cfg, rng: cfg.Seed, members: make([]member, cfg.Members), counters: make([]Counters, cfg.Cells), counterBase: make([]Counters, cfg.Cells),
+		publishedAt: -time.Hour,
 	}
 	for i := range n.members {
-		n.members[i].direct, n.members[i].fresh, n.members[i].asOf = -1, -1, -1
+		n.members[i].lastDatagram, n.members[i].lastHeartbeat, n.members[i].completeAsOf = -1, -1, -1
 	}
 	n.self().inc = cfg.Incarnation
 	return n, nil
@@ -158,72 +158,72 @@
 
 // Handle takes an event and returns what to do. The actions are valid until the next call.
 func (n *Node) Handle(now time.Duration, ev Event) []Action {
-	n.now, n.out = max(now, n.now), n.out[:0]
+	n.now, n.actions = max(now, n.now), n.actions[:0]
 	switch ev := ev.(type) {
 	case Tick:
 		n.tick(ev)
 	case Datagram:
-		n.hear(ev)
+		n.receive(ev)
 	}
-	return n.out
+	return n.actions
 }
 
 // Drops returns what was not taken so far.
 func (n *Node) Drops() Dropped { return n.drops }
 
 // Sent returns the bytes of all datagrams so far.
-func (n *Node) Sent() int { return n.bytesSent }
+func (n *Node) BytesSent() int { return n.bytesSent }
 
 // stalled is a pause after which this process must have stood still.
-const stalled = 4 * Interval
+const suspendThreshold = 4 * Interval
 
 func (n *Node) tick(ev Tick) {
-	if gap := n.now - n.lastTick; n.lastTick > 0 && gap > stalled {
-		n.woke = n.now
-		n.note(n.cfg.Number, fmt.Sprintf("stood still for %v: what it knows of others is as old", gap.Round(time.Millisecond)))
+	if gap := n.now - n.lastTick; n.lastTick > 0 && gap > suspendThreshold {
+		n.resumedAt = n.now
+		n.log(n.cfg.Number, fmt.Sprintf("stood still for %v: what it knows of others is as old", gap.Round(time.Millisecond)))
 	}
 	n.lastTick = n.now
 	copy(n.counters, ev.Counters)
-	if n.now-n.published >= n.period() {
+	if n.now-n.publishedAt >= n.publishInterval() {
 		n.publish()
 	}
-	n.watch()
-	if n.now < n.outbid.mute || n.cfg.Members < 2 {
+	n.logChanges()
+	if n.now < n.raises.silentUntil || n.cfg.Members < 2 {
 		return
 	}
 	for range min(Fanout, n.cfg.Members-1) {
-		n.send(n.partner())
+		n.send(n.nextPartner())
 	}
 }
 
 // period is the time between two versions of this member's words, which grows with the fleet as the room for them does not.
-func (n *Node) period() time.Duration {
+func (n *Node) publishInterval() time.Duration {
 	return max(time.Second, time.Duration(n.cfg.Members)*30*time.Millisecond)
 }
 
 // partner returns whom to tell next: each other member once, then in another order. So any two hear one another within
 // members / Fanout rounds, not by chance.
-func (n *Node) partner() int {
-	if n.next == 0 || n.next >= len(n.order) {
-		if n.order == nil {
+func (n *Node) nextPartner() int {
+	if n.partnerIndex == 0 || n.partnerIndex >= len(n.partners) {
+		if n.partners == nil {
 			for m := range n.cfg.Members {
 				if m != n.cfg.Number {
-					n.order = append(n.order, m)
+					n.partners = append(n.partners, m)
 				}
 			}
 		}
-		for i := len(n.order) - 1; i > 0; i-- {
+		for i := len(n.partners) - 1; i > 0; i-- {
 			j := int(n.random() % uint64(i+1))
-			n.order[i], n.order[j] = n.order[j], n.order[i]
+			n.partners[i], n.partners[j] = n.partners[j], n.partners[i]
 		}
-		n.next = 0
+		n.partnerIndex = 0
 	}
-	n.next++
-	return n.order[n.next-1]
+	n.partnerIndex++
+	return n.partners[n.partnerIndex-1]
 }
 
-func (n *Node) note(member int, text string) {
-	n.out = append(n.out, Action{Kind: Note, Member: member, Text: text})
+func (n *Node) log(member int, text string) {
+	n.actions = append(n.actions, Action{Kind: Log, Member: member, Text: text})
 }
 
 // random is splitmix64 from the seed.
@@ -236,24 +236,24 @@
 }
 
 // rumours is how often a member passes a new word on: so often that by chance nearly all have heard it.
-func (n *Node) rumours() uint8 { return uint8(bits.Len(uint(n.cfg.Members)) + 1) }
+func (n *Node) transmitLimit() uint8 { return uint8(bits.Len(uint(n.cfg.Members)) + 1) }
 
 // Defect is a mistake that can be planted in a node, for the laboratory to show that its search finds it. None is in a program that serves.
 type Defect uint8
 
 // The defects.
 const (
-	NoDefect        Defect = iota
-	LateWins               // a late word of a life replaces a newer one
-	FormerOverrules        // words of a former life put the present one aside
-	FoldedTwice            // a life that is closed goes on counting apart, too
-	ClosedAgain            // a life that was closed is not told to be
-	GapForgotten           // what a life may have done after its last word is forgotten with it
-	PastForgotten          // the counts of a former life go with it
-	NeverAbove             // a life whose clock went back stays below its former one
-	CountedAgain           // a life that goes above another tells what it has told before
-	AckedNow               // a word counts as of when it comes
-	Defects                // how many there are
+	NoDefect              Defect = iota
+	OldVersionWins               // a late word of a life replaces a newer one
+	FormerIncarnationWins        // words of a former life put the present one aside
+	FoldedCountedTwice           // a life that is closed goes on counting apart, too
+	HorizonNotAdvanced           // a life that was closed is not told to be
+	UnreportedForgotten          // what a life may have done after its last word is forgotten with it
+	HistoryForgotten             // the counts of a former life go with it
+	IncarnationNotRaised         // a life whose clock went back stays below its former one
+	BaseNotSubtracted            // a life that goes above another tells what it has told before
+	CompleteOnReceipt            // a word counts as of when it comes
+	DefectCount                  // how many there are
 )
 
 // String names the planted defect in reports of the explorer.
--- a/fleet/wire.go
+++ b/fleet/wire.go
@@ -13,28 +13,28 @@
 // byte of length and the value), or a digest (the first member as a varint, a count, and for each eight bytes: two of
 // the incarnation, four of the clock, two of a hash).
 const (
-	headerSize = 34
-	digestSize = 8
-	mostDigest = 12 // members
+	headerSize       = 34
+	digestSize       = 8
+	maxDigestMembers = 12 // members
 
-	partWord   = 1
+	partUpdate = 1
 	partDigest = 2
 
-	wordHead = 1 + 3 + 3 + 5 + 8 + 1 // at most
+	maxUpdateHeader = 1 + 3 + 3 + 5 + 8 + 1 // at most
 )
 
 // largestValue is the longest value of a word: the past of a cell. Each fits a datagram with its header.
-const largestValue = 8 + 7*7 + mostLives*(8+5+7*7)
+const maxValueSize = 8 + 7*7 + maxFormerIncarnations*(8+5+7*7)
 
 // A word of any value fits a datagram.
-var _ [Largest - headerSize - wordHead - largestValue]struct{}
+var _ [MaxDatagramSize - headerSize - maxUpdateHeader - maxValueSize]struct{}
 
 type header struct {
 	members, from, to int
 	inc               Incarnation
 	seq, sum, ack     uint32
 	ackInc            uint16
-	beyond            uint16 // what the receiver's former lives may have taken beyond their words, in steps; unknownBeyond: nobody knows
+	formerUnreported  uint16 // what the receiver's former lives may have taken beyond their words, in steps; unknownBeyond: nobody knows
 }
 
 func (h *header) append(b []byte) []byte {
@@ -47,68 +47,68 @@
 	b = binary.BigEndian.AppendUint32(b, h.sum)
 	b = binary.BigEndian.AppendUint32(b, h.ack)
 	b = binary.BigEndian.AppendUint16(b, h.ackInc)
-	return binary.BigEndian.AppendUint16(b, h.beyond)
+	return binary.BigEndian.AppendUint16(b, h.formerUnreported)
 }
 
 // Steps of beyond: a request each at first, coarser by and by, rounded up.
-const unknownBeyond = 1<<16 - 1
+const unreportedUnknown = 1<<16 - 1
 
-func stepOf(v uint64) uint16 {
+func encodeUnreported(requests uint64) uint16 {
 	step := 0
-	for step < unknownBeyond && beyondOf(uint16(step)) < v {
+	for step < unreportedUnknown && decodeUnreported(uint16(step)) < requests {
 		step += max(1, step/512)
 	}
-	return uint16(min(step, unknownBeyond))
+	return uint16(min(step, unreportedUnknown))
 }
 
 // beyondOf is the most that a step stands for.
-func beyondOf(step uint16) uint64 {
+func decodeUnreported(step uint16) uint64 {
 	if step < 512 {
 		return uint64(step)
 	}
 	return uint64(512 * math.Exp(float64(step-512)/2048))
 }
 
-var errUnreadable = errors.New("fleet: not a datagram of this protocol")
+var errMalformed = errors.New("fleet: not a datagram of this protocol")
 
 // Parsed is a datagram taken apart. Values point into its bytes.
-type parsed struct {
+type parsedDatagram struct {
 	header
-	words   []item
+	updates []update
 	digests []digest
 }
 
 type digest struct {
-	member int
-	inc    uint16
-	clock  uint32
-	hash   uint16
+	member     int
+	inc        uint16
+	versionSum uint32
+	hash       uint16
 }
 
 // parse reads a datagram for a fleet of a size with so many topics a life. It is given whatever comes to a port.
-func parse(b []byte, members, topics int) (*parsed, error) {
-	if len(b) < headerSize || len(b) > Largest || b[0] != 'f' || b[1] != 'l' || b[2] != 1 {
-		return nil, errUnreadable
+func parse(b []byte, members, topics int) (*parsedDatagram, error) {
+	if len(b) < headerSize || len(b) > MaxDatagramSize || b[0] != 'f' || b[1] != 'l' || b[2] != 1 {
+		return nil, errMalformed
 	}
-	p := &parsed{header: header{
+	p := &parsedDatagram{header: header{
 		members: int(binary.BigEndian.Uint16(b[4:])), from: int(binary.BigEndian.Uint16(b[6:])), to: int(binary.BigEndian.Uint16(b[8:])),
 		inc: Incarnation(binary.BigEndian.Uint64(b[10:])), seq: binary.BigEndian.Uint32(b[18:]), sum: binary.BigEndian.Uint32(b[22:]),
-		ack: binary.BigEndian.Uint32(b[26:]), ackInc: binary.BigEndian.Uint16(b[30:]), beyond: binary.BigEndian.Uint16(b[32:]),
+		ack: binary.BigEndian.Uint32(b[26:]), ackInc: binary.BigEndian.Uint16(b[30:]), formerUnreported: binary.BigEndian.Uint16(b[32:]),
 	}}
 	if p.members != members || p.from >= members || p.to >= members || p.inc == 0 {
-		return nil, errUnreadable
+		return nil, errMalformed
 	}
 	var err error
 	for b = b[headerSize:]; len(b) > 0; {
 		kind := b[0]
 		b = b[1:]
 		switch kind {
-		case partWord:
-			b, err = p.parseWord(b, members, topics)
+		case partUpdate:
+			b, err = p.parseUpdate(b, members, topics)
 		case partDigest:
 			b, err = p.parseDigests(b, members)
 		default:
-			err = errUnreadable
+			err = errMalformed
 		}
 		if err != nil {
 			return nil, err
@@ -118,45 +118,45 @@
 }
 
 // parseWord reads a word off the beginning of b and returns what follows it.
-func (p *parsed) parseWord(b []byte, members, topics int) (rest []byte, err error) {
-	var it item
+func (p *parsedDatagram) parseUpdate(b []byte, members, topics int) (rest []byte, err error) {
+	var u update
 	for _, f := range []struct {
-		to   *int
-		most uint64
-	}{{&it.member, uint64(members - 1)}, {&it.topic, uint64(topics - 1)}} {
+		to  *int
+		max uint64
+	}{{&u.member, uint64(members - 1)}, {&u.topic, uint64(topics - 1)}} {
 		v, n := binary.Uvarint(b)
-		if n <= 0 || v > f.most {
-			return nil, errUnreadable
+		if n <= 0 || v > f.max {
+			return nil, errMalformed
 		}
 		*f.to, b = int(v), b[n:]
 	}
 	v, n := binary.Uvarint(b)
 	if n <= 0 || v == 0 || v > math.MaxUint32 || len(b) < n+9 {
-		return nil, errUnreadable
+		return nil, errMalformed
 	}
-	it.version = uint32(v)
-	it.inc = Incarnation(binary.BigEndian.Uint64(b[n:]))
+	u.version = uint32(v)
+	u.inc = Incarnation(binary.BigEndian.Uint64(b[n:]))
 	size := int(b[n+8])
-	if b = b[n+9:]; size > largestValue || size > len(b) || it.inc == 0 {
-		return nil, errUnreadable
+	if b = b[n+9:]; size > maxValueSize || size > len(b) || u.inc == 0 {
+		return nil, errMalformed
 	}
-	it.value, b = b[:size], b[size:]
-	if !readable(&it, topics) {
-		return nil, errUnreadable
+	u.value, b = b[:size], b[size:]
+	if !validValue(&u, topics) {
+		return nil, errMalformed
 	}
-	p.words = append(p.words, it)
+	p.updates = append(p.updates, u)
 	return b, nil
 }
 
 // parseDigests reads digests of members that follow one another off the beginning of b and returns what follows them.
-func (p *parsed) parseDigests(b []byte, members int) (rest []byte, err error) {
+func (p *parsedDatagram) parseDigests(b []byte, members int) (rest []byte, err error) {
 	first, n := binary.Uvarint(b)
 	if n <= 0 || len(b) <= n || first >= uint64(members) {
-		return nil, errUnreadable
+		return nil, errMalformed
 	}
 	count := int(b[n])
-	if b = b[n+1:]; count > mostDigest || int(first)+count > members || len(b) < count*digestSize {
-		return nil, errUnreadable
+	if b = b[n+1:]; count > maxDigestMembers || int(first)+count > members || len(b) < count*digestSize {
+		return nil, errMalformed
 	}
 	for i := range count {
 		p.digests = append(p.digests, digest{
@@ -168,28 +168,28 @@
 }
 
 // readable reports whether a value is one of its topic.
-func readable(it *item, topics int) (ok bool) {
+func validValue(u *update, topics int) (ok bool) {
 	switch {
-	case it.topic == 0:
-		_, ok = readBeat(it.value)
-	case it.topic <= (topics-1)/2:
-		_, ok = readCell(it.value)
+	case u.topic == 0:
+		_, ok = decodeHeartbeat(u.value)
+	case u.topic <= (topics-1)/2:
+		_, ok = decodeCounts(u.value)
 	default:
-		_, ok = readPast(it.value)
+		_, ok = decodeHistory(u.value)
 	}
 	return ok
 }
 
 // appendWord adds a word if there is room for it.
-func appendWord(b []byte, it *item) ([]byte, bool) {
-	if len(b)+wordHead+len(it.value) > Largest {
+func appendUpdate(b []byte, u *update) ([]byte, bool) {
+	if len(b)+maxUpdateHeader+len(u.value) > MaxDatagramSize {
 		return b, false
 	}
-	b = append(b, partWord)
-	b = binary.AppendUvarint(b, uint64(it.member))
-	b = binary.AppendUvarint(b, uint64(it.topic))
-	b = binary.AppendUvarint(b, uint64(it.version))
-	b = binary.BigEndian.AppendUint64(b, uint64(it.inc))
-	b = append(b, byte(len(it.value)))
-	return append(b, it.value...), true
+	b = append(b, partUpdate)
+	b = binary.AppendUvarint(b, uint64(u.member))
+	b = binary.AppendUvarint(b, uint64(u.topic))
+	b = binary.AppendUvarint(b, uint64(u.version))
+	b = binary.BigEndian.AppendUint64(b, uint64(u.inc))
+	b = append(b, byte(len(u.value)))
+	return append(b, u.value...), true
 }
--- a/internal/core/counts.go
+++ b/internal/core/counts.go
@@ -58,7 +58,7 @@
 	case a.Reason == RateLimited:
 		return fleet.RefusedBudget
 	case a.Reason == NotServed:
-		return fleet.RefusedRoom
+		return fleet.RefusedCapacity
 	}
 	return fleet.RefusedOther
 }
--- a/internal/peers/agent.go
+++ b/internal/peers/agent.go
@@ -175,7 +175,7 @@
 
 // read queues datagrams from the socket until it is closed. Those of strangers and oversized ones are counted and dropped.
 func (a *Agent) read() {
-	b := make([]byte, fleet.Largest+1)
+	b := make([]byte, fleet.MaxDatagramSize+1)
 	for {
 		n, from, err := a.conn.ReadFromUDPAddrPort(b)
 		if errors.Is(err, net.ErrClosed) {
@@ -189,7 +189,7 @@
 		case !known || number == a.cfg.Fleet.Number:
 			a.foreign.Add(1)
 			continue
-		case n > fleet.Largest:
+		case n > fleet.MaxDatagramSize:
 			a.oversized.Add(1)
 			continue
 		}
@@ -278,14 +278,14 @@
 }
 
 func (a *Agent) status(n *fleet.Node, now time.Duration) *Status {
-	s := &Status{Number: a.cfg.Fleet.Number, HeardShare: n.Heard(), CutOff: n.Alone(), Stale: n.Stale(now), Sent: n.Sent()}
+	s := &Status{Number: a.cfg.Fleet.Number, HeardShare: n.ReachableShare(), CutOff: n.Isolated(), Stale: n.Stale(now), Sent: n.BytesSent()}
 	for _, v := range n.View() {
 		m := MemberState{
-			Number: v.Number, Standing: string(v.Standing), Incarnation: fmt.Sprintf("%016x", uint64(v.Incarnation)),
-			Taken: v.Counted[fleet.Taken], Conflict: v.Conflict,
-			SinceHeard: seconds(v.Direct), SinceUpdate: seconds(v.Fresh), SinceComplete: seconds(v.AsOf),
+			Number: v.Number, Standing: string(v.Reachability), Incarnation: fmt.Sprintf("%016x", uint64(v.Incarnation)),
+			Taken: v.Counters[fleet.Received], Conflict: v.Conflict,
+			SinceHeard: seconds(v.SinceDatagram), SinceUpdate: seconds(v.SinceHeartbeat), SinceComplete: seconds(v.SinceComplete),
 		}
-		for j, h := range v.Hears {
+		for j, h := range v.ReceivesFrom {
 			if h {
 				m.HeardMembers = append(m.HeardMembers, j)
 			}
@@ -293,12 +293,12 @@
 		s.Members = append(s.Members, m)
 	}
 	sums := n.Sums()
-	s.Sums = Sums{Beyond: sums.Beyond, UnboundMembers: sums.Unbound, AgeS: sums.Age.Seconds()}
+	s.Sums = Sums{Beyond: sums.Unreported, UnboundMembers: sums.Unbounded, AgeS: sums.Age.Seconds()}
 	for i, c := range sums.Cells {
 		class, tenant := a.cfg.Tally.cellNames(i)
 		if c != (fleet.Counters{}) {
 			s.Sums.Cells = append(s.Sums.Cells, Cell{
-				class, tenant, c[fleet.Taken], c[fleet.Retried], c[fleet.Served], c[fleet.RefusedRoom], c[fleet.RefusedBudget],
+				class, tenant, c[fleet.Received], c[fleet.Retried], c[fleet.Served], c[fleet.RefusedCapacity], c[fleet.RefusedBudget],
 				c[fleet.RefusedOther], c[fleet.Failed],
 			})
 		}
--- a/internal/peers/agent_test.go
+++ b/internal/peers/agent_test.go
@@ -31,7 +31,7 @@
 	tally := NewTally([]string{"read"}, nil, 100)
 	p, err := Open(Config{
 		Listen: at, Peers: []string{at, peer.LocalAddr().String()}, Tally: tally, Log: slog.New(slog.DiscardHandler),
-		Fleet: fleet.Config{Number: 0, Members: 2, Incarnation: 1 << 40, Cells: tally.Cells(), Most: 100},
+		Fleet: fleet.Config{Number: 0, Members: 2, Incarnation: 1 << 40, Cells: tally.Cells(), MaxRate: 100},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -42,14 +42,14 @@
 	t.Cleanup(func() { cancel(); <-ended })
 	to := net.UDPAddrFromAddrPort(p.addrs[0])
 	_, _ = foreign.WriteTo([]byte("hello"), to)
-	_, _ = peer.WriteTo(bytes.Repeat([]byte{1}, fleet.Largest+1), to)
+	_, _ = peer.WriteTo(bytes.Repeat([]byte{1}, fleet.MaxDatagramSize+1), to)
 	_, _ = peer.WriteTo([]byte("fl\x01 no datagram"), to)
 
-	other, err := fleet.New(fleet.Config{Number: 1, Members: 2, Incarnation: 1 << 41, Cells: tally.Cells(), Most: 100})
+	other, err := fleet.New(fleet.Config{Number: 1, Members: 2, Incarnation: 1 << 41, Cells: tally.Cells(), MaxRate: 100})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, a := range other.Handle(time.Second, fleet.Tick{Counters: []fleet.Counters{{fleet.Taken: 7}}}) {
+	for _, a := range other.Handle(time.Second, fleet.Tick{Counters: []fleet.Counters{{fleet.Received: 7}}}) {
 		if a.Kind == fleet.Send {
 			_, _ = peer.WriteTo(a.Data, to)
 			_, _ = peer.WriteTo(a.Data, to) // once more
--- a/internal/peers/tally.go
+++ b/internal/peers/tally.go
@@ -13,7 +13,7 @@
 type Tally struct {
 	classes, tenants []string
 	cells            [][len(fleet.Counters{})]atomic.Uint64
-	pace             fleet.Pace
+	pace             fleet.RateLimiter
 }
 
 // overflow is the name under which requests without a tenant are counted.
@@ -22,7 +22,7 @@
 // NewTally returns a tally for classes and tenants by number, with a limit in requests a second.
 func NewTally(classes, tenants []string, most float64) *Tally {
 	return &Tally{
-		classes: classes, tenants: tenants, pace: fleet.NewPace(most),
+		classes: classes, tenants: tenants, pace: fleet.NewRateLimiter(most),
 		cells: make([][len(fleet.Counters{})]atomic.Uint64, len(classes)*(len(tenants)+1)),
 	}
 }
@@ -55,11 +55,11 @@
 	if class < 0 || class >= len(t.classes) {
 		return true
 	}
-	if !t.pace.Take(now) {
+	if !t.pace.Allow(now) {
 		return false
 	}
 	c := &t.cells[t.cell(class, tenant)]
-	c[fleet.Taken].Add(1)
+	c[fleet.Received].Add(1)
 	if retry {
 		c[fleet.Retried].Add(1)
 	}
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -27,8 +27,8 @@
 	if err := peers.CheckAddresses(c.Balance.Index, c.PeerListen, c.Peers); err != nil {
 		return errors.Wrap(err, "fleet.enabled")
 	}
-	if cells := c.newTally().Cells(); cells > fleet.MostCells {
-		return errors.Errorf("fleet.enabled: %d pairs of tenant and class: want %d at most", cells, fleet.MostCells)
+	if cells := c.newTally().Cells(); cells > fleet.MaxCells {
+		return errors.Errorf("fleet.enabled: %d pairs of tenant and class: want %d at most", cells, fleet.MaxCells)
 	}
 	return nil
 }
@@ -57,7 +57,7 @@
 			Members:     len(c.Peers),
 			Seed:        c.Balance.Seed,
 			Cells:       l.tally.Cells(),
-			Most:        c.Options.Fleet.Most,
+			MaxRate:     c.Options.Fleet.Most,
 			Incarnation: fleet.NewIncarnation(time.Now(), c.Balance.Seed),
 		},
 	})
--- a/lab/explore/talk/talk.go
+++ b/lab/explore/talk/talk.go
@@ -36,7 +36,7 @@
 	still   bool
 	lives   int
 	wall    time.Duration // of its clock against the others'
-	pace    fleet.Pace
+	pace    fleet.RateLimiter
 	knows   map[life]bool // lives that this one has heard of, its own among them
 }
 
@@ -79,22 +79,22 @@
 	p.wall -= back
 	inc := fleet.NewIncarnation(time.UnixMilli(1_800_000_000_000).Add(w.now+p.wall), uint64(i*100+p.lives))
 	n, err := fleet.New(fleet.Config{
-		Number: i, Members: len(w.procs), Incarnation: inc, Seed: uint64(i + 1), Cells: 1, Most: rate,
+		Number: i, Members: len(w.procs), Incarnation: inc, Seed: uint64(i + 1), Cells: 1, MaxRate: rate,
 	})
 	if err != nil {
 		panic(err)
 	}
 	n.Plant(w.defect)
-	p.node, p.started, p.taken, p.still, p.pace, p.knows = n, w.now, 0, false, fleet.NewPace(rate), map[life]bool{}
+	p.node, p.started, p.taken, p.still, p.pace, p.knows = n, w.now, 0, false, fleet.NewRateLimiter(rate), map[life]bool{}
 	w.learn(i)
 }
 
 // learn notes which lives a process has heard of.
 func (w *world) learn(i int) {
 	p := &w.procs[i]
-	w.lives[p.node.Life(i)] = life{i, p.lives}
+	w.lives[p.node.Incarnation(i)] = life{i, p.lives}
 	for j := range w.procs {
-		if l, ok := w.lives[p.node.Life(j)]; ok {
+		if l, ok := w.lives[p.node.Incarnation(j)]; ok {
 			p.knows[l] = true
 		}
 	}
@@ -204,14 +204,14 @@
 	if p.node == nil || p.still {
 		return
 	}
-	w.do(i, p.node.Handle(w.at(i), fleet.Tick{Counters: []fleet.Counters{{fleet.Taken: p.taken, fleet.Served: p.taken}}}))
+	w.do(i, p.node.Handle(w.at(i), fleet.Tick{Counters: []fleet.Counters{{fleet.Received: p.taken, fleet.Served: p.taken}}}))
 }
 
 func (w *world) do(i int, actions []fleet.Action) {
 	w.learn(i)
 	for _, a := range actions {
 		if a.Kind == fleet.Send {
-			if len(a.Data) > fleet.Largest {
+			if len(a.Data) > fleet.MaxDatagramSize {
 				w.fail("a datagram of %d bytes", len(a.Data))
 			}
 			w.away = append(w.away, datagram{i, a.To, slices.Clone(a.Data)})
@@ -226,7 +226,7 @@
 func (w *world) take(i int) {
 	p := &w.procs[i]
 	for range 7 {
-		if p.pace.Take(w.at(i)) {
+		if p.pace.Allow(w.at(i)) {
 			p.taken++
 			w.truth[i]++
 			w.taken[life{i, p.lives}]++
@@ -271,7 +271,7 @@
 	for i := range w.procs {
 		if p := &w.procs[i]; p.node != nil {
 			for j, v := range p.node.View() {
-				known[j] = max(known[j], v.Counted[fleet.Taken])
+				known[j] = max(known[j], v.Counters[fleet.Received])
 			}
 		}
 	}
@@ -290,15 +290,15 @@
 	for i := range w.procs {
 		s := w.procs[i].node.Sums()
 		if s.Cells[0] != first.Cells[0] {
-			w.fail("after all was mended member 0 counts %d and member %d %d", first.Cells[0][fleet.Taken], i, s.Cells[0][fleet.Taken])
+			w.fail("after all was mended member 0 counts %d and member %d %d", first.Cells[0][fleet.Received], i, s.Cells[0][fleet.Received])
 		}
 		for j, v := range w.procs[i].node.View() {
-			if v.Counted[fleet.Taken] < known[j] && w.procs[j].lives <= mostCounted {
-				w.fail("after all was mended member %d knows %d of member %d, of which %d were known", i, v.Counted[fleet.Taken], j, known[j])
+			if v.Counters[fleet.Received] < known[j] && w.procs[j].lives <= mostCounted {
+				w.fail("after all was mended member %d knows %d of member %d, of which %d were known", i, v.Counters[fleet.Received], j, known[j])
 			}
 		}
-		if v := w.procs[i].node.View()[i]; v.Counted[fleet.Taken] < w.procs[i].taken {
-			w.fail("member %d tells %d of %d of its own", i, v.Counted[fleet.Taken], w.procs[i].taken)
+		if v := w.procs[i].node.View()[i]; v.Counters[fleet.Received] < w.procs[i].taken {
+			w.fail("member %d tells %d of %d of its own", i, v.Counters[fleet.Received], w.procs[i].taken)
 		}
 	}
 }
@@ -315,15 +315,15 @@
 			continue
 		}
 		s := p.node.Sums()
-		if least := s.Cells[0][fleet.Taken]; least > total {
+		if least := s.Cells[0][fleet.Received]; least > total {
 			w.fail("member %d says that at least %d were taken: it were %d", i, least, total)
 		}
-		if most := s.Most(0, fleet.Taken); s.Unbound == 0 && most < known && !p.node.Stale(w.at(i)) {
+		if most := s.UpperBound(0, fleet.Received); s.Unbounded == 0 && most < known && !p.node.Stale(w.at(i)) {
 			w.fail("member %d says that at most %d were taken: it were %d", i, most, known)
 		}
 		for j, v := range p.node.View() {
-			if v.Counted[fleet.Taken] > w.truth[j] {
-				w.fail("member %d says that member %d has taken %d: it were %d", i, j, v.Counted[fleet.Taken], w.truth[j])
+			if v.Counters[fleet.Received] > w.truth[j] {
+				w.fail("member %d says that member %d has taken %d: it were %d", i, j, v.Counters[fleet.Received], w.truth[j])
 			}
 		}
 	}
--- a/lab/explore/talk/talk_test.go
+++ b/lab/explore/talk/talk_test.go
@@ -21,7 +21,7 @@
 
 // A search that finds nothing has to be one that would.
 func TestPlantedDefectsAreFound(t *testing.T) {
-	for d := fleet.NoDefect + 1; d < fleet.Defects; d++ {
+	for d := fleet.NoDefect + 1; d < fleet.DefectCount; d++ {
 		r := explore.Random(Start(Bounds{Members: 3, Faults: 10}, d), 1, 1500, 60)
 		if r.Breach == nil {
 			t.Errorf("%v: not found", d)
