--- a/fleet/counts.go
+++ b/fleet/counts.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// Counters are what became of the requests of one cell, a team's of one class, since a life began.
+// Counters count the outcomes of one cell's requests since an incarnation began. A cell is a pair of tenant and class.
 type Counters [7]uint64
 
-// The counters.
+// The indices of the counters.
 const (
-	Received        = iota // requests, retries among them
-	Retried                // of Taken
-	Served                 //
-	RefusedCapacity        // as servers had no room, or none answered in time
-	RefusedBudget          // as the team's budget was spent
-	RefusedOther           //
-	Failed                 //
+	Received = iota // requests, retries included
+	Retried         // the retries among Received
+	Served
+	RefusedCapacity // the servers had no capacity, or none answered in time
+	RefusedBudget   // the tenant's budget was exhausted
+	RefusedOther
+	Failed
 )
 
-// largestCount bounds a counter, so that sums can't run over and a word has room.
+// maxCount bounds a counter, so that sums can't overflow and the encoded counters fit a record.
 const maxCount = 1<<48 - 1
 
 func (c *Counters) add(d *Counters) {
@@ -30,21 +30,22 @@
 	}
 }
 
-// pastLife is what a former life has counted in a cell, by its last word that is known.
+// historyEntry holds the counters of a cell in one former incarnation, from the latest record of it that is known.
 type historyEntry struct {
 	inc      Incarnation
 	version  uint32
 	counters Counters
 }
 
-// past is what became of a cell in former lives: some apart, the older ones as a sum. No word of a life up to the horizon counts again.
+// history holds a cell's counters of a member's former incarnations: the latest ones separately, the older ones folded into a sum.
+// Records of an incarnation up to the horizon are included in that sum and are not counted again.
 type history struct {
 	horizon Incarnation
 	folded  Counters
-	entries []historyEntry // the latest first, all above the horizon
+	entries []historyEntry // latest first, all above the horizon
 }
 
-// total adds all up.
+// total returns the sum over all former incarnations.
 func (p *history) total() Counters {
 	sum := p.folded
 	for i := range p.entries {
@@ -53,8 +54,8 @@
 	return sum
 }
 
-// join takes in what another life of the same member knows. Each life counts once, by its latest word; what either has closed is
-// counted in the sum of whoever has closed more.
+// merge adds the history that another incarnation of the same member has published. Each incarnation counts once, by its latest record.
+// Of the two folded sums the one with the higher horizon is kept, as it includes the other.
 func (p *history) merge(q *history) {
 	if q.horizon > p.horizon {
 		p.horizon, p.folded = q.horizon, q.folded
@@ -82,7 +83,8 @@
 	p.entries = slices.Insert(p.entries, i, l)
 }
 
-// fold closes the oldest lives beyond those that are told apart. Only their member does so, in its present life.
+// fold adds the oldest entries beyond maxFormerIncarnations to the folded sum. Only the member itself folds, in its current
+// incarnation.
 func (p *history) fold(planted Defect) {
 	for len(p.entries) > maxFormerIncarnations {
 		last := p.entries[len(p.entries)-1]
@@ -97,7 +99,7 @@
 	}
 }
 
-// covers reports whether a word of a former life counts in it, or is closed.
+// covers reports whether a record of a former incarnation is included, as an entry or in the folded sum.
 func (p *history) covers(inc Incarnation, version uint32) bool {
 	if inc <= p.horizon {
 		return true
@@ -128,7 +130,7 @@
 	return c, b, true
 }
 
-// readCell reads the value of a cell's topic.
+// decodeCounts decodes the value of a cell's topic.
 func decodeCounts(b []byte) (Counters, bool) {
 	c, rest, ok := decodeCounters(b)
 	return c, ok && len(rest) == 0
@@ -173,7 +175,8 @@
 	return p, true
 }
 
-// former joins all that is known of a cell in a member's former lives: what its present life says, and words of former ones.
+// history merges all that is known of a cell in a member's former incarnations: the history that its current incarnation has
+// published, and the records received from former ones.
 func (n *Node) history(m *member, cell int) history {
 	p, _ := decodeHistory(m.record(n.historyTopic(cell)).value)
 	for i := range m.former {
@@ -190,7 +193,7 @@
 	return p
 }
 
-// publish writes this life's words anew where they have changed.
+// publish writes a new heartbeat, and new versions of this member's cells whose counters have changed.
 func (n *Node) publish() {
 	n.publishedAt = n.now
 	for i := range n.members {
@@ -198,8 +201,8 @@
 		m.heartbeatAtPublish = m.record(0).version
 	}
 	n.writeOwn(0, n.encodeHeartbeat())
-	beat := n.self().record(0).version
-	n.heartbeats[beat%heartbeatsKept] = sentHeartbeat{beat, n.now}
+	version := n.self().record(0).version
+	n.heartbeats[version%heartbeatsKept] = sentHeartbeat{version, n.now}
 	for cell := range n.cfg.Cells {
 		c := n.counters[cell]
 		for i := range c {
@@ -211,18 +214,18 @@
 	}
 }
 
-// Sums is what the whole fleet has counted.
+// Sums are the counters of the whole fleet, as intervals.
 type Sums struct {
-	Cells      []Counters    // at least, by cell
-	Unreported uint64        // so many requests more may have been taken, in whatever cell
-	Age        time.Duration // of the oldest word that Beyond reckons with
-	Unbounded  int           // members of whom nothing is known that bounds them
+	Cells      []Counters    // lower bounds, by cell
+	Unreported uint64        // upper bound on the requests received beyond Cells, in all cells together
+	Age        time.Duration // of the oldest record that Unreported is computed from
+	Unbounded  int           // members without a known bound, which Unreported leaves out
 }
 
-// Most is the most that a counter can be: no counter grows by more than requests are taken.
+// UpperBound returns the highest value that a counter can have. It holds for each counter, as none grows faster than Received.
 func (s *Sums) UpperBound(cell, counter int) uint64 { return s.Cells[cell][counter] + s.Unreported }
 
-// Sums adds up what all members have counted, in all of their lives, by what is known now.
+// Sums returns the fleet's counters over all members and all of their incarnations, from the records known now.
 func (n *Node) Sums() Sums {
 	s := Sums{Cells: make([]Counters, n.cfg.Cells)}
 	for i := range n.members {
@@ -232,7 +235,7 @@
 			t := p.total()
 			s.Cells[cell].add(&t)
 			c, _ := decodeCounts(m.record(1 + cell).value)
-			if i == n.cfg.Number { // its own, as of now
+			if i == n.cfg.Number { // this member's counters are current
 				c = n.counters[cell]
 				for k := range c {
 					c[k] -= min(n.counterBase[cell][k], c[k])
@@ -256,7 +259,7 @@
 	return s
 }
 
-// hasPast reports whether this member is known to have lived before.
+// hasHistory reports whether this member is known to have had a former incarnation.
 func (n *Node) hasHistory() bool {
 	for cell := range n.cfg.Cells {
 		if n.self().record(n.historyTopic(cell)).version > 0 {
@@ -266,7 +269,7 @@
 	return false
 }
 
-// unheard is how many requests a member may have taken beyond its words, by the rate that it keeps to.
+// maxUnreported returns how many requests a member may have received beyond its records, by the rate that it announced.
 func (n *Node) maxUnreported(m *member) uint64 {
 	if m.completeAsOf < 0 {
 		return m.formerUnreported
@@ -277,29 +280,30 @@
 	return m.formerUnreported
 }
 
-// rate is what a member says that it takes at most; 0: it says nothing that bounds it.
+// announcedRate returns the rate limit in requests a second that a member announces, or its former incarnation's if that is higher;
+// 0: none.
 func (n *Node) announcedRate(m *member) uint32 {
 	b, _ := decodeHeartbeat(m.record(0).value)
 	return max(b.maxRate, m.formerRate)
 }
 
-// drift is how much faster another's clock may run than ours: twice 500 parts in a million.
+// maxClockDrift is how much faster another member's clock may run: both clocks may be wrong by 500 parts per million.
 const maxClockDrift = 1.001
 
-// burstSpan is how much of its rate a member may take at once.
+// burstDuration sets the burst: a member may receive the requests of so long a time at its rate at once.
 const burstDuration = 250 * time.Millisecond
 
-// Pace holds a member to the rate that it tells others. It begins empty, so that what a member takes over several lives
-// keeps to the rate, too.
+// RateLimiter is a token bucket that limits a member to the rate that it announces to the others. It starts empty, so that the
+// rate also holds over several incarnations.
 type RateLimiter struct {
 	rate, tokens float64
 	refilledAt   time.Duration
 }
 
-// NewPace returns a pace of a rate of requests a second; 0 has no bound.
+// NewRateLimiter returns a limiter of rate requests a second; 0 means no limit.
 func NewRateLimiter(rate float64) RateLimiter { return RateLimiter{rate: rate} }
 
-// Take reports whether a request may be taken now.
+// Allow reports whether a request is within the rate at now, and uses a token if so.
 func (p *RateLimiter) Allow(now time.Duration) bool {
 	if p.rate <= 0 {
 		return true
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,12 +1,15 @@
-// Package fleet decides what sidecars tell one another, and what may be made of what they hear: who is heard and in which way, how words
-// spread and are repaired, and what the whole fleet has counted, as an interval that holds the truth. It does no I/O, starts no goroutine,
-// and has neither clock nor chance of its own: Handle takes an event with the time since this process began and returns what to do, and
-// its whole behaviour can be replayed from a list of events. What comes from another sidecar is evidence under its author's name.
+// Package fleet is the gossip protocol between sidecars. It detects which members are reachable, spreads the members' records with
+// anti-entropy repair, and computes the counters of the whole fleet as intervals that contain the actual values. It does no I/O, starts
+// no goroutine, and uses neither a clock nor a random source of its own: Handle receives an event with the time since the process
+// started and returns the actions to perform, so that a run can be replayed from its events. A record is accepted only as a statement
+// of the member that wrote it.
 //
-// A member is a number in a fixed list; each start of its process is a life of it, told apart by an Incarnation. Of each life there are
-// topics, each a short value with a version that only that life writes. table.go keeps the latest words and refuses older ones,
-// spread.go fills datagrams and repairs differences, wire.go has the bytes, counts.go adds up, member.go judges who is heard.
-// Begin with Node.Handle.
+// A member is a number in a fixed list, and each start of its process is a new Incarnation. An incarnation has topics, each with a
+// short value and a version. Only the incarnation itself writes them; a topic's value and version are a record. table.go keeps the
+// latest records and drops older ones, gossip.go fills datagrams and repairs differences, wire.go encodes, counts.go adds up
+// counters, and member.go judges reachability.
+//
+// Start reading at Node.Handle.
 package fleet
 
 import (
@@ -15,46 +18,47 @@
 	"time"
 )
 
-// Config says who this member is.
+// Config configures a Node.
 type Config struct {
 	Number, Members int
-	Incarnation     Incarnation // of this start: NewIncarnation
+	Incarnation     Incarnation // of this process: see NewIncarnation
 	Seed            uint64
-	Cells           int     // things that are counted apart; the same at all members
-	MaxRate         float64 // requests a second that this member takes at most, whatever comes; see Pace
+	Cells           int     // pairs of tenant and class; the same number at all members
+	MaxRate         float64 // requests a second that this member receives at most; see RateLimiter. 0: unlimited
 }
 
-// The figures of the protocol. All members hold the same.
+// The constants of the protocol, the same at all members.
 const (
 	Interval              = 250 * time.Millisecond // between two rounds of datagrams
-	Fanout                = 8                      // datagrams in a round, at most
-	MaxDatagramSize       = 256                    // bytes of a datagram
+	Fanout                = 8                      // maximum datagrams in a round
+	MaxDatagramSize       = 256                    // bytes
 	MaxCells              = 1024
-	maxFormerIncarnations = 2 // former lives of a member that are kept apart
+	maxFormerIncarnations = 2 // kept separately, for each member
 	maxBroadcasts         = 2048
 )
 
-// BytesPerSecond bounds what a member sends, however many there are.
+// MaxBytesPerSecond bounds what a member sends, whatever the size of the fleet.
 const MaxBytesPerSecond = MaxDatagramSize * Fanout * int(time.Second/Interval)
 
-// Incarnation tells the lives of a member apart and orders them: milliseconds of the wall clock at the start, and chance. Where the clock
-// went back, or two starts look alike, the member hears of its other life and goes above it (Node.outbid).
+// Incarnation identifies and orders the starts of a member's process: the wall clock's milliseconds at the start, then random bits. If
+// the clock was set back, or two starts have the same value, the member receives a record of the other incarnation and raises its own
+// above that (Node.raiseIncarnation).
 type Incarnation uint64
 
 const randomBits = 20
 
-// NewIncarnation returns the incarnation of a start.
+// NewIncarnation returns the incarnation of a process started at wallTime.
 func NewIncarnation(wallTime time.Time, random uint64) Incarnation {
 	return Incarnation(uint64(wallTime.UnixMilli())<<randomBits | random&(1<<randomBits-1))
 }
 
-// Event is something that happened: one of the types below.
+// Event is the input of Node.Handle: a Tick or a Datagram.
 type Event interface{ event() }
 
-// Tick says that time has passed, with what this process has counted so far, cell by cell. It comes every Interval.
+// Tick is due every Interval. It has this process's counters by cell, since its start.
 type Tick struct{ Counters []Counters }
 
-// Datagram is what came from a member, by its address. Data is not kept.
+// Datagram was received from a member, identified by its address. Data is not retained.
 type Datagram struct {
 	From int
 	Data []byte
@@ -63,16 +67,16 @@
 func (Tick) event()     {}
 func (Datagram) event() {}
 
-// ActionKind says what to do.
+// ActionKind is the kind of an Action, which determines the fields that are set.
 type ActionKind uint8
 
 // The actions.
 const (
 	Send ActionKind = iota // To, Data
-	Log                    // Member, Text: for the log
+	Log                    // Member, Text
 )
 
-// Action is one thing to do.
+// Action is an output of Node.Handle, for the caller to perform.
 type Action struct {
 	Kind   ActionKind
 	To     int
@@ -81,14 +85,14 @@
 	Text   string
 }
 
-// Dropped counts what was not taken, by reason.
+// Dropped counts datagrams and records that were dropped, by reason: malformed, of a sender or receiver that does not match, a
+// duplicate, an older version, an invalid incarnation, or two values of one version (of which one is kept).
 type Dropped struct {
 	Unreadable, Foreign, Replayed, Stale, Absurd, Conflicting int
 }
 
-// Node is one member's part in the fleet. It is not safe for concurrent use. Its memory is that of its table: for each
-// member some 100 bytes, and for each topic heard 60 and its value, of which there are 1 + 2 × Cells for each of the
-// member's lives that is kept.
+// Node is the state of one member. It is not safe for concurrent use. Its memory is about 100 bytes for each member, and 60 bytes
+// and the value for each record. A member has up to 1 + 2 × Cells records for each of its incarnations that is kept.
 type Node struct {
 	cfg     Config
 	rng     uint64
@@ -97,32 +101,32 @@
 
 	members []member
 
-	counters    []Counters // as last told to us
-	counterBase []Counters // what an earlier life of this process had told of them: only where it was outbid
+	counters    []Counters // from the latest Tick
+	counterBase []Counters // part published by this process's former incarnations: not 0 only after the incarnation was raised
 	publishedAt time.Duration
 	seq         uint32
 	heartbeats  [heartbeatsKept]sentHeartbeat
 
-	partners      []int // partners of this round of rounds
+	partners      []int // the other members, in the order of this cycle
 	partnerIndex  int
 	broadcasts    []recordKey
 	broadcastHead int
-	scanIndex     int // where the background has got to
-	digestBlock   int // whose digest is told next
+	scanIndex     int // the next member of the background repair
+	digestBlock   int // the next block to send a digest of
 	raises        struct {
 		count       int
 		last        time.Duration
-		silentUntil time.Duration // until then this member says nothing: its number is taken
+		silentUntil time.Duration // this member sends nothing until then, as another process has its number
 	}
 	lastTick    time.Duration
-	resumedAt   time.Duration // when it last went on after standing still
+	resumedAt   time.Duration // when the process last resumed after a suspension
 	wasIsolated bool
 	drops       Dropped
 	bytesSent   int
 	planted     Defect
 }
 
-// beatsKept bounds the beats whose times are remembered, to know how old an acknowledgement is.
+// heartbeatsKept bounds the heartbeats whose times are kept, to look up the time of an acknowledged one.
 const heartbeatsKept = 512
 
 type sentHeartbeat struct {
@@ -135,7 +139,7 @@
 	topic  uint16
 }
 
-// New returns a node that has said and heard nothing.
+// New returns a node that has sent and received nothing yet. It fails if the number or the cells are out of range.
 func New(cfg Config) (*Node, error) {
 	switch {
 	case cfg.Members < 1 || cfg.Members > 1<<14 || cfg.Number < 0 || cfg.Number >= cfg.Members:
@@ -144,7 +148,8 @@
 		return nil, fmt.Errorf("fleet: %d cells: want %d at most", cfg.Cells, MaxCells)
 	}
 	n := &Node{
-		cfg: cfg, rng: cfg.Seed, members: make([]member, cfg.Members), counters: make([]Counters, cfg.Cells), counterBase: make([]Counters, cfg.Cells),
+		cfg: cfg, rng: cfg.Seed, members: make([]member, cfg.Members),
+		counters: make([]Counters, cfg.Cells), counterBase: make([]Counters, cfg.Cells),
 		publishedAt: -time.Hour,
 	}
 	for i := range n.members {
@@ -156,7 +161,8 @@
 
 func (n *Node) self() *member { return &n.members[n.cfg.Number] }
 
-// Handle takes an event and returns what to do. The actions are valid until the next call.
+// Handle processes an event and returns the actions to perform, which are valid until the next call. now is the time since the start
+// of the process.
 func (n *Node) Handle(now time.Duration, ev Event) []Action {
 	n.now, n.actions = max(now, n.now), n.actions[:0]
 	switch ev := ev.(type) {
@@ -168,19 +174,19 @@
 	return n.actions
 }
 
-// Drops returns what was not taken so far.
+// Drops returns the counts of dropped datagrams and records since the start.
 func (n *Node) Drops() Dropped { return n.drops }
 
-// Sent returns the bytes of all datagrams so far.
+// BytesSent returns the bytes of all datagrams sent since the start.
 func (n *Node) BytesSent() int { return n.bytesSent }
 
-// stalled is a pause after which this process must have stood still.
+// suspendThreshold is the time without a Tick after which the process counts as having been suspended.
 const suspendThreshold = 4 * Interval
 
 func (n *Node) tick(ev Tick) {
 	if gap := n.now - n.lastTick; n.lastTick > 0 && gap > suspendThreshold {
 		n.resumedAt = n.now
-		n.log(n.cfg.Number, fmt.Sprintf("stood still for %v: what it knows of others is as old", gap.Round(time.Millisecond)))
+		n.log(n.cfg.Number, fmt.Sprintf("process was suspended for %v: its view of the fleet is as old", gap.Round(time.Millisecond)))
 	}
 	n.lastTick = n.now
 	copy(n.counters, ev.Counters)
@@ -196,13 +202,14 @@
 	}
 }
 
-// period is the time between two versions of this member's words, which grows with the fleet as the room for them does not.
+// publishInterval returns the time between two versions of this member's records. It grows with the fleet, as the bytes sent a second
+// are bounded.
 func (n *Node) publishInterval() time.Duration {
 	return max(time.Second, time.Duration(n.cfg.Members)*30*time.Millisecond)
 }
 
-// partner returns whom to tell next: each other member once, then in another order. So any two hear one another within
-// members / Fanout rounds, not by chance.
+// nextPartner returns the member to send the next datagram to. Each cycle covers every other member once, in a new random order. Any
+// two members therefore exchange datagrams within members / Fanout rounds, which random choice would not guarantee.
 func (n *Node) nextPartner() int {
 	if n.partnerIndex == 0 || n.partnerIndex >= len(n.partners) {
 		if n.partners == nil {
@@ -226,7 +233,7 @@
 	n.actions = append(n.actions, Action{Kind: Log, Member: member, Text: text})
 }
 
-// random is splitmix64 from the seed.
+// random returns the next number of a splitmix64 generator.
 func (n *Node) random() uint64 {
 	n.rng += 0x9e3779b97f4a7c15
 	z := n.rng
@@ -235,33 +242,33 @@
 	return z ^ z>>31
 }
 
-// rumours is how often a member passes a new word on: so often that by chance nearly all have heard it.
+// transmitLimit returns how often a member forwards a new record: often enough to reach nearly all members.
 func (n *Node) transmitLimit() uint8 { return uint8(bits.Len(uint(n.cfg.Members)) + 1) }
 
-// Defect is a mistake that can be planted in a node, for the laboratory to show that its search finds it. None is in a program that serves.
+// Defect is a fault that the laboratory plants in a node to check that its explorer finds it. No production program plants one.
 type Defect uint8
 
-// The defects.
+// The plantable defects.
 const (
 	NoDefect              Defect = iota
-	OldVersionWins               // a late word of a life replaces a newer one
-	FormerIncarnationWins        // words of a former life put the present one aside
-	FoldedCountedTwice           // a life that is closed goes on counting apart, too
-	HorizonNotAdvanced           // a life that was closed is not told to be
-	UnreportedForgotten          // what a life may have done after its last word is forgotten with it
-	HistoryForgotten             // the counts of a former life go with it
-	IncarnationNotRaised         // a life whose clock went back stays below its former one
-	BaseNotSubtracted            // a life that goes above another tells what it has told before
-	CompleteOnReceipt            // a word counts as of when it comes
-	DefectCount                  // how many there are
+	OldVersionWins               // an older version of a record replaces a newer one
+	FormerIncarnationWins        // records of a former incarnation replace those of the current one
+	FoldedCountedTwice           // an incarnation that is folded counts twice in the sum
+	HorizonNotAdvanced           // the horizon is not advanced when an incarnation is folded
+	UnreportedForgotten          // the bound on a former incarnation's unreported requests is dropped
+	HistoryForgotten             // the records of a former incarnation are dropped
+	IncarnationNotRaised         // an incarnation is not raised above a higher one of the same member
+	BaseNotSubtracted            // a raised incarnation reports again what the former one reported
+	CompleteOnReceipt            // a member's records count as complete up to the time of their receipt
+	DefectCount                  // their number
 )
 
-// String names the planted defect in reports of the explorer.
+// String returns the defect's name in the explorer's reports.
 func (d Defect) String() string {
 	return [...]string{"none", "a late word wins", "a former life overrules", "a fold counts twice",
 		"a closed life is not marked", "a gap is forgotten",
 		"the past is forgotten", "a clock that went back is not made good", "what was told is told again", "words count as of their coming"}[d]
 }
 
-// Plant plants a defect.
+// Plant makes the node behave with a defect.
 func (n *Node) Plant(d Defect) { n.planted = d }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -9,14 +9,15 @@
 	"unsafe"
 )
 
-// crowd is a fleet in virtual time: what is sent in a round comes before the next, in the order of the senders, unless it is lost.
+// testFleet is a fleet in virtual time. Datagrams of a round arrive before the next one, in the order of the senders, unless the link
+// is cut.
 type testFleet struct {
 	t         *testing.T
 	nodes     []*Node
 	received  []uint64
 	now       time.Duration
 	isCut     func(from, to int) bool
-	bytesSent int // bytes
+	bytesSent int
 }
 
 func newTestFleet(t *testing.T, n, cells int) *testFleet {
@@ -73,7 +74,7 @@
 	}
 }
 
-// knowing counts the nodes that hold at least so much of a member.
+// membersKnowing counts the nodes whose record of a member's first cell has at least so many received requests.
 func (c *testFleet) membersKnowing(member int, received uint64) (k int) {
 	for _, n := range c.nodes {
 		if v, _ := decodeCounts(n.members[member].record(1).value); v[Received] >= received {
@@ -83,7 +84,8 @@
 	return k
 }
 
-// How soon nine tenths and all know what one member has counted, and what that costs, by the fleet's size.
+// Measures, by fleet size, how soon nine tenths and all of the members have a member's new counters, and how many bytes are sent for it.
+// Guards against updates that do not reach all members, or late, or above the bandwidth bound.
 func TestUpdatesReachAllMembers(t *testing.T) {
 	sizes := []int{8, 80}
 	if os.Getenv("FIRPLANK_LARGE") != "" {
@@ -116,18 +118,19 @@
 			c.runRound()
 		}
 		rate := float64(c.bytesSent-bytesBefore) / (c.now - measuredFrom).Seconds() / float64(size)
-		t.Logf("%d members: told within %v, nine tenths know after %v more, all after %v; %.0f bytes a second each (bound "+
-			"%d); %d bytes a member and cell at each, of which %d are the entry",
+		t.Logf("%d members: published within %v, nine tenths know after %v more, all after %v; %.0f bytes a second each (bound "+
+			"%d); %d bytes at each member for a member with one cell, of which %d are its struct",
 			size, c.nodes[0].publishInterval(), mostKnowAfter, c.now-publishedAt, rate, MaxBytesPerSecond,
 			(after.HeapAlloc-before.HeapAlloc)/uint64(size*size), unsafe.Sizeof(member{}))
-		if c.membersKnowing(0, 100) < size || mostKnowAfter > 3*time.Second+time.Duration(size)*40*time.Millisecond || rate > float64(MaxBytesPerSecond) {
+		if c.membersKnowing(0, 100) < size || mostKnowAfter > 3*time.Second+time.Duration(size)*40*time.Millisecond ||
+			rate > float64(MaxBytesPerSecond) {
 			t.Errorf("%d members: %d know", size, c.membersKnowing(0, 100))
 		}
 	}
 }
 
-// Half of the fleet hears nothing of the other for half a minute, and both go on counting: all agree to the unit soon after, and each sum
-// held the truth all along.
+// Two halves of a fleet are partitioned for 30 s while both count requests. The bounds must contain the actual number at all times, and
+// after the partition all members must have equal sums.
 func TestTotalsConvergeAfterPartition(t *testing.T) {
 	for _, size := range []int{2, 8, 33} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -140,7 +143,7 @@
 				for i, n := range c.nodes {
 					s := n.Sums()
 					if s.Cells[0][Received] > actual || s.Unbounded == 0 && s.UpperBound(0, Received) < actual {
-						t.Fatalf("%v: member %d tells %d to %d of %d", c.now, i, s.Cells[0][Received], s.UpperBound(0, Received), actual)
+						t.Fatalf("%v: member %d: bounds %d to %d, actual %d", c.now, i, s.Cells[0][Received], s.UpperBound(0, Received), actual)
 					}
 				}
 			}
@@ -157,13 +160,13 @@
 			receiveFor(30 * time.Second)
 			if size > 2 {
 				if s := c.nodes[0].Reachability(size - 1); s != Unreachable {
-					t.Errorf("the other half is %s", s)
+					t.Errorf("a member of the other half is %s", s)
 				}
 				if s := c.nodes[0].Reachability(1); s != Reachable {
-					t.Errorf("the own half is %s", s)
+					t.Errorf("a member of the same half is %s", s)
 				}
 			} else if !c.nodes[0].Isolated() {
-				t.Error("cut off, and does not know")
+				t.Error("partitioned, and Isolated is false")
 			}
 			c.isCut = func(int, int) bool { return false }
 			receiveFor(10 * time.Second)
@@ -181,28 +184,30 @@
 	}
 }
 
-// One link is cut, or carries one way only: the others' words tell which it is.
+// A link that is cut, or works in one direction only, must not be mistaken for a member that is down: the records of other members show
+// the difference.
 func TestLinkFaultsAreDistinguishedFromMemberFaults(t *testing.T) {
 	c := newTestFleet(t, 5, 1)
 	c.advance(10 * time.Second)
 	c.isCut = func(from, to int) bool { return from+to == 1 }
 	c.advance(20 * time.Second)
 	if s := c.nodes[0].Reachability(1); s != LinkDown {
-		t.Errorf("a cut link: %s", s)
+		t.Errorf("member behind a cut link: %s", s)
 	}
 	c.isCut = func(from, to int) bool { return from == 0 && to == 1 }
 	c.advance(20 * time.Second)
 	if s := c.nodes[0].Reachability(1); s != OneWay {
-		t.Errorf("heard and not hearing: %s", s)
+		t.Errorf("member behind a one-way link: %s", s)
 	}
 	c.isCut = func(from, to int) bool { return from == 2 || to == 2 }
 	c.advance(20 * time.Second)
 	if s := c.nodes[0].Reachability(2); s != Unreachable || !c.nodes[2].Isolated() || c.nodes[2].Reachability(0) != Undetermined {
-		t.Errorf("one cut off: %s, alone %v, %s", s, c.nodes[2].Isolated(), c.nodes[2].Reachability(0))
+		t.Errorf("isolated member: %s, Isolated %v, its view of member 0: %s", s, c.nodes[2].Isolated(), c.nodes[2].Reachability(0))
 	}
 }
 
-// Two processes with one number outbid one another a few times, say so, and fall silent; the others' sums stay.
+// Two processes with the same number raise their incarnations above each other. They must log it and stop sending after a few times, and
+// the other members' sums must not grow by it.
 func TestDuplicateNumberEndsInSilence(t *testing.T) {
 	c := newTestFleet(t, 4, 1)
 	for i := range c.received {
@@ -234,21 +239,21 @@
 	}
 	if s := c.nodes[0].Sums(); logged == 0 || duplicate.raises.count+c.nodes[1].raises.count == 0 || s.Cells[0][Received] < 30 ||
 		s.Cells[0][Received] > 200 {
-		t.Errorf("%d notes, %d and %d times above, %d taken", logged, duplicate.raises.count, c.nodes[1].raises.count, s.Cells[0][Received])
+		t.Errorf("%d logged, %d and %d times raised, %d received", logged, duplicate.raises.count, c.nodes[1].raises.count, s.Cells[0][Received])
 	}
 }
 
-// A member that says nothing of its rate bounds nothing: it is counted apart, also after it has started anew.
+// A member that announces no rate has no bound on its unreported requests: it must be counted as unbounded, also after its restart.
 func TestMemberWithoutRateIsUnbounded(t *testing.T) {
 	c := newTestFleet(t, 3, 1)
 	c.nodes[1].cfg.MaxRate = 0
 	c.advance(5 * time.Second)
 	if s := c.nodes[0].Sums(); s.Unbounded != 1 {
-		t.Errorf("%d without a bound", s.Unbounded)
+		t.Errorf("%d members unbounded", s.Unbounded)
 	}
 	c.nodes[1] = c.newNode(1, 3, 1)
 	c.advance(5 * time.Second)
 	if s := c.nodes[0].Sums(); s.Unbounded != 1 {
-		t.Errorf("after its next start %d without a bound", s.Unbounded)
+		t.Errorf("after the restart %d members unbounded", s.Unbounded)
 	}
 }
--- a/fleet/fuzz_test.go
+++ b/fleet/fuzz_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// pair returns two nodes that have told one another something, and the last datagrams between them.
+// newExchangedPair returns two nodes that have exchanged datagrams for some rounds, and these datagrams.
 func newExchangedPair(t testing.TB) (a, b *Node, last [][]byte) {
 	make := func(i int) *Node {
 		n, err := New(Config{Number: i, Members: 2,
@@ -32,7 +32,7 @@
 	return a, b, last
 }
 
-// Whatever comes to the port, a node takes it or drops it, and says nothing absurd after.
+// Arbitrary input from the socket must neither crash a node nor make it send oversized datagrams.
 func FuzzDatagram(f *testing.F) {
 	_, _, seeds := newExchangedPair(f)
 	for _, s := range seeds {
@@ -53,7 +53,7 @@
 	})
 }
 
-// Two members know all of one another within seconds, and how far.
+// Two members must have each other's counters, and a bound on the age of them, within seconds.
 func TestTwoMembersKnowEachOther(t *testing.T) {
 	a, b, _ := newExchangedPair(t)
 	for _, n := range []*Node{a, b} {
@@ -72,7 +72,7 @@
 	}
 }
 
-// The largest word fits, and comes back as it was.
+// The largest update must fit a datagram and decode to the same value.
 func TestLargestUpdateRoundTrip(t *testing.T) {
 	p := history{horizon: 1 << 62}
 	for i := range p.folded {
--- a/fleet/gossip.go
+++ b/fleet/gossip.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// send fills a datagram for a member: this member's own words first, as the receiver can only know how far it has them all from this
-// member itself; then what the receiver lacks; then new words of others; then old ones in turn. Every other one begins with a digest.
+// send fills a datagram for a member. This member's own records come first, as only its own datagrams show the receiver whether its
+// copy is complete. Then follow records that the receiver lacks, new records of others, and old ones in turn. Every other datagram
+// also has a digest, after the own records.
 func (n *Node) send(to int) {
 	m := &n.members[to]
 	n.seq++
@@ -35,15 +36,16 @@
 	n.actions = append(n.actions, Action{Kind: Send, To: to, Data: b})
 }
 
-// appendLater tells a member words of a life of its own that is above the one it speaks by, so that it goes above that.
+// appendNewerIncarnation adds records of a member's own incarnation above the one that it sends with, so that it raises its own above
+// that.
 func (n *Node) appendNewerIncarnation(b []byte, to int) []byte {
-	words := n.members[to].records
-	if len(words) == 0 {
+	records := n.members[to].records
+	if len(records) == 0 {
 		return b
 	}
-	from := int(n.random() % uint64(len(words)))
-	for k := range words {
-		if t := (from + k) % len(words); words[t].version > 0 {
+	start := int(n.random() % uint64(len(records)))
+	for k := range records {
+		if t := (start + k) % len(records); records[t].version > 0 {
 			var ok bool
 			if b, ok = n.appendRecord(b, to, t); !ok || len(b) > headerSize+(MaxDatagramSize-headerSize)/2 {
 				break
@@ -53,7 +55,7 @@
 	return b
 }
 
-// appendOwn adds the beat, and this member's own words in turn, half of the room at most while there are others' to tell.
+// appendOwn adds the heartbeat and this member's own records in turn, up to half of the datagram in a fleet of more than two.
 func (n *Node) appendOwn(b []byte, m *member) []byte {
 	me := n.self()
 	room := MaxDatagramSize
@@ -87,7 +89,7 @@
 	return appendUpdate(b, &update{member: member, topic: topic, inc: m.inc, version: w.version, value: w.value})
 }
 
-// digestOf sums up what is known of a member.
+// digestOf returns the digest of the records known of a member.
 func (n *Node) digestOf(i int) digest {
 	m := &n.members[i]
 	d := digest{member: i, inc: uint16(m.inc >> randomBits), versionSum: m.versionSum, hash: uint16(m.hash)}
@@ -96,7 +98,7 @@
 
 func (n *Node) blockCount() int { return (n.cfg.Members + maxDigestMembers - 1) / maxDigestMembers }
 
-// appendDigest tells what is known of a block of members: one that the receiver has shown to know more of, or the next in turn.
+// appendDigest adds the digests of a block of members: one of which the receiver has newer records, or else the next in turn.
 func (n *Node) appendDigest(b []byte, m *member) []byte {
 	block := n.digestBlock % n.blockCount()
 	if m.requestedBlock > 0 {
@@ -121,15 +123,15 @@
 	return b
 }
 
-// mostWanted bounds the members that another is known to lack words of.
+// maxMissing bounds the list of members of which another member lacks records.
 const maxMissing = 32
 
-// compare notes what a member lacks by its digests, and where it knows more.
+// compareDigests records which members' records the sender lacks, and a block of which it has newer ones.
 func (n *Node) compareDigests(from int, digests []digest) {
 	m := &n.members[from]
 	for _, d := range digests {
 		if d.member == from || d.member == n.cfg.Number {
-			continue // of oneself all is told anyway
+			continue // each member sends its own records in any case
 		}
 		own := n.digestOf(d.member)
 		if own == d {
@@ -144,8 +146,8 @@
 	}
 }
 
-// appendWanted adds words of members of which the receiver lacks some: all of a member's, over several datagrams, and
-// with them those of its former lives that it has not taken in.
+// appendMissing adds the records of members of which the receiver lacks some: all records of each such member, over several
+// datagrams.
 func (n *Node) appendMissing(b []byte, m *member) []byte {
 	for len(m.missing) > 0 {
 		memberIndex := int(m.missing[0])
@@ -164,7 +166,7 @@
 	return b
 }
 
-// appendHot passes on new words of others, the first come first.
+// appendBroadcasts forwards new records in the order of their receipt.
 func (n *Node) appendBroadcasts(b []byte, to int) []byte {
 	for tries := len(n.broadcasts) - n.broadcastHead; tries > 0; tries-- {
 		k := n.broadcasts[n.broadcastHead]
@@ -189,7 +191,8 @@
 	return b
 }
 
-// appendBackground adds old words in turn: those of former lives that their member has not taken in, and all others.
+// appendBackground adds records regardless of their age, member by member: those of former incarnations that the member has not merged,
+// and a random one of the current incarnation.
 func (n *Node) appendBackground(b []byte, to int) []byte {
 	for range min(n.cfg.Members, 64) {
 		m := &n.members[n.scanIndex%n.cfg.Members]
@@ -210,14 +213,15 @@
 	return b
 }
 
-// appendLives adds the words of a member's former lives that it has not taken in, from a random one on.
+// appendFormer adds the records of a member's former incarnations that the member has not merged into its history, from a random topic
+// on. It reports whether all fit.
 func (n *Node) appendFormer(b []byte, memberIndex int) ([]byte, bool) {
 	m := &n.members[memberIndex]
 	for i := range m.former {
 		l := &m.former[i]
-		from := int(n.random() % uint64(len(l.records)))
+		start := int(n.random() % uint64(len(l.records)))
 		for k := range l.records {
-			t := (from + k) % len(l.records)
+			t := (start + k) % len(l.records)
 			if w := &l.records[t]; t > 0 && w.version > 0 && !n.isMerged(m, l, t) {
 				var ok bool
 				if b, ok = appendUpdate(b, &update{member: memberIndex, topic: t, inc: l.inc, version: w.version, value: w.value}); !ok {
@@ -229,7 +233,7 @@
 	return b, true
 }
 
-// taken reports whether the present life of a member has taken in a word of a former one.
+// isMerged reports whether the current incarnation of a member has merged a record of a former one into its history.
 func (n *Node) isMerged(m *member, l *formerIncarnation, topic int) bool {
 	cell := topic - 1
 	if cell < n.cfg.Cells {
@@ -249,7 +253,7 @@
 	return true
 }
 
-// hear takes in a datagram.
+// receive processes a datagram: it drops invalid and duplicate ones, merges the updates, and compares the digests.
 func (n *Node) receive(ev Datagram) {
 	p, err := parse(ev.Data, n.cfg.Members, n.topicCount())
 	switch {
@@ -288,7 +292,8 @@
 	if p.inc != m.inc {
 		return
 	}
-	// All that it had counted when it published is in its words of that clock; it published after it had our beat.
+	// When the sender published, its records included all that it had counted. It published after it had received the acknowledged
+	// heartbeat, so they are complete up to the time at which this node wrote that heartbeat.
 	if p.ackInc == uint16(n.self().inc>>randomBits) {
 		if sentAt, ok := n.heartbeatTime(p.ack); ok {
 			m.ackedSentAt = max(m.ackedSentAt, sentAt)
@@ -302,16 +307,17 @@
 	}
 }
 
-// beatAt is when this life wrote a beat.
+// heartbeatTime returns when this incarnation wrote a version of its heartbeat; ok is false if that is no longer kept.
 func (n *Node) heartbeatTime(version uint32) (at time.Duration, ok bool) {
 	b := n.heartbeats[version%heartbeatsKept]
 	return b.sentAt, version > 0 && b.version == version
 }
 
-// fresher reports whether a datagram has not come before; of those that come late, 64 are told apart.
+// acceptSeq reports whether a datagram is not a duplicate. Among late datagrams it distinguishes the last 64 sequence numbers and rejects
+// older ones.
 func (m *member) acceptSeq(inc Incarnation, seq uint32) bool {
 	if inc < m.seqInc {
-		return true // of a former life: its words say how old they are
+		return true // of a former incarnation: the versions of its records show their age
 	}
 	if inc > m.seqInc {
 		m.seqInc, m.lastSeq, m.seqWindow = inc, seq, 1
--- a/fleet/member.go
+++ b/fleet/member.go
@@ -7,26 +7,26 @@
 	"time"
 )
 
-// Standing is what this member makes of another, by what it hears of it.
+// Reachability is this member's judgment of another member, from the datagrams and records that it has received.
 type Reachability string
 
-// The standings.
+// The values of Reachability.
 const (
-	Reachable    Reachability = "here"       // its own word is new, by whatever way
-	Unknown      Reachability = "unknown"    // nothing was ever heard of it
-	Unreachable  Reachability = "gone"       // nobody has heard anything new of it
-	LinkDown     Reachability = "cut link"   // others have new words of it, and it does not reach this member itself
-	OneWay       Reachability = "unheard by" // it is heard, and does not hear this member
-	Undetermined Reachability = "unclear"    // nothing can be said: this member is cut off, or has just gone on
+	Reachable    Reachability = "here"       // its heartbeat is recent, and datagrams pass in both directions
+	Unknown      Reachability = "unknown"    // no record of it was ever received
+	Unreachable  Reachability = "gone"       // no member has a recent heartbeat of it
+	LinkDown     Reachability = "cut link"   // other members have its recent heartbeats, but its own datagrams don't arrive here
+	OneWay       Reachability = "unheard by" // its datagrams arrive here, but this member's don't arrive there
+	Undetermined Reachability = "unclear"    // this member is isolated, or has just resumed after a suspension
 )
 
-// beat is the value of topic 0: what a life says of itself.
+// heartbeat is the value of topic 0, in which an incarnation describes itself.
 type heartbeat struct {
-	maxRate      uint32   // requests a second that it takes at most
-	receivesFrom []uint64 // members that it has heard itself of late, a bit each; empty in a large fleet
+	maxRate      uint32   // requests a second; 0: it announces no limit
+	receivesFrom []uint64 // a bit for each member whose datagrams arrived recently; empty in a large fleet
 }
 
-// mostBits bounds the members of whom a beat tells whether they are heard.
+// maxBitmapMembers is the largest fleet whose heartbeats have a bitmap of the members whose datagrams arrive.
 const maxBitmapMembers = 512
 
 func (n *Node) encodeHeartbeat() []byte {
@@ -58,23 +58,23 @@
 	return b, true
 }
 
-// round is the time in which each member tells each other one something itself, with some to spare for what is lost.
+// cycleDuration returns the time in which each member sends a datagram to every other member, rounded up to whole rounds.
 func (n *Node) cycleDuration() time.Duration {
 	return time.Duration((n.cfg.Members+Fanout-1)/Fanout) * Interval
 }
 
-// silence is after how long without a new word a member counts as silent.
+// silenceTimeout returns the time without a new heartbeat after which a member counts as unreachable.
 func (n *Node) silenceTimeout() time.Duration {
 	return 2*time.Second + 2*n.publishInterval() + 2*n.cycleDuration()
 }
 
-// hears reports whether a member was heard from itself of late.
+// receivesFrom reports whether a member's own datagrams arrived recently.
 func (n *Node) receivesFrom(i int) bool {
 	m := &n.members[i]
 	return i == n.cfg.Number || m.lastDatagram >= 0 && n.now-m.lastDatagram <= 2*time.Second+4*n.cycleDuration()
 }
 
-// Standing judges a member.
+// Reachability judges member i.
 func (n *Node) Reachability(i int) Reachability {
 	m := &n.members[i]
 	switch {
@@ -94,7 +94,8 @@
 	return Reachable
 }
 
-// unheardBy reports whether a member that is heard says that it does not hear this one, or shows it by what it acknowledges.
+// isOneWay reports whether this member's datagrams don't arrive at m, while those of m arrive here. This follows from the bitmap in
+// m's heartbeat or, in a large fleet, from the age of the heartbeat that m last acknowledged.
 func (n *Node) isOneWay(m *member) bool {
 	b, ok := decodeHeartbeat(m.record(0).value)
 	if number := n.cfg.Number; ok && number/64 < len(b.receivesFrom) {
@@ -103,25 +104,28 @@
 	return n.now-m.ackedSentAt > n.silenceTimeout()+n.publishInterval()
 }
 
-// Alone reports that nobody is heard: this member is cut off, or has just gone on after a pause and what it knows is old.
+// Isolated reports that no datagram arrived recently: this member is partitioned from all others, or has just resumed after a
+// suspension and its view is stale.
 func (n *Node) Isolated() bool {
 	if n.cfg.Members == 1 {
 		return false
 	}
 	for i := range n.members {
-		if m := &n.members[i]; i != n.cfg.Number && m.lastDatagram >= 0 && m.lastDatagram >= n.resumedAt && n.now-m.lastDatagram <= n.silenceTimeout() {
+		if m := &n.members[i]; i != n.cfg.Number && m.lastDatagram >= 0 && m.lastDatagram >= n.resumedAt &&
+			n.now-m.lastDatagram <= n.silenceTimeout() {
 			return false
 		}
 	}
 	return true
 }
 
-// Stale reports that this process has just gone on after standing still, and has heard nobody since: its view is as old as its pause.
+// Stale reports that this process is or was suspended, and has received nothing since. Its view is then as old as the suspension is
+// long.
 func (n *Node) Stale(now time.Duration) bool {
 	return n.lastTick > 0 && now-n.lastTick > suspendThreshold || n.resumedAt > 0 && n.Isolated() && now-n.resumedAt < n.silenceTimeout()
 }
 
-// Heard is the part of the members that are here.
+// ReachableShare returns the share of the members that run, by recent heartbeats: 0 to 1.
 func (n *Node) ReachableShare() float64 {
 	reachable := 0
 	for i := range n.members {
@@ -132,15 +136,15 @@
 	return float64(reachable) / float64(n.cfg.Members)
 }
 
-// watch tells of members that fall silent or return, and of this one when it is cut off.
+// logChanges logs members that become unreachable or reachable again, and this member's own isolation.
 func (n *Node) logChanges() {
 	isolated := n.Isolated()
 	if isolated != n.wasIsolated && n.now > n.silenceTimeout() {
 		n.wasIsolated = isolated
 		if isolated {
-			n.log(n.cfg.Number, "hears nobody: it is cut off, or all others are gone")
+			n.log(n.cfg.Number, "received nothing from any member: this one is isolated, or all others have stopped")
 		} else {
-			n.log(n.cfg.Number, "hears others again")
+			n.log(n.cfg.Number, "receives datagrams from other members again")
 		}
 	}
 	if isolated {
@@ -151,31 +155,31 @@
 		if s := n.Reachability(i); (s == Unreachable) != m.loggedUnreachable {
 			m.loggedUnreachable = s == Unreachable
 			if m.loggedUnreachable {
-				n.log(i, fmt.Sprintf("silent: nobody has had a new word of it for %v", (n.now-m.lastHeartbeat).Round(time.Millisecond)))
+				n.log(i, fmt.Sprintf("unreachable: no new heartbeat for %v", (n.now-m.lastHeartbeat).Round(time.Millisecond)))
 			} else {
-				n.log(i, "is heard again")
+				n.log(i, "reachable again")
 			}
 		}
 	}
 }
 
-// MemberView is what is known of a member, for operators.
+// MemberView is this member's view of one member, for operators.
 type MemberView struct {
 	Number         int
 	Reachability   Reachability
 	Incarnation    Incarnation
-	SinceDatagram  time.Duration // since it was heard itself; below 0: never
-	SinceHeartbeat time.Duration // since a new word of it came, by whatever way
-	SinceComplete  time.Duration // since when it may have done more than is known; below 0: not known
-	ReceivesFrom   []bool        // by member, as it says; empty in a large fleet
-	Counters       Counters      // over all cells and lives
+	SinceDatagram  time.Duration // since a datagram of its own arrived; below 0: never
+	SinceHeartbeat time.Duration // since a new heartbeat of it arrived, also through others
+	SinceComplete  time.Duration // since the time up to which its records are known to be complete; below 0: unknown
+	ReceivesFrom   []bool        // by member, from its heartbeat; empty in a large fleet
+	Counters       Counters      // over all cells and incarnations
 	Conflict       bool
 }
 
-// Life returns the latest life of a member that was heard of; 0: none was.
+// Incarnation returns the latest known incarnation of a member; 0: none is known.
 func (n *Node) Incarnation(member int) Incarnation { return n.members[member].inc }
 
-// View returns what is known of each member.
+// View returns this member's view of each member, by number.
 func (n *Node) View() []MemberView {
 	views := make([]MemberView, len(n.members))
 	since := func(t time.Duration) time.Duration {
--- a/fleet/table.go
+++ b/fleet/table.go
@@ -7,49 +7,49 @@
 	"time"
 )
 
-// word is the latest value of a topic, by one life of a member.
+// record is the latest value of a topic of one incarnation.
 type record struct {
-	version       uint32 // 0: none is known
-	transmitsLeft uint8  // times that it is still to be passed on as new
+	version       uint32 // 0: no value is known
+	transmitsLeft uint8  // times that it still has to be forwarded as new
 	value         []byte
 }
 
-// life is what is kept of a former life of a member.
+// formerIncarnation is what is kept of a member's former incarnation.
 type formerIncarnation struct {
 	inc     Incarnation
-	records []record // of its counts, and what it said of its own past; by topic
+	records []record // by topic; the heartbeat is not used
 }
 
-// member is what is known of a member.
+// member is this node's state of one member.
 type member struct {
-	inc     Incarnation         // of its latest life that was heard of
-	records []record            // of that life: the beat, its chunks, and what it says of its former lives; nil until one is heard
-	former  []formerIncarnation // former ones, the latest first
+	inc     Incarnation         // the latest one known
+	records []record            // of that incarnation, by topic; nil until one is received
+	former  []formerIncarnation // former incarnations, latest first
 
-	versionSum         uint32        // versions of all words together
-	hash               uint32        // ... and a hash of them
-	lastDatagram       time.Duration // when it was last heard from itself; -1: never
-	lastHeartbeat      time.Duration // when a newer beat of it last came, by whatever way
-	completeAsOf       time.Duration // all that it took before then is in its words; -1: not known
-	formerUnreported   uint64        // requests that its former lives may have taken beyond their words
-	ackedSentAt        time.Duration // when the beat of ours was sent that it last said to hold
-	lastSeq            uint32        // of its datagrams: the latest, and which of the 64 before it came
-	seqWindow          uint64
+	versionSum         uint32        // of the versions of all records
+	hash               uint32        // of the versions of all records
+	lastDatagram       time.Duration // when its own last datagram arrived; -1: never
+	lastHeartbeat      time.Duration // when its last new heartbeat arrived, also through others; -1: never
+	completeAsOf       time.Duration // its records include all requests that it received before then; -1: unknown
+	formerUnreported   uint64        // upper bound on the requests that former incarnations received beyond their records
+	ackedSentAt        time.Duration // when this node wrote the heartbeat that the member last acknowledged
+	lastSeq            uint32        // highest sequence number of its datagrams in seqInc
+	seqWindow          uint64        // bit i: datagram lastSeq-i has arrived
 	seqInc             Incarnation
-	missing            []uint16 // members of which it lacks words
-	missingTopic       int      // how far its first one is told
-	nextOwnTopic       int      // which of our words it is told next
-	requestedBlock     int      // a block of which it knows more, and one; 0: none
-	loggedUnreachable  bool     // it was said to be
-	heartbeatAtPublish uint32   // the beat of it that we held when we last published
-	formerRate         uint32   // the rate that a former life kept to
-	superseded         bool     // it spoke last by a life that is below another of it
-	unreportedKnown    bool     // of this member alone: others have told what its former lives may have done beyond their words
-	unbounded          bool     // what a former life may have done has no bound that is known
-	conflict           bool
+	missing            []uint16 // members of which it lacks records
+	missingTopic       int      // next topic of missing[0] to send to it
+	nextOwnTopic       int      // next topic of this node's own to send to it, without the heartbeat
+	requestedBlock     int      // 1 + the block of which it has newer records; 0: none
+	loggedUnreachable  bool     // as logged last
+	heartbeatAtPublish uint32   // version of its heartbeat that this node had when it last published; sent as acknowledgement
+	formerRate         uint32   // rate announced by its former incarnation
+	superseded         bool     // its last datagram was of an incarnation below the latest one known
+	unreportedKnown    bool     // for this node's own member: another member has sent a value for formerUnreported
+	unbounded          bool     // no bound is known on the unreported requests of a former incarnation
+	conflict           bool     // two values of one version were received
 }
 
-// topics of a life: the beat, then a cell's counts each, then what it says of each cell in its former lives.
+// topicCount returns the number of an incarnation's topics: the heartbeat, the counters of each cell, the history of each cell.
 func (n *Node) topicCount() int           { return 1 + 2*n.cfg.Cells }
 func (n *Node) historyTopic(cell int) int { return 1 + n.cfg.Cells + cell }
 
@@ -60,7 +60,7 @@
 	return &m.records[topic]
 }
 
-// item is a word on its way.
+// update is a record as it is sent, with its member, topic and incarnation.
 type update struct {
 	member, topic int
 	inc           Incarnation
@@ -68,7 +68,7 @@
 	value         []byte
 }
 
-// merge takes in a word if it is newer than what is known, and reports whether it was.
+// mergeUpdate stores an update that is newer than the known record, and reports whether it did.
 func (n *Node) mergeUpdate(u *update) bool {
 	m := &n.members[u.member]
 	if u.member == n.cfg.Number {
@@ -91,9 +91,9 @@
 			n.drops.Conflicting++
 			if !m.conflict {
 				m.conflict = true
-				n.log(u.member, "says two things under one version: two processes may have its number")
+				n.log(u.member, "sent two values under one version: two processes may have its number")
 			}
-			// All have to keep the same of the two.
+			// All members have to keep the same one of the two.
 			if bytes.Compare(u.value, w.value) <= 0 {
 				return false
 			}
@@ -109,7 +109,7 @@
 	return true
 }
 
-// set makes a word the latest, and one to be passed on.
+// store replaces a record, and queues it to be forwarded.
 func (n *Node) store(m *member, u *update) {
 	w := &m.records[u.topic]
 	m.versionSum += u.version - w.version
@@ -117,14 +117,14 @@
 	w.version, w.value = u.version, append(w.value[:0], u.value...)
 	if w.transmitsLeft == 0 {
 		if len(n.broadcasts)-n.broadcastHead >= maxBroadcasts {
-			return // the background and digests bring it
+			return // the queue is full: digests and the background repair spread it
 		}
 		n.broadcasts = append(n.broadcasts, recordKey{uint16(u.member), uint16(u.topic)})
 	}
 	w.transmitsLeft = n.transmitLimit()
 }
 
-// mix hashes a version of a topic; 0 for none.
+// versionHash hashes a topic and its version; 0 if there is no version.
 func versionHash(topic int, version uint32) uint32 {
 	if version == 0 {
 		return 0
@@ -135,11 +135,13 @@
 	return h ^ h>>15
 }
 
-// newLife begins a life of a member; what its former one has told of counts stays, until the member itself has taken it in.
+// startIncarnation begins a new incarnation of a member. The former one's records are kept until the member itself has merged them
+// into its history.
 func (n *Node) startIncarnation(memberIndex int, inc Incarnation) {
 	m := &n.members[memberIndex]
 	if m.inc != 0 {
-		// Until now at the latest it went on, within its stated rate. Where nothing bounds that, nothing will.
+		// The former incarnation ended now at the latest, and kept to its announced rate until then. Without an announced rate
+		// its requests remain without a bound.
 		m.unbounded = m.unbounded || m.completeAsOf < 0 || n.announcedRate(m) == 0
 		if n.planted != UnreportedForgotten {
 			m.formerUnreported = n.maxUnreported(m)
@@ -152,12 +154,13 @@
 			m.former = append([]formerIncarnation{{m.inc, m.records}}, m.former...)
 			m.former = m.former[:min(len(m.former), maxFormerIncarnations)]
 		}
-		n.log(memberIndex, "has started anew")
+		n.log(memberIndex, "restarted")
 	}
 	m.inc, m.records, m.versionSum, m.hash = inc, nil, 0, 0
 }
 
-// formerWord takes in a late word of a former life. What the member's present life has taken in, or closed, cannot count again.
+// mergeFormer stores a late update of a former incarnation, unless the member has already folded that incarnation, and reports
+// whether it did.
 func (n *Node) mergeFormer(m *member, u *update) bool {
 	if u.topic == 0 || n.isFolded(m, u.inc) {
 		n.drops.Stale++
@@ -184,7 +187,7 @@
 	return true
 }
 
-// closed reports whether the present life has closed a former one in any cell: its words are of no use then.
+// isFolded reports whether the current incarnation has folded a former one in any cell. Records of that one are not needed then.
 func (n *Node) isFolded(m *member, inc Incarnation) bool {
 	for cell := range n.cfg.Cells {
 		if p, ok := decodeHistory(m.record(n.historyTopic(cell)).value); ok && inc <= p.horizon {
@@ -194,8 +197,8 @@
 	return false
 }
 
-// ownWord takes in what others say of this member: words of its former lives are taken into its past. A life above this one is
-// another process, or this one's clock went back: this life goes above it.
+// mergeOwn merges an update of this member itself. Records of former incarnations are merged into its history. An incarnation above
+// this one is another process with the same number, or the clock was set back: this node raises its own incarnation above it.
 func (n *Node) mergeOwn(u *update) bool {
 	me := n.self()
 	switch {
@@ -225,8 +228,8 @@
 	muteDuration = time.Minute
 )
 
-// goAbove begins a new life of this process above one of its number that was heard of. Where that goes on and on, two processes have the
-// number: this one falls silent for a while, so that the fleet does not see a new life each second.
+// raiseIncarnation gives this process a new incarnation above inc, a received one of the same number. If that repeats, two processes
+// have the number. This one then sends nothing for muteDuration, so that the fleet does not get a new incarnation each second.
 func (n *Node) raiseIncarnation(inc Incarnation) {
 	if n.planted == IncarnationNotRaised || n.now < n.raises.silentUntil || uint64(inc) >= 1<<63 {
 		return
@@ -237,7 +240,7 @@
 	n.raises.count++
 	n.raises.last = n.now
 	me := n.self()
-	// What this life has told stays under its name, as that of a former life; the new one counts on from there.
+	// The counters reported so far remain those of the former incarnation; the new one reports only what exceeds them.
 	formerRecords, formerInc := me.records, me.inc
 	me.inc = (inc>>randomBits+1)<<randomBits | Incarnation(n.random()&(1<<randomBits-1))
 	me.records, me.versionSum, me.hash = nil, 0, 0
@@ -255,13 +258,13 @@
 	n.publishedAt = -time.Hour
 	if n.raises.count > maxRaises {
 		n.raises.silentUntil = n.now + muteDuration
-		n.log(n.cfg.Number, fmt.Sprintf("another process has this member's number: this one says nothing for %v", muteDuration))
+		n.log(n.cfg.Number, fmt.Sprintf("another process has this member's number: this one sends nothing for %v", muteDuration))
 		return
 	}
-	n.log(n.cfg.Number, "heard of another life of this member, and goes above it")
+	n.log(n.cfg.Number, "received a record of another incarnation of this member: raised its own above it")
 }
 
-// tellPast has this life say what a cell was in its former ones, if that is more than it has said.
+// publishHistory folds and publishes a cell's history if it differs from the published one, and reports whether it did.
 func (n *Node) publishHistory(cell int, p *history) bool {
 	p.fold(n.planted)
 	if t := p.total(); t == (Counters{}) && p.horizon == 0 {
@@ -275,7 +278,7 @@
 	return true
 }
 
-// write sets a word of this life.
+// writeOwn writes a new version of one of this node's own records.
 func (n *Node) writeOwn(topic int, value []byte) {
 	me := n.self()
 	if me.records == nil {
--- a/fleet/wire.go
+++ b/fleet/wire.go
@@ -6,12 +6,22 @@
 	"math"
 )
 
-// A datagram: "fl", version 1, a byte of flags (0); members, from and to, two bytes each; the sender's incarnation, eight; its sequence
-// number, four; a hash of the versions of its words, four; the version of the receiver's beat that it held when it published, four, and
-// two bytes of the incarnation that this is of, and two of what the receiver's former lives may have done beyond their
-// words. Then parts, each a byte of kind: a word (member, topic, version as varints, the incarnation, eight bytes, a
-// byte of length and the value), or a digest (the first member as a varint, a count, and for each eight bytes: two of
-// the incarnation, four of the clock, two of a hash).
+// The header of a datagram, big-endian:
+//
+//	"fl", protocol version 1, flags (0)
+//	members, from, to                     2 bytes each
+//	the sender's incarnation              8 bytes
+//	sequence number                       4 bytes
+//	hash of the sender's versions         4 bytes
+//	acknowledgement                       4 bytes: version of the receiver's heartbeat that the sender had when it published
+//	acknowledged incarnation              2 bytes: of that heartbeat, without the random bits
+//	unreported requests                   2 bytes: bound for the receiver's former incarnations, see encodeUnreported
+//
+// Then follow parts, each with a byte of its kind:
+//
+//	update: member, topic and version as varints, the incarnation in 8 bytes, a byte of length, the value
+//	digest: the first member as a varint, a byte of count, and for each member 2 bytes of the incarnation, 4 of the sum of
+//	versions, 2 of their hash
 const (
 	headerSize       = 34
 	digestSize       = 8
@@ -20,13 +30,13 @@
 	partUpdate = 1
 	partDigest = 2
 
-	maxUpdateHeader = 1 + 3 + 3 + 5 + 8 + 1 // at most
+	maxUpdateHeader = 1 + 3 + 3 + 5 + 8 + 1 // maximum length
 )
 
-// largestValue is the longest value of a word: the past of a cell. Each fits a datagram with its header.
+// maxValueSize is the length of the longest value, the history of a cell.
 const maxValueSize = 8 + 7*7 + maxFormerIncarnations*(8+5+7*7)
 
-// A word of any value fits a datagram.
+// An update with the longest value fits a datagram: otherwise this does not compile.
 var _ [MaxDatagramSize - headerSize - maxUpdateHeader - maxValueSize]struct{}
 
 type header struct {
@@ -34,7 +44,7 @@
 	inc               Incarnation
 	seq, sum, ack     uint32
 	ackInc            uint16
-	formerUnreported  uint16 // what the receiver's former lives may have taken beyond their words, in steps; unknownBeyond: nobody knows
+	formerUnreported  uint16 // bound for the receiver's former incarnations, as a step
 }
 
 func (h *header) append(b []byte) []byte {
@@ -50,9 +60,11 @@
 	return binary.BigEndian.AppendUint16(b, h.formerUnreported)
 }
 
-// Steps of beyond: a request each at first, coarser by and by, rounded up.
+// unreportedUnknown is the step that stands for no known bound.
 const unreportedUnknown = 1<<16 - 1
 
+// encodeUnreported returns a step that stands for at least that many requests; unreportedUnknown if none does. Steps are one request
+// each up to 512, and coarser beyond.
 func encodeUnreported(requests uint64) uint16 {
 	step := 0
 	for step < unreportedUnknown && decodeUnreported(uint16(step)) < requests {
@@ -61,7 +73,7 @@
 	return uint16(min(step, unreportedUnknown))
 }
 
-// beyondOf is the most that a step stands for.
+// decodeUnreported returns the number of requests that a step stands for.
 func decodeUnreported(step uint16) uint64 {
 	if step < 512 {
 		return uint64(step)
@@ -69,9 +81,9 @@
 	return uint64(512 * math.Exp(float64(step-512)/2048))
 }
 
-var errMalformed = errors.New("fleet: not a datagram of this protocol")
+var errMalformed = errors.New("fleet: malformed datagram")
 
-// Parsed is a datagram taken apart. Values point into its bytes.
+// parsedDatagram is a decoded datagram. The values alias its bytes.
 type parsedDatagram struct {
 	header
 	updates []update
@@ -85,7 +97,7 @@
 	hash       uint16
 }
 
-// parse reads a datagram for a fleet of a size with so many topics a life. It is given whatever comes to a port.
+// parse decodes a datagram for a fleet of so many members, with so many topics for an incarnation. Its input is untrusted.
 func parse(b []byte, members, topics int) (*parsedDatagram, error) {
 	if len(b) < headerSize || len(b) > MaxDatagramSize || b[0] != 'f' || b[1] != 'l' || b[2] != 1 {
 		return nil, errMalformed
@@ -117,7 +129,7 @@
 	return p, nil
 }
 
-// parseWord reads a word off the beginning of b and returns what follows it.
+// parseUpdate decodes an update at the start of b and returns the bytes after it.
 func (p *parsedDatagram) parseUpdate(b []byte, members, topics int) (rest []byte, err error) {
 	var u update
 	for _, f := range []struct {
@@ -148,7 +160,7 @@
 	return b, nil
 }
 
-// parseDigests reads digests of members that follow one another off the beginning of b and returns what follows them.
+// parseDigests decodes the digests of consecutive members at the start of b and returns the bytes after them.
 func (p *parsedDatagram) parseDigests(b []byte, members int) (rest []byte, err error) {
 	first, n := binary.Uvarint(b)
 	if n <= 0 || len(b) <= n || first >= uint64(members) {
@@ -167,7 +179,7 @@
 	return b, nil
 }
 
-// readable reports whether a value is one of its topic.
+// validValue reports whether a value is valid for its topic.
 func validValue(u *update, topics int) (ok bool) {
 	switch {
 	case u.topic == 0:
@@ -180,7 +192,7 @@
 	return ok
 }
 
-// appendWord adds a word if there is room for it.
+// appendUpdate adds an update if it fits the datagram, and reports whether it did.
 func appendUpdate(b []byte, u *update) ([]byte, bool) {
 	if len(b)+maxUpdateHeader+len(u.value) > MaxDatagramSize {
 		return b, false
