--- a/cmd/firplank/fleet.go
+++ b/cmd/firplank/fleet.go
@@ -53,7 +53,7 @@
 
 func showFleet(out io.Writer, s *peers.Status) error {
 	printer := output.New(out)
-	printer.Printf("member %d hears %.0f %% of %d", s.Number, 100*s.HeardShare, len(s.Members))
+	printer.Printf("member %d hears %.0f %% of %d", s.Number, 100*s.ReachableShare, len(s.Members))
 	for _, f := range []struct {
 		on   bool
 		text string
@@ -71,20 +71,20 @@
 		if m.Conflict {
 			note = " TWO PROCESSES"
 		}
-		t.Printf("%d\t%s%s\t%s\t%s\t%s\t%d\t%s\t%s\n", m.Number, m.Standing, note, age(m.SinceHeard), age(m.SinceUpdate), age(m.SinceComplete),
-			m.Taken, m.Incarnation, row(m.HeardMembers, len(s.Members)))
+		t.Printf("%d\t%s%s\t%s\t%s\t%s\t%d\t%s\t%s\n", m.Number, m.Reachability, note, age(m.SinceDatagram), age(m.SinceHeartbeat), age(m.SinceComplete),
+			m.Received, m.Incarnation, row(m.ReceivesFrom, len(s.Members)))
 	}
 	t.Println("\nclass\ttenant\ttaken\tretried\tserved\tno room\tover budget\trefused\tfailed")
 	for _, c := range s.Sums.Cells {
-		t.Printf("%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", c.Class, c.Tenant, c.Taken, c.Retried, c.Served, c.RefusedCapacity,
+		t.Printf("%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", c.Class, c.Tenant, c.Received, c.Retried, c.Served, c.RefusedCapacity,
 			c.RefusedBudget, c.RefusedOther, c.Failed)
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	printer.Printf("each is at least that, and at most %d more (words up to %.1f s old)", s.Sums.Beyond, s.Sums.AgeS)
-	if s.Sums.UnboundMembers > 0 {
-		printer.Printf("; of %d members nothing bounds what they did", s.Sums.UnboundMembers)
+	printer.Printf("each is at least that, and at most %d more (words up to %.1f s old)", s.Sums.Unreported, s.Sums.AgeS)
+	if s.Sums.UnboundedMembers > 0 {
+		printer.Printf("; of %d members nothing bounds what they did", s.Sums.UnboundedMembers)
 	}
 	printer.Println()
 	return printer.Err()
--- a/internal/peers/agent.go
+++ b/internal/peers/agent.go
@@ -101,11 +101,11 @@
 		a.addrs = append(a.addrs, addr)
 		a.numbers[addr] = i
 	}
-	at, err := netip.ParseAddrPort(cfg.Listen)
+	listen, err := netip.ParseAddrPort(cfg.Listen)
 	if err != nil {
 		return nil, errors.Wrap(err, "peer_listen")
 	}
-	if a.conn, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at)); err != nil {
+	if a.conn, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(listen)); err != nil {
 		return nil, errors.Wrap(err, "peer_listen")
 	}
 	return a, nil
@@ -215,42 +215,42 @@
 
 // Status is the operators' view of the fleet.
 type Status struct {
-	Number     int           `json:"number"`
-	HeardShare float64       `json:"heard"` // the part of the members that is reachable
-	CutOff     bool          `json:"cut_off"`
-	Stale      bool          `json:"stale"` // the process was suspended, and has received nothing since
-	Members    []MemberState `json:"members"`
-	Sums       Sums          `json:"sums"`
-	Dropped    Dropped       `json:"dropped"`
-	Sent       int           `json:"sent_bytes"`
+	Number         int           `json:"number"`
+	ReachableShare float64       `json:"heard"` // the part of the members that is reachable
+	CutOff         bool          `json:"cut_off"`
+	Stale          bool          `json:"stale"` // the process was suspended, and has received nothing since
+	Members        []MemberState `json:"members"`
+	Sums           Sums          `json:"sums"`
+	Dropped        Dropped       `json:"dropped"`
+	Sent           int           `json:"sent_bytes"`
 }
 
 // MemberState is this sidecar's view of one member. Ages are in seconds; -1: never, or not known.
 type MemberState struct {
-	Number        int     `json:"number"`
-	Standing      string  `json:"standing"`
-	Incarnation   string  `json:"life"`
-	SinceHeard    float64 `json:"heard_itself_s"`
-	SinceUpdate   float64 `json:"new_word_s"`
-	SinceComplete float64 `json:"known_until_s"`
-	HeardMembers  []int   `json:"hears,omitempty"`
-	Taken         uint64  `json:"taken"`
-	Conflict      bool    `json:"two_processes,omitempty"`
+	Number         int     `json:"number"`
+	Reachability   string  `json:"standing"`
+	Incarnation    string  `json:"life"`
+	SinceDatagram  float64 `json:"heard_itself_s"`
+	SinceHeartbeat float64 `json:"new_word_s"`
+	SinceComplete  float64 `json:"known_until_s"`
+	ReceivesFrom   []int   `json:"hears,omitempty"`
+	Received       uint64  `json:"taken"`
+	Conflict       bool    `json:"two_processes,omitempty"`
 }
 
 // Sums are the fleet's counters as intervals: each is at least the value given, and at most Beyond more.
 type Sums struct {
-	Cells          []Cell  `json:"cells"`
-	Beyond         uint64  `json:"beyond"`
-	UnboundMembers int     `json:"members_without_bound"`
-	AgeS           float64 `json:"age_s"`
+	Cells            []Cell  `json:"cells"`
+	Unreported       uint64  `json:"beyond"`
+	UnboundedMembers int     `json:"members_without_bound"`
+	AgeS             float64 `json:"age_s"`
 }
 
 // Cell counts the outcomes of a tenant's requests of a class.
 type Cell struct {
 	Class           string `json:"class"`
 	Tenant          string `json:"tenant"`
-	Taken           uint64 `json:"taken"`
+	Received        uint64 `json:"taken"`
 	Retried         uint64 `json:"retried"`
 	Served          uint64 `json:"served"`
 	RefusedCapacity uint64 `json:"refused_no_room"`
@@ -278,22 +278,22 @@
 }
 
 func (a *Agent) status(n *fleet.Node, now time.Duration) *Status {
-	s := &Status{Number: a.cfg.Fleet.Number, HeardShare: n.ReachableShare(), CutOff: n.Isolated(), Stale: n.Stale(now), Sent: n.BytesSent()}
+	s := &Status{Number: a.cfg.Fleet.Number, ReachableShare: n.ReachableShare(), CutOff: n.Isolated(), Stale: n.Stale(now), Sent: n.BytesSent()}
 	for _, v := range n.View() {
 		m := MemberState{
-			Number: v.Number, Standing: string(v.Reachability), Incarnation: fmt.Sprintf("%016x", uint64(v.Incarnation)),
-			Taken: v.Counters[fleet.Received], Conflict: v.Conflict,
-			SinceHeard: seconds(v.SinceDatagram), SinceUpdate: seconds(v.SinceHeartbeat), SinceComplete: seconds(v.SinceComplete),
+			Number: v.Number, Reachability: string(v.Reachability), Incarnation: fmt.Sprintf("%016x", uint64(v.Incarnation)),
+			Received: v.Counters[fleet.Received], Conflict: v.Conflict,
+			SinceDatagram: seconds(v.SinceDatagram), SinceHeartbeat: seconds(v.SinceHeartbeat), SinceComplete: seconds(v.SinceComplete),
 		}
 		for j, h := range v.ReceivesFrom {
 			if h {
-				m.HeardMembers = append(m.HeardMembers, j)
+				m.ReceivesFrom = append(m.ReceivesFrom, j)
 			}
 		}
 		s.Members = append(s.Members, m)
 	}
 	sums := n.Sums()
-	s.Sums = Sums{Beyond: sums.Unreported, UnboundMembers: sums.Unbounded, AgeS: sums.Age.Seconds()}
+	s.Sums = Sums{Unreported: sums.Unreported, UnboundedMembers: sums.Unbounded, AgeS: sums.Age.Seconds()}
 	for i, c := range sums.Cells {
 		class, tenant := a.cfg.Tally.cellNames(i)
 		if c != (fleet.Counters{}) {
--- a/internal/peers/agent_test.go
+++ b/internal/peers/agent_test.go
@@ -13,7 +13,7 @@
 	"firplank/internal/testbed"
 )
 
-func socket(t *testing.T) *net.UDPConn {
+func openSocket(t *testing.T) *net.UDPConn {
 	t.Helper()
 	c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -25,12 +25,12 @@
 
 // What comes from nobody's address, is too long or can't be read is dropped, and counted by its reason; what is right is still heard.
 func TestDropsAreCountedByReason(t *testing.T) {
-	own, peer, foreign := socket(t), socket(t), socket(t)
-	at := own.LocalAddr().String()
+	own, peer, foreign := openSocket(t), openSocket(t), openSocket(t)
+	listen := own.LocalAddr().String()
 	_ = own.Close()
 	tally := NewTally([]string{"read"}, nil, 100)
-	p, err := Open(Config{
-		Listen: at, Peers: []string{at, peer.LocalAddr().String()}, Tally: tally, Log: slog.New(slog.DiscardHandler),
+	agent, err := Open(Config{
+		Listen: listen, Peers: []string{listen, peer.LocalAddr().String()}, Tally: tally, Log: slog.New(slog.DiscardHandler),
 		Fleet: fleet.Config{Number: 0, Members: 2, Incarnation: 1 << 40, Cells: tally.Cells(), MaxRate: 100},
 	})
 	if err != nil {
@@ -38,9 +38,9 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
-	go func() { p.Run(ctx); close(ended) }()
+	go func() { agent.Run(ctx); close(ended) }()
 	t.Cleanup(func() { cancel(); <-ended })
-	to := net.UDPAddrFromAddrPort(p.addrs[0])
+	to := net.UDPAddrFromAddrPort(agent.addrs[0])
 	_, _ = foreign.WriteTo([]byte("hello"), to)
 	_, _ = peer.WriteTo(bytes.Repeat([]byte{1}, fleet.MaxDatagramSize+1), to)
 	_, _ = peer.WriteTo([]byte("fl\x01 no datagram"), to)
@@ -56,25 +56,25 @@
 		}
 	}
 	testbed.Until(t, "all came", func() bool {
-		v, err := p.Status(ctx)
+		v, err := agent.Status(ctx)
 		s, ok := v.(*Status)
 		return err == nil && ok && s.Dropped.ForeignSender == 1 && s.Dropped.Oversize == 1 && s.Dropped.Unreadable == 1 &&
 			s.Dropped.Replayed == 1 &&
-			s.Members[1].Taken == 7
+			s.Members[1].Received == 7
 	})
 }
 
 // The rate that others reckon with is kept, and an address that is missing or there twice is named by its key.
-func TestTallyAndAddresses(t *testing.T) {
+func TestTallyKeepsRateAndAddressErrorsNameTheirKey(t *testing.T) {
 	tally := NewTally([]string{"read"}, []string{"a"}, 40)
-	taken := 0
+	accepted := 0
 	for range 100 {
 		if tally.Take(time.Second, 0, 0, false) {
-			taken++
+			accepted++
 		}
 	}
-	if taken != 10 { // a quarter of a second's
-		t.Errorf("%d taken at once", taken)
+	if accepted != 10 { // a quarter of a second's
+		t.Errorf("%d taken at once", accepted)
 	}
 	for want, err := range map[string]error{
 		"peers:": CheckAddresses(0, "127.0.0.1:1", nil), "peer_listen": CheckAddresses(0, "", []string{"127.0.0.1:1"}),
--- a/internal/peers/tally.go
+++ b/internal/peers/tally.go
@@ -13,16 +13,16 @@
 type Tally struct {
 	classes, tenants []string
 	cells            [][len(fleet.Counters{})]atomic.Uint64
-	pace             fleet.RateLimiter
+	limiter          fleet.RateLimiter
 }
 
 // overflow is the name under which requests without a tenant are counted.
 const overflow = "overflow"
 
 // NewTally returns a tally for classes and tenants by number, with a limit in requests a second.
-func NewTally(classes, tenants []string, most float64) *Tally {
+func NewTally(classes, tenants []string, maxRate float64) *Tally {
 	return &Tally{
-		classes: classes, tenants: tenants, pace: fleet.NewRateLimiter(most),
+		classes: classes, tenants: tenants, limiter: fleet.NewRateLimiter(maxRate),
 		cells: make([][len(fleet.Counters{})]atomic.Uint64, len(classes)*(len(tenants)+1)),
 	}
 }
@@ -41,8 +41,8 @@
 // cellNames is the inverse of cell.
 func (t *Tally) cellNames(cell int) (class, tenant string) {
 	tenant = overflow
-	if at := cell / len(t.classes); at < len(t.tenants) {
-		tenant = t.tenants[at]
+	if tenantIndex := cell / len(t.classes); tenantIndex < len(t.tenants) {
+		tenant = t.tenants[tenantIndex]
 	}
 	return t.classes[cell%len(t.classes)], tenant
 }
@@ -55,7 +55,7 @@
 	if class < 0 || class >= len(t.classes) {
 		return true
 	}
-	if !t.pace.Allow(now) {
+	if !t.limiter.Allow(now) {
 		return false
 	}
 	c := &t.cells[t.cell(class, tenant)]
--- a/lab/run/talk.go
+++ b/lab/run/talk.go
@@ -107,7 +107,7 @@
 
 func sums(s *peers.Status) (taken, ended uint64) {
 	for _, c := range s.Sums.Cells {
-		taken += c.Taken
+		taken += c.Received
 		ended += c.Served + c.RefusedCapacity + c.RefusedBudget + c.RefusedOther + c.Failed
 	}
 	return taken, ended
@@ -141,8 +141,8 @@
 			if max(taken, ended) > uint64(after) {
 				st.failed(fmt.Errorf("sidecar %d tells of at least %d taken and %d ended, and %d were sent", n.number, taken, ended, after))
 			}
-			if s.Sums.UnboundMembers == 0 && !s.Stale && taken+s.Sums.Beyond+st.lostCounts() < uint64(before) {
-				st.failed(fmt.Errorf("sidecar %d tells of at most %d taken, and %d were answered", n.number, taken+s.Sums.Beyond, before))
+			if s.Sums.UnboundedMembers == 0 && !s.Stale && taken+s.Sums.Unreported+st.lostCounts() < uint64(before) {
+				st.failed(fmt.Errorf("sidecar %d tells of at most %d taken, and %d were answered", n.number, taken+s.Sums.Unreported, before))
 			}
 		}
 	}
