--- a/internal/peers/agent.go
+++ b/internal/peers/agent.go
@@ -23,7 +23,7 @@
 	// maxQueued bounds the datagrams that were read and not handled yet; beyond it the oldest are dropped, as newer ones
 	// supersede them.
 	maxQueued = 256
-	// logBurst bounds the log: so many lines at once, and one more each logInterval.
+	// logBurst bounds the log: logBurst lines at once, and one more each logInterval.
 	logBurst    = 20
 	logInterval = 500 * time.Millisecond
 )
@@ -37,7 +37,7 @@
 	Log    *slog.Logger
 }
 
-// CheckAddresses reports the first fault of the addresses; the error names the key of the configuration.
+// CheckAddresses reports the first invalid address. The error names the key of the configuration.
 func CheckAddresses(number int, listen string, peers []string) error {
 	if len(peers) == 0 {
 		return errors.New("peers: there are none in the configuration")
@@ -173,7 +173,7 @@
 	}
 }
 
-// read queues datagrams from the socket until it is closed. Those of strangers and oversized ones are counted and dropped.
+// read queues datagrams from the socket until it is closed. Oversized ones and those from unknown addresses are counted and dropped.
 func (a *Agent) read() {
 	b := make([]byte, fleet.MaxDatagramSize+1)
 	for {
@@ -216,7 +216,7 @@
 // Status is the operators' view of the fleet.
 type Status struct {
 	Number         int           `json:"number"`
-	ReachableShare float64       `json:"heard"` // the part of the members that is reachable
+	ReachableShare float64       `json:"heard"` // share of the members that run, 0 to 1
 	CutOff         bool          `json:"cut_off"`
 	Stale          bool          `json:"stale"` // the process was suspended, and has received nothing since
 	Members        []MemberState `json:"members"`
@@ -225,7 +225,7 @@
 	Sent           int           `json:"sent_bytes"`
 }
 
-// MemberState is this sidecar's view of one member. Ages are in seconds; -1: never, or not known.
+// MemberState is this sidecar's view of one member, as in fleet.MemberView. Ages are in seconds; -1: never, or unknown.
 type MemberState struct {
 	Number         int     `json:"number"`
 	Reachability   string  `json:"standing"`
@@ -238,7 +238,7 @@
 	Conflict       bool    `json:"two_processes,omitempty"`
 }
 
-// Sums are the fleet's counters as intervals: each is at least the value given, and at most Beyond more.
+// Sums are the fleet's counters as intervals: each is at least the value given, and at most Unreported more.
 type Sums struct {
 	Cells            []Cell  `json:"cells"`
 	Unreported       uint64  `json:"beyond"`
--- a/internal/peers/agent_test.go
+++ b/internal/peers/agent_test.go
@@ -23,7 +23,8 @@
 	return c
 }
 
-// What comes from nobody's address, is too long or can't be read is dropped, and counted by its reason; what is right is still heard.
+// Datagrams from unknown addresses, oversized, malformed and duplicate ones must be dropped and counted by reason, while valid ones are
+// still processed.
 func TestDropsAreCountedByReason(t *testing.T) {
 	own, peer, foreign := openSocket(t), openSocket(t), openSocket(t)
 	listen := own.LocalAddr().String()
@@ -52,10 +53,10 @@
 	for _, a := range other.Handle(time.Second, fleet.Tick{Counters: []fleet.Counters{{fleet.Received: 7}}}) {
 		if a.Kind == fleet.Send {
 			_, _ = peer.WriteTo(a.Data, to)
-			_, _ = peer.WriteTo(a.Data, to) // once more
+			_, _ = peer.WriteTo(a.Data, to) // a duplicate
 		}
 	}
-	testbed.Until(t, "all came", func() bool {
+	testbed.Until(t, "all datagrams are counted", func() bool {
 		v, err := agent.Status(ctx)
 		s, ok := v.(*Status)
 		return err == nil && ok && s.Dropped.ForeignSender == 1 && s.Dropped.Oversize == 1 && s.Dropped.Unreadable == 1 &&
@@ -64,7 +65,8 @@
 	})
 }
 
-// The rate that others reckon with is kept, and an address that is missing or there twice is named by its key.
+// The tally must keep to the announced rate, from which the others compute their bounds. The error for a missing or duplicate address
+// must name the key of the configuration.
 func TestTallyKeepsRateAndAddressErrorsNameTheirKey(t *testing.T) {
 	tally := NewTally([]string{"read"}, []string{"a"}, 40)
 	accepted := 0
@@ -73,8 +75,8 @@
 			accepted++
 		}
 	}
-	if accepted != 10 { // a quarter of a second's
-		t.Errorf("%d taken at once", accepted)
+	if accepted != 10 { // the burst: a quarter of a second at 40 requests a second
+		t.Errorf("%d accepted at once", accepted)
 	}
 	for want, err := range map[string]error{
 		"peers:": CheckAddresses(0, "127.0.0.1:1", nil), "peer_listen": CheckAddresses(0, "", []string{"127.0.0.1:1"}),
--- a/internal/peers/tally.go
+++ b/internal/peers/tally.go
@@ -27,10 +27,10 @@
 	}
 }
 
-// Cells is the number of pairs of class and tenant.
+// Cells returns the number of pairs of class and tenant.
 func (t *Tally) Cells() int { return len(t.cells) }
 
-// cell is the index of a pair; an unknown tenant counts as none.
+// cell returns the index of a pair. A request of an unknown tenant counts as one without a tenant.
 func (t *Tally) cell(class, tenant int) int {
 	if tenant < 0 || tenant >= len(t.tenants) {
 		tenant = len(t.tenants)
@@ -38,7 +38,7 @@
 	return tenant*len(t.classes) + class
 }
 
-// cellNames is the inverse of cell.
+// cellNames returns the names of a pair by its index, the inverse of cell.
 func (t *Tally) cellNames(cell int) (class, tenant string) {
 	tenant = overflow
 	if tenantIndex := cell / len(t.classes); tenantIndex < len(t.tenants) {
@@ -47,7 +47,7 @@
 	return t.classes[cell%len(t.classes)], tenant
 }
 
-// Take counts a request and reports whether it is within the limit; one beyond it has to be rejected and isn't counted.
+// Take counts a request and reports whether it is within the limit. A request above the limit has to be rejected and isn't counted.
 func (t *Tally) Take(now time.Duration, class, tenant int, retry bool) bool {
 	if t == nil {
 		return true
@@ -66,7 +66,7 @@
 	return true
 }
 
-// End counts the outcome of a request that Take accepted, by fleet's number of the counter.
+// End counts the outcome of a request that Take accepted. counter is an index of fleet.Counters.
 func (t *Tally) End(class, tenant, counter int) {
 	if t != nil && class >= 0 && class < len(t.classes) {
 		t.cells[t.cell(class, tenant)][counter].Add(1)
