--- a/internal/core/counts.go
+++ b/internal/core/counts.go
@@ -65,12 +65,12 @@
 
 // overloadEnding is what an answer is evidence of for the limit of concurrent requests: whether the servers can take
 // more.
-func overloadEnding(a *Answer) overload.Ending {
+func overloadEnding(a *Answer) overload.Outcome {
 	switch {
 	case a != nil && a.Kind == Served:
 		return overload.Answered
 	case a != nil && a.Kind == Refused && a.Reason == NotServed:
-		return overload.NoPlace
+		return overload.NoCapacity
 	}
-	return overload.Void
+	return overload.Inconclusive
 }
--- a/internal/front/http/poll_linux_test.go
+++ b/internal/front/http/poll_linux_test.go
@@ -140,7 +140,7 @@
 // A door that is shut turns a request away as soon as its class is known, although that comes only in the second segment; the
 // connection goes on, and what was turned away is not held.
 func TestDoorKnowsClassesInPieces(t *testing.T) {
-	s := startPollBehind(t, loadshed.NewShedder(0, []overload.Class{{Worth: 1, Aim: time.Second}}), 10, serveText("ok"))
+	s := startPollBehind(t, loadshed.NewShedder(0, []overload.Class{{Value: 1, LatencyTarget: time.Second}}), 10, serveText("ok"))
 	for ok := true; ok; { // until it is full
 		ok, _ = s.cfg.Door.Admit(0)
 	}
--- a/internal/front/http/pollaccept_linux.go
+++ b/internal/front/http/pollaccept_linux.go
@@ -40,7 +40,7 @@
 	// The body outlives the buffer, which is the connection's next request's.
 	direct, err := f.cfg.fillAny(&call.Call, h, append([]byte(nil), body...))
 	if err != nil || direct != nil {
-		f.cfg.Door.RequestEnded(class, 0, overload.Void)
+		f.cfg.Door.RequestEnded(class, 0, overload.Inconclusive)
 	}
 	if err != nil {
 		c.turnAway(err)
--- a/internal/front/http/serve.go
+++ b/internal/front/http/serve.go
@@ -125,7 +125,7 @@
 	arrived := false
 	defer func() {
 		if !arrived {
-			f.cfg.Door.RequestEnded(class, 0, overload.Void)
+			f.cfg.Door.RequestEnded(class, 0, overload.Inconclusive)
 		}
 	}()
 	c, err := f.parse(r)
--- a/internal/front/msgpackrpc/conn.go
+++ b/internal/front/msgpackrpc/conn.go
@@ -197,7 +197,7 @@
 	}
 	cl := &call{conn: c, id: f.ID}
 	if err := c.fill(cl, m, f, received); err != nil {
-		c.front.cfg.Shedder.RequestEnded(m.class, 0, overload.Void)
+		c.front.cfg.Shedder.RequestEnded(m.class, 0, overload.Inconclusive)
 		c.reject(f.ID, "bad_request", err.Error())
 		return
 	}
@@ -224,7 +224,7 @@
 	}
 	cl := &call{conn: c, notification: true}
 	if err := c.fill(cl, m, f, time.Now()); err != nil {
-		c.front.cfg.Shedder.RequestEnded(m.class, 0, overload.Void)
+		c.front.cfg.Shedder.RequestEnded(m.class, 0, overload.Inconclusive)
 		c.front.logProblem("a notification is dropped", c.nc, err)
 		return
 	}
@@ -235,7 +235,7 @@
 	}
 	c.mu.Unlock()
 	if full {
-		c.front.cfg.Shedder.RequestEnded(m.class, 0, overload.Void)
+		c.front.cfg.Shedder.RequestEnded(m.class, 0, overload.Inconclusive)
 		return
 	}
 	c.front.exchange.Submit(&cl.Call)
--- a/internal/loadshed/shedder.go
+++ b/internal/loadshed/shedder.go
@@ -35,7 +35,7 @@
 	decayedQueueDelay atomic.Int64 // nanoseconds: the same, decaying by a tenth with each sample
 
 	mu                sync.Mutex
-	processor         *overload.Processor
+	processor         *overload.CPULimit
 	limit             *overload.Limit
 	offered, admitted float64 // requests, decaying
 	decayedAt         time.Duration
@@ -44,7 +44,7 @@
 // NewShedder returns a shedder that rejects nothing yet, for a sidecar limited to a number of cores (0: unknown) and for
 // these request classes.
 func NewShedder(cores float64, classes []overload.Class) *Shedder {
-	return &Shedder{start: time.Now(), processor: overload.NewProcessor(cores, classes), limit: overload.NewLimit(classes)}
+	return &Shedder{start: time.Now(), processor: overload.NewCPULimit(cores, classes), limit: overload.NewLimit(classes)}
 }
 
 // Admit reports whether a request of a class is admitted, and otherwise for how long its client should hold off, with jitter
@@ -58,7 +58,7 @@
 	now := time.Since(s.start)
 	ok = s.processor.Offer(now, class)
 	if ok && !s.limit.Offer(now, class) {
-		s.processor.Back()
+		s.processor.Withdraw()
 		ok = false
 	}
 	fade := math.Exp(-float64(now-s.decayedAt) / float64(admittedShareDecay))
@@ -72,7 +72,7 @@
 }
 
 // RequestEnded records how an admitted request ended, and how long it took.
-func (s *Shedder) RequestEnded(class int, took time.Duration, how overload.Ending) {
+func (s *Shedder) RequestEnded(class int, took time.Duration, how overload.Outcome) {
 	if s == nil {
 		return
 	}
@@ -108,7 +108,7 @@
 
 // Run samples the processor's use until ctx ends.
 func (s *Shedder) Run(ctx context.Context) {
-	tick := time.NewTicker(overload.Period)
+	tick := time.NewTicker(overload.SamplePeriod)
 	defer tick.Stop()
 	for {
 		select {
--- a/internal/loadshed/shedder_test.go
+++ b/internal/loadshed/shedder_test.go
@@ -12,7 +12,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-var two = []overload.Class{{Worth: 8, Aim: 250 * time.Millisecond}, {Worth: 1, Aim: 500 * time.Millisecond}}
+var two = []overload.Class{{Value: 8, LatencyTarget: 250 * time.Millisecond}, {Value: 1, LatencyTarget: 500 * time.Millisecond}}
 
 // Nobody is turned away by a door that is not there.
 func TestNoDoor(t *testing.T) {
@@ -46,7 +46,7 @@
 			t.Errorf("%d came in, %d hold-offs up to %v", in, len(holds), most)
 		}
 		for range in {
-			k.RequestEnded(1, 50*time.Millisecond, overload.Void)
+			k.RequestEnded(1, 50*time.Millisecond, overload.Inconclusive)
 		}
 		if ok, _ := k.Admit(1); !ok {
 			t.Error("nothing is open, and one more does not come in")
--- a/internal/sidecar/components.go
+++ b/internal/sidecar/components.go
@@ -95,7 +95,7 @@
 	var classes []overload.Class
 	for i := range cfg.Balance.Classes {
 		class := &cfg.Balance.Classes[i]
-		classes = append(classes, overload.Class{Worth: class.Value, Aim: millis(class.LatencyTarget)})
+		classes = append(classes, overload.Class{Value: class.Value, LatencyTarget: millis(class.LatencyTarget)})
 	}
 	return loadshed.NewShedder(cfg.Limits.Cores, classes)
 }
--- a/lab/shed/play.go
+++ b/lab/shed/play.go
@@ -16,7 +16,7 @@
 type Way interface {
 	// Offer reports whether a try of a class may come in; End tells of each that came in how it ended, as its sidecar sees it.
 	Offer(now time.Duration, class int) bool
-	End(now time.Duration, class int, took time.Duration, how overload.Ending)
+	End(now time.Duration, class int, took time.Duration, how overload.Outcome)
 	Tick(now time.Duration)
 }
 
@@ -43,7 +43,7 @@
 // Classes are a scenario's as a Limit knows them.
 func Classes(s *scenario.Scenario) (all []overload.Class) {
 	for i := range s.Classes {
-		all = append(all, overload.Class{Worth: s.Classes[i].Worth, Aim: scenario.MS(s.Classes[i].AimMS)})
+		all = append(all, overload.Class{Value: s.Classes[i].Worth, LatencyTarget: scenario.MS(s.Classes[i].AimMS)})
 	}
 	return all
 }
@@ -183,7 +183,7 @@
 	d.nextJob++
 	j := model.Job{ID: d.nextJob, Work: work, Wait: wait, Expires: a.At + scenario.MS(c.DeadlineMS)}
 	if d.servers[best].Offer(now, j) != model.Accepted {
-		d.way.End(now, a.Class, 0, overload.NoPlace)
+		d.way.End(now, a.Class, 0, overload.NoCapacity)
 		d.over(now, arrival, try, scenario.Refused)
 		return
 	}
@@ -211,7 +211,7 @@
 		a := &d.plan.Arrivals[j.arrival]
 		end, how := scenario.Served, overload.Answered
 		if done.Over {
-			end, how = scenario.Failed, overload.Void
+			end, how = scenario.Failed, overload.Inconclusive
 		}
 		d.way.End(now, a.Class, now-j.began, how)
 		d.over(now, j.arrival, j.try, end)
--- a/lab/shed/ways.go
+++ b/lab/shed/ways.go
@@ -15,9 +15,9 @@
 // open lets all in.
 type open struct{}
 
-func (open) Offer(time.Duration, int) bool                          { return true }
-func (open) End(time.Duration, int, time.Duration, overload.Ending) {}
-func (open) Tick(time.Duration)                                     {}
+func (open) Offer(time.Duration, int) bool                           { return true }
+func (open) End(time.Duration, int, time.Duration, overload.Outcome) {}
+func (open) Tick(time.Duration)                                      {}
 
 // codel drops more and more often while the least delay of an interval stays above a target (RFC 8289), the delay being
 // what answers take beyond the quickest.
@@ -37,7 +37,7 @@
 
 func (c *codel) Offer(time.Duration, int) bool { return c.rng.Float64() >= c.part }
 
-func (c *codel) End(_ time.Duration, _ int, took time.Duration, how overload.Ending) {
+func (c *codel) End(_ time.Duration, _ int, took time.Duration, how overload.Outcome) {
 	if how != overload.Answered {
 		return
 	}
@@ -102,7 +102,7 @@
 	return d.levels[class]*dagorUsers+d.next < d.level
 }
 
-func (d *dagor) End(_ time.Duration, _ int, took time.Duration, how overload.Ending) {
+func (d *dagor) End(_ time.Duration, _ int, took time.Duration, how overload.Outcome) {
 	if how == overload.Answered {
 		d.sum += took
 		d.n++
--- a/overload/limit.go
+++ b/overload/limit.go
@@ -14,39 +14,39 @@
 
 // Class is what a class is to a Limit.
 type Class struct {
-	Worth float64       // of an answer within Aim
-	Aim   time.Duration // 0: none is known
+	Value         float64       // of an answer within Aim
+	LatencyTarget time.Duration // 0: none is known
 }
 
 // The figures of the limit. Ratios are of how long answers take to how long they take where nothing waits.
 const (
-	firstLimit = 48.0 // until answers tell
-	leastLimit = 8.0
+	initialLimit = 48.0 // until answers tell
+	minLimit     = 8.0
 	// The limit aims at the ratio that lies waits of the way from 1 to where the class that is nearest to it misses its aim.
-	waits = 0.06
+	targetQueueingShare = 0.06
 	// fastest and slowest bound that.
-	fastest, slowest = 1.2, 4.0
+	minTargetRatio, maxTargetRatio = 1.2, 4.0
 	// grow and cut change the limit in a step at the most. A step is made of stepAnswers answers to what was sent since the last
 	// one, so that they tell of the limit as it is: faster, it would go far beyond before the first slow answer.
-	grow, cut   = 1.3, 0.75
-	stepAnswers = 10
-	tick        = 100 * time.Millisecond
+	maxGrowth, maxCut = 1.3, 0.75
+	stepResponses     = 10
+	tickInterval      = 100 * time.Millisecond
 	// fullPart is the part of what was let in that the servers had no place for, from which that counts as slow.
-	fullPart = 0.05
+	maxRejectedShare = 0.05
 	// spare is what the limit may be above what was open lately: a rush begins with that.
-	spare = 1.6
+	headroom = 1.6
 	// usualLife is the time over which the usual number of open requests is learned, which the limit never goes below.
-	usualLife = 30 * time.Second
+	usualTimeConstant = 30 * time.Second
 	// rateLife is the time over which the rate of a class's requests is taken: short, as a rush comes in a moment.
-	rateLife = 150 * time.Millisecond
+	rateTimeConstant = 150 * time.Millisecond
 	// pressing is the part of the limit that has to be open for a request that is turned away to count as a reason to raise it.
-	pressing = 0.7
+	demandShare = 0.7
 	// scatter is by how many standard deviations of a Poisson number a class may want more places than on the mean.
-	scatter = 3.0
+	demandDeviations = 3.0
 	// kept is the share of its requests that a class keeps which has no room: it is still somebody's.
-	kept = 0.01
+	minAdmittedShare = 0.01
 	// baseGain is the step by which the time of an answer where nothing waits is learned.
-	baseGain = 0.02
+	baselineGain = 0.02
 )
 
 // Limit bounds how many requests are open at the servers together, so that what is let in is answered within its aim, and
@@ -55,68 +55,68 @@
 // and shrinks where they are slow (the gradient of Vegas, in steps of some answers). A class leaves as much room as
 // those of more worth for their work are expected to want by their present rates. It is not safe for concurrent use.
 type Limit struct {
-	classes     []limited
-	order       []int // by worth for work, the most first
-	limit       float64
-	open        int
-	peak        float64 // of open, fading
-	usual       float64 // of open, while nothing was turned away
-	pressed     bool    // the limit was in the way since the last step
-	tight       bool    // ... or nearly
-	steppedAt   time.Duration
-	tickedAt    time.Duration
-	sum, base   float64 // ms of answers to what was sent since the last step, and what they would take where nothing waits
-	n, in, full int     // ... how many, how many were let in, and for how many there was no place
+	classes                          []classState
+	byValue                          []int // by worth for work, the most first
+	limit                            float64
+	inFlight                         int
+	peakInFlight                     float64 // of open, fading
+	usualInFlight                    float64 // of open, while nothing was turned away
+	limitReached                     bool    // the limit was in the way since the last step
+	nearLimit                        bool    // ... or nearly
+	steppedAt                        time.Duration
+	tickedAt                         time.Duration
+	latencySum, baselineSum          float64 // ms of answers to what was sent since the last step, and what they would take where nothing waits
+	responses, admitted, serversFull int     // ... how many, how many were let in, and for how many there was no place
 }
 
-type limited struct {
+type classState struct {
 	Class
-	base   float64 // ms, where nothing waits; 0: not known
-	rate   float64 // requests a ms
-	rateAt time.Duration
-	open   int
-	credit float64
-	known  int     // answers so far
-	ratio  float64 // of what answers take lately to base
+	baseline      float64 // ms, where nothing waits; 0: not known
+	rate          float64 // requests a ms
+	rateUpdatedAt time.Duration
+	inFlight      int
+	credit        float64
+	responses     int     // answers so far
+	latencyRatio  float64 // of what answers take lately to base
 }
 
 // NewLimit returns a limit for classes.
 func NewLimit(classes []Class) *Limit {
-	l := &Limit{limit: firstLimit}
+	l := &Limit{limit: initialLimit}
 	for i, c := range classes {
-		l.classes = append(l.classes, limited{Class: c, ratio: 1})
-		l.order = append(l.order, i)
+		l.classes = append(l.classes, classState{Class: c, latencyRatio: 1})
+		l.byValue = append(l.byValue, i)
 	}
 	if len(classes) == 0 {
-		l.classes, l.order = make([]limited, 1), []int{0}
+		l.classes, l.byValue = make([]classState, 1), []int{0}
 	}
-	l.sort()
+	l.sortByValue()
 	return l
 }
 
-func (l *Limit) class(i int) *limited {
+func (l *Limit) class(i int) *classState {
 	if i < 0 || i >= len(l.classes) {
-		i = l.order[len(l.order)-1]
+		i = l.byValue[len(l.byValue)-1]
 	}
 	return &l.classes[i]
 }
 
 // takes is how long an answer of the class takes where nothing waits, in ms, as far as that is known.
-func (c *limited) takes() float64 {
-	if c.base > 0 {
-		return c.base
+func (c *classState) expectedLatency() float64 {
+	if c.baseline > 0 {
+		return c.baseline
 	}
-	if c.Aim > 0 {
-		return float64(c.Aim) / float64(time.Millisecond) / 3
+	if c.LatencyTarget > 0 {
+		return float64(c.LatencyTarget) / float64(time.Millisecond) / 3
 	}
 	return 100
 }
 
-func (c *limited) value() float64 { return c.Worth / c.takes() }
+func (c *classState) valueDensity() float64 { return c.Value / c.expectedLatency() }
 
-func (l *Limit) sort() {
-	slices.SortStableFunc(l.order, func(a, b int) int {
-		switch va, vb := l.classes[a].value(), l.classes[b].value(); {
+func (l *Limit) sortByValue() {
+	slices.SortStableFunc(l.byValue, func(a, b int) int {
+		switch va, vb := l.classes[a].valueDensity(), l.classes[b].valueDensity(); {
 		case va > vb:
 			return -1
 		case va < vb:
@@ -127,150 +127,150 @@
 }
 
 // fade brings a class's rate up to now, with more requests.
-func (c *limited) fade(now time.Duration, more float64) {
-	c.rate = c.rate*math.Exp(-float64(now-c.rateAt)/float64(rateLife)) + more/(float64(rateLife)/float64(time.Millisecond))
-	c.rateAt = now
+func (c *classState) updateRate(now time.Duration, requests float64) {
+	c.rate = c.rate*math.Exp(-float64(now-c.rateUpdatedAt)/float64(rateTimeConstant)) + requests/(float64(rateTimeConstant)/float64(time.Millisecond))
+	c.rateUpdatedAt = now
 }
 
 // Offer reports whether a request of a class may come in at now; if so it is open until End.
 func (l *Limit) Offer(now time.Duration, class int) bool {
 	c := l.class(class)
-	c.fade(now, 1)
+	c.updateRate(now, 1)
 	// Classes of more worth want as many places as their rate fills; those that they hold already are counted in open.
-	wanted := 0.0
-	for _, i := range l.order {
-		o := &l.classes[i]
-		if o == c {
+	reserved := 0.0
+	for _, i := range l.byValue {
+		other := &l.classes[i]
+		if other == c {
 			break
 		}
-		if o.rateAt < now {
-			o.fade(now, 0)
+		if other.rateUpdatedAt < now {
+			other.updateRate(now, 0)
 		}
-		most := o.rate * o.takes() * o.ratio
-		wanted += max(0, most+scatter*math.Sqrt(most)-float64(o.open))
+		demand := other.rate * other.expectedLatency() * other.latencyRatio
+		reserved += max(0, demand+demandDeviations*math.Sqrt(demand)-float64(other.inFlight))
 	}
-	in := float64(l.open)+wanted < l.limit
-	if !in {
-		l.pressed = true
-		if float64(l.open) >= pressing*l.limit { // the rest is kept for others, who do not come
-			l.tight = true
+	admit := float64(l.inFlight)+reserved < l.limit
+	if !admit {
+		l.limitReached = true
+		if float64(l.inFlight) >= demandShare*l.limit { // the rest is kept for others, who do not come
+			l.nearLimit = true
 		}
-		if c.credit += kept; c.credit >= 1 && float64(l.open) < l.limit*1.1 {
+		if c.credit += minAdmittedShare; c.credit >= 1 && float64(l.inFlight) < l.limit*1.1 {
 			c.credit--
-			in = true
+			admit = true
 		}
 	}
-	if !in {
+	if !admit {
 		return false
 	}
-	l.open++
-	l.in++
-	c.open++
-	if open := float64(l.open); open > l.peak {
-		l.peak = open
+	l.inFlight++
+	l.admitted++
+	c.inFlight++
+	if open := float64(l.inFlight); open > l.peakInFlight {
+		l.peakInFlight = open
 	}
-	if float64(l.open) >= 0.8*l.limit {
-		l.tight = true
+	if float64(l.inFlight) >= 0.8*l.limit {
+		l.nearLimit = true
 	}
 	return true
 }
 
 // target is the ratio that the limit aims at.
-func (l *Limit) target() float64 {
-	t := slowest
+func (l *Limit) targetRatio() float64 {
+	target := maxTargetRatio
 	for i := range l.classes {
 		c := &l.classes[i]
-		if c.base > 0 && c.Aim > 0 {
-			t = min(t, 1+waits*(float64(c.Aim)/float64(time.Millisecond)/c.base-1))
+		if c.baseline > 0 && c.LatencyTarget > 0 {
+			target = min(target, 1+targetQueueingShare*(float64(c.LatencyTarget)/float64(time.Millisecond)/c.baseline-1))
 		}
 	}
-	return max(fastest, t)
+	return max(minTargetRatio, target)
 }
 
 // Ending is how a request has ended that was let in.
-type Ending uint8
+type Outcome uint8
 
 // The endings. Void tells nothing of what servers can carry.
 const (
-	Answered Ending = iota // by a server
-	NoPlace                // the servers had no place for it
-	Void
+	Answered   Outcome = iota // by a server
+	NoCapacity                // the servers had no place for it
+	Inconclusive
 )
 
 // End ends an open request, after took.
-func (l *Limit) End(now time.Duration, class int, took time.Duration, how Ending) {
+func (l *Limit) End(now time.Duration, class int, latency time.Duration, outcome Outcome) {
 	c := l.class(class)
-	l.open, c.open = max(0, l.open-1), max(0, c.open-1)
-	if how == NoPlace {
-		l.full++
+	l.inFlight, c.inFlight = max(0, l.inFlight-1), max(0, c.inFlight-1)
+	if outcome == NoCapacity {
+		l.serversFull++
 	}
-	if how != Answered {
+	if outcome != Answered {
 		return
 	}
-	ms := max(0.1, float64(took)/float64(time.Millisecond))
-	if c.known++; c.known <= 20 {
-		c.base += (ms - c.base) / float64(c.known) // the first ones, of which no rush has slowed most
-	} else if !l.tight && float64(l.open) < l.limit/2 {
-		c.base += (min(ms, 3*c.base) - c.base) * baseGain
+	ms := max(0.1, float64(latency)/float64(time.Millisecond))
+	if c.responses++; c.responses <= 20 {
+		c.baseline += (ms - c.baseline) / float64(c.responses) // the first ones, of which no rush has slowed most
+	} else if !l.nearLimit && float64(l.inFlight) < l.limit/2 {
+		c.baseline += (min(ms, 3*c.baseline) - c.baseline) * baselineGain
 	}
-	c.ratio += (bound(ms/c.takes(), 0.5, 4) - c.ratio) / 20
-	if now-took < l.steppedAt { // sent under another limit
+	c.latencyRatio += (clamp(ms/c.expectedLatency(), 0.5, 4) - c.latencyRatio) / 20
+	if now-latency < l.steppedAt { // sent under another limit
 		return
 	}
-	l.sum, l.base, l.n = l.sum+ms, l.base+c.takes(), l.n+1
-	if l.n >= stepAnswers {
+	l.latencySum, l.baselineSum, l.responses = l.latencySum+ms, l.baselineSum+c.expectedLatency(), l.responses+1
+	if l.responses >= stepResponses {
 		l.step(now)
 	}
 }
 
 // Tick lets time pass; it wants to be called some times a second.
 func (l *Limit) Tick(now time.Duration) {
-	if now-l.tickedAt < tick {
+	if now-l.tickedAt < tickInterval {
 		return
 	}
 	span := min(1, (now - l.tickedAt).Seconds())
 	l.tickedAt = now
-	l.peak = max(float64(l.open), l.peak*math.Exp(-span/2))
-	if !l.pressed {
-		l.usual += (float64(l.open) - l.usual) * min(1, max(span/usualLife.Seconds(), span/max(now.Seconds(), span)))
+	l.peakInFlight = max(float64(l.inFlight), l.peakInFlight*math.Exp(-span/2))
+	if !l.limitReached {
+		l.usualInFlight += (float64(l.inFlight) - l.usualInFlight) * min(1, max(span/usualTimeConstant.Seconds(), span/max(now.Seconds(), span)))
 	}
-	if !l.tight {
-		l.limit = max(l.least(), min(l.limit, max(firstLimit, spare*l.peak+leastLimit)))
+	if !l.nearLimit {
+		l.limit = max(l.lowerBound(), min(l.limit, max(initialLimit, headroom*l.peakInFlight+minLimit)))
 	}
-	if now-l.steppedAt > 5*tick && (l.n > 0 || l.open > 0) {
+	if now-l.steppedAt > 5*tickInterval && (l.responses > 0 || l.inFlight > 0) {
 		l.step(now)
 	}
-	l.pressed = false
-	l.sort()
+	l.limitReached = false
+	l.sortByValue()
 }
 
-func (l *Limit) least() float64 { return max(leastLimit, spare*l.usual) }
+func (l *Limit) lowerBound() float64 { return max(minLimit, headroom*l.usualInFlight) }
 
 // step changes the limit by the answers since the last step.
 func (l *Limit) step(now time.Duration) {
-	ratio, target := 1.0, l.target()
-	if l.n > 0 {
-		ratio = l.sum / l.base
+	ratio, target := 1.0, l.targetRatio()
+	if l.responses > 0 {
+		ratio = l.latencySum / l.baselineSum
 	} else {
 		ratio = 2 * target // nothing comes back
 	}
-	if float64(l.full) > fullPart*float64(l.in) {
+	if float64(l.serversFull) > maxRejectedShare*float64(l.admitted) {
 		ratio = max(ratio, 1.5*target)
 	}
 	switch {
-	case ratio > target && l.tight:
-		l.limit = max(l.limit*max(cut, target/ratio), l.least())
-	case ratio <= target && l.tight:
-		l.limit *= 1 + (grow-1)*min(1, 2*(target-ratio)/target)
+	case ratio > target && l.nearLimit:
+		l.limit = max(l.limit*max(maxCut, target/ratio), l.lowerBound())
+	case ratio <= target && l.nearLimit:
+		l.limit *= 1 + (maxGrowth-1)*min(1, 2*(target-ratio)/target)
 	}
-	l.steppedAt, l.sum, l.base, l.n, l.in, l.full = now, 0, 0, 0, 0, 0
-	l.tight = float64(l.open) >= 0.8*l.limit
+	l.steppedAt, l.latencySum, l.baselineSum, l.responses, l.admitted, l.serversFull = now, 0, 0, 0, 0, 0
+	l.nearLimit = float64(l.inFlight) >= 0.8*l.limit
 }
 
 // Most is how many may be open at present, and Open how many are.
-func (l *Limit) Most() float64 { return l.limit }
+func (l *Limit) MaxInFlight() float64 { return l.limit }
 
 // Open is how many requests are open.
-func (l *Limit) Open() int { return l.open }
+func (l *Limit) InFlight() int { return l.inFlight }
 
-func bound(v, least, most float64) float64 { return max(least, min(most, v)) }
+func clamp(v, lowest, highest float64) float64 { return max(lowest, min(highest, v)) }
