--- a/overload/cpu.go
+++ b/overload/cpu.go
@@ -2,57 +2,58 @@
 
 import "time"
 
-// The figures of the processor's account. Use is a share of what the sidecar may use.
+// The constants of CPULimit. CPU use is relative to the sidecar's quota.
 const (
-	// Period is how often Sample wants to be called, and window the samples over which use counts: a sidecar on a quota
-	// runs in bursts.
+	// SamplePeriod is the period in which Sample must be called. The use is computed over sampleWindow samples, as a process with a
+	// CPU quota runs in bursts.
 	SamplePeriod = 20 * time.Millisecond
 	sampleWindow = 5
-	// full is the use from which the processor counts as used up, and lateness the delay that has to come with it: a busy
-	// processor that is never late carries what it gets. While both hold, the account trusts itself less and less, down to
-	// leastTrust, and then slowly more again.
+	// From saturatedUse on the CPU counts as saturated if there also is a delay of saturatedDelay: without delays it can handle its
+	// load. While both hold, the capacity factor decreases down to minCapacityFactor; after that it slowly increases again.
 	saturatedUse      = 0.95
 	saturatedDelay    = 20 * time.Millisecond
 	capacityDecrease  = 0.95
 	capacityIncrease  = 1.01
 	minCapacityFactor = 0.3
 
-	// backlog is how long what has been let in may wait for the processor; the class of the least worth may fill lowest of it.
+	// maxBacklog is how long admitted work may wait for the CPU. The class of the least value may fill minBacklogShare of it.
 	maxBacklog      = 100 * time.Millisecond
 	minBacklogShare = 0.4
-	// idle is the use below which nothing can be waiting for the processor, whatever the account says.
+	// idleUse is the use below which no work can be waiting for the CPU, so that the estimated backlog is reset.
 	idleUse = 0.85
-	// firstCost is what a request is taken to cost until that is known, and firstTurned what one does that is turned away. cheapest
-	// and dearest bound what is learned, in steps of learning, from windows with telling requests or more.
-	initialCost, initialRejectCost = 150e-6, 20e-6 // seconds of a core
+	// initialCost and initialRejectCost are the costs of an admitted and a rejected request until they are learned. minCost and
+	// maxCost bound the learned costs. Only windows with at least minRequests are used for learning, with the step size learningRate.
+	initialCost, initialRejectCost = 150e-6, 20e-6 // core seconds
 	minCost, maxCost               = 5e-6, 3e-3
 	learningRate                   = 0.2
 	minRequests                    = 20
 )
 
-// Processor keeps account of the work that was let in and that the sidecar's part of the processor cannot have done yet, and
-// lets none in that would wait for longer than a little: the request of the least worth stops first. What a request costs
-// it learns from the processor time used. It is not safe for concurrent use.
+// CPULimit estimates the backlog of admitted work that the sidecar's CPU quota has not processed yet. It rejects requests that would
+// have to wait too long, those of the least value first. The cost of a request is learned from the CPU time used. A CPULimit is not
+// safe for concurrent use.
 type CPULimit struct {
 	cores          float64
-	backlogShare   []float64                   // by class: the part of the backlog that it may fill
-	sampledAt      [sampleWindow]time.Duration // of the last samples, in a ring
+	backlogShare   []float64                   // by class: the share of maxBacklog that it may fill
+	sampledAt      [sampleWindow]time.Duration // of the last samples, as ring buffers
 	usedTime       [sampleWindow]time.Duration
-	admitted       [sampleWindow]float64 // requests let in, and turned away, between two samples
+	admitted       [sampleWindow]float64 // requests between two samples
 	rejected       [sampleWindow]float64
 	nextSample     int
 	samples        int
-	capacityFactor float64
+	capacityFactor float64 // factor on the cores at which the backlog is assumed to be processed
 
-	cost, rejectCost         float64       // of a request that is let in, and of one that is not, in seconds of a core
-	newAdmitted, newRejected float64       // since the last sample
-	backlog                  float64       // work that was let in and is not done, in seconds of a core, as far as it can be reckoned
-	backlogAt                time.Duration // when
+	cost, rejectCost         float64       // core seconds of an admitted and of a rejected request
+	newAdmitted, newRejected float64       // requests since the last sample
+	backlog                  float64       // estimated core seconds of work that is not done yet
+	backlogAt                time.Duration // when backlog was updated
 }
 
-// NewProcessor returns the account of a sidecar that may use so many cores; 0 means that nobody knows, and all is let in.
+// NewCPULimit returns the limit for a sidecar with a quota of cores; 0 means an unknown quota, and all requests are admitted. Requests
+// of an unknown class count as those of the least value.
 func NewCPULimit(cores float64, classes []Class) *CPULimit {
-	p := &CPULimit{cores: cores, cost: initialCost, rejectCost: initialRejectCost, capacityFactor: 1, backlogShare: make([]float64, max(1, len(classes)))}
+	p := &CPULimit{cores: cores, cost: initialCost, rejectCost: initialRejectCost, capacityFactor: 1,
+		backlogShare: make([]float64, max(1, len(classes)))}
 	minValue, maxValue := 0.0, 0.0
 	for i, c := range classes {
 		if i == 0 || c.Value < minValue {
@@ -69,7 +70,8 @@
 	return p
 }
 
-// Sample takes in the clock, the processor time used so far, and the longest delay of an event since the last sample.
+// Sample updates the costs and the capacity factor. usedTime is the CPU time used since the process started, and delay the longest wait
+// of an event for the CPU since the last sample.
 func (p *CPULimit) Sample(now, usedTime, delay time.Duration) {
 	oldestAt, oldestUsed := p.sampledAt[p.nextSample], p.usedTime[p.nextSample]
 	latestAt := p.sampledAt[(p.nextSample+sampleWindow-1)%sampleWindow]
@@ -78,19 +80,20 @@
 	}
 	admitted, rejected := p.newAdmitted, p.newRejected
 	for i := range sampleWindow {
-		if i != p.nextSample { // as old as the window
+		if i != p.nextSample { // that sample leaves the window
 			admitted, rejected = admitted+p.admitted[i], rejected+p.rejected[i]
 		}
 	}
-	p.sampledAt[p.nextSample], p.usedTime[p.nextSample], p.admitted[p.nextSample], p.rejected[p.nextSample] = now, usedTime, p.newAdmitted, p.newRejected
+	p.sampledAt[p.nextSample], p.usedTime[p.nextSample], p.admitted[p.nextSample], p.rejected[p.nextSample] = now,
+		usedTime, p.newAdmitted, p.newRejected
 	p.newAdmitted, p.newRejected = 0, 0
 	p.nextSample = (p.nextSample + 1) % sampleWindow
-	if p.samples++; p.samples <= 2*sampleWindow { // the start is busy, and says nothing
+	if p.samples++; p.samples <= 2*sampleWindow { // the CPU time of the start is not that of requests
 		return
 	}
 	used := (usedTime - oldestUsed).Seconds()
 	use := used / (now - oldestAt).Seconds() / p.cores
-	if admitted+rejected >= minRequests { // least mean squares, normalized
+	if admitted+rejected >= minRequests { // normalized least mean squares
 		correction := learningRate * (used - admitted*p.cost - rejected*p.rejectCost) / (admitted*admitted + rejected*rejected)
 		p.cost = clamp(p.cost+correction*admitted, minCost, maxCost)
 		p.rejectCost = clamp(p.rejectCost+correction*rejected, minCost, p.cost)
@@ -105,7 +108,7 @@
 	}
 }
 
-// Offer reports whether a request of a class that comes at now may come in.
+// Offer reports whether a request of a class is admitted at now.
 func (p *CPULimit) Offer(now time.Duration, class int) bool {
 	if p.cores <= 0 {
 		return true
@@ -131,12 +134,13 @@
 	return admit
 }
 
-// Back takes back what Offer has let in and what was turned away for another reason.
+// Withdraw must be called for a request that Offer admitted and that was then rejected for another reason. It changes the estimate
+// accordingly.
 func (p *CPULimit) Withdraw() {
 	p.backlog = max(0, p.backlog-p.cost+p.rejectCost)
 	p.newAdmitted--
 	p.newRejected++
 }
 
-// Cost is what a request is taken to cost.
+// Cost returns the estimated CPU time of an admitted request.
 func (p *CPULimit) Cost() time.Duration { return time.Duration(p.cost * float64(time.Second)) }
--- a/overload/limit.go
+++ b/overload/limit.go
@@ -1,9 +1,10 @@
-// Package overload decides which requests come in while not all of them can be carried. Limit goes by the servers: how many
-// requests may be open there so that answers come within their aims. Processor goes by the sidecar's own part of the
-// processor: how much work it has let in that is not done. Both fill what there is from the class of the most worth down.
+// Package overload decides which requests to admit under overload. Limit protects the servers: it limits the requests in flight so
+// that responses meet their latency targets. CPULimit protects the sidecar's own CPU quota: it limits the backlog of admitted work.
+// Both prefer the classes of higher value.
 //
-// They do no I/O, have no goroutine and no clock of their own; what they cost for a request grows with the number of
-// classes alone. Begin with Limit.
+// The package does no I/O, starts no goroutine and reads no clock. The cost for a request depends on the number of classes only.
+//
+// Start reading at Limit.
 package overload
 
 import (
@@ -12,75 +13,76 @@
 	"time"
 )
 
-// Class is what a class is to a Limit.
+// Class describes a request class.
 type Class struct {
-	Value         float64       // of an answer within Aim
-	LatencyTarget time.Duration // 0: none is known
+	Value         float64       // of a response within LatencyTarget, relative to other classes
+	LatencyTarget time.Duration // 0: unknown
 }
 
-// The figures of the limit. Ratios are of how long answers take to how long they take where nothing waits.
+// The constants of Limit. Latency ratios are the latency of responses divided by the baseline, which is the latency without queueing.
 const (
-	initialLimit = 48.0 // until answers tell
+	initialLimit = 48.0 // until there are responses
 	minLimit     = 8.0
-	// The limit aims at the ratio that lies waits of the way from 1 to where the class that is nearest to it misses its aim.
+	// targetQueueingShare sets the target ratio: it is this share of the way from 1 to the lowest ratio at which a class misses its
+	// latency target.
 	targetQueueingShare = 0.06
-	// fastest and slowest bound that.
+	// minTargetRatio and maxTargetRatio bound the target ratio.
 	minTargetRatio, maxTargetRatio = 1.2, 4.0
-	// grow and cut change the limit in a step at the most. A step is made of stepAnswers answers to what was sent since the last
-	// one, so that they tell of the limit as it is: faster, it would go far beyond before the first slow answer.
+	// maxGrowth and maxCut are the largest factors that a step applies to the limit. A step needs stepResponses responses to requests
+	// sent since the previous step, so that they reflect the current limit. With faster steps the limit would overshoot before the
+	// first slow response.
 	maxGrowth, maxCut = 1.3, 0.75
 	stepResponses     = 10
 	tickInterval      = 100 * time.Millisecond
-	// fullPart is the part of what was let in that the servers had no place for, from which that counts as slow.
+	// maxRejectedShare is the share of admitted requests rejected by servers for lack of capacity above which they count as slow.
 	maxRejectedShare = 0.05
-	// spare is what the limit may be above what was open lately: a rush begins with that.
+	// headroom is the factor by which the limit may exceed the recent requests in flight, for the start of a burst.
 	headroom = 1.6
-	// usualLife is the time over which the usual number of open requests is learned, which the limit never goes below.
+	// usualTimeConstant is the time constant of the average of usual requests in flight, which bounds the limit from below.
 	usualTimeConstant = 30 * time.Second
-	// rateLife is the time over which the rate of a class's requests is taken: short, as a rush comes in a moment.
+	// rateTimeConstant is the time constant of a class's request rate: short, as bursts start suddenly.
 	rateTimeConstant = 150 * time.Millisecond
-	// pressing is the part of the limit that has to be open for a request that is turned away to count as a reason to raise it.
+	// demandShare is the share of the limit that has to be in flight for a rejected request to count as a reason to raise the limit.
 	demandShare = 0.7
-	// scatter is by how many standard deviations of a Poisson number a class may want more places than on the mean.
+	// demandDeviations is by how many standard deviations of a Poisson distribution the reserve for a class exceeds its mean demand.
 	demandDeviations = 3.0
-	// kept is the share of its requests that a class keeps which has no room: it is still somebody's.
+	// minAdmittedShare is the share of requests that is admitted in a class without capacity, so that no class is starved.
 	minAdmittedShare = 0.01
-	// baseGain is the step by which the time of an answer where nothing waits is learned.
+	// baselineGain is the weight of a response in the average of the baseline.
 	baselineGain = 0.02
 )
 
-// Limit bounds how many requests are open at the servers together, so that what is let in is answered within its aim, and
-// fills that from the class of the most worth for its work down. It learns from answers alone how long they take where
-// nothing waits, and from that how many the servers carry: a limit that grows while answers are quick and it is in the way,
-// and shrinks where they are slow (the gradient of Vegas, in steps of some answers). A class leaves as much room as
-// those of more worth for their work are expected to want by their present rates. It is not safe for concurrent use.
+// Limit limits the requests in flight at all servers together, so that admitted ones meet their latency targets, and prefers classes
+// with a higher value per expected latency. It is adaptive, as in TCP Vegas: it learns each class's baseline latency from responses,
+// grows while responses are fast and the limit is nearly reached, and shrinks while they are slow. Capacity that classes of higher
+// value are expected to need at their current rates is reserved for them. A Limit is not safe for concurrent use.
 type Limit struct {
 	classes                          []classState
-	byValue                          []int // by worth for work, the most first
+	byValue                          []int // class indices by value density, highest first
 	limit                            float64
 	inFlight                         int
-	peakInFlight                     float64 // of open, fading
-	usualInFlight                    float64 // of open, while nothing was turned away
-	limitReached                     bool    // the limit was in the way since the last step
-	nearLimit                        bool    // ... or nearly
+	peakInFlight                     float64 // recent maximum of inFlight, decaying
+	usualInFlight                    float64 // average of inFlight while the limit was not reached
+	limitReached                     bool    // since the last tick a request found no capacity
+	nearLimit                        bool    // since the last step the limit was reached or nearly reached
 	steppedAt                        time.Duration
 	tickedAt                         time.Duration
-	latencySum, baselineSum          float64 // ms of answers to what was sent since the last step, and what they would take where nothing waits
-	responses, admitted, serversFull int     // ... how many, how many were let in, and for how many there was no place
+	latencySum, baselineSum          float64 // ms since the last step: of responses to requests sent since, and of their baselines
+	responses, admitted, serversFull int     // since the last step: these responses, requests admitted, and requests rejected by full servers
 }
 
 type classState struct {
 	Class
-	baseline      float64 // ms, where nothing waits; 0: not known
-	rate          float64 // requests a ms
+	baseline      float64 // ms; 0: unknown
+	rate          float64 // requests per ms
 	rateUpdatedAt time.Duration
 	inFlight      int
-	credit        float64
-	responses     int     // answers so far
-	latencyRatio  float64 // of what answers take lately to base
+	credit        float64 // minAdmittedShare of the rejected requests: at 1 one is admitted
+	responses     int     // since the start
+	latencyRatio  float64 // of recent latencies to the expected latency
 }
 
-// NewLimit returns a limit for classes.
+// NewLimit returns a limit for request classes, which are named by their index. Other indices count as the class of the least value.
 func NewLimit(classes []Class) *Limit {
 	l := &Limit{limit: initialLimit}
 	for i, c := range classes {
@@ -101,7 +103,7 @@
 	return &l.classes[i]
 }
 
-// takes is how long an answer of the class takes where nothing waits, in ms, as far as that is known.
+// expectedLatency returns the class's baseline in ms. Until it is known, that is a third of the latency target, or 100 ms.
 func (c *classState) expectedLatency() float64 {
 	if c.baseline > 0 {
 		return c.baseline
@@ -126,17 +128,18 @@
 	})
 }
 
-// fade brings a class's rate up to now, with more requests.
+// updateRate decays a class's request rate to now and adds requests to it.
 func (c *classState) updateRate(now time.Duration, requests float64) {
-	c.rate = c.rate*math.Exp(-float64(now-c.rateUpdatedAt)/float64(rateTimeConstant)) + requests/(float64(rateTimeConstant)/float64(time.Millisecond))
+	c.rate = c.rate*math.Exp(-float64(now-c.rateUpdatedAt)/float64(rateTimeConstant)) +
+		requests/(float64(rateTimeConstant)/float64(time.Millisecond))
 	c.rateUpdatedAt = now
 }
 
-// Offer reports whether a request of a class may come in at now; if so it is open until End.
+// Offer reports whether a request of a class is admitted at now. An admitted one is in flight until End, which the caller must call.
 func (l *Limit) Offer(now time.Duration, class int) bool {
 	c := l.class(class)
 	c.updateRate(now, 1)
-	// Classes of more worth want as many places as their rate fills; those that they hold already are counted in open.
+	// Reserve what classes of higher value need at their rates, beyond their requests already in flight.
 	reserved := 0.0
 	for _, i := range l.byValue {
 		other := &l.classes[i]
@@ -152,7 +155,7 @@
 	admit := float64(l.inFlight)+reserved < l.limit
 	if !admit {
 		l.limitReached = true
-		if float64(l.inFlight) >= demandShare*l.limit { // the rest is kept for others, who do not come
+		if float64(l.inFlight) >= demandShare*l.limit { // otherwise the rest is only reserved, not in use
 			l.nearLimit = true
 		}
 		if c.credit += minAdmittedShare; c.credit >= 1 && float64(l.inFlight) < l.limit*1.1 {
@@ -175,7 +178,7 @@
 	return true
 }
 
-// target is the ratio that the limit aims at.
+// targetRatio returns the latency ratio up to which the limit may grow.
 func (l *Limit) targetRatio() float64 {
 	target := maxTargetRatio
 	for i := range l.classes {
@@ -187,17 +190,17 @@
 	return max(minTargetRatio, target)
 }
 
-// Ending is how a request has ended that was let in.
+// Outcome is how an admitted request ended.
 type Outcome uint8
 
-// The endings. Void tells nothing of what servers can carry.
+// The outcomes.
 const (
-	Answered   Outcome = iota // by a server
-	NoCapacity                // the servers had no place for it
-	Inconclusive
+	Answered     Outcome = iota // a server responded
+	NoCapacity                  // the servers rejected it for lack of capacity
+	Inconclusive                // says nothing about the servers' capacity
 )
 
-// End ends an open request, after took.
+// End records the outcome of an admitted request and its latency.
 func (l *Limit) End(now time.Duration, class int, latency time.Duration, outcome Outcome) {
 	c := l.class(class)
 	l.inFlight, c.inFlight = max(0, l.inFlight-1), max(0, c.inFlight-1)
@@ -209,12 +212,12 @@
 	}
 	ms := max(0.1, float64(latency)/float64(time.Millisecond))
 	if c.responses++; c.responses <= 20 {
-		c.baseline += (ms - c.baseline) / float64(c.responses) // the first ones, of which no rush has slowed most
+		c.baseline += (ms - c.baseline) / float64(c.responses) // the mean at first, as most of these are not slowed by a burst
 	} else if !l.nearLimit && float64(l.inFlight) < l.limit/2 {
 		c.baseline += (min(ms, 3*c.baseline) - c.baseline) * baselineGain
 	}
 	c.latencyRatio += (clamp(ms/c.expectedLatency(), 0.5, 4) - c.latencyRatio) / 20
-	if now-latency < l.steppedAt { // sent under another limit
+	if now-latency < l.steppedAt { // sent before the last step, under another limit
 		return
 	}
 	l.latencySum, l.baselineSum, l.responses = l.latencySum+ms, l.baselineSum+c.expectedLatency(), l.responses+1
@@ -223,7 +226,8 @@
 	}
 }
 
-// Tick lets time pass; it wants to be called some times a second.
+// Tick updates the averages, lowers an unused limit, and makes a step if responses are missing. It must be called several times a
+// second.
 func (l *Limit) Tick(now time.Duration) {
 	if now-l.tickedAt < tickInterval {
 		return
@@ -244,15 +248,16 @@
 	l.sortByValue()
 }
 
+// lowerBound returns the lowest permitted limit.
 func (l *Limit) lowerBound() float64 { return max(minLimit, headroom*l.usualInFlight) }
 
-// step changes the limit by the answers since the last step.
+// step adjusts the limit by the responses since the last step.
 func (l *Limit) step(now time.Duration) {
 	ratio, target := 1.0, l.targetRatio()
 	if l.responses > 0 {
 		ratio = l.latencySum / l.baselineSum
 	} else {
-		ratio = 2 * target // nothing comes back
+		ratio = 2 * target // there was no response
 	}
 	if float64(l.serversFull) > maxRejectedShare*float64(l.admitted) {
 		ratio = max(ratio, 1.5*target)
@@ -267,10 +272,10 @@
 	l.nearLimit = float64(l.inFlight) >= 0.8*l.limit
 }
 
-// Most is how many may be open at present, and Open how many are.
+// MaxInFlight returns the current limit of requests in flight.
 func (l *Limit) MaxInFlight() float64 { return l.limit }
 
-// Open is how many requests are open.
+// InFlight returns the number of requests in flight.
 func (l *Limit) InFlight() int { return l.inFlight }
 
 func clamp(v, lowest, highest float64) float64 { return max(lowest, min(highest, v)) }
--- a/overload/limit_test.go
+++ b/overload/limit_test.go
@@ -9,16 +9,16 @@
 
 const ms = time.Millisecond
 
-// threeClasses take 60, 130 and 90 ms where nothing waits, and are worth most, least and something for that.
+// threeClasses have baselines of 60, 130 and 90 ms, and the highest, lowest and middle value for their latency.
 var threeClasses = []Class{{Value: 8, LatencyTarget: 250 * ms}, {Value: 3, LatencyTarget: 750 * ms}, {Value: 3, LatencyTarget: 400 * ms}}
 
 var baselineLatencies = []time.Duration{60 * ms, 130 * ms, 90 * ms}
 
-// servers is a bare model: all answers take as much longer as more are open than it has places.
+// modelServers is a simple model of the servers: the latency is the baseline, times requests in flight / capacity if that is above 1.
 type modelServers struct {
 	limit    *Limit
 	capacity int
-	slowdown float64 // all answers take so much longer; 0: not
+	slowdown float64 // minimum factor on latencies; 0: none
 	pending  []response
 	admitted [3]int
 	offered  [3]int
@@ -29,7 +29,7 @@
 	class       int
 }
 
-// play offers requests of each class at a rate a second for some time.
+// run offers requests for length, at rates per second by class.
 func (s *modelServers) run(from, length time.Duration, rates [3]float64) {
 	due := [3]float64{}
 	for at := from; at < from+length; at += ms {
@@ -60,20 +60,20 @@
 	}
 }
 
-// What the servers carry is let in, however long the calm before was.
+// Load within the servers' capacity must be admitted, also after a long time of low load, during which the limit adapts to it.
 func TestLimitAdmitsWhatServersCanServe(t *testing.T) {
 	s := &modelServers{limit: NewLimit(threeClasses), capacity: 120}
 	s.run(0, 60*time.Second, [3]float64{50, 100, 30})
-	s.run(60*time.Second, 5*time.Second, [3]float64{200, 400, 120}) // four times as much, 75 in flight
+	s.run(60*time.Second, 5*time.Second, [3]float64{200, 400, 120}) // four times the rate, 75 in flight
 	for class, n := range s.admitted {
-		if s.offered[class]-n > s.offered[class]/50 { // while the limit grows to four times
-			t.Errorf("class %d: %d of %d let in", class, n, s.offered[class])
+		if s.offered[class]-n > s.offered[class]/50 { // some rejections while the limit grows fourfold
+			t.Errorf("class %d: %d of %d admitted", class, n, s.offered[class])
 		}
 	}
 }
 
-// In a rush the class of the most worth for its work is let in, the others as far as there is room, each a little; and no more
-// are open than the servers carry within the aims.
+// Under overload the class of the highest value must be admitted, the others as far as there is capacity, and a small share of each.
+// The requests in flight must stay at what the servers can serve within the latency targets.
 func TestOverloadAdmitsByValue(t *testing.T) {
 	s := &modelServers{limit: NewLimit(threeClasses), capacity: 120}
 	s.run(0, 5*time.Second, [3]float64{45, 108, 27})
@@ -81,36 +81,36 @@
 	s.run(5*time.Second, 3*time.Second, [3]float64{900, 2160, 540})
 	share := func(class int) float64 { return float64(s.admitted[class]) / float64(s.offered[class]) }
 	if share(0) < 0.9 || share(1) > 0.2 || share(1) < minAdmittedShare/2 || share(2) < share(1) {
-		t.Errorf("let in %.3f, %.3f and %.3f", share(0), share(1), share(2))
+		t.Errorf("shares admitted: %.3f, %.3f and %.3f", share(0), share(1), share(2))
 	}
 	if s.limit.InFlight() > 200 {
-		t.Errorf("%d open where 120 have a place", s.limit.InFlight())
+		t.Errorf("%d in flight at a capacity of 120", s.limit.InFlight())
 	}
 	s.admitted, s.offered = [3]int{}, [3]int{}
-	s.run(8*time.Second, time.Second, [3]float64{45, 108, 27}) // the rush is over
+	s.run(8*time.Second, time.Second, [3]float64{45, 108, 27}) // after the overload
 	for class, n := range s.admitted {
 		if s.offered[class]-n > 1+s.offered[class]/10 {
-			t.Errorf("after it, class %d: %d of %d let in", class, n, s.offered[class])
+			t.Errorf("after the overload, class %d: %d of %d admitted", class, n, s.offered[class])
 		}
 	}
 }
 
-// Servers that become slower without a rush are the module's to handle: what usually comes is let in.
+// When servers become slow at the usual load, rejecting it is not this package's task: at least half of it must still be admitted.
 func TestSlowServersKeepUsualLoad(t *testing.T) {
 	s := &modelServers{limit: NewLimit(threeClasses), capacity: 120}
 	s.run(0, 60*time.Second, [3]float64{45, 108, 27})
 	s.capacity, s.admitted, s.offered = 8, [3]int{}, [3]int{}
 	s.run(60*time.Second, 2*time.Second, [3]float64{45, 108, 27})
 	if admitted, offered := s.admitted[0]+s.admitted[1]+s.admitted[2], s.offered[0]+s.offered[1]+s.offered[2]; admitted < offered/2 {
-		t.Errorf("%d of %d let in", admitted, offered)
+		t.Errorf("%d of %d admitted", admitted, offered)
 	}
 }
 
-// A sidecar that is young knows what usually comes from its first seconds: the limit stays above that where servers turn slow
-// then. Learned over half a minute from nothing, it was the least there is, and most of what came was refused.
+// The usual load must be learned within seconds of the start, as the limit stays above it when servers become slow. When it was
+// averaged over 30 s starting from 0, the limit fell to its minimum and most requests were rejected.
 func TestUsualLoadIsLearnedWithinSeconds(t *testing.T) {
 	s := &modelServers{limit: NewLimit(threeClasses), capacity: 120}
-	s.run(0, 3*time.Second, [3]float64{45, 108, 27}) // 19 open on the mean
+	s.run(0, 3*time.Second, [3]float64{45, 108, 27}) // 19 in flight on average
 	s.slowdown = 4
 	s.run(3*time.Second, 5*time.Second, [3]float64{45, 108, 27})
 	if s.limit.MaxInFlight() < 25 {
@@ -118,7 +118,7 @@
 	}
 }
 
-// Servers that turn away what was let in count as slow, however quickly they do it.
+// Servers that reject admitted requests for lack of capacity must count as slow, however fast they do so: the limit must not grow.
 func TestServerRejectionsDoNotRaiseLimit(t *testing.T) {
 	l := NewLimit(threeClasses)
 	at, initial := time.Duration(0), l.MaxInFlight()
@@ -133,12 +133,11 @@
 		l.Tick(at)
 	}
 	if l.MaxInFlight() > initial {
-		t.Errorf("the limit has grown from %.0f to %.0f", initial, l.MaxInFlight())
+		t.Errorf("the limit grew from %.0f to %.0f", initial, l.MaxInFlight())
 	}
 }
 
-// Whatever comes, the count of open requests is right, never beyond the limit by more than its tenth, and the limit neither
-// vanishes nor grows without anything being open.
+// For any sequence of calls, the count of requests in flight must be right and the limit must stay between its minimum and 10000.
 func TestLimitProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := NewLimit(threeClasses[:rapid.IntRange(0, 3).Draw(t, "classes")])
@@ -162,7 +161,7 @@
 				}
 			}
 			if l.InFlight() != open {
-				t.Fatalf("%d open, counted %d", open, l.InFlight())
+				t.Fatalf("%d in flight, counted %d", open, l.InFlight())
 			}
 			if l.MaxInFlight() < minLimit || l.MaxInFlight() > 1e4 {
 				t.Fatalf("limit %v", l.MaxInFlight())
@@ -171,7 +170,7 @@
 	})
 }
 
-// drive plays samples of a processor that does what the account lets in, at true costs, and tells how many of a class came in.
+// runCPU simulates a CPU that processes what p admits and rejects, at the given costs, and returns the requests admitted and offered.
 func runCPU(p *CPULimit, from, length time.Duration, requestsPerSecond float64, cost, rejectCost float64) (admitted, offered int) {
 	used, due := from.Seconds()/4, 0.0
 	backlog := 0.0
@@ -195,8 +194,8 @@
 	return admitted, offered
 }
 
-// What the processor can do is let in; beyond that about as much as it can do, whatever it was taken to cost before, and a
-// rush of refusals does not shut it.
+// Load within the CPU quota must be admitted. Beyond it, about as much as the quota allows must be admitted, although the initial cost
+// is wrong, and the cost of many rejections must not stop admission.
 func TestCPULimitAdmitsWhatFitsAtAnyRate(t *testing.T) {
 	for name, c := range map[string]struct{ perS, least, most float64 }{
 		"usual": {200, 0.999, 1}, "four times": {2000, 0.35, 0.62}, "forty times": {20000, 0.001, 0.05},
@@ -205,25 +204,25 @@
 		runCPU(p, 0, 2*time.Second, 100, 250e-6, 10e-6)
 		in, asked := runCPU(p, 2*time.Second, 4*time.Second, c.perS, 250e-6, 10e-6)
 		if part := float64(in) / float64(asked); part < c.least || part > c.most {
-			t.Errorf("%s: %.3f let in, at %v a request", name, part, p.Cost())
+			t.Errorf("%s: %.3f admitted, at a cost of %v", name, part, p.Cost())
 		}
 	}
 	if in, asked := runCPU(NewCPULimit(0, threeClasses), 0, time.Second, 1e5, 1, 1); in != asked {
-		t.Errorf("nobody knows the cores, and %d of %d come in", in, asked)
+		t.Errorf("unknown number of cores: %d of %d admitted", in, asked)
 	}
 }
 
-// Of the backlog the classes of less worth get less.
+// Classes of lower value must get a smaller share of the backlog, but none may get nothing.
 func TestBacklogShareGoesByValue(t *testing.T) {
 	p := NewCPULimit(0.25, threeClasses)
 	admitted := [3]int{}
-	for i := range 3000 { // in 30 ms, before any sample tells of it
+	for i := range 3000 { // in 30 ms, before any sample
 		if p.Offer(time.Duration(i)*10*time.Microsecond, i%3) {
 			admitted[i%3]++
 		}
 	}
 	if admitted[0] <= admitted[1] || admitted[1] == 0 || admitted[2] == 0 {
-		t.Errorf("let in %v", admitted)
+		t.Errorf("admitted %v", admitted)
 	}
 }
 
