--- a/internal/loadshed/shedder.go
+++ b/internal/loadshed/shedder.go
@@ -35,7 +35,7 @@
 	decayedQueueDelay atomic.Int64 // nanoseconds: the same, decaying by a tenth with each sample
 
 	mu                sync.Mutex
-	processor         *overload.CPULimit
+	cpu               *overload.CPULimit
 	limit             *overload.Limit
 	offered, admitted float64 // requests, decaying
 	decayedAt         time.Duration
@@ -44,7 +44,7 @@
 // NewShedder returns a shedder that rejects nothing yet, for a sidecar limited to a number of cores (0: unknown) and for
 // these request classes.
 func NewShedder(cores float64, classes []overload.Class) *Shedder {
-	return &Shedder{start: time.Now(), processor: overload.NewCPULimit(cores, classes), limit: overload.NewLimit(classes)}
+	return &Shedder{start: time.Now(), cpu: overload.NewCPULimit(cores, classes), limit: overload.NewLimit(classes)}
 }
 
 // Admit reports whether a request of a class is admitted, and otherwise for how long its client should hold off, with jitter
@@ -56,13 +56,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Since(s.start)
-	ok = s.processor.Offer(now, class)
+	ok = s.cpu.Offer(now, class)
 	if ok && !s.limit.Offer(now, class) {
-		s.processor.Withdraw()
+		s.cpu.Withdraw()
 		ok = false
 	}
-	fade := math.Exp(-float64(now-s.decayedAt) / float64(admittedShareDecay))
-	s.offered, s.admitted, s.decayedAt = s.offered*fade+1, s.admitted*fade, now
+	decay := math.Exp(-float64(now-s.decayedAt) / float64(admittedShareDecay))
+	s.offered, s.admitted, s.decayedAt = s.offered*decay+1, s.admitted*decay, now
 	if ok {
 		s.admitted++
 		return true, 0
@@ -72,12 +72,12 @@
 }
 
 // RequestEnded records how an admitted request ended, and how long it took.
-func (s *Shedder) RequestEnded(class int, took time.Duration, how overload.Outcome) {
+func (s *Shedder) RequestEnded(class int, latency time.Duration, outcome overload.Outcome) {
 	if s == nil {
 		return
 	}
 	s.mu.Lock()
-	s.limit.End(time.Since(s.start), class, took, how)
+	s.limit.End(time.Since(s.start), class, latency, outcome)
 	s.mu.Unlock()
 }
 
@@ -87,8 +87,8 @@
 		return
 	}
 	for {
-		most := s.maxQueueDelay.Load()
-		if int64(d) <= most || s.maxQueueDelay.CompareAndSwap(most, int64(d)) {
+		longest := s.maxQueueDelay.Load()
+		if int64(d) <= longest || s.maxQueueDelay.CompareAndSwap(longest, int64(d)) {
 			return
 		}
 	}
@@ -117,22 +117,22 @@
 		case <-ctx.Done():
 			return
 		}
-		used, ok := processorTime()
+		used, ok := cpuTime()
 		if !ok {
 			continue
 		}
-		late := s.maxQueueDelay.Swap(0)
-		s.decayedQueueDelay.Store(max(late, s.decayedQueueDelay.Load()*9/10))
+		delay := s.maxQueueDelay.Swap(0)
+		s.decayedQueueDelay.Store(max(delay, s.decayedQueueDelay.Load()*9/10))
 		s.mu.Lock()
 		now := time.Since(s.start)
-		s.processor.Sample(now, used, time.Duration(late))
+		s.cpu.Sample(now, used, time.Duration(delay))
 		s.limit.Tick(now)
 		s.mu.Unlock()
 	}
 }
 
 // processorTime returns the processor time that this process has used, user and system.
-func processorTime() (time.Duration, bool) {
+func cpuTime() (time.Duration, bool) {
 	var ru syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &ru); err != nil {
 		return 0, false
