--- a/internal/loadshed/shedder.go
+++ b/internal/loadshed/shedder.go
@@ -106,14 +106,14 @@
 	return min(maxDeadlineMargin, time.Duration(s.decayedQueueDelay.Load()))
 }
 
-// Run samples the processor's use until ctx ends.
+// Run samples the CPU use until ctx ends.
 func (s *Shedder) Run(ctx context.Context) {
 	tick := time.NewTicker(overload.SamplePeriod)
 	defer tick.Stop()
 	for {
 		select {
 		case due := <-tick.C:
-			s.RecordQueueDelay(time.Since(due)) // this goroutine's own wait for the processor
+			s.RecordQueueDelay(time.Since(due)) // this goroutine's own wait for the CPU
 		case <-ctx.Done():
 			return
 		}
@@ -131,7 +131,7 @@
 	}
 }
 
-// processorTime returns the processor time that this process has used, user and system.
+// cpuTime returns the CPU time that this process has used, user and system.
 func cpuTime() (time.Duration, bool) {
 	var ru syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &ru); err != nil {
--- a/internal/loadshed/shedder_test.go
+++ b/internal/loadshed/shedder_test.go
@@ -14,18 +14,18 @@
 
 var twoClasses = []overload.Class{{Value: 8, LatencyTarget: 250 * time.Millisecond}, {Value: 1, LatencyTarget: 500 * time.Millisecond}}
 
-// Nobody is turned away by a door that is not there.
+// A nil Shedder must admit every request and have no deadline margin.
 func TestNilShedderAdmitsEverything(t *testing.T) {
 	var shedder *Shedder
 	if ok, _ := shedder.Admit(0); !ok || shedder.DeadlineMargin() != 0 {
-		t.Error("it is in the way")
+		t.Error("a nil Shedder rejects a request or has a margin")
 	}
 	shedder.RequestEnded(0, 0, overload.Answered)
 	shedder.RecordQueueDelay(time.Hour)
 }
 
-// In a rush on servers that do not answer a bounded number comes in, and the others are told to stay away, longer and longer
-// and each for another time. What has ended makes room.
+// When overloaded servers do not respond, a bounded number of requests must be admitted. Rejected clients must get hold-offs that grow
+// and differ, so that they do not retry at once. Ended requests must free capacity.
 func TestOverloadIsBoundedAndHoldOffsVary(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		shedder := NewShedder(0, twoClasses)
@@ -43,18 +43,18 @@
 			}
 		}
 		if admitted < 20 || admitted > 200 || len(holdOffs) < 1000 || longest < 4*minHoldOff {
-			t.Errorf("%d came in, %d hold-offs up to %v", admitted, len(holdOffs), longest)
+			t.Errorf("%d admitted, %d different hold-offs up to %v", admitted, len(holdOffs), longest)
 		}
 		for range admitted {
 			shedder.RequestEnded(1, 50*time.Millisecond, overload.Inconclusive)
 		}
 		if ok, _ := shedder.Admit(1); !ok {
-			t.Error("nothing is open, and one more does not come in")
+			t.Error("nothing is in flight, and a request is rejected")
 		}
 	})
 }
 
-// Events that wait for the processor make requests be given up earlier, for a while.
+// While events wait for the CPU, the deadline margin must follow their delay, up to its maximum.
 func TestDeadlineMarginFollowsQueueDelay(t *testing.T) {
 	shedder := NewShedder(1, twoClasses)
 	shedder.decayedQueueDelay.Store(int64(30 * time.Millisecond))
