--- a/overload/limit.go
+++ b/overload/limit.go
@@ -169,8 +169,8 @@
 	l.inFlight++
 	l.admitted++
 	c.inFlight++
-	if open := float64(l.inFlight); open > l.peakInFlight {
-		l.peakInFlight = open
+	if inFlight := float64(l.inFlight); inFlight > l.peakInFlight {
+		l.peakInFlight = inFlight
 	}
 	if float64(l.inFlight) >= 0.8*l.limit {
 		l.nearLimit = true
--- a/overload/limit_test.go
+++ b/overload/limit_test.go
@@ -141,7 +141,7 @@
 func TestLimitProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := NewLimit(threeClasses[:rapid.IntRange(0, 3).Draw(t, "classes")])
-		at, open := time.Duration(0), 0
+		at, inFlight := time.Duration(0), 0
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			at += time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * ms
 			class := rapid.IntRange(-1, 4).Draw(t, "class")
@@ -149,19 +149,19 @@
 			case 0:
 				l.Tick(at)
 			case 1:
-				if open > 0 {
-					open--
+				if inFlight > 0 {
+					inFlight--
 					l.End(at, class, time.Duration(rapid.IntRange(0, 3000).Draw(t, "took"))*ms, Outcome(rapid.IntRange(0, 2).Draw(t, "how")))
 				}
 			default:
 				for range rapid.IntRange(1, 100).Draw(t, "offers") {
 					if l.Offer(at, class) {
-						open++
+						inFlight++
 					}
 				}
 			}
-			if l.InFlight() != open {
-				t.Fatalf("%d in flight, counted %d", open, l.InFlight())
+			if l.InFlight() != inFlight {
+				t.Fatalf("%d in flight, counted %d", inFlight, l.InFlight())
 			}
 			if l.MaxInFlight() < minLimit || l.MaxInFlight() > 1e4 {
 				t.Fatalf("limit %v", l.MaxInFlight())
@@ -227,12 +227,12 @@
 }
 
 func BenchmarkOffer(b *testing.B) {
-	l := NewLimit(threeClasses)
+	limit := NewLimit(threeClasses)
 	b.ReportAllocs()
 	for i := range b.N {
 		at := time.Duration(i) * 100 * time.Microsecond
-		if l.Offer(at, i%3) {
-			l.End(at, i%3, 60*ms, Answered)
+		if limit.Offer(at, i%3) {
+			limit.End(at, i%3, 60*ms, Answered)
 		}
 	}
 }
