--- a/internal/peers/agent.go
+++ b/internal/peers/agent.go
@@ -278,7 +278,8 @@
 }
 
 func (a *Agent) status(n *fleet.Node, now time.Duration) *Status {
-	s := &Status{Number: a.cfg.Fleet.Number, ReachableShare: n.ReachableShare(), CutOff: n.Isolated(), Stale: n.Stale(now), Sent: n.BytesSent()}
+	s := &Status{Number: a.cfg.Fleet.Number, ReachableShare: n.ReachableShare(), CutOff: n.Isolated(),
+		Stale: n.Stale(now), Sent: n.BytesSent()}
 	for _, v := range n.View() {
 		m := MemberState{
 			Number: v.Number, Reachability: string(v.Reachability), Incarnation: fmt.Sprintf("%016x", uint64(v.Incarnation)),
