--- a/fleet/counts.go
+++ b/fleet/counts.go
@@ -7,104 +7,106 @@
 	"time"
 )
 
-// Counters are what became of the requests of one cell, a team's of one class, since a life began.
+// Counters count the outcomes of one cell's requests since an incarnation began. A cell is a pair of tenant and class.
 type Counters [7]uint64
 
-// The counters.
+// The indices of the counters.
 const (
-	Taken         = iota // requests, retries among them
-	Retried              // of Taken
-	Served               //
-	RefusedRoom          // as servers had no room, or none answered in time
-	RefusedBudget        // as the team's budget was spent
-	RefusedOther         //
-	Failed               //
+	Received = iota // requests, retries included
+	Retried         // the retries among Received
+	Served
+	RefusedCapacity // the servers had no capacity, or none answered in time
+	RefusedBudget   // the tenant's budget was exhausted
+	RefusedOther
+	Failed
 )
 
-// largestCount bounds a counter, so that sums can't run over and a word has room.
-const largestCount = 1<<48 - 1
+// maxCount bounds a counter, so that sums can't overflow and the encoded counters fit a record.
+const maxCount = 1<<48 - 1
 
 func (c *Counters) add(d *Counters) {
 	for i := range c {
-		c[i] = min(c[i]+d[i], largestCount)
+		c[i] = min(c[i]+d[i], maxCount)
 	}
 }
 
-// pastLife is what a former life has counted in a cell, by its last word that is known.
-type pastLife struct {
+// historyEntry holds the counters of a cell in one former incarnation, from the latest record of it that is known.
+type historyEntry struct {
 	inc      Incarnation
 	version  uint32
 	counters Counters
 }
 
-// past is what became of a cell in former lives: some apart, the older ones as a sum. No word of a life up to the horizon counts again.
-type past struct {
+// history holds a cell's counters of a member's former incarnations: the latest ones separately, the older ones folded into a sum.
+// Records of an incarnation up to the horizon are included in that sum and are not counted again.
+type history struct {
 	horizon Incarnation
-	closed  Counters
-	lives   []pastLife // the latest first, all above the horizon
+	folded  Counters
+	entries []historyEntry // latest first, all above the horizon
 }
 
-// total adds all up.
-func (p *past) total() Counters {
-	sum := p.closed
-	for i := range p.lives {
-		sum.add(&p.lives[i].counters)
+// total returns the sum over all former incarnations.
+func (p *history) total() Counters {
+	sum := p.folded
+	for i := range p.entries {
+		sum.add(&p.entries[i].counters)
 	}
 	return sum
 }
 
-// join takes in what another life of the same member knows. Each life counts once, by its latest word; what either has closed is
-// counted in the sum of whoever has closed more.
-func (p *past) join(q *past) {
+// merge adds the history that another incarnation of the same member has published. Each incarnation counts once, by its latest record.
+// Of the two folded sums the one with the higher horizon is kept, as it includes the other.
+func (p *history) merge(q *history) {
 	if q.horizon > p.horizon {
-		p.horizon, p.closed = q.horizon, q.closed
-		p.lives = slices.DeleteFunc(p.lives, func(l pastLife) bool { return l.inc <= p.horizon })
+		p.horizon, p.folded = q.horizon, q.folded
+		p.entries = slices.DeleteFunc(p.entries, func(l historyEntry) bool { return l.inc <= p.horizon })
 	}
-	for i := range q.lives {
-		p.take(q.lives[i])
+	for i := range q.entries {
+		p.mergeEntry(q.entries[i])
 	}
 }
 
-func (p *past) take(l pastLife) {
+func (p *history) mergeEntry(l historyEntry) {
 	if l.inc <= p.horizon {
 		return
 	}
-	at := 0
-	for at < len(p.lives) && p.lives[at].inc > l.inc {
-		at++
+	i := 0
+	for i < len(p.entries) && p.entries[i].inc > l.inc {
+		i++
 	}
-	if at < len(p.lives) && p.lives[at].inc == l.inc {
-		if l.version > p.lives[at].version {
-			p.lives[at] = l
+	if i < len(p.entries) && p.entries[i].inc == l.inc {
+		if l.version > p.entries[i].version {
+			p.entries[i] = l
 		}
 		return
 	}
-	p.lives = slices.Insert(p.lives, at, l)
+	p.entries = slices.Insert(p.entries, i, l)
 }
 
-// fold closes the oldest lives beyond those that are told apart. Only their member does so, in its present life.
-func (p *past) fold(planted Defect) {
-	for len(p.lives) > mostLives {
-		last := p.lives[len(p.lives)-1]
-		p.closed.add(&last.counters)
-		if planted == FoldedTwice {
-			p.closed.add(&last.counters)
+// fold adds the oldest entries beyond maxFormerIncarnations to the folded sum. Only the member itself folds, in its current
+// incarnation.
+func (p *history) fold(planted Defect) {
+	for len(p.entries) > maxFormerIncarnations {
+		last := p.entries[len(p.entries)-1]
+		p.folded.add(&last.counters)
+		if planted == FoldedCountedTwice {
+			p.folded.add(&last.counters)
 		}
-		if planted != ClosedAgain {
+		if planted != HorizonNotAdvanced {
 			p.horizon = last.inc
 		}
-		p.lives = p.lives[:len(p.lives)-1]
+		p.entries = p.entries[:len(p.entries)-1]
 	}
 }
 
-// covers reports whether a word of a former life counts in it, or is closed.
-func (p *past) covers(inc Incarnation, version uint32) bool {
+// covers reports whether a record of a former incarnation is included, as an entry or in the folded sum.
+func (p *history) covers(inc Incarnation, version uint32) bool {
 	if inc <= p.horizon {
 		return true
 	}
-	for i := range p.lives {
-		if p.lives[i].inc == inc {
-			return p.lives[i].version >= version
+	for i := range p.entries {
+		if p.entries[i].inc == inc {
+			return p.entries[i].version >= version
 		}
 	}
 	return false
@@ -112,15 +114,15 @@
 
 func appendCounters(b []byte, c *Counters) []byte {
 	for _, v := range c {
-		b = binary.AppendUvarint(b, min(v, largestCount))
+		b = binary.AppendUvarint(b, min(v, maxCount))
 	}
 	return b
 }
 
-func readCounters(b []byte) (c Counters, rest []byte, ok bool) {
+func decodeCounters(b []byte) (c Counters, rest []byte, ok bool) {
 	for i := range c {
 		v, n := binary.Uvarint(b)
-		if n <= 0 || v > largestCount {
+		if n <= 0 || v > maxCount {
 			return c, nil, false
 		}
 		c[i], b = v, b[n:]
@@ -128,17 +130,17 @@
 	return c, b, true
 }
 
-// readCell reads the value of a cell's topic.
-func readCell(b []byte) (Counters, bool) {
-	c, rest, ok := readCounters(b)
+// decodeCounts decodes the value of a cell's topic.
+func decodeCounts(b []byte) (Counters, bool) {
+	c, rest, ok := decodeCounters(b)
 	return c, ok && len(rest) == 0
 }
 
-func (p *past) append(b []byte) []byte {
+func (p *history) append(b []byte) []byte {
 	b = binary.BigEndian.AppendUint64(b, uint64(p.horizon))
-	b = appendCounters(b, &p.closed)
-	for i := range p.lives {
-		l := &p.lives[i]
+	b = appendCounters(b, &p.folded)
+	for i := range p.entries {
+		l := &p.entries[i]
 		b = binary.BigEndian.AppendUint64(b, uint64(l.inc))
 		b = binary.AppendUvarint(b, uint64(l.version))
 		b = appendCounters(b, &l.counters)
@@ -146,166 +148,168 @@
 	return b
 }
 
-func readPast(b []byte) (p past, ok bool) {
+func decodeHistory(b []byte) (p history, ok bool) {
 	if len(b) < 8 {
 		return p, false
 	}
 	p.horizon = Incarnation(binary.BigEndian.Uint64(b))
-	if p.closed, b, ok = readCounters(b[8:]); !ok {
+	if p.folded, b, ok = decodeCounters(b[8:]); !ok {
 		return p, false
 	}
 	for len(b) > 0 {
-		var l pastLife
-		if len(b) < 8 || len(p.lives) == mostLives {
+		var l historyEntry
+		if len(b) < 8 || len(p.entries) == maxFormerIncarnations {
 			return p, false
 		}
 		l.inc = Incarnation(binary.BigEndian.Uint64(b))
 		v, n := binary.Uvarint(b[8:])
-		if n <= 0 || v > math.MaxUint32 || l.inc <= p.horizon || len(p.lives) > 0 && l.inc >= p.lives[len(p.lives)-1].inc {
+		if n <= 0 || v > math.MaxUint32 || l.inc <= p.horizon || len(p.entries) > 0 && l.inc >= p.entries[len(p.entries)-1].inc {
 			return p, false
 		}
 		l.version = uint32(v)
-		if l.counters, b, ok = readCounters(b[8+n:]); !ok {
+		if l.counters, b, ok = decodeCounters(b[8+n:]); !ok {
 			return p, false
 		}
-		p.lives = append(p.lives, l)
+		p.entries = append(p.entries, l)
 	}
 	return p, true
 }
 
-// former joins all that is known of a cell in a member's former lives: what its present life says, and words of former ones.
-func (n *Node) former(m *member, cell int) past {
-	p, _ := readPast(m.word(n.pastTopic(cell)).value)
-	for i := range m.lives {
-		l := &m.lives[i]
-		if q, ok := readPast(l.words[n.pastTopic(cell)].value); ok {
-			p.join(&q)
+// history merges all that is known of a cell in a member's former incarnations: the history that its current incarnation has
+// published, and the records received from former ones.
+func (n *Node) history(m *member, cell int) history {
+	p, _ := decodeHistory(m.record(n.historyTopic(cell)).value)
+	for i := range m.former {
+		l := &m.former[i]
+		if q, ok := decodeHistory(l.records[n.historyTopic(cell)].value); ok {
+			p.merge(&q)
 		}
-		if w := &l.words[1+cell]; w.version > 0 {
-			if c, ok := readCell(w.value); ok {
-				p.take(pastLife{l.inc, w.version, c})
+		if w := &l.records[1+cell]; w.version > 0 {
+			if c, ok := decodeCounts(w.value); ok {
+				p.mergeEntry(historyEntry{l.inc, w.version, c})
 			}
 		}
 	}
 	return p
 }
 
-// publish writes this life's words anew where they have changed.
+// publish writes a new heartbeat, and new versions of this member's cells whose counters have changed.
 func (n *Node) publish() {
-	n.published = n.now
+	n.publishedAt = n.now
 	for i := range n.members {
 		m := &n.members[i]
-		m.ackWhen = m.word(0).version
+		m.heartbeatAtPublish = m.record(0).version
 	}
-	n.write(0, n.beat())
-	beat := n.self().word(0).version
-	n.beats[beat%beatsKept] = sentBeat{beat, n.now}
+	n.writeOwn(0, n.encodeHeartbeat())
+	version := n.self().record(0).version
+	n.heartbeats[version%heartbeatsKept] = sentHeartbeat{version, n.now}
 	for cell := range n.cfg.Cells {
 		c := n.counters[cell]
 		for i := range c {
-			c[i] -= min(n.base[cell][i], c[i])
+			c[i] -= min(n.counterBase[cell][i], c[i])
 		}
-		if v := appendCounters(nil, &c); c != (Counters{}) && string(v) != string(n.self().word(1+cell).value) {
-			n.write(1+cell, v)
+		if v := appendCounters(nil, &c); c != (Counters{}) && string(v) != string(n.self().record(1+cell).value) {
+			n.writeOwn(1+cell, v)
 		}
 	}
 }
 
-// Sums is what the whole fleet has counted.
+// Sums are the counters of the whole fleet, as intervals.
 type Sums struct {
-	Cells   []Counters    // at least, by cell
-	Beyond  uint64        // so many requests more may have been taken, in whatever cell
-	Age     time.Duration // of the oldest word that Beyond reckons with
-	Unbound int           // members of whom nothing is known that bounds them
+	Cells      []Counters    // lower bounds, by cell
+	Unreported uint64        // upper bound on the requests received beyond Cells, in all cells together
+	Age        time.Duration // of the oldest record that Unreported is computed from
+	Unbounded  int           // members without a known bound, which Unreported leaves out
 }
 
-// Most is the most that a counter can be: no counter grows by more than requests are taken.
-func (s *Sums) Most(cell, counter int) uint64 { return s.Cells[cell][counter] + s.Beyond }
+// UpperBound returns the highest value that a counter can have. It holds for each counter, as none grows faster than Received.
+func (s *Sums) UpperBound(cell, counter int) uint64 { return s.Cells[cell][counter] + s.Unreported }
 
-// Sums adds up what all members have counted, in all of their lives, by what is known now.
+// Sums returns the fleet's counters over all members and all of their incarnations, from the records known now.
 func (n *Node) Sums() Sums {
 	s := Sums{Cells: make([]Counters, n.cfg.Cells)}
 	for i := range n.members {
 		m := &n.members[i]
 		for cell := range n.cfg.Cells {
-			p := n.former(m, cell)
+			p := n.history(m, cell)
 			t := p.total()
 			s.Cells[cell].add(&t)
-			c, _ := readCell(m.word(1 + cell).value)
-			if i == n.cfg.Number { // its own, as of now
+			c, _ := decodeCounts(m.record(1 + cell).value)
+			if i == n.cfg.Number { // this member's counters are current
 				c = n.counters[cell]
 				for k := range c {
-					c[k] -= min(n.base[cell][k], c[k])
+					c[k] -= min(n.counterBase[cell][k], c[k])
 				}
 			}
 			s.Cells[cell].add(&c)
 		}
 		switch {
 		case i == n.cfg.Number:
-			if !m.told && n.hasPast() {
-				s.Unbound++
+			if !m.unreportedKnown && n.hasHistory() {
+				s.Unbounded++
 			}
-			s.Beyond += m.extra
-		case m.asOf < 0 || m.unbound || n.rate(m) == 0:
-			s.Unbound++
+			s.Unreported += m.formerUnreported
+		case m.completeAsOf < 0 || m.unbounded || n.announcedRate(m) == 0:
+			s.Unbounded++
 		default:
-			s.Beyond += n.unheard(m)
-			s.Age = max(s.Age, n.now-m.asOf)
+			s.Unreported += n.maxUnreported(m)
+			s.Age = max(s.Age, n.now-m.completeAsOf)
 		}
 	}
 	return s
 }
 
-// hasPast reports whether this member is known to have lived before.
-func (n *Node) hasPast() bool {
+// hasHistory reports whether this member is known to have had a former incarnation.
+func (n *Node) hasHistory() bool {
 	for cell := range n.cfg.Cells {
-		if n.self().word(n.pastTopic(cell)).version > 0 {
+		if n.self().record(n.historyTopic(cell)).version > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// unheard is how many requests a member may have taken beyond its words, by the rate that it keeps to.
-func (n *Node) unheard(m *member) uint64 {
-	if m.asOf < 0 {
-		return m.extra
+// maxUnreported returns how many requests a member may have received beyond its records, by the rate that it announced.
+func (n *Node) maxUnreported(m *member) uint64 {
+	if m.completeAsOf < 0 {
+		return m.formerUnreported
 	}
-	if rate := float64(n.rate(m)); rate > 0 {
-		return m.extra + uint64(math.Ceil(rate*((n.now-m.asOf).Seconds()*drift+burstSpan.Seconds())))
+	if rate := float64(n.announcedRate(m)); rate > 0 {
+		return m.formerUnreported + uint64(math.Ceil(rate*((n.now-m.completeAsOf).Seconds()*maxClockDrift+burstDuration.Seconds())))
 	}
-	return m.extra
+	return m.formerUnreported
 }
 
-// rate is what a member says that it takes at most; 0: it says nothing that bounds it.
-func (n *Node) rate(m *member) uint32 {
-	b, _ := readBeat(m.word(0).value)
-	return max(b.most, m.most)
+// announcedRate returns the rate limit in requests a second that a member announces, or its former incarnation's if that is higher;
+// 0: none.
+func (n *Node) announcedRate(m *member) uint32 {
+	b, _ := decodeHeartbeat(m.record(0).value)
+	return max(b.maxRate, m.formerRate)
 }
 
-// drift is how much faster another's clock may run than ours: twice 500 parts in a million.
-const drift = 1.001
+// maxClockDrift is how much faster another member's clock may run: both clocks may be wrong by 500 parts per million.
+const maxClockDrift = 1.001
 
-// burstSpan is how much of its rate a member may take at once.
-const burstSpan = 250 * time.Millisecond
+// burstDuration sets the burst: a member may receive the requests of so long a time at its rate at once.
+const burstDuration = 250 * time.Millisecond
 
-// Pace holds a member to the rate that it tells others. It begins empty, so that what a member takes over several lives
-// keeps to the rate, too.
-type Pace struct {
+// RateLimiter is a token bucket that limits a member to the rate that it announces to the others. It starts empty, so that the
+// rate also holds over several incarnations.
+type RateLimiter struct {
 	rate, tokens float64
-	at           time.Duration
+	refilledAt   time.Duration
 }
 
-// NewPace returns a pace of a rate of requests a second; 0 has no bound.
-func NewPace(rate float64) Pace { return Pace{rate: rate} }
+// NewRateLimiter returns a limiter of rate requests a second; 0 means no limit.
+func NewRateLimiter(rate float64) RateLimiter { return RateLimiter{rate: rate} }
 
-// Take reports whether a request may be taken now.
-func (p *Pace) Take(now time.Duration) bool {
+// Allow reports whether a request is within the rate at now, and uses a token if so.
+func (p *RateLimiter) Allow(now time.Duration) bool {
 	if p.rate <= 0 {
 		return true
 	}
-	p.tokens = min(p.rate*burstSpan.Seconds(), p.tokens+p.rate*max(0, now-p.at).Seconds())
-	p.at = max(p.at, now)
+	p.tokens = min(p.rate*burstDuration.Seconds(), p.tokens+p.rate*max(0, now-p.refilledAt).Seconds())
+	p.refilledAt = max(p.refilledAt, now)
 	if p.tokens < 1 {
 		return false
 	}
--- a/internal/core/counts.go
+++ b/internal/core/counts.go
@@ -58,19 +58,19 @@
 	case a.Reason == RateLimited:
 		return fleet.RefusedBudget
 	case a.Reason == NotServed:
-		return fleet.RefusedRoom
+		return fleet.RefusedCapacity
 	}
 	return fleet.RefusedOther
 }
 
 // overloadEnding is what an answer is evidence of for the limit of concurrent requests: whether the servers can take
 // more.
-func overloadEnding(a *Answer) overload.Ending {
+func overloadEnding(a *Answer) overload.Outcome {
 	switch {
 	case a != nil && a.Kind == Served:
 		return overload.Answered
 	case a != nil && a.Kind == Refused && a.Reason == NotServed:
-		return overload.NoPlace
+		return overload.NoCapacity
 	}
-	return overload.Void
+	return overload.Inconclusive
 }
--- a/internal/peers/agent.go
+++ b/internal/peers/agent.go
@@ -23,7 +23,7 @@
 	// maxQueued bounds the datagrams that were read and not handled yet; beyond it the oldest are dropped, as newer ones
 	// supersede them.
 	maxQueued = 256
-	// logBurst bounds the log: so many lines at once, and one more each logInterval.
+	// logBurst bounds the log: logBurst lines at once, and one more each logInterval.
 	logBurst    = 20
 	logInterval = 500 * time.Millisecond
 )
@@ -37,7 +37,7 @@
 	Log    *slog.Logger
 }
 
-// CheckAddresses reports the first fault of the addresses; the error names the key of the configuration.
+// CheckAddresses reports the first invalid address. The error names the key of the configuration.
 func CheckAddresses(number int, listen string, peers []string) error {
 	if len(peers) == 0 {
 		return errors.New("peers: there are none in the configuration")
@@ -101,11 +101,11 @@
 		a.addrs = append(a.addrs, addr)
 		a.numbers[addr] = i
 	}
-	at, err := netip.ParseAddrPort(cfg.Listen)
+	listen, err := netip.ParseAddrPort(cfg.Listen)
 	if err != nil {
 		return nil, errors.Wrap(err, "peer_listen")
 	}
-	if a.conn, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at)); err != nil {
+	if a.conn, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(listen)); err != nil {
 		return nil, errors.Wrap(err, "peer_listen")
 	}
 	return a, nil
@@ -173,9 +173,9 @@
 	}
 }
 
-// read queues datagrams from the socket until it is closed. Those of strangers and oversized ones are counted and dropped.
+// read queues datagrams from the socket until it is closed. Oversized ones and those from unknown addresses are counted and dropped.
 func (a *Agent) read() {
-	b := make([]byte, fleet.Largest+1)
+	b := make([]byte, fleet.MaxDatagramSize+1)
 	for {
 		n, from, err := a.conn.ReadFromUDPAddrPort(b)
 		if errors.Is(err, net.ErrClosed) {
@@ -189,7 +189,7 @@
 		case !known || number == a.cfg.Fleet.Number:
 			a.foreign.Add(1)
 			continue
-		case n > fleet.Largest:
+		case n > fleet.MaxDatagramSize:
 			a.oversized.Add(1)
 			continue
 		}
@@ -215,42 +215,42 @@
 
 // Status is the operators' view of the fleet.
 type Status struct {
-	Number     int           `json:"number"`
-	HeardShare float64       `json:"heard"` // the part of the members that is reachable
-	CutOff     bool          `json:"cut_off"`
-	Stale      bool          `json:"stale"` // the process was suspended, and has received nothing since
-	Members    []MemberState `json:"members"`
-	Sums       Sums          `json:"sums"`
-	Dropped    Dropped       `json:"dropped"`
-	Sent       int           `json:"sent_bytes"`
+	Number         int           `json:"number"`
+	ReachableShare float64       `json:"heard"` // share of the members that run, 0 to 1
+	CutOff         bool          `json:"cut_off"`
+	Stale          bool          `json:"stale"` // the process was suspended, and has received nothing since
+	Members        []MemberState `json:"members"`
+	Sums           Sums          `json:"sums"`
+	Dropped        Dropped       `json:"dropped"`
+	Sent           int           `json:"sent_bytes"`
 }
 
-// MemberState is this sidecar's view of one member. Ages are in seconds; -1: never, or not known.
+// MemberState is this sidecar's view of one member, as in fleet.MemberView. Ages are in seconds; -1: never, or unknown.
 type MemberState struct {
-	Number        int     `json:"number"`
-	Standing      string  `json:"standing"`
-	Incarnation   string  `json:"life"`
-	SinceHeard    float64 `json:"heard_itself_s"`
-	SinceUpdate   float64 `json:"new_word_s"`
-	SinceComplete float64 `json:"known_until_s"`
-	HeardMembers  []int   `json:"hears,omitempty"`
-	Taken         uint64  `json:"taken"`
-	Conflict      bool    `json:"two_processes,omitempty"`
+	Number         int     `json:"number"`
+	Reachability   string  `json:"standing"`
+	Incarnation    string  `json:"life"`
+	SinceDatagram  float64 `json:"heard_itself_s"`
+	SinceHeartbeat float64 `json:"new_word_s"`
+	SinceComplete  float64 `json:"known_until_s"`
+	ReceivesFrom   []int   `json:"hears,omitempty"`
+	Received       uint64  `json:"taken"`
+	Conflict       bool    `json:"two_processes,omitempty"`
 }
 
-// Sums are the fleet's counters as intervals: each is at least the value given, and at most Beyond more.
+// Sums are the fleet's counters as intervals: each is at least the value given, and at most Unreported more.
 type Sums struct {
-	Cells          []Cell  `json:"cells"`
-	Beyond         uint64  `json:"beyond"`
-	UnboundMembers int     `json:"members_without_bound"`
-	AgeS           float64 `json:"age_s"`
+	Cells            []Cell  `json:"cells"`
+	Unreported       uint64  `json:"beyond"`
+	UnboundedMembers int     `json:"members_without_bound"`
+	AgeS             float64 `json:"age_s"`
 }
 
 // Cell counts the outcomes of a tenant's requests of a class.
 type Cell struct {
 	Class           string `json:"class"`
 	Tenant          string `json:"tenant"`
-	Taken           uint64 `json:"taken"`
+	Received        uint64 `json:"taken"`
 	Retried         uint64 `json:"retried"`
 	Served          uint64 `json:"served"`
 	RefusedCapacity uint64 `json:"refused_no_room"`
@@ -278,27 +278,28 @@
 }
 
 func (a *Agent) status(n *fleet.Node, now time.Duration) *Status {
-	s := &Status{Number: a.cfg.Fleet.Number, HeardShare: n.Heard(), CutOff: n.Alone(), Stale: n.Stale(now), Sent: n.Sent()}
+	s := &Status{Number: a.cfg.Fleet.Number, ReachableShare: n.ReachableShare(), CutOff: n.Isolated(),
+		Stale: n.Stale(now), Sent: n.BytesSent()}
 	for _, v := range n.View() {
 		m := MemberState{
-			Number: v.Number, Standing: string(v.Standing), Incarnation: fmt.Sprintf("%016x", uint64(v.Incarnation)),
-			Taken: v.Counted[fleet.Taken], Conflict: v.Conflict,
-			SinceHeard: seconds(v.Direct), SinceUpdate: seconds(v.Fresh), SinceComplete: seconds(v.AsOf),
+			Number: v.Number, Reachability: string(v.Reachability), Incarnation: fmt.Sprintf("%016x", uint64(v.Incarnation)),
+			Received: v.Counters[fleet.Received], Conflict: v.Conflict,
+			SinceDatagram: seconds(v.SinceDatagram), SinceHeartbeat: seconds(v.SinceHeartbeat), SinceComplete: seconds(v.SinceComplete),
 		}
-		for j, h := range v.Hears {
+		for j, h := range v.ReceivesFrom {
 			if h {
-				m.HeardMembers = append(m.HeardMembers, j)
+				m.ReceivesFrom = append(m.ReceivesFrom, j)
 			}
 		}
 		s.Members = append(s.Members, m)
 	}
 	sums := n.Sums()
-	s.Sums = Sums{Beyond: sums.Beyond, UnboundMembers: sums.Unbound, AgeS: sums.Age.Seconds()}
+	s.Sums = Sums{Unreported: sums.Unreported, UnboundedMembers: sums.Unbounded, AgeS: sums.Age.Seconds()}
 	for i, c := range sums.Cells {
 		class, tenant := a.cfg.Tally.cellNames(i)
 		if c != (fleet.Counters{}) {
 			s.Sums.Cells = append(s.Sums.Cells, Cell{
-				class, tenant, c[fleet.Taken], c[fleet.Retried], c[fleet.Served], c[fleet.RefusedRoom], c[fleet.RefusedBudget],
+				class, tenant, c[fleet.Received], c[fleet.Retried], c[fleet.Served], c[fleet.RefusedCapacity], c[fleet.RefusedBudget],
 				c[fleet.RefusedOther], c[fleet.Failed],
 			})
 		}
--- a/internal/peers/tally.go
+++ b/internal/peers/tally.go
@@ -13,24 +13,24 @@
 type Tally struct {
 	classes, tenants []string
 	cells            [][len(fleet.Counters{})]atomic.Uint64
-	pace             fleet.Pace
+	limiter          fleet.RateLimiter
 }
 
 // overflow is the name under which requests without a tenant are counted.
 const overflow = "overflow"
 
 // NewTally returns a tally for classes and tenants by number, with a limit in requests a second.
-func NewTally(classes, tenants []string, most float64) *Tally {
+func NewTally(classes, tenants []string, maxRate float64) *Tally {
 	return &Tally{
-		classes: classes, tenants: tenants, pace: fleet.NewPace(most),
+		classes: classes, tenants: tenants, limiter: fleet.NewRateLimiter(maxRate),
 		cells: make([][len(fleet.Counters{})]atomic.Uint64, len(classes)*(len(tenants)+1)),
 	}
 }
 
-// Cells is the number of pairs of class and tenant.
+// Cells returns the number of pairs of class and tenant.
 func (t *Tally) Cells() int { return len(t.cells) }
 
-// cell is the index of a pair; an unknown tenant counts as none.
+// cell returns the index of a pair. A request of an unknown tenant counts as one without a tenant.
 func (t *Tally) cell(class, tenant int) int {
 	if tenant < 0 || tenant >= len(t.tenants) {
 		tenant = len(t.tenants)
@@ -38,16 +38,16 @@
 	return tenant*len(t.classes) + class
 }
 
-// cellNames is the inverse of cell.
+// cellNames returns the names of a pair by its index, the inverse of cell.
 func (t *Tally) cellNames(cell int) (class, tenant string) {
 	tenant = overflow
-	if at := cell / len(t.classes); at < len(t.tenants) {
-		tenant = t.tenants[at]
+	if tenantIndex := cell / len(t.classes); tenantIndex < len(t.tenants) {
+		tenant = t.tenants[tenantIndex]
 	}
 	return t.classes[cell%len(t.classes)], tenant
 }
 
-// Take counts a request and reports whether it is within the limit; one beyond it has to be rejected and isn't counted.
+// Take counts a request and reports whether it is within the limit. A request above the limit has to be rejected and isn't counted.
 func (t *Tally) Take(now time.Duration, class, tenant int, retry bool) bool {
 	if t == nil {
 		return true
@@ -55,18 +55,18 @@
 	if class < 0 || class >= len(t.classes) {
 		return true
 	}
-	if !t.pace.Take(now) {
+	if !t.limiter.Allow(now) {
 		return false
 	}
 	c := &t.cells[t.cell(class, tenant)]
-	c[fleet.Taken].Add(1)
+	c[fleet.Received].Add(1)
 	if retry {
 		c[fleet.Retried].Add(1)
 	}
 	return true
 }
 
-// End counts the outcome of a request that Take accepted, by fleet's number of the counter.
+// End counts the outcome of a request that Take accepted. counter is an index of fleet.Counters.
 func (t *Tally) End(class, tenant, counter int) {
 	if t != nil && class >= 0 && class < len(t.classes) {
 		t.cells[t.cell(class, tenant)][counter].Add(1)
