--- a/balance/admission.go
+++ b/balance/admission.go
@@ -26,10 +26,10 @@
 
 // shedder sheds load that the servers cannot answer within the latency targets.
 type shedder struct {
-	byReports     bool    // load reports bound what is sent, so that assumed answers count as no load
-	lastArrivalAt float64 // when the last request came
-	steady        float64 // part of the load that is shed lastingly
-	lostLoad      float64 // overdue attempts, each as one over its latency target
+	usesLoadReports bool    // load reports bound what is sent, so that assumed answers count as no load
+	lastArrivalAt   float64 // when the last request came
+	steadyShed      float64 // part of the load that is shed lastingly
+	lostLoad        float64 // overdue attempts, each as one over its latency target
 }
 
 // onRequest admits a request and starts its first attempt, or sheds it.
@@ -58,7 +58,7 @@
 	congestion := t.congestionDecay(now)
 	excess := min(s.expectedLatency(t, now, openLoad, congestion), maxExpectedLatency) - allowed
 	shed := s.update(t, now, excess, congestion)
-	tooLate := r.isLateRetry() && s.steady >= r.class.LateValue
+	tooLate := r.isLateRetry() && s.steadyShed >= r.class.LateValue
 	return !tooLate && (shed == 0 || random.draw() >= t.shedProbability(r, shed))
 }
 
@@ -67,9 +67,9 @@
 // has, take as long as recent ones: by its one or two attempts in flight alone it would shed nothing or all.
 func (s *shedder) expectedLatency(t *traffic, now, openLoad, congestion float64) float64 {
 	allowed := t.latency.allowed()
-	recent := t.latency.best + (t.latency.ratio-t.latency.best)*congestion
+	recent := t.latency.bestRatio + (t.latency.meanRatio-t.latency.bestRatio)*congestion
 	assumed := recent
-	if s.byReports {
+	if s.usesLoadReports {
 		assumed = 0
 	}
 	// While answers are fast, overdue attempts are not load.
@@ -84,8 +84,8 @@
 	gain := clamp(elapsed, minSteadyShedGain, maxSteadyShedGain)
 	s.lastArrivalAt = now
 	limit := min(maxShed, shedPerLateShare*t.latency.lateShare*congestion)
-	s.steady = clamp(s.steady+gain*excess, 0, limit)
-	return clamp(s.steady+immediateShedGain*excess, 0, min(maxShed, maxImmediateShed*s.steady))
+	s.steadyShed = clamp(s.steadyShed+gain*excess, 0, limit)
+	return clamp(s.steadyShed+immediateShedGain*excess, 0, min(maxShed, maxImmediateShed*s.steadyShed))
 }
 
 // markLost moves an overdue attempt from its server's load to the load that may be lost; n is 1, or -1 to
@@ -104,11 +104,11 @@
 }
 
 // allowed is the latency, as a multiple of its target, above which load is shed.
-func (l *latencyStats) allowed() float64 { return l.best + queueAllowance*(1-l.best) }
+func (l *latencyStats) allowed() float64 { return l.bestRatio + queueAllowance*(1-l.bestRatio) }
 
 // congestionDecay is the weight, 1 to 0, of past congestion: without answers it is forgotten.
 func (t *traffic) congestionDecay(now float64) float64 {
-	timeConstant := max(rateWindowTargets*t.rate.span, errorHalfLife)
+	timeConstant := max(rateWindowTargets*t.rate.span, errorHalfLifeMillis)
 	return math.Exp((t.latency.lastAnswerAt - now) / timeConstant)
 }
 
@@ -119,20 +119,20 @@
 	valuePerWork := func(class *classStats, tenant *counter) float64 {
 		return class.value * t.quotaFactor(tenant, requests) / max(class.mean, minWork)
 	}
-	total, below, alike, own := 0.0, 0.0, minWork, valuePerWork(r.stats, r.tenant)
+	total, below, similar, ownValue := 0.0, 0.0, minWork, valuePerWork(r.stats, r.tenant)
 	for c := range t.classes {
 		class := &t.classes[c]
 		for i := range t.tenants {
 			work := class.requests * class.mean * t.tenants[i].requests
 			total += work
-			if v := valuePerWork(class, &t.tenants[i]); v*valueTolerance < own {
+			if v := valuePerWork(class, &t.tenants[i]); v*valueTolerance < ownValue {
 				below += work
-			} else if v < own*valueTolerance {
-				alike += work
+			} else if v < ownValue*valueTolerance {
+				similar += work
 			}
 		}
 	}
-	return (shed*total - below) / alike
+	return (shed*total - below) / similar
 }
 
 // quotaFactor is the part of its value that a tenant's request has, by the tenant's share of this sidecar's
--- a/balance/api.go
+++ b/balance/api.go
@@ -20,27 +20,27 @@
 )
 
 // Group is which servers recognise the idempotency key of an earlier attempt.
-type Group uint8
+type DedupScope uint8
 
 // The groups: all servers, or those of the same zone or cell as the earlier attempt's.
 const (
-	GroupAll Group = iota
-	GroupZone
-	GroupCell
+	DedupAll DedupScope = iota
+	DedupZone
+	DedupCell
 )
 
 // Class describes one class of requests. Requests refer to it by its index in Config.Classes.
 type Class struct {
-	Effect        Effect
-	Group         Group   // of Keyed
-	DedupWindow   float64 // of Keyed: how long a group remembers a key, from the first attempt that may have executed
-	LatencyTarget float64 // an answer within this time earns the full value (SLO)
-	TargetStretch float64 // the target grows by this multiple of the request's own work
-	Deadline      float64 // longest time that a client waits, over all its tries
-	Value         float64 // of a request served in time, relative to the other classes
-	LateValue     float64 // fraction of Value that an answer after the latency target still earns
-	Stream        bool    // answers are streamed
-	MaxWait       float64 // part of the latency target for which an undelivered request waits for a server; 0: all of it
+	Effect          Effect
+	DedupScope      DedupScope // of Keyed
+	DedupWindow     float64    // of Keyed: how long a group remembers a key, from the first attempt that may have executed
+	LatencyTarget   float64    // an answer within this time earns the full value (SLO)
+	TargetStretch   float64    // the target grows by this multiple of the request's own work
+	Deadline        float64    // longest time that a client waits, over all its tries
+	Value           float64    // of a request served in time, relative to the other classes
+	LateValue       float64    // fraction of Value that an answer after the latency target still earns
+	Stream          bool       // answers are streamed
+	MaxWaitFraction float64    // part of the latency target for which an undelivered request waits for a server; 0: all of it
 }
 
 // Tenant is one customer of the service. Requests refer to it by its index in Config.Tenants.
@@ -93,7 +93,7 @@
 	Classes            []Class
 	Tenants            []Tenant
 	OverShareValue     float64 // value of a request beyond its tenant's share, as a fraction
-	Quantum            float64 // least time between two batches of events
+	MinBatchInterval   float64 // least time between two batches of events
 	ValueByWork        bool    // value is counted by work instead of by request
 	ClientsMarkRetries bool    // clients mark their retries, so that Request.Retry can be trusted
 
@@ -117,16 +117,16 @@
 	RetryBudget        RetryBudget // limits retries; nil: MaxAttempts alone limits them
 	MaxOpenRequests    int         // requests beyond this many open ones never reach the balancer; 0: no limit
 
-	DrainGrace         float64 // attempts at a draining or gone server must stop within this
-	SlowStartFrom      float64 // part of its capacity with which a server starts, at least
-	SlowStartTime      float64 // after which it has all of it
-	ColdOverloadFactor float64 // a server in slow start fails if it is sent this multiple of its capacity ...
-	ColdOverloadTime   float64 // ... for this long
-	ListRefreshLimit   float64 // longest time between requests for the list where there is no subscription
-	AnswerSlack        float64 // an answer this long after the client's deadline still counts
+	DrainGrace               float64 // attempts at a draining or gone server must stop within this
+	SlowStartInitialFraction float64 // part of its capacity with which a server starts, at least
+	SlowStartTime            float64 // after which it has all of it
+	ColdOverloadFactor       float64 // a server in slow start fails if it is sent this multiple of its capacity ...
+	ColdOverloadTime         float64 // ... for this long
+	ListRefreshLimit         float64 // longest time between requests for the list where there is no subscription
+	AnswerSlack              float64 // an answer this long after the client's deadline still counts
 
-	Goal   Goal
-	Prices Prices
+	Goal      Goal
+	Penalties Penalties
 }
 
 // RetryBudget limits the attempts beyond the first one that reaches a server, over all requests. The balancer calls it
@@ -151,7 +151,7 @@
 
 // Prices are the penalties that reduce the result, each per unit of its own, as defined by the users' page ("penalties" of
 // the settings). The present policy reads CrossZone, Handshake and Probe.
-type Prices struct {
+type Penalties struct {
 	CrossZone  float64 // of crossing zones
 	Waste      float64
 	Handshake  float64 // of a new connection
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -25,12 +25,12 @@
 
 // Limits of attempts and of the answer to a request that is not served.
 const (
-	maxRetries        = 1   // retries of a request; more would multiply an overload
-	maxResetRetries   = 3   // retries after connection resets, which do not indicate load
-	defaultRetryAfter = 0.1 // part of the latency target for which a refused client is asked to stay away
-	overdueDeviations = 4   // mean deviations above its class's mean latency at which an attempt is overdue
-	overdueMinSamples = 5   // answers of a class before its mean is used; before, half of its target
-	wakeDivisor       = 20  // looks per latency target at a request without a server
+	maxRetries             = 1   // retries of a request; more would multiply an overload
+	maxResetRetries        = 3   // retries after connection resets, which do not indicate load
+	defaultRetryAfter      = 0.1 // part of the latency target for which a refused client is asked to stay away
+	overdueDeviations      = 4   // mean deviations above its class's mean latency at which an attempt is overdue
+	overdueMinSamples      = 5   // answers of a class before its mean is used; before, half of its target
+	checksPerLatencyTarget = 20  // looks per latency target at a request without a server
 )
 
 // step decides what a request needs now: a final answer, an attempt, or a timer. After a failed attempt this
@@ -78,14 +78,14 @@
 // or the request has waited for a server for as long as its class allows. It applies to the first attempt,
 // too.
 func (b *Balancer) exhausted(r *request) bool {
-	if r.attemptsUsedUp(b.cfg.MaxAttempts) || r.executionUncertain(b.now) || b.endsTooSoon(r) {
+	if r.attemptsUsedUp(b.cfg.MaxAttempts) || r.executionUncertain(b.now) || b.shutdownPrecedesAnswer(r) {
 		return true
 	}
 	wait := r.class.LatencyTarget
 	switch {
-	case r.class.MaxWait > 0 && r.delivered() == 0:
-		wait *= r.class.MaxWait
-	case r.class.MaxWait > 0: // a late answer still has some value
+	case r.class.MaxWaitFraction > 0 && r.delivered() == 0:
+		wait *= r.class.MaxWaitFraction
+	case r.class.MaxWaitFraction > 0: // a late answer still has some value
 		wait = r.class.Deadline
 	}
 	return b.now >= r.arrivedAt+wait && r.retryHarmless()
@@ -109,8 +109,8 @@
 		if a.notExecuted {
 			continue
 		}
-		forgotten := r.class.Effect == Keyed && now >= a.sentAt+r.class.DedupWindow
-		if r.class.Effect == Unsafe || forgotten {
+		keyExpired := r.class.Effect == Keyed && now >= a.sentAt+r.class.DedupWindow
+		if r.class.Effect == Unsafe || keyExpired {
 			return true
 		}
 	}
@@ -119,7 +119,7 @@
 
 // endsTooSoon reports whether the sidecar will have shut down before an answer to another attempt can be
 // expected.
-func (b *Balancer) endsTooSoon(r *request) bool {
+func (b *Balancer) shutdownPrecedesAnswer(r *request) bool {
 	latency := r.class.LatencyTarget / 2
 	if r.stats.count >= overdueMinSamples {
 		latency = r.stats.mean
@@ -150,7 +150,7 @@
 	if r.probesUntil > b.now {
 		next = min(next, r.probesUntil)
 	} else if r.inFlight == 0 {
-		next = min(next, b.now+max(b.cfg.Quantum, r.class.LatencyTarget/wakeDivisor))
+		next = min(next, b.now+max(b.cfg.MinBatchInterval, r.class.LatencyTarget/checksPerLatencyTarget))
 	}
 	for i := range r.attempts {
 		if a := &r.attempts[i]; a.inFlight && !a.overdue && !a.uploading {
@@ -174,6 +174,6 @@
 
 // retryHarmless reports whether the client may retry a refused request without executing it twice.
 func (r *request) retryHarmless() bool {
-	anywhere := r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Group == GroupAll
-	return anywhere || !r.mayHaveExecuted()
+	keyKnownEverywhere := r.class.Effect == Safe || r.class.Effect == Keyed && r.class.DedupScope == DedupAll
+	return keyKnownEverywhere || !r.mayHaveExecuted()
 }
--- a/balance/classes.go
+++ b/balance/classes.go
@@ -4,21 +4,23 @@
 
 // Parameters of the health of a class at a server.
 const (
-	classHealthDecay = 15000 // ms; time constant: with little traffic a sidecar seldom returns to a server
-	classHealthGain  = 0.6   // step of the average for each outcome
-	minClassFactor   = 0.03  // a class is never kept from a server wholly, so that recovery is noticed
-	failingTimes     = 2     // time constants after its last failure for which a class counts as failing
+	classHealthDecayMillis = 15000 // ms; time constant: with little traffic a sidecar seldom returns to a server
+	classHealthGain        = 0.6   // step of the average for each outcome
+	minClassFactor         = 0.03  // a class is never kept from a server wholly, so that recovery is noticed
+	failingTimeConstants   = 2     // time constants after its last failure for which a class counts as failing
 )
 
 // classHealth is the recent health of one class of requests at one server.
 type classHealth struct {
-	score   float64 // average of outcomes: 1 served, 0 failed
-	at      float64 // when the last outcome was recorded
-	running float64 // running value of the rotation, used while the class is failing
+	score         float64 // average of outcomes: 1 served, 0 failed
+	recordedAt    float64 // when the last outcome was recorded
+	currentWeight float64 // running value of the rotation, used while the class is failing
 }
 
 // decay is the weight that the outcomes have by now, 1 to 0.
-func (h *classHealth) decay(now float64) float64 { return math.Exp((h.at - now) / classHealthDecay) }
+func (h *classHealth) decay(now float64) float64 {
+	return math.Exp((h.recordedAt - now) / classHealthDecayMillis)
+}
 
 // average is the score, decayed towards what is expected of the servers in general.
 func (h *classHealth) average(now, expected float64) float64 {
@@ -27,7 +29,7 @@
 
 // failing reports whether a server failed the class recently.
 func (c *classStats) failing(now float64) bool {
-	return now <= c.failedAt+failingTimes*classHealthDecay
+	return now <= c.failedAt+failingTimeConstants*classHealthDecayMillis
 }
 
 // classFactor multiplies a server's weight by the health of the request's class there, while the class is
@@ -71,7 +73,7 @@
 	}
 	h := &s.byClass[r.Class]
 	average := h.average(now, r.stats.expected)
-	h.score, h.at = average+classHealthGain*(score-average), now
+	h.score, h.recordedAt = average+classHealthGain*(score-average), now
 }
 
 // startClassRotation gives a class that begins to fail running values of its own, equal to the servers'
@@ -81,6 +83,6 @@
 		return
 	}
 	for _, s := range servers {
-		s.byClass[r.Class].running = s.running
+		s.byClass[r.Class].currentWeight = s.currentWeight
 	}
 }
--- a/balance/counters.go
+++ b/balance/counters.go
@@ -46,7 +46,7 @@
 		classes:        make([]classStats, 0, len(cfg.Classes)),
 		tenants:        make([]counter, len(cfg.Tenants)+1),
 		overShareValue: cfg.OverShareValue,
-		latency:        latencyStats{best: initialLatencyRatio, ratio: initialLatencyRatio},
+		latency:        latencyStats{bestRatio: initialLatencyRatio, meanRatio: initialLatencyRatio},
 	}
 	for i := range t.tenants {
 		t.tenants[i].requests = 1
--- a/balance/events.go
+++ b/balance/events.go
@@ -7,7 +7,7 @@
 )
 
 // connectWindow is the number of attempts over which the share of connect failures is averaged.
-const connectWindow = recentWindow / 2
+const connectFailureWindow = recentWindow / 2
 
 // Handle takes an event at a time in ms, which must not decrease, and returns the actions to carry out, in order. The
 // actions are valid until the next call. An error means that the event contradicts earlier ones; the balancer is
@@ -165,9 +165,9 @@
 	a.notDelivered = ev.NotDelivered || b.cfg.LastHop && (ev.Result == ConnectFailed || ev.Result == NotSent)
 	b.releaseAttempt(r, a, ev.Result)
 	b.recordReport(a.server, ev.Report)
-	b.connectFailureShare -= b.connectFailureShare / connectWindow
+	b.connectFailureShare -= b.connectFailureShare / connectFailureWindow
 	if ev.Result == ConnectFailed {
-		b.connectFailureShare += 1. / connectWindow
+		b.connectFailureShare += 1. / connectFailureWindow
 	}
 	return r, a, nil
 }
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -3,84 +3,84 @@
 import "testing"
 
 // crowd is a discovery in virtual time that shares its work among the calls that wait, and answers 503 to one that has waited for too long.
-type crowd struct {
-	perSecond float64 // calls that it can answer
-	patience  float64 // ms
-	waiting   []*waiting
+type limitedDiscovery struct {
+	callsPerSecond float64 // calls that it can answer
+	timeoutMillis  float64 // ms
+	pending        []*pendingCall
 }
 
-type waiting struct {
-	who         int
-	since, done float64 // done: part of its work
+type pendingCall struct {
+	sidecar          int
+	since, completed float64 // done: part of its work
 }
 
 // step lets time pass and returns who is answered and who is turned away.
-func (c *crowd) step(now, ms float64) (answered, failed []int) {
-	kept, each := c.waiting[:0], c.perSecond*ms/1000/max(1, float64(len(c.waiting)))
-	for _, w := range c.waiting {
-		w.done += each
+func (c *limitedDiscovery) advance(now, ms float64) (answered, failed []int) {
+	pending, completedPerCall := c.pending[:0], c.callsPerSecond*ms/1000/max(1, float64(len(c.pending)))
+	for _, w := range c.pending {
+		w.completed += completedPerCall
 		switch {
-		case w.done >= 1:
-			answered = append(answered, w.who)
-		case now-w.since >= c.patience:
-			failed = append(failed, w.who)
+		case w.completed >= 1:
+			answered = append(answered, w.sidecar)
+		case now-w.since >= c.timeoutMillis:
+			failed = append(failed, w.sidecar)
 		default:
-			kept = append(kept, w)
+			pending = append(pending, w)
 		}
 	}
-	c.waiting = kept
+	c.pending = pending
 	return answered, failed
 }
 
 // All watches of a fleet end at once, or all sidecars start at once, and discovery can answer as few calls a second as it could on the
 // days on which half of a fleet heard of nothing any more: every sidecar has the list in the end, most of them soon.
-func TestAFleetHearsOfChangesFromACrowdedDiscovery(t *testing.T) {
+func TestFleetReceivesListFromOverloadedDiscovery(t *testing.T) {
 	const sidecars, stepMS, lengthMS = 80, 10.0, 40000.0
 	for name, starting := range map[string]bool{"watches end": false, "sidecars start": true} {
 		t.Run(name, func(t *testing.T) {
-			d := &crowd{perSecond: 13, patience: 2000}
-			var all [sidecars]*rig
-			calls, due, heard := make([]int, lengthMS/1000), [sidecars]float64{}, [sidecars]float64{}
+			discovery := &limitedDiscovery{callsPerSecond: 13, timeoutMillis: 2000}
+			var all [sidecars]*harness
+			calls, due, receivedAt := make([]int, lengthMS/1000), [sidecars]float64{}, [sidecars]float64{}
 			for n := range all {
 				cfg := baseConfig()
 				cfg.Seed, cfg.Index, cfg.Peers, cfg.Subscribe = uint64(n+1), n, sidecars, true
-				all[n] = newRig(t, cfg, fleet(3)...)
-				due[n] = max(all[n].acts[0].At, stepMS)
+				all[n] = newHarness(t, cfg, testServers(3)...)
+				due[n] = max(all[n].actions[0].At, stepMS)
 				if !starting {
-					due[n] = all[n].do(ServerList{Kind: ListFailed})[0].At
+					due[n] = all[n].handle(ServerList{Kind: ListFailed})[0].At
 				}
 			}
 			for now := 0.0; now < lengthMS; now += stepMS {
 				for n, g := range all {
 					if g.now = 1000 + now; due[n] > 0 && now >= due[n] {
 						due[n] = 0
-						if !has(g.do(TimerFired{Token: listTimer}), Subscribe) {
+						if !hasAction(g.handle(TimerFired{Token: listTimer}), Subscribe) {
 							t.Fatal("no call")
 						}
 						calls[int(now/1000)]++
-						d.waiting = append(d.waiting, &waiting{who: n, since: now})
+						discovery.pending = append(discovery.pending, &pendingCall{sidecar: n, since: now})
 					}
 				}
-				answered, failed := d.step(now, stepMS)
+				answered, failed := discovery.advance(now, stepMS)
 				for _, n := range failed {
-					due[n] = now + all[n].do(ServerList{Kind: ListFailed})[0].At
+					due[n] = now + all[n].handle(ServerList{Kind: ListFailed})[0].At
 				}
 				for _, n := range answered {
-					all[n].do(ServerList{Kind: ListFull, Servers: fleet(3)})
-					heard[n] = now
+					all[n].handle(ServerList{Kind: ListFull, Servers: testServers(3)})
+					receivedAt[n] = now
 				}
 			}
-			soon, ever := 0, 0
-			for _, at := range heard {
+			receivedSoon, receivedEver := 0, 0
+			for _, at := range receivedAt {
 				if at > 0 {
-					ever++
+					receivedEver++
 				}
 				if at > 0 && at < 15000 {
-					soon++
+					receivedSoon++
 				}
 			}
-			if soon < sidecars*3/4 || ever < sidecars {
-				t.Errorf("of %d sidecars %d have the list within 15 s and %d within 40; calls by second: %v", sidecars, soon, ever, calls)
+			if receivedSoon < sidecars*3/4 || receivedEver < sidecars {
+				t.Errorf("of %d sidecars %d have the list within 15 s and %d within 40; calls by second: %v", sidecars, receivedSoon, receivedEver, calls)
 			}
 		})
 	}
@@ -88,18 +88,18 @@
 
 // A connection that carries a request is not free for the next one. Weighed as open it drew request after request to
 // servers that hung, each on a new connection, while servers with a free one stood by.
-func TestABusyConnectionIsNoOpenOne(t *testing.T) {
+func TestBusyConnectionIsNotReused(t *testing.T) {
 	cfg := baseConfig()
-	cfg.ConnIdle, cfg.Prices.Handshake, cfg.StreamsPerConn = 10000, 0.1, 1
-	g := newRig(t, cfg, fleet(20)...)
-	sequence(g, 2) // opens connections to two servers, or one
+	cfg.ConnIdle, cfg.Penalties.Handshake, cfg.StreamsPerConn = 10000, 0.1, 1
+	g := newHarness(t, cfg, testServers(20)...)
+	sendSequentially(g, 2) // opens connections to two servers, or one
 	open := map[ServerID]bool{}
 	for _, s := range g.b.servers {
 		open[s.ID] = g.b.connectionReusable(s)
 	}
 	busy := ServerID(0)
 	for range 4 {
-		id, acts := g.ask(safeClass)
+		id, acts := g.request(safeClass)
 		s, ok := sentTo(acts)
 		if !ok || s == busy {
 			t.Fatalf("request %d went to server %d, whose connection is busy: %+v", id, s, acts)
@@ -108,7 +108,7 @@
 			t.Errorf("the connection to server %d is held to be free", s)
 		}
 		if busy = s; open[s] {
-			g.answer(id, 0, OK, 10)
+			g.endAttempt(id, 0, OK, 10)
 			busy = 0
 			if !g.b.connectionReusable(g.b.byID[s]) {
 				t.Errorf("the connection to server %d is not held to be free after its answer", s)
@@ -116,9 +116,9 @@
 		}
 		g.now++
 	}
-	id, acts := g.ask(safeClass)
+	id, acts := g.request(safeClass)
 	s, _ := sentTo(acts)
-	g.answer(id, 0, TimedOut, 100) // which ends the connection
+	g.endAttempt(id, 0, TimedOut, 100) // which ends the connection
 	if g.b.connectionReusable(g.b.byID[s]) {
 		t.Errorf("the connection to server %d is held to be open after a time-out", s)
 	}
--- a/balance/helpers_test.go
+++ b/balance/helpers_test.go
@@ -3,25 +3,25 @@
 import "testing"
 
 // rig drives one balancer by a script of events and keeps what it asked for.
-type rig struct {
-	t    *testing.T
-	b    *Balancer
-	now  float64
-	acts []Action
-	next RequestID
+type harness struct {
+	t       *testing.T
+	b       *Balancer
+	now     float64
+	actions []Action
+	lastID  RequestID
 }
 
 func baseConfig() Config {
 	return Config{
 		Seed: 1, Peers: 3, MaxAttempts: 4, ParallelAttempts: true, Cancel: true, RetryAfter: true, MaxRetryAfter: 1000,
-		Quantum: 4, AnswerSlack: 16, SlowStartFrom: 0.2, SlowStartTime: 20000, ColdOverloadFactor: 2.5, ColdOverloadTime: 1000,
+		MinBatchInterval: 4, AnswerSlack: 16, SlowStartInitialFraction: 0.2, SlowStartTime: 20000, ColdOverloadFactor: 2.5, ColdOverloadTime: 1000,
 		ListRefreshLimit: 10000, DrainGrace: 2000,
 		Classes: []Class{
 			{Effect: Safe, LatencyTarget: 300, Deadline: 1500, Value: 1},
 			{Effect: Unsafe, LatencyTarget: 300, Deadline: 600, Value: 5},
-			{Effect: Keyed, Group: GroupCell, DedupWindow: 1200, LatencyTarget: 400, Deadline: 2000, Value: 3},
-			{Effect: Keyed, Group: GroupAll, DedupWindow: 1200, LatencyTarget: 400, Deadline: 2000, Value: 3},
-			{Effect: Keyed, Group: GroupZone, DedupWindow: 1200, LatencyTarget: 400, Deadline: 2000, Value: 3},
+			{Effect: Keyed, DedupScope: DedupCell, DedupWindow: 1200, LatencyTarget: 400, Deadline: 2000, Value: 3},
+			{Effect: Keyed, DedupScope: DedupAll, DedupWindow: 1200, LatencyTarget: 400, Deadline: 2000, Value: 3},
+			{Effect: Keyed, DedupScope: DedupZone, DedupWindow: 1200, LatencyTarget: 400, Deadline: 2000, Value: 3},
 		},
 	}
 }
@@ -29,30 +29,30 @@
 const (
 	safeClass = iota
 	unsafeClass
-	cellClass
-	allClass
-	zoneClass
+	keyedCellClass
+	keyedAllClass
+	keyedZoneClass
 )
 
-func newRig(t *testing.T, cfg Config, servers ...Server) *rig {
-	g := &rig{t: t, b: New(cfg), now: 1000}
-	g.acts = append(g.acts, g.b.Start(g.now)...)
-	g.do(ServerList{Kind: ListCached, Servers: servers})
+func newHarness(t *testing.T, cfg Config, servers ...Server) *harness {
+	g := &harness{t: t, b: New(cfg), now: 1000}
+	g.actions = append(g.actions, g.b.Start(g.now)...)
+	g.handle(ServerList{Kind: ListCached, Servers: servers})
 	for _, s := range g.b.servers {
-		s.running, s.randomized = 0, true // the random start would hide the sequence
+		s.currentWeight, s.randomized = 0, true // the random start would hide the sequence
 	}
 	return g
 }
 
 // randomStart gives the servers their random start back, which newRig takes away.
-func (g *rig) randomStart() {
+func (g *harness) randomStart() {
 	for _, s := range g.b.servers {
 		s.randomized = false
 	}
 }
 
 // fleet is n like servers with IDs from 1, two to a cell, four to a zone.
-func fleet(n int) []Server {
+func testServers(n int) []Server {
 	list := make([]Server, n)
 	for i := range list {
 		list[i] = Server{ID: ServerID(i + 1), Rating: 1, Cell: i / 2, Zone: i / 4}
@@ -60,30 +60,30 @@
 	return list
 }
 
-func (g *rig) do(ev Event) []Action {
+func (g *harness) handle(ev Event) []Action {
 	g.t.Helper()
 	acts, err := g.b.Handle(g.now, ev)
 	if err != nil {
 		g.t.Fatalf("%#v: %v", ev, err)
 	}
 	acts = append([]Action(nil), acts...)
-	g.acts = append(g.acts, acts...)
+	g.actions = append(g.actions, acts...)
 	return acts
 }
 
 // ask brings a request and returns its ID with what was done at once.
-func (g *rig) ask(class int) (RequestID, []Action) {
+func (g *harness) request(class int) (RequestID, []Action) {
 	g.t.Helper()
-	g.next++
-	return g.next, g.do(Request{ID: g.next, Class: class, Remaining: g.b.cfg.Classes[class].Deadline})
+	g.lastID++
+	return g.lastID, g.handle(Request{ID: g.lastID, Class: class, Remaining: g.b.cfg.Classes[class].Deadline})
 }
 
 // endUnserved ends an attempt with a result.
-func (g *rig) answer(id RequestID, attempt int, res Result, took float64) []Action {
+func (g *harness) endAttempt(id RequestID, attempt int, result Result, latency float64) []Action {
 	g.t.Helper()
 	s := g.b.requests[id].attempts[attempt].server
-	done := res == OK || g.b.requests[id].answered
-	return g.do(Outcome{Request: id, Attempt: attempt, Server: s.ID, Result: res, Latency: took, Finished: done})
+	finished := result == OK || g.b.requests[id].answered
+	return g.handle(Outcome{Request: id, Attempt: attempt, Server: s.ID, Result: result, Latency: latency, Finished: finished})
 }
 
 func sentTo(acts []Action) (ServerID, bool) {
@@ -95,7 +95,7 @@
 	return 0, false
 }
 
-func has(acts []Action, kind ActionKind) bool {
+func hasAction(acts []Action, kind ActionKind) bool {
 	for _, a := range acts {
 		if a.Kind == kind {
 			return true
--- a/balance/limits_test.go
+++ b/balance/limits_test.go
@@ -9,7 +9,7 @@
 )
 
 // New staff read the decisions in their first days: each file has to stay short, and all that the deploy file names as policy together.
-func TestModuleStaysShort(t *testing.T) {
+func TestPolicyFilesStayShort(t *testing.T) {
 	text, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -18,7 +18,7 @@
 	if err := toml.Unmarshal(text, &deploy); err != nil {
 		t.Fatal(err)
 	}
-	all := 0
+	totalLines := 0
 	for _, file := range deploy.Policy {
 		text, err := os.ReadFile("../" + file)
 		if err != nil {
@@ -36,9 +36,9 @@
 		if lines > 600 {
 			t.Errorf("%s: %d lines, at most 600", file, lines)
 		}
-		all += lines
+		totalLines += lines
 	}
-	if len(deploy.Policy) < 5 || all > 1200 {
-		t.Errorf("%d lines in %d files, at most 1,200 in all that decide", all, len(deploy.Policy))
+	if len(deploy.Policy) < 5 || totalLines > 1200 {
+		t.Errorf("%d lines in %d files, at most 1,200 in all that decide", totalLines, len(deploy.Policy))
 	}
 }
--- a/balance/load.go
+++ b/balance/load.go
@@ -5,9 +5,9 @@
 // Parameters of the estimates of rate and latency.
 const (
 	rateWindowTargets   = 8    // span of the rate of answers, in longest latency targets
-	minRateSpan         = 1e-3 // least part of the span that counts as elapsed after the start
+	minElapsedFraction  = 1e-3 // least part of the span that counts as elapsed after the start
 	burstDeviations     = 2    // a faster recent rate counts if it is certain by so many deviations
-	gainWindow          = 1000 // ms that an average over answers covers, however many answers there are
+	gainWindowMillis    = 1000 // ms that an average over answers covers, however many answers there are
 	minGain             = 0.01 // least step of such an average
 	maxGain             = 0.2  // greatest step: single answers scatter
 	recentWindow        = 50   // answers or reports over which a plain average is taken
@@ -17,18 +17,18 @@
 
 // rateEstimator follows the rate of answers as two exponentially decaying counts.
 type rateEstimator struct {
-	startedAt float64
-	span      float64 // ms; the longest latency target
-	long      float64 // answers of about the last rateWindowTargets spans
-	short     float64 // answers of about the last span
-	updatedAt float64
+	startedAt  float64
+	span       float64 // ms; the longest latency target
+	longCount  float64 // answers of about the last rateWindowTargets spans
+	shortCount float64 // answers of about the last span
+	updatedAt  float64
 }
 
 // add decays the counts to now and adds answers to them.
 func (e *rateEstimator) add(now, answers float64) {
-	short, long := e.span, rateWindowTargets*e.span
-	e.short = e.short*math.Exp((e.updatedAt-now)/short) + answers
-	e.long = e.long*math.Exp((e.updatedAt-now)/long) + answers
+	shortSpan, longSpan := e.span, rateWindowTargets*e.span
+	e.shortCount = e.shortCount*math.Exp((e.updatedAt-now)/shortSpan) + answers
+	e.longCount = e.longCount*math.Exp((e.updatedAt-now)/longSpan) + answers
 	e.updatedAt = now
 }
 
@@ -36,21 +36,21 @@
 // over the short one, where the rate there is certainly higher: traffic may grow fast.
 func (e *rateEstimator) perMillis(now, assumed float64) float64 {
 	e.add(now, 0)
-	short, long := e.span, rateWindowTargets*e.span
-	average := (e.long + assumed) / long / max(-math.Expm1((e.startedAt-now)/long), minRateSpan)
-	return max(average, (e.short-burstDeviations*math.Sqrt(e.short))/short)
+	shortSpan, longSpan := e.span, rateWindowTargets*e.span
+	average := (e.longCount + assumed) / longSpan / max(-math.Expm1((e.startedAt-now)/longSpan), minElapsedFraction)
+	return max(average, (e.shortCount-burstDeviations*math.Sqrt(e.shortCount))/shortSpan)
 }
 
 // gain is the step of an average over answers: it covers gainWindow, but a few answers at least.
 func (e *rateEstimator) gain(now float64) float64 {
-	return clamp(1/(gainWindow*e.perMillis(now, 1)), minGain, maxGain)
+	return clamp(1/(gainWindowMillis*e.perMillis(now, 1)), minGain, maxGain)
 }
 
 // latencyStats averages the latencies of answers, each as a multiple of the latency target of its class.
 type latencyStats struct {
-	ratio        float64 // recent mean
+	meanRatio    float64 // recent mean
 	count        float64 // answers in it, at most recentWindow
-	best         float64 // least recent mean so far
+	bestRatio    float64 // least recent mean so far
 	lateShare    float64 // recent share of attempts that ended after their latency target
 	lastAnswerAt float64
 }
@@ -60,14 +60,16 @@
 	l.lastAnswerAt = now
 	l.recordLate(latency > target, gain)
 	l.count = min(l.count+1, recentWindow)
-	l.ratio += (min(latency/target, maxLatencyRatio) - l.ratio) * gain
+	l.meanRatio += (min(latency/target, maxLatencyRatio) - l.meanRatio) * gain
 	if l.count == recentWindow {
-		l.best = min(l.best, l.ratio)
+		l.bestRatio = min(l.bestRatio, l.meanRatio)
 	}
 }
 
 // recordRejected counts a rejected attempt as the slowest of answers.
-func (l *latencyStats) recordRejected(gain float64) { l.ratio += (maxLatencyRatio - l.ratio) * gain }
+func (l *latencyStats) recordRejected(gain float64) {
+	l.meanRatio += (maxLatencyRatio - l.meanRatio) * gain
+}
 
 // recordLate records whether an attempt ended after its latency target.
 func (l *latencyStats) recordLate(late bool, gain float64) {
--- a/balance/outcomes.go
+++ b/balance/outcomes.go
@@ -4,18 +4,18 @@
 
 // Parameters of a server's health, of ejection and of learned sizes.
 const (
-	errorHalfLife     = 5000 // ms in which errors lose half their weight: faults last seconds, not minutes
-	errorPenalty      = 0.2  // health lost for each consecutive error
-	minHealth         = 0.25 // health never falls below this, so that recovery is noticed
-	ejectAfterErrors  = 3    // consecutive errors before a server is ejected
-	maxEjectionShift  = 3    // the ejection time doubles with each ejection, at most so often
-	unreachableAfter  = 2    // consecutive connect failures that mean a server is unreachable: one is chance
-	restartGap        = 1000 // ms without an answer after a connect failure that mean a restart
-	overdueLatency    = 3    // multiple of the mean latency that a failure counts as, for sizes
-	minSizeStep       = -2   // greatest step down of a logarithm of size, before the gain
-	sizeLeak          = 0.1  // sizes return to 1 at this part of the gain: without, they ran to their bounds
-	maxLogSize        = 2.5  // bound of each learned logarithm of size
-	latencySampleRate = 0.5  // gain of a class's mean latency, as a part of that of the other averages
+	errorHalfLifeMillis        = 5000 // ms in which errors lose half their weight: faults last seconds, not minutes
+	errorPenalty               = 0.2  // health lost for each consecutive error
+	minHealth                  = 0.25 // health never falls below this, so that recovery is noticed
+	ejectAfterErrors           = 3    // consecutive errors before a server is ejected
+	maxEjectionShift           = 3    // the ejection time doubles with each ejection, at most so often
+	unreachableConnectFailures = 2    // consecutive connect failures that mean a server is unreachable: one is chance
+	restartGapMillis           = 1000 // ms without an answer after a connect failure that mean a restart
+	failureLatencyRatio        = 3    // multiple of the mean latency that a failure counts as, for sizes
+	minSizeStep                = -2   // greatest step down of a logarithm of size, before the gain
+	sizeLeak                   = 0.1  // sizes return to 1 at this part of the gain: without, they ran to their bounds
+	maxLogSize                 = 2.5  // bound of each learned logarithm of size
+	classLatencyGain           = 0.5  // gain of a class's mean latency, as a part of that of the other averages
 )
 
 // health is the server's health factor, from minHealth to 1. It falls with consecutive errors, which lose
@@ -24,7 +24,7 @@
 	if s.consecutiveErrors == 0 {
 		return 1
 	}
-	effective := float64(s.consecutiveErrors) * math.Exp(-math.Ln2*(now-s.lastErrorAt)/errorHalfLife)
+	effective := float64(s.consecutiveErrors) * math.Exp(-math.Ln2*(now-s.lastErrorAt)/errorHalfLifeMillis)
 	return clamp(1-errorPenalty*effective, minHealth, 1)
 }
 
@@ -52,8 +52,8 @@
 	if connectFailed {
 		s.connectFailures++
 	}
-	b.learnSizes(s, overdueLatency)
-	unreachable := connectFailed && s.connectFailures >= unreachableAfter
+	b.learnSizes(s, failureLatencyRatio)
+	unreachable := connectFailed && s.connectFailures >= unreachableConnectFailures
 	if unreachable || s.consecutiveErrors >= ejectAfterErrors {
 		b.eject(s)
 	}
@@ -84,8 +84,8 @@
 func (b *Balancer) recordSuccess(r *request, a *attempt, latency float64) {
 	s := a.server
 	// A server that was unreachable and answers has restarted, which the server list has yet to report.
-	restarted := s.connectFailures >= unreachableAfter ||
-		s.connectFailures > 0 && b.now > s.lastErrorAt+restartGap
+	restarted := s.connectFailures >= unreachableConnectFailures ||
+		s.connectFailures > 0 && b.now > s.lastErrorAt+restartGapMillis
 	if restarted && !b.warmingUp(s) && !b.cfg.LastHop {
 		b.startSlowStart(s, b.now)
 	}
@@ -100,7 +100,7 @@
 	if r.stats.count > 0 {
 		b.learnSizes(s, latency/r.stats.mean)
 	}
-	r.stats.add(latency, gain*latencySampleRate)
+	r.stats.add(latency, gain*classLatencyGain)
 }
 
 // recordFailure records an attempt that failed.
--- a/balance/parts_test.go
+++ b/balance/parts_test.go
@@ -23,7 +23,7 @@
 }
 
 // A burst shows in the short count before the long one has seen it.
-func TestRateEstimatorSeesABurst(t *testing.T) {
+func TestRateEstimatorDetectsBurst(t *testing.T) {
 	e := rateEstimator{span: 100}
 	e.add(10000, 0)
 	for now := 10000.0; now < 10100; now++ {
@@ -35,24 +35,24 @@
 }
 
 // The best latency is taken once a whole window of answers is there; late and rejected attempts count.
-func TestLatencyStatsKeepTheBest(t *testing.T) {
-	l := latencyStats{ratio: initialLatencyRatio, best: initialLatencyRatio}
+func TestLatencyStatsTrackBestMean(t *testing.T) {
+	l := latencyStats{meanRatio: initialLatencyRatio, bestRatio: initialLatencyRatio}
 	for i := range recentWindow {
-		if l.best != initialLatencyRatio {
-			t.Fatalf("best %v after %d answers", l.best, i)
+		if l.bestRatio != initialLatencyRatio {
+			t.Fatalf("best %v after %d answers", l.bestRatio, i)
 		}
 		l.recordAnswer(float64(i), 10, 100, maxGain)
 	}
-	if math.Abs(l.best-0.1) > 0.01 || l.lateShare != 0 || l.lastAnswerAt != recentWindow-1 {
+	if math.Abs(l.bestRatio-0.1) > 0.01 || l.lateShare != 0 || l.lastAnswerAt != recentWindow-1 {
 		t.Errorf("after fast answers: %+v", l)
 	}
-	best := l.best
+	best := l.bestRatio
 	l.recordAnswer(100, 1e6, 100, maxGain)
 	l.recordRejected(maxGain)
 	if want := maxGain; l.lateShare != want {
 		t.Errorf("late share %v, want %v", l.lateShare, want)
 	}
-	if l.best != best || l.ratio < 0.7 || l.ratio > maxLatencyRatio {
+	if l.bestRatio != best || l.meanRatio < 0.7 || l.meanRatio > maxLatencyRatio {
 		t.Errorf("after slow answers: %+v", l)
 	}
 }
@@ -65,7 +65,7 @@
 	r := b.openRequest(Request{ID: 1, Remaining: cfg.Classes[0].Deadline})
 	for range 100 {
 		r.arrivedAt++
-		if !b.shedder.admit(&b.traffic, &b.random, r, 0) || b.shedder.steady != 0 {
+		if !b.shedder.admit(&b.traffic, &b.random, r, 0) || b.shedder.steadyShed != 0 {
 			t.Fatalf("shed without load: %+v", b.shedder)
 		}
 	}
@@ -79,8 +79,8 @@
 			refused++
 		}
 	}
-	if b.shedder.steady != maxShed || refused < 800 || refused == 1000 {
-		t.Errorf("%d of 1000 refused, lasting part %v, want %v", refused, b.shedder.steady, maxShed)
+	if b.shedder.steadyShed != maxShed || refused < 800 || refused == 1000 {
+		t.Errorf("%d of 1000 refused, lasting part %v, want %v", refused, b.shedder.steadyShed, maxShed)
 	}
 }
 
--- a/balance/probes.go
+++ b/balance/probes.go
@@ -10,7 +10,7 @@
 	allBusyChance     = 0.01 // chance that all probed servers are busy at which no more are probed
 	minBusyShare      = 0.01 // bounds of the share of busy servers, as its logarithm is taken
 	maxBusyShare      = 0.99
-	minProbePrice     = 1e-3 // ... and of the price of a probe, which is divided by
+	minProbePenalty   = 1e-3 // ... and of the price of a probe, which is divided by
 )
 
 // probing is the state of load probes across requests.
@@ -26,7 +26,7 @@
 	if !b.cfg.Probes || b.cfg.Reports != ReportProbe {
 		return
 	}
-	for count := b.probing.count(b.cfg.Prices.Probe); len(r.probed) < count; {
+	for count := b.probing.count(b.cfg.Penalties.Probe); len(r.probed) < count; {
 		s := b.nextToProbe(r)
 		if s == nil {
 			break
@@ -44,8 +44,8 @@
 }
 
 // count is the number of servers to probe for a request, at a price for each.
-func (p *probing) count(price float64) int {
-	affordable := probeCostShare / max(price, minProbePrice)
+func (p *probing) count(penalty float64) int {
+	affordable := probeCostShare / max(penalty, minProbePenalty)
 	busy := clamp(p.busyShare, minBusyShare, maxBusyShare)
 	return int(min(affordable, math.Ceil(math.Log(allBusyChance)/math.Log(busy))))
 }
@@ -56,7 +56,7 @@
 	var next *server
 	for _, s := range b.servers {
 		free := r.eligibleAt(s, b.now) && !s.isEjected(b.now) && !r.hasProbed(s)
-		if free && (next == nil || s.running > next.running) {
+		if free && (next == nil || s.currentWeight > next.currentWeight) {
 			next = s
 		}
 	}
--- a/balance/property_test.go
+++ b/balance/property_test.go
@@ -7,39 +7,39 @@
 )
 
 // world feeds one balancer random but legal events and checks the four rules at every action.
-type world struct {
-	t       *testing.T
-	rnd     *rand.Rand
-	b       *Balancer
-	cfg     Config
-	now     float64
-	servers map[ServerID]*Server
-	told    map[ServerID]bool // may be sent to
-	open    map[RequestID]*openRequest
-	timers  []pendingTimer
-	probes  []ServerID
-	sends   []coldSend // of about the last ColdOverloadTime
-	endsAt  float64    // when the sidecar must have answered all
+type simulation struct {
+	t           *testing.T
+	rnd         *rand.Rand
+	b           *Balancer
+	cfg         Config
+	now         float64
+	servers     map[ServerID]*Server
+	sendable    map[ServerID]bool // may be sent to
+	requests    map[RequestID]*simulatedRequest
+	timers      []pendingTimer
+	probes      []ServerID
+	recentSends []recentSend // of about the last ColdOverloadTime
+	shutdownAt  float64      // when the sidecar must have answered all
 }
 
 // coldSend is one send, for the rule of cold servers.
-type coldSend struct {
+type recentSend struct {
 	server ServerID
 	at     float64
 }
 
-type openRequest struct {
+type simulatedRequest struct {
 	class    int
 	deadline float64
 	answered bool
-	tries    []openAttempt
+	attempts []simulatedAttempt
 }
 
-type openAttempt struct {
-	server Server
-	sent   float64
-	live   bool
-	clean  bool
+type simulatedAttempt struct {
+	server      Server
+	sentAt      float64
+	inFlight    bool
+	notExecuted bool
 }
 
 type pendingTimer struct {
@@ -47,12 +47,12 @@
 	token uint64
 }
 
-func newWorld(t *testing.T, rnd *rand.Rand, cfg Config) *world {
-	w := &world{
+func newSimulation(t *testing.T, rnd *rand.Rand, cfg Config) *simulation {
+	w := &simulation{
 		t: t, rnd: rnd, b: New(cfg), cfg: cfg, now: 5000, servers: map[ServerID]*Server{},
-		told: map[ServerID]bool{}, open: map[RequestID]*openRequest{}, endsAt: math.Inf(1),
+		sendable: map[ServerID]bool{}, requests: map[RequestID]*simulatedRequest{}, shutdownAt: math.Inf(1),
 	}
-	w.apply(w.b.Start(w.now))
+	w.carryOut(w.b.Start(w.now))
 	return w
 }
 
@@ -70,19 +70,19 @@
 		if seed%4 == 1 {
 			cfg.Probes, cfg.Reports, cfg.Fields = true, ReportProbe, []Field{FieldInFlight, FieldQueue, FieldUtil}
 		}
-		w := newWorld(t, rnd, cfg)
-		w.list(ListCached)
+		w := newSimulation(t, rnd, cfg)
+		w.sendList(ListCached)
 		for id := RequestID(1); id <= 1500; id++ {
 			w.now += rnd.ExpFloat64() * 8
 			w.fireTimers()
-			if w.anything(id); id == 1400 && seed%2 == 1 {
-				w.end(200 + 300*rnd.Float64())
+			if w.randomEvent(id); id == 1400 && seed%2 == 1 {
+				w.shutdown(200 + 300*rnd.Float64())
 			}
 		}
-		for w.now += 10; len(w.timers) > 0 && w.anyOpen(); w.now += 10 {
+		for w.now += 10; len(w.timers) > 0 && w.anyUnanswered(); w.now += 10 {
 			w.fireTimers()
 		}
-		if w.anyOpen() {
+		if w.anyUnanswered() {
 			t.Fatalf("seed %d: a request was never answered", seed)
 		}
 	}
@@ -101,28 +101,28 @@
 	for range rnd.Intn(4) {
 		cfg.Tenants = append(cfg.Tenants, Tenant{Share: rnd.Float64(), Quota: 50 * rnd.Float64()})
 	}
-	cfg.OverShareValue, cfg.Quantum = rnd.Float64(), 1+6*rnd.Float64()
+	cfg.OverShareValue, cfg.MinBatchInterval = rnd.Float64(), 1+6*rnd.Float64()
 	cfg.Zone, cfg.ConnIdle = rnd.Intn(2), 20000*rnd.Float64()
-	cfg.SlowStartFrom, cfg.SlowStartTime = 0.1+0.4*rnd.Float64(), 3000+20000*rnd.Float64()
+	cfg.SlowStartInitialFraction, cfg.SlowStartTime = 0.1+0.4*rnd.Float64(), 3000+20000*rnd.Float64()
 	cfg.ColdOverloadFactor, cfg.ColdOverloadTime = 2+2*rnd.Float64(), 500+2000*rnd.Float64()
-	cfg.Prices = Prices{CrossZone: 0.1 * rnd.Float64(), Handshake: 0.05 * rnd.Float64(), Probe: 0.02 * rnd.Float64()}
+	cfg.Penalties = Penalties{CrossZone: 0.1 * rnd.Float64(), Handshake: 0.05 * rnd.Float64(), Probe: 0.02 * rnd.Float64()}
 	return cfg
 }
 
-func (w *world) anything(id RequestID) {
+func (w *simulation) randomEvent(id RequestID) {
 	switch n := w.rnd.Intn(20); {
 	case n < 9:
 		class := w.rnd.Intn(len(w.cfg.Classes))
-		left := w.cfg.Classes[class].Deadline * w.rnd.Float64()
+		remaining := w.cfg.Classes[class].Deadline * w.rnd.Float64()
 		if w.rnd.Intn(20) == 0 {
-			left = 0
+			remaining = 0
 		}
-		w.open[id] = &openRequest{class: class, deadline: max(w.now, min(w.now+left, w.endsAt))}
-		w.handle(Request{ID: id, Class: class, Remaining: left})
+		w.requests[id] = &simulatedRequest{class: class, deadline: max(w.now, min(w.now+remaining, w.shutdownAt))}
+		w.handle(Request{ID: id, Class: class, Remaining: remaining})
 	case n < 17:
-		w.endOne(id)
+		w.endRandomAttempt(id)
 	case n < 18:
-		w.list([]ListKind{ListFull, ListDelta, ListCached}[w.rnd.Intn(3)])
+		w.sendList([]ListKind{ListFull, ListDelta, ListCached}[w.rnd.Intn(3)])
 	case n < 19:
 		if len(w.probes) > 0 {
 			s := w.probes[0]
@@ -131,7 +131,7 @@
 		}
 	default:
 		gone := id - RequestID(w.rnd.Intn(20)) // may never have been or have ended: ignored then
-		if o := w.open[gone]; o != nil {
+		if o := w.requests[gone]; o != nil {
 			o.answered = true
 		}
 		w.handle(ClientDisconnected{Request: gone})
@@ -139,28 +139,28 @@
 }
 
 // end tells the module that its sidecar ends.
-func (w *world) end(within float64) {
-	w.endsAt = w.now + within
-	for _, o := range w.open {
-		o.deadline = min(o.deadline, w.endsAt)
+func (w *simulation) shutdown(within float64) {
+	w.shutdownAt = w.now + within
+	for _, o := range w.requests {
+		o.deadline = min(o.deadline, w.shutdownAt)
 	}
 	w.handle(Shutdown{Within: within})
 }
 
 // endOne ends one live attempt of some request at random.
-func (w *world) endOne(before RequestID) {
+func (w *simulation) endRandomAttempt(before RequestID) {
 	for id := before; id > 0 && id+60 > before; id-- {
-		o := w.open[id]
+		o := w.requests[id]
 		if o == nil {
 			continue
 		}
-		for i := range o.tries {
-			if a := &o.tries[i]; a.live && w.rnd.Intn(3) > 0 {
-				res := []Result{OK, OK, OK, OK, Failed, Rejected, ConnectFailed, Reset, TimedOut}[w.rnd.Intn(9)]
-				a.live, a.clean = false, res.ProvesNotExecuted()
-				o.answered = o.answered || res == OK
+		for i := range o.attempts {
+			if a := &o.attempts[i]; a.inFlight && w.rnd.Intn(3) > 0 {
+				result := []Result{OK, OK, OK, OK, Failed, Rejected, ConnectFailed, Reset, TimedOut}[w.rnd.Intn(9)]
+				a.inFlight, a.notExecuted = false, result.ProvesNotExecuted()
+				o.answered = o.answered || result == OK
 				w.handle(Outcome{
-					Request: id, Attempt: i, Server: a.server.ID, Result: res, Latency: w.now - a.sent, Finished: o.answered,
+					Request: id, Attempt: i, Server: a.server.ID, Result: result, Latency: w.now - a.sentAt, Finished: o.answered,
 				})
 				return
 			}
@@ -168,7 +168,7 @@
 	}
 }
 
-func (w *world) list(kind ListKind) {
+func (w *simulation) sendList(kind ListKind) {
 	var entries []Server
 	for i := range 10 {
 		id := ServerID(i + 1)
@@ -184,24 +184,24 @@
 			continue
 		}
 		if kind != ListDelta && w.rnd.Intn(8) == 0 {
-			w.told[id] = false
+			w.sendable[id] = false
 			continue
 		}
-		w.told[id] = s.State == Ready
+		w.sendable[id] = s.State == Ready
 		entries = append(entries, *s)
 	}
 	w.handle(ServerList{Kind: kind, Servers: entries})
 }
 
-func (w *world) handle(ev Event) {
+func (w *simulation) handle(ev Event) {
 	acts, err := w.b.Handle(w.now, ev)
 	if err != nil {
 		w.t.Fatalf("%#v: %v", ev, err)
 	}
-	w.apply(acts)
+	w.carryOut(acts)
 }
 
-func (w *world) apply(acts []Action) {
+func (w *simulation) carryOut(acts []Action) {
 	for _, a := range acts {
 		switch a.Kind {
 		case SetTimer:
@@ -212,91 +212,91 @@
 			}
 			w.probes = append(w.probes, a.Server)
 		case Send:
-			w.send(a)
+			w.checkSend(a)
 		case Refuse, Fail:
-			w.final(a)
+			w.checkFinal(a)
 		case Cancel:
-			if !w.cfg.Cancel || a.Attempt >= len(w.open[a.Request].tries) {
+			if !w.cfg.Cancel || a.Attempt >= len(w.requests[a.Request].attempts) {
 				w.t.Fatalf("cancel of %+v", a)
 			}
 		}
 	}
 }
 
-func (w *world) send(a Action) {
-	o, c := w.open[a.Request], w.cfg.Classes[w.open[a.Request].class]
+func (w *simulation) checkSend(a Action) {
+	o, c := w.requests[a.Request], w.cfg.Classes[w.requests[a.Request].class]
 	switch {
 	case o.answered:
 		w.t.Fatalf("request %d was sent after its answer", a.Request)
-	case w.now >= w.endsAt:
+	case w.now >= w.shutdownAt:
 		w.t.Fatalf("request %d was sent after the end", a.Request)
-	case !w.told[a.Server]:
+	case !w.sendable[a.Server]:
 		w.t.Fatalf("request %d was sent to server %d, which drains or is gone", a.Request, a.Server)
-	case len(o.tries) >= w.cfg.MaxAttempts:
+	case len(o.attempts) >= w.cfg.MaxAttempts:
 		w.t.Fatalf("request %d was sent too often", a.Request)
 	}
 	to := *w.servers[a.Server]
-	for _, p := range o.tries {
-		if p.live && !w.cfg.ParallelAttempts {
+	for _, p := range o.attempts {
+		if p.inFlight && !w.cfg.ParallelAttempts {
 			w.t.Fatalf("request %d is out twice", a.Request)
 		}
-		if p.clean || c.Effect == Safe {
+		if p.notExecuted || c.Effect == Safe {
 			continue
 		}
-		apart := c.Group == GroupCell && p.server.Cell != to.Cell || c.Group == GroupZone && p.server.Zone != to.Zone
-		if c.Effect == Unsafe || apart || w.now >= p.sent+c.DedupWindow {
+		apart := c.DedupScope == DedupCell && p.server.Cell != to.Cell || c.DedupScope == DedupZone && p.server.Zone != to.Zone
+		if c.Effect == Unsafe || apart || w.now >= p.sentAt+c.DedupWindow {
 			w.t.Fatalf("request %d may have run and was sent again", a.Request)
 		}
 	}
-	o.tries = append(o.tries, openAttempt{server: to, sent: w.now, live: true})
-	w.checkCold(to)
+	o.attempts = append(o.attempts, simulatedAttempt{server: to, sentAt: w.now, inFlight: true})
+	w.checkSlowStart(to)
 }
 
 // checkCold: a cold server gets no more within ColdOverloadTime than the multiple of what a server of this sidecar gets
 // on the mean, however warm, and what chance may add to that.
-func (w *world) checkCold(to Server) {
-	kept, mine := w.sends[:0], 1
-	for _, s := range w.sends {
+func (w *simulation) checkSlowStart(to Server) {
+	recent, sent := w.recentSends[:0], 1
+	for _, s := range w.recentSends {
 		if s.at > w.now-w.cfg.ColdOverloadTime {
-			kept = append(kept, s)
+			recent = append(recent, s)
 			if s.server == to.ID {
-				mine++
+				sent++
 			}
 		}
 	}
-	w.sends = append(kept, coldSend{to.ID, w.now})
+	w.recentSends = append(recent, recentSend{to.ID, w.now})
 	ready := 0
-	for _, told := range w.told {
-		if told {
+	for _, sendable := range w.sendable {
+		if sendable {
 			ready++
 		}
 	}
-	cold := to.StartedAt > 0 && w.now < to.StartedAt+w.cfg.SlowStartTime
-	most := w.cfg.ColdOverloadFactor * float64(len(w.sends)) / float64(max(ready, 1))
-	most += 2 + 2*math.Sqrt(most)
-	if cold && ready > 2 && float64(mine) > most {
-		w.t.Fatalf("cold server %d was sent %d of %d within %.0f ms, at most %.1f", to.ID, mine, len(w.sends), w.cfg.ColdOverloadTime, most)
+	inSlowStart := to.StartedAt > 0 && w.now < to.StartedAt+w.cfg.SlowStartTime
+	limit := w.cfg.ColdOverloadFactor * float64(len(w.recentSends)) / float64(max(ready, 1))
+	limit += 2 + 2*math.Sqrt(limit)
+	if inSlowStart && ready > 2 && float64(sent) > limit {
+		w.t.Fatalf("cold server %d was sent %d of %d within %.0f ms, at most %.1f", to.ID, sent, len(w.recentSends), w.cfg.ColdOverloadTime, limit)
 	}
 }
 
-func (w *world) final(a Action) {
-	o, c := w.open[a.Request], w.cfg.Classes[w.open[a.Request].class]
+func (w *simulation) checkFinal(a Action) {
+	o, c := w.requests[a.Request], w.cfg.Classes[w.requests[a.Request].class]
 	if o.answered || w.now > o.deadline+w.cfg.AnswerSlack {
 		w.t.Fatalf("request %d: a second or late answer at %v, deadline %v", a.Request, w.now, o.deadline)
 	}
 	o.answered = true
-	if a.Kind == Fail || c.Effect == Safe || c.Effect == Keyed && c.Group == GroupAll {
+	if a.Kind == Fail || c.Effect == Safe || c.Effect == Keyed && c.DedupScope == DedupAll {
 		return
 	}
-	for _, p := range o.tries {
-		if !p.clean {
+	for _, p := range o.attempts {
+		if !p.notExecuted {
 			w.t.Fatalf("request %d may have run and was refused", a.Request)
 		}
 	}
 }
 
 // fireTimers brings the alarms that are due, each at its own time.
-func (w *world) fireTimers() {
+func (w *simulation) fireTimers() {
 	end := w.now
 	for {
 		next := -1
@@ -316,8 +316,8 @@
 	w.now = end
 }
 
-func (w *world) anyOpen() bool {
-	for _, o := range w.open {
+func (w *simulation) anyUnanswered() bool {
+	for _, o := range w.requests {
 		if !o.answered {
 			return true
 		}
--- a/balance/replay_codec_test.go
+++ b/balance/replay_codec_test.go
@@ -83,8 +83,8 @@
 
 func (c *coder) class(v *balance.Class) {
 	enum(c, &v.Effect)
-	enum(c, &v.Group)
-	for _, f := range []*float64{&v.DedupWindow, &v.LatencyTarget, &v.TargetStretch, &v.Deadline, &v.Value, &v.LateValue, &v.MaxWait} {
+	enum(c, &v.DedupScope)
+	for _, f := range []*float64{&v.DedupWindow, &v.LatencyTarget, &v.TargetStretch, &v.Deadline, &v.Value, &v.LateValue, &v.MaxWaitFraction} {
 		c.f64(f)
 	}
 	c.bool(&v.Stream)
@@ -107,12 +107,12 @@
 		c.bool(b)
 	}
 	for _, f := range []*float64{
-		&v.OverShareValue, &v.Quantum, &v.MaxRetryAfter, &v.ConnectTimeout, &v.ConnIdle, &v.RetryAfterFraction, &v.DrainGrace, &v.SlowStartFrom,
+		&v.OverShareValue, &v.MinBatchInterval, &v.MaxRetryAfter, &v.ConnectTimeout, &v.ConnIdle, &v.RetryAfterFraction, &v.DrainGrace, &v.SlowStartInitialFraction,
 		&v.SlowStartTime, &v.ColdOverloadFactor, &v.ColdOverloadTime, &v.ListRefreshLimit, &v.AnswerSlack,
 	} {
 		c.f64(f)
 	}
-	g, p := &v.Goal, &v.Prices
+	g, p := &v.Goal, &v.Penalties
 	for _, f := range []*float64{
 		&g.Total, &g.WorstWindow, &g.WorstClass, &g.WorstTenant, &g.Nines,
 		&p.CrossZone, &p.Waste, &p.Handshake, &p.Probe, &p.Peer, &p.LateFail, &p.Connection,
@@ -139,14 +139,14 @@
 // The kinds of recorded steps.
 const (
 	stepStart uint8 = iota
-	stepExtend
+	stepAddClass
 	stepList
 	stepRequest
 	stepOutcome
-	stepSent
-	stepStarted
-	stepEnding
-	stepHangUp
+	stepUploadComplete
+	stepResponseStarted
+	stepShutdown
+	stepClientDisconnected
 	stepTimer
 	stepProbe
 	stepMessage
@@ -164,7 +164,7 @@
 	c.u8(&v.kind)
 	c.f64(&v.now)
 	switch v.kind {
-	case stepExtend:
+	case stepAddClass:
 		c.class(&v.class)
 	case stepList:
 		event(c, v, c.serverList)
@@ -172,18 +172,18 @@
 		event(c, v, c.request)
 	case stepOutcome:
 		event(c, v, c.outcome)
-	case stepSent:
+	case stepUploadComplete:
 		event(c, v, func(e *balance.UploadComplete) { c.id(&e.Request); c.int(&e.Attempt) })
-	case stepStarted:
+	case stepResponseStarted:
 		event(c, v, func(e *balance.ResponseStarted) {
 			c.id(&e.Request)
 			c.int(&e.Attempt)
 			c.server(&e.Server)
 			c.f64(&e.Latency)
 		})
-	case stepEnding:
+	case stepShutdown:
 		event(c, v, func(e *balance.Shutdown) { c.f64(&e.Within) })
-	case stepHangUp:
+	case stepClientDisconnected:
 		event(c, v, func(e *balance.ClientDisconnected) { c.id(&e.Request) })
 	case stepTimer:
 		event(c, v, func(e *balance.TimerFired) { c.u64(&e.Token) })
@@ -259,16 +259,16 @@
 func (c *coder) actions(v *[]balance.Action) { list(c, v, c.action) }
 
 // tokens is a retry budget for the recording: a tenth of the requests and two beside, over all time.
-type tokens struct{ asked, spent float64 }
+type recordedRetryBudget struct{ requests, withdrawn float64 }
 
 // Deposit implements balance.RetryBudget.
-func (t *tokens) Deposit(float64) { t.asked++ }
+func (t *recordedRetryBudget) Deposit(float64) { t.requests++ }
 
 // TryWithdraw implements balance.RetryBudget.
-func (t *tokens) TryWithdraw(float64) bool {
-	if t.spent+1 > t.asked/10+2 {
+func (t *recordedRetryBudget) TryWithdraw(float64) bool {
+	if t.withdrawn+1 > t.requests/10+2 {
 		return false
 	}
-	t.spent++
+	t.withdrawn++
 	return true
 }
--- a/balance/replay_test.go
+++ b/balance/replay_test.go
@@ -15,16 +15,16 @@
 // simulator's profiles have them, three with those of the mesh, in a world of servers that come, go, get slow and fail.
 // Each action of each step must be the recorded one, bit for bit. A commit that changes a decision on purpose records
 // anew and says what changed; one that only renames or moves code doesn't touch the recording.
-func TestDecidesAsRecorded(t *testing.T) {
-	c := &coder{in: bytes.NewReader(unpack(t, "testdata/decisions-5126712.bin.gz"))}
+func TestDecisionsMatchRecording(t *testing.T) {
+	c := &coder{in: bytes.NewReader(decompress(t, "testdata/decisions-5126712.bin.gz"))}
 	kinds := map[balance.ActionKind]int{}
-	scenes, steps := 0, 0
-	for ; c.in.Len() > 0; scenes++ {
-		steps += replay(t, c, scenes, kinds)
+	runs, steps := 0, 0
+	for ; c.in.Len() > 0; runs++ {
+		steps += replay(t, c, runs, kinds)
 	}
-	t.Logf("%d scenes, %d steps, actions by kind: %v", scenes, steps, kinds)
-	if scenes != 9 || steps < 32000 {
-		t.Errorf("%d scenes with %d steps, want 9 with 32,000 or more", scenes, steps)
+	t.Logf("%d scenes, %d steps, actions by kind: %v", runs, steps, kinds)
+	if runs != 9 || steps < 32000 {
+		t.Errorf("%d scenes with %d steps, want 9 with 32,000 or more", runs, steps)
 	}
 	for _, k := range []balance.ActionKind{
 		balance.Send, balance.Refuse, balance.Fail, balance.Cancel, balance.SetTimer, balance.Probe, balance.Subscribe,
@@ -35,7 +35,7 @@
 	}
 }
 
-func unpack(t *testing.T, path string) []byte {
+func decompress(t *testing.T, path string) []byte {
 	t.Helper()
 	packed, err := os.ReadFile(path)
 	if err != nil {
@@ -53,7 +53,7 @@
 }
 
 // replay plays one scene and returns the number of its steps.
-func replay(t *testing.T, c *coder, scene int, kinds map[balance.ActionKind]int) int {
+func replay(t *testing.T, c *coder, run int, kinds map[balance.ActionKind]int) int {
 	t.Helper()
 	var cfg balance.Config
 	var budget bool
@@ -62,7 +62,7 @@
 	c.bool(&budget)
 	c.int(&steps)
 	if budget {
-		cfg.RetryBudget = &tokens{}
+		cfg.RetryBudget = &recordedRetryBudget{}
 	}
 	b := balance.New(cfg)
 	for n := range steps {
@@ -71,14 +71,14 @@
 		c.step(&st)
 		c.actions(&want)
 		if c.err != nil {
-			t.Fatalf("scene %d, step %d: the recording: %v", scene, n, c.err)
+			t.Fatalf("scene %d, step %d: the recording: %v", run, n, c.err)
 		}
-		got, err := perform(b, &st)
+		got, err := performStep(b, &st)
 		if err != nil {
-			t.Fatalf("scene %d, step %d, %T: %v", scene, n, st.event, err)
+			t.Fatalf("scene %d, step %d, %T: %v", run, n, st.event, err)
 		}
 		if !bytes.Equal(encode(got), encode(want)) {
-			t.Fatalf("scene %d, step %d at %v ms, %T %+v:\ngot  %+v\nwant %+v", scene, n, st.now, st.event, st.event, got, want)
+			t.Fatalf("scene %d, step %d at %v ms, %T %+v:\ngot  %+v\nwant %+v", run, n, st.now, st.event, st.event, got, want)
 		}
 		for _, a := range got {
 			kinds[a.Kind]++
@@ -87,11 +87,11 @@
 	return steps
 }
 
-func perform(b *balance.Balancer, st *step) ([]balance.Action, error) {
+func performStep(b *balance.Balancer, st *step) ([]balance.Action, error) {
 	switch {
 	case st.kind == stepStart:
 		return b.Start(st.now), nil
-	case st.kind == stepExtend:
+	case st.kind == stepAddClass:
 		b.AddClass(st.class)
 		return nil, nil
 	case st.event == nil:
--- a/balance/request.go
+++ b/balance/request.go
@@ -18,21 +18,21 @@
 // request is an open request: one without a final answer or with an attempt in flight.
 type request struct {
 	Request
-	class         *Class
-	stats         *classStats
-	tenant        *counter
-	arrivedAt     float64
-	deadline      float64
-	attempts      []attempt
-	inFlight      int       // attempts
-	answered      bool      // it has its final answer
-	streaming     bool      // its answer has begun and the client has it: there is no deadline and no retry
-	bodyConsumed  bool      // an attempt has taken its body: there can be no other
-	atCandidates  bool      // the present pick is among the candidates
-	retryRejected bool      // a server whose sidecar rejected it may get another attempt
-	timerAt       float64   // when its next timer fires; +Inf: none is set
-	probed        []*server // probed before the first attempt
-	probesUntil   float64   // until when the first attempt waits for probes; 0: it does not
+	class             *Class
+	stats             *classStats
+	tenant            *counter
+	arrivedAt         float64
+	deadline          float64
+	attempts          []attempt
+	inFlight          int       // attempts
+	answered          bool      // it has its final answer
+	streaming         bool      // its answer has begun and the client has it: there is no deadline and no retry
+	bodyConsumed      bool      // an attempt has taken its body: there can be no other
+	pickingCandidates bool      // the present pick is among the candidates
+	retryRejected     bool      // a server whose sidecar rejected it may get another attempt
+	timerAt           float64   // when its next timer fires; +Inf: none is set
+	probed            []*server // probed before the first attempt
+	probesUntil       float64   // until when the first attempt waits for probes; 0: it does not
 }
 
 // openRequest begins to remember a new request.
--- a/balance/rotation.go
+++ b/balance/rotation.go
@@ -14,9 +14,9 @@
 
 // rotation is the state of smooth weighted round robin across servers.
 type rotation struct {
-	lastWinner     float64 // running value of the server picked last
-	totalShare     float64 // sum of the servers' shares at the last first attempt
-	zonePreference float64 // ServerList.ZonePreference
+	lastPickedWeight float64 // running value of the server picked last
+	totalShare       float64 // sum of the servers' shares at the last first attempt
+	zonePreference   float64 // ServerList.ZonePreference
 }
 
 // pick chooses a server for an attempt, or nil if none is eligible. The first attempt of a request that is
@@ -24,9 +24,9 @@
 // other attempts do.
 func (b *Balancer) pick(r *request, retry bool) *server {
 	if r.Candidate && !retry {
-		r.atCandidates = true
+		r.pickingCandidates = true
 		s := b.pickEligible(r, retry)
-		r.atCandidates = false
+		r.pickingCandidates = false
 		if s != nil {
 			return s
 		}
@@ -38,25 +38,25 @@
 // healthiest one, which is charged in the rotation too.
 func (b *Balancer) pickEligible(r *request, retry bool) *server {
 	total, maxPerWeight := b.updateWeights(r, retry, false)
-	if total == 0 && !r.atCandidates { // all are ejected: the cause is hardly in the servers
+	if total == 0 && !r.pickingCandidates { // all are ejected: the cause is hardly in the servers
 		_, maxPerWeight = b.updateWeights(r, retry, true)
 	}
 	var best *server
-	bestOver := false
+	bestOverShare := false
 	for _, s := range b.servers {
 		if s.weight == 0 || b.warmingUp(s) && !b.withinSlowStartBudget(s) {
 			continue
 		}
 		// Bounded load: a server with more than its share is slow, hung or overloaded; it keeps its running
 		// value.
-		over := !s.loadKnown || s.probing || b.pendingAt(s)+1 > math.Ceil(maxPerWeight*s.weight)
-		if best == nil || bestOver && !over || over == bestOver && b.preferred(r, s, best, retry, over) {
-			best, bestOver = s, over
+		overShare := !s.loadKnown || s.probing || b.pendingAt(s)+1 > math.Ceil(maxPerWeight*s.weight)
+		if best == nil || bestOverShare && !overShare || overShare == bestOverShare && b.preferred(r, s, best, retry, overShare) {
+			best, bestOverShare = s, overShare
 		}
 	}
 	if best != nil {
-		value := r.runningValue(best, b.now)
-		b.rotation.lastWinner, *value = *value, max(*value-1, -1)
+		weight := r.currentWeight(best, b.now)
+		b.rotation.lastPickedWeight, *weight = *weight, max(*weight-1, -1)
 	}
 	return best
 }
@@ -101,37 +101,37 @@
 // random within the turn before the last winner, so that sidecars do not begin at the same server.
 func (b *Balancer) advance(r *request, s *server, retry bool, total float64) {
 	warmingUp := b.warmingUp(s)
-	if !s.randomized || s.randomizedCold && !warmingUp {
-		s.running, s.randomized, s.randomizedCold = b.rotation.lastWinner-b.random.draw(), true, warmingUp
-		*r.runningValue(s, b.now) = s.running
+	if !s.randomized || s.randomizedInSlowStart && !warmingUp {
+		s.currentWeight, s.randomized, s.randomizedInSlowStart = b.rotation.lastPickedWeight-b.random.draw(), true, warmingUp
+		*r.currentWeight(s, b.now) = s.currentWeight
 	}
 	if !retry {
-		value := r.runningValue(s, b.now)
-		*value = min(*value+s.weight/total, 1)
+		weight := r.currentWeight(s, b.now)
+		*weight = min(*weight+s.weight/total, 1)
 	}
 }
 
 // preferred reports whether s precedes best. Where all servers are over their share, a first attempt goes to
 // the one with the fewest pending requests for its weight.
-func (b *Balancer) preferred(r *request, s, best *server, retry, over bool) bool {
-	if over && s.loadKnown != best.loadKnown { // a high load that is known is better than one that is not
+func (b *Balancer) preferred(r *request, s, best *server, retry, overShare bool) bool {
+	if overShare && s.loadKnown != best.loadKnown { // a high load that is known is better than one that is not
 		return s.loadKnown
 	}
-	if over && !retry {
+	if overShare && !retry {
 		return (b.pendingAt(s)+1)*best.weight < (b.pendingAt(best)+1)*s.weight
 	}
 	if retry {
-		own, other := s.health(b.now)*r.classFactor(s, b.now), best.health(b.now)*r.classFactor(best, b.now)
-		if own != other {
-			return own > other
+		health, bestHealth := s.health(b.now)*r.classFactor(s, b.now), best.health(b.now)*r.classFactor(best, b.now)
+		if health != bestHealth {
+			return health > bestHealth
 		}
 	}
-	return *r.runningValue(s, b.now) > *r.runningValue(best, b.now)
+	return *r.currentWeight(s, b.now) > *r.currentWeight(best, b.now)
 }
 
 // eligibleAt reports whether the rules allow an attempt of the request at the server now.
 func (r *request) eligibleAt(s *server, now float64) bool {
-	if s.State != Ready || s.Candidate != r.atCandidates {
+	if s.State != Ready || s.Candidate != r.pickingCandidates {
 		return false
 	}
 	for i := range r.attempts {
@@ -145,8 +145,8 @@
 		// A keyed request that may have executed stays within the group that recognises its key, while it
 		// does.
 		if now >= a.sentAt+r.class.DedupWindow ||
-			r.class.Group == GroupCell && a.server.Cell != s.Cell ||
-			r.class.Group == GroupZone && a.server.Zone != s.Zone {
+			r.class.DedupScope == DedupCell && a.server.Cell != s.Cell ||
+			r.class.DedupScope == DedupZone && a.server.Zone != s.Zone {
 			return false
 		}
 	}
@@ -163,28 +163,28 @@
 // connection. A server that has just failed gets neither. One in slow start has no connections yet and counts
 // as if it had.
 func (b *Balancer) preference(s *server) float64 {
-	f := 1.0
+	factor := 1.0
 	switch {
 	case s.Zone != b.cfg.Zone:
 	case b.rotation.zonePreference > 0 && s.consecutiveErrors == 0: // not for a failing server
-		f = b.rotation.zonePreference
+		factor = b.rotation.zonePreference
 	default:
-		zone := zonePreferenceGain * b.cfg.Prices.CrossZone
-		f += zone * zone
+		zoneFactor := zonePreferenceGain * b.cfg.Penalties.CrossZone
+		factor += zoneFactor * zoneFactor
 	}
 	if b.warmingUp(s) || s.consecutiveErrors == 0 && b.connectionReusable(s) {
-		f *= 1 + reusePreference*b.cfg.Prices.Handshake + scarcityPreference*b.connectFailureShare
+		factor *= 1 + reusePreference*b.cfg.Penalties.Handshake + scarcityPreference*b.connectFailureShare
 	}
-	return f
+	return factor
 }
 
 // runningValue is the server's running value for the request. A failing class has its own, or bad servers
 // would come up for it in the turns that the other classes' weights give them.
-func (r *request) runningValue(s *server, now float64) *float64 {
+func (r *request) currentWeight(s *server, now float64) *float64 {
 	if r.stats.failing(now) {
-		return &s.byClass[r.Class].running
+		return &s.byClass[r.Class].currentWeight
 	}
-	return &s.running
+	return &s.currentWeight
 }
 
 // pendingAt is the best estimate of the requests pending at a server: a fresh report and this sidecar's sends
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -6,25 +6,25 @@
 )
 
 // sequence sends n safe requests one after the other, each answered before the next.
-func sequence(g *rig, n int) []ServerID {
+func sendSequentially(g *harness, n int) []ServerID {
 	var ids []ServerID
 	for range n {
-		id, acts := g.ask(safeClass)
+		id, acts := g.request(safeClass)
 		s, ok := sentTo(acts)
 		if !ok {
 			g.t.Fatal("nothing was sent")
 		}
 		ids = append(ids, s)
 		g.b.requests[id].stats.count = 0 // no learning from these answers
-		g.answer(id, 0, OK, 10)
+		g.endAttempt(id, 0, OK, 10)
 	}
 	return ids
 }
 
 func TestRotationFollowsWeights(t *testing.T) {
-	servers := fleet(3)
+	servers := testServers(3)
 	servers[0].Rating = 5
-	got := sequence(newRig(t, baseConfig(), servers...), 7)
+	got := sendSequentially(newHarness(t, baseConfig(), servers...), 7)
 	want := []ServerID{1, 1, 2, 1, 3, 1, 1}
 	for i := range want {
 		if got[i] != want[i] {
@@ -33,8 +33,8 @@
 	}
 }
 
-func TestMultiplierFallsDecaysAndHasAFloor(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(2)...)
+func TestHealthFallsDecaysAndHasMinimum(t *testing.T) {
+	g := newHarness(t, baseConfig(), testServers(2)...)
 	s := g.b.servers[0]
 	if m := s.health(g.b.now); m != 1 {
 		t.Fatalf("m without errors is %v", m)
@@ -43,7 +43,7 @@
 	if m := s.health(g.b.now); math.Abs(m-(1-2*errorPenalty)) > 1e-9 {
 		t.Fatalf("m after two errors is %v", m)
 	}
-	g.b.now += errorHalfLife
+	g.b.now += errorHalfLifeMillis
 	if m := s.health(g.b.now); math.Abs(m-(1-errorPenalty)) > 1e-9 {
 		t.Fatalf("m after a half-life is %v", m)
 	}
@@ -55,21 +55,21 @@
 		t.Fatalf("another server's errors moved m to %v", m)
 	}
 	s.consecutiveErrors = 2
-	id, _ := g.ask(safeClass)
+	id, _ := g.request(safeClass)
 	g.b.requests[id].attempts[0].server = s
 	s.inFlight, g.b.servers[1].inFlight = 1, 0
-	g.answer(id, 0, OK, 10)
+	g.endAttempt(id, 0, OK, 10)
 	if m := s.health(g.b.now); m != 1 {
 		t.Fatalf("m after a success is %v", m)
 	}
 }
 
-func TestNoServerStarvesAtTheFloor(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(4)...)
+func TestServerAtMinimumHealthStillGetsRequests(t *testing.T) {
+	g := newHarness(t, baseConfig(), testServers(4)...)
 	hits := 0
 	for range 40 { // a success resets the errors, so they are set again each time
 		g.b.servers[2].consecutiveErrors, g.b.servers[2].lastErrorAt = 1000, g.now
-		if sequence(g, 1)[0] == 3 {
+		if sendSequentially(g, 1)[0] == 3 {
 			hits++
 		}
 	}
@@ -78,19 +78,19 @@
 	}
 }
 
-func TestRerouteTakesTheHealthiestUntried(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(4)...)
+func TestRetryGoesToHealthiestUntriedServer(t *testing.T) {
+	g := newHarness(t, baseConfig(), testServers(4)...)
 	for _, s := range g.b.servers {
 		s.consecutiveErrors, s.lastErrorAt = 2, g.now
 	}
 	g.b.servers[2].consecutiveErrors = 1
-	g.b.servers[1].running = 1000 // its turn, though it is not the healthiest
-	id, acts := g.ask(safeClass)
+	g.b.servers[1].currentWeight = 1000 // its turn, though it is not the healthiest
+	id, acts := g.request(safeClass)
 	if s, _ := sentTo(acts); s != 2 {
 		t.Fatalf("first sent to %d, want 2", s)
 	}
-	g.b.servers[3].running = 1000 // next in turn, which must not count for a re-route
-	if s, ok := sentTo(g.answer(id, 0, Rejected, 1)); !ok || s != 3 {
+	g.b.servers[3].currentWeight = 1000 // next in turn, which must not count for a re-route
+	if s, ok := sentTo(g.endAttempt(id, 0, Rejected, 1)); !ok || s != 3 {
 		t.Fatalf("re-routed to %d, want 3", s)
 	}
 }
@@ -98,7 +98,7 @@
 // Where every server holds far more than its share a first send goes to the one that holds least for
 // its weight, as the next in turn may be crowded further; a re-route still goes by m. While one is
 // not over its share, the turn decides.
-func TestFirstSendGoesToTheLeastCrowdedOfCrowdedServers(t *testing.T) {
+func TestFirstAttemptGoesToLeastLoadedWhenAllExceedShare(t *testing.T) {
 	for _, c := range []struct {
 		holds [4]int
 		want  ServerID
@@ -106,9 +106,9 @@
 		{[4]int{4, 3, 4, 4}, 2}, // all are over
 		{[4]int{4, 4, 1, 0}, 3}, // 3 and 4 are not over, and it is the turn of 3
 	} {
-		g := newRig(t, baseConfig(), fleet(4)...)
+		g := newHarness(t, baseConfig(), testServers(4)...)
 		for i, s := range g.b.servers {
-			s.inFlight, s.running = c.holds[i], float64(10*(4-i))
+			s.inFlight, s.currentWeight = c.holds[i], float64(10*(4-i))
 		}
 		g.b.servers[1].consecutiveErrors, g.b.servers[1].lastErrorAt = 1, g.now-5000
 		r := &request{class: &g.b.cfg.Classes[safeClass], stats: &g.b.traffic.classes[safeClass]}
@@ -117,7 +117,7 @@
 				t.Errorf("%v: the re-route went to the server of lowest m", c.holds)
 			}
 			for i, s := range g.b.servers {
-				s.running = float64(10 * (4 - i))
+				s.currentWeight = float64(10 * (4 - i))
 			}
 		}
 		if s := g.b.pick(r, false); s.ID != c.want {
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -8,89 +8,89 @@
 
 // What may follow the end of a first attempt, for each effect, group and result, within the
 // window and after it: another send, a refusal, a failure.
-func TestWhatMayFollowAnAttempt(t *testing.T) {
-	for _, class := range []int{safeClass, unsafeClass, cellClass, allClass, zoneClass} {
-		for _, res := range []Result{Failed, Rejected, TimedOut, ConnectFailed, Reset, Cancelled} {
-			for _, late := range []bool{false, true} {
-				t.Run(fmt.Sprintf("class%d/result%d/late=%v", class, res, late), func(t *testing.T) {
-					followAttempt(t, class, res, late)
+func TestActionsAfterFailedAttempt(t *testing.T) {
+	for _, class := range []int{safeClass, unsafeClass, keyedCellClass, keyedAllClass, keyedZoneClass} {
+		for _, result := range []Result{Failed, Rejected, TimedOut, ConnectFailed, Reset, Cancelled} {
+			for _, windowPassed := range []bool{false, true} {
+				t.Run(fmt.Sprintf("class%d/result%d/late=%v", class, result, windowPassed), func(t *testing.T) {
+					checkActionsAfterAttempt(t, class, result, windowPassed)
 				})
 			}
 		}
 	}
 }
 
-func followAttempt(t *testing.T, class int, res Result, late bool) {
+func checkActionsAfterAttempt(t *testing.T, class int, result Result, windowPassed bool) {
 	cfg := baseConfig()
 	for i := range cfg.Classes {
 		cfg.Classes[i].LatencyTarget = cfg.Classes[i].Deadline // a re-route is worth its while to the end
 		cfg.Classes[i].DedupWindow = 200
 	}
-	g := newRig(t, cfg, fleet(8)...)
-	id, acts := g.ask(class)
+	g := newHarness(t, cfg, testServers(8)...)
+	id, acts := g.request(class)
 	first, ok := sentTo(acts)
 	if !ok {
 		t.Fatal("the request was not sent")
 	}
-	if g.now += 100; late {
+	if g.now += 100; windowPassed {
 		g.now += 200
 	}
-	acts = g.answer(id, 0, res, 100)
+	acts = g.endAttempt(id, 0, result, 100)
 	c := cfg.Classes[class]
-	mayResend := c.Effect == Safe || res.ProvesNotExecuted() || c.Effect == Keyed && !late
-	second, sent := sentTo(acts)
-	if sent != mayResend {
-		t.Fatalf("sent again: %v, want %v (%+v)", sent, mayResend, acts)
-	}
-	if !sent {
-		mayRefuse := c.Effect == Keyed && c.Group == GroupAll
-		if has(acts, Refuse) != mayRefuse || has(acts, Fail) == mayRefuse {
+	mayRetry := c.Effect == Safe || result.ProvesNotExecuted() || c.Effect == Keyed && !windowPassed
+	second, retried := sentTo(acts)
+	if retried != mayRetry {
+		t.Fatalf("sent again: %v, want %v (%+v)", retried, mayRetry, acts)
+	}
+	if !retried {
+		mayRefuse := c.Effect == Keyed && c.DedupScope == DedupAll
+		if hasAction(acts, Refuse) != mayRefuse || hasAction(acts, Fail) == mayRefuse {
 			t.Fatalf("refusal allowed: %v, got %+v", mayRefuse, acts)
 		}
 		return
 	}
 	a, b := g.b.byID[first], g.b.byID[second]
-	dirty := !res.ProvesNotExecuted()
-	if a == b || dirty && class == cellClass && a.Cell != b.Cell || dirty && class == zoneClass && a.Zone != b.Zone {
+	mayHaveExecuted := !result.ProvesNotExecuted()
+	if a == b || mayHaveExecuted && class == keyedCellClass && a.Cell != b.Cell || mayHaveExecuted && class == keyedZoneClass && a.Zone != b.Zone {
 		t.Fatalf("sent to %+v after %+v", b.Server, a.Server)
 	}
 }
 
-func TestNothingIsRefusedThatMayHaveRun(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(4)...)
-	for _, class := range []int{unsafeClass, cellClass, zoneClass} {
-		id, _ := g.ask(class)
+func TestRequestThatMayHaveExecutedIsNotRefused(t *testing.T) {
+	g := newHarness(t, baseConfig(), testServers(4)...)
+	for _, class := range []int{unsafeClass, keyedCellClass, keyedZoneClass} {
+		id, _ := g.request(class)
 		g.now = g.b.requests[id].deadline
-		acts := g.do(TimerFired{Token: uint64(id)})
-		if has(acts, Refuse) || !has(acts, Fail) {
+		acts := g.handle(TimerFired{Token: uint64(id)})
+		if hasAction(acts, Refuse) || !hasAction(acts, Fail) {
 			t.Errorf("class %d at its deadline with an attempt out: %+v", class, acts)
 		}
 	}
 }
 
-func TestNoTimeLeftIsAnsweredAtOnce(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(4)...)
-	acts := g.do(Request{ID: 1, Class: unsafeClass, Remaining: 0})
-	if !has(acts, Refuse) || has(acts, Send) {
+func TestExpiredRequestIsRefusedAtOnce(t *testing.T) {
+	g := newHarness(t, baseConfig(), testServers(4)...)
+	acts := g.handle(Request{ID: 1, Class: unsafeClass, Remaining: 0})
+	if !hasAction(acts, Refuse) || hasAction(acts, Send) {
 		t.Fatalf("a request without time left: %+v", acts)
 	}
 }
 
-func TestNobodyToSendTo(t *testing.T) {
-	drained := fleet(3)
+func TestRequestWithoutReadyServerIsRefused(t *testing.T) {
+	drained := testServers(3)
 	for i := range drained {
 		drained[i].State = Draining
 	}
 	for name, servers := range map[string][]Server{"empty": nil, "draining": drained} {
-		g := newRig(t, baseConfig(), servers...)
-		id, acts := g.ask(unsafeClass)
-		if has(acts, Send) || !has(acts, SetTimer) {
+		g := newHarness(t, baseConfig(), servers...)
+		id, acts := g.request(unsafeClass)
+		if hasAction(acts, Send) || !hasAction(acts, SetTimer) {
 			t.Fatalf("%s: %+v", name, acts)
 		}
 		refused := false
 		for g.now < 1000+baseConfig().Classes[unsafeClass].Deadline {
 			g.now += 10
-			refused = refused || has(g.do(TimerFired{Token: uint64(id)}), Refuse)
+			refused = refused || hasAction(g.handle(TimerFired{Token: uint64(id)}), Refuse)
 		}
 		if !refused || len(g.b.requests) != 0 {
 			t.Fatalf("%s: refused %v, %d requests left", name, refused, len(g.b.requests))
@@ -98,21 +98,21 @@
 	}
 }
 
-func TestDrainingGetsNothingNew(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(2)...)
-	gone := fleet(1)[0]
-	gone.State = Draining
-	g.do(ServerList{Kind: ListDelta, Servers: []Server{gone}})
+func TestDrainingServerGetsNoAttempts(t *testing.T) {
+	g := newHarness(t, baseConfig(), testServers(2)...)
+	entry := testServers(1)[0]
+	entry.State = Draining
+	g.handle(ServerList{Kind: ListDelta, Servers: []Server{entry}})
 	for range 20 {
-		id, acts := g.ask(safeClass)
+		id, acts := g.request(safeClass)
 		if s, _ := sentTo(acts); s != 2 {
 			t.Fatalf("sent to %d", s)
 		}
-		g.answer(id, 0, OK, 10)
+		g.endAttempt(id, 0, OK, 10)
 	}
-	gone.State = Ready
-	g.do(ServerList{Kind: ListFull, Servers: []Server{gone}}) // the other is left out: it has gone
-	id, acts := g.ask(safeClass)
+	entry.State = Ready
+	g.handle(ServerList{Kind: ListFull, Servers: []Server{entry}}) // the other is left out: it has gone
+	id, acts := g.request(safeClass)
 	if s, _ := sentTo(acts); s != 1 {
 		t.Fatalf("sent to %d of request %d", s, id)
 	}
@@ -121,72 +121,72 @@
 func TestAttemptLimit(t *testing.T) {
 	cfg := baseConfig()
 	cfg.MaxAttempts = 1
-	g := newRig(t, cfg, fleet(4)...)
-	id, _ := g.ask(safeClass)
-	if acts := g.answer(id, 0, Rejected, 1); has(acts, Send) || !has(acts, Refuse) {
+	g := newHarness(t, cfg, testServers(4)...)
+	id, _ := g.request(safeClass)
+	if acts := g.endAttempt(id, 0, Rejected, 1); hasAction(acts, Send) || !hasAction(acts, Refuse) {
 		t.Fatalf("after the only attempt allowed: %+v", acts)
 	}
 }
 
 // In overload an alarm came a rounding error before its time and was not set again, so that the
 // request got no answer at its deadline.
-func TestEarlyAlarmIsSetAgain(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(4)...)
-	id, _ := g.ask(unsafeClass)
+func TestEarlyTimerIsSetAgain(t *testing.T) {
+	g := newHarness(t, baseConfig(), testServers(4)...)
+	id, _ := g.request(unsafeClass)
 	g.now = g.b.requests[id].timerAt - 1e-4
-	if acts := g.do(TimerFired{Token: uint64(id)}); !has(acts, SetTimer) {
+	if acts := g.handle(TimerFired{Token: uint64(id)}); !hasAction(acts, SetTimer) {
 		t.Fatalf("no timer after an early alarm: %+v", acts)
 	}
 }
 
 // A cold server was pushed over when the budget followed what clients asked, repeats included.
-func TestColdBudgetHoldsForAllSidecars(t *testing.T) {
+func TestSlowStartBudgetHoldsAcrossSidecars(t *testing.T) {
 	const sidecars, perSecond, seconds = 4, 150, 6
 	cfg := baseConfig()
-	toCold := 0
+	toWarmingUp := 0
 	for n := range sidecars {
 		cfg.Seed, cfg.Index = uint64(n+1), n
-		servers := fleet(5)
-		g := newRig(t, cfg, servers...)
+		servers := testServers(5)
+		g := newHarness(t, cfg, servers...)
 		for i := range perSecond * seconds {
 			if i == perSecond*3 { // half-way one server restarts
 				servers[0].StartedAt = g.now
-				g.do(ServerList{Kind: ListDelta, Servers: servers[:1]})
+				g.handle(ServerList{Kind: ListDelta, Servers: servers[:1]})
 			}
-			id, acts := g.ask(safeClass)
+			id, acts := g.request(safeClass)
 			s, ok := sentTo(acts)
 			if !ok {
 				t.Fatal("nothing sent")
 			}
 			if s == 1 && i >= perSecond*3 && i < perSecond*4 {
-				toCold++
+				toWarmingUp++
 			}
-			g.answer(id, 0, OK, 10)
+			g.endAttempt(id, 0, OK, 10)
 			g.now += 1000 / perSecond
 		}
 	}
 	// A warm server gets a fifth of the traffic; the cold one can do SlowStartFrom of that and a little
 	// more as it warms, and falls at ColdOverloadFactor times what it can do.
-	limit := float64(sidecars*perSecond) / 5 * cfg.ColdOverloadFactor * (cfg.SlowStartFrom + 0.05)
-	if toCold == 0 || float64(toCold) > limit {
-		t.Fatalf("%d sends to a cold server in its first second, want 1 to %.0f", toCold, limit)
+	limit := float64(sidecars*perSecond) / 5 * cfg.ColdOverloadFactor * (cfg.SlowStartInitialFraction + 0.05)
+	if toWarmingUp == 0 || float64(toWarmingUp) > limit {
+		t.Fatalf("%d sends to a cold server in its first second, want 1 to %.0f", toWarmingUp, limit)
 	}
 }
 
 // A server that could not be reached and then answers has restarted, whatever the list says.
-func TestBackFromTheDeadIsCold(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(2)...)
-	id, acts := g.ask(safeClass)
+func TestServerReachableAgainIsInSlowStart(t *testing.T) {
+	g := newHarness(t, baseConfig(), testServers(2)...)
+	id, acts := g.request(safeClass)
 	s, _ := sentTo(acts)
-	g.answer(id, 0, ConnectFailed, 150)
+	g.endAttempt(id, 0, ConnectFailed, 150)
 	g.now += 60000
 	for range 8 {
-		id, acts = g.ask(safeClass)
+		id, acts = g.request(safeClass)
 		if again, _ := sentTo(acts); again == s {
-			g.answer(id, 0, OK, 10)
+			g.endAttempt(id, 0, OK, 10)
 			break
 		}
-		g.answer(id, 0, OK, 10)
+		g.endAttempt(id, 0, OK, 10)
 	}
 	if !g.b.warmingUp(g.b.byID[s]) {
 		t.Fatal("the server is held to be warm")
@@ -194,40 +194,40 @@
 }
 
 // Once a streamed answer has begun the client owns it: no deadline, no repeat, no answer of ours.
-func TestStartedStreamIsLeftAlone(t *testing.T) {
+func TestStartedStreamHasNoDeadlineOrRetry(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Classes[safeClass].Stream = true
-	g := newRig(t, cfg, fleet(3)...)
-	id, acts := g.ask(safeClass)
+	g := newHarness(t, cfg, testServers(3)...)
+	id, acts := g.request(safeClass)
 	s, _ := sentTo(acts)
-	g.do(ResponseStarted{Request: id, Server: s, Latency: 20})
+	g.handle(ResponseStarted{Request: id, Server: s, Latency: 20})
 	g.now += 5000
-	if acts := g.do(TimerFired{Token: uint64(id)}); has(acts, Fail) || has(acts, Refuse) || has(acts, Send) {
+	if acts := g.handle(TimerFired{Token: uint64(id)}); hasAction(acts, Fail) || hasAction(acts, Refuse) || hasAction(acts, Send) {
 		t.Fatalf("a running stream got %+v", acts)
 	}
-	g.do(Outcome{Request: id, Server: s, Result: Reset, Latency: 5000, Finished: true})
+	g.handle(Outcome{Request: id, Server: s, Result: Reset, Latency: 5000, Finished: true})
 	if len(g.b.requests) != 0 {
 		t.Fatal("an ended stream is remembered")
 	}
 }
 
 // Failed list calls keep the old list and are made again, ever later, within the limit.
-func TestListCallsBackOff(t *testing.T) {
+func TestListRequestsBackOff(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Subscribe = true
-	g := newRig(t, cfg, fleet(3)...)
-	if !has(g.acts, Subscribe) {
+	g := newHarness(t, cfg, testServers(3)...)
+	if !hasAction(g.actions, Subscribe) {
 		t.Fatal("not subscribed at once")
 	}
 	var pauses []float64
 	for range 6 {
-		acts := g.do(ServerList{Kind: ListFailed})
+		acts := g.handle(ServerList{Kind: ListFailed})
 		if len(acts) != 1 || acts[0].Token != listTimer || acts[0].At > cfg.ListRefreshLimit*3/4 {
 			t.Fatalf("after a failed call: %+v", acts)
 		}
 		pauses = append(pauses, acts[0].At)
 		g.now += acts[0].At
-		if !has(g.do(TimerFired{Token: listTimer}), Subscribe) {
+		if !hasAction(g.handle(TimerFired{Token: listTimer}), Subscribe) {
 			t.Fatal("not asked again")
 		}
 	}
@@ -238,7 +238,7 @@
 
 // Watches of a whole fleet end in the same instant, and discovery can take few calls at a time: with pauses of half a second they
 // all came again together, waited in vain together, and half of the fleet heard of no change for the rest of the day.
-func TestListCallsOfAFleetSpread(t *testing.T) {
+func TestListRequestsOfFleetAreSpread(t *testing.T) {
 	for _, sidecars := range []int{80, 300, 1000} {
 		cfg := baseConfig()
 		cfg.Subscribe, cfg.Peers = true, sidecars
@@ -246,41 +246,41 @@
 		calls := make([]int, 20) // by half second
 		for n := range sidecars {
 			cfg.Seed, cfg.Index = uint64(n+1), n
-			g := newRig(t, cfg, fleet(3)...)
-			if g.acts[0].Token != listTimer || g.acts[0].At > 2000 {
-				t.Fatalf("at the start: %+v", g.acts[0])
+			g := newHarness(t, cfg, testServers(3)...)
+			if g.actions[0].Token != listTimer || g.actions[0].At > 2000 {
+				t.Fatalf("at the start: %+v", g.actions[0])
 			}
-			first[int(g.acts[0].At/500)]++
+			first[int(g.actions[0].At/500)]++
 			g.now += 5000
-			at := 0.0
+			elapsed := 0.0
 			for range 2 { // the second call fails, too, after the two seconds that it may wait
-				at += g.do(ServerList{Kind: ListFailed})[0].At
-				if half := int(at / 500); half < len(calls) {
+				elapsed += g.handle(ServerList{Kind: ListFailed})[0].At
+				if half := int(elapsed / 500); half < len(calls) {
 					calls[half]++
 				}
-				at += 2000
+				elapsed += 2000
 				g.now += 2000
 			}
 		}
-		most := float64(sidecars) / min(4+float64(sidecars-80)/50, 7) // an even part of each half second, times two
+		maxPerHalfSecond := float64(sidecars) / min(4+float64(sidecars-80)/50, 7) // an even part of each half second, times two
 		if float64(slices.Max(first)) > 0.4*float64(sidecars) {
 			t.Errorf("%d sidecars that start together call %v times in half seconds", sidecars, first)
 		}
-		if most = max(most, 20); float64(slices.Max(calls)) > most {
-			t.Errorf("%d sidecars call %v times in half seconds, at most %.0f wanted", sidecars, calls, most)
+		if maxPerHalfSecond = max(maxPerHalfSecond, 20); float64(slices.Max(calls)) > maxPerHalfSecond {
+			t.Errorf("%d sidecars call %v times in half seconds, at most %.0f wanted", sidecars, calls, maxPerHalfSecond)
 		}
 	}
 }
 
 // Answers assumed for small sidecars counted in the budget of cold servers too, and together
 // they pushed one over. A sidecar that has seen no answers may hardly send anything to a cold server.
-func TestAssumedAnswersGiveNoColdBudget(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(4)...)
+func TestAssumedAnswersGiveNoSlowStartBudget(t *testing.T) {
+	g := newHarness(t, baseConfig(), testServers(4)...)
 	entry := g.b.servers[0].Server
 	entry.StartedAt = g.now
-	g.do(ServerList{Kind: ListDelta, Servers: []Server{entry}})
+	g.handle(ServerList{Kind: ListDelta, Servers: []Server{entry}})
 	g.now += 2000
-	g.ask(safeClass) // sets the weights
+	g.request(safeClass) // sets the weights
 	s := g.b.servers[0]
 	s.slowStartTokens, s.tokensUpdatedAt = 0, g.now-2000
 	if g.b.withinSlowStartBudget(s); s.slowStartTokens > 0.2 { // with ten assumed: 1
@@ -295,24 +295,24 @@
 
 // A sidecar that stood still past a deadline finds its timer and a time-out at once: one final answer, and
 // nothing more for the request, whichever comes first.
-func TestStandingStillPastADeadline(t *testing.T) {
+func TestTimerAndTimeoutPastDeadlineGiveOneAnswer(t *testing.T) {
 	for _, timerFirst := range []bool{true, false} {
-		g := newRig(t, baseConfig(), fleet(4)...)
-		id, _ := g.ask(unsafeClass)
+		g := newHarness(t, baseConfig(), testServers(4)...)
+		id, _ := g.request(unsafeClass)
 		s := g.b.requests[id].attempts[0].server.ID
 		g.now += 3000 // the deadline was at 600
-		g.acts = nil
+		g.actions = nil
 		late := Outcome{Request: id, Server: s, Result: TimedOut, Latency: 600}
 		if timerFirst {
-			g.do(TimerFired{Token: uint64(id)})
+			g.handle(TimerFired{Token: uint64(id)})
 			late.Finished = true
-			g.do(late)
+			g.handle(late)
 		} else {
-			g.do(late)
-			g.do(TimerFired{Token: uint64(id)})
+			g.handle(late)
+			g.handle(TimerFired{Token: uint64(id)})
 		}
 		answers := 0
-		for _, a := range g.acts {
+		for _, a := range g.actions {
 			switch a.Kind {
 			case Fail:
 				answers++
@@ -327,17 +327,17 @@
 }
 
 // After a hang-up nothing is sent or answered any more; what is out still ends.
-func TestNothingFollowsAHangUp(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(4)...)
-	id, _ := g.ask(safeClass)
+func TestNoActionsAfterClientDisconnects(t *testing.T) {
+	g := newHarness(t, baseConfig(), testServers(4)...)
+	id, _ := g.request(safeClass)
 	s := g.b.requests[id].attempts[0].server.ID
 	g.now += 10
-	g.acts = nil
-	g.do(ClientDisconnected{Request: id})
-	g.do(Outcome{Request: id, Server: s, Result: Reset, Latency: 10, Finished: true})
-	g.do(TimerFired{Token: uint64(id)})
-	g.do(ClientDisconnected{Request: id})
-	for _, a := range g.acts {
+	g.actions = nil
+	g.handle(ClientDisconnected{Request: id})
+	g.handle(Outcome{Request: id, Server: s, Result: Reset, Latency: 10, Finished: true})
+	g.handle(TimerFired{Token: uint64(id)})
+	g.handle(ClientDisconnected{Request: id})
+	for _, a := range g.actions {
 		if a.Kind != Cancel {
 			t.Errorf("after the hang-up: %+v", a)
 		}
@@ -348,30 +348,30 @@
 }
 
 // With the list service out of reach it must be asked within the stated time: else the rules take the list as told.
-func TestListIsAskedWithinTheLimit(t *testing.T) {
+func TestListIsRequestedWithinRefreshLimit(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Subscribe, cfg.ListRefreshLimit = true, 3000
-	g := newRig(t, cfg, fleet(4)...)
+	g := newHarness(t, cfg, testServers(4)...)
 	for range 20 {
-		acts := g.do(ServerList{Kind: ListFailed})
+		acts := g.handle(ServerList{Kind: ListFailed})
 		if len(acts) != 1 || acts[0].Kind != SetTimer || acts[0].At > cfg.ListRefreshLimit*3/4 {
 			t.Fatalf("after a failed call: %+v", acts)
 		}
 		g.now += acts[0].At
-		if acts = g.do(TimerFired{Token: acts[0].Token}); !has(acts, Subscribe) {
+		if acts = g.handle(TimerFired{Token: acts[0].Token}); !hasAction(acts, Subscribe) {
 			t.Fatalf("the list is not asked again: %+v", acts)
 		}
 	}
 }
 
 // A refusal says when to come back, and never later than clients obey.
-func TestRefusalTellsHoldOff(t *testing.T) {
+func TestRefusalHasBoundedRetryAfter(t *testing.T) {
 	cfg := baseConfig()
 	cfg.MaxRetryAfter = 20
-	g := newRig(t, cfg, fleet(1)...)
-	id, _ := g.ask(unsafeClass)
+	g := newHarness(t, cfg, testServers(1)...)
+	id, _ := g.request(unsafeClass)
 	g.now += cfg.Classes[unsafeClass].Deadline
-	acts := g.answer(id, 0, Rejected, 1)
+	acts := g.endAttempt(id, 0, Rejected, 1)
 	if len(acts) != 1 || acts[0].Kind != Refuse || acts[0].At <= 0 || acts[0].At > cfg.MaxRetryAfter {
 		t.Fatalf("did %v", acts)
 	}
--- a/balance/server.go
+++ b/balance/server.go
@@ -10,12 +10,12 @@
 	Server // its entry in the list
 
 	// Of the rotation.
-	running        float64 // running value of smooth weighted round robin
-	randomized     bool    // running has its random start
-	randomizedCold bool    // ... which it got in slow start
-	share          float64 // its part of the fleet's capacity, in the unit of weights
-	weight         float64 // in the present pick; 0: not eligible
-	loadKnown      bool    // in the present pick: its pending requests are known as well as can be
+	currentWeight         float64 // running value of smooth weighted round robin
+	randomized            bool    // running has its random start
+	randomizedInSlowStart bool    // ... which it got in slow start
+	share                 float64 // its part of the fleet's capacity, in the unit of weights
+	weight                float64 // in the present pick; 0: not eligible
+	loadKnown             bool    // in the present pick: its pending requests are known as well as can be
 
 	// Learned sizes: its own beyond its kind's and its zone's.
 	size       size
@@ -84,7 +84,7 @@
 		s = &server{size: size{factor: 1}, warmUpStart: math.Inf(-1), lastSentAt: math.Inf(1)}
 		s.byClass = make([]classHealth, classes)
 		for c := range s.byClass {
-			s.byClass[c].at = math.Inf(-1)
+			s.byClass[c].recordedAt = math.Inf(-1)
 		}
 		t.byID[entry.ID] = s
 		t.servers = append(t.servers, s)
--- a/balance/servers.go
+++ b/balance/servers.go
@@ -2,18 +2,18 @@
 
 // Parameters of requests for the server list. Peers are the sidecars of the fleet.
 const (
-	listRetryBackoff    = 500  // ms before a retry of a list request, at most; doubles with each failure
-	maxBackoffShift     = 4    // ... at most so often
-	listRetryPerPeer    = 50   // ms more for each peer beyond fewPeers: all of them fail together
-	minListRetryShare   = 0.33 // part of Config.ListRefreshLimit that a pause takes at most, with few peers
-	maxListRetryShare   = 0.7  // ... and with many; the request itself takes time, too
-	fewPeers            = 20   // peers that may send a request at once
-	manyPeers           = 100  // ... times the shares above are the peers between which the limit is spread
-	maxInitialListDelay = 2000 // ms after the start by which a sidecar with many peers has asked
-	minPauseFewPeers    = 0.5  // least part of the pause, the rest is random
-	minPauseManyPeers   = 0.1
-	slowStartSafety     = 2 // a server in slow start is sent at most its overload factor over this
-	slowStartBurstShare = 4 // ... with bursts of at most Config.ColdOverloadTime over this
+	listRetryBackoffMillis    = 500  // ms before a retry of a list request, at most; doubles with each failure
+	maxBackoffShift           = 4    // ... at most so often
+	listRetryPerPeerMillis    = 50   // ms more for each peer beyond fewPeers: all of them fail together
+	minListRetryShare         = 0.33 // part of Config.ListRefreshLimit that a pause takes at most, with few peers
+	maxListRetryShare         = 0.7  // ... and with many; the request itself takes time, too
+	fewPeers                  = 20   // peers that may send a request at once
+	manyPeers                 = 100  // ... times the shares above are the peers between which the limit is spread
+	maxInitialListDelayMillis = 2000 // ms after the start by which a sidecar with many peers has asked
+	minPauseFewPeers          = 0.5  // least part of the pause, the rest is random
+	minPauseManyPeers         = 0.1
+	slowStartSafety           = 2 // a server in slow start is sent at most its overload factor over this
+	slowStartBurstShare       = 4 // ... with bursts of at most Config.ColdOverloadTime over this
 )
 
 // warmingUp reports whether the server is in slow start.
@@ -22,7 +22,7 @@
 // slowStartFactor is the least part of its capacity that a server has in slow start; 1 when it is warm.
 func (b *Balancer) slowStartFactor(s *server) float64 {
 	age := max(0, b.now-s.warmUpStart) / max(b.cfg.SlowStartTime, 1)
-	return b.cfg.SlowStartFrom + (1-b.cfg.SlowStartFrom)*min(1, age)
+	return b.cfg.SlowStartInitialFraction + (1-b.cfg.SlowStartInitialFraction)*min(1, age)
 }
 
 // withinSlowStartBudget reports whether a server in slow start may receive an attempt now. The hard limit, a
@@ -66,7 +66,7 @@
 		b.emit(Action{Kind: Subscribe})
 		return
 	}
-	spread := min(listRetryPerPeer/2*float64(b.cfg.Peers), maxInitialListDelay)
+	spread := min(listRetryPerPeerMillis/2*float64(b.cfg.Peers), maxInitialListDelayMillis)
 	b.emit(Action{Kind: SetTimer, Token: listTimer, At: spread * b.random.draw()})
 }
 
@@ -75,7 +75,7 @@
 // sidecars need no spread and had better wait. The pause stays within Config.ListRefreshLimit.
 func (b *Balancer) retryList() {
 	peers := float64(b.cfg.Peers)
-	pause := (listRetryBackoff + listRetryPerPeer*max(0, peers-fewPeers)) *
+	pause := (listRetryBackoffMillis + listRetryPerPeerMillis*max(0, peers-fewPeers)) *
 		float64(int(1)<<min(b.listFailures, maxBackoffShift))
 	minPart := minPauseFewPeers
 	if peers >= fewPeers {
--- a/balance/settings_test.go
+++ b/balance/settings_test.go
@@ -8,7 +8,7 @@
 )
 
 // Settings that the first deployments do not use. Each run checks rules 1 to 3 as it goes.
-func TestOtherSettings(t *testing.T) {
+func TestUncommonSettingsKeepRules(t *testing.T) {
 	for name, change := range map[string]func(*Config, *int){
 		"one server":  func(_ *Config, n *int) { *n = 1 },
 		"hundreds":    func(_ *Config, n *int) { *n = 300 },
@@ -17,10 +17,10 @@
 		"streams":     func(c *Config, _ *int) { c.Classes[safeClass].Stream = true },
 		"tenants":     func(c *Config, _ *int) { c.Tenants = []Tenant{{Share: 0.9}, {Share: 0.1}, {}} },
 		"no cold rule": func(c *Config, _ *int) {
-			c.SlowStartTime, c.ColdOverloadTime, c.ColdOverloadFactor, c.SlowStartFrom = 0, 0, 0, 0
+			c.SlowStartTime, c.ColdOverloadTime, c.ColdOverloadFactor, c.SlowStartInitialFraction = 0, 0, 0, 0
 		},
 		"probes, free":     func(c *Config, _ *int) { c.Probes, c.Reports, c.Fields = true, ReportProbe, []Field{FieldInFlight} },
-		"probes, dear":     func(c *Config, _ *int) { c.Probes, c.Reports, c.Prices.Probe = true, ReportProbe, 10 },
+		"probes, dear":     func(c *Config, _ *int) { c.Probes, c.Reports, c.Penalties.Probe = true, ReportProbe, 10 },
 		"probes, no field": func(c *Config, _ *int) { c.Probes, c.Reports, c.Fields = true, ReportProbe, []Field{FieldUnknown} },
 		"piggyback":        func(c *Config, _ *int) { c.Reports, c.Fields = ReportPiggyback, []Field{FieldUtil, FieldRate} },
 		"aims of zero":     func(c *Config, _ *int) { c.Classes[safeClass].LatencyTarget, c.Classes[unsafeClass].Value = 0, 0 },
@@ -28,10 +28,10 @@
 		t.Run(name, func(t *testing.T) {
 			cfg, n := baseConfig(), 6
 			change(&cfg, &n)
-			w := newWorld(t, rand.New(rand.NewSource(7)), cfg)
-			list := fleet(n)
+			w := newSimulation(t, rand.New(rand.NewSource(7)), cfg)
+			list := testServers(n)
 			for i := range list {
-				w.servers[list[i].ID], w.told[list[i].ID] = &list[i], true
+				w.servers[list[i].ID], w.sendable[list[i].ID] = &list[i], true
 			}
 			w.handle(ServerList{Kind: ListFull, Servers: list})
 			sent := 0
@@ -39,56 +39,56 @@
 				w.now += 9
 				w.fireTimers()
 				class := int(id) % len(cfg.Classes)
-				w.open[id] = &openRequest{class: class, deadline: w.now + 300}
+				w.requests[id] = &simulatedRequest{class: class, deadline: w.now + 300}
 				w.handle(Request{ID: id, Class: class, Tenant: int(id) % 5, Remaining: 300})
 				for len(w.probes) > 0 {
 					s := w.probes[0]
 					w.probes = w.probes[1:]
 					w.handle(ProbeResult{Server: s, Report: []float32{1}})
 				}
-				sent += len(w.open[id].tries)
+				sent += len(w.requests[id].attempts)
 				if id > 2 {
-					w.serve(id - 2)
+					w.completeAttempts(id - 2)
 				}
 			}
-			for w.now += 1000; w.anyOpen() && len(w.timers) > 0; w.now += 1000 {
+			for w.now += 1000; w.anyUnanswered() && len(w.timers) > 0; w.now += 1000 {
 				w.fireTimers()
 			}
-			if w.anyOpen() || sent < 300 {
-				t.Fatalf("unanswered requests: %v; %d of 400 sent", w.anyOpen(), sent)
+			if w.anyUnanswered() || sent < 300 {
+				t.Fatalf("unanswered requests: %v; %d of 400 sent", w.anyUnanswered(), sent)
 			}
 		})
 	}
 }
 
 // serve answers what is out for a request, if anything is.
-func (w *world) serve(id RequestID) {
-	o := w.open[id]
-	for i := range o.tries {
-		if a := &o.tries[i]; a.live {
-			a.live, o.answered = false, true
-			w.handle(Outcome{Request: id, Attempt: i, Server: a.server.ID, Latency: w.now - a.sent, Finished: true})
+func (w *simulation) completeAttempts(id RequestID) {
+	o := w.requests[id]
+	for i := range o.attempts {
+		if a := &o.attempts[i]; a.inFlight {
+			a.inFlight, o.answered = false, true
+			w.handle(Outcome{Request: id, Attempt: i, Server: a.server.ID, Latency: w.now - a.sentAt, Finished: true})
 		}
 	}
 }
 
 // What has ended is forgotten: requests, servers that are gone, probes that are waited for.
-func TestMemoryStaysFlat(t *testing.T) {
-	g := newRig(t, probeConfig(), fleet(5)...)
+func TestMemoryIsBounded(t *testing.T) {
+	g := newHarness(t, probeConfig(), testServers(5)...)
 	for i := range 20000 {
-		g.acts = g.acts[:0]
+		g.actions = g.actions[:0]
 		g.now += 5
-		id, acts := g.ask(safeClass)
-		acts = append(acts, g.probes(acts, 0, nil)...)
+		id, acts := g.request(safeClass)
+		acts = append(acts, g.answerProbes(acts, 0, nil)...)
 		if _, ok := sentTo(acts); ok {
-			g.answer(id, 0, OK, 5)
+			g.endAttempt(id, 0, OK, 5)
 		}
 		if i%20 == 0 { // a rolling deploy: new names all the time
-			list := fleet(5)
+			list := testServers(5)
 			for k := range list {
 				list[k].ID = ServerID(i + k + 1)
 			}
-			g.do(ServerList{Kind: ListFull, Servers: list})
+			g.handle(ServerList{Kind: ListFull, Servers: list})
 		}
 	}
 	b := g.b
@@ -103,7 +103,7 @@
 		b.Run(fmt.Sprintf("%d-servers", n), func(b *testing.B) {
 			bal := New(baseConfig())
 			bal.Start(0)
-			if _, err := bal.Handle(0, ServerList{Kind: ListFull, Servers: fleet(n)}); err != nil {
+			if _, err := bal.Handle(0, ServerList{Kind: ListFull, Servers: testServers(n)}); err != nil {
 				b.Fatal(err)
 			}
 			b.ReportAllocs()
@@ -128,16 +128,16 @@
 
 // With 1,500 sidecars that start alike, first picks and repeated list calls must differ by seed, or all
 // meet at one server and at the server list.
-func TestSidecarsThatStartTogetherChooseApart(t *testing.T) {
+func TestSimultaneousSidecarsSpreadPicksAndListRequests(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Peers, cfg.Subscribe = 1500, true
 	first, pauses := map[ServerID]int{}, map[float64]bool{}
 	for n := range 300 {
 		cfg.Seed, cfg.Index = uint64(n+1), n
-		g := newRig(t, cfg, fleet(30)...)
+		g := newHarness(t, cfg, testServers(30)...)
 		g.randomStart()
-		first[sequence(g, 1)[0]]++
-		pauses[math.Round(g.do(ServerList{Kind: ListFailed})[0].At/10)] = true
+		first[sendSequentially(g, 1)[0]]++
+		pauses[math.Round(g.handle(ServerList{Kind: ListFailed})[0].At/10)] = true
 	}
 	for id, n := range first {
 		if n > 30 { // a thirtieth would be 10
@@ -150,21 +150,21 @@
 }
 
 // A number beyond the count, or no count, must not matter: nothing is decided by them.
-func TestSenselessNumbersOfSidecars(t *testing.T) {
+func TestInvalidSidecarCountsAreIgnored(t *testing.T) {
 	for _, c := range [][2]int{{0, 0}, {7, 3}, {-1, 1}, {5, -2}} {
 		cfg := baseConfig()
 		cfg.Index, cfg.Peers = c[0], c[1]
-		if got := sequence(newRig(t, cfg, fleet(3)...), 6); len(got) != 6 {
+		if got := sendSequentially(newHarness(t, cfg, testServers(3)...), 6); len(got) != 6 {
 			t.Errorf("number %d of %d: %v", c[0], c[1], got)
 		}
 	}
 }
 
 // Messages are not used: cut, foreign or old ones change nothing.
-func TestMessagesAreIgnored(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(3)...)
+func TestPeerMessagesAreIgnored(t *testing.T) {
+	g := newHarness(t, baseConfig(), testServers(3)...)
 	for _, data := range [][]byte{nil, {0}, {0xff, 0xff, 0xff}, make([]byte, 256)} {
-		if acts := g.do(PeerMessage{From: -1, Data: data}); len(acts) > 0 {
+		if acts := g.handle(PeerMessage{From: -1, Data: data}); len(acts) > 0 {
 			t.Errorf("%v: %+v", data, acts)
 		}
 	}
@@ -172,22 +172,22 @@
 
 // A sidecar with a request a second meets a zone that takes requests and answers nothing: after some
 // overdue attempts most go elsewhere, and open connections there do not keep it.
-func TestTrickleLeavesAHungZone(t *testing.T) {
+func TestLowTrafficSidecarLeavesHungZone(t *testing.T) {
 	cfg := baseConfig()
-	cfg.ConnIdle, cfg.Prices.Handshake, cfg.Prices.CrossZone = 15000, 0.08, 0.03
-	g := newRig(t, cfg, fleet(16)...) // four zones; this sidecar is in the first
+	cfg.ConnIdle, cfg.Penalties.Handshake, cfg.Penalties.CrossZone = 15000, 0.08, 0.03
+	g := newHarness(t, cfg, testServers(16)...) // four zones; this sidecar is in the first
 	g.randomStart()
-	sequence(g, 30)
+	sendSequentially(g, 30)
 	hung := 0
 	for i := range 40 {
 		g.now += 1000
-		id, acts := g.ask(safeClass)
+		id, acts := g.request(safeClass)
 		s, ok := sentTo(acts)
 		if !ok {
 			t.Fatalf("request %d was not sent", i)
 		}
 		if s > 4 {
-			g.answer(id, 0, OK, 30)
+			g.endAttempt(id, 0, OK, 30)
 			continue
 		}
 		if i >= 20 {
@@ -196,12 +196,12 @@
 		end := g.now + 900
 		for r := g.b.requests[id]; r.timerAt < end; {
 			g.now = r.timerAt
-			g.do(TimerFired{Token: uint64(id)})
+			g.handle(TimerFired{Token: uint64(id)})
 		}
 		g.now = end
-		acts = g.answer(id, 0, TimedOut, 900)
+		acts = g.endAttempt(id, 0, TimedOut, 900)
 		if _, again := sentTo(acts); again {
-			g.answer(id, 1, OK, 30)
+			g.endAttempt(id, 1, OK, 30)
 		}
 	}
 	if hung > 4 { // 7 without counting errors, 20 without learning from them either
--- a/balance/snapshot.go
+++ b/balance/snapshot.go
@@ -36,12 +36,12 @@
 func (b *Balancer) Snapshot(now float64) Snapshot {
 	snap := Snapshot{
 		Listed:           len(b.servers),
-		SteadyShed:       b.shedder.steady,
+		SteadyShed:       b.shedder.steadyShed,
 		LateShare:        b.traffic.latency.lateShare,
-		LatencyRatio:     b.traffic.latency.ratio,
-		BestLatencyRatio: b.traffic.latency.best,
+		LatencyRatio:     b.traffic.latency.meanRatio,
+		BestLatencyRatio: b.traffic.latency.bestRatio,
 		Load:             b.openLoad(),
-		AnswerRate:       b.traffic.rate.long / rateWindowTargets / b.maxLatencyTarget,
+		AnswerRate:       b.traffic.rate.longCount / rateWindowTargets / b.maxLatencyTarget,
 	}
 	for _, s := range b.servers {
 		if s.State != Ready {
--- a/balance/state.go
+++ b/balance/state.go
@@ -38,10 +38,10 @@
 		shutdownAt:       math.Inf(1),
 		serverTable:      serverTable{byID: map[ServerID]*server{}},
 		requests:         map[RequestID]*request{},
-		rotation:         rotation{lastWinner: 1},
+		rotation:         rotation{lastPickedWeight: 1},
 		sizes:            sizeLearner{kinds: map[int]*size{}, zones: map[int]*size{}},
 		traffic:          newTraffic(&cfg),
-		shedder:          shedder{byReports: cfg.Reports == ReportProbe},
+		shedder:          shedder{usesLoadReports: cfg.Reports == ReportProbe},
 		probing:          probing{busyShare: 1},
 	}
 	for i := range cfg.Classes {
@@ -66,7 +66,7 @@
 	b.cfg.Classes = append(b.cfg.Classes, c)
 	b.addClassStats(&c)
 	for _, s := range b.servers {
-		s.byClass = append(s.byClass, classHealth{at: math.Inf(-1)})
+		s.byClass = append(s.byClass, classHealth{recordedAt: math.Inf(-1)})
 	}
 	for _, r := range b.requests { // the slices that they point into may have moved
 		r.class, r.stats = &b.cfg.Classes[r.Class], &b.traffic.classes[r.Class]
--- a/internal/core/loop_test.go
+++ b/internal/core/loop_test.go
@@ -31,7 +31,7 @@
 	return New(t.Context(), Config{
 		Balance: balance.Config{
 			Classes: []balance.Class{{Deadline: 20000, LatencyTarget: 4000, Value: 1}}, Tenants: []balance.Tenant{{Share: 1}},
-			MaxAttempts: 3, SlowStartFrom: 1, StreamsPerConn: 1, Peers: 1, Cancel: true,
+			MaxAttempts: 3, SlowStartInitialFraction: 1, StreamsPerConn: 1, Peers: 1, Cancel: true,
 		},
 		InitialList: &roster.List{}, Log: slog.New(slog.DiscardHandler), Backend: func(string) Backend { return b },
 	})
--- a/mesh/dataplane/service.go
+++ b/mesh/dataplane/service.go
@@ -79,24 +79,24 @@
 	s := &service{name: name, zone: settings.Zone, inFlight: p.inFlight, classes: map[classKey]int{}}
 	s.exchange = core.New(p.ctx, core.Config{
 		Balance: balance.Config{
-			Seed:               hashSeed(settings.NodeName+name) ^ uint64(p.start.UnixNano()),
-			Zone:               own,
-			MaxAttempts:        maxAttempts,
-			Cancel:             true,
-			RetryAfter:         true,
-			MaxRetryAfter:      maxRetryAfterMillis,
-			ConnectTimeout:     float64(hopConnectTimeout / time.Millisecond),
-			ConnIdle:           float64(hopIdleTimeout / time.Millisecond),
-			StreamsPerConn:     1,
-			SlowStartFrom:      coldShare,
-			SlowStartTime:      maxWarmUpMillis,
-			ColdOverloadFactor: fallMultiple,
-			ColdOverloadTime:   fallMillis,
-			Goal:               balance.Goal{Total: 1},
-			Prices:             balance.Prices{CrossZone: crossZonePrice},
-			RetryAfterFraction: retryAfterShare,
-			LastHop:            true,
-			RetryBudget:        newRetryBudget(&settings.Bounds, p.node.State().Directory.Len()),
+			Seed:                     hashSeed(settings.NodeName+name) ^ uint64(p.start.UnixNano()),
+			Zone:                     own,
+			MaxAttempts:              maxAttempts,
+			Cancel:                   true,
+			RetryAfter:               true,
+			MaxRetryAfter:            maxRetryAfterMillis,
+			ConnectTimeout:           float64(hopConnectTimeout / time.Millisecond),
+			ConnIdle:                 float64(hopIdleTimeout / time.Millisecond),
+			StreamsPerConn:           1,
+			SlowStartInitialFraction: coldShare,
+			SlowStartTime:            maxWarmUpMillis,
+			ColdOverloadFactor:       fallMultiple,
+			ColdOverloadTime:         fallMillis,
+			Goal:                     balance.Goal{Total: 1},
+			Penalties:                balance.Penalties{CrossZone: crossZonePrice},
+			RetryAfterFraction:       retryAfterShare,
+			LastHop:                  true,
+			RetryBudget:              newRetryBudget(&settings.Bounds, p.node.State().Directory.Len()),
 		},
 		Zones:        zones,
 		Kinds:        map[string]int{},
@@ -158,16 +158,16 @@
 // classOf is the balancer's class of a route.
 func classOf(r *config.Route) balance.Class {
 	c := balance.Class{
-		Effect:        balance.Safe,
-		LatencyTarget: r.LatencyTargetS * millisPerSecond,
-		Deadline:      r.Action.TimeoutS * millisPerSecond,
-		Value:         1 / (1 + math.Max(0, float64(r.Precedence))),
-		LateValue:     lateWorth,
-		DedupWindow:   math.Inf(1),
-		MaxWait:       backlogShare,
+		Effect:          balance.Safe,
+		LatencyTarget:   r.LatencyTargetS * millisPerSecond,
+		Deadline:        r.Action.TimeoutS * millisPerSecond,
+		Value:           1 / (1 + math.Max(0, float64(r.Precedence))),
+		LateValue:       lateWorth,
+		DedupWindow:     math.Inf(1),
+		MaxWaitFraction: backlogShare,
 	}
 	if r.Rank == 0 {
-		c.MaxWait = urgentBacklogShare
+		c.MaxWaitFraction = urgentBacklogShare
 	}
 	if !r.Idempotent() {
 		c.Effect = balance.Unsafe
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -103,8 +103,8 @@
 	"read_like": balance.Safe, "idempotency_key": balance.Keyed, "non_idempotent": balance.Unsafe,
 }
 
-var groups = map[string]balance.Group{
-	"": balance.GroupAll, "all": balance.GroupAll, "zone": balance.GroupZone, "cell": balance.GroupCell,
+var groups = map[string]balance.DedupScope{
+	"": balance.DedupAll, "all": balance.DedupAll, "zone": balance.DedupZone, "cell": balance.DedupCell,
 }
 
 var reportWays = map[string]balance.ReportMode{
@@ -145,17 +145,17 @@
 func (s *settings) config(seed uint64) (balance.Config, error) {
 	cfg := balance.Config{
 		Seed: seed, Index: s.Me, Peers: max(s.Peers, 1), Zone: s.Zone,
-		OverShareValue: or(s.OverShare, 1), Quantum: s.Quantum,
+		OverShareValue: or(s.OverShare, 1), MinBatchInterval: s.Quantum,
 		ParallelAttempts: s.Limits.Parallel, Cancel: s.Limits.Cancel, Probes: s.Limits.Probes,
 		Messages: s.Limits.MayTell, RetryAfter: s.Limits.RetryAfter,
 		MaxRetryAfter: s.Limits.MaxRetryAfter, ConnectTimeout: s.Limits.ConnectTimeout, ConnIdle: s.Limits.ConnIdle,
 		MaxAttempts: or(s.Limits.MaxAttempts, 1), StreamsPerConn: or(s.Limits.Streams, 1), MaxOpenRequests: s.Limits.OpenCap,
 		ValueByWork: s.ValueBy == "work", ClientsMarkRetries: s.Clients.MarksRetry,
-		DrainGrace: s.Rules.DrainGrace, SlowStartFrom: or(s.Rules.ColdFrom, 1), SlowStartTime: s.Rules.ColdTime,
+		DrainGrace: s.Rules.DrainGrace, SlowStartInitialFraction: or(s.Rules.ColdFrom, 1), SlowStartTime: s.Rules.ColdTime,
 		ColdOverloadFactor: s.Rules.FallMultiple, ColdOverloadTime: s.Rules.FallTime,
 		ListRefreshLimit: s.Rules.AskWithin, AnswerSlack: s.Rules.AnswerSlack,
-		Goal:   balance.Goal(s.Goal),
-		Prices: balance.Prices(s.Prices),
+		Goal:      balance.Goal(s.Goal),
+		Penalties: balance.Penalties(s.Prices),
 	}
 	switch s.Discovery {
 	case "", "automatic":
@@ -239,7 +239,7 @@
 			aim = c.Deadline
 		}
 		cfg.Classes = append(cfg.Classes, balance.Class{
-			Effect: effect, Group: group, DedupWindow: or(c.Window, math.Inf(1)), LatencyTarget: aim, TargetStretch: c.AimStretch,
+			Effect: effect, DedupScope: group, DedupWindow: or(c.Window, math.Inf(1)), LatencyTarget: aim, TargetStretch: c.AimStretch,
 			Deadline: c.Deadline, Value: or(c.Worth, 1), LateValue: c.LateWorth, Stream: c.Stream,
 		})
 	}
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -31,18 +31,18 @@
 		t.Fatal(err)
 	}
 	if cfg.Seed != 9 || !cfg.Subscribe || cfg.Index != 2 || cfg.Peers != 5 || !cfg.ParallelAttempts || !cfg.Probes ||
-		cfg.Cancel || cfg.MaxAttempts != 4 || cfg.SlowStartFrom != 0.2 || cfg.Tenants[0].Share != 0.4 {
+		cfg.Cancel || cfg.MaxAttempts != 4 || cfg.SlowStartInitialFraction != 0.2 || cfg.Tenants[0].Share != 0.4 {
 		t.Errorf("%+v", cfg)
 	}
 	if want := (balance.Goal{Total: 0.4, WorstWindow: 0.3, WorstClass: 0.2, WorstTenant: 0.1}); cfg.Goal != want {
 		t.Errorf("goal %+v", cfg.Goal)
 	}
-	want := balance.Prices{CrossZone: 1, Waste: 2, Handshake: 3, Probe: 4, Peer: 5, LateFail: 6}
-	if cfg.Prices != want {
-		t.Errorf("prices %+v", cfg.Prices)
+	want := balance.Penalties{CrossZone: 1, Waste: 2, Handshake: 3, Probe: 4, Peer: 5, LateFail: 6}
+	if cfg.Penalties != want {
+		t.Errorf("prices %+v", cfg.Penalties)
 	}
 	second := cfg.Classes[1]
-	if second.Effect != balance.Keyed || second.Group != balance.GroupCell || second.LatencyTarget != 600 || second.Value != 1 {
+	if second.Effect != balance.Keyed || second.DedupScope != balance.DedupCell || second.LatencyTarget != 600 || second.Value != 1 {
 		t.Errorf("a class with keys left out: %+v", second)
 	}
 	if cfg.Reports != balance.ReportProbe || len(cfg.Fields) != 3 || cfg.Fields[1] != balance.FieldUnknown {
@@ -76,7 +76,7 @@
 		cfg.MaxOpenRequests != 77 || cfg.StreamsPerConn != 8 {
 		t.Errorf("%+v", cfg)
 	}
-	if cfg.Goal.Nines != 0.3 || cfg.Prices.Connection != 0.02 || cfg.ListRefreshLimit != 7000 || cfg.ColdOverloadFactor != 2 {
+	if cfg.Goal.Nines != 0.3 || cfg.Penalties.Connection != 0.02 || cfg.ListRefreshLimit != 7000 || cfg.ColdOverloadFactor != 2 {
 		t.Errorf("%+v", cfg)
 	}
 }
