--- a/balance/helpers_test.go
+++ b/balance/helpers_test.go
@@ -39,7 +39,7 @@
 	g.actions = append(g.actions, g.b.Start(g.now)...)
 	g.handle(ServerList{Kind: ListCached, Servers: servers})
 	for _, s := range g.b.servers {
-		s.currentWeight, s.randomized = 0, true // the random start would hide the sequence
+		s.currentWeight, s.seeded = 0, true // the random start would hide the sequence
 	}
 	return g
 }
@@ -47,7 +47,7 @@
 // randomStart gives the servers their random start back, which newRig takes away.
 func (g *harness) randomStart() {
 	for _, s := range g.b.servers {
-		s.randomized = false
+		s.seeded = false
 	}
 }
 
--- a/balance/lasthop_test.go
+++ b/balance/lasthop_test.go
@@ -72,14 +72,14 @@
 	for _, c := range []struct {
 		name            string
 		class, attempts int
-		left, want      int
+		budget, want    int
 	}{
 		{"one more, as the purse has it", 0, 2, 5, 2},
 		{"one attempt, whatever the purse has", 0, 1, 5, 1},
 		{"an empty purse", 0, 2, 0, 1},
 		{"what must not run twice", 1, 3, 5, 1},
 	} {
-		b, _ := newLastHop(5, &limitedBudget{remaining: c.left})
+		b, _ := newLastHop(5, &limitedBudget{remaining: c.budget})
 		sent, last := runRequest(t, b, Request{ID: 1, Class: c.class, Remaining: 2000, MaxAttempts: c.attempts}, failed, failed, failed)
 		if len(sent) != c.want || last.Kind != Refuse && last.Kind != Fail {
 			t.Errorf("%s: sent to %v, then %v", c.name, sent, last.Kind)
--- a/balance/load.go
+++ b/balance/load.go
@@ -5,7 +5,7 @@
 // Parameters of the estimates of rate and latency.
 const (
 	rateWindowTargets   = 8    // span of the rate of answers, in longest latency targets
-	minElapsedFraction  = 1e-3 // least part of the span that counts as elapsed after the start
+	minElapsed          = 1e-3 // least part of the span that counts as elapsed after the start
 	burstDeviations     = 2    // a faster recent rate counts if it is certain by so many deviations
 	gainWindowMillis    = 1000 // ms that an average over answers covers, however many answers there are
 	minGain             = 0.01 // least step of such an average
@@ -37,7 +37,7 @@
 func (e *rateEstimator) perMillis(now, assumed float64) float64 {
 	e.add(now, 0)
 	shortSpan, longSpan := e.span, rateWindowTargets*e.span
-	average := (e.longCount + assumed) / longSpan / max(-math.Expm1((e.startedAt-now)/longSpan), minElapsedFraction)
+	average := (e.longCount + assumed) / longSpan / max(-math.Expm1((e.startedAt-now)/longSpan), minElapsed)
 	return max(average, (e.shortCount-burstDeviations*math.Sqrt(e.shortCount))/shortSpan)
 }
 
--- a/balance/regression_test.go
+++ b/balance/regression_test.go
@@ -266,8 +266,8 @@
 // sidecar that has not shed lately refuses nothing, as its few requests may crowd by chance.
 func TestSheddingFollowsLoadAtOnce(t *testing.T) {
 	for _, c := range []struct {
-		lasting, over float64 // over: of the aim, beyond what answers may take
-		least, most   float64 // part refused
+		steady, excess         float64 // over: of the aim, beyond what answers may take
+		minRefused, maxRefused float64 // part refused
 	}{{0, 0.5, 0, 0.05}, {0.4, 0, 0.3, 0.5}, {0.4, 0.5, 0.7, 0.9}, {0.4, -0.3, 0, 0}} {
 		g := newHarness(t, baseConfig(), testServers(4)...)
 		for range 100 {
@@ -277,12 +277,12 @@
 		}
 		refused := 0.0
 		for range 200 {
-			g.setLoad(c.lasting, c.over)
+			g.setLoad(c.steady, c.excess)
 			if _, acts := g.request(safeClass); hasAction(acts, Refuse) {
 				refused++
 			}
 		}
-		if refused /= 200; refused < c.least || refused > c.most {
+		if refused /= 200; refused < c.minRefused || refused > c.maxRefused {
 			t.Errorf("%+v: %.2f were refused", c, refused)
 		}
 	}
--- a/balance/rotation.go
+++ b/balance/rotation.go
@@ -42,16 +42,16 @@
 		_, maxPerWeight = b.updateWeights(r, retry, true)
 	}
 	var best *server
-	bestOverShare := false
+	bestOver := false
 	for _, s := range b.servers {
 		if s.weight == 0 || b.warmingUp(s) && !b.withinSlowStartBudget(s) {
 			continue
 		}
 		// Bounded load: a server with more than its share is slow, hung or overloaded; it keeps its running
 		// value.
-		overShare := !s.loadKnown || s.probing || b.pendingAt(s)+1 > math.Ceil(maxPerWeight*s.weight)
-		if best == nil || bestOverShare && !overShare || overShare == bestOverShare && b.preferred(r, s, best, retry, overShare) {
-			best, bestOverShare = s, overShare
+		over := !s.loadKnown || s.probing || b.pendingAt(s)+1 > math.Ceil(maxPerWeight*s.weight)
+		if best == nil || bestOver && !over || over == bestOver && b.preferred(r, s, best, retry, over) {
+			best, bestOver = s, over
 		}
 	}
 	if best != nil {
@@ -101,8 +101,8 @@
 // random within the turn before the last winner, so that sidecars do not begin at the same server.
 func (b *Balancer) advance(r *request, s *server, retry bool, total float64) {
 	warmingUp := b.warmingUp(s)
-	if !s.randomized || s.randomizedInSlowStart && !warmingUp {
-		s.currentWeight, s.randomized, s.randomizedInSlowStart = b.rotation.lastPickedWeight-b.random.draw(), true, warmingUp
+	if !s.seeded || s.seededCold && !warmingUp {
+		s.currentWeight, s.seeded, s.seededCold = b.rotation.lastPickedWeight-b.random.draw(), true, warmingUp
 		*r.currentWeight(s, b.now) = s.currentWeight
 	}
 	if !retry {
@@ -113,17 +113,17 @@
 
 // preferred reports whether s precedes best. Where all servers are over their share, a first attempt goes to
 // the one with the fewest pending requests for its weight.
-func (b *Balancer) preferred(r *request, s, best *server, retry, overShare bool) bool {
-	if overShare && s.loadKnown != best.loadKnown { // a high load that is known is better than one that is not
+func (b *Balancer) preferred(r *request, s, best *server, retry, over bool) bool {
+	if over && s.loadKnown != best.loadKnown { // a high load that is known is better than one that is not
 		return s.loadKnown
 	}
-	if overShare && !retry {
+	if over && !retry {
 		return (b.pendingAt(s)+1)*best.weight < (b.pendingAt(best)+1)*s.weight
 	}
 	if retry {
-		health, bestHealth := s.health(b.now)*r.classFactor(s, b.now), best.health(b.now)*r.classFactor(best, b.now)
-		if health != bestHealth {
-			return health > bestHealth
+		own, other := s.health(b.now)*r.classFactor(s, b.now), best.health(b.now)*r.classFactor(best, b.now)
+		if own != other {
+			return own > other
 		}
 	}
 	return *r.currentWeight(s, b.now) > *r.currentWeight(best, b.now)
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -100,28 +100,28 @@
 // not over its share, the turn decides.
 func TestFirstAttemptGoesToLeastLoadedWhenAllExceedShare(t *testing.T) {
 	for _, c := range []struct {
-		holds [4]int
-		want  ServerID
+		inFlight [4]int
+		want     ServerID
 	}{
 		{[4]int{4, 3, 4, 4}, 2}, // all are over
 		{[4]int{4, 4, 1, 0}, 3}, // 3 and 4 are not over, and it is the turn of 3
 	} {
 		g := newHarness(t, baseConfig(), testServers(4)...)
 		for i, s := range g.b.servers {
-			s.inFlight, s.currentWeight = c.holds[i], float64(10*(4-i))
+			s.inFlight, s.currentWeight = c.inFlight[i], float64(10*(4-i))
 		}
 		g.b.servers[1].consecutiveErrors, g.b.servers[1].lastErrorAt = 1, g.now-5000
 		r := &request{class: &g.b.cfg.Classes[safeClass], stats: &g.b.traffic.classes[safeClass]}
 		if c.want == 2 {
 			if s := g.b.pick(r, true); s.ID == 2 {
-				t.Errorf("%v: the re-route went to the server of lowest m", c.holds)
+				t.Errorf("%v: the re-route went to the server of lowest m", c.inFlight)
 			}
 			for i, s := range g.b.servers {
 				s.currentWeight = float64(10 * (4 - i))
 			}
 		}
 		if s := g.b.pick(r, false); s.ID != c.want {
-			t.Errorf("%v: sent to %d, not %d", c.holds, s.ID, c.want)
+			t.Errorf("%v: sent to %d, not %d", c.inFlight, s.ID, c.want)
 		}
 	}
 }
--- a/balance/server.go
+++ b/balance/server.go
@@ -10,12 +10,12 @@
 	Server // its entry in the list
 
 	// Of the rotation.
-	currentWeight         float64 // running value of smooth weighted round robin
-	randomized            bool    // running has its random start
-	randomizedInSlowStart bool    // ... which it got in slow start
-	share                 float64 // its part of the fleet's capacity, in the unit of weights
-	weight                float64 // in the present pick; 0: not eligible
-	loadKnown             bool    // in the present pick: its pending requests are known as well as can be
+	currentWeight float64 // running value of smooth weighted round robin
+	seeded        bool    // running has its random start
+	seededCold    bool    // ... which it got in slow start
+	share         float64 // its part of the fleet's capacity, in the unit of weights
+	weight        float64 // in the present pick; 0: not eligible
+	loadKnown     bool    // in the present pick: its pending requests are known as well as can be
 
 	// Learned sizes: its own beyond its kind's and its zone's.
 	size       size
--- a/balance/servers.go
+++ b/balance/servers.go
@@ -41,7 +41,7 @@
 // startSlowStart begins a server's slow start. The first budget is random, so that the first attempts of all
 // sidecars do not coincide.
 func (b *Balancer) startSlowStart(s *server, since float64) {
-	s.warmUpStart, s.tokensUpdatedAt, s.randomized = since, b.now, false
+	s.warmUpStart, s.tokensUpdatedAt, s.seeded = since, b.now, false
 	s.slowStartTokens = b.random.draw()
 }
 
