--- a/balance/api.go
+++ b/balance/api.go
@@ -1,12 +1,12 @@
 package balance
 
 // This file is the interface of the package: settings, events and actions. Times and durations are in milliseconds
-// unless stated otherwise.
+// unless a comment gives another unit.
 
 // ServerID identifies a server; it carries no other meaning.
 type ServerID uint64
 
-// RequestID identifies a request, and is below 1<<52. A client's retry has another one.
+// RequestID identifies a request and is below 1<<52. A retry by the client has an ID of its own.
 type RequestID uint64
 
 // Effect is whether a request may be executed more than once.
@@ -15,28 +15,28 @@
 // The effects that a class of requests can have.
 const (
 	Safe   Effect = iota // idempotent: may be retried at any server
-	Keyed                // has an idempotency key, by which the servers of a group recognise a retry for some time
+	Keyed                // has an idempotency key, by which the servers of its DedupScope recognise a retry for DedupWindow
 	Unsafe               // must never be executed twice
 )
 
-// Group is which servers recognise the idempotency key of an earlier attempt.
+// DedupScope is the set of servers that recognise the idempotency key of an earlier attempt.
 type DedupScope uint8
 
-// The groups: all servers, or those of the same zone or cell as the earlier attempt's.
+// The scopes: all servers, or those in the zone or cell of the earlier attempt's server.
 const (
 	DedupAll DedupScope = iota
 	DedupZone
 	DedupCell
 )
 
-// Class describes one class of requests. Requests refer to it by its index in Config.Classes.
+// Class holds the rules of one class of requests. Requests refer to it by its index in Config.Classes.
 type Class struct {
 	Effect          Effect
 	DedupScope      DedupScope // of Keyed
-	DedupWindow     float64    // of Keyed: how long a group remembers a key, from the first attempt that may have executed
-	LatencyTarget   float64    // an answer within this time earns the full value (SLO)
+	DedupWindow     float64    // of Keyed: how long the scope's servers store a key, from the first attempt that may have executed
+	LatencyTarget   float64    // an answer within this time (the SLO) earns the full Value
 	TargetStretch   float64    // the target grows by this multiple of the request's own work
-	Deadline        float64    // longest time that a client waits, over all its tries
+	Deadline        float64    // longest time that a client waits, over all its own attempts
 	Value           float64    // of a request served in time, relative to the other classes
 	LateValue       float64    // fraction of Value that an answer after the latency target still earns
 	Stream          bool       // answers are streamed
@@ -49,10 +49,10 @@
 	Share float64 // its fraction of the service; 0: unlimited
 }
 
-// ReportMode is how load reports reach a sidecar.
+// ReportMode is how servers report their load to a sidecar.
 type ReportMode uint8
 
-// The ways of load reports: none, with answers, or with the answers to probes only.
+// The report modes: none, with every answer, or with the answers to probes only.
 const (
 	ReportNone ReportMode = iota
 	ReportPiggyback
@@ -84,17 +84,17 @@
 	RatingLive                      // size over 1 + pending requests per core, sampled earlier
 )
 
-// Config holds the settings of one sidecar. Package settings reads them for the program and the simulator; the users'
-// page of settings is their source.
+// Config holds the settings of one sidecar. Package settings reads them for the program and the simulator; the page of
+// settings in the documentation defines them.
 type Config struct {
-	Seed               uint64 // of the random numbers; decisions depend on no other source of randomness
+	Seed               uint64 // of the random numbers, which are the only source of randomness in decisions
 	Index, Peers       int    // this sidecar's number, and the number of sidecars
 	Zone               int    // of this sidecar
 	Classes            []Class
 	Tenants            []Tenant
 	OverShareValue     float64 // value of a request beyond its tenant's share, as a fraction
-	MinBatchInterval   float64 // least time between two batches of events
-	ValueByWork        bool    // value is counted by work instead of by request
+	MinBatchInterval   float64 // shortest time between two batches of events
+	ValueByWork        bool    // value is counted per unit of work instead of per request
 	ClientsMarkRetries bool    // clients mark their retries, so that Request.Retry can be trusted
 
 	Subscribe bool       // the server list has to be subscribed to
@@ -108,18 +108,18 @@
 	Probes             bool        // servers may be probed
 	Messages           bool        // sidecars may send messages to each other
 	RetryAfter         bool        // refused clients are given a retry-after time
-	MaxRetryAfter      float64     // the longest one that they obey
+	MaxRetryAfter      float64     // the longest retry-after time that clients respect
 	ConnectTimeout     float64     // of a connection
 	ConnIdle           float64     // an idle connection is closed after this
 	StreamsPerConn     int         // concurrent attempts on one connection
-	LastHop            bool        // the server's own sidecar rejects what exceeds its capacity: no load shedding before it
+	LastHop            bool        // the server's own sidecar rejects requests over capacity, so this one sheds no load
 	RetryAfterFraction float64     // part of the latency target that is the retry-after time; 0: the default
 	RetryBudget        RetryBudget // limits retries; nil: MaxAttempts alone limits them
-	MaxOpenRequests    int         // requests beyond this many open ones never reach the balancer; 0: no limit
+	MaxOpenRequests    int         // requests over this number of open ones never reach the balancer; 0: no limit
 
-	DrainGrace               float64 // attempts at a draining or gone server must stop within this
-	SlowStartInitialFraction float64 // part of its capacity with which a server starts, at least
-	SlowStartTime            float64 // after which it has all of it
+	DrainGrace               float64 // attempts at a draining or gone server must end within this time
+	SlowStartInitialFraction float64 // least part of its capacity that a server has right after its start
+	SlowStartTime            float64 // time after its start from which a server has its full capacity
 	ColdOverloadFactor       float64 // a server in slow start fails if it is sent this multiple of its capacity ...
 	ColdOverloadTime         float64 // ... for this long
 	ListRefreshLimit         float64 // longest time between requests for the list where there is no subscription
@@ -134,13 +134,13 @@
 type RetryBudget interface {
 	// Deposit counts a new request, which earns a part of a retry.
 	Deposit(now float64)
-	// TryWithdraw takes the cost of one retry and reports whether the budget had it.
+	// TryWithdraw withdraws the cost of one retry; it reports false, and withdraws nothing, if the budget is exhausted.
 	TryWithdraw(now float64) bool
 }
 
-// Goal weighs the parts of the result by which a deployment is judged, as defined by the users' page: the value over all
-// requests, in the worst window of time, of the worst class and of the worst tenant, and "nines_part" of the settings.
-// All 0 means Total alone. The present policy does not read it.
+// Goal holds the weights of the parts of a deployment's result, as the page of settings defines them: the value over
+// all requests, in the worst time window, of the worst class and of the worst tenant, and "nines_part" of the settings.
+// If all are 0, Total alone counts. The present policy does not read it.
 type Goal struct {
 	Total       float64
 	WorstWindow float64
@@ -149,10 +149,10 @@
 	Nines       float64
 }
 
-// Prices are the penalties that reduce the result, each per unit of its own, as defined by the users' page ("penalties" of
-// the settings). The present policy reads CrossZone, Handshake and Probe.
+// Penalties reduce the result, each per unit of its own, as "penalties" on the page of settings defines them. The
+// present policy reads CrossZone, Handshake and Probe.
 type Penalties struct {
-	CrossZone  float64 // of crossing zones
+	CrossZone  float64 // of an attempt in another zone
 	Waste      float64
 	Handshake  float64 // of a new connection
 	Probe      float64 // of a probe
@@ -161,10 +161,10 @@
 	Connection float64
 }
 
-// State is the state of a server by the server list.
+// State is the state of a server in the server list.
 type State uint8
 
-// The states of a server. Only a server that is Ready gets attempts.
+// The states of a server. Only Ready servers receive attempts.
 const (
 	Ready State = iota
 	Draining
@@ -176,15 +176,15 @@
 	ID               ServerID
 	State            State
 	StartedAt        float64 // when its process started; 0: long ago
-	Rating           float64 // relative size by Config.Ratings; 0: unknown, counts as 1
+	Rating           float64 // relative size as Config.Ratings defines it; 0: unknown, counts as 1
 	Cell, Zone, Kind int
-	// Candidate is whether the server is of a version that only some requests are for.
+	// Candidate is whether the server runs a version under rollout, which only some requests are sent to.
 	Candidate bool
-	// PathIncarnation grows when the proxy in front of the server has restarted: connect failures are forgotten then.
+	// PathIncarnation increases when the proxy in front of the server restarts, which clears the server's connect failures.
 	PathIncarnation uint64
 }
 
-// Event is an input of Handle. The interface is sealed: the types below are all there are.
+// Event is an input of Handle. The interface is sealed: only the types below implement it.
 type Event interface{ event() }
 
 // ListKind is the kind of an update of the server list.
@@ -193,17 +193,17 @@
 // The kinds of updates of the server list.
 const (
 	ListFull   ListKind = iota // the complete list
-	ListCached                 // the complete list as this sidecar last had it
+	ListCached                 // the complete list as this sidecar last received it
 	ListDelta                  // changed entries only
-	ListFailed                 // a request failed or the subscription ended; nothing else has changed
+	ListFailed                 // a list request failed or the subscription ended; the servers are unchanged
 )
 
 // ServerList is an update of the server list. Handle does not retain Servers.
 type ServerList struct {
 	Kind    ListKind
 	Servers []Server
-	// ZonePreference multiplies the weight of the own zone's servers without errors; 0: the price of crossing zones
-	// decides. Ignored in a ListDelta.
+	// ZonePreference multiplies the weight of servers without errors in this sidecar's zone; 0: the preference follows
+	// from Penalties.CrossZone. Ignored in a ListDelta.
 	ZonePreference float64
 }
 
@@ -212,12 +212,12 @@
 	ID            RequestID
 	Class, Tenant int     // Tenant -1: none
 	WorkHint      float64 // expected work; 0: unknown
-	Key           uint64  // what the request is about; 0: nothing in particular
+	Key           uint64  // identifies the object of the request; 0: none
 	Remaining     float64 // time until its deadline
-	Retry         bool    // the client's own mark of a retry
+	Retry         bool    // the client marked it as a retry
 	Write         bool
 	Upload        bool // its body is still being received: Remaining counts from UploadComplete
-	Candidate     bool // its first attempt is for a server that is a Candidate; all others are not
+	Candidate     bool // its first attempt goes to a Candidate server if one is eligible; all other attempts do not
 	MaxAttempts   int  // limit of attempts that reach a server; 0: Config.MaxAttempts alone
 }
 
@@ -233,32 +233,33 @@
 	ConnectFailed        // no connection
 	Reset                // the connection broke
 	Cancelled            // by Cancel
-	NotSent              // given up before anything was written
+	NotSent              // abandoned before anything was written
 )
 
 // ProvesNotExecuted reports whether the result proves that the attempt was not executed.
 func (r Result) ProvesNotExecuted() bool { return r == Rejected || r == ConnectFailed || r == NotSent }
 
-// Outcome is the end of an attempt; every attempt has exactly one.
+// Outcome reports the end of an attempt; every attempt has exactly one.
 type Outcome struct {
 	Request      RequestID
 	Attempt      int // number of the attempt, from 0
 	Server       ServerID
 	Result       Result
 	Latency      float64
-	Finished     bool      // the request has its final answer or needs none
+	Finished     bool      // the request has its final answer, or needs none
 	Report       []float32 // load report, may be empty; not retained
-	BodyConsumed bool      // the request's body is lost with the attempt: there can be no other one
-	NotDelivered bool      // the attempt was rejected by a proxy in front of the server, which never received it
+	BodyConsumed bool      // the attempt consumed the request's body, so that no further attempt is possible
+	NotDelivered bool      // a proxy in front of the server rejected the attempt; the server never received it
 }
 
-// UploadComplete reports that the last byte of an upload was written to a server. The request's time starts then.
+// UploadComplete reports that the last byte of an upload was written to a server. The request's deadline counts from
+// then.
 type UploadComplete struct {
 	Request RequestID
 	Attempt int
 }
 
-// ResponseStarted reports that a streamed response has begun to reach the client: the attempt can't be retried.
+// ResponseStarted reports that the client has begun to receive a streamed response: the request can't be retried.
 type ResponseStarted struct {
 	Request RequestID
 	Attempt int
@@ -266,16 +267,17 @@
 	Latency float64
 }
 
-// Shutdown reports that the sidecar shuts down: every open request, and each later one, has to be answered in time.
+// Shutdown reports that the sidecar shuts down: every open request, and each later one, has to be answered within the
+// given time.
 type Shutdown struct{ Within float64 }
 
-// ClientDisconnected reports that the client has left; the request needs no answer.
+// ClientDisconnected reports that the client has disconnected; the request needs no answer.
 type ClientDisconnected struct{ Request RequestID }
 
 // TimerFired reports that a timer set by SetTimer is due.
 type TimerFired struct{ Token uint64 }
 
-// ProbeResult is the end of a probe.
+// ProbeResult reports the end of a probe.
 type ProbeResult struct {
 	Server  ServerID
 	Result  Result
@@ -303,9 +305,9 @@
 // ActionKind is what an action does.
 type ActionKind uint8
 
-// The kinds of actions; the comments name the fields of Action that are set.
+// The kinds of actions; the comments list the fields of Action that are set.
 const (
-	Send        ActionKind = iota // Request, Server, At: when to give the attempt up; 0: at the request's deadline
+	Send        ActionKind = iota // Request, Server, At: time limit of the attempt; 0: the request's deadline
 	Refuse                        // Request, At: retry-after time, Cause. Final: a retry by the client is harmless
 	Fail                          // Request, Cause. Final: the request may have been executed
 	Cancel                        // Request, Attempt
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -4,38 +4,38 @@
 // events.
 //
 // The mechanism is adaptive weighted round robin. Each server has a health factor that falls with its
-// consecutive errors and recovers with time; smooth weighted round robin (as in nginx) over capacity times
+// consecutive errors and recovers with time. Smooth weighted round robin (as in nginx) over capacity times
 // health picks the server of a first attempt, bounded by the load that a server may have in flight (as in
 // consistent hashing with bounded loads, Mirrokni et al., 2016). A retry goes to the healthiest server that
-// has not been tried.
+// the request has not been sent to.
 //
 // Times are in milliseconds, on any clock whose zero is long ago. Start reading at Balancer.Handle in
-// events.go, which records an event and calls the decisions; api.go has the events, actions and settings.
-// Decisions by file:
+// events.go, which applies an event to the state and calls the decisions; api.go has the events, actions and
+// settings. Decisions by file:
 //
-//	balance.go     a request from its arrival to its final answer: attempts, retries, giving up
-//	rotation.go    the choice of a server
+//	balance.go     a request from its arrival to its final answer: attempts, retries, refusal, failure
+//	rotation.go    choice of a server
 //	admission.go   load shedding before the first attempt
-//	load.go        estimates of the rate and latency of answers, which admission and learning go by
+//	load.go        estimates of the rate and latency of answers, for load shedding and learned sizes
 //	probes.go      load probes before the first attempt
-//	outcomes.go    evidence of an attempt about its server: health, ejection, learned size
-//	classes.go     the health of a class of requests at a server
+//	outcomes.go    effect of an attempt's outcome on its server: health, ejection, learned size
+//	classes.go     health of a class of requests at a server
 //	servers.go     the server list and slow start
 package balance
 
 // Limits of attempts and of the answer to a request that is not served.
 const (
-	maxRetries             = 1   // retries of a request; more would multiply an overload
-	maxResetRetries        = 3   // retries after connection resets, which do not indicate load
-	defaultRetryAfter      = 0.1 // part of the latency target for which a refused client is asked to stay away
-	overdueDeviations      = 4   // mean deviations above its class's mean latency at which an attempt is overdue
-	overdueMinSamples      = 5   // answers of a class before its mean is used; before, half of its target
-	checksPerLatencyTarget = 20  // looks per latency target at a request without a server
+	maxRetries             = 1   // retries of a request; more would amplify an overload
+	maxResetRetries        = 3   // retries after connection resets, which are no sign of load
+	defaultRetryAfter      = 0.1 // retry-after time of refused clients, as a part of the latency target
+	overdueDeviations      = 4   // an attempt is overdue this many mean deviations above its class's mean
+	overdueMinSamples      = 5   // answers of a class from which its mean is used instead of half its target
+	checksPerLatencyTarget = 20  // checks per latency target of a request without a server
 )
 
-// step decides what a request needs now: a final answer, an attempt, or a timer. After a failed attempt this
-// is where a retry is decided: there is none where exhausted reports true; otherwise sendNext makes it, if a
-// server is eligible and the retry budget allows.
+// step decides what a request needs now: a final answer, an attempt, or a timer. After a failed attempt it
+// decides on a retry: there is none if exhausted reports true; otherwise sendNext sends it, if a server is
+// eligible and the retry budget allows it.
 func (b *Balancer) step(r *request) {
 	if r.answered || r.streaming {
 		return
@@ -57,12 +57,12 @@
 	}
 }
 
-// sendNext makes the next attempt if a server is eligible; without one the request is stepped again by its
-// timer. It ends the request if the retry budget is exhausted, which counts only once an attempt may have
+// sendNext sends the next attempt if a server is eligible; otherwise the request's timer calls step again.
+// It ends the request if the retry budget is exhausted, which is charged only once an attempt may have
 // reached a server, or, before the first attempt, if every probed server is overloaded.
 func (b *Balancer) sendNext(r *request) {
 	s := b.pick(r, len(r.attempts) > 0)
-	r.retryRejected = s == nil && b.cfg.LastHop // a proxy that had no capacity may have some by the next look
+	r.retryRejected = s == nil && b.cfg.LastHop // a proxy without capacity may have some by the next check
 	switch {
 	case s == nil:
 	case r.delivered() > 0 && b.cfg.RetryBudget != nil && !b.cfg.RetryBudget.TryWithdraw(b.now):
@@ -74,9 +74,9 @@
 	}
 }
 
-// exhausted reports whether no further attempt is allowed (attemptsUsedUp, executionUncertain, endsTooSoon),
-// or the request has waited for a server for as long as its class allows. It applies to the first attempt,
-// too.
+// exhausted reports whether no further attempt is allowed (attemptsUsedUp, executionUncertain,
+// shutdownPrecedesAnswer), or the request has waited for a server for as long as its class allows. It applies
+// to the first attempt, too.
 func (b *Balancer) exhausted(r *request) bool {
 	if r.attemptsUsedUp(b.cfg.MaxAttempts) || r.executionUncertain(b.now) || b.shutdownPrecedesAnswer(r) {
 		return true
@@ -91,7 +91,7 @@
 	return b.now >= r.arrivedAt+wait && r.retryHarmless()
 }
 
-// attemptsUsedUp reports whether the request has reached one of the limits of its attempts.
+// attemptsUsedUp reports whether the request has reached a limit of its attempts, or its body is consumed.
 func (r *request) attemptsUsedUp(maxAttempts int) bool {
 	delivered, resets := r.delivered(), r.resets()
 	return r.bodyConsumed ||
@@ -117,8 +117,8 @@
 	return false
 }
 
-// endsTooSoon reports whether the sidecar will have shut down before an answer to another attempt can be
-// expected.
+// shutdownPrecedesAnswer reports whether the sidecar will have shut down before an answer to another attempt
+// can be expected.
 func (b *Balancer) shutdownPrecedesAnswer(r *request) bool {
 	latency := r.class.LatencyTarget / 2
 	if r.stats.count >= overdueMinSamples {
@@ -127,9 +127,9 @@
 	return r.deadline == b.shutdownAt && b.now+latency > b.shutdownAt
 }
 
-// endUnserved gives a request its final answer without a server's: Refuse with a retry-after time where a
-// retry by the client is harmless, otherwise Fail. At the last hop a server's own answer tells the client
-// more than Refuse.
+// endUnserved ends a request without an answer from a server: with Refuse and a retry-after time if a retry
+// by the client is harmless, otherwise with Fail. At the last hop a request that may have executed always
+// gets Fail, which passes the server's own error answer on to the client.
 func (b *Balancer) endUnserved(r *request, cause Cause) {
 	end := Action{Kind: Fail, Request: r.ID, Cause: cause}
 	if r.retryHarmless() && !(b.cfg.LastHop && r.mayHaveExecuted()) {
@@ -143,8 +143,8 @@
 	b.closeRequest(r)
 }
 
-// scheduleTimer sets a timer for the next time at which the request needs a decision, unless one is set for
-// earlier.
+// scheduleTimer sets a timer for the next time at which the request needs a decision, unless an earlier one
+// is set.
 func (b *Balancer) scheduleTimer(r *request) {
 	next := r.deadline
 	if r.probesUntil > b.now {
@@ -163,8 +163,8 @@
 	}
 }
 
-// overdueAfter is the time after which an attempt in flight counts as an error. It follows the latency that
-// the class's answers have now: in a congested fleet all of them are slow.
+// overdueAfter returns the time after which an attempt in flight counts as an error. It follows the present
+// latency of the class's answers, as all of them are slow in a congested fleet.
 func (r *request) overdueAfter() float64 {
 	if r.stats.count < overdueMinSamples {
 		return r.class.LatencyTarget / 2
--- a/balance/classes.go
+++ b/balance/classes.go
@@ -4,25 +4,25 @@
 
 // Parameters of the health of a class at a server.
 const (
-	classHealthDecayMillis = 15000 // ms; time constant: with little traffic a sidecar seldom returns to a server
-	classHealthGain        = 0.6   // step of the average for each outcome
-	minClassFactor         = 0.03  // a class is never kept from a server wholly, so that recovery is noticed
-	failingTimeConstants   = 2     // time constants after its last failure for which a class counts as failing
+	classHealthDecayMillis = 15000 // time constant; with little traffic a sidecar seldom returns to a server
+	classHealthGain        = 0.6   // gain of the average for each outcome
+	minClassFactor         = 0.03  // above 0, so that recovery is detected
+	failingTimeConstants   = 2     // time constants for which a class counts as failing after a failure
 )
 
 // classHealth is the recent health of one class of requests at one server.
 type classHealth struct {
-	score         float64 // average of outcomes: 1 served, 0 failed
+	score         float64 // average of outcomes: 1 is served, 0 is failed
 	recordedAt    float64 // when the last outcome was recorded
-	currentWeight float64 // running value of the rotation, used while the class is failing
+	currentWeight float64 // current weight in the rotation, used while the class is failing
 }
 
-// decay is the weight that the outcomes have by now, 1 to 0.
+// decay returns the present weight of the outcomes, which falls from 1 to 0.
 func (h *classHealth) decay(now float64) float64 {
 	return math.Exp((h.recordedAt - now) / classHealthDecayMillis)
 }
 
-// average is the score, decayed towards what is expected of the servers in general.
+// average returns the score, decayed towards the expected one, which is the mean of all servers.
 func (h *classHealth) average(now, expected float64) float64 {
 	return expected + (h.score-expected)*h.decay(now)
 }
@@ -32,11 +32,11 @@
 	return now <= c.failedAt+failingTimeConstants*classHealthDecayMillis
 }
 
-// classFactor multiplies a server's weight by the health of the request's class there, while the class is
-// failing: some servers fail one class and serve the others, whose successes keep the server's own health at
-// 1. A server without recent outcomes counts as the mean of all, so that a sidecar with little traffic keeps
-// to servers known to serve. It is effective against fast errors too, but may overload the few good servers
-// where one sidecar is most of their load.
+// classFactor returns the factor on a server's weight by the health of the request's class there, while the
+// class is failing. Some servers fail one class and serve the others, whose successes keep the server's own
+// health at 1. A server without recent outcomes counts as the mean of all, so that a sidecar with little
+// traffic prefers servers known to serve the class. The factor also helps against fast errors, but the few
+// good servers may be overloaded if most of their load comes from one sidecar.
 func (r *request) classFactor(s *server, now float64) float64 {
 	if !r.stats.failing(now) {
 		return 1
@@ -45,7 +45,7 @@
 	return max(average*average, minClassFactor)
 }
 
-// updateExpected sets the mean health of the class, which has the given number, over the servers.
+// updateExpected sets the expected health of the class: the mean over all servers. class is its number.
 func (c *classStats) updateExpected(servers []*server, class int, now float64) {
 	good, known := 1.0, 1.0
 	if c.failing(now) {
@@ -59,8 +59,8 @@
 	c.expected = good / known
 }
 
-// recordOutcome updates the health of the request's class at a server. Outcomes that are no evidence about
-// the class are ignored.
+// recordOutcome updates the health of the request's class at a server. It ignores all results but OK and
+// Failed, as they are not specific to the class.
 func (r *request) recordOutcome(servers []*server, s *server, result Result, now float64) {
 	score := 1.0
 	switch result {
@@ -76,7 +76,7 @@
 	h.score, h.recordedAt = average+classHealthGain*(score-average), now
 }
 
-// startClassRotation gives a class that begins to fail running values of its own, equal to the servers'
+// startClassRotation gives a class that begins to fail its own current weights, which start as copies of the
 // common ones.
 func (r *request) startClassRotation(servers []*server, now float64) {
 	if r.stats.failing(now) {
--- a/balance/counters.go
+++ b/balance/counters.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// maxLatencySamples bounds the number of answers over which a class's mean latency is taken.
+// maxLatencySamples is the greatest number of answers over which a class's latency is averaged.
 const maxLatencySamples = 300
 
 // counter counts the requests of a class or tenant. It starts at 1, so that it is never 0.
@@ -11,16 +11,16 @@
 	share    float64 // of the service, by the tenant's quota; 0: unlimited
 }
 
-// classStats follows the latency of a class's answers and counts its requests.
+// classStats averages the latency of a class's answers and counts its requests.
 type classStats struct {
 	counter
 	count        float64 // answers, at most maxLatencySamples
 	mean         float64 // latency in ms
 	deviation    float64 // mean absolute deviation in ms
-	maxRemaining float64 // the longest remaining time that a request came with, in ms
+	maxRemaining float64 // longest remaining time of a request on arrival, in ms
 	value        float64 // of a request served in time
 	failedAt     float64 // when a server last failed it
-	expected     float64 // mean of its health over all servers
+	expected     float64 // mean of the class's health over all servers
 }
 
 // add records the latency of an answer in ms, with at least the given gain.
@@ -31,7 +31,7 @@
 	c.deviation += (math.Abs(latency-c.mean) - c.deviation) * gain
 }
 
-// traffic is what this sidecar has learned of its requests and their answers.
+// traffic holds the statistics of this sidecar's requests and their answers.
 type traffic struct {
 	classes        []classStats
 	tenants        []counter // the last one is for requests without a tenant
@@ -40,7 +40,7 @@
 	latency        latencyStats
 }
 
-// newTraffic returns the state at the start, without classes.
+// newTraffic returns the initial statistics, without classes.
 func newTraffic(cfg *Config) traffic {
 	t := traffic{
 		classes:        make([]classStats, 0, len(cfg.Classes)),
@@ -57,7 +57,7 @@
 	return t
 }
 
-// addClass adds a class whose requests have a value.
+// addClass adds a class whose requests have the given value.
 func (t *traffic) addClass(value float64) {
 	t.classes = append(t.classes, classStats{
 		counter:  counter{requests: 1},
--- a/balance/events.go
+++ b/balance/events.go
@@ -6,12 +6,12 @@
 	"sort"
 )
 
-// connectWindow is the number of attempts over which the share of connect failures is averaged.
+// connectFailureWindow is the number of attempts over which the share of connect failures is averaged.
 const connectFailureWindow = recentWindow / 2
 
 // Handle takes an event at a time in ms, which must not decrease, and returns the actions to carry out, in order. The
-// actions are valid until the next call. An error means that the event contradicts earlier ones; the balancer is
-// unchanged then.
+// actions are valid until the next call. An error means that the event is inconsistent with earlier ones; the balancer
+// is then unchanged.
 func (b *Balancer) Handle(now float64, ev Event) ([]Action, error) {
 	b.now, b.actions = now, b.actions[:0]
 	var err error
@@ -40,14 +40,14 @@
 	return b.actions, err
 }
 
-// Ejected reports whether the balancer keeps first attempts from a listed server at a time in ms because of what
-// became of earlier ones.
+// Ejected reports whether a listed server is ejected at a time in ms because of the results of earlier attempts or
+// probes. No attempts are sent to an ejected server unless all eligible servers are ejected.
 func (b *Balancer) Ejected(id ServerID, now float64) bool {
 	s := b.byID[id]
 	return s != nil && s.isEjected(now)
 }
 
-// onOutcome ends an attempt, learns from its outcome and decides what its request needs next.
+// onOutcome ends an attempt, records its outcome and decides what its request needs next.
 func (b *Balancer) onOutcome(ev Outcome) error {
 	r, a, err := b.endAttempt(&ev)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// onList applies a server list, or retries one that could not be read.
+// onList applies a server list, or schedules a retry of a list request that failed.
 func (b *Balancer) onList(ev ServerList) {
 	if ev.Kind == ListFailed {
 		b.retryList()
@@ -83,8 +83,8 @@
 	b.removeGone()
 }
 
-// onTimer continues what the timer was set for. The timer's time is not compared with the clock, as it may fire a
-// rounding error early.
+// onTimer continues the list request or the request that the timer was set for. It does not compare the timer's time
+// with the clock, as a timer may fire early by a rounding error.
 func (b *Balancer) onTimer(ev TimerFired) {
 	if ev.Token == listTimer {
 		b.emit(Action{Kind: Subscribe})
@@ -94,7 +94,7 @@
 	}
 }
 
-// onResponseStarted leaves the request to its streaming attempt: it has no deadline and no retry any more.
+// onResponseStarted marks the request as streaming, without a deadline and retries, and cancels its other attempts.
 func (b *Balancer) onResponseStarted(ev ResponseStarted) {
 	if r := b.requests[ev.Request]; r != nil && !r.answered && !r.streaming {
 		r.streaming = true
@@ -102,7 +102,7 @@
 	}
 }
 
-// onUploadComplete starts the time and the load of an uploaded request.
+// onUploadComplete starts the deadline of an uploaded request and counts its load.
 func (b *Balancer) onUploadComplete(ev UploadComplete) {
 	r := b.requests[ev.Request]
 	if r == nil || r.answered || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].uploading {
@@ -131,7 +131,7 @@
 	}
 }
 
-// send starts an attempt and counts it.
+// send starts an attempt at a server and counts it.
 func (b *Balancer) send(r *request, s *server) {
 	a := attempt{server: s, sentAt: b.now, inFlight: true, pendingBefore: -1, uploading: r.Upload}
 	if b.reportFresh(s) {
@@ -154,7 +154,7 @@
 	b.emit(Action{Kind: Send, Request: r.ID, Server: s.ID})
 }
 
-// endAttempt ends an attempt and returns it with its request.
+// endAttempt marks an attempt as ended and returns it with its request.
 func (b *Balancer) endAttempt(ev *Outcome) (*request, *attempt, error) {
 	r := b.requests[ev.Request]
 	if r == nil || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].inFlight {
@@ -172,7 +172,7 @@
 	return r, a, nil
 }
 
-// releaseAttempt takes an attempt that has ended out of the counts of what is in flight.
+// releaseAttempt removes an attempt that has ended from the counts of attempts, connections and load in flight.
 func (b *Balancer) releaseAttempt(r *request, a *attempt, result Result) {
 	b.inFlight--
 	r.inFlight--
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -6,7 +6,7 @@
 	"firplank/balance"
 )
 
-// A sidecar feeds its balancer events and carries out the actions that come back.
+// A sidecar passes events to its balancer and carries out the actions that it returns.
 func Example() {
 	b := balance.New(balance.Config{
 		Seed: 1, MaxAttempts: 2,
@@ -16,7 +16,7 @@
 	show := func(now float64, ev balance.Event) {
 		actions, err := b.Handle(now, ev)
 		if err != nil {
-			fmt.Println("cannot be:", err)
+			fmt.Println("unexpected error:", err)
 		}
 		for _, a := range actions {
 			switch a.Kind {
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -2,19 +2,20 @@
 
 import "testing"
 
-// crowd is a discovery in virtual time that shares its work among the calls that wait, and answers 503 to one that has waited for too long.
+// limitedDiscovery simulates a discovery service of limited capacity in virtual time. All pending calls share the
+// capacity equally; a call that is pending for longer than the time-out fails, as with status 503.
 type limitedDiscovery struct {
-	callsPerSecond float64 // calls that it can answer
+	callsPerSecond float64 // capacity
 	timeoutMillis  float64 // ms
 	pending        []*pendingCall
 }
 
 type pendingCall struct {
 	sidecar          int
-	since, completed float64 // done: part of its work
+	since, completed float64 // completed: the part of its work that is done
 }
 
-// step lets time pass and returns who is answered and who is turned away.
+// advance simulates the passing of time and returns the sidecars whose calls are answered and those whose calls fail.
 func (c *limitedDiscovery) advance(now, ms float64) (answered, failed []int) {
 	pending, completedPerCall := c.pending[:0], c.callsPerSecond*ms/1000/max(1, float64(len(c.pending)))
 	for _, w := range c.pending {
@@ -32,8 +33,8 @@
 	return answered, failed
 }
 
-// All watches of a fleet end at once, or all sidecars start at once, and discovery can answer as few calls a second as it could on the
-// days on which half of a fleet heard of nothing any more: every sidecar has the list in the end, most of them soon.
+// All watches of a fleet end at once, or all sidecars start at once, while discovery has little capacity. With the same
+// capacity half of a fleet once received no updates any more. Every sidecar must receive the list, most of them soon.
 func TestFleetReceivesListFromOverloadedDiscovery(t *testing.T) {
 	const sidecars, stepMS, lengthMS = 80, 10.0, 40000.0
 	for name, starting := range map[string]bool{"watches end": false, "sidecars start": true} {
@@ -55,7 +56,7 @@
 					if g.now = 1000 + now; due[n] > 0 && now >= due[n] {
 						due[n] = 0
 						if !hasAction(g.handle(TimerFired{Token: listTimer}), Subscribe) {
-							t.Fatal("no call")
+							t.Fatal("no list request")
 						}
 						calls[int(now/1000)]++
 						discovery.pending = append(discovery.pending, &pendingCall{sidecar: n, since: now})
@@ -80,14 +81,15 @@
 				}
 			}
 			if receivedSoon < sidecars*3/4 || receivedEver < sidecars {
-				t.Errorf("of %d sidecars %d have the list within 15 s and %d within 40; calls by second: %v", sidecars, receivedSoon, receivedEver, calls)
+				t.Errorf("of %d sidecars %d have the list within 15 s and %d within 40 s; calls by second: %v",
+					sidecars, receivedSoon, receivedEver, calls)
 			}
 		})
 	}
 }
 
-// A connection that carries a request is not free for the next one. Weighed as open it drew request after request to
-// servers that hung, each on a new connection, while servers with a free one stood by.
+// A connection that carries a request can't be reused for the next one. Counted as open, busy connections attracted
+// request after request to hung servers, each on a new connection, while other servers had idle ones.
 func TestBusyConnectionIsNotReused(t *testing.T) {
 	cfg := baseConfig()
 	cfg.ConnIdle, cfg.Penalties.Handshake, cfg.StreamsPerConn = 10000, 0.1, 1
@@ -105,21 +107,21 @@
 			t.Fatalf("request %d went to server %d, whose connection is busy: %+v", id, s, acts)
 		}
 		if g.b.connectionReusable(g.b.byID[s]) {
-			t.Errorf("the connection to server %d is held to be free", s)
+			t.Errorf("the busy connection to server %d counts as reusable", s)
 		}
 		if busy = s; open[s] {
 			g.endAttempt(id, 0, OK, 10)
 			busy = 0
 			if !g.b.connectionReusable(g.b.byID[s]) {
-				t.Errorf("the connection to server %d is not held to be free after its answer", s)
+				t.Errorf("the connection to server %d does not count as reusable after its answer", s)
 			}
 		}
 		g.now++
 	}
 	id, acts := g.request(safeClass)
 	s, _ := sentTo(acts)
-	g.endAttempt(id, 0, TimedOut, 100) // which ends the connection
+	g.endAttempt(id, 0, TimedOut, 100) // closes the connection
 	if g.b.connectionReusable(g.b.byID[s]) {
-		t.Errorf("the connection to server %d is held to be open after a time-out", s)
+		t.Errorf("the connection to server %d counts as reusable after a time-out", s)
 	}
 }
--- a/balance/helpers_test.go
+++ b/balance/helpers_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// rig drives one balancer by a script of events and keeps what it asked for.
+// harness passes scripted events to one balancer and stores the actions that it returns.
 type harness struct {
 	t       *testing.T
 	b       *Balancer
@@ -14,8 +14,8 @@
 func baseConfig() Config {
 	return Config{
 		Seed: 1, Peers: 3, MaxAttempts: 4, ParallelAttempts: true, Cancel: true, RetryAfter: true, MaxRetryAfter: 1000,
-		MinBatchInterval: 4, AnswerSlack: 16, SlowStartInitialFraction: 0.2, SlowStartTime: 20000, ColdOverloadFactor: 2.5, ColdOverloadTime: 1000,
-		ListRefreshLimit: 10000, DrainGrace: 2000,
+		MinBatchInterval: 4, AnswerSlack: 16, SlowStartInitialFraction: 0.2, SlowStartTime: 20000, ColdOverloadFactor: 2.5,
+		ColdOverloadTime: 1000, ListRefreshLimit: 10000, DrainGrace: 2000,
 		Classes: []Class{
 			{Effect: Safe, LatencyTarget: 300, Deadline: 1500, Value: 1},
 			{Effect: Unsafe, LatencyTarget: 300, Deadline: 600, Value: 5},
@@ -39,19 +39,19 @@
 	g.actions = append(g.actions, g.b.Start(g.now)...)
 	g.handle(ServerList{Kind: ListCached, Servers: servers})
 	for _, s := range g.b.servers {
-		s.currentWeight, s.seeded = 0, true // the random start would hide the sequence
+		s.currentWeight, s.seeded = 0, true // random start values would make the sequence unpredictable
 	}
 	return g
 }
 
-// randomStart gives the servers their random start back, which newRig takes away.
+// randomStart restores the random start values of current weights, which newHarness disables.
 func (g *harness) randomStart() {
 	for _, s := range g.b.servers {
 		s.seeded = false
 	}
 }
 
-// fleet is n like servers with IDs from 1, two to a cell, four to a zone.
+// testServers returns n equal servers with IDs from 1, two in each cell, four in each zone.
 func testServers(n int) []Server {
 	list := make([]Server, n)
 	for i := range list {
@@ -71,14 +71,14 @@
 	return acts
 }
 
-// ask brings a request and returns its ID with what was done at once.
+// request passes a new request to the balancer and returns its ID and the resulting actions.
 func (g *harness) request(class int) (RequestID, []Action) {
 	g.t.Helper()
 	g.lastID++
 	return g.lastID, g.handle(Request{ID: g.lastID, Class: class, Remaining: g.b.cfg.Classes[class].Deadline})
 }
 
-// endUnserved ends an attempt with a result.
+// endAttempt ends an attempt with a result.
 func (g *harness) endAttempt(id RequestID, attempt int, result Result, latency float64) []Action {
 	g.t.Helper()
 	s := g.b.requests[id].attempts[attempt].server
--- a/balance/lasthop_test.go
+++ b/balance/lasthop_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// few is a purse of so many repeats.
+// limitedBudget is a retry budget with a fixed number of retries.
 type limitedBudget struct{ deposits, remaining int }
 
 func (p *limitedBudget) Deposit(float64) { p.deposits++ }
@@ -23,7 +23,8 @@
 	return b, acts
 }
 
-// play asks for one request and ends each attempt as the next of results says. It returns what is sent and the last action.
+// runRequest begins one request and ends its attempts with the results, in order. It returns the servers of the attempts
+// and the last action.
 func runRequest(t *testing.T, b *Balancer, req Request, results ...Outcome) (sent []ServerID, last Action) {
 	t.Helper()
 	acts, err := b.Handle(b.now+1, req)
@@ -58,11 +59,11 @@
 		}
 	}
 	if budget.deposits != 2 || budget.remaining != 0 {
-		t.Errorf("asked %d, %d taken", budget.deposits, -budget.remaining)
+		t.Errorf("%d deposits, %d withdrawn", budget.deposits, -budget.remaining)
 	}
 	for _, s := range b.servers {
 		if s.consecutiveErrors != 0 {
-			t.Errorf("server %d has %d errors for what it never saw", s.ID, s.consecutiveErrors)
+			t.Errorf("server %d has %d errors by attempts that it never received", s.ID, s.consecutiveErrors)
 		}
 	}
 }
@@ -74,10 +75,10 @@
 		class, attempts int
 		budget, want    int
 	}{
-		{"one more, as the purse has it", 0, 2, 5, 2},
-		{"one attempt, whatever the purse has", 0, 1, 5, 1},
-		{"an empty purse", 0, 2, 0, 1},
-		{"what must not run twice", 1, 3, 5, 1},
+		{"one retry within the budget", 0, 2, 5, 2},
+		{"one attempt, whatever the budget", 0, 1, 5, 1},
+		{"an empty budget", 0, 2, 0, 1},
+		{"a request that must not be executed twice", 1, 3, 5, 1},
 	} {
 		b, _ := newLastHop(5, &limitedBudget{remaining: c.budget})
 		sent, last := runRequest(t, b, Request{ID: 1, Class: c.class, Remaining: 2000, MaxAttempts: c.attempts}, failed, failed, failed)
@@ -85,13 +86,14 @@
 			t.Errorf("%s: sent to %v, then %v", c.name, sent, last.Kind)
 		}
 		if c.class == 1 && last.Kind != Fail {
-			t.Errorf("%s: refused although it ran", c.name)
+			t.Errorf("%s: refused although it was executed", c.name)
 		}
 	}
 }
 
-// A server that has seen a request and turned it away does not get it again: an old refusal may come in the place of
-// the next answer, and what must not run twice would be taken for not run. lab/explore/calls shows what happens else.
+// A server that received a request and rejected it does not get a second attempt: its first rejection could arrive late,
+// as the answer to the second attempt, so that a request that is executed would count as not executed. The explorer
+// lab/explore/calls shows this fault.
 func TestRejectingServerGetsNoSecondAttempt(t *testing.T) {
 	for class := range 2 {
 		b, _ := newLastHop(3, &limitedBudget{remaining: 9})
@@ -107,7 +109,8 @@
 	}
 }
 
-// Turned away everywhere, a request asks those again after a pause, and is refused at once when its time of waiting is over.
+// A request that all proxies have rejected is sent to them again after a pause, and is refused as soon as its waiting
+// time is over.
 func TestRequestRejectedEverywhereIsRetriedUntilWaitExpires(t *testing.T) {
 	b, _ := newLastHop(2, nil)
 	undelivered := Outcome{Result: Rejected, NotDelivered: true}
@@ -121,11 +124,11 @@
 	}
 	acts, _ = b.Handle(b.now+95, Outcome{Request: 1, Attempt: 2, Server: acts[0].Server, Result: Rejected, NotDelivered: true})
 	if len(acts) == 0 || acts[0].Kind != Refuse {
-		t.Errorf("when its time is over: %v", acts)
+		t.Errorf("when its waiting time is over: %v", acts)
 	}
 }
 
-// list hands a list of servers to a balancer.
+// handleList passes a server list to a balancer.
 func handleList(t *testing.T, b *Balancer, servers ServerList) {
 	t.Helper()
 	if _, err := b.Handle(b.now, servers); err != nil {
@@ -133,7 +136,8 @@
 	}
 }
 
-// The own zone's server gets its favour as long as it has no errors, and no more than m and the price give it from then on.
+// A server in the own zone gets ServerList.ZonePreference only as long as it has no errors; after that its weight follows
+// from its health and the penalty for crossing zones.
 func TestZonePreferenceEndsWithErrors(t *testing.T) {
 	b, _ := newLastHop(4, nil)
 	servers := testServers(4)
@@ -158,12 +162,12 @@
 	s.consecutiveErrors, s.lastErrorAt = 1, b.now
 	total, _ := b.updateWeights(&request{Request: Request{ID: 9999}, class: &b.cfg.Classes[0], stats: &b.traffic.classes[0]}, false, false)
 	if fraction := s.weight / total; fraction > 0.5 {
-		t.Errorf("with an error it still has %.2f of the weight", fraction)
+		t.Errorf("with an error the server still has %.2f of the weight", fraction)
 	}
 }
 
-// Half of the sidecars are gone at once: a connection that none of them takes costs neither attempts nor budget, as no server has seen the
-// request, and where its sidecar is back a server is asked again at once, as warm as it was.
+// Half of the last hops' sidecars fail at once. A refused connection costs neither attempts nor retry budget, as no
+// server has received the request. When its sidecar is back, a server is used again at once, without slow start.
 func TestConnectFailuresAtLastHopCostNothing(t *testing.T) {
 	refused := Outcome{Result: ConnectFailed}
 	for class := range 2 {
@@ -172,7 +176,7 @@
 		sent, _ := runRequest(t, b, Request{ID: 1, Class: class, Remaining: 2000, MaxAttempts: 2}, refused, refused, refused,
 			Outcome{Result: OK, Latency: 5, Finished: true})
 		if len(sent) != 4 || budget.remaining != 0 {
-			t.Errorf("class %d: sent to %v, %d taken from the purse", class, sent, -budget.remaining)
+			t.Errorf("class %d: sent to %v, %d withdrawn from the budget", class, sent, -budget.remaining)
 		}
 	}
 	b, _ := newLastHop(1, nil)
@@ -183,21 +187,21 @@
 		runRequest(t, b, Request{ID: id + 1, Class: 0, Remaining: 2000}, refused)
 	}
 	if !b.Ejected(servers[0].ID, b.now) {
-		t.Fatal("a server that nobody can connect to is not rested")
+		t.Fatal("a server without connections is not ejected")
 	}
 	servers[0].PathIncarnation = 2
 	handleList(t, b, ServerList{Kind: ListFull, Servers: servers})
 	if b.Ejected(servers[0].ID, b.now) {
-		t.Error("its sidecar is back, and it is still rested")
+		t.Error("the server's sidecar is back, and the server is still ejected")
 	}
 	runRequest(t, b, Request{ID: 9, Class: 0, Remaining: 2000}, Outcome{Result: OK, Latency: 5, Finished: true})
 	if b.warmingUp(b.byID[servers[0].ID]) {
-		t.Error("its sidecar was gone, and it counts as cold")
+		t.Error("only the server's sidecar had failed, and the server is in slow start")
 	}
 }
 
-// A request for the candidates is first sent to one of them, and only then to the others; no other request is sent to a
-// candidate, whatever becomes of its attempts.
+// The first attempt of a request for candidates goes to a candidate, its retries go to other servers. No other request
+// is sent to a candidate, whatever the results of its attempts.
 func TestCandidatesGetFirstAttemptsOfTheirRequestsOnly(t *testing.T) {
 	b, _ := newLastHop(0, nil)
 	servers := testServers(6)
@@ -216,7 +220,7 @@
 			}
 		}
 		if len(sent) == 0 {
-			t.Fatalf("request %d is sent nowhere", id)
+			t.Fatalf("request %d was not sent", id)
 		}
 	}
 	for i := range servers {
@@ -227,6 +231,6 @@
 	}
 	_, _ = b.Handle(b.now+1, ServerList{Kind: ListFull, Servers: servers})
 	if sent, _ := runRequest(t, b, Request{ID: 99, Remaining: 2000}); len(sent) != 0 {
-		t.Errorf("a request that is not for the candidates is sent to %v", sent)
+		t.Errorf("a request that is not for candidates was sent to %v", sent)
 	}
 }
--- a/balance/limits_test.go
+++ b/balance/limits_test.go
@@ -8,7 +8,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// New staff read the decisions in their first days: each file has to stay short, and all that the deploy file names as policy together.
+// The files that deploy/balancer.toml lists as policy are read by every new engineer, so each of them, and all of them
+// together, have to stay short.
 func TestPolicyFilesStayShort(t *testing.T) {
 	text, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -39,6 +40,6 @@
 		totalLines += lines
 	}
 	if len(deploy.Policy) < 5 || totalLines > 1200 {
-		t.Errorf("%d lines in %d files, at most 1,200 in all that decide", totalLines, len(deploy.Policy))
+		t.Errorf("%d lines in %d policy files, at most 1,200 in 5 files or more", totalLines, len(deploy.Policy))
 	}
 }
--- a/balance/load.go
+++ b/balance/load.go
@@ -4,18 +4,18 @@
 
 // Parameters of the estimates of rate and latency.
 const (
-	rateWindowTargets   = 8    // span of the rate of answers, in longest latency targets
+	rateWindowTargets   = 8    // long span of the rate of answers, in longest latency targets
 	minElapsed          = 1e-3 // least part of the span that counts as elapsed after the start
-	burstDeviations     = 2    // a faster recent rate counts if it is certain by so many deviations
-	gainWindowMillis    = 1000 // ms that an average over answers covers, however many answers there are
-	minGain             = 0.01 // least step of such an average
-	maxGain             = 0.2  // greatest step: single answers scatter
-	recentWindow        = 50   // answers or reports over which a plain average is taken
-	initialLatencyRatio = 0.33 // best latency until there are answers, a multiple of the target
-	maxLatencyRatio     = 2    // slower answers count as this
+	burstDeviations     = 2    // standard deviations by which a higher recent rate must be certain to count
+	gainWindowMillis    = 1000 // window of an average over answers, whatever their number
+	minGain             = 0.01 // least gain of such an average
+	maxGain             = 0.2  // greatest gain, as the latencies of single answers scatter
+	recentWindow        = 50   // window of an average, as a number of answers or reports
+	initialLatencyRatio = 0.33 // best latency until there are answers, as a multiple of the target
+	maxLatencyRatio     = 2    // upper bound of latencies in averages, as a multiple of the target
 )
 
-// rateEstimator follows the rate of answers as two exponentially decaying counts.
+// rateEstimator estimates the rate of answers by two exponentially decaying counts.
 type rateEstimator struct {
 	startedAt  float64
 	span       float64 // ms; the longest latency target
@@ -24,7 +24,7 @@
 	updatedAt  float64
 }
 
-// add decays the counts to now and adds answers to them.
+// add decays the counts up to now and adds answers to them.
 func (e *rateEstimator) add(now, answers float64) {
 	shortSpan, longSpan := e.span, rateWindowTargets*e.span
 	e.shortCount = e.shortCount*math.Exp((e.updatedAt-now)/shortSpan) + answers
@@ -32,8 +32,8 @@
 	e.updatedAt = now
 }
 
-// perMillis returns the rate of answers per millisecond over the long span, with some answers assumed; or
-// over the short one, where the rate there is certainly higher: traffic may grow fast.
+// perMillis returns the rate of answers per millisecond over the long span, plus the assumed answers. If the
+// rate over the short span is certainly higher, it returns that one, as traffic may grow fast.
 func (e *rateEstimator) perMillis(now, assumed float64) float64 {
 	e.add(now, 0)
 	shortSpan, longSpan := e.span, rateWindowTargets*e.span
@@ -41,7 +41,7 @@
 	return max(average, (e.shortCount-burstDeviations*math.Sqrt(e.shortCount))/shortSpan)
 }
 
-// gain is the step of an average over answers: it covers gainWindow, but a few answers at least.
+// gain returns the gain of an average over answers, which covers gainWindowMillis but at least a few answers.
 func (e *rateEstimator) gain(now float64) float64 {
 	return clamp(1/(gainWindowMillis*e.perMillis(now, 1)), minGain, maxGain)
 }
@@ -49,8 +49,8 @@
 // latencyStats averages the latencies of answers, each as a multiple of the latency target of its class.
 type latencyStats struct {
 	meanRatio    float64 // recent mean
-	count        float64 // answers in it, at most recentWindow
-	bestRatio    float64 // least recent mean so far
+	count        float64 // answers in the mean, at most recentWindow
+	bestRatio    float64 // lowest recent mean so far
 	lateShare    float64 // recent share of attempts that ended after their latency target
 	lastAnswerAt float64
 }
@@ -66,7 +66,7 @@
 	}
 }
 
-// recordRejected counts a rejected attempt as the slowest of answers.
+// recordRejected counts a rejected attempt as an answer of the greatest latency.
 func (l *latencyStats) recordRejected(gain float64) {
 	l.meanRatio += (maxLatencyRatio - l.meanRatio) * gain
 }
--- a/balance/parts_test.go
+++ b/balance/parts_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The estimator returns the rate at which answers came, and forgets it.
+// The estimator returns the rate of answers, which decays when there are none.
 func TestRateEstimatorFollowsTheRate(t *testing.T) {
 	e := rateEstimator{span: 100}
 	for now := 10.0; now <= 10000; now += 10 {
@@ -18,11 +18,11 @@
 		t.Errorf("%v answers per ms after ten seconds without any", got)
 	}
 	if got := e.gain(20000); got != maxGain {
-		t.Errorf("gain %v without answers, want the greatest, %v", got, maxGain)
+		t.Errorf("gain %v without answers, want the maximum, %v", got, maxGain)
 	}
 }
 
-// A burst shows in the short count before the long one has seen it.
+// A burst raises the rate by the short count before it affects the long one.
 func TestRateEstimatorDetectsBurst(t *testing.T) {
 	e := rateEstimator{span: 100}
 	e.add(10000, 0)
@@ -34,7 +34,7 @@
 	}
 }
 
-// The best latency is taken once a whole window of answers is there; late and rejected attempts count.
+// The best latency is updated only after a whole window of answers; late and rejected attempts count in the averages.
 func TestLatencyStatsTrackBestMean(t *testing.T) {
 	l := latencyStats{meanRatio: initialLatencyRatio, bestRatio: initialLatencyRatio}
 	for i := range recentWindow {
@@ -57,7 +57,7 @@
 	}
 }
 
-// Without excess load nothing is shed; with it a lasting part builds up, within its bounds.
+// Without excess load nothing is shed; with excess load the steady part grows within its bounds.
 func TestShedderBuildsUpWithinBounds(t *testing.T) {
 	cfg := baseConfig()
 	b := New(cfg)
@@ -80,11 +80,11 @@
 		}
 	}
 	if b.shedder.steadyShed != maxShed || refused < 800 || refused == 1000 {
-		t.Errorf("%d of 1000 refused, lasting part %v, want %v", refused, b.shedder.steadyShed, maxShed)
+		t.Errorf("%d of 1000 refused, steady part %v, want %v", refused, b.shedder.steadyShed, maxShed)
 	}
 }
 
-// The more servers are busy, the more are probed, within what probes may cost.
+// The number of probes grows with the share of busy servers, within the allowed cost.
 func TestProbeCount(t *testing.T) {
 	for _, c := range []struct {
 		busy, price float64
@@ -94,12 +94,12 @@
 	} {
 		p := probing{busyShare: c.busy}
 		if got := p.count(c.price); got != c.want {
-			t.Errorf("busy %v, price %v: %d probes, want %d", c.busy, c.price, got, c.want)
+			t.Errorf("busy %v, penalty %v: %d probes, want %d", c.busy, c.price, got, c.want)
 		}
 	}
 }
 
-// What all servers have in common is load: equal latencies move no sizes apart, and a slower kind gets smaller.
+// Equal latencies of all servers are due to load and change no sizes; a slower kind of servers gets a smaller size.
 func TestSizeLearnerSubtractsTheCommonStep(t *testing.T) {
 	l := sizeLearner{kinds: map[int]*size{}, zones: map[int]*size{}}
 	servers := make([]*server, 2)
@@ -122,7 +122,7 @@
 	}
 }
 
-// Servers that a complete list does not contain are removed; the others keep their state, in order of ID.
+// Servers that a complete list does not contain are removed; the others keep their state and are sorted by ID.
 func TestServerTableFollowsTheList(t *testing.T) {
 	table := serverTable{byID: map[ServerID]*server{}}
 	for _, id := range []ServerID{3, 1, 2} {
@@ -145,7 +145,7 @@
 	}
 }
 
-// Each limit of a request's attempts is effective by itself.
+// Each limit of a request's attempts is effective independently of the others.
 func TestLimitsOfAttempts(t *testing.T) {
 	reset, failed, undelivered := attempt{reset: true}, attempt{}, attempt{notDelivered: true}
 	for name, c := range map[string]struct {
@@ -163,7 +163,7 @@
 		"as many attempts as allowed":  {request{attempts: make([]attempt, 10)}, true},
 		"the request's limit":          {request{Request: Request{MaxAttempts: 1}, attempts: []attempt{reset}}, true},
 		"the limit counts deliveries":  {request{Request: Request{MaxAttempts: 1}, attempts: []attempt{undelivered}}, false},
-		"its body is gone":             {request{bodyConsumed: true}, true},
+		"its body is consumed":         {request{bodyConsumed: true}, true},
 		"all undelivered at the limit": {request{attempts: []attempt{9: undelivered, 8: undelivered}}, true},
 	} {
 		if got := c.r.attemptsUsedUp(10); got != c.want {
--- a/balance/probes.go
+++ b/balance/probes.go
@@ -5,23 +5,23 @@
 // Parameters of load probes.
 const (
 	probeCostShare    = 0.03 // part of the result that the probes of a request may cost
-	probeWaitShare    = 0.05 // part of the target for which an attempt waits, and a report is fresh
+	probeWaitShare    = 0.05 // part of the target for which an attempt waits, and for which a report is fresh
 	probeLatencyBound = 0.75 // part of the latency target within which a probed server has to answer
-	allBusyChance     = 0.01 // chance that all probed servers are busy at which no more are probed
-	minBusyShare      = 0.01 // bounds of the share of busy servers, as its logarithm is taken
+	allBusyChance     = 0.01 // sufficiently low probability that all probed servers are busy
+	minBusyShare      = 0.01 // bounds of the share of busy servers, whose logarithm is taken
 	maxBusyShare      = 0.99
-	minProbePenalty   = 1e-3 // ... and of the price of a probe, which is divided by
+	minProbePenalty   = 1e-3 // lower bound of the penalty for a probe, which is a divisor
 )
 
-// probing is the state of load probes across requests.
+// probing is the state of load probes that all requests have in common.
 type probing struct {
-	busyShare         float64    // recent share of reporting servers that had any request pending
+	busyShare         float64    // recent share of reports with any request pending
 	latencyPerPending float64    // ms of latency per request pending at the server, itself included
 	waiting           []*request // requests that wait for probes
 }
 
-// startProbes probes the servers next in the rotation before a first attempt, where servers report their load
-// only when probed: so many that they are hardly ever all busy, within what probes may cost.
+// startProbes probes the next servers in the rotation before a first attempt, if servers report their load in
+// answers to probes only. It probes so many that all of them are rarely busy, within the allowed cost.
 func (b *Balancer) startProbes(r *request) {
 	if !b.cfg.Probes || b.cfg.Reports != ReportProbe {
 		return
@@ -43,15 +43,15 @@
 	}
 }
 
-// count is the number of servers to probe for a request, at a price for each.
+// count returns the number of servers to probe for a request, given the penalty for each probe.
 func (p *probing) count(penalty float64) int {
 	affordable := probeCostShare / max(penalty, minProbePenalty)
 	busy := clamp(p.busyShare, minBusyShare, maxBusyShare)
 	return int(min(affordable, math.Ceil(math.Log(allBusyChance)/math.Log(busy))))
 }
 
-// nextToProbe is the next eligible server in the rotation that was not probed for the request; nil if there
-// is none.
+// nextToProbe returns the next eligible server in the rotation that was not probed for the request; nil if
+// there is none.
 func (b *Balancer) nextToProbe(r *request) *server {
 	var next *server
 	for _, s := range b.servers {
@@ -64,7 +64,7 @@
 }
 
 // onProbeResult records a server's report and continues the requests that wait for probes. A server that does
-// not answer is ejected: its process may run, but is unreachable from here.
+// not answer is ejected, as it is unreachable from this sidecar even if its process runs.
 func (b *Balancer) onProbeResult(ev ProbeResult) {
 	s := b.byID[ev.Server]
 	if s == nil {
@@ -83,7 +83,7 @@
 	b.stepWaitingForProbes()
 }
 
-// awaitingProbes reports whether a request still waits for its probes; it never waits beyond probesUntil.
+// awaitingProbes reports whether a request still waits for its probes. It waits no longer than probesUntil.
 func (b *Balancer) awaitingProbes(r *request) bool {
 	for _, s := range r.probed {
 		if s.probing && b.now < r.probesUntil {
@@ -94,7 +94,8 @@
 	return false
 }
 
-// overloaded reports whether probes found no server that would answer in time; nothing has been sent yet.
+// overloaded reports whether a request without attempts can't be answered in time by s, the best server that
+// probes found.
 func (b *Balancer) overloaded(r *request, s *server) bool {
 	if len(r.attempts) > 0 || !b.reportFresh(s) {
 		return false
@@ -103,7 +104,8 @@
 	return b.now+latency > r.arrivedAt+probeLatencyBound*r.class.LatencyTarget
 }
 
-// stepWaitingForProbes steps the requests that wait for probes and keeps those that still do.
+// stepWaitingForProbes calls step for the requests that wait for probes and removes those that do not wait
+// any longer.
 func (b *Balancer) stepWaitingForProbes() {
 	waiting := b.probing.waiting
 	b.probing.waiting = waiting[:0]
@@ -115,7 +117,7 @@
 	}
 }
 
-// recordReport records a load report.
+// recordReport records the requests in flight of a load report.
 func (b *Balancer) recordReport(s *server, report []float32) {
 	for i, f := range b.cfg.Fields {
 		if i < len(report) && f == FieldInFlight {
--- a/balance/property_test.go
+++ b/balance/property_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// world feeds one balancer random but legal events and checks the four rules at every action.
+// simulation passes random valid events to one balancer and checks the rules of attempts and answers at every action.
 type simulation struct {
 	t           *testing.T
 	rnd         *rand.Rand
@@ -14,7 +14,7 @@
 	cfg         Config
 	now         float64
 	servers     map[ServerID]*Server
-	sendable    map[ServerID]bool // may be sent to
+	sendable    map[ServerID]bool // listed as ready
 	requests    map[RequestID]*simulatedRequest
 	timers      []pendingTimer
 	probes      []ServerID
@@ -22,7 +22,7 @@
 	shutdownAt  float64      // when the sidecar must have answered all
 }
 
-// coldSend is one send, for the rule of cold servers.
+// recentSend is one attempt, for the check of servers in slow start.
 type recentSend struct {
 	server ServerID
 	at     float64
@@ -88,7 +88,7 @@
 	}
 }
 
-// randomSettings varies all that a decision reads, within what is legal.
+// randomSettings returns a valid configuration with random values of the settings that decisions depend on.
 func randomSettings(rnd *rand.Rand) Config {
 	cfg := baseConfig()
 	for c := range cfg.Classes {
@@ -130,7 +130,7 @@
 			w.handle(ProbeResult{Server: s, Latency: 1, Report: []float32{float32(w.rnd.Intn(6)), 0, 0.5}})
 		}
 	default:
-		gone := id - RequestID(w.rnd.Intn(20)) // may never have been or have ended: ignored then
+		gone := id - RequestID(w.rnd.Intn(20)) // unknown and ended requests are ignored
 		if o := w.requests[gone]; o != nil {
 			o.answered = true
 		}
@@ -138,7 +138,7 @@
 	}
 }
 
-// end tells the module that its sidecar ends.
+// shutdown begins the shutdown of the sidecar.
 func (w *simulation) shutdown(within float64) {
 	w.shutdownAt = w.now + within
 	for _, o := range w.requests {
@@ -147,7 +147,7 @@
 	w.handle(Shutdown{Within: within})
 }
 
-// endOne ends one live attempt of some request at random.
+// endRandomAttempt ends one attempt in flight of a recent request with a random result.
 func (w *simulation) endRandomAttempt(before RequestID) {
 	for id := before; id > 0 && id+60 > before; id-- {
 		o := w.requests[id]
@@ -208,7 +208,7 @@
 			w.timers = append(w.timers, pendingTimer{w.now + a.At, a.Token})
 		case Probe:
 			if !w.cfg.Probes {
-				w.t.Fatal("probed where probes are not allowed")
+				w.t.Fatal("probe although Config.Probes is false")
 			}
 			w.probes = append(w.probes, a.Server)
 		case Send:
@@ -229,31 +229,31 @@
 	case o.answered:
 		w.t.Fatalf("request %d was sent after its answer", a.Request)
 	case w.now >= w.shutdownAt:
-		w.t.Fatalf("request %d was sent after the end", a.Request)
+		w.t.Fatalf("request %d was sent after the end of the shutdown", a.Request)
 	case !w.sendable[a.Server]:
-		w.t.Fatalf("request %d was sent to server %d, which drains or is gone", a.Request, a.Server)
+		w.t.Fatalf("request %d was sent to server %d, which is draining or gone", a.Request, a.Server)
 	case len(o.attempts) >= w.cfg.MaxAttempts:
-		w.t.Fatalf("request %d was sent too often", a.Request)
+		w.t.Fatalf("request %d has more attempts than allowed", a.Request)
 	}
 	to := *w.servers[a.Server]
 	for _, p := range o.attempts {
 		if p.inFlight && !w.cfg.ParallelAttempts {
-			w.t.Fatalf("request %d is out twice", a.Request)
+			w.t.Fatalf("request %d has two attempts in flight", a.Request)
 		}
 		if p.notExecuted || c.Effect == Safe {
 			continue
 		}
 		apart := c.DedupScope == DedupCell && p.server.Cell != to.Cell || c.DedupScope == DedupZone && p.server.Zone != to.Zone
 		if c.Effect == Unsafe || apart || w.now >= p.sentAt+c.DedupWindow {
-			w.t.Fatalf("request %d may have run and was sent again", a.Request)
+			w.t.Fatalf("request %d may have been executed and was sent again", a.Request)
 		}
 	}
 	o.attempts = append(o.attempts, simulatedAttempt{server: to, sentAt: w.now, inFlight: true})
 	w.checkSlowStart(to)
 }
 
-// checkCold: a cold server gets no more within ColdOverloadTime than the multiple of what a server of this sidecar gets
-// on the mean, however warm, and what chance may add to that.
+// checkSlowStart checks the attempts at a server in slow start within ColdOverloadTime: at most ColdOverloadFactor
+// times the mean of all servers, plus a statistical tolerance.
 func (w *simulation) checkSlowStart(to Server) {
 	recent, sent := w.recentSends[:0], 1
 	for _, s := range w.recentSends {
@@ -275,7 +275,8 @@
 	limit := w.cfg.ColdOverloadFactor * float64(len(w.recentSends)) / float64(max(ready, 1))
 	limit += 2 + 2*math.Sqrt(limit)
 	if inSlowStart && ready > 2 && float64(sent) > limit {
-		w.t.Fatalf("cold server %d was sent %d of %d within %.0f ms, at most %.1f", to.ID, sent, len(w.recentSends), w.cfg.ColdOverloadTime, limit)
+		w.t.Fatalf("server %d in slow start was sent %d of %d within %.0f ms, at most %.1f",
+			to.ID, sent, len(w.recentSends), w.cfg.ColdOverloadTime, limit)
 	}
 }
 
@@ -290,12 +291,12 @@
 	}
 	for _, p := range o.attempts {
 		if !p.notExecuted {
-			w.t.Fatalf("request %d may have run and was refused", a.Request)
+			w.t.Fatalf("request %d may have been executed and was refused", a.Request)
 		}
 	}
 }
 
-// fireTimers brings the alarms that are due, each at its own time.
+// fireTimers fires the timers that are due, each at its own time.
 func (w *simulation) fireTimers() {
 	end := w.now
 	for {
--- a/balance/regression_test.go
+++ b/balance/regression_test.go
@@ -12,7 +12,8 @@
 	return cfg
 }
 
-// probes answers the probes of acts: servers in dark give no answer, the others hold n requests.
+// answerProbes answers the probes among acts: unreachable servers do not answer, the others have the given number of
+// pending requests. It returns the resulting actions.
 func (g *harness) answerProbes(acts []Action, pending float32, unreachable map[ServerID]bool) []Action {
 	var actions []Action
 	for _, a := range acts {
@@ -28,22 +29,22 @@
 	return actions
 }
 
-// Links were cut and most probes lost, and the servers next in turn, which nobody could use,
-// were probed again for every request.
+// In a partition most probes were lost, and the unreachable servers, as next in the rotation, were probed again for every
+// request.
 func TestUnreachableServersAreEjectedAndReturn(t *testing.T) {
 	g := newHarness(t, probeConfig(), testServers(3)...)
 	unreachable := map[ServerID]bool{1: true, 2: true}
 	for i := range 4 {
 		id, acts := g.request(safeClass)
 		if probed := len(acts) - 1; i > 0 && probed > 1 {
-			t.Fatalf("request %d: %d servers probed though two are out of reach", id, probed)
+			t.Fatalf("request %d: %d servers probed though two are unreachable", id, probed)
 		}
 		if s, ok := sentTo(g.answerProbes(acts, 0, unreachable)); !ok || s != 3 {
 			t.Fatalf("request %d went to %d", id, s)
 		}
 		g.endAttempt(id, 0, OK, 10)
 	}
-	g.now += 10000 // their rest is over and they answer again
+	g.now += 10000 // the ejection is over and they answer again
 	used := map[ServerID]bool{}
 	for range 6 {
 		id, acts := g.request(safeClass)
@@ -52,14 +53,14 @@
 		g.endAttempt(id, 0, OK, 10)
 	}
 	if !used[1] || !used[2] {
-		t.Fatalf("used %v after they came back", used)
+		t.Fatalf("used %v after the servers answered again", used)
 	}
 }
 
-// A sidecar with little traffic cannot know from its own requests what others fill.
+// A sidecar with little traffic knows the queues that others fill only from probes.
 func TestServerWithProbedQueueIsPassedOver(t *testing.T) {
 	g := newHarness(t, probeConfig(), testServers(3)...)
-	g.b.servers[0].currentWeight = 1000 // its turn
+	g.b.servers[0].currentWeight = 1000 // next in turn
 	id, acts := g.request(safeClass)
 	if hasAction(acts, Send) {
 		t.Fatal("sent before the probes were answered")
@@ -67,7 +68,7 @@
 	g.handle(ProbeResult{Server: 1, Report: []float32{5}})
 	g.handle(ProbeResult{Server: 2, Report: []float32{0}})
 	if s, ok := sentTo(g.handle(ProbeResult{Server: 3, Report: []float32{4}})); !ok || s != 2 {
-		t.Fatalf("request %d went to %d, want the empty server", id, s)
+		t.Fatalf("request %d went to %d, want the idle server", id, s)
 	}
 }
 
@@ -80,8 +81,8 @@
 	}
 }
 
-// A hung server is passed over at once, for what it holds, and rested after several strikes;
-// what is stuck there must not look like overload of the whole fleet.
+// A hung server is passed over at once because of its requests in flight, and ejected after several errors. The requests
+// that hang there must not count as overload of the whole fleet.
 func TestHungServerCausesNoShedding(t *testing.T) {
 	g := newHarness(t, baseConfig(), testServers(6)...)
 	sentToHung := 0
@@ -107,7 +108,7 @@
 	}
 }
 
-// due returns the timers of open requests that have come.
+// dueTimers returns the timers of open requests that are due.
 func (g *harness) dueTimers() []TimerFired {
 	var list []TimerFired
 	for id := RequestID(1); id <= g.lastID; id++ {
@@ -118,8 +119,8 @@
 	return list
 }
 
-// In overload every queue filled and all answers came late. What cannot be answered in time is
-// refused before it is sent, least worth first.
+// In overload all queues filled and all answers were late. Requests that can't be answered in time are refused before any
+// attempt, those of the lowest value first.
 func TestOverloadShedsLowestValueFirst(t *testing.T) {
 	g := newHarness(t, baseConfig(), testServers(4)...)
 	g.b.traffic.latency.lateShare = 1
@@ -140,12 +141,12 @@
 		}
 	}
 	if refused[safeClass] < 100 || refused[unsafeClass] >= refused[safeClass] {
-		t.Fatalf("refused %d of low worth and %d of high worth", refused[safeClass], refused[unsafeClass])
+		t.Fatalf("refused %d of low value and %d of high value", refused[safeClass], refused[unsafeClass])
 	}
 }
 
-// In a congested fleet all answers are late, and that is no server's fault: once the class is
-// known to take long, an attempt of 430 ms with an aim of 300 is no error.
+// In a congested fleet all answers are late, which is no error of single servers: once the class's mean latency is high,
+// an attempt of 430 ms with a latency target of 300 ms is no error.
 func TestSlowAnswersInCongestedFleetAreNoErrors(t *testing.T) {
 	g := newHarness(t, baseConfig(), testServers(4)...)
 	latencies := []float64{370, 430, 400}
@@ -161,7 +162,7 @@
 		}
 		g.now = end
 		if i > 30 && g.b.requests[id].attempts[0].overdue {
-			t.Fatalf("attempt %d of %v ms is held to be overdue after %v", i, latencies[i%3], g.b.requests[id].overdueAfter())
+			t.Fatalf("attempt %d of %v ms counts as overdue after %v", i, latencies[i%3], g.b.requests[id].overdueAfter())
 		}
 		g.endAttempt(id, 0, OK, latencies[i%3])
 	}
@@ -172,15 +173,15 @@
 	}
 	r := g.b.requests[id]
 	if g.now = r.timerAt; g.now >= r.deadline {
-		t.Fatal("nothing looks at the attempt before its deadline")
+		t.Fatal("no timer checks the attempt before its deadline")
 	}
 	if g.handle(TimerFired{Token: uint64(id)}); !r.attempts[0].overdue || r.attempts[0].server.consecutiveErrors != 1 {
-		t.Fatal("an attempt far beyond all others is no error")
+		t.Fatal("an attempt far slower than all others is not counted as an error")
 	}
 }
 
-// A sidecar of a request a second judged the load by what it had in flight at that moment, and refused by
-// chance on quiet days. Answers that come quickly are to tell that there is no jam, late ones that there is.
+// A sidecar with one request per second estimated the load by its attempts in flight alone and refused requests by chance
+// without overload. It must shed load by the latency of recent answers: fast ones show that there is no overload.
 func TestLowTrafficSidecarShedsByRecentLatency(t *testing.T) {
 	for latency, want := range map[float64][2]int{60: {0, 2}, 900: {20, 199}} {
 		g := newHarness(t, baseConfig(), testServers(12)...)
@@ -188,7 +189,7 @@
 		for range 100 {
 			g.now += 50
 			id, acts := g.request(safeClass)
-			second, secondActs := g.request(safeClass) // two at once now and then
+			second, secondActs := g.request(safeClass) // two at once
 			for _, r := range []struct {
 				id   RequestID
 				acts []Action
@@ -211,29 +212,29 @@
 	}
 }
 
-// What hangs at a resting server is that server's trouble and must not shed load.
+// Attempts that hang at an ejected server say nothing about the others and must not cause load shedding.
 func TestEjectedServersDoNotCountAsLoad(t *testing.T) {
 	g := newHarness(t, baseConfig(), testServers(2)...)
 	g.b.servers[0].load, g.b.servers[1].load = 5, 1
 	if load := g.b.openLoad(); load != 6 {
-		t.Fatalf("load %v before the rest", load)
+		t.Fatalf("load %v before the ejection", load)
 	}
 	g.b.eject(g.b.servers[0])
 	if load := g.b.openLoad(); load != 1 {
-		t.Fatalf("load %v during the rest", load)
+		t.Fatalf("load %v during the ejection", load)
 	}
 }
 
-// crowd sets the lasting part to shed and fills the fleet so that answers take the given part of the
-// aim longer than they may.
+// setLoad sets the steady part to shed, and the load such that the expected latency exceeds the allowed one by the given
+// multiple of the latency target.
 func (g *harness) setLoad(steady, excess float64) {
 	allowed := g.b.traffic.latency.bestRatio + queueAllowance*(1-g.b.traffic.latency.bestRatio)
 	g.b.shedder.steadyShed, g.b.traffic.latency.lateShare = steady, 1
 	g.b.servers[0].load += (allowed+excess)*g.b.traffic.rate.perMillis(g.b.now, assumedAnswers) - g.b.openLoad()
 }
 
-// shedding brings 4000 requests, drawn from turns of (class, tenant), of which 0.4 of the work is to be shed,
-// and returns the part refused of each class and of each tenant.
+// shedFractions sends 4000 requests of classes and tenants drawn from mix, with 0.4 of the work to be shed. It returns the
+// refused fraction of each class and of each tenant.
 func shedFractions(t *testing.T, cfg Config, mix ...[2]int) (byClass, byTenant [5]float64) {
 	t.Helper()
 	g := newHarness(t, cfg, testServers(4)...)
@@ -261,13 +262,13 @@
 	return byClass, byTenant
 }
 
-// Busy sidecars let queues grow for seconds before enough was shed, and crowded servers
-// stayed slow. What is shed follows the load at once, between nothing and twice the lasting part; a
-// sidecar that has not shed lately refuses nothing, as its few requests may crowd by chance.
+// Busy sidecars let queues grow for seconds before enough was shed, and overloaded servers stayed slow. The part shed
+// follows the load at once, from nothing to twice the steady part. A sidecar whose steady part is 0 refuses nothing, as
+// its few requests may coincide by chance.
 func TestSheddingFollowsLoadAtOnce(t *testing.T) {
 	for _, c := range []struct {
-		steady, excess         float64 // over: of the aim, beyond what answers may take
-		minRefused, maxRefused float64 // part refused
+		steady, excess         float64 // excess: over the allowed latency, as a multiple of the target
+		minRefused, maxRefused float64 // as fractions
 	}{{0, 0.5, 0, 0.05}, {0.4, 0, 0.3, 0.5}, {0.4, 0.5, 0.7, 0.9}, {0.4, -0.3, 0, 0}} {
 		g := newHarness(t, baseConfig(), testServers(4)...)
 		for range 100 {
@@ -288,8 +289,8 @@
 	}
 }
 
-// Of two tenants with equal shares the one that asks three times as much loses what is beyond its
-// share; when both ask for the same they lose the same.
+// Of two tenants with equal shares, the one with three times the requests of the other is shed for the part over its
+// share. With equal requests both are shed equally.
 func TestTenantsOverTheirShareAreShedFirst(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Tenants = []Tenant{{Share: 0.5}, {Share: 0.5}}
@@ -303,23 +304,23 @@
 	}
 }
 
-// A restarted server starts afresh: nothing of its rests, nor that it was dark, is left.
+// A restart of a server clears its ejections and its unanswered probe.
 func TestRestartClearsErrorsOfServer(t *testing.T) {
 	g := newHarness(t, baseConfig(), testServers(2)...)
 	s := g.b.servers[0]
 	g.handle(ProbeResult{Server: s.ID, Result: TimedOut})
 	if !s.probeUnanswered || !s.isEjected(g.b.now) {
-		t.Fatal("a probe without answer does not rest the server")
+		t.Fatal("an unanswered probe does not eject the server")
 	}
 	entry := s.Server
 	entry.StartedAt = g.now
 	g.handle(ServerList{Kind: ListDelta, Servers: []Server{entry}})
 	if s.probeUnanswered || s.ejections != 0 || s.isEjected(g.b.now) {
-		t.Fatalf("after the restart: dark %v, rests %d", s.probeUnanswered, s.ejections)
+		t.Fatalf("after the restart: probe unanswered %v, ejections %d", s.probeUnanswered, s.ejections)
 	}
 }
 
-// Twice as fast a server is found to be larger, and its kind with it.
+// Servers that answer in half the time get a larger size, and so does their kind.
 func TestSizesAreLearned(t *testing.T) {
 	servers := testServers(4)
 	servers[2].Kind, servers[3].Kind = 1, 1
@@ -340,8 +341,7 @@
 	}
 }
 
-// Half the fleet was gone and clients' later tries, too late to be worth anything, took what was
-// left of it.
+// With half of the fleet gone, clients' late retries, which have no value any more, used up the remaining capacity.
 func TestLateRetriesAreShedFirst(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Classes[safeClass].LateValue = 0.3
@@ -349,10 +349,10 @@
 		shed, remaining float64
 		refused         bool
 	}{
-		{0.5, 1000, true},   // 500 ms gone, the aim of 300 has passed
-		{0.2, 1000, false},  // the load to shed is less than what a late answer is worth
-		{0.5, 1300, false},  // 200 ms gone, it can still be in time
-		{0.99, 1500, false}, // a first try
+		{0.5, 1000, true},   // 500 ms elapsed, the latency target of 300 ms has passed
+		{0.2, 1000, false},  // the part to shed is less than the value of a late answer
+		{0.5, 1300, false},  // 200 ms elapsed, an answer can still be in time
+		{0.99, 1500, false}, // a first attempt of the client
 	} {
 		g := newHarness(t, cfg, testServers(4)...)
 		g.request(safeClass)
@@ -373,7 +373,7 @@
 	}
 }
 
-// A server that leaves several attempts unanswered is rested, and used again after an answer.
+// A server with several consecutive errors is ejected, and fully used again after an answer.
 func TestConsecutiveErrorsEjectServer(t *testing.T) {
 	g := newHarness(t, baseConfig(), testServers(3)...)
 	s := g.b.servers[0]
@@ -381,16 +381,16 @@
 		g.b.recordError(s, false)
 	}
 	if s.isEjected(g.b.now) {
-		t.Fatal("rested before the last strike")
+		t.Fatal("ejected before the last error")
 	}
 	g.b.recordError(s, false)
 	if !s.isEjected(g.b.now) {
-		t.Fatal("not rested after the last strike")
+		t.Fatal("not ejected after the last error")
 	}
 	for range 12 {
 		id, acts := g.request(safeClass)
 		if to, _ := sentTo(acts); to == s.ID {
-			t.Fatal("a resting server got a request")
+			t.Fatal("an ejected server got a request")
 		}
 		g.endAttempt(id, 0, OK, 10)
 	}
@@ -402,10 +402,10 @@
 			return
 		}
 	}
-	t.Fatal("the server was not tried after its rest")
+	t.Fatal("the server was not used after its ejection")
 }
 
-// When all servers rest the cause is hardly theirs.
+// If all servers are ejected, the cause is probably not in the servers, and they are used.
 func TestEjectedServersAreUsedWhenAllAreEjected(t *testing.T) {
 	g := newHarness(t, baseConfig(), testServers(3)...)
 	for _, s := range g.b.servers {
@@ -416,7 +416,7 @@
 	}
 }
 
-// Probes cost: in quiet hours a few find an idle server, in busy ones all are asked.
+// Probes have a cost: while servers are idle a few probes suffice to find an idle one; while they are busy all are probed.
 func TestProbeCountFollowsServerLoad(t *testing.T) {
 	g := newHarness(t, probeConfig(), testServers(12)...)
 	lastProbeCount := func(pending float32) int {
@@ -441,7 +441,7 @@
 	}
 }
 
-// Where crossing zones has a price, the own zone gets more, and others still take their part.
+// With a penalty for crossing zones the own zone gets more requests, and the others still get some.
 func TestOwnZoneIsPreferredWhenCrossingCosts(t *testing.T) {
 	for penalty, least := range map[float64]int{0: 10, 0.05: 25} {
 		cfg := baseConfig()
@@ -454,13 +454,13 @@
 			}
 		}
 		if inOwnZone < least || inOwnZone > 38 || penalty == 0 && inOwnZone != 20 {
-			t.Errorf("price %v: %d of 40 in the own zone", penalty, inOwnZone)
+			t.Errorf("penalty %v: %d of 40 in the own zone", penalty, inOwnZone)
 		}
 	}
 }
 
-// Traffic grew sevenfold within seconds on an enlarged fleet; answers stayed fast, but the attempts
-// in flight were set against the rate of answers of some time before, and half was refused.
+// Traffic grew sevenfold within seconds after the fleet was scaled up. Answers stayed fast, but the attempts in flight
+// were compared with an outdated rate of answers, and half of the requests were refused.
 func TestFastTrafficGrowthIsNotShed(t *testing.T) {
 	g := newHarness(t, baseConfig(), testServers(12)...)
 	var open []RequestID
@@ -483,8 +483,8 @@
 	}
 }
 
-// Sidecars of a request a second learned sizes by answers, fifty times slower than busy ones: at full size
-// slow servers kept more than they could do all day. Ten seconds must tell fast kinds from slow ones.
+// Sidecars with one request per second learned sizes per answer, fifty times slower than busy ones, so that slow servers
+// stayed overloaded. Ten seconds must suffice to distinguish fast kinds from slow ones.
 func TestLowTrafficSidecarLearnsSizesInSeconds(t *testing.T) {
 	list := testServers(12)
 	for i := range list {
@@ -499,13 +499,13 @@
 			}
 		}
 		if fast, slow := g.b.sizes.kinds[1].factor, g.b.sizes.kinds[0].factor; fast < 1.2*slow {
-			t.Errorf("a request each %v ms: kinds twice as fast count as %.2f of slow ones", gap, fast/slow)
+			t.Errorf("one request per %v ms: a kind that is twice as fast has %.2f times the size", gap, fast/slow)
 		}
 	}
 }
 
-// A report that comes with an answer tells of one server only: it made that one the only known server, and
-// all others were passed over for it.
+// A report that is sent with an answer covers one server only. It made that server the only one with a known load, and all
+// others were passed over.
 func TestPiggybackedReportDoesNotAttractAllRequests(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Reports, cfg.Fields = ReportPiggyback, []Field{FieldInFlight}
@@ -525,9 +525,9 @@
 	}
 }
 
-// With a thousand sidecars each sees a request a second: what probed servers hold is all it knows of
-// overload. If the best of them would answer too late the request is refused before any send; if not
-// it is sent, and never to a server that was not probed, of which nothing is known.
+// With a thousand sidecars, each receives one request per second and knows of overload only by probes. If the best
+// probed server would answer too late, the request is refused before any attempt. Otherwise it is sent, and only to a
+// probed server, as the load of the others is unknown.
 func TestProbedQueuesDecideShedding(t *testing.T) {
 	for pending, refused := range map[float32]bool{0: false, 1: false, 6: true} {
 		g := newHarness(t, probeConfig(), testServers(12)...)
@@ -541,7 +541,7 @@
 		}
 		after := g.answerProbes(acts, pending, nil)
 		if hasAction(after, Refuse) != refused || hasAction(after, Send) == refused {
-			t.Fatalf("request %d, probed servers hold %.0f: %+v", id, pending, after)
+			t.Fatalf("request %d, %.0f pending at probed servers: %+v", id, pending, after)
 		}
 		if s, ok := sentTo(after); len(probed) == 12 || ok && !probed[s] {
 			t.Fatalf("sent to %d, which was not probed (%d were)", s, len(probed))
@@ -549,7 +549,7 @@
 	}
 }
 
-// Zones with more traffic than servers were overloaded for the sake of a price of half a point.
+// Zones with more traffic than capacity were overloaded because of a penalty of only 0.005 for crossing zones.
 func TestSmallCrossZonePenaltyHardlyCounts(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Penalties.CrossZone, cfg.Zone = 0.005, 1
@@ -565,9 +565,9 @@
 	}
 }
 
-// A sidecar with few requests used only the servers of the largest rating: running values started
-// within one weight of each other, so that the others waited for many turns. From the first send on,
-// sidecars together must follow the weights, also while open connections change them.
+// Sidecars with few requests used only the servers of the greatest rating: current weights started within one weight of
+// each other, so that the others had to wait for many turns. From the first attempt on, the sidecars together must follow
+// the weights, also while open connections change them.
 func TestFirstAttemptsFollowWeights(t *testing.T) {
 	cfg := baseConfig()
 	cfg.ConnIdle, cfg.Penalties.Handshake = 10000, 0.03
@@ -588,13 +588,13 @@
 			}
 		}
 		if fraction := float64(toLargeServers) / float64(all); fraction < 0.57 || fraction > 0.77 {
-			t.Errorf("of %d sends each, %.2f went to the servers of double size, want about 0.67", sends, fraction)
+			t.Errorf("%d attempts per sidecar: %.2f of them at servers of double size, want about 0.67", sends, fraction)
 		}
 	}
 }
 
-// A new connection for each request costs a price and fills the servers' tables. Servers with an
-// open one are used again while they answer; without a price the rotation is even.
+// New connections have a penalty and fill the servers' tables. Servers with an open connection are used again while they
+// answer; without a penalty the rotation is even.
 func TestOpenConnectionsAreReused(t *testing.T) {
 	for penalty, maxServers := range map[float64]int{0: 20, 0.08: 6} {
 		cfg := baseConfig()
@@ -605,7 +605,7 @@
 			used[s] = true
 		}
 		if len(used) > maxServers || penalty == 0 && len(used) < 20 {
-			t.Errorf("price %v: %d servers used by 20 requests", penalty, len(used))
+			t.Errorf("penalty %v: %d servers used by 20 requests", penalty, len(used))
 		}
 	}
 	cfg := baseConfig()
@@ -615,20 +615,20 @@
 	basePreference := g.b.preference(s)
 	s.lastSentAt = g.now
 	if g.b.preference(s) < 10*basePreference {
-		t.Error("an open connection counts for nothing")
+		t.Error("an open connection does not raise the preference")
 	}
 	s.consecutiveErrors, s.lastErrorAt = 1, math.Inf(-1)
 	if g.b.preference(s) != basePreference {
-		t.Error("a server that just failed is favoured")
+		t.Error("a server that just failed is preferred")
 	}
 	s.consecutiveErrors = 0
 	if g.b.now += cfg.ConnIdle; g.b.preference(s) != basePreference {
-		t.Error("a closed connection is favoured")
+		t.Error("a closed connection raises the preference")
 	}
 }
 
-// A cold server could not be sent anything until it was warm; its turns were saved up at all sidecars,
-// which met there when its warm-up ended.
+// A server in slow start could not be sent anything. Its current weight accumulated at all sidecars, which sent to it at
+// the same time when its slow start ended.
 func TestSidecarsDoNotConvergeOnServerAfterSlowStart(t *testing.T) {
 	first := 0
 	for seed := range uint64(200) {
@@ -639,7 +639,7 @@
 		g.randomStart()
 		servers[0].StartedAt = g.now
 		g.handle(ServerList{Kind: ListDelta, Servers: servers[:1]})
-		for g.now < servers[0].StartedAt+cfg.SlowStartTime-1000 { // hardly any budget for a cold server
+		for g.now < servers[0].StartedAt+cfg.SlowStartTime-1000 { // hardly any budget for a server in slow start
 			sendSequentially(g, 1)
 			g.now += 1000
 		}
@@ -648,13 +648,13 @@
 			first++
 		}
 	}
-	if first > 60 { // a twentieth would be 10; with the turns saved up it was 117
+	if first > 60 { // a twentieth would be 10; with accumulated weights it was 117
 		t.Fatalf("%d of 200 sidecars sent to the server at once", first)
 	}
 }
 
-// In a release on a fleet of sidecars that use open connections again cold servers got nothing: they
-// have no connections, and the budget was set against weights that open connections had raised.
+// During a release on a fleet whose sidecars reuse connections, servers in slow start got no requests: they have no open
+// connections, and their budget was compared with weights that open connections had raised.
 func TestServerInSlowStartGetsShareBesideOpenConnections(t *testing.T) {
 	countToWarmingUp := func(penalty float64) int {
 		n := 0
@@ -678,12 +678,12 @@
 	}
 	withoutPenalty, withPenalty := countToWarmingUp(0), countToWarmingUp(0.08)
 	if withPenalty < withoutPenalty*4/5 || withPenalty > withoutPenalty*5/2 {
-		t.Fatalf("%d sends to a cold server where connections cost, %d where not", withPenalty, withoutPenalty)
+		t.Fatalf("%d attempts at a server in slow start with a penalty for connections, %d without", withPenalty, withoutPenalty)
 	}
 }
 
-// Many sidecars with skewed traffic keep the fourth rule alone: together they stay under the multiple
-// of the least that the cold server can do in each window.
+// Many sidecars with skewed traffic limit the load of a server in slow start independently: together they stay below
+// ColdOverloadFactor times its least capacity in each second.
 func TestSlowStartBudgetHoldsForThousandSidecars(t *testing.T) {
 	const sidecars, seconds = 1500, 12
 	cfg := baseConfig()
@@ -723,17 +723,17 @@
 		least := cfg.SlowStartInitialFraction + (1-cfg.SlowStartInitialFraction)*float64(at-4)*1000/cfg.SlowStartTime
 		// perServer is what a warm server is sent; with slack for chance
 		if limit := cfg.ColdOverloadFactor*least*perServer + 2*math.Sqrt(perServer); sentToWarmingUp[at] > limit {
-			t.Errorf("second %d: %.0f sends to the cold server, limit %.0f (a warm one gets %.0f)", at, sentToWarmingUp[at], limit, perServer)
+			t.Errorf("second %d: %.0f attempts in slow start, limit %.0f (a warm server gets %.0f)", at, sentToWarmingUp[at], limit, perServer)
 		}
 		sent += sentToWarmingUp[at]
 	}
 	if sent < perServer {
-		t.Errorf("%.0f sends in eight seconds: the server does not warm up", sent)
+		t.Errorf("%.0f attempts in eight seconds: the server does not warm up", sent)
 	}
 }
 
-// The running values of a rotation sink while cold servers wait for their budget, and a server that
-// started under a fixed level was above all others, at every sidecar at once.
+// Current weights fall while servers in slow start wait for their budget. A new server that started at a fixed weight was
+// above all others, at every sidecar at the same time.
 func TestNewServerIsNotPickedFirstEverywhere(t *testing.T) {
 	first := 0
 	for seed := range uint64(200) {
@@ -756,8 +756,8 @@
 	}
 }
 
-// Where all servers rest the sum of weights is 0, and running values in turns became no numbers: from
-// then on the first server in the list got every request.
+// While all servers are ejected the sum of weights is 0, and current weights became NaN: from then on the first server in
+// the list got every request.
 func TestRotationContinuesAfterAllWereEjected(t *testing.T) {
 	g := newHarness(t, baseConfig(), testServers(3)...)
 	for _, s := range g.b.servers {
@@ -771,14 +771,14 @@
 	}
 	for id := ServerID(1); id <= 3; id++ {
 		if s := g.b.byID[id]; math.IsNaN(s.currentWeight) || used[id] < 5 {
-			t.Errorf("server %d: %d of 30 requests, running value %v", id, used[id], s.currentWeight)
+			t.Errorf("server %d: %d of 30 requests, current weight %v", id, used[id], s.currentWeight)
 		}
 	}
 }
 
-// Half of the servers failed every request of one class and served the others, whose successes cleared the
-// errors: a fifth of a class that must not be repeated failed all the time. It has to keep to servers known
-// to serve it; the other class goes on using all of them, and the class comes back when the trouble ends.
+// Half of the servers failed every request of one class and served the others, whose successes cleared the errors: a fifth
+// of a class without retries failed continuously. The class must use servers known to serve it, and all of them after the
+// fault. The other class uses all servers throughout.
 func TestFailingClassUsesServersThatServeIt(t *testing.T) {
 	g := newHarness(t, baseConfig(), testServers(12)...)
 	bad := func(s ServerID) bool { return s%2 == 0 }
@@ -819,12 +819,12 @@
 		usedAfterRecovery[s] = true
 	}
 	if len(usedAfterRecovery) < 12 {
-		t.Errorf("after the trouble %d of 12 servers are used", len(usedAfterRecovery))
+		t.Errorf("after the fault %d of 12 servers are used", len(usedAfterRecovery))
 	}
 }
 
-// A sidecar that refused nearly all had no answers any more that could tell it that the jam was over, and
-// went on refusing for the rest of the day.
+// A sidecar that refused nearly all requests received no answers that could show the end of the overload, and went on
+// refusing.
 func TestSheddingEndsWithoutAnswers(t *testing.T) {
 	g := newHarness(t, baseConfig(), testServers(6)...)
 	for range 30 {
@@ -835,7 +835,7 @@
 		}
 	}
 	if g.b.shedder.steadyShed < 0.5 {
-		t.Fatalf("answers of four aims: sheds %.2f", g.b.shedder.steadyShed)
+		t.Fatalf("answers of four times the latency target: sheds %.2f", g.b.shedder.steadyShed)
 	}
 	served := 0
 	for i := range 60 {
@@ -853,12 +853,12 @@
 	}
 }
 
-// Where answers get lost, overdue attempts are no load: the answers that come are quick. In a jam the
-// answers are late as well, and overdue attempts count.
+// While answers are lost but the others are fast, overdue attempts do not count as load. In overload the answers are slow
+// too, and overdue attempts count.
 func TestLostAnswersCauseNoShedding(t *testing.T) {
 	for latency, want := range map[float64][2]int{40: {0, 20}, 900: {60, 399}} {
 		g := newHarness(t, baseConfig(), testServers(12)...)
-		ends := map[RequestID]float64{} // of what is out
+		ends := map[RequestID]float64{} // of attempts in flight
 		refused := 0
 		for i := range 400 {
 			g.now += 40
@@ -893,8 +893,9 @@
 	}
 }
 
-// Answers took 0.7 of the aim, one in twenty late, and small sidecars refused nearly all: shedding wound up
-// as long as answers were slower than its target. More than a few times the late part can win nothing.
+// Answers took 0.7 of the latency target and one in twenty was late, and sidecars with little traffic refused nearly all
+// requests: the steady part grew as long as answers were slower than allowed. Shedding more than a few times the late part
+// has no benefit.
 func TestSheddingIsBoundedByLateAnswers(t *testing.T) {
 	g := newHarness(t, baseConfig(), testServers(12)...)
 	refused := 0
@@ -917,8 +918,8 @@
 	}
 }
 
-// Each of a thousand sidecars went round all servers and kept a connection to each: tables were full and a
-// third of the attempts got none. While connections are refused it keeps to servers with an open one.
+// Each of a thousand sidecars used all servers in turn and kept a connection to each: the servers' tables were full and a
+// third of the attempts could not connect. After connect failures a sidecar must prefer servers with an open connection.
 func TestConnectFailuresPreferOpenConnections(t *testing.T) {
 	cfg := baseConfig()
 	cfg.ConnIdle = 15000
@@ -927,7 +928,7 @@
 		g.randomStart()
 		sendSequentially(g, 6)
 		for _, s := range g.b.servers {
-			s.currentWeight = 0 // else those not met yet come first, by their turn
+			s.currentWeight = 0 // otherwise servers that were not used yet are next in turn
 		}
 		seen := map[ServerID]bool{}
 		for range 12 {
@@ -942,15 +943,17 @@
 		return len(seen)
 	}
 	if free, full := countUsed(0), countUsed(0.6); full > 8 || free < 10 { // 12 each without
-		t.Errorf("%d servers used while connections are refused, %d else", full, free)
+		t.Errorf("%d servers used while connections are refused, %d otherwise", full, free)
 	}
 }
 
-// After a jam small sidecars had an answer in six seconds, some late at first, and refused nearly all for half
-// a minute more: the part of late answers stood still. It is forgotten with the time since the last answer.
+// After an overload sidecars with little traffic had one answer in six seconds, and refused nearly all requests for another
+// half minute, because the share of late answers did not change without answers. It has to decay with the time since the
+// last answer.
 func TestLateShareDecaysWithTime(t *testing.T) {
 	g := newHarness(t, baseConfig(), testServers(12)...)
-	g.b.shedder.steadyShed, g.b.traffic.latency.lateShare, g.b.traffic.latency.meanRatio, g.b.traffic.latency.lastAnswerAt = 0.95, 0.6, 0.55, g.now
+	g.b.shedder.steadyShed, g.b.traffic.latency.lateShare, g.b.traffic.latency.meanRatio, g.b.traffic.latency.lastAnswerAt =
+		0.95, 0.6, 0.55, g.now
 	refused := 0
 	for range 20 {
 		g.now += 1000
@@ -958,20 +961,20 @@
 		if hasAction(acts, Refuse) {
 			refused++
 		} else {
-			g.now += 165 // about as slow as the target
+			g.now += 165 // about the allowed latency
 			g.endAttempt(id, 0, OK, 165)
 		}
 	}
 	if refused > 10 { // 17 before
-		t.Errorf("%d of 20 refused after the jam", refused)
+		t.Errorf("%d of 20 refused after the overload", refused)
 	}
 }
 
-// Clients repeated at once what had been turned away as full, 4.5 attempts a request; as nothing that ended
-// was late, the bound kept shedding low and the storm went on. What is turned away is slower than any answer.
+// Clients retried rejected requests at once, with 4.5 attempts per request. As no attempt ended late, the bound by late
+// answers kept shedding low and the retry storm continued. A rejection must count as slower than any answer.
 func TestRetryStormOfRejectionsIsShed(t *testing.T) {
 	g := newHarness(t, baseConfig(), testServers(12)...)
-	refused := 0 // before anything is sent
+	refused := 0 // before any attempt
 	for i := range 120 {
 		g.now += 300
 		id, acts := g.request(safeClass)
@@ -989,12 +992,12 @@
 		}
 	}
 	if refused < 30 { // 0 before
-		t.Errorf("%d of 120 refused while four fifths of attempts are turned away", refused)
+		t.Errorf("%d of 120 refused while four fifths of the attempts are rejected", refused)
 	}
 }
 
-// Where single connections fail the servers are there all the while: they are not held to come back cold, or
-// requests wait for budgets that nobody needs.
+// A single connect failure is no sign of a restart. If it were, servers would be in slow start without need and requests
+// would wait for their budgets.
 func TestSingleConnectFailureIsNoRestart(t *testing.T) {
 	g := newHarness(t, baseConfig(), testServers(2)...)
 	for range 50 {
@@ -1002,7 +1005,7 @@
 		if s, _ := sentTo(acts); g.b.byID[s].connectFailures == 0 {
 			again, _ := sentTo(g.endAttempt(id, 0, ConnectFailed, 1))
 			if again == 0 || again == s {
-				t.Fatalf("re-routed from %d to %d", s, again)
+				t.Fatalf("attempt at %d was retried at %d", s, again)
 			}
 			g.endAttempt(id, 1, OK, 10)
 		} else {
@@ -1012,17 +1015,17 @@
 	}
 	for _, s := range g.b.servers {
 		if g.b.warmingUp(s) {
-			t.Errorf("server %d is held to be cold", s.ID)
+			t.Errorf("server %d is in slow start", s.ID)
 		}
 	}
 }
 
-// Connections that are reset tell of no load: a request that may be repeated is sent on until one holds.
+// Connection resets are no sign of load: an idempotent request is retried after them, up to maxResetRetries times.
 func TestResetAttemptsAreRetried(t *testing.T) {
 	g := newHarness(t, baseConfig(), testServers(8)...)
 	id, acts := g.request(safeClass)
 	if !hasAction(acts, Send) {
-		t.Fatalf("at first: %v", acts)
+		t.Fatalf("first attempt: %v", acts)
 	}
 	for i := range maxResetRetries {
 		if acts = g.endAttempt(id, i, Reset, 1); !hasAction(acts, Send) {
@@ -1034,8 +1037,8 @@
 	}
 }
 
-// The body of an upload takes as long as its client likes: until its last byte is out neither the server nor the load is to
-// blame for the time, and from then on its time counts.
+// The client determines how long the body of an upload takes. Until its last byte is sent, the time counts neither as
+// latency of the server nor as load; after that the deadline and the load count.
 func TestUploadsCountFromTheirLastByte(t *testing.T) {
 	g := newHarness(t, baseConfig(), testServers(2)...)
 	g.lastID++
@@ -1050,12 +1053,12 @@
 		t.Errorf("after a minute the server has %d errors and %v load", s.consecutiveErrors, g.b.openLoad())
 	}
 	if acts := g.handle(UploadComplete{Request: id}); !hasAction(acts, SetTimer) || g.b.openLoad() <= 0 {
-		t.Errorf("when it is out: %v, load %v", acts, g.b.openLoad())
+		t.Errorf("after the last byte: %v, load %v", acts, g.b.openLoad())
 	}
-	g.handle(UploadComplete{Request: id}) // a second time counts nothing twice
+	g.handle(UploadComplete{Request: id}) // a second event has no effect
 	g.now += 1499
 	if acts := g.handle(TimerFired{Token: uint64(id)}); hasAction(acts, Fail) || hasAction(acts, Refuse) {
-		t.Errorf("given up before its time: %v", acts)
+		t.Errorf("ended before its deadline: %v", acts)
 	}
 	g.now++
 	if acts := g.handle(TimerFired{Token: uint64(id)}); !hasAction(acts, Refuse) {
@@ -1063,11 +1066,11 @@
 	}
 	g.endAttempt(id, 0, Cancelled, 1500)
 	if load := g.b.openLoad() + g.b.shedder.lostLoad; load > 1e-9 || load < -1e-9 {
-		t.Errorf("load %v is left over", load)
+		t.Errorf("load %v after the end", load)
 	}
 }
 
-// What has gone with an attempt cannot be sent again, by any class.
+// A request whose body was consumed by an attempt can't be retried, whatever its class.
 func TestConsumedBodiesAreNotRetried(t *testing.T) {
 	for class, want := range map[int]ActionKind{safeClass: Refuse, unsafeClass: Refuse, keyedCellClass: Refuse} {
 		g := newHarness(t, baseConfig(), testServers(4)...)
@@ -1079,7 +1082,7 @@
 			t.Errorf("class %d: %v", class, acts)
 		}
 		if load := g.b.openLoad(); load != 0 {
-			t.Errorf("class %d: load %v is left over", class, load)
+			t.Errorf("class %d: load %v after the end", class, load)
 		}
 	}
 	g := newHarness(t, baseConfig(), testServers(4)...)
@@ -1087,6 +1090,6 @@
 	at, _ := sentTo(g.handle(Request{ID: g.lastID, Class: unsafeClass, Remaining: 500, Upload: true}))
 	g.handle(UploadComplete{Request: g.lastID})
 	if acts := g.handle(Outcome{Request: g.lastID, Server: at, Result: Reset, BodyConsumed: true}); !hasAction(acts, Fail) {
-		t.Errorf("one that may have run: %v", acts)
+		t.Errorf("a request that may have been executed: %v", acts)
 	}
 }
--- a/balance/replay_codec_test.go
+++ b/balance/replay_codec_test.go
@@ -9,11 +9,11 @@
 	"firplank/balance"
 )
 
-// coder reads or writes the recorded form of what goes into a Balancer and what comes out: big-endian, by position, each field in its
-// full width. One description serves both directions, so that they can't differ. Field names are those of today's code; the positions are
-// those of the recording and must not change.
+// coder encodes and decodes the inputs and outputs of a Balancer in the format of the recording: big-endian, by position,
+// each field in its full width. Both directions use the same methods, so that they can't differ. The order of fields is
+// part of the format and must not change, whatever their present names.
 type coder struct {
-	in  *bytes.Reader // nil: writes
+	in  *bytes.Reader // nil: encode to out
 	out bytes.Buffer
 	err error
 }
@@ -56,10 +56,10 @@
 		return
 	}
 	*v = make([]byte, n)
-	_, _ = c.in.Read(*v) // of a recording in memory; one that is too short differs in what follows
+	_, _ = c.in.Read(*v) // from memory; the length is checked above
 }
 
-// list codes the length of a list, and then each of its elements.
+// list codes the length of a list and each of its elements.
 func list[T any](c *coder, v *[]T, element func(*T)) {
 	n := len(*v)
 	c.int(&n)
@@ -75,7 +75,7 @@
 	}
 }
 
-// enum codes a named number of one byte.
+// enum codes an enumeration value as one byte.
 func enum[T ~uint8](c *coder, v *T) { *v = T(c.word(uint64(*v), 1)) }
 
 func (c *coder) id(v *balance.RequestID)    { *v = balance.RequestID(c.word(uint64(*v), 8)) }
@@ -90,7 +90,7 @@
 	c.bool(&v.Stream)
 }
 
-// config codes all settings but the retry budget, which is an interface.
+// config codes all settings except the retry budget, which is an interface.
 func (c *coder) config(v *balance.Config) {
 	c.u64(&v.Seed)
 	for _, n := range []*int{&v.Index, &v.Peers, &v.Zone, &v.MaxAttempts, &v.StreamsPerConn, &v.MaxOpenRequests} {
@@ -107,7 +107,8 @@
 		c.bool(b)
 	}
 	for _, f := range []*float64{
-		&v.OverShareValue, &v.MinBatchInterval, &v.MaxRetryAfter, &v.ConnectTimeout, &v.ConnIdle, &v.RetryAfterFraction, &v.DrainGrace, &v.SlowStartInitialFraction,
+		&v.OverShareValue, &v.MinBatchInterval, &v.MaxRetryAfter, &v.ConnectTimeout, &v.ConnIdle, &v.RetryAfterFraction, &v.DrainGrace,
+		&v.SlowStartInitialFraction,
 		&v.SlowStartTime, &v.ColdOverloadFactor, &v.ColdOverloadTime, &v.ListRefreshLimit, &v.AnswerSlack,
 	} {
 		c.f64(f)
@@ -136,7 +137,7 @@
 	list(c, v, func(f *float32) { *f = math.Float32frombits(uint32(c.word(uint64(math.Float32bits(*f)), 4))) })
 }
 
-// The kinds of recorded steps.
+// The kinds of steps. The numbers are part of the recording.
 const (
 	stepStart uint8 = iota
 	stepAddClass
@@ -152,11 +153,11 @@
 	stepMessage
 )
 
-// step is one recorded call of the Balancer: Start, Extend or Handle with an event.
+// step is one recorded call of the Balancer: Start, AddClass or Handle with an event.
 type step struct {
 	kind  uint8
 	now   float64
-	class balance.Class // of Extend
+	class balance.Class // of AddClass
 	event balance.Event // of Handle
 }
 
@@ -199,7 +200,7 @@
 	}
 }
 
-// event codes a step's event as what it is.
+// event codes a step's event by its type.
 func event[T balance.Event](c *coder, v *step, code func(*T)) {
 	var e T
 	if c.in == nil {
@@ -258,7 +259,7 @@
 // actions codes the actions of one step.
 func (c *coder) actions(v *[]balance.Action) { list(c, v, c.action) }
 
-// tokens is a retry budget for the recording: a tenth of the requests and two beside, over all time.
+// recordedRetryBudget is the retry budget of the recording: a tenth of all requests plus two.
 type recordedRetryBudget struct{ requests, withdrawn float64 }
 
 // Deposit implements balance.RetryBudget.
--- a/balance/replay_test.go
+++ b/balance/replay_test.go
@@ -11,10 +11,10 @@
 	"firplank/balance"
 )
 
-// TestDecidesAsRecorded replays what testdata/generator.go.txt recorded with commit 5126712: nine balancers, six with settings as the
-// simulator's profiles have them, three with those of the mesh, in a world of servers that come, go, get slow and fail.
-// Each action of each step must be the recorded one, bit for bit. A commit that changes a decision on purpose records
-// anew and says what changed; one that only renames or moves code doesn't touch the recording.
+// TestDecisionsMatchRecording replays the events that testdata/generator.go.txt recorded with commit 5126712: nine runs
+// with servers that start, stop, slow down and fail, six with settings of the simulator's profiles, three with those of
+// the mesh. Every action of every step must equal the recorded one, bit for bit. A commit that changes a decision on
+// purpose makes a new recording and states the change; one that only renames or moves code leaves the recording alone.
 func TestDecisionsMatchRecording(t *testing.T) {
 	c := &coder{in: bytes.NewReader(decompress(t, "testdata/decisions-5126712.bin.gz"))}
 	kinds := map[balance.ActionKind]int{}
@@ -22,9 +22,9 @@
 	for ; c.in.Len() > 0; runs++ {
 		steps += replay(t, c, runs, kinds)
 	}
-	t.Logf("%d scenes, %d steps, actions by kind: %v", runs, steps, kinds)
+	t.Logf("%d runs, %d steps, actions by kind: %v", runs, steps, kinds)
 	if runs != 9 || steps < 32000 {
-		t.Errorf("%d scenes with %d steps, want 9 with 32,000 or more", runs, steps)
+		t.Errorf("%d runs with %d steps, want 9 with 32,000 or more", runs, steps)
 	}
 	for _, k := range []balance.ActionKind{
 		balance.Send, balance.Refuse, balance.Fail, balance.Cancel, balance.SetTimer, balance.Probe, balance.Subscribe,
@@ -52,7 +52,7 @@
 	return all
 }
 
-// replay plays one scene and returns the number of its steps.
+// replay replays one run and returns the number of its steps.
 func replay(t *testing.T, c *coder, run int, kinds map[balance.ActionKind]int) int {
 	t.Helper()
 	var cfg balance.Config
@@ -71,14 +71,14 @@
 		c.step(&st)
 		c.actions(&want)
 		if c.err != nil {
-			t.Fatalf("scene %d, step %d: the recording: %v", run, n, c.err)
+			t.Fatalf("run %d, step %d: read recording: %v", run, n, c.err)
 		}
 		got, err := performStep(b, &st)
 		if err != nil {
-			t.Fatalf("scene %d, step %d, %T: %v", run, n, st.event, err)
+			t.Fatalf("run %d, step %d, %T: %v", run, n, st.event, err)
 		}
 		if !bytes.Equal(encode(got), encode(want)) {
-			t.Fatalf("scene %d, step %d at %v ms, %T %+v:\ngot  %+v\nwant %+v", run, n, st.now, st.event, st.event, got, want)
+			t.Fatalf("run %d, step %d at %v ms, %T %+v:\ngot  %+v\nwant %+v", run, n, st.now, st.event, st.event, got, want)
 		}
 		for _, a := range got {
 			kinds[a.Kind]++
--- a/balance/request.go
+++ b/balance/request.go
@@ -7,12 +7,12 @@
 	server        *server
 	sentAt        float64
 	inFlight      bool
-	notExecuted   bool    // it ended with proof that nothing ran
+	notExecuted   bool    // its result proves that it was not executed
 	reset         bool    // its connection was reset
 	notDelivered  bool    // it never reached a server
 	overdue       bool    // it has been counted as an error while in flight
-	uploading     bool    // its body is still being sent: neither time nor load counts
-	pendingBefore float64 // requests pending at the server before it, by a fresh report; -1: no such report
+	uploading     bool    // its body is still being sent: its time and load do not count
+	pendingBefore float64 // requests pending at the server before it, by a fresh report; -1: unknown
 }
 
 // request is an open request: one without a final answer or with an attempt in flight.
@@ -26,16 +26,16 @@
 	attempts          []attempt
 	inFlight          int       // attempts
 	answered          bool      // it has its final answer
-	streaming         bool      // its answer has begun and the client has it: there is no deadline and no retry
-	bodyConsumed      bool      // an attempt has taken its body: there can be no other
+	streaming         bool      // the client has begun to receive its answer: there is no deadline and no retry
+	bodyConsumed      bool      // an attempt consumed its body: no further attempt is possible
 	pickingCandidates bool      // the present pick is among the candidates
-	retryRejected     bool      // a server whose sidecar rejected it may get another attempt
+	retryRejected     bool      // a server whose sidecar rejected the request may get another attempt
 	timerAt           float64   // when its next timer fires; +Inf: none is set
 	probed            []*server // probed before the first attempt
-	probesUntil       float64   // until when the first attempt waits for probes; 0: it does not
+	probesUntil       float64   // until when the first attempt waits for probes; 0: it does not wait
 }
 
-// openRequest begins to remember a new request.
+// openRequest adds a new request.
 func (b *Balancer) openRequest(ev Request) *request {
 	r := &request{
 		Request:   ev,
@@ -56,7 +56,8 @@
 	return r
 }
 
-// closeRequest marks a request as answered and cancels its attempts in flight.
+// closeRequest marks a request as answered and cancels its attempts in flight. It removes the request if there are
+// none.
 func (b *Balancer) closeRequest(r *request) {
 	r.answered = true
 	b.cancelOthers(r, -1)
@@ -65,7 +66,7 @@
 	}
 }
 
-// cancelOthers cancels the attempts in flight other than one; -1: all.
+// cancelOthers cancels all attempts in flight but the one with the index keep; -1: all, if Config.Cancel allows it.
 func (b *Balancer) cancelOthers(r *request, keep int) {
 	for i := range r.attempts {
 		if r.attempts[i].inFlight && i != keep && b.cfg.Cancel {
@@ -74,7 +75,7 @@
 	}
 }
 
-// mayHaveExecuted reports whether an attempt is in flight or ended without proof that nothing ran.
+// mayHaveExecuted reports whether an attempt is in flight, or ended without proof that it was not executed.
 func (r *request) mayHaveExecuted() bool {
 	for i := range r.attempts {
 		if !r.attempts[i].notExecuted {
@@ -84,7 +85,7 @@
 	return false
 }
 
-// exhaustedCause is the cause by which an exhausted request ends.
+// exhaustedCause returns the cause with which an exhausted request ends.
 func (r *request) exhaustedCause() Cause {
 	if len(r.attempts) > 0 {
 		return AttemptsExhausted
--- a/balance/rotation.go
+++ b/balance/rotation.go
@@ -5,23 +5,22 @@
 // Parameters of the choice of a server.
 const (
 	boundedLoadFactor  = 0.4   // multiple of its share of requests above which a server is passed over
-	zonePreferenceGain = 85    // squared with the price of crossing zones: preference of the own zone
-	reusePreference    = 4000  // preference of an open connection, per price of a handshake
-	scarcityPreference = 50    // ... and per share of recent attempts without a connection: tables are full
+	zonePreferenceGain = 85    // times the penalty for crossing zones, squared: preference of the own zone
+	reusePreference    = 4000  // preference of an open connection, per handshake penalty
+	scarcityPreference = 50    // the same per recent share of connect failures: the servers' tables are full
 	minCapacity        = 1e-6  // keeps weights above 0
 	fullCapacity       = 100.0 // capacity of a healthy, warm server of size 1
 )
 
-// rotation is the state of smooth weighted round robin across servers.
+// rotation is the state of smooth weighted round robin that all servers have in common.
 type rotation struct {
-	lastPickedWeight float64 // running value of the server picked last
-	totalShare       float64 // sum of the servers' shares at the last first attempt
+	lastPickedWeight float64 // current weight of the server picked last
+	totalShare       float64 // sum of the servers' shares at the last first attempt of a request
 	zonePreference   float64 // ServerList.ZonePreference
 }
 
-// pick chooses a server for an attempt, or nil if none is eligible. The first attempt of a request that is
-// for the candidates goes to one of them, or where none of them is eligible to one of the others, as all
-// other attempts do.
+// pick chooses a server for an attempt; nil: none is eligible. The first attempt of a request for candidates
+// goes to a candidate if one is eligible; otherwise it goes to the other servers, as all other attempts do.
 func (b *Balancer) pick(r *request, retry bool) *server {
 	if r.Candidate && !retry {
 		r.pickingCandidates = true
@@ -35,10 +34,10 @@
 }
 
 // pickEligible chooses a server by smooth weighted round robin over the eligible servers. A retry goes to the
-// healthiest one, which is charged in the rotation too.
+// healthiest one, whose current weight is reduced like that of any server picked.
 func (b *Balancer) pickEligible(r *request, retry bool) *server {
 	total, maxPerWeight := b.updateWeights(r, retry, false)
-	if total == 0 && !r.pickingCandidates { // all are ejected: the cause is hardly in the servers
+	if total == 0 && !r.pickingCandidates { // all are ejected: the cause is probably not in the servers
 		_, maxPerWeight = b.updateWeights(r, retry, true)
 	}
 	var best *server
@@ -47,8 +46,8 @@
 		if s.weight == 0 || b.warmingUp(s) && !b.withinSlowStartBudget(s) {
 			continue
 		}
-		// Bounded load: a server with more than its share is slow, hung or overloaded; it keeps its running
-		// value.
+		// Bounded load: a server with more than its share is slow, hung or overloaded. It is passed over and
+		// keeps its current weight.
 		over := !s.loadKnown || s.probing || b.pendingAt(s)+1 > math.Ceil(maxPerWeight*s.weight)
 		if best == nil || bestOver && !over || over == bestOver && b.preferred(r, s, best, retry, over) {
 			best, bestOver = s, over
@@ -61,8 +60,8 @@
 	return best
 }
 
-// updateWeights sets the weights of the eligible servers and advances their running values. It returns the
-// sum of the weights and the number of pending requests that a server may have per weight. With
+// updateWeights sets the weights of the eligible servers and advances their current weights. It returns the
+// sum of the weights and the number of pending requests that a server may have per unit of weight. With
 // includeEjected, ejected servers are eligible too.
 func (b *Balancer) updateWeights(r *request, retry, includeEjected bool) (total, maxPerWeight float64) {
 	anyReport, totalShare := false, 0.0
@@ -84,7 +83,7 @@
 	}
 	pending, weights := 1.0, 0.0
 	for _, s := range b.servers {
-		s.loadKnown = s.loadKnown || !anyReport // without reports, own attempts are all that is known
+		s.loadKnown = s.loadKnown || !anyReport // without reports, only own attempts are known
 		if s.weight == 0 {
 			continue
 		}
@@ -97,8 +96,9 @@
 	return total, boundedLoadFactor * pending / weights
 }
 
-// advance adds a server's part of one turn to its running value. Running values count in turns and start at
-// random within the turn before the last winner, so that sidecars do not begin at the same server.
+// advance adds a server's part of one turn to its current weight. Current weights are in units of a turn and
+// start at random within one turn below the last picked one, so that sidecars do not begin at the same
+// server.
 func (b *Balancer) advance(r *request, s *server, retry bool, total float64) {
 	warmingUp := b.warmingUp(s)
 	if !s.seeded || s.seededCold && !warmingUp {
@@ -111,10 +111,10 @@
 	}
 }
 
-// preferred reports whether s precedes best. Where all servers are over their share, a first attempt goes to
-// the one with the fewest pending requests for its weight.
+// preferred reports whether s is preferred to best. If both are over their share, a first attempt goes to the
+// one with fewer pending requests for its weight.
 func (b *Balancer) preferred(r *request, s, best *server, retry, over bool) bool {
-	if over && s.loadKnown != best.loadKnown { // a high load that is known is better than one that is not
+	if over && s.loadKnown != best.loadKnown { // a known high load is better than an unknown one
 		return s.loadKnown
 	}
 	if over && !retry {
@@ -129,7 +129,7 @@
 	return *r.currentWeight(s, b.now) > *r.currentWeight(best, b.now)
 }
 
-// eligibleAt reports whether the rules allow an attempt of the request at the server now.
+// eligibleAt reports whether the request may be sent to the server now.
 func (r *request) eligibleAt(s *server, now float64) bool {
 	if s.State != Ready || s.Candidate != r.pickingCandidates {
 		return false
@@ -142,8 +142,8 @@
 		if a.notExecuted || r.class.Effect != Keyed {
 			continue
 		}
-		// A keyed request that may have executed stays within the group that recognises its key, while it
-		// does.
+		// A keyed request that may have executed stays within the scope that recognises its key, and is not
+		// sent again after the deduplication window.
 		if now >= a.sentAt+r.class.DedupWindow ||
 			r.class.DedupScope == DedupCell && a.server.Cell != s.Cell ||
 			r.class.DedupScope == DedupZone && a.server.Zone != s.Zone {
@@ -159,14 +159,14 @@
 	return max(size*s.health(b.now)*b.slowStartFactor(s), minCapacity)
 }
 
-// preference raises the weight of servers that cost less: those of the own zone, and those with an open
-// connection. A server that has just failed gets neither. One in slow start has no connections yet and counts
-// as if it had.
+// preference returns the factor by which the weight of servers is raised that cost less: those in the own
+// zone, and those with an open connection. The factors for ServerList.ZonePreference and for connections are
+// not applied to a server with errors. A server in slow start has no connections yet and counts as if it had.
 func (b *Balancer) preference(s *server) float64 {
 	factor := 1.0
 	switch {
 	case s.Zone != b.cfg.Zone:
-	case b.rotation.zonePreference > 0 && s.consecutiveErrors == 0: // not for a failing server
+	case b.rotation.zonePreference > 0 && s.consecutiveErrors == 0:
 		factor = b.rotation.zonePreference
 	default:
 		zoneFactor := zonePreferenceGain * b.cfg.Penalties.CrossZone
@@ -178,8 +178,8 @@
 	return factor
 }
 
-// runningValue is the server's running value for the request. A failing class has its own, or bad servers
-// would come up for it in the turns that the other classes' weights give them.
+// currentWeight returns the server's current weight for the request. A failing class has its own: otherwise
+// bad servers would have their turn for it by the weights that other classes give them.
 func (r *request) currentWeight(s *server, now float64) *float64 {
 	if r.stats.failing(now) {
 		return &s.byClass[r.Class].currentWeight
@@ -187,8 +187,8 @@
 	return &s.currentWeight
 }
 
-// pendingAt is the best estimate of the requests pending at a server: a fresh report and this sidecar's sends
-// since, otherwise this sidecar's own attempts.
+// pendingAt estimates the requests pending at a server: those of a fresh report plus this sidecar's attempts
+// since, otherwise this sidecar's attempts in flight.
 func (b *Balancer) pendingAt(s *server) float64 {
 	if b.reportFresh(s) {
 		return s.reportedPending + s.sentSinceReport
@@ -202,9 +202,9 @@
 		b.now-s.reportedAt <= probeWaitShare*b.maxLatencyTarget
 }
 
-// connectionReusable reports whether a connection to the server is probably open, and idle where this sidecar
-// has fewer attempts in flight than there are servers. With more, busy connections are the rule and depend on
-// the servers' sizes.
+// connectionReusable reports whether a connection to the server is probably open. If a connection carries one
+// attempt only and this sidecar has fewer attempts in flight than there are servers, it must be idle too.
+// With more attempts, busy connections are normal and their number depends on the servers' sizes.
 func (b *Balancer) connectionReusable(s *server) bool {
 	open := s.lastSentAt <= b.now && b.now < s.lastSentAt+b.cfg.ConnIdle
 	return open && (b.cfg.StreamsPerConn != 1 || b.inFlight >= len(b.servers) || s.inFlight < s.conns)
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// sequence sends n safe requests one after the other, each answered before the next.
+// sendSequentially sends n safe requests, each answered before the next, and returns their servers.
 func sendSequentially(g *harness, n int) []ServerID {
 	var ids []ServerID
 	for range n {
@@ -15,7 +15,7 @@
 			g.t.Fatal("nothing was sent")
 		}
 		ids = append(ids, s)
-		g.b.requests[id].stats.count = 0 // no learning from these answers
+		g.b.requests[id].stats.count = 0 // these answers must not change the learned sizes
 		g.endAttempt(id, 0, OK, 10)
 	}
 	return ids
@@ -37,22 +37,22 @@
 	g := newHarness(t, baseConfig(), testServers(2)...)
 	s := g.b.servers[0]
 	if m := s.health(g.b.now); m != 1 {
-		t.Fatalf("m without errors is %v", m)
+		t.Fatalf("health without errors is %v", m)
 	}
 	s.consecutiveErrors, s.lastErrorAt = 2, g.now
 	if m := s.health(g.b.now); math.Abs(m-(1-2*errorPenalty)) > 1e-9 {
-		t.Fatalf("m after two errors is %v", m)
+		t.Fatalf("health after two errors is %v", m)
 	}
 	g.b.now += errorHalfLifeMillis
 	if m := s.health(g.b.now); math.Abs(m-(1-errorPenalty)) > 1e-9 {
-		t.Fatalf("m after a half-life is %v", m)
+		t.Fatalf("health after a half-life is %v", m)
 	}
 	s.consecutiveErrors = 1000
 	if m := s.health(g.b.now); m != minHealth {
-		t.Fatalf("m after very many errors is %v, want the floor", m)
+		t.Fatalf("health after 1000 errors is %v, want the minimum", m)
 	}
 	if m := g.b.servers[1].health(g.b.now); m != 1 {
-		t.Fatalf("another server's errors moved m to %v", m)
+		t.Fatalf("another server's errors changed the health to %v", m)
 	}
 	s.consecutiveErrors = 2
 	id, _ := g.request(safeClass)
@@ -60,7 +60,7 @@
 	s.inFlight, g.b.servers[1].inFlight = 1, 0
 	g.endAttempt(id, 0, OK, 10)
 	if m := s.health(g.b.now); m != 1 {
-		t.Fatalf("m after a success is %v", m)
+		t.Fatalf("health after a success is %v", m)
 	}
 }
 
@@ -74,7 +74,7 @@
 		}
 	}
 	if hits == 0 || hits >= 10 {
-		t.Fatalf("the server at the floor got %d of 40", hits)
+		t.Fatalf("the server at minimum health got %d of 40", hits)
 	}
 }
 
@@ -84,27 +84,27 @@
 		s.consecutiveErrors, s.lastErrorAt = 2, g.now
 	}
 	g.b.servers[2].consecutiveErrors = 1
-	g.b.servers[1].currentWeight = 1000 // its turn, though it is not the healthiest
+	g.b.servers[1].currentWeight = 1000 // next in turn, though it is not the healthiest
 	id, acts := g.request(safeClass)
 	if s, _ := sentTo(acts); s != 2 {
 		t.Fatalf("first sent to %d, want 2", s)
 	}
-	g.b.servers[3].currentWeight = 1000 // next in turn, which must not count for a re-route
+	g.b.servers[3].currentWeight = 1000 // next in turn, which must not matter for a retry
 	if s, ok := sentTo(g.endAttempt(id, 0, Rejected, 1)); !ok || s != 3 {
-		t.Fatalf("re-routed to %d, want 3", s)
+		t.Fatalf("retried at %d, want 3", s)
 	}
 }
 
-// Where every server holds far more than its share a first send goes to the one that holds least for
-// its weight, as the next in turn may be crowded further; a re-route still goes by m. While one is
-// not over its share, the turn decides.
+// If all servers have more than their share of requests in flight, a first attempt goes to the one with the fewest for
+// its weight, so as not to overload the next in turn further; a retry still goes to the healthiest. If a server is
+// within its share, the rotation decides.
 func TestFirstAttemptGoesToLeastLoadedWhenAllExceedShare(t *testing.T) {
 	for _, c := range []struct {
 		inFlight [4]int
 		want     ServerID
 	}{
-		{[4]int{4, 3, 4, 4}, 2}, // all are over
-		{[4]int{4, 4, 1, 0}, 3}, // 3 and 4 are not over, and it is the turn of 3
+		{[4]int{4, 3, 4, 4}, 2}, // all are over their share
+		{[4]int{4, 4, 1, 0}, 3}, // 3 and 4 are within their share, and 3 is next in turn
 	} {
 		g := newHarness(t, baseConfig(), testServers(4)...)
 		for i, s := range g.b.servers {
@@ -114,7 +114,7 @@
 		r := &request{class: &g.b.cfg.Classes[safeClass], stats: &g.b.traffic.classes[safeClass]}
 		if c.want == 2 {
 			if s := g.b.pick(r, true); s.ID == 2 {
-				t.Errorf("%v: the re-route went to the server of lowest m", c.inFlight)
+				t.Errorf("%v: the retry went to the server of the lowest health", c.inFlight)
 			}
 			for i, s := range g.b.servers {
 				s.currentWeight = float64(10 * (4 - i))
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// What may follow the end of a first attempt, for each effect, group and result, within the
-// window and after it: another send, a refusal, a failure.
+// After a first attempt the balancer may retry, refuse or fail the request, depending on the class's effect and
+// deduplication scope, on the result, and on whether the deduplication window has passed.
 func TestActionsAfterFailedAttempt(t *testing.T) {
 	for _, class := range []int{safeClass, unsafeClass, keyedCellClass, keyedAllClass, keyedZoneClass} {
 		for _, result := range []Result{Failed, Rejected, TimedOut, ConnectFailed, Reset, Cancelled} {
@@ -23,7 +23,7 @@
 func checkActionsAfterAttempt(t *testing.T, class int, result Result, windowPassed bool) {
 	cfg := baseConfig()
 	for i := range cfg.Classes {
-		cfg.Classes[i].LatencyTarget = cfg.Classes[i].Deadline // a re-route is worth its while to the end
+		cfg.Classes[i].LatencyTarget = cfg.Classes[i].Deadline // retries are worthwhile up to the deadline
 		cfg.Classes[i].DedupWindow = 200
 	}
 	g := newHarness(t, cfg, testServers(8)...)
@@ -40,7 +40,7 @@
 	mayRetry := c.Effect == Safe || result.ProvesNotExecuted() || c.Effect == Keyed && !windowPassed
 	second, retried := sentTo(acts)
 	if retried != mayRetry {
-		t.Fatalf("sent again: %v, want %v (%+v)", retried, mayRetry, acts)
+		t.Fatalf("retried: %v, want %v (%+v)", retried, mayRetry, acts)
 	}
 	if !retried {
 		mayRefuse := c.Effect == Keyed && c.DedupScope == DedupAll
@@ -50,8 +50,8 @@
 		return
 	}
 	a, b := g.b.byID[first], g.b.byID[second]
-	mayHaveExecuted := !result.ProvesNotExecuted()
-	if a == b || mayHaveExecuted && class == keyedCellClass && a.Cell != b.Cell || mayHaveExecuted && class == keyedZoneClass && a.Zone != b.Zone {
+	uncertain := !result.ProvesNotExecuted()
+	if a == b || uncertain && class == keyedCellClass && a.Cell != b.Cell || uncertain && class == keyedZoneClass && a.Zone != b.Zone {
 		t.Fatalf("sent to %+v after %+v", b.Server, a.Server)
 	}
 }
@@ -63,7 +63,7 @@
 		g.now = g.b.requests[id].deadline
 		acts := g.handle(TimerFired{Token: uint64(id)})
 		if hasAction(acts, Refuse) || !hasAction(acts, Fail) {
-			t.Errorf("class %d at its deadline with an attempt out: %+v", class, acts)
+			t.Errorf("class %d at its deadline with an attempt in flight: %+v", class, acts)
 		}
 	}
 }
@@ -72,7 +72,7 @@
 	g := newHarness(t, baseConfig(), testServers(4)...)
 	acts := g.handle(Request{ID: 1, Class: unsafeClass, Remaining: 0})
 	if !hasAction(acts, Refuse) || hasAction(acts, Send) {
-		t.Fatalf("a request without time left: %+v", acts)
+		t.Fatalf("a request without remaining time: %+v", acts)
 	}
 }
 
@@ -111,7 +111,7 @@
 		g.endAttempt(id, 0, OK, 10)
 	}
 	entry.State = Ready
-	g.handle(ServerList{Kind: ListFull, Servers: []Server{entry}}) // the other is left out: it has gone
+	g.handle(ServerList{Kind: ListFull, Servers: []Server{entry}}) // the other server is not listed: it is gone
 	id, acts := g.request(safeClass)
 	if s, _ := sentTo(acts); s != 1 {
 		t.Fatalf("sent to %d of request %d", s, id)
@@ -128,18 +128,17 @@
 	}
 }
 
-// In overload an alarm came a rounding error before its time and was not set again, so that the
-// request got no answer at its deadline.
+// A timer fired early by a rounding error and was not set again, so that the request got no answer at its deadline.
 func TestEarlyTimerIsSetAgain(t *testing.T) {
 	g := newHarness(t, baseConfig(), testServers(4)...)
 	id, _ := g.request(unsafeClass)
 	g.now = g.b.requests[id].timerAt - 1e-4
 	if acts := g.handle(TimerFired{Token: uint64(id)}); !hasAction(acts, SetTimer) {
-		t.Fatalf("no timer after an early alarm: %+v", acts)
+		t.Fatalf("no timer after an early one: %+v", acts)
 	}
 }
 
-// A cold server was pushed over when the budget followed what clients asked, repeats included.
+// A server in slow start was overloaded when its budget was based on client requests, which include retries.
 func TestSlowStartBudgetHoldsAcrossSidecars(t *testing.T) {
 	const sidecars, perSecond, seconds = 4, 150, 6
 	cfg := baseConfig()
@@ -149,7 +148,7 @@
 		servers := testServers(5)
 		g := newHarness(t, cfg, servers...)
 		for i := range perSecond * seconds {
-			if i == perSecond*3 { // half-way one server restarts
+			if i == perSecond*3 { // one server restarts
 				servers[0].StartedAt = g.now
 				g.handle(ServerList{Kind: ListDelta, Servers: servers[:1]})
 			}
@@ -165,15 +164,15 @@
 			g.now += 1000 / perSecond
 		}
 	}
-	// A warm server gets a fifth of the traffic; the cold one can do SlowStartFrom of that and a little
-	// more as it warms, and falls at ColdOverloadFactor times what it can do.
+	// A warm server gets a fifth of the traffic. The one in slow start has a capacity of SlowStartInitialFraction of that,
+	// and a little more during the second, and fails at ColdOverloadFactor times its capacity.
 	limit := float64(sidecars*perSecond) / 5 * cfg.ColdOverloadFactor * (cfg.SlowStartInitialFraction + 0.05)
 	if toWarmingUp == 0 || float64(toWarmingUp) > limit {
-		t.Fatalf("%d sends to a cold server in its first second, want 1 to %.0f", toWarmingUp, limit)
+		t.Fatalf("%d attempts at a server in its first second, want 1 to %.0f", toWarmingUp, limit)
 	}
 }
 
-// A server that could not be reached and then answers has restarted, whatever the list says.
+// A server that was unreachable and answers again has restarted, even if the list does not report it.
 func TestServerReachableAgainIsInSlowStart(t *testing.T) {
 	g := newHarness(t, baseConfig(), testServers(2)...)
 	id, acts := g.request(safeClass)
@@ -189,11 +188,11 @@
 		g.endAttempt(id, 0, OK, 10)
 	}
 	if !g.b.warmingUp(g.b.byID[s]) {
-		t.Fatal("the server is held to be warm")
+		t.Fatal("the server is not in slow start")
 	}
 }
 
-// Once a streamed answer has begun the client owns it: no deadline, no repeat, no answer of ours.
+// Once the client receives a streamed answer, there is no deadline, no retry and no other answer.
 func TestStartedStreamHasNoDeadlineOrRetry(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Classes[safeClass].Stream = true
@@ -207,11 +206,11 @@
 	}
 	g.handle(Outcome{Request: id, Server: s, Result: Reset, Latency: 5000, Finished: true})
 	if len(g.b.requests) != 0 {
-		t.Fatal("an ended stream is remembered")
+		t.Fatal("the request of an ended stream is not removed")
 	}
 }
 
-// Failed list calls keep the old list and are made again, ever later, within the limit.
+// After a failed list request the balancer keeps the old list and retries with increasing pauses, within the limit.
 func TestListRequestsBackOff(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Subscribe = true
@@ -223,12 +222,12 @@
 	for range 6 {
 		acts := g.handle(ServerList{Kind: ListFailed})
 		if len(acts) != 1 || acts[0].Token != listTimer || acts[0].At > cfg.ListRefreshLimit*3/4 {
-			t.Fatalf("after a failed call: %+v", acts)
+			t.Fatalf("after a failed list request: %+v", acts)
 		}
 		pauses = append(pauses, acts[0].At)
 		g.now += acts[0].At
 		if !hasAction(g.handle(TimerFired{Token: listTimer}), Subscribe) {
-			t.Fatal("not asked again")
+			t.Fatal("the list is not requested again")
 		}
 	}
 	if pauses[5] < 2*pauses[0] || len(g.b.servers) != 3 {
@@ -236,8 +235,8 @@
 	}
 }
 
-// Watches of a whole fleet end in the same instant, and discovery can take few calls at a time: with pauses of half a second they
-// all came again together, waited in vain together, and half of the fleet heard of no change for the rest of the day.
+// The watches of a whole fleet end at the same time, and discovery can answer few calls at a time. With pauses of half a
+// second all sidecars retried together and timed out together, and half of the fleet received no updates any more.
 func TestListRequestsOfFleetAreSpread(t *testing.T) {
 	for _, sidecars := range []int{80, 300, 1000} {
 		cfg := baseConfig()
@@ -253,7 +252,7 @@
 			first[int(g.actions[0].At/500)]++
 			g.now += 5000
 			elapsed := 0.0
-			for range 2 { // the second call fails, too, after the two seconds that it may wait
+			for range 2 { // the second request fails too, after its time-out of two seconds
 				elapsed += g.handle(ServerList{Kind: ListFailed})[0].At
 				if half := int(elapsed / 500); half < len(calls) {
 					calls[half]++
@@ -262,18 +261,18 @@
 				g.now += 2000
 			}
 		}
-		maxPerHalfSecond := float64(sidecars) / min(4+float64(sidecars-80)/50, 7) // an even part of each half second, times two
+		maxPerHalfSecond := float64(sidecars) / min(4+float64(sidecars-80)/50, 7) // twice an even distribution
 		if float64(slices.Max(first)) > 0.4*float64(sidecars) {
-			t.Errorf("%d sidecars that start together call %v times in half seconds", sidecars, first)
+			t.Errorf("%d sidecars that start together: requests by half second: %v", sidecars, first)
 		}
 		if maxPerHalfSecond = max(maxPerHalfSecond, 20); float64(slices.Max(calls)) > maxPerHalfSecond {
-			t.Errorf("%d sidecars call %v times in half seconds, at most %.0f wanted", sidecars, calls, maxPerHalfSecond)
+			t.Errorf("%d sidecars: requests by half second: %v, want at most %.0f", sidecars, calls, maxPerHalfSecond)
 		}
 	}
 }
 
-// Answers assumed for small sidecars counted in the budget of cold servers too, and together
-// they pushed one over. A sidecar that has seen no answers may hardly send anything to a cold server.
+// The answers that are assumed for sidecars with little traffic counted in the budgets of slow start too, and together
+// the sidecars overloaded a server. A sidecar without answers may send hardly anything to a server in slow start.
 func TestAssumedAnswersGiveNoSlowStartBudget(t *testing.T) {
 	g := newHarness(t, baseConfig(), testServers(4)...)
 	entry := g.b.servers[0].Server
@@ -284,17 +283,17 @@
 	s := g.b.servers[0]
 	s.slowStartTokens, s.tokensUpdatedAt = 0, g.now-2000
 	if g.b.withinSlowStartBudget(s); s.slowStartTokens > 0.2 { // with ten assumed: 1
-		t.Fatalf("%.2f sends in two seconds", s.slowStartTokens)
+		t.Fatalf("%.2f attempts in two seconds", s.slowStartTokens)
 	}
-	g.b.traffic.rate.add(g.b.now, 400) // of two hundred answers a second it may have its part
+	g.b.traffic.rate.add(g.b.now, 400) // its part of 200 answers per second is allowed
 	s.slowStartTokens, s.tokensUpdatedAt = 0, g.now-2000
 	if g.b.withinSlowStartBudget(s); s.slowStartTokens < 0.5 {
-		t.Fatalf("%.2f sends in two seconds for a busy sidecar", s.slowStartTokens)
+		t.Fatalf("%.2f attempts in two seconds by a busy sidecar", s.slowStartTokens)
 	}
 }
 
-// A sidecar that stood still past a deadline finds its timer and a time-out at once: one final answer, and
-// nothing more for the request, whichever comes first.
+// A sidecar whose process was stopped past a deadline receives the timer and the attempt's time-out together. The request
+// gets one final answer, whichever is first, and no further action.
 func TestTimerAndTimeoutPastDeadlineGiveOneAnswer(t *testing.T) {
 	for _, timerFirst := range []bool{true, false} {
 		g := newHarness(t, baseConfig(), testServers(4)...)
@@ -316,17 +315,17 @@
 			switch a.Kind {
 			case Fail:
 				answers++
-			case Send, Refuse: // it may have run
+			case Send, Refuse: // not allowed, as it may have been executed
 				t.Errorf("timer first %v: %+v", timerFirst, a)
 			}
 		}
 		if answers != 1 || len(g.b.requests) != 0 {
-			t.Errorf("timer first %v: %d answers, %d requests remembered", timerFirst, answers, len(g.b.requests))
+			t.Errorf("timer first %v: %d answers, %d requests kept", timerFirst, answers, len(g.b.requests))
 		}
 	}
 }
 
-// After a hang-up nothing is sent or answered any more; what is out still ends.
+// After its client has disconnected, a request gets no attempts and no answer. Attempts in flight still end.
 func TestNoActionsAfterClientDisconnects(t *testing.T) {
 	g := newHarness(t, baseConfig(), testServers(4)...)
 	id, _ := g.request(safeClass)
@@ -339,15 +338,16 @@
 	g.handle(ClientDisconnected{Request: id})
 	for _, a := range g.actions {
 		if a.Kind != Cancel {
-			t.Errorf("after the hang-up: %+v", a)
+			t.Errorf("after the client disconnected: %+v", a)
 		}
 	}
 	if len(g.b.requests) != 0 {
-		t.Error("the request is still remembered")
+		t.Error("the request is not removed")
 	}
 }
 
-// With the list service out of reach it must be asked within the stated time: else the rules take the list as told.
+// While discovery is unreachable, the list must be requested within Config.ListRefreshLimit: otherwise the sidecar is
+// judged as if it had received the updates.
 func TestListIsRequestedWithinRefreshLimit(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Subscribe, cfg.ListRefreshLimit = true, 3000
@@ -355,16 +355,16 @@
 	for range 20 {
 		acts := g.handle(ServerList{Kind: ListFailed})
 		if len(acts) != 1 || acts[0].Kind != SetTimer || acts[0].At > cfg.ListRefreshLimit*3/4 {
-			t.Fatalf("after a failed call: %+v", acts)
+			t.Fatalf("after a failed list request: %+v", acts)
 		}
 		g.now += acts[0].At
 		if acts = g.handle(TimerFired{Token: acts[0].Token}); !hasAction(acts, Subscribe) {
-			t.Fatalf("the list is not asked again: %+v", acts)
+			t.Fatalf("the list is not requested again: %+v", acts)
 		}
 	}
 }
 
-// A refusal says when to come back, and never later than clients obey.
+// A refusal has a retry-after time within the longest one that clients respect.
 func TestRefusalHasBoundedRetryAfter(t *testing.T) {
 	cfg := baseConfig()
 	cfg.MaxRetryAfter = 20
@@ -373,6 +373,6 @@
 	g.now += cfg.Classes[unsafeClass].Deadline
 	acts := g.endAttempt(id, 0, Rejected, 1)
 	if len(acts) != 1 || acts[0].Kind != Refuse || acts[0].At <= 0 || acts[0].At > cfg.MaxRetryAfter {
-		t.Fatalf("did %v", acts)
+		t.Fatalf("actions %v, want a refusal with a retry-after time", acts)
 	}
 }
--- a/balance/server.go
+++ b/balance/server.go
@@ -9,36 +9,36 @@
 type server struct {
 	Server // its entry in the list
 
-	// Of the rotation.
-	currentWeight float64 // running value of smooth weighted round robin
-	seeded        bool    // running has its random start
-	seededCold    bool    // ... which it got in slow start
-	share         float64 // its part of the fleet's capacity, in the unit of weights
-	weight        float64 // in the present pick; 0: not eligible
-	loadKnown     bool    // in the present pick: its pending requests are known as well as can be
-
-	// Learned sizes: its own beyond its kind's and its zone's.
+	// Rotation.
+	currentWeight float64 // current weight of smooth weighted round robin, in units of a turn
+	seeded        bool    // currentWeight has its random start value
+	seededCold    bool    // currentWeight got its start value during slow start
+	share         float64 // the server's part of the fleet's capacity, in units of weight
+	weight        float64 // effective weight in the present pick; 0: not eligible
+	loadKnown     bool    // in the present pick: a fresh report is known, or no server has one
+
+	// Learned sizes, which are multiplied.
 	size       size
 	kind, zone *size
 
 	// This sidecar's traffic.
 	inFlight   int     // attempts
-	load       float64 // attempts in flight, each as one over its latency target
-	conns      int     // connections that are probably open: the most concurrent attempts of late
+	load       float64 // sum over the attempts in flight of one over their latency target
+	conns      int     // estimate of open connections: the recent maximum of concurrent attempts
 	lastSentAt float64 // when the last attempt was sent; +Inf: no connection is open
 
 	// Errors and ejection.
 	consecutiveErrors int
 	lastErrorAt       float64
 	ejectedUntil      float64 // 0: not ejected
-	ejections         int     // ejections in a row
-	connectFailures   int     // consecutive attempts that could not connect
+	ejections         int     // consecutive ejections
+	connectFailures   int     // consecutive connect failures
 	probeUnanswered   bool    // the last probe got no answer
 	byClass           []classHealth
 
 	// Slow start.
 	warmUpStart     float64
-	slowStartTokens float64 // attempts left in the budget
+	slowStartTokens float64 // attempts available in the token bucket
 	tokensUpdatedAt float64
 
 	// Load reports.
@@ -48,7 +48,7 @@
 	sentSinceReport float64 // this sidecar's attempts since
 }
 
-// rating is the server's size by the list; 1 where the list does not have it.
+// rating returns the server's size as listed; 1 if the list does not have it.
 func (s *server) rating() float64 {
 	if s.Rating > 0 {
 		return s.Rating
@@ -63,7 +63,7 @@
 	s.probeUnanswered = false
 }
 
-// sizeOf returns the size of a kind or zone, which may be new.
+// sizeOf returns the size of a kind or zone; a new one has factor 1.
 func sizeOf(sizes map[int]*size, key int) *size {
 	if sizes[key] == nil {
 		sizes[key] = &size{factor: 1}
@@ -77,7 +77,7 @@
 	byID    map[ServerID]*server
 }
 
-// server returns the server of a list entry, which may be new, with state for so many classes.
+// server returns the server of a list entry. If it is new, it is added, with state for the number of classes.
 func (t *serverTable) server(entry *Server, classes int) *server {
 	s := t.byID[entry.ID]
 	if s == nil {
@@ -92,7 +92,7 @@
 	return s
 }
 
-// markUnlisted marks the servers as gone that a complete list does not contain.
+// markUnlisted marks servers that a complete list does not contain as gone.
 func (t *serverTable) markUnlisted(entries []Server) {
 	listed := make(map[ServerID]bool, len(entries))
 	for i := range entries {
@@ -105,7 +105,7 @@
 	}
 }
 
-// removeGone removes the servers that are gone and sorts the others.
+// removeGone removes the servers that are gone and sorts the others by ID.
 func (t *serverTable) removeGone() {
 	present := t.servers[:0]
 	for _, s := range t.servers {
@@ -119,8 +119,8 @@
 	sort.Slice(present, func(i, j int) bool { return present[i].ID < present[j].ID })
 }
 
-// openLoad is the load in flight, each attempt as one over its latency target. Attempts that hang at ejected servers
-// do not count.
+// openLoad returns the load in flight: the sum over attempts of one over their latency target. Attempts at ejected
+// servers, which may hang, do not count.
 func (t *serverTable) openLoad() float64 {
 	load := 0.0
 	for _, s := range t.servers {
--- a/balance/servers.go
+++ b/balance/servers.go
@@ -1,34 +1,36 @@
 package balance
 
-// Parameters of requests for the server list. Peers are the sidecars of the fleet.
+// Parameters of requests for the server list and of slow start. Peers are the sidecars of the fleet.
 const (
-	listRetryBackoffMillis    = 500  // ms before a retry of a list request, at most; doubles with each failure
-	maxBackoffShift           = 4    // ... at most so often
-	listRetryPerPeerMillis    = 50   // ms more for each peer beyond fewPeers: all of them fail together
-	minListRetryShare         = 0.33 // part of Config.ListRefreshLimit that a pause takes at most, with few peers
-	maxListRetryShare         = 0.7  // ... and with many; the request itself takes time, too
-	fewPeers                  = 20   // peers that may send a request at once
-	manyPeers                 = 100  // ... times the shares above are the peers between which the limit is spread
-	maxInitialListDelayMillis = 2000 // ms after the start by which a sidecar with many peers has asked
-	minPauseFewPeers          = 0.5  // least part of the pause, the rest is random
+	listRetryBackoffMillis    = 500  // longest pause before the first retry; doubles with each failure
+	maxBackoffShift           = 4    // greatest number of times that the pause is doubled
+	listRetryPerPeerMillis    = 50   // added for each peer over fewPeers, as all of them fail together
+	minListRetryShare         = 0.33 // longest pause with few peers, as a part of Config.ListRefreshLimit
+	maxListRetryShare         = 0.7  // longest pause with many peers; below 1, as the request takes time too
+	fewPeers                  = 20   // below this number peers need not spread their requests
+	manyPeers                 = 100  // peers over this is the longest pause between the two shares above
+	maxInitialListDelayMillis = 2000 // time after the start by which every sidecar has sent its request
+	minPauseFewPeers          = 0.5  // constant part of the pause; the rest is random
 	minPauseManyPeers         = 0.1
-	slowStartSafety           = 2 // a server in slow start is sent at most its overload factor over this
-	slowStartBurstShare       = 4 // ... with bursts of at most Config.ColdOverloadTime over this
+	slowStartSafety           = 2 // a server in slow start gets at most its overload factor divided by this
+	slowStartBurstShare       = 4 // bursts last at most Config.ColdOverloadTime divided by this
 )
 
 // warmingUp reports whether the server is in slow start.
 func (b *Balancer) warmingUp(s *server) bool { return b.now < s.warmUpStart+b.cfg.SlowStartTime }
 
-// slowStartFactor is the least part of its capacity that a server has in slow start; 1 when it is warm.
+// slowStartFactor returns the least part of its capacity that a server has now: it grows from
+// Config.SlowStartInitialFraction to 1 during slow start.
 func (b *Balancer) slowStartFactor(s *server) float64 {
 	age := max(0, b.now-s.warmUpStart) / max(b.cfg.SlowStartTime, 1)
 	return b.cfg.SlowStartInitialFraction + (1-b.cfg.SlowStartInitialFraction)*min(1, age)
 }
 
-// withinSlowStartBudget reports whether a server in slow start may receive an attempt now. The hard limit, a
-// token bucket, is half of the allowed multiple of what warm servers of its size answer of this sidecar's
-// requests, times its slow start factor. It counts answers, not requests, which clients retry in overload,
-// and assumes few: with thirty assumed, small sidecars exceeded what the server bears.
+// withinSlowStartBudget reports whether a server in slow start may receive an attempt now. The limit is a
+// token bucket. Its rate is half of the overload factor, times the rate at which warm servers of the same
+// size answer this sidecar's requests, times the server's slow start factor and health. It is based on
+// answers, as clients retry requests in overload, and assumes only one answer: with thirty assumed, the
+// sidecars with little traffic together overloaded the server.
 func (b *Balancer) withinSlowStartBudget(s *server) bool {
 	perMillis := b.traffic.rate.perMillis(b.now, 1) * s.share / max(b.rotation.totalShare, s.share) *
 		max(1, b.cfg.ColdOverloadFactor/slowStartSafety)
@@ -38,14 +40,15 @@
 	return s.slowStartTokens >= 1
 }
 
-// startSlowStart begins a server's slow start. The first budget is random, so that the first attempts of all
-// sidecars do not coincide.
+// startSlowStart begins a server's slow start. The initial tokens are random, so that the first attempts of
+// the sidecars do not coincide.
 func (b *Balancer) startSlowStart(s *server, since float64) {
 	s.warmUpStart, s.tokensUpdatedAt, s.seeded = since, b.now, false
 	s.slowStartTokens = b.random.draw()
 }
 
-// updateServer applies one entry of the server list. A restart clears the server's errors.
+// updateServer applies one entry of the server list. A restart clears the server's errors, and so does a
+// restart of the proxy in front of it after connect failures.
 func (b *Balancer) updateServer(entry *Server) {
 	s := b.server(entry, len(b.cfg.Classes))
 	if entry.StartedAt > s.StartedAt {
@@ -59,8 +62,8 @@
 	s.kind, s.zone = sizeOf(b.sizes.kinds, s.Kind), sizeOf(b.sizes.zones, s.Zone)
 }
 
-// requestList subscribes to the server list at the start, with many peers not in the same instant as a fleet
-// that starts together: each sidecar has its last list.
+// requestList subscribes to the server list at the start. With many peers it waits for a random time, so that
+// the requests of a fleet that starts together are spread; until then each sidecar uses its cached list.
 func (b *Balancer) requestList() {
 	if b.cfg.Peers < fewPeers {
 		b.emit(Action{Kind: Subscribe})
@@ -70,9 +73,9 @@
 	b.emit(Action{Kind: SetTimer, Token: listTimer, At: spread * b.random.draw()})
 }
 
-// retryList retries a failed list request after an exponential backoff with jitter, which spreads the
-// requests of a whole fleet: discovery pays for one that fails as much as for one that is answered. Few
-// sidecars need no spread and had better wait. The pause stays within Config.ListRefreshLimit.
+// retryList retries a failed list request after an exponential backoff with jitter. The jitter spreads the
+// requests of a fleet, as a failed request costs discovery as much as one that is answered. A few sidecars
+// need less jitter and a longer minimum pause. The pause stays within Config.ListRefreshLimit.
 func (b *Balancer) retryList() {
 	peers := float64(b.cfg.Peers)
 	pause := (listRetryBackoffMillis + listRetryPerPeerMillis*max(0, peers-fewPeers)) *
--- a/balance/settings_test.go
+++ b/balance/settings_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Settings that the first deployments do not use. Each run checks rules 1 to 3 as it goes.
+// The policy keeps the rules that simulation checks also with settings that the first deployments do not use.
 func TestUncommonSettingsKeepRules(t *testing.T) {
 	for name, change := range map[string]func(*Config, *int){
 		"one server":  func(_ *Config, n *int) { *n = 1 },
@@ -61,7 +61,7 @@
 	}
 }
 
-// serve answers what is out for a request, if anything is.
+// completeAttempts answers the attempts in flight of a request.
 func (w *simulation) completeAttempts(id RequestID) {
 	o := w.requests[id]
 	for i := range o.attempts {
@@ -72,7 +72,7 @@
 	}
 }
 
-// What has ended is forgotten: requests, servers that are gone, probes that are waited for.
+// The state of ended requests, of servers that are gone and of waits for probes is removed.
 func TestMemoryIsBounded(t *testing.T) {
 	g := newHarness(t, probeConfig(), testServers(5)...)
 	for i := range 20000 {
@@ -83,7 +83,7 @@
 		if _, ok := sentTo(acts); ok {
 			g.endAttempt(id, 0, OK, 5)
 		}
-		if i%20 == 0 { // a rolling deploy: new names all the time
+		if i%20 == 0 { // a rolling update with new server IDs
 			list := testServers(5)
 			for k := range list {
 				list[k].ID = ServerID(i + k + 1)
@@ -93,7 +93,7 @@
 	}
 	b := g.b
 	if len(b.requests) > 1 || len(b.servers) != 5 || len(b.byID) != 5 || len(b.probing.waiting) > 1 || cap(b.actions) > 100 {
-		t.Fatalf("%d requests, %d servers, %d by ID, %d waiting, room for %d actions",
+		t.Fatalf("%d requests, %d servers, %d by ID, %d waiting, capacity for %d actions",
 			len(b.requests), len(b.servers), len(b.byID), len(b.probing.waiting), cap(b.actions))
 	}
 }
@@ -126,8 +126,8 @@
 	}
 }
 
-// With 1,500 sidecars that start alike, first picks and repeated list calls must differ by seed, or all
-// meet at one server and at the server list.
+// When many sidecars start together, their first picks and their retries of list requests must differ by seed.
+// Otherwise all of them would load one server, and the discovery service, at the same time.
 func TestSimultaneousSidecarsSpreadPicksAndListRequests(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Peers, cfg.Subscribe = 1500, true
@@ -141,7 +141,7 @@
 	}
 	for id, n := range first {
 		if n > 30 { // a thirtieth would be 10
-			t.Errorf("%d of 300 sidecars choose server %d first", n, id)
+			t.Errorf("%d of 300 sidecars pick server %d first", n, id)
 		}
 	}
 	if len(first) < 25 || len(pauses) < 15 {
@@ -149,18 +149,18 @@
 	}
 }
 
-// A number beyond the count, or no count, must not matter: nothing is decided by them.
+// A sidecar's index beyond the number of sidecars, or an invalid number, has no effect.
 func TestInvalidSidecarCountsAreIgnored(t *testing.T) {
 	for _, c := range [][2]int{{0, 0}, {7, 3}, {-1, 1}, {5, -2}} {
 		cfg := baseConfig()
 		cfg.Index, cfg.Peers = c[0], c[1]
 		if got := sendSequentially(newHarness(t, cfg, testServers(3)...), 6); len(got) != 6 {
-			t.Errorf("number %d of %d: %v", c[0], c[1], got)
+			t.Errorf("index %d of %d: %v", c[0], c[1], got)
 		}
 	}
 }
 
-// Messages are not used: cut, foreign or old ones change nothing.
+// The policy does not use peer messages: truncated or unknown ones have no effect.
 func TestPeerMessagesAreIgnored(t *testing.T) {
 	g := newHarness(t, baseConfig(), testServers(3)...)
 	for _, data := range [][]byte{nil, {0}, {0xff, 0xff, 0xff}, make([]byte, 256)} {
@@ -170,8 +170,8 @@
 	}
 }
 
-// A sidecar with a request a second meets a zone that takes requests and answers nothing: after some
-// overdue attempts most go elsewhere, and open connections there do not keep it.
+// One zone accepts requests and does not answer them. After some overdue attempts even a sidecar with one request per
+// second must send most of them to other zones, in spite of its open connections to the hung one.
 func TestLowTrafficSidecarLeavesHungZone(t *testing.T) {
 	cfg := baseConfig()
 	cfg.ConnIdle, cfg.Penalties.Handshake, cfg.Penalties.CrossZone = 15000, 0.08, 0.03
@@ -204,7 +204,7 @@
 			g.endAttempt(id, 1, OK, 30)
 		}
 	}
-	if hung > 4 { // 7 without counting errors, 20 without learning from them either
+	if hung > 4 { // 7 if errors are not counted, 20 if sizes are not learned from them either
 		t.Errorf("%d of the last 20 requests went to the hung zone", hung)
 	}
 }
--- a/balance/shutdown_test.go
+++ b/balance/shutdown_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-// What is open when the sidecar is told to end is answered by then, though its client would wait for longer.
+// At shutdown open requests are answered within the given time, even if their clients would wait longer.
 func TestShutdownLimitsOpenRequests(t *testing.T) {
 	g := newHarness(t, baseConfig(), testServers(4)...)
 	unsafe, _ := g.request(unsafeClass)
 	safe, _ := g.request(safeClass)
 	acts := g.handle(Shutdown{Within: 100})
 	if g.now += 100; len(acts) != 2 {
-		t.Fatalf("%+v: want a timer for each", acts)
+		t.Fatalf("%+v: want a timer for each request", acts)
 	}
 	for id, kind := range map[RequestID]ActionKind{unsafe: Fail, safe: Refuse} {
 		if acts := g.handle(TimerFired{Token: uint64(id)}); !hasAction(acts, kind) || !hasAction(acts, Cancel) {
@@ -18,7 +18,8 @@
 	}
 }
 
-// Near the end nothing is sent of which the answer would come too late: it is refused while nothing has run.
+// Shortly before the end of a shutdown a request is refused if its answer would arrive too late, as nothing was
+// executed yet.
 func TestShutdownStartsNoAttemptThatCannotFinish(t *testing.T) {
 	for _, c := range []struct {
 		within float64
@@ -33,13 +34,13 @@
 		g.handle(Shutdown{Within: c.within})
 		_, acts := g.request(unsafeClass)
 		if _, sent := sentTo(acts); sent != c.sent || hasAction(acts, Refuse) == c.sent {
-			t.Errorf("%v ms before the end: %+v", c.within, acts)
+			t.Errorf("%v ms before the end of the shutdown: %+v", c.within, acts)
 		}
 	}
 }
 
-// A failed attempt is not followed by one that the sidecar does not live to see answered, and an upload's clock does not run
-// beyond the end.
+// A failed attempt is not retried if the sidecar will have shut down before the answer, and the deadline of an upload
+// is not later than the end of the shutdown.
 func TestShutdownStopsRetriesAndUploads(t *testing.T) {
 	g := newHarness(t, baseConfig(), testServers(4)...)
 	id, _ := g.request(safeClass)
@@ -53,6 +54,6 @@
 	g.handle(UploadComplete{Request: upload, Attempt: 0})
 	g.now += 120
 	if acts := g.handle(TimerFired{Token: uint64(upload)}); !hasAction(acts, Fail) {
-		t.Errorf("an upload at the end: %+v", acts)
+		t.Errorf("an upload at the end of the shutdown: %+v", acts)
 	}
 }
--- a/balance/state.go
+++ b/balance/state.go
@@ -5,21 +5,21 @@
 // listTimer is the token of the timer for the server list; requests use their ID, which is below 1<<52.
 const listTimer = 1 << 60
 
-// Balancer is the policy of one sidecar: its state is all that the decisions depend on. It is not safe for concurrent
-// use; one goroutine calls Start once and then Handle with each event. Its memory is bounded by the listed servers and
-// the open requests.
+// Balancer is the policy of one sidecar. Decisions depend on its state and the event only. It is not safe for
+// concurrent use: one goroutine calls Start once and then Handle with each event. Its memory is bounded by the number
+// of listed servers and open requests.
 type Balancer struct {
 	cfg              Config
 	random           randomSource
 	now              float64 // time of the present event
 	maxLatencyTarget float64 // of all classes
-	shutdownAt       float64 // when every request has to be answered; +Inf: no shutdown
+	shutdownAt       float64 // by when every request has to be answered; +Inf: no shutdown
 	actions          []Action
 
 	requests            map[RequestID]*request
 	inFlight            int     // attempts
-	connectFailureShare float64 // recent share of attempts that got no connection
-	listFailures        int     // consecutive failures to read the server list
+	connectFailureShare float64 // recent share of attempts with a connect failure
+	listFailures        int     // consecutive failures of list requests
 
 	serverTable
 	rotation rotation
@@ -54,21 +54,21 @@
 	return b
 }
 
-// addClassStats adds what is remembered of a class.
+// addClassStats adds the statistics of a new class.
 func (b *Balancer) addClassStats(c *Class) {
 	b.traffic.addClass(c.Value)
 	b.maxLatencyTarget = max(b.maxLatencyTarget, c.LatencyTarget)
 	b.traffic.rate.span = b.maxLatencyTarget
 }
 
-// AddClass adds a class of requests. Its number is the count of classes before.
+// AddClass adds a class of requests. Its index is the previous number of classes.
 func (b *Balancer) AddClass(c Class) {
 	b.cfg.Classes = append(b.cfg.Classes, c)
 	b.addClassStats(&c)
 	for _, s := range b.servers {
 		s.byClass = append(s.byClass, classHealth{recordedAt: math.Inf(-1)})
 	}
-	for _, r := range b.requests { // the slices that they point into may have moved
+	for _, r := range b.requests { // append may have moved the slices that they point into
 		r.class, r.stats = &b.cfg.Classes[r.Class], &b.traffic.classes[r.Class]
 	}
 }
@@ -82,16 +82,16 @@
 	return b.actions
 }
 
-// emit adds an action to those that the present call returns.
+// emit adds an action to the result of the present call.
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-// clamp returns the value of the range from low to high that is closest to v.
+// clamp limits v to the range from low to high.
 func clamp(v, low, high float64) float64 { return max(low, min(high, v)) }
 
 // randomSource is SplitMix64 (Steele, Lea and Flood, Fast Splittable Pseudorandom Number Generators, 2014).
 type randomSource uint64
 
-// draw returns the next number, at least 0 and below 1.
+// draw returns the next number in [0, 1).
 func (s *randomSource) draw() float64 {
 	*s += 0x9e3779b97f4a7c15
 	z := uint64(*s)
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -81,7 +81,7 @@
 		FallTime     float64  `json:"fall_ms"`
 		FallMultiple float64  `json:"fall_multiple"`
 	} `json:"rules"`
-	Goal struct { // in the order of balance.Goal, to which it converts; so is Prices
+	Goal struct { // in the order of balance.Goal, to which it converts; so is Prices, to balance.Penalties
 		Total       float64 `json:"whole"`
 		WorstWindow float64 `json:"worst_window"`
 		WorstClass  float64 `json:"worst_class"`
