--- a/internal/broker/gate.go
+++ b/internal/broker/gate.go
@@ -9,7 +9,7 @@
 	"firplank/internal/core"
 )
 
-// Gate admits requests to the exchange by the teams' contracts. It implements core.Gate. It is not safe for concurrent use: it
+// Gate admits requests to the exchange by the teams' contracts. It implements core.AdmissionController. It is not safe for concurrent use: it
 // belongs to the exchange's goroutine.
 type Gate struct {
 	broker     *contract.Broker
@@ -33,7 +33,7 @@
 // Report returns what each team was granted and denied so far.
 func (g *Gate) Report(now time.Duration) contract.Report { return g.broker.Report(now) }
 
-// Admit implements core.Gate.
+// Admit implements core.AdmissionController.
 func (g *Gate) Admit(now time.Duration, c *core.Call) (contract.Grant, *core.Answer) {
 	claim := c.Claim
 	if claim == nil {
@@ -60,7 +60,7 @@
 	return d.Grant, nil
 }
 
-// Release implements core.Gate.
+// Release implements core.AdmissionController.
 func (g *Gate) Release(now time.Duration, grant contract.Grant, ran bool) {
 	g.broker.Done(now, grant, ran)
 }
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -24,7 +24,7 @@
 			err = fmt.Errorf("panic: %v\n%s", p, debug.Stack())
 		}
 	}()
-	return l.bal.Handle(l.now, ev)
+	return l.balancer.Handle(l.now, ev)
 }
 
 // perform carries out the balancer's actions in order.
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -66,11 +66,11 @@
 // End ends the attempt; the first call counts. It may block until the exchange takes the event. The answer of a
 // cancelled attempt is not passed on if it is still being received, as its backend breaks it off.
 func (a *Attempt) End(r Result) {
-	before := a.phase.Swap(ended)
-	if before == ended {
+	previousPhase := a.phase.Swap(ended)
+	if previousPhase == ended {
 		return
 	}
-	if before == cancelled && r.Answer != nil && r.Answer.Stream != nil {
+	if previousPhase == cancelled && r.Answer != nil && r.Answer.Stream != nil {
 		r.Answer.Stream.CloseRead(errCancelled)
 		r = Result{Outcome: balance.Cancelled}
 	}
@@ -110,7 +110,7 @@
 	if r.answered || e == nil || len(r.attempts) > l.cfg.Balance.MaxAttempts {
 		a.phase.Store(ended)
 		a.result.Outcome = balance.NotSent
-		l.pending = append(l.pending, a)
+		l.ownEvents = append(l.ownEvents, a)
 		return
 	}
 	e.backend.Begin(a)
--- a/internal/core/catalog.go
+++ b/internal/core/catalog.go
@@ -16,8 +16,8 @@
 	Classes     []balance.Class // by number
 	classNames  []string
 	tenantNames []string
-	classes     map[string]int // numbers by name
-	tenants     map[string]int
+	classIndex  map[string]int // numbers by name
+	tenantIndex map[string]int
 }
 
 // ErrDuplicateName means that two classes or two tenants have the same name.
@@ -30,35 +30,35 @@
 		Classes:     rules,
 		classNames:  classes,
 		tenantNames: tenants,
-		classes:     Positions(classes),
-		tenants:     Positions(tenants),
+		classIndex:  IndexByName(classes),
+		tenantIndex: IndexByName(tenants),
 	}
-	if len(c.classes) != len(classes) || len(c.tenants) != len(tenants) {
+	if len(c.classIndex) != len(classes) || len(c.tenantIndex) != len(tenants) {
 		return nil, ErrDuplicateName
 	}
 	return c, nil
 }
 
 // Positions numbers names by their order.
-func Positions(names []string) map[string]int {
-	at := make(map[string]int, len(names))
+func IndexByName(names []string) map[string]int {
+	index := make(map[string]int, len(names))
 	for i, n := range names {
-		at[n] = i
+		index[n] = i
 	}
-	return at
+	return index
 }
 
 // Class returns the number of the class with a name, and whether there is one.
 func (c *Catalog) Class(name string) (int, bool) {
-	at, ok := c.classes[name]
-	return at, ok
+	index, ok := c.classIndex[name]
+	return index, ok
 }
 
 // Tenant returns the number of the tenant with a name, and whether there is one. In a catalog without tenants any name
 // is tenant 0.
 func (c *Catalog) Tenant(name string) (int, bool) {
-	at, ok := c.tenants[name]
-	return at, ok || len(c.tenants) == 0
+	index, ok := c.tenantIndex[name]
+	return index, ok || len(c.tenantIndex) == 0
 }
 
 // ClassNames returns the classes' names, in the order of their numbers.
@@ -68,7 +68,7 @@
 func (c *Catalog) TenantNames() []string { return c.tenantNames }
 
 // Sizes returns the numbers of classes and of tenants.
-func (c *Catalog) Sizes() (classes, tenants int) { return len(c.classes), len(c.tenants) }
+func (c *Catalog) Sizes() (classes, tenants int) { return len(c.classIndex), len(c.tenantIndex) }
 
 // MaxDeadline is the longest deadline of any class, in milliseconds.
 func (c *Catalog) MaxDeadline() float64 {
@@ -80,7 +80,7 @@
 }
 
 // maxToken is the maximal length of an identifier; those in use have 16 and 32 characters.
-const maxToken = 256
+const maxTokenLength = 256
 
 // IsToken reports whether text is a valid identifier: 1 to 256 visible ASCII characters, no spaces.
 func IsToken(text string) bool {
@@ -89,12 +89,12 @@
 			return false
 		}
 	}
-	return text != "" && len(text) <= maxToken
+	return text != "" && len(text) <= maxTokenLength
 }
 
 // Key is a number that identifies what a request is about: text as a hexadecimal number, or else its FNV-1a hash; 0 for
 // an empty text.
-func Key(text string) uint64 {
+func ObjectKey(text string) uint64 {
 	if text == "" {
 		return 0
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -133,15 +133,15 @@
 
 // Gate admits calls before the balancer does. The exchange calls it from its own goroutine, with the time since the
 // exchange began.
-type Gate interface {
+type AdmissionController interface {
 	// Admit admits a call with a grant, or returns its final answer. It may change the call's request.
 	Admit(now time.Duration, c *Call) (contract.Grant, *Answer)
 	// Release returns a grant when the call has its final answer; ran is false where no server can have begun it.
-	Release(now time.Duration, g contract.Grant, ran bool)
+	Release(now time.Duration, g contract.Grant, mayHaveRun bool)
 }
 
 // Tally counts requests for the fleet.
-type Tally interface {
+type FleetQuota interface {
 	// Take counts a request and reports whether this sidecar may serve it.
 	Take(now time.Duration, class, tenant int, retry bool) bool
 	// End counts how a request ended that was taken, by a counter of package fleet. It is safe for concurrent use.
--- a/internal/core/counts.go
+++ b/internal/core/counts.go
@@ -27,8 +27,8 @@
 // countEnd counts how a request ends. One with a streamed answer ends when its stream does.
 func (l *Loop) countEnd(r *request, a *Answer) {
 	counts, class, tenant, received := l.cfg.Counts, r.class, r.tenant, r.call.Received
-	if a != nil && r.tallied && a.Stream == nil {
-		l.cfg.Tally.End(class, tenant, fleetCounter(a))
+	if a != nil && r.countedInFleet && a.Stream == nil {
+		l.cfg.FleetQuota.End(class, tenant, fleetCounter(a))
 	}
 	switch {
 	case a == nil:
@@ -41,8 +41,8 @@
 				kind, counter = report.Served, fleet.Served
 			}
 			counts.Ended(class, tenant, kind, time.Since(received))
-			if r.tallied {
-				l.cfg.Tally.End(class, tenant, counter)
+			if r.countedInFleet {
+				l.cfg.FleetQuota.End(class, tenant, counter)
 			}
 		})
 	}
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -87,8 +87,8 @@
 		PathIncarnation: m.Way,
 		Candidate:       m.Candidate,
 		Cell:            m.Cell,
-		Zone:            position(l.cfg.Zones, m.Locality),
-		Kind:            position(l.cfg.Kinds, m.Flavor),
+		Zone:            indexOf(l.cfg.Zones, m.Locality),
+		Kind:            indexOf(l.cfg.Kinds, m.Flavor),
 	}
 	if s.State == balance.Ready && e.Closed() {
 		s.State = balance.Draining
@@ -127,7 +127,7 @@
 
 // cancelAttemptsAt cancels the attempts of idempotent requests at a server that is gone, if Config.CancelAtGone.
 func (l *Loop) cancelAttemptsAt(e *Endpoint) {
-	if !l.cfg.CancelAtGone {
+	if !l.cfg.CancelAtUnlisted {
 		return
 	}
 	cancelled := 0
@@ -154,9 +154,9 @@
 }
 
 // position is the number of a name; all names that the settings do not have share the next number.
-func position(known map[string]int, name string) int {
-	if at, ok := known[name]; ok {
-		return at
+func indexOf(known map[string]int, name string) int {
+	if index, ok := known[name]; ok {
+		return index
 	}
 	return len(known)
 }
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -26,7 +26,7 @@
 	// listValidity limits the use of the list: none from until to lapsed. Zero times: no limit.
 	listValidity struct{ until, lapsed time.Time }
 	// inspection is a function to run on the loop's goroutine.
-	inspection struct{ do func(now time.Duration) }
+	inspection struct{ run func(now time.Duration) }
 	// uploadComplete reports that the streamed body of an attempt was sent.
 	uploadComplete struct{ attempt *Attempt }
 	// shutdown limits all deadlines.
@@ -66,7 +66,7 @@
 
 // Shutdown limits the deadline of every call, also of later ones: what has no answer by then fails, or is refused where
 // nothing can have been executed.
-func (l *Loop) Shutdown(by time.Time) { l.post(shutdown{by}) }
+func (l *Loop) Shutdown(deadline time.Time) { l.post(shutdown{deadline}) }
 
 // AddClass adds a class of requests. Its number is the count of classes before.
 func (l *Loop) AddClass(c balance.Class) { l.post(classAdded{c}) }
@@ -104,9 +104,9 @@
 	case shutdown:
 		l.limitDeadlines(ev.at)
 	case classAdded:
-		l.bal.AddClass(ev.class)
+		l.balancer.AddClass(ev.class)
 	case inspection:
-		ev.do(l.elapsed())
+		ev.run(l.elapsed())
 	case listUpdate:
 		l.onListUpdate(ev.list)
 	case listFailure:
--- a/internal/core/exclusion.go
+++ b/internal/core/exclusion.go
@@ -11,8 +11,8 @@
 
 // ServerCounts counts the servers of an exchange.
 type ServerCounts struct {
-	Size    int // servers in the list
-	Avoided int // of them, those excluded by operators or ejected by the balancer
+	Size      int // servers in the list
+	Unhealthy int // of them, those excluded by operators or ejected by the balancer
 }
 
 // ServerState is the state of a listed server.
@@ -34,8 +34,8 @@
 func (l *Loop) CountServers() ServerCounts {
 	c := ServerCounts{Size: len(l.endpoints)}
 	for name, e := range l.endpoints {
-		if _, excluded := l.excluded[name]; excluded || l.bal.Ejected(e.id, l.now) {
-			c.Avoided++
+		if _, excluded := l.excluded[name]; excluded || l.balancer.Ejected(e.id, l.now) {
+			c.Unhealthy++
 		}
 	}
 	return c
@@ -76,24 +76,24 @@
 // gets nothing new and completes what it has. One that returns counts as just started, unless the list has a later
 // start: it may have been restarted, which the list has yet to report.
 func (l *Loop) SetExcluded(excluded map[string]time.Time) {
-	next := make(map[string]float64, len(excluded))
+	excludedSince := make(map[string]float64, len(excluded))
 	for name, since := range excluded {
-		next[name] = float64(since.UnixMicro()) / 1000
+		excludedSince[name] = float64(since.UnixMicro()) / 1000
 	}
-	before := l.excluded
-	l.excluded = next
+	previous := l.excluded
+	l.excluded = excludedSince
 	var changed []balance.Server
 	for name, e := range l.endpoints {
-		since, was := before[name]
-		if _, is := next[name]; is == was {
+		since, wasExcluded := previous[name]
+		if _, isExcluded := excludedSince[name]; isExcluded == wasExcluded {
 			continue
 		}
-		e.closed.Store(e.member.Phase != phaseReady || !was || l.fenced)
-		if !was {
+		e.closed.Store(e.member.Phase != phaseReady || !wasExcluded || l.fenced)
+		if !wasExcluded {
 			l.closeEndpoint(e)
 		}
 		s := l.listEntry(e)
-		if was && s.State == balance.Ready && s.StartedAt <= since {
+		if wasExcluded && s.State == balance.Ready && s.StartedAt <= since {
 			s.StartedAt = l.now
 		}
 		changed = append(changed, s)
--- a/internal/core/exclusion_test.go
+++ b/internal/core/exclusion_test.go
@@ -7,22 +7,22 @@
 )
 
 // An excluded server is closed, its idle connections too, and gets no attempt; it is open again when it returns.
-func TestExcludedServersGetNothingNew(t *testing.T) {
-	l, b := served(t)
+func TestExcludedServersGetNoAttempts(t *testing.T) {
+	l, b := newLoopWithServers(t)
 	since := l.timeAt(l.now)
 	before := len(b.idleClosed)
 	l.SetExcluded(map[string]time.Time{"s-1": since, "unlisted": since})
 	if !l.endpoints["s-1"].Closed() || !slices.Equal(b.idleClosed[before:], []string{"s-1"}) {
 		t.Fatalf("excluded: closed %v, idle connections closed at %v", l.endpoints["s-1"].Closed(), b.idleClosed[before:])
 	}
-	if c := l.CountServers(); c.Avoided != 1 || c.Size != len(l.endpoints) {
+	if c := l.CountServers(); c.Unhealthy != 1 || c.Size != len(l.endpoints) {
 		t.Errorf("counted %+v, want one avoided of %d", c, len(l.endpoints))
 	}
 	if !l.EverListed("unlisted") || l.EverListed("never") {
 		t.Error("an excluded server has to count as listed, an unknown one not")
 	}
 	for range 4 {
-		l.arrives(&caller{})
+		l.beginTestRequest(&recordingClient{})
 	}
 	for _, a := range b.begun {
 		if a.Endpoint.Name() == "s-1" {
@@ -34,7 +34,7 @@
 	if l.endpoints["s-1"].Closed() || len(b.idleClosed) != before {
 		t.Errorf("returned: closed %v, idle connections closed at %v", l.endpoints["s-1"].Closed(), b.idleClosed[before:])
 	}
-	if c := l.CountServers(); c.Avoided != 0 {
-		t.Errorf("%d avoided after its return", c.Avoided)
+	if c := l.CountServers(); c.Unhealthy != 0 {
+		t.Errorf("%d avoided after its return", c.Unhealthy)
 	}
 }
--- a/internal/core/fence.go
+++ b/internal/core/fence.go
@@ -19,17 +19,17 @@
 // events that have arrived in it.
 func (l *Loop) resume() {
 	l.now = l.millisAt(time.Now())
-	if l.now-l.lastAwake > longPauseMillis && l.cfg.UpdatesPending != nil && !l.updatesPending {
+	if l.now-l.lastRunAt > longPauseMillis && l.cfg.UpdatesPending != nil && !l.updatesPending {
 		l.updatesPending, l.updatesPendingSince = l.cfg.UpdatesPending(), l.now
 	}
-	l.lastAwake = l.now
+	l.lastRunAt = l.now
 	l.updateFence()
 }
 
 // checkPendingUpdates ends the wait for pending updates once they are applied.
 func (l *Loop) checkPendingUpdates() {
 	l.now = l.millisAt(time.Now())
-	l.lastAwake = l.now
+	l.lastRunAt = l.now
 	if l.updatesPending && (l.now-l.updatesPendingSince > maxUpdateWaitMillis || !l.cfg.UpdatesPending()) {
 		l.drainInbox()
 		l.updatesPending = false
--- a/internal/core/invariants.go
+++ b/internal/core/invariants.go
@@ -13,12 +13,12 @@
 const deadlineTolerance = 100 * time.Millisecond
 
 // violated reports a violated invariant of a request.
-func (l *Loop) violated(name invariant.Name, r *request, explanation ...any) {
+func (l *Loop) violated(name invariant.Name, r *request, details ...any) {
 	if l.cfg.Invariants == nil {
 		return
 	}
-	line := []any{"request", r.call.Message.Trace, "target", r.call.Message.Target, "attempts", len(r.attempts)}
-	l.cfg.Invariants.Violated(name, append(line, explanation...)...)
+	attrs := []any{"request", r.call.Message.Trace, "target", r.call.Message.Target, "attempts", len(r.attempts)}
+	l.cfg.Invariants.Violated(name, append(attrs, details...)...)
 }
 
 // mayHaveRun reports whether a server may have begun to work on the request by this attempt.
@@ -34,7 +34,7 @@
 }
 
 // uncertain returns an attempt of a request by which it may have run; nil: there is none.
-func (r *request) uncertain() *Attempt {
+func (r *request) uncertainAttempt() *Attempt {
 	for _, a := range r.attempts {
 		if a.mayHaveRun() {
 			return a
@@ -49,9 +49,9 @@
 		return
 	}
 	if !r.call.Message.Safe {
-		if before := r.uncertain(); before != nil {
-			l.violated(invariant.NotResentAfterPossibleStart, r, "earlier", before.number, "ended", before.recorded,
-				"outcome", int(before.result.Outcome))
+		if earlier := r.uncertainAttempt(); earlier != nil {
+			l.violated(invariant.NotResentAfterPossibleStart, r, "earlier", earlier.number, "ended", earlier.recorded,
+				"outcome", int(earlier.result.Outcome))
 		}
 	}
 	if limit := r.call.Request.MaxAttempts; limit > 0 {
@@ -93,8 +93,8 @@
 	if l.cfg.Invariants == nil || a == nil || a.Kind != Refused || r.call.Message.Safe {
 		return
 	}
-	if before := r.uncertain(); before != nil {
-		l.violated(invariant.RefusedNeverStarted, r, "earlier", before.number, "ended", before.recorded,
-			"outcome", int(before.result.Outcome))
+	if earlier := r.uncertainAttempt(); earlier != nil {
+		l.violated(invariant.RefusedNeverStarted, r, "earlier", earlier.number, "ended", earlier.recorded,
+			"outcome", int(earlier.result.Outcome))
 	}
 }
--- a/internal/core/invariants_test.go
+++ b/internal/core/invariants_test.go
@@ -15,14 +15,14 @@
 func (v *violations) Violated(name invariant.Name, _ ...any) { *v = append(*v, name) }
 
 // checkedLoop returns a loop whose violations are kept.
-func checkedLoop(t *testing.T) (*Loop, *violations) {
-	l, v := newLoop(t, &back{}), &violations{}
+func newCheckedLoop(t *testing.T) (*Loop, *violations) {
+	l, v := newLoop(t, &fakeBackend{}), &violations{}
 	l.cfg.Invariants = v
 	return l, v
 }
 
 // attempted returns an attempt at a server that has ended with a result; a nil result: it is under way.
-func attempted(e *Endpoint, r *Result) *Attempt {
+func newTestAttempt(e *Endpoint, r *Result) *Attempt {
 	a := &Attempt{Endpoint: e}
 	if r != nil {
 		a.result, a.recorded = *r, true
@@ -31,7 +31,7 @@
 }
 
 // The checks find what the balancer must never ask for, and nothing in what it may.
-func TestAttemptsAreChecked(t *testing.T) {
+func TestInvariantsOfAttemptsAreChecked(t *testing.T) {
 	one, two, three := NewEndpoint("1", "h:1"), NewEndpoint("2", "h:2"), NewEndpoint("3", "h:3")
 	reset, refused := &Result{Outcome: balance.Reset}, &Result{Outcome: balance.ConnectFailed}
 	denied := &Result{Outcome: balance.Failed, NotDelivered: true}
@@ -45,19 +45,19 @@
 		want     []invariant.Name
 	}{
 		{"first attempt", false, nil, one, time.Second, nil},
-		{"after one that reached nobody", false, []*Attempt{attempted(one, refused)}, two, time.Second, nil},
-		{"after one that the last hop denies", false, []*Attempt{attempted(one, denied)}, two, time.Second, nil},
-		{"after a reset", false, []*Attempt{attempted(one, reset)}, two, time.Second, []invariant.Name{invariant.NotResentAfterPossibleStart}},
-		{"while one is under way", false, []*Attempt{attempted(one, nil)}, two, time.Second,
+		{"after one that reached nobody", false, []*Attempt{newTestAttempt(one, refused)}, two, time.Second, nil},
+		{"after one that the last hop denies", false, []*Attempt{newTestAttempt(one, denied)}, two, time.Second, nil},
+		{"after a reset", false, []*Attempt{newTestAttempt(one, reset)}, two, time.Second, []invariant.Name{invariant.NotResentAfterPossibleStart}},
+		{"while one is under way", false, []*Attempt{newTestAttempt(one, nil)}, two, time.Second,
 			[]invariant.Name{invariant.NotResentAfterPossibleStart}},
-		{"idempotent, after a reset", true, []*Attempt{attempted(one, reset)}, two, time.Second, nil},
-		{"a third server of two", true, []*Attempt{attempted(one, reset), attempted(two, reset)}, three, time.Second,
+		{"idempotent, after a reset", true, []*Attempt{newTestAttempt(one, reset)}, two, time.Second, nil},
+		{"a third server of two", true, []*Attempt{newTestAttempt(one, reset), newTestAttempt(two, reset)}, three, time.Second,
 			[]invariant.Name{invariant.AttemptsWithinLimit}},
-		{"the second server again", true, []*Attempt{attempted(one, reset), attempted(two, reset)}, two, time.Second, nil},
+		{"the second server again", true, []*Attempt{newTestAttempt(one, reset), newTestAttempt(two, reset)}, two, time.Second, nil},
 		{"a little longer than the request, by the loop's clock", true, nil, one, time.Second + deadlineTolerance, nil},
 		{"longer than the request", true, nil, one, time.Second + 2*deadlineTolerance, []invariant.Name{invariant.DeadlineNotExtended}},
 	} {
-		l, got := checkedLoop(t)
+		l, got := newCheckedLoop(t)
 		call := &Call{Message: Message{Safe: c.safe}, Received: now, Request: balance.Request{Remaining: 1000, MaxAttempts: 2}}
 		l.checkAttempt(&request{call: call, attempts: c.before}, &Attempt{Endpoint: c.next, Deadline: now.Add(c.deadline)})
 		if !slices.Equal(*got, c.want) {
@@ -67,9 +67,9 @@
 }
 
 // A refusal promises that a request has not run and never will.
-func TestRefusalsAreChecked(t *testing.T) {
+func TestInvariantsOfRefusalsAreChecked(t *testing.T) {
 	server := NewEndpoint("1", "h:1")
-	ran, unsent := attempted(server, &Result{Outcome: balance.Reset}), attempted(server, &Result{Outcome: balance.NotSent})
+	ran, unsent := newTestAttempt(server, &Result{Outcome: balance.Reset}), newTestAttempt(server, &Result{Outcome: balance.NotSent})
 	for _, c := range []struct {
 		name    string
 		safe    bool
@@ -78,12 +78,12 @@
 		want    []invariant.Name
 	}{
 		{"refused, and may have run", false, ran, Refused, []invariant.Name{invariant.RefusedNeverStarted}},
-		{"refused while it is under way", false, attempted(server, nil), Refused, []invariant.Name{invariant.RefusedNeverStarted}},
+		{"refused while it is under way", false, newTestAttempt(server, nil), Refused, []invariant.Name{invariant.RefusedNeverStarted}},
 		{"failed, and may have run", false, ran, Failed, nil},
 		{"refused, and was not sent", false, unsent, Refused, nil},
 		{"refused, idempotent", true, ran, Refused, nil},
 	} {
-		l, got := checkedLoop(t)
+		l, got := newCheckedLoop(t)
 		call := &Call{Message: Message{Safe: c.safe}}
 		l.checkAnswer(&request{call: call, attempts: []*Attempt{c.attempt}}, &Answer{Kind: c.kind})
 		if !slices.Equal(*got, c.want) {
@@ -93,9 +93,9 @@
 }
 
 // A request that the balancer forgets is answered and reported; one that has its answer is neither.
-func TestForgottenRequestsAreReported(t *testing.T) {
-	l, got := checkedLoop(t)
-	answers := &caller{}
+func TestRequestsOpenPastDeadlineAreReported(t *testing.T) {
+	l, got := newCheckedLoop(t)
+	answers := &recordingClient{}
 	c := &Call{Client: answers}
 	r := &request{id: 1, call: c}
 	l.requests[1], l.byCall[c] = r, r
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -30,9 +30,9 @@
 	Kinds       map[string]int // numbers of kinds of servers by name
 	InitialList *roster.List   // the server list as last known, may be old
 	// Backend returns the backend for a kind of servers of the roster.
-	Backend func(flavor string) Backend
-	Shedder *loadshed.Shedder // is notified of queue delays and answers; nil: none
-	Gate    Gate              // admits calls; nil: all are admitted
+	Backend   func(flavor string) Backend
+	Shedder   *loadshed.Shedder   // is notified of queue delays and answers; nil: none
+	Admission AdmissionController // admits calls; nil: all are admitted
 	// Counts counts requests and attempts; nil: nothing is counted.
 	Counts *report.Counts
 	Log    *slog.Logger
@@ -40,14 +40,14 @@
 	// yet; nil: never.
 	UpdatesPending func() bool
 	// Tally counts requests for the fleet and limits them; nil: there is no limit.
-	Tally Tally
+	FleetQuota FleetQuota
 	// Invariants is notified of violated invariants of requests; nil: none is checked.
 	Invariants invariant.Reporter
 	// Observer is notified of the ends of requests and attempts; nil: nobody is.
 	Observer Observer
 	// CancelAtGone is whether a server that a complete list does not contain answers nothing: idempotent requests are
 	// cancelled there.
-	CancelAtGone bool
+	CancelAtUnlisted bool
 	// RequireFreshList is whether InitialList is not enough to be ready: a list of this process's own has to come first.
 	RequireFreshList bool
 }
@@ -55,18 +55,18 @@
 // Loop is an exchange. It owns the balancer and the state of each request; all else sends it events. Its exported
 // methods are safe for concurrent use but for those that are for use within Inspect.
 type Loop struct {
-	bal     *balance.Balancer
-	cfg     Config
-	log     *slog.Logger
-	inbox   chan event
-	pending []event // events by the loop itself, to be handled right after the present one
-	ready   atomic.Bool
-	ctx     context.Context
+	balancer  *balance.Balancer
+	cfg       Config
+	log       *slog.Logger
+	inbox     chan event
+	ownEvents []event // events by the loop itself, to be handled right after the present one
+	ready     atomic.Bool
+	ctx       context.Context
 
 	// The clock: Unix milliseconds at the start, continued by the monotonic clock.
-	started time.Time
-	epoch   float64
-	now     float64 // of the present batch of events
+	started     time.Time
+	startMillis float64
+	now         float64 // of the present batch of events
 
 	requests   map[balance.RequestID]*request
 	byCall     map[*Call]*request
@@ -86,7 +86,7 @@
 	fenced              bool    // the list is not valid, or updates of it are pending: nothing is sent
 	updatesPending      bool    // updates of the list are pending
 	updatesPendingSince float64 // since when
-	lastAwake           float64 // when the loop last was known to run
+	lastRunAt           float64 // when the loop last was known to run
 
 	record *record // nil: not enabled
 }
@@ -96,22 +96,22 @@
 	start := time.Now()
 	cfg.Balance.Subscribe = false // package roster follows the list
 	return &Loop{
-		bal:        balance.New(cfg.Balance),
-		cfg:        cfg,
-		log:        cfg.Log,
-		inbox:      make(chan event, inboxSize),
-		ctx:        ctx,
-		started:    start,
-		epoch:      float64(start.UnixMicro()) / 1000,
-		requests:   map[balance.RequestID]*request{},
-		byCall:     map[*Call]*request{},
-		byName:     map[string]*request{},
-		shutdownAt: math.Inf(1),
-		endpoints:  map[string]*Endpoint{},
-		byID:       map[balance.ServerID]*Endpoint{},
-		excluded:   map[string]float64{},
-		everListed: map[string]struct{}{},
-		record:     newRecord(&cfg),
+		balancer:    balance.New(cfg.Balance),
+		cfg:         cfg,
+		log:         cfg.Log,
+		inbox:       make(chan event, inboxSize),
+		ctx:         ctx,
+		started:     start,
+		startMillis: float64(start.UnixMicro()) / 1000,
+		requests:    map[balance.RequestID]*request{},
+		byCall:      map[*Call]*request{},
+		byName:      map[string]*request{},
+		shutdownAt:  math.Inf(1),
+		endpoints:   map[string]*Endpoint{},
+		byID:        map[balance.ServerID]*Endpoint{},
+		excluded:    map[string]float64{},
+		everListed:  map[string]struct{}{},
+		record:      newRecord(&cfg),
 	}
 }
 
@@ -123,31 +123,31 @@
 
 // millisAt converts a time to the loop's clock.
 func (l *Loop) millisAt(t time.Time) float64 {
-	return l.epoch + float64(t.Sub(l.started))/float64(time.Millisecond)
+	return l.startMillis + float64(t.Sub(l.started))/float64(time.Millisecond)
 }
 
 // timeAt converts a time by the loop's clock.
 func (l *Loop) timeAt(clock float64) time.Time {
-	return l.started.Add(time.Duration((clock - l.epoch) * float64(time.Millisecond)))
+	return l.started.Add(time.Duration((clock - l.startMillis) * float64(time.Millisecond)))
 }
 
 // elapsed is the time since the start, as of the present batch of events.
-func (l *Loop) elapsed() time.Duration { return millis(l.now - l.epoch) }
+func (l *Loop) elapsed() time.Duration { return millis(l.now - l.startMillis) }
 
 // Run handles events until the exchange's context ends. Events that wait make one batch with one time.
 func (l *Loop) Run() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	l.now = l.millisAt(time.Now())
-	l.lastAwake = l.now
-	l.perform(l.bal.Start(l.now))
+	l.lastRunAt = l.now
+	l.perform(l.balancer.Start(l.now))
 	l.applyList(l.cfg.InitialList, balance.ListCached)
 	for {
 		l.checkPendingUpdates()
 		l.updateFence()
-		l.handlePending()
+		l.handleOwnEvents()
 		l.fireTimers()
-		l.handlePending()
+		l.handleOwnEvents()
 		l.record.write(l)
 		timer.Reset(time.Until(l.timeAt(l.nextWake())))
 		select {
@@ -175,17 +175,17 @@
 // drainInbox handles the events that wait at its call.
 func (l *Loop) drainInbox() {
 	for n := len(l.inbox); n > 0; n-- {
-		l.handlePending()
+		l.handleOwnEvents()
 		l.handle(<-l.inbox)
 		l.updateFence()
 	}
 }
 
 // handlePending handles the events by the loop itself.
-func (l *Loop) handlePending() {
-	for len(l.pending) > 0 {
-		ev := l.pending[0]
-		l.pending = l.pending[1:]
+func (l *Loop) handleOwnEvents() {
+	for len(l.ownEvents) > 0 {
+		ev := l.ownEvents[0]
+		l.ownEvents = l.ownEvents[1:]
 		l.handle(ev)
 	}
 }
@@ -199,6 +199,6 @@
 		} else {
 			l.notify(balance.TimerFired{Token: t.token})
 		}
-		l.handlePending()
+		l.handleOwnEvents()
 	}
 }
--- a/internal/core/loop_test.go
+++ b/internal/core/loop_test.go
@@ -11,23 +11,23 @@
 )
 
 // caller is a client that keeps its answers.
-type caller []*Answer
+type recordingClient []*Answer
 
-func (c *caller) Answer(_ *Call, a *Answer) { *c = append(*c, a) }
+func (c *recordingClient) Answer(_ *Call, a *Answer) { *c = append(*c, a) }
 
 // back keeps what it is given to do.
-type back struct {
+type fakeBackend struct {
 	begun      []*Attempt
 	cancelled  int
 	idleClosed []string // names of servers
 }
 
-func (b *back) Begin(a *Attempt)              { b.begun = append(b.begun, a) }
-func (b *back) Cancel(*Attempt)               { b.cancelled++ }
-func (b *back) Probe(*Endpoint, func(Result)) {}
-func (b *back) CloseIdle(e *Endpoint)         { b.idleClosed = append(b.idleClosed, e.Name()) }
+func (b *fakeBackend) Begin(a *Attempt)              { b.begun = append(b.begun, a) }
+func (b *fakeBackend) Cancel(*Attempt)               { b.cancelled++ }
+func (b *fakeBackend) Probe(*Endpoint, func(Result)) {}
+func (b *fakeBackend) CloseIdle(e *Endpoint)         { b.idleClosed = append(b.idleClosed, e.Name()) }
 
-func newLoop(t *testing.T, b *back) *Loop {
+func newLoop(t *testing.T, b *fakeBackend) *Loop {
 	return New(t.Context(), Config{
 		Balance: balance.Config{
 			Classes: []balance.Class{{Deadline: 20000, LatencyTarget: 4000, Value: 1}}, Tenants: []balance.Tenant{{Share: 1}},
@@ -38,8 +38,8 @@
 }
 
 // A request that the module forgets is failed soon after its deadline, and what comes later is not sent.
-func TestOneFinalAnswer(t *testing.T) {
-	l, got := newLoop(t, &back{}), &caller{}
+func TestExpiredRequestGetsOneFinalAnswer(t *testing.T) {
+	l, got := newLoop(t, &fakeBackend{}), &recordingClient{}
 	c := &Call{Client: got}
 	r := &request{id: 1, call: c}
 	l.requests[1], l.byCall[c] = r, r
@@ -57,8 +57,8 @@
 }
 
 // The deadline of an answered request may be far away: neither its timer nor headers and body may stay until then.
-func TestAnsweredRequestsLetGo(t *testing.T) {
-	b, got := &back{}, &caller{}
+func TestAnsweredRequestsAreReleased(t *testing.T) {
+	b, got := &fakeBackend{}, &recordingClient{}
 	l := newLoop(t, b)
 	servers := []roster.Member{{ID: "s-1", HostPort: "h:1", Phase: "ready", Size: 1}}
 	l.applyList(&roster.List{Complete: true, Members: servers}, balance.ListFull)
@@ -90,21 +90,21 @@
 }
 
 // What may run again is not left at a server that is there no more, where that means that nobody answers; what may not is.
-func TestWhatIsOutAtALostServerGoesElsewhere(t *testing.T) {
+func TestIdempotentAttemptsAtUnlistedServersAreCancelled(t *testing.T) {
 	for _, c := range []struct {
-		name      string
-		drop, may bool
-		cancelled int
+		name                   string
+		cancelAtUnlisted, safe bool
+		cancelled              int
 	}{
 		{"lost, and may run again", true, true, 1}, {"lost, but must not run twice", true, false, 0},
 		{"gone by a list that is only late", false, true, 0},
 	} {
-		b, got := &back{}, &caller{}
+		b, got := &fakeBackend{}, &recordingClient{}
 		l := newLoop(t, b)
-		l.cfg.CancelAtGone = c.drop
+		l.cfg.CancelAtUnlisted = c.cancelAtUnlisted
 		servers := []roster.Member{{ID: "s-1", HostPort: "h:1", Phase: "ready", Size: 1}}
 		l.applyList(&roster.List{Complete: true, Members: servers}, balance.ListFull)
-		l.beginRequest(&Call{Message: Message{Safe: c.may}, Received: l.started, Request: balance.Request{Remaining: 20000}, Client: got})
+		l.beginRequest(&Call{Message: Message{Safe: c.safe}, Received: l.started, Request: balance.Request{Remaining: 20000}, Client: got})
 		l.applyList(&roster.List{Complete: true}, balance.ListFull)
 		if len(b.begun) != 1 || b.cancelled != c.cancelled {
 			t.Errorf("%s: %d begun, %d given up", c.name, len(b.begun), b.cancelled)
@@ -114,40 +114,40 @@
 
 // An answer that begins to pass through just as its attempt is given up is cut off by its back: the client must not get
 // the beginning of it.
-func TestAnswerOfAnAttemptGivenUpIsNotPassedOn(t *testing.T) {
+func TestAnswerOfCancelledAttemptIsNotForwarded(t *testing.T) {
 	for _, c := range []struct {
 		name           string
-		first          bool // the answer begins before the attempt is to be given up
+		answerFirst    bool // the answer begins before the attempt is to be given up
 		sent, answered int
 	}{{"given up first", false, 2, 0}, {"the answer first", true, 1, 1}} {
-		b, got := &back{}, &caller{}
+		b, got := &fakeBackend{}, &recordingClient{}
 		l := newLoop(t, b)
-		l.cfg.CancelAtGone = true
-		both := []roster.Member{{ID: "s-1", HostPort: "h:1", Phase: "ready", Size: 1}, {ID: "s-2", HostPort: "h:2", Phase: "ready", Size: 1}}
-		l.applyList(&roster.List{Complete: true, Members: both}, balance.ListFull)
+		l.cfg.CancelAtUnlisted = true
+		servers := []roster.Member{{ID: "s-1", HostPort: "h:1", Phase: "ready", Size: 1}, {ID: "s-2", HostPort: "h:2", Phase: "ready", Size: 1}}
+		l.applyList(&roster.List{Complete: true, Members: servers}, balance.ListFull)
 		l.beginRequest(&Call{Message: Message{Safe: true}, Received: l.started, Request: balance.Request{Remaining: 20000}, Client: got})
-		at := b.begun[0]
-		lose := func() {
-			left := both[:1]
-			if at.Endpoint.Name() == "s-1" {
-				left = both[1:]
+		attempt := b.begun[0]
+		unlistServer := func() {
+			listed := servers[:1]
+			if attempt.Endpoint.Name() == "s-1" {
+				listed = servers[1:]
 			}
-			l.applyList(&roster.List{Complete: true, Members: left}, balance.ListFull)
+			l.applyList(&roster.List{Complete: true, Members: listed}, balance.ListFull)
 		}
 		body := bodypipe.New(-1)
-		if !c.first {
-			lose()
+		if !c.answerFirst {
+			unlistServer()
 		}
-		at.End(Result{Outcome: balance.OK, Answer: &Answer{Stream: body}})
-		if c.first {
-			lose()
+		attempt.End(Result{Outcome: balance.OK, Answer: &Answer{Stream: body}})
+		if c.answerFirst {
+			unlistServer()
 		}
 		l.handle(<-l.inbox)
 		if len(b.begun) != c.sent || len(*got) != c.answered {
 			t.Errorf("%s: %d sent, answered %v", c.name, len(b.begun), *got)
 		}
-		if gone := body.Append([]byte("more")) != nil; gone == c.first {
-			t.Errorf("%s: whether its body is still taken: %v", c.name, !gone)
+		if closed := body.Append([]byte("more")) != nil; closed == c.answerFirst {
+			t.Errorf("%s: whether its body is still taken: %v", c.name, !closed)
 		}
 	}
 }
--- a/internal/core/record.go
+++ b/internal/core/record.go
@@ -17,8 +17,8 @@
 type record struct {
 	log             *slog.Logger
 	slowStartMillis float64 // of a server after its start
-	util            int     // position of balance.FieldUtil in a report; -1: none
-	next            float64 // when a line is due, by the loop's clock
+	utilIndex       int     // position of balance.FieldUtil in a report; -1: none
+	nextAt          float64 // when a line is due, by the loop's clock
 
 	requests     int
 	lists        int // updates of the server list
@@ -53,10 +53,10 @@
 	if !cfg.Log.Enabled(context.Background(), slog.LevelDebug) {
 		return nil
 	}
-	r := &record{log: cfg.Log, slowStartMillis: cfg.Balance.SlowStartTime, util: -1}
+	r := &record{log: cfg.Log, slowStartMillis: cfg.Balance.SlowStartTime, utilIndex: -1}
 	for i, f := range cfg.Balance.Fields {
 		if f == balance.FieldUtil {
-			r.util = i
+			r.utilIndex = i
 		}
 	}
 	return r
@@ -99,10 +99,10 @@
 		return
 	}
 	r.outcomes[a.result.Outcome]++
-	if r.util < 0 || len(a.result.Report) <= r.util || a.Endpoint == nil {
+	if r.utilIndex < 0 || len(a.result.Report) <= r.utilIndex || a.Endpoint == nil {
 		return
 	}
-	if util := float64(a.result.Report[r.util]); r.inSlowStart(a.Endpoint, a.sentAt+a.latency) {
+	if util := float64(a.result.Report[r.utilIndex]); r.inSlowStart(a.Endpoint, a.sentAt+a.latency) {
 		r.warmingUpUtil.add(util)
 	} else {
 		r.warmUtil.add(util)
@@ -126,10 +126,10 @@
 
 // write writes a line if one is due, and resets the counts.
 func (r *record) write(l *Loop) {
-	if r == nil || l.now < r.next {
+	if r == nil || l.now < r.nextAt {
 		return
 	}
-	snap, out := l.bal.Snapshot(l.now), &r.outcomes
+	snap, out := l.balancer.Snapshot(l.now), &r.outcomes
 	r.log.Debug("record",
 		"up_ms", int64(time.Since(l.started)/time.Millisecond), "asked", r.requests,
 		"shed", r.causes[balance.LoadShed], "crowded", r.causes[balance.Overloaded],
@@ -145,5 +145,5 @@
 		"slowness", snap.LatencyRatio, "quickest", snap.BestLatencyRatio,
 		"load", snap.Load, "pace", snap.AnswerRate*1000,
 	)
-	*r = record{log: r.log, slowStartMillis: r.slowStartMillis, util: r.util, next: l.now + recordIntervalMillis}
+	*r = record{log: r.log, slowStartMillis: r.slowStartMillis, utilIndex: r.utilIndex, nextAt: l.now + recordIntervalMillis}
 }
--- a/internal/core/record_test.go
+++ b/internal/core/record_test.go
@@ -12,7 +12,7 @@
 
 // At debug level a line tells what was counted since the last one, by which decision requests ended and what cold
 // servers were sent; else there is no record at all.
-func TestRecordCountsBetweenItsLines(t *testing.T) {
+func TestRecordCountsSinceLastLine(t *testing.T) {
 	var text bytes.Buffer
 	cfg := Config{Balance: balance.Config{SlowStartTime: 1000, Fields: []balance.Field{balance.FieldRate, balance.FieldUtil}}}
 	cfg.Log = slog.New(slog.NewTextHandler(&text, nil))
@@ -21,12 +21,12 @@
 	}
 	cfg.Log = slog.New(slog.NewTextHandler(&text, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	l := New(t.Context(), cfg)
-	r, cold := l.record, &Endpoint{member: roster.Member{UpSince: 900}}
+	r, warmingUp := l.record, &Endpoint{member: roster.Member{UpSince: 900}}
 	r.requestReceived()
 	r.endedUnserved(&balance.Action{Cause: balance.LoadShed})
-	r.sent(cold, 1000)
+	r.sent(warmingUp, 1000)
 	r.sent(&Endpoint{}, 5000)
-	r.ended(&Attempt{Endpoint: cold, sentAt: 1000, latency: 10, result: Result{Outcome: balance.Rejected, Report: []float32{7, 0.25}}})
+	r.ended(&Attempt{Endpoint: warmingUp, sentAt: 1000, latency: 10, result: Result{Outcome: balance.Rejected, Report: []float32{7, 0.25}}})
 	r.listed(60)
 	r.listFailed()
 	l.now = 1000
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -11,24 +11,24 @@
 )
 
 // overTallyRetryAfterMillis is the retry-after time of a call that the fleet's tally rejects.
-const overTallyRetryAfterMillis = 1000
+const overQuotaRetryAfterMillis = 1000
 
 // request is a client's request until it is answered and no attempt is in flight.
 type request struct {
-	id           balance.RequestID
-	call         *Call // nil once the request is forgotten
-	deadline     float64
-	expiry       timer // fails the request after its deadline if the balancer does not
-	grant        contract.Grant
-	class        int // as submitted: the gate may change the call's
-	tenant       int
-	attempts     []*Attempt
-	inFlight     int           // attempts
-	answered     bool          // it has its final answer
-	serverAnswer *Answer       // the last server's own answer of a failed attempt
-	uploading    bool          // its body is still being received: its time does not count yet
-	tallied      bool          // Tally has taken it
-	cause        balance.Cause // why the balancer does not serve it
+	id             balance.RequestID
+	call           *Call // nil once the request is forgotten
+	deadline       float64
+	expiry         timer // fails the request after its deadline if the balancer does not
+	grant          contract.Grant
+	class          int // as submitted: the gate may change the call's
+	tenant         int
+	attempts       []*Attempt
+	inFlight       int           // attempts
+	answered       bool          // it has its final answer
+	serverAnswer   *Answer       // the last server's own answer of a failed attempt
+	uploading      bool          // its body is still being received: its time does not count yet
+	countedInFleet bool          // Tally has taken it
+	cause          balance.Cause // why the balancer does not serve it
 }
 
 // beginRequest admits a call and passes it to the balancer.
@@ -59,10 +59,10 @@
 // of one that is not admitted.
 func (l *Loop) admit(r *request) *Answer {
 	c := r.call
-	if l.cfg.Tally != nil {
-		r.tallied = l.cfg.Tally.Take(l.elapsed(), r.class, r.tenant, c.Request.Retry)
-		if !r.tallied {
-			return l.refusal(overTallyRetryAfterMillis)
+	if l.cfg.FleetQuota != nil {
+		r.countedInFleet = l.cfg.FleetQuota.Take(l.elapsed(), r.class, r.tenant, c.Request.Retry)
+		if !r.countedInFleet {
+			return l.refusal(overQuotaRetryAfterMillis)
 		}
 	}
 	if c.Name != "" {
@@ -73,11 +73,11 @@
 		}
 		l.byName[c.Name] = r
 	}
-	if l.cfg.Gate == nil {
+	if l.cfg.Admission == nil {
 		return nil
 	}
 	var denied *Answer
-	r.grant, denied = l.cfg.Gate.Admit(l.elapsed(), c)
+	r.grant, denied = l.cfg.Admission.Admit(l.elapsed(), c)
 	return denied
 }
 
@@ -98,8 +98,8 @@
 }
 
 // limitDeadlines limits the deadlines of open requests; beginRequest limits those of later ones.
-func (l *Loop) limitDeadlines(by time.Time) {
-	l.shutdownAt = l.millisAt(by)
+func (l *Loop) limitDeadlines(deadline time.Time) {
+	l.shutdownAt = l.millisAt(deadline)
 	for _, r := range l.requests {
 		if !r.answered && r.deadline > l.shutdownAt {
 			r.deadline = l.shutdownAt
@@ -140,7 +140,7 @@
 		s.CloseRead(errAnswered)
 	}
 	if r.grant.Valid() {
-		l.cfg.Gate.Release(l.elapsed(), r.grant, a == nil || a.Kind != Refused)
+		l.cfg.Admission.Release(l.elapsed(), r.grant, a == nil || a.Kind != Refused)
 	}
 	if a != nil {
 		r.call.Client.Answer(r.call, a)
--- a/internal/front/http/parse.go
+++ b/internal/front/http/parse.go
@@ -122,7 +122,7 @@
 	}
 	c.Received, c.Name = time.Now(), h.Get("X-Trace-Id")
 	c.Request = balance.Request{
-		Class: class, Tenant: tenant, WorkHint: hint / 1000, Key: core.Key(h.Get("X-Object")),
+		Class: class, Tenant: tenant, WorkHint: hint / 1000, Key: core.ObjectKey(h.Get("X-Object")),
 		Remaining: left, Retry: h.Get("X-Second-Try") == "1",
 	}
 	httpwire.RemoveHopByHop(h)
--- a/internal/front/msgpackrpc/methods.go
+++ b/internal/front/msgpackrpc/methods.go
@@ -282,7 +282,7 @@
 			return fmt.Errorf("token: %w", err)
 		}
 	}
-	c.Request = balance.Request{Class: m.class, Tenant: tenant, Key: core.Key(object), Remaining: left, Retry: repeat > 0}
+	c.Request = balance.Request{Class: m.class, Tenant: tenant, Key: core.ObjectKey(object), Remaining: left, Retry: repeat > 0}
 	c.Message = core.Message{
 		Trace:          c.Name,
 		Class:          m.Class,
--- a/internal/sidecar/components.go
+++ b/internal/sidecar/components.go
@@ -153,14 +153,14 @@
 		UpdatesPending:   func() bool { return c.follower.Behind() },
 	}
 	if c.gate != nil {
-		coreCfg.Gate = c.gate
+		coreCfg.Admission = c.gate
 	}
 	var err error
 	if c.fleet, err = cfg.openFleet(c.log); err != nil {
 		return err
 	}
 	if c.fleet != nil {
-		coreCfg.Tally = c.fleet.tally
+		coreCfg.FleetQuota = c.fleet.tally
 	}
 	c.exchange = core.New(ctx, coreCfg)
 	known := &cfg.Known
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -200,7 +200,7 @@
 
 // bindNames sets the names that protocols use for what the balancer numbers: zones, kinds, classes, tenants, load figures.
 func (c *Config) bindNames(s *settings.Settings) (err error) {
-	c.zones, c.kinds, c.fields = core.Positions(s.Zones), core.Positions(s.Kinds), s.Fields
+	c.zones, c.kinds, c.fields = core.IndexByName(s.Zones), core.IndexByName(s.Kinds), s.Fields
 	c.catalog, err = core.NewCatalog(c.Balance.Classes, s.Classes, s.Tenants)
 	return err
 }
--- a/internal/sidecar/operatorcalls.go
+++ b/internal/sidecar/operatorcalls.go
@@ -76,7 +76,7 @@
 	add("sends", s.Sends)
 	add("current", s.Open)
 	add("cluster_size", int64(cluster.Size))
-	add("cluster_unhealthy", int64(cluster.Avoided))
+	add("cluster_unhealthy", int64(cluster.Unhealthy))
 	add("conf_loaded", o.reloads.loaded.Load())
 	add("conf_invalid", o.reloads.invalid.Load())
 	return lines, nil
--- a/internal/sidecar/reporting.go
+++ b/internal/sidecar/reporting.go
@@ -55,7 +55,7 @@
 func readState(ctx context.Context, exchange *core.Loop, gate *broker.Gate, st *report.State) error {
 	read := make(chan report.State, 1) // the exchange never waits, also when ctx has ended
 	exchange.Inspect(func(now time.Duration) {
-		s := report.State{Avoided: exchange.CountServers().Avoided}
+		s := report.State{Avoided: exchange.CountServers().Unhealthy}
 		for _, server := range exchange.Servers() {
 			s.Servers = append(s.Servers, report.ServerState{Name: server.Name, InFlight: server.InFlight})
 		}
--- a/mesh/dataplane/service.go
+++ b/mesh/dataplane/service.go
@@ -98,14 +98,14 @@
 			LastHop:                  true,
 			RetryBudget:              newRetryBudget(&settings.Bounds, p.node.State().Directory.Len()),
 		},
-		Zones:        zones,
-		Kinds:        map[string]int{},
-		InitialList:  &roster.List{},
-		Backend:      func(string) core.Backend { return p.sidecarPool },
-		Log:          p.slog,
-		CancelAtGone: true,
-		Invariants:   p.invariants,
-		Observer:     &observer{service: name, log: p.log, figures: p.figures, limit: p.failures},
+		Zones:            zones,
+		Kinds:            map[string]int{},
+		InitialList:      &roster.List{},
+		Backend:          func(string) core.Backend { return p.sidecarPool },
+		Log:              p.slog,
+		CancelAtUnlisted: true,
+		Invariants:       p.invariants,
+		Observer:         &observer{service: name, log: p.log, figures: p.figures, limit: p.failures},
 	})
 	go s.exchange.Run()                                 // the exchange ends with p.ctx; End waits for its requests
 	if schedule := p.shutdown.Load(); schedule != nil { // else shutDown tells the exchanges that there are
