--- a/internal/broker/gate.go
+++ b/internal/broker/gate.go
@@ -9,8 +9,8 @@
 	"firplank/internal/core"
 )
 
-// Gate admits requests to the exchange by the teams' contracts. It implements core.AdmissionController. It is not safe for concurrent use: it
-// belongs to the exchange's goroutine.
+// Gate admits requests to the exchange by the teams' contracts. It implements core.AdmissionController. It is not safe for
+// concurrent use: it belongs to the exchange's goroutine.
 type Gate struct {
 	broker     *contract.Broker
 	classes    []string // by number
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -17,7 +17,8 @@
 	l.perform(actions)
 }
 
-// decide calls the balancer. A panic there must not end the sidecar: requests still fail at their deadlines.
+// decide calls the balancer. A panic there is returned as an error and does not end the sidecar: requests still fail at
+// their deadlines.
 func (l *Loop) decide(ev balance.Event) (actions []balance.Action, err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -50,7 +51,7 @@
 			}
 		case balance.Log:
 			l.log.Info(a.Text)
-		default: // SendMessage, Subscribe and FetchList: the balancer never requests them here
+		default: // SendMessage, Subscribe and FetchList, which the balancer does not return in an exchange
 			l.log.Warn("action not carried out", "kind", a.Kind)
 		}
 	}
--- a/internal/core/answers.go
+++ b/internal/core/answers.go
@@ -8,12 +8,12 @@
 	"firplank/balance"
 )
 
-// expiryGraceMillis is how long after its deadline a request fails that the balancer has not ended.
+// expiryGraceMillis is the time after its deadline at which the loop fails a request that the balancer has not ended.
 const expiryGraceMillis = 10
 
 var errAnswered = errors.New("the request has its answer")
 
-// failure is the answer of a failed request: a server's own, if there is one.
+// failure returns the answer of a failed request: a server's own, if there is one.
 func (l *Loop) failure(a *balance.Action) *Answer {
 	if r := l.requests[a.Request]; r != nil && r.serverAnswer != nil {
 		return r.serverAnswer
@@ -26,7 +26,7 @@
 	return &Answer{Kind: Failed, Reason: reason, Text: text}
 }
 
-// refusal is the answer of a refused request, with a retry-after time in ms as far as the settings allow one.
+// refusal returns the answer of a refused request, with a retry-after time in ms as far as the settings allow it.
 func (l *Loop) refusal(retryAfterMillis float64) *Answer {
 	if b := &l.cfg.Balance; b.RetryAfter {
 		return Refusal(millis(min(retryAfterMillis, b.MaxRetryAfter)))
@@ -39,5 +39,5 @@
 	return &Answer{Kind: Refused, RetryAfter: max(0, retryAfter), Text: "refused, trying again is harmless"}
 }
 
-// millis converts milliseconds.
+// millis converts milliseconds to a duration.
 func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -13,8 +13,8 @@
 type Attempt struct {
 	Endpoint *Endpoint
 	Message  *Message
-	Deadline time.Time // when it is given up
-	State    any       // for the backend's own use; the exchange does not touch it
+	Deadline time.Time // when it has to be abandoned
+	State    any       // for use by the backend only
 
 	request  balance.RequestID
 	number   int
@@ -25,34 +25,34 @@
 	written  func(*Attempt)
 	result   Result
 	latency  float64
-	recorded bool // its end has reached the loop, which owns result and latency from then on
+	recorded bool // the loop has received its end and owns result and latency from then on
 }
 
-// The phases of an attempt, in their order.
+// The phases of an attempt, in order.
 const (
 	running = iota
 	cancelled
 	ended
 )
 
-// NewAttempt returns an attempt outside of any exchange, whose result is passed to done; for tests of backends.
+// NewAttempt returns an attempt without an exchange, whose result is passed to done; for tests of backends.
 func NewAttempt(e *Endpoint, m *Message, deadline time.Time, done func(Result)) *Attempt {
 	return &Attempt{Endpoint: e, Message: m, Deadline: deadline, end: func(a *Attempt) { done(a.result) }}
 }
 
-// Obsolete reports whether nothing may be sent for the attempt any more: its request has its final answer, its server
-// is closed, or its deadline has passed.
+// Obsolete reports whether the attempt may not be sent any more, because its request has its final answer, its server is
+// closed, or its deadline has passed.
 func (a *Attempt) Obsolete() bool {
 	return a.answered.Load() || a.Endpoint.Closed() || !time.Now().Before(a.Deadline)
 }
 
-// Number is the number of the attempt among its request's, from 0.
+// Number returns the index of the attempt among those of its request.
 func (a *Attempt) Number() int { return a.number }
 
 // SetAnswered marks that the request has its final answer.
 func (a *Attempt) SetAnswered() { a.answered.Store(true) }
 
-// Written reports that the attempt's last byte was sent. For a streamed body it may block until the exchange takes the
+// Written reports that the attempt's last byte was sent. For a streamed body it may block until the exchange receives the
 // event.
 func (a *Attempt) Written() {
 	if a.written != nil {
@@ -63,8 +63,8 @@
 // TryCancel marks the attempt as cancelled. It reports false if the attempt has ended or was cancelled before.
 func (a *Attempt) TryCancel() bool { return a.phase.CompareAndSwap(running, cancelled) }
 
-// End ends the attempt; the first call counts. It may block until the exchange takes the event. The answer of a
-// cancelled attempt is not passed on if it is still being received, as its backend breaks it off.
+// End ends the attempt; only the first call has an effect. It may block until the exchange receives the event. The answer
+// of a cancelled attempt is not forwarded if it is still being received, because its backend aborts it.
 func (a *Attempt) End(r Result) {
 	previousPhase := a.phase.Swap(ended)
 	if previousPhase == ended {
@@ -78,9 +78,9 @@
 	a.end(a)
 }
 
-var errCancelled = errors.New("the attempt was given up")
+var errCancelled = errors.New("the attempt was cancelled")
 
-// startAttempt carries out balance.Send. An attempt that can't be made any more ends at once as not sent.
+// startAttempt carries out balance.Send. An attempt that is not possible any more ends at once as NotSent.
 func (l *Loop) startAttempt(action *balance.Action) {
 	r, e := l.requests[action.Request], l.byID[action.Server]
 	if r == nil {
@@ -116,7 +116,7 @@
 	e.backend.Begin(a)
 }
 
-// attemptEnded passes the end of an attempt to the loop. It is called from the backend's goroutines.
+// attemptEnded sends the end of an attempt to the loop. It is called from the backend's goroutines.
 func (l *Loop) attemptEnded(a *Attempt) {
 	a.latency = l.millisAt(time.Now()) - a.sentAt
 	l.post(a)
@@ -130,7 +130,7 @@
 	}
 }
 
-// endAttempt records how an attempt ended. The first good answer goes to the client.
+// endAttempt records the end of an attempt. The first successful answer is sent to the client.
 func (l *Loop) endAttempt(a *Attempt) {
 	r := l.requests[a.request]
 	r.inFlight--
--- a/internal/core/catalog.go
+++ b/internal/core/catalog.go
@@ -10,7 +10,7 @@
 	"firplank/balance"
 )
 
-// Catalog holds the names of a deployment's classes and tenants, which the balancer numbers, and the rules of the
+// Catalog maps the names of a deployment's classes and tenants to the balancer's numbers, and holds the rules of the
 // classes. It is immutable and safe for concurrent use.
 type Catalog struct {
 	Classes     []balance.Class // by number
@@ -20,11 +20,11 @@
 	tenantIndex map[string]int
 }
 
-// ErrDuplicateName means that two classes or two tenants have the same name.
+// ErrDuplicateName is the error for two classes or two tenants of the same name.
 var ErrDuplicateName = errors.New("settings: two classes or tenants of one name")
 
 // NewCatalog returns a catalog of classes, with their rules, and tenants, each in the order of the balancer's numbers.
-// The error is ErrDuplicateName.
+// The only error is ErrDuplicateName.
 func NewCatalog(rules []balance.Class, classes, tenants []string) (*Catalog, error) {
 	c := &Catalog{
 		Classes:     rules,
@@ -39,7 +39,7 @@
 	return c, nil
 }
 
-// Positions numbers names by their order.
+// IndexByName returns the index of each name.
 func IndexByName(names []string) map[string]int {
 	index := make(map[string]int, len(names))
 	for i, n := range names {
@@ -70,7 +70,7 @@
 // Sizes returns the numbers of classes and of tenants.
 func (c *Catalog) Sizes() (classes, tenants int) { return len(c.classIndex), len(c.tenantIndex) }
 
-// MaxDeadline is the longest deadline of any class, in milliseconds.
+// MaxDeadline returns the longest deadline of all classes, in milliseconds.
 func (c *Catalog) MaxDeadline() float64 {
 	longest := 0.0
 	for i := range c.Classes {
@@ -79,7 +79,7 @@
 	return longest
 }
 
-// maxToken is the maximal length of an identifier; those in use have 16 and 32 characters.
+// maxTokenLength is the maximum length of an identifier; those in use have 16 and 32 characters.
 const maxTokenLength = 256
 
 // IsToken reports whether text is a valid identifier: 1 to 256 visible ASCII characters, no spaces.
@@ -92,8 +92,8 @@
 	return text != "" && len(text) <= maxTokenLength
 }
 
-// Key is a number that identifies what a request is about: text as a hexadecimal number, or else its FNV-1a hash; 0 for
-// an empty text.
+// ObjectKey returns the number that identifies the object of a request: text as a hexadecimal number, or, if it is none,
+// the FNV-1a hash of text; 0 for an empty text.
 func ObjectKey(text string) uint64 {
 	if text == "" {
 		return 0
--- a/internal/core/catalog_test.go
+++ b/internal/core/catalog_test.go
@@ -8,7 +8,7 @@
 	"firplank/balance"
 )
 
-// A name stands for one class or tenant only.
+// Names of classes and of tenants must be unique.
 func TestCatalogRejectsDuplicateNames(t *testing.T) {
 	rules := make([]balance.Class, 2)
 	for _, c := range []struct {
@@ -25,7 +25,7 @@
 	}
 }
 
-// Without tenants any name is tenant 0; with them an unknown one is none.
+// In a catalog without tenants any name is tenant 0; with tenants an unknown name has no number.
 func TestCatalogNumbersNames(t *testing.T) {
 	rules := []balance.Class{{Deadline: 10}, {Deadline: 30}, {Deadline: 20}}
 	open, err := NewCatalog(rules, []string{"a", "b", "c"}, nil)
--- a/internal/core/counts.go
+++ b/internal/core/counts.go
@@ -24,7 +24,7 @@
 // reportKinds maps the kind of an answer to its counter in reports.
 var reportKinds = map[Kind]report.Kind{Served: report.Served, Refused: report.Refused, Failed: report.Failed}
 
-// countEnd counts how a request ends. One with a streamed answer ends when its stream does.
+// countEnd counts the end of a request. A request with a streamed answer ends when the stream does.
 func (l *Loop) countEnd(r *request, a *Answer) {
 	counts, class, tenant, received := l.cfg.Counts, r.class, r.tenant, r.call.Received
 	if a != nil && r.countedInFleet && a.Stream == nil {
@@ -48,7 +48,7 @@
 	}
 }
 
-// fleetCounter is the counter of package fleet for an answer.
+// fleetCounter returns the counter of package fleet for an answer.
 func fleetCounter(a *Answer) int {
 	switch {
 	case a.Kind == Served:
@@ -63,8 +63,8 @@
 	return fleet.RefusedOther
 }
 
-// overloadEnding is what an answer is evidence of for the limit of concurrent requests: whether the servers can take
-// more.
+// overloadEnding returns what an answer shows to the limiter of concurrent requests: whether the servers have capacity
+// for more.
 func overloadEnding(a *Answer) overload.Ending {
 	switch {
 	case a != nil && a.Kind == Served:
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -7,7 +7,7 @@
 	"firplank/internal/roster"
 )
 
-// phaseReady and phaseGone are phases of a roster.Member, by the page of the server list.
+// phaseReady and phaseGone are phases of a roster.Member, as the page of the server list defines them.
 const (
 	phaseReady = "ready"
 	phaseGone  = "gone"
@@ -25,7 +25,7 @@
 	})
 }
 
-// applyList applies a list to the endpoints and passes it to the balancer.
+// applyList applies a server list to the endpoints and passes it to the balancer.
 func (l *Loop) applyList(update *roster.List, kind balance.ListKind) {
 	list := balance.ServerList{Kind: kind, ZonePreference: update.Favour}
 	listed := map[string]bool{}
@@ -68,7 +68,7 @@
 		l.endpoints[m.ID], l.byID[e.id] = e, e
 		l.recordListed(m.ID)
 	}
-	addr := m.HostPort // a pointer into the list would keep all of it in memory
+	addr := m.HostPort // a pointer into the list would keep the whole list in memory
 	e.addr.Store(&addr)
 	e.member = *m
 	_, excluded := l.excluded[m.ID]
@@ -76,7 +76,7 @@
 	return e
 }
 
-// listEntry is the balancer's entry of a server. A closed one is draining, whatever the list has.
+// listEntry returns the balancer's entry of a server. A closed server that is listed as ready is draining to the balancer.
 func (l *Loop) listEntry(e *Endpoint) balance.Server {
 	m := &e.member
 	s := balance.Server{
@@ -96,13 +96,14 @@
 	return s
 }
 
-// closeEndpoint ends attempts at an endpoint that is draining or gone.
+// closeEndpoint prevents new attempts at an endpoint and closes its idle connections.
 func (l *Loop) closeEndpoint(e *Endpoint) {
 	e.Close()
 	e.backend.CloseIdle(e)
 }
 
-// StreamsAtClosed returns the number of answers that are still coming from servers that are draining. For use within Inspect.
+// StreamsAtClosed returns the number of answers that are still being received from closed servers. It is for use within
+// Inspect.
 func (l *Loop) StreamsAtClosed() (streams int) {
 	for _, e := range l.endpoints {
 		if e.Closed() {
@@ -112,8 +113,8 @@
 	return streams
 }
 
-// InFlightAtClosed returns the number of attempts in flight at servers that are draining or gone, without those whose answers are already
-// coming. For use within Inspect.
+// InFlightAtClosed returns the number of attempts in flight at closed servers, without those whose answers are already
+// being received. It is for use within Inspect.
 func (l *Loop) InFlightAtClosed() (attempts int) {
 	for _, r := range l.requests {
 		for _, a := range r.attempts {
@@ -125,7 +126,8 @@
 	return attempts
 }
 
-// cancelAttemptsAt cancels the attempts of idempotent requests at a server that is gone, if Config.CancelAtGone.
+// cancelAttemptsAt cancels the attempts of idempotent requests at a server that is not listed any more, if
+// Config.CancelAtUnlisted is set.
 func (l *Loop) cancelAttemptsAt(e *Endpoint) {
 	if !l.cfg.CancelAtUnlisted {
 		return
@@ -147,13 +149,13 @@
 	}
 }
 
-// removeEndpoint forgets an endpoint.
+// removeEndpoint removes an endpoint from the indexes. Attempts in flight keep their own reference to it.
 func (l *Loop) removeEndpoint(e *Endpoint) {
 	delete(l.endpoints, e.name)
 	delete(l.byID, e.id)
 }
 
-// position is the number of a name; all names that the settings do not have share the next number.
+// indexOf returns the number of a name; all names that the settings do not contain share the next number.
 func indexOf(known map[string]int, name string) int {
 	if index, ok := known[name]; ok {
 		return index
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -7,13 +7,13 @@
 	"firplank/internal/roster"
 )
 
-// event is an input of the loop: a *Call that was submitted, an *Attempt that has ended, or one of the types below.
+// event is an input of the loop: a submitted *Call, an *Attempt that has ended, or one of the types below.
 type event interface{ isEvent() }
 
 type (
-	// clientDisconnected reports that the client of a call has left.
+	// clientDisconnected reports that the client of a call has disconnected.
 	clientDisconnected struct{ call *Call }
-	// probeEnded is the end of a probe.
+	// probeEnded reports the end of a probe.
 	probeEnded struct {
 		endpoint *Endpoint
 		result   Result
@@ -23,13 +23,13 @@
 	listUpdate struct{ list *roster.List }
 	// listFailure reports that the server list could not be read.
 	listFailure struct{ err error }
-	// listValidity limits the use of the list: none from until to lapsed. Zero times: no limit.
+	// listValidity limits the use of the list: it is not used from until to lapsed. Zero times: no limit.
 	listValidity struct{ until, lapsed time.Time }
 	// inspection is a function to run on the loop's goroutine.
 	inspection struct{ run func(now time.Duration) }
-	// uploadComplete reports that the streamed body of an attempt was sent.
+	// uploadComplete reports that the streamed body of an attempt was sent completely.
 	uploadComplete struct{ attempt *Attempt }
-	// shutdown limits all deadlines.
+	// shutdown limits all deadlines to a time.
 	shutdown struct{ at time.Time }
 	// classAdded adds a class of requests.
 	classAdded struct{ class balance.Class }
@@ -47,34 +47,34 @@
 func (shutdown) isEvent()           {}
 func (classAdded) isEvent()         {}
 
-// Submit hands in a call. Its client gets one answer, unless the exchange ends before.
+// Submit submits a call. Its client gets one answer unless the exchange ends before.
 func (l *Loop) Submit(c *Call) { l.post(c) }
 
-// Disconnect reports that a client has left. It is answered all the same if it was not yet: it may only have closed
-// its sending side.
+// Disconnect reports that the client of a call has disconnected. If the call has no answer yet, it still gets one, because
+// the client may have closed only its sending side.
 func (l *Loop) Disconnect(c *Call) { l.post(clientDisconnected{c}) }
 
-// Listed passes on an update of the server list. With ListFailed and Valid it implements roster.Events.
+// Listed sends an update of the server list to the loop. With ListFailed and Valid it implements roster.Events.
 func (l *Loop) Listed(list *roster.List) { l.post(listUpdate{list}) }
 
 // ListFailed reports that the server list could not be read.
 func (l *Loop) ListFailed(err error) { l.post(listFailure{err}) }
 
-// Valid limits the use of the present server list: from until on, by the clock, nothing is sent to its servers until a
-// later call, or until lapsed. Zero times: there is no limit.
+// Valid limits the use of the present server list: from until to lapsed nothing is sent to its servers, unless a later call
+// changes these times. Zero times: there is no limit.
 func (l *Loop) Valid(until, lapsed time.Time) { l.post(listValidity{until, lapsed}) }
 
-// Shutdown limits the deadline of every call, also of later ones: what has no answer by then fails, or is refused where
-// nothing can have been executed.
+// Shutdown limits the deadline of every open and later call. A call without an answer by then is refused if nothing can
+// have been executed, and fails otherwise.
 func (l *Loop) Shutdown(deadline time.Time) { l.post(shutdown{deadline}) }
 
-// AddClass adds a class of requests. Its number is the count of classes before.
+// AddClass adds a class of requests. Its number is the previous number of classes.
 func (l *Loop) AddClass(c balance.Class) { l.post(classAdded{c}) }
 
-// Inspect calls do on the exchange's goroutine with the time since its start. It does not wait for the call.
+// Inspect calls do on the exchange's goroutine, with the time since the exchange started. It does not wait for the call.
 func (l *Loop) Inspect(do func(now time.Duration)) { l.post(inspection{do}) }
 
-// post sends an event to the loop; after the loop's end it does nothing.
+// post sends an event to the loop; after the end of the loop it does nothing.
 func (l *Loop) post(ev event) {
 	select {
 	case l.inbox <- ev:
@@ -82,7 +82,7 @@
 	}
 }
 
-// handle carries out one event.
+// handle handles one event.
 func (l *Loop) handle(ev event) {
 	switch ev := ev.(type) {
 	case *Call:
@@ -117,7 +117,7 @@
 	}
 }
 
-// onClientDisconnected ends the open request of a call: refused if nothing was sent, otherwise failed.
+// onClientDisconnected ends the open request of a call: as refused if there was no attempt, otherwise as failed.
 func (l *Loop) onClientDisconnected(c *Call) {
 	r := l.byCall[c]
 	if r == nil || r.answered {
--- a/internal/core/exclusion.go
+++ b/internal/core/exclusion.go
@@ -6,13 +6,13 @@
 	"firplank/balance"
 )
 
-// maxEverListed bounds the remembered names of servers that are gone.
+// maxEverListed is the maximum number of stored names of servers that are gone.
 const maxEverListed = 4096
 
 // ServerCounts counts the servers of an exchange.
 type ServerCounts struct {
-	Size      int // servers in the list
-	Unhealthy int // of them, those excluded by operators or ejected by the balancer
+	Size      int // listed servers
+	Unhealthy int // listed servers that operators have excluded or the balancer has ejected
 }
 
 // ServerState is the state of a listed server.
@@ -48,7 +48,7 @@
 	return listed || excluded
 }
 
-// recordListed remembers that a server was listed.
+// recordListed stores that a server was listed. If there are too many names, it removes one of a server that is gone.
 func (l *Loop) recordListed(name string) {
 	if len(l.everListed) >= maxEverListed+len(l.endpoints) {
 		for old := range l.everListed {
@@ -61,7 +61,7 @@
 	l.everListed[name] = struct{}{}
 }
 
-// AcceptStaleList makes the exchange ready with the list that it has, in spite of Config.RequireFreshList.
+// AcceptStaleList makes the exchange ready with its present list, in spite of Config.RequireFreshList.
 func (l *Loop) AcceptStaleList() {
 	l.cfg.RequireFreshList = false
 	l.updateReady()
@@ -72,9 +72,9 @@
 	l.ready.Store(len(l.endpoints) > 0 && (l.listCount > 0 || !l.cfg.RequireFreshList))
 }
 
-// SetExcluded excludes exactly these servers, each since a time. To the balancer an excluded server is draining: it
-// gets nothing new and completes what it has. One that returns counts as just started, unless the list has a later
-// start: it may have been restarted, which the list has yet to report.
+// SetExcluded excludes exactly the given servers, each since a time. To the balancer an excluded server is draining: it gets
+// no new attempts and completes those in flight. A server that is no longer excluded counts as just started, because it may
+// have been restarted and the list may not report that yet. If the list has a start after the exclusion, that one counts.
 func (l *Loop) SetExcluded(excluded map[string]time.Time) {
 	excludedSince := make(map[string]float64, len(excluded))
 	for name, since := range excluded {
--- a/internal/core/exclusion_test.go
+++ b/internal/core/exclusion_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// An excluded server is closed, its idle connections too, and gets no attempt; it is open again when it returns.
+// An excluded server and its idle connections are closed, and it gets no attempts; after the exclusion it is open again.
 func TestExcludedServersGetNoAttempts(t *testing.T) {
 	l, b := newLoopWithServers(t)
 	since := l.timeAt(l.now)
@@ -16,10 +16,10 @@
 		t.Fatalf("excluded: closed %v, idle connections closed at %v", l.endpoints["s-1"].Closed(), b.idleClosed[before:])
 	}
 	if c := l.CountServers(); c.Unhealthy != 1 || c.Size != len(l.endpoints) {
-		t.Errorf("counted %+v, want one avoided of %d", c, len(l.endpoints))
+		t.Errorf("counted %+v, want one unhealthy of %d", c, len(l.endpoints))
 	}
 	if !l.EverListed("unlisted") || l.EverListed("never") {
-		t.Error("an excluded server has to count as listed, an unknown one not")
+		t.Error("an excluded server must count as listed, an unknown one must not")
 	}
 	for range 4 {
 		l.beginTestRequest(&recordingClient{})
@@ -32,9 +32,9 @@
 	before = len(b.idleClosed)
 	l.SetExcluded(nil)
 	if l.endpoints["s-1"].Closed() || len(b.idleClosed) != before {
-		t.Errorf("returned: closed %v, idle connections closed at %v", l.endpoints["s-1"].Closed(), b.idleClosed[before:])
+		t.Errorf("after the exclusion: closed %v, idle connections closed at %v", l.endpoints["s-1"].Closed(), b.idleClosed[before:])
 	}
 	if c := l.CountServers(); c.Unhealthy != 0 {
-		t.Errorf("%d avoided after its return", c.Unhealthy)
+		t.Errorf("%d unhealthy after the exclusion", c.Unhealthy)
 	}
 }
--- a/internal/core/fence.go
+++ b/internal/core/fence.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// longPauseMillis is a pause of the loop after which the process may have been stopped. The check that follows costs
-	// little where the loop only had nothing to do.
+	// longPauseMillis is the duration of a pause of the loop from which on the process may have been stopped. The check for
+	// pending updates that follows costs little if the loop was only idle.
 	longPauseMillis     = 200
-	updateCheckMillis   = 10   // between two checks for pending updates
-	maxUpdateWaitMillis = 1000 // for pending updates: an answer may arrive very slowly
+	updateCheckMillis   = 10   // interval of checks for pending updates
+	maxUpdateWaitMillis = 1000 // longest wait for pending updates, as an answer may arrive very slowly
 )
 
-// resume sets the time when the loop continues. After a long pause pending updates of the roster precede all other
-// events that have arrived in it.
+// resume updates the clock when the loop continues. After a long pause, pending updates of the roster are applied before
+// requests that arrived during the pause are sent.
 func (l *Loop) resume() {
 	l.now = l.millisAt(time.Now())
 	if l.now-l.lastRunAt > longPauseMillis && l.cfg.UpdatesPending != nil && !l.updatesPending {
@@ -26,7 +26,7 @@
 	l.updateFence()
 }
 
-// checkPendingUpdates ends the wait for pending updates once they are applied.
+// checkPendingUpdates ends the wait for pending updates once they have arrived, or after maxUpdateWaitMillis.
 func (l *Loop) checkPendingUpdates() {
 	l.now = l.millisAt(time.Now())
 	l.lastRunAt = l.now
@@ -36,8 +36,9 @@
 	}
 }
 
-// updateFence closes all endpoints while the server list is not valid, as any server may be draining or gone by then,
-// and opens them again. The balancer sees closed servers as draining. Attempts in flight continue.
+// updateFence closes all endpoints while the server list is not valid or updates of it are pending, as any server may be
+// draining or gone by then, and opens them again afterwards. To the balancer closed servers are draining. Attempts in
+// flight continue.
 func (l *Loop) updateFence() {
 	now := l.timeAt(l.now)
 	invalid := !l.validity.until.IsZero() && !now.Before(l.validity.until) && now.Before(l.validity.lapsed)
@@ -48,9 +49,9 @@
 	l.fenced = fenced
 	switch {
 	case l.updatesPending:
-		l.log.Debug("news of the list of servers come before what waits")
+		l.log.Debug("pending updates of the list of servers precede waiting requests")
 	case fenced:
-		l.log.Warn("the list of servers may be out of date, and nothing is sent by it",
+		l.log.Warn("the list of servers may be out of date: no new attempts are sent",
 			"since", l.validity.until, "until", l.validity.lapsed)
 	default:
 		l.log.Info("the list of servers is used again")
@@ -66,7 +67,7 @@
 	l.notify(changed)
 }
 
-// nextFenceCheck is when updateFence has to be called next, by the loop's clock; +Inf: after events only.
+// nextFenceCheck returns when updateFence has to be called next, by the loop's clock; +Inf: after events only.
 func (l *Loop) nextFenceCheck() float64 {
 	switch {
 	case l.updatesPending:
--- a/internal/core/fence_test.go
+++ b/internal/core/fence_test.go
@@ -8,7 +8,7 @@
 	"firplank/internal/roster"
 )
 
-// served is a loop with two servers that are ready and one that drains, and what was sent to them.
+// newLoopWithServers returns a loop with two ready servers and a draining one, and their backend.
 func newLoopWithServers(t *testing.T) (*Loop, *fakeBackend) {
 	b := &fakeBackend{}
 	l := newLoop(t, b)
@@ -23,8 +23,8 @@
 	l.beginRequest(&Call{Received: l.timeAt(l.now), Request: balance.Request{Remaining: 20000}, Client: client})
 }
 
-// A list that may lack what counts as told is not sent by, from the moment that the time has come, whoever notices it; nor before a
-// newer one is there.
+// From the end of its validity on, nothing is sent to the servers of a list that may lack updates, until a newer list is
+// declared valid.
 func TestNothingIsSentByExpiredList(t *testing.T) {
 	l, b := newLoopWithServers(t)
 	got := &recordingClient{}
@@ -32,34 +32,34 @@
 	l.handle(listValidity{l.timeAt(l.now + 1000), l.timeAt(l.now + 6000)})
 	l.updateFence()
 	if l.beginTestRequest(got); len(b.begun) != 1 {
-		t.Fatalf("a valid list: %d sent", len(b.begun))
+		t.Fatalf("with a valid list: %d sent", len(b.begun))
 	}
 	l.now += 1000
 	l.updateFence()
 	if l.beginTestRequest(got); len(b.begun) != 1 || len(*got) != 0 {
-		t.Fatalf("out of date: %d sent, %d answered", len(b.begun), len(*got))
+		t.Fatalf("with an expired list: %d sent, %d answered", len(b.begun), len(*got))
 	}
 	l.applyList(&roster.List{Members: []roster.Member{{ID: "s-2", HostPort: "h:2", Phase: "draining", Size: 1}}}, balance.ListDelta)
 	if l.endpoints["s-1"].Closed() != true {
-		t.Error("an old entry was opened by a new list before that was said to be valid")
+		t.Error("a new list opened an old entry before the list was declared valid")
 	}
 	l.handle(listValidity{})
 	l.updateFence()
 	if l.endpoints["s-1"].Closed() || !l.endpoints["s-2"].Closed() || !l.endpoints["s-3"].Closed() {
-		t.Error("after the new list the wrong servers are open")
+		t.Error("wrong servers are open after the new list")
 	}
 	if l.beginTestRequest(got); len(b.begun) != 2 || b.begun[1].Endpoint.Name() != "s-1" {
 		t.Errorf("with the new list: %d sent", len(b.begun))
 	}
 }
 
-// A discovery that answers nobody for long must not end the service.
+// If discovery is unavailable for long, the old list is used again after a limited time, so that the service continues.
 func TestExpiredListIsUsedAgainAfterLapse(t *testing.T) {
 	l, b := newLoopWithServers(t)
 	l.handle(listValidity{l.timeAt(l.now - 1), l.timeAt(l.now + 5000)})
 	l.updateFence()
 	if at := l.nextFenceCheck(); at < l.now+4999 || at > l.now+5001 {
-		t.Errorf("looks again at %v", at-l.now)
+		t.Errorf("next check in %v ms", at-l.now)
 	}
 	l.now += 5001
 	l.updateFence()
@@ -68,7 +68,8 @@
 	}
 }
 
-// A process that stood still finds requests and news at once when it goes on: the news come first.
+// A process that was stopped finds requests and updates of the server list together when it continues. The updates have to
+// be applied first.
 func TestPendingUpdatesPrecedeRequestsAfterPause(t *testing.T) {
 	l, b := newLoopWithServers(t)
 	updatesPending := true
@@ -76,23 +77,23 @@
 	l.lastRunAt = l.millisAt(time.Now()) - 2*longPauseMillis
 	l.resume()
 	if l.beginTestRequest(&recordingClient{}); len(b.begun) != 0 {
-		t.Fatalf("%d sent before the news", len(b.begun))
+		t.Fatalf("%d sent before the updates", len(b.begun))
 	}
 	l.inbox <- listUpdate{&roster.List{Members: []roster.Member{{ID: "s-1", HostPort: "h:1", Phase: "draining", Size: 1}}}}
 	updatesPending = false
 	l.checkPendingUpdates()
 	l.updateFence()
 	if l.beginTestRequest(&recordingClient{}); len(b.begun) != 1 || b.begun[0].Endpoint.Name() != "s-2" {
-		t.Errorf("%d sent after the news", len(b.begun))
+		t.Errorf("%d sent after the updates", len(b.begun))
 	}
 	updatesPending, l.lastRunAt = true, l.millisAt(time.Now())
 	if l.resume(); l.fenced {
-		t.Error("it looked though it ran all the time")
+		t.Error("pending updates were checked without a pause of the loop")
 	}
 	l.lastRunAt -= 2 * longPauseMillis
 	l.resume()
 	l.updatesPendingSince -= 2 * maxUpdateWaitMillis
 	if l.checkPendingUpdates(); l.updatesPending {
-		t.Error("an answer that trickles is waited for without end")
+		t.Error("the wait for a slow answer is not limited")
 	}
 }
--- a/internal/core/invariants.go
+++ b/internal/core/invariants.go
@@ -8,8 +8,8 @@
 	"firplank/internal/invariant"
 )
 
-// deadlineTolerance is by how much an attempt's deadline may exceed its request's: the clock of the loop is as of the
-// present batch of events.
+// deadlineTolerance is the time by which an attempt's deadline may exceed its request's, because the loop's clock is only
+// updated once for a batch of events.
 const deadlineTolerance = 100 * time.Millisecond
 
 // violated reports a violated invariant of a request.
@@ -21,7 +21,7 @@
 	l.cfg.Invariants.Violated(name, append(attrs, details...)...)
 }
 
-// mayHaveRun reports whether a server may have begun to work on the request by this attempt.
+// mayHaveRun reports whether a server may have begun to execute the request by this attempt.
 func (a *Attempt) mayHaveRun() bool {
 	if !a.recorded {
 		return true
@@ -33,7 +33,7 @@
 	return !a.result.NotDelivered
 }
 
-// uncertain returns an attempt of a request by which it may have run; nil: there is none.
+// uncertainAttempt returns an attempt of a request by which it may have been executed; nil: there is none.
 func (r *request) uncertainAttempt() *Attempt {
 	for _, a := range r.attempts {
 		if a.mayHaveRun() {
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// checkAttempt checks the invariants of an attempt that is about to begin, which is not among its request's yet.
+// checkAttempt checks the invariants of an attempt that is about to begin and is not yet in the request's attempts.
 func (l *Loop) checkAttempt(r *request, a *Attempt) {
 	if l.cfg.Invariants == nil {
 		return
@@ -68,7 +68,7 @@
 	}
 }
 
-// reachedServers counts the servers that the request may have reached, once the next attempt has begun.
+// reachedServers returns the number of servers that the request may have reached, including that of the next attempt.
 func (r *request) reachedServers(next *Attempt) (n int) {
 	for i, a := range r.attempts {
 		if a.mayHaveRun() && a.Endpoint != next.Endpoint && !r.reachedBefore(i) {
@@ -78,7 +78,7 @@
 	return n + 1
 }
 
-// reachedBefore reports whether an attempt before the one at an index may have reached the same server.
+// reachedBefore reports whether an attempt before the one at the index may have reached the same server.
 func (r *request) reachedBefore(index int) bool {
 	for _, a := range r.attempts[:index] {
 		if a.mayHaveRun() && a.Endpoint == r.attempts[index].Endpoint {
--- a/internal/core/invariants_test.go
+++ b/internal/core/invariants_test.go
@@ -9,19 +9,19 @@
 	"firplank/internal/invariant"
 )
 
-// violations are the invariants that a loop has reported as violated, in order.
+// violations records the invariants that a loop has reported as violated, in order.
 type violations []invariant.Name
 
 func (v *violations) Violated(name invariant.Name, _ ...any) { *v = append(*v, name) }
 
-// checkedLoop returns a loop whose violations are kept.
+// newCheckedLoop returns a loop and the violations that it reports.
 func newCheckedLoop(t *testing.T) (*Loop, *violations) {
 	l, v := newLoop(t, &fakeBackend{}), &violations{}
 	l.cfg.Invariants = v
 	return l, v
 }
 
-// attempted returns an attempt at a server that has ended with a result; a nil result: it is under way.
+// newTestAttempt returns an attempt at a server that has ended with a result; a nil result: it is in flight.
 func newTestAttempt(e *Endpoint, r *Result) *Attempt {
 	a := &Attempt{Endpoint: e}
 	if r != nil {
@@ -30,7 +30,7 @@
 	return a
 }
 
-// The checks find what the balancer must never ask for, and nothing in what it may.
+// The checks report attempts that the balancer must never start, and no others.
 func TestInvariantsOfAttemptsAreChecked(t *testing.T) {
 	one, two, three := NewEndpoint("1", "h:1"), NewEndpoint("2", "h:2"), NewEndpoint("3", "h:3")
 	reset, refused := &Result{Outcome: balance.Reset}, &Result{Outcome: balance.ConnectFailed}
@@ -45,10 +45,11 @@
 		want     []invariant.Name
 	}{
 		{"first attempt", false, nil, one, time.Second, nil},
-		{"after one that reached nobody", false, []*Attempt{newTestAttempt(one, refused)}, two, time.Second, nil},
-		{"after one that the last hop denies", false, []*Attempt{newTestAttempt(one, denied)}, two, time.Second, nil},
-		{"after a reset", false, []*Attempt{newTestAttempt(one, reset)}, two, time.Second, []invariant.Name{invariant.NotResentAfterPossibleStart}},
-		{"while one is under way", false, []*Attempt{newTestAttempt(one, nil)}, two, time.Second,
+		{"after one that reached no server", false, []*Attempt{newTestAttempt(one, refused)}, two, time.Second, nil},
+		{"after one that the last hop rejected", false, []*Attempt{newTestAttempt(one, denied)}, two, time.Second, nil},
+		{"after a reset", false, []*Attempt{newTestAttempt(one, reset)}, two, time.Second,
+			[]invariant.Name{invariant.NotResentAfterPossibleStart}},
+		{"while one is in flight", false, []*Attempt{newTestAttempt(one, nil)}, two, time.Second,
 			[]invariant.Name{invariant.NotResentAfterPossibleStart}},
 		{"idempotent, after a reset", true, []*Attempt{newTestAttempt(one, reset)}, two, time.Second, nil},
 		{"a third server of two", true, []*Attempt{newTestAttempt(one, reset), newTestAttempt(two, reset)}, three, time.Second,
@@ -66,7 +67,7 @@
 	}
 }
 
-// A refusal promises that a request has not run and never will.
+// A refusal guarantees that a request was not executed and will not be.
 func TestInvariantsOfRefusalsAreChecked(t *testing.T) {
 	server := NewEndpoint("1", "h:1")
 	ran, unsent := newTestAttempt(server, &Result{Outcome: balance.Reset}), newTestAttempt(server, &Result{Outcome: balance.NotSent})
@@ -77,9 +78,9 @@
 		kind    Kind
 		want    []invariant.Name
 	}{
-		{"refused, and may have run", false, ran, Refused, []invariant.Name{invariant.RefusedNeverStarted}},
-		{"refused while it is under way", false, newTestAttempt(server, nil), Refused, []invariant.Name{invariant.RefusedNeverStarted}},
-		{"failed, and may have run", false, ran, Failed, nil},
+		{"refused, and may have been executed", false, ran, Refused, []invariant.Name{invariant.RefusedNeverStarted}},
+		{"refused while an attempt is in flight", false, newTestAttempt(server, nil), Refused, []invariant.Name{invariant.RefusedNeverStarted}},
+		{"failed, and may have been executed", false, ran, Failed, nil},
 		{"refused, and was not sent", false, unsent, Refused, nil},
 		{"refused, idempotent", true, ran, Refused, nil},
 	} {
@@ -92,7 +93,7 @@
 	}
 }
 
-// A request that the balancer forgets is answered and reported; one that has its answer is neither.
+// A request that the balancer does not end is answered and reported after its deadline; an answered one is not.
 func TestRequestsOpenPastDeadlineAreReported(t *testing.T) {
 	l, got := newCheckedLoop(t)
 	answers := &recordingClient{}
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -15,51 +15,50 @@
 	"firplank/report"
 )
 
-// MaxUpload bounds an attempt whose body is still being received.
+// MaxUpload is the longest duration of an attempt whose body is still being received.
 const MaxUpload = 15 * time.Minute
 
 const (
-	maxSleepMillis = 60 * 60 * 1000 // bounds the time between two looks at the timers
-	inboxSize      = 1024           // events that wait for the loop before their senders block
+	maxSleepMillis = 60 * 60 * 1000 // longest time between two checks of the timers
+	inboxSize      = 1024           // number of queued events from which on senders block
 )
 
-// Config holds the settings of an exchange and what it works with.
+// Config holds the settings and dependencies of an exchange.
 type Config struct {
 	Balance     balance.Config
 	Zones       map[string]int // numbers of zones by name
 	Kinds       map[string]int // numbers of kinds of servers by name
-	InitialList *roster.List   // the server list as last known, may be old
-	// Backend returns the backend for a kind of servers of the roster.
+	InitialList *roster.List   // the cached server list, may be out of date
+	// Backend returns the backend for a flavor of servers in the roster.
 	Backend   func(flavor string) Backend
 	Shedder   *loadshed.Shedder   // is notified of queue delays and answers; nil: none
 	Admission AdmissionController // admits calls; nil: all are admitted
 	// Counts counts requests and attempts; nil: nothing is counted.
 	Counts *report.Counts
 	Log    *slog.Logger
-	// UpdatesPending reports whether updates of the roster have reached this process that the exchange has not received
-	// yet; nil: never.
+	// UpdatesPending reports whether updates of the roster have reached this process but not the exchange; nil: never.
 	UpdatesPending func() bool
-	// Tally counts requests for the fleet and limits them; nil: there is no limit.
+	// FleetQuota counts requests and limits them over the fleet; nil: there is no limit.
 	FleetQuota FleetQuota
 	// Invariants is notified of violated invariants of requests; nil: none is checked.
 	Invariants invariant.Reporter
-	// Observer is notified of the ends of requests and attempts; nil: nobody is.
+	// Observer is notified of the ends of requests and attempts; nil: none.
 	Observer Observer
-	// CancelAtGone is whether a server that a complete list does not contain answers nothing: idempotent requests are
-	// cancelled there.
+	// CancelAtUnlisted is whether servers that a complete list does not contain are presumed dead: attempts of idempotent
+	// requests are cancelled there.
 	CancelAtUnlisted bool
-	// RequireFreshList is whether InitialList is not enough to be ready: a list of this process's own has to come first.
+	// RequireFreshList is whether the exchange is not ready by InitialList alone, but only after it has received a list.
 	RequireFreshList bool
 }
 
-// Loop is an exchange. It owns the balancer and the state of each request; all else sends it events. Its exported
-// methods are safe for concurrent use but for those that are for use within Inspect.
+// Loop is an exchange. It owns the balancer and the state of each request; other goroutines send events to it. Its exported
+// methods are safe for concurrent use, except those that are for use within Inspect.
 type Loop struct {
 	balancer  *balance.Balancer
 	cfg       Config
 	log       *slog.Logger
 	inbox     chan event
-	ownEvents []event // events by the loop itself, to be handled right after the present one
+	ownEvents []event // events from the loop itself, handled right after the present one
 	ready     atomic.Bool
 	ctx       context.Context
 
@@ -73,28 +72,28 @@
 	byName     map[string]*request // by Call.Name
 	lastID     balance.RequestID
 	timers     timers
-	shutdownAt float64 // when every call has to be answered; +Inf: no shutdown
+	shutdownAt float64 // by when every call has to be answered; +Inf: no shutdown
 
 	endpoints    map[string]*Endpoint // by name
 	byID         map[balance.ServerID]*Endpoint
 	lastServerID balance.ServerID
-	excluded     map[string]float64  // servers that operators have excluded, by name, and since when
+	excluded     map[string]float64  // start of the exclusion of servers by operators, by server name
 	everListed   map[string]struct{} // names of servers that were ever listed, bounded by maxEverListed
 	listCount    int                 // updates of the server list received
 
 	validity            listValidity
-	fenced              bool    // the list is not valid, or updates of it are pending: nothing is sent
+	fenced              bool    // nothing is sent, as the list is not valid or updates of it are pending
 	updatesPending      bool    // updates of the list are pending
-	updatesPendingSince float64 // since when
-	lastRunAt           float64 // when the loop last was known to run
+	updatesPendingSince float64 // start of updatesPending
+	lastRunAt           float64 // when the loop last ran
 
 	record *record // nil: not enabled
 }
 
-// New returns an exchange that works until ctx ends, once Run is called.
+// New returns an exchange, which runs from the call of Run until ctx ends.
 func New(ctx context.Context, cfg Config) *Loop {
 	start := time.Now()
-	cfg.Balance.Subscribe = false // package roster follows the list
+	cfg.Balance.Subscribe = false // package roster subscribes to the list
 	return &Loop{
 		balancer:    balance.New(cfg.Balance),
 		cfg:         cfg,
@@ -115,26 +114,26 @@
 	}
 }
 
-// Ready reports whether there are servers to send to.
+// Ready reports whether there are listed servers, by a list that Config.RequireFreshList accepts.
 func (l *Loop) Ready() bool { return l.ready.Load() }
 
 // Done is closed when the exchange gives no more answers.
 func (l *Loop) Done() <-chan struct{} { return l.ctx.Done() }
 
-// millisAt converts a time to the loop's clock.
+// millisAt converts a time to ms of the loop's clock.
 func (l *Loop) millisAt(t time.Time) float64 {
 	return l.startMillis + float64(t.Sub(l.started))/float64(time.Millisecond)
 }
 
-// timeAt converts a time by the loop's clock.
+// timeAt converts ms of the loop's clock to a time.
 func (l *Loop) timeAt(clock float64) time.Time {
 	return l.started.Add(time.Duration((clock - l.startMillis) * float64(time.Millisecond)))
 }
 
-// elapsed is the time since the start, as of the present batch of events.
+// elapsed returns the time since the start, as of the present batch of events.
 func (l *Loop) elapsed() time.Duration { return millis(l.now - l.startMillis) }
 
-// Run handles events until the exchange's context ends. Events that wait make one batch with one time.
+// Run handles events until the exchange's context ends. The events that are queued together form one batch with one time.
 func (l *Loop) Run() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -163,7 +162,7 @@
 	}
 }
 
-// nextWake is when the loop has to continue without an event.
+// nextWake returns when the loop has to continue if there is no event.
 func (l *Loop) nextWake() float64 {
 	next := math.Inf(1)
 	if len(l.timers) > 0 {
@@ -172,7 +171,7 @@
 	return min(next, l.nextFenceCheck(), l.now+maxSleepMillis)
 }
 
-// drainInbox handles the events that wait at its call.
+// drainInbox handles the events that are queued at the time of the call.
 func (l *Loop) drainInbox() {
 	for n := len(l.inbox); n > 0; n-- {
 		l.handleOwnEvents()
@@ -181,7 +180,7 @@
 	}
 }
 
-// handlePending handles the events by the loop itself.
+// handleOwnEvents handles the events from the loop itself.
 func (l *Loop) handleOwnEvents() {
 	for len(l.ownEvents) > 0 {
 		ev := l.ownEvents[0]
--- a/internal/core/loop_test.go
+++ b/internal/core/loop_test.go
@@ -10,12 +10,12 @@
 	"firplank/internal/roster"
 )
 
-// caller is a client that keeps its answers.
+// recordingClient records its answers.
 type recordingClient []*Answer
 
 func (c *recordingClient) Answer(_ *Call, a *Answer) { *c = append(*c, a) }
 
-// back keeps what it is given to do.
+// fakeBackend records the calls of the exchange.
 type fakeBackend struct {
 	begun      []*Attempt
 	cancelled  int
@@ -37,7 +37,7 @@
 	})
 }
 
-// A request that the module forgets is failed soon after its deadline, and what comes later is not sent.
+// A request that the balancer does not end fails soon after its deadline, and later answers are not sent.
 func TestExpiredRequestGetsOneFinalAnswer(t *testing.T) {
 	l, got := newLoop(t, &fakeBackend{}), &recordingClient{}
 	c := &Call{Client: got}
@@ -56,7 +56,7 @@
 	}
 }
 
-// The deadline of an answered request may be far away: neither its timer nor headers and body may stay until then.
+// The deadline of an answered request may be far in the future: its timer, headers and body must be released at once.
 func TestAnsweredRequestsAreReleased(t *testing.T) {
 	b, got := &fakeBackend{}, &recordingClient{}
 	l := newLoop(t, b)
@@ -68,13 +68,13 @@
 	second := &Call{Name: "7", Received: l.started, Request: balance.Request{Remaining: 20000}, Client: got}
 	l.beginRequest(second)
 	if len(*got) != 1 || (*got)[0].Reason != DuplicateName || len(b.begun) != 1 {
-		t.Fatalf("a second call of an open name: %v, %d sent", *got, len(b.begun))
+		t.Fatalf("a second call with the name of an open one: %v, %d sent", *got, len(b.begun))
 	}
 	if l.byName["7"] == nil {
-		t.Fatal("the name of the open call is forgotten with the second call")
+		t.Fatal("the second call released the name of the open one")
 	}
 	b.begun[0].End(Result{Outcome: balance.OK, Answer: &Answer{}})
-	b.begun[0].End(Result{Outcome: balance.Reset}) // the first end counts
+	b.begun[0].End(Result{Outcome: balance.Reset}) // only the first end has an effect
 	l.handle(<-l.inbox)
 	if len(*got) != 2 || (*got)[1].Kind != Served || len(l.inbox) != 0 {
 		t.Fatalf("answered %v", *got)
@@ -89,15 +89,16 @@
 	}
 }
 
-// What may run again is not left at a server that is there no more, where that means that nobody answers; what may not is.
+// If unlisted servers are presumed dead, attempts of idempotent requests are cancelled there. Attempts of other requests
+// are not, and none are if the list may only be late.
 func TestIdempotentAttemptsAtUnlistedServersAreCancelled(t *testing.T) {
 	for _, c := range []struct {
 		name                   string
 		cancelAtUnlisted, safe bool
 		cancelled              int
 	}{
-		{"lost, and may run again", true, true, 1}, {"lost, but must not run twice", true, false, 0},
-		{"gone by a list that is only late", false, true, 0},
+		{"unlisted, idempotent", true, true, 1}, {"unlisted, not idempotent", true, false, 0},
+		{"unlisted, but the list may be late", false, true, 0},
 	} {
 		b, got := &fakeBackend{}, &recordingClient{}
 		l := newLoop(t, b)
@@ -107,19 +108,19 @@
 		l.beginRequest(&Call{Message: Message{Safe: c.safe}, Received: l.started, Request: balance.Request{Remaining: 20000}, Client: got})
 		l.applyList(&roster.List{Complete: true}, balance.ListFull)
 		if len(b.begun) != 1 || b.cancelled != c.cancelled {
-			t.Errorf("%s: %d begun, %d given up", c.name, len(b.begun), b.cancelled)
+			t.Errorf("%s: %d begun, %d cancelled", c.name, len(b.begun), b.cancelled)
 		}
 	}
 }
 
-// An answer that begins to pass through just as its attempt is given up is cut off by its back: the client must not get
-// the beginning of it.
+// The backend aborts a streamed answer that begins while its attempt is being cancelled. The client must not receive the
+// beginning of such an answer.
 func TestAnswerOfCancelledAttemptIsNotForwarded(t *testing.T) {
 	for _, c := range []struct {
 		name           string
-		answerFirst    bool // the answer begins before the attempt is to be given up
+		answerFirst    bool // the answer begins before the attempt is cancelled
 		sent, answered int
-	}{{"given up first", false, 2, 0}, {"the answer first", true, 1, 1}} {
+	}{{"cancelled first", false, 2, 0}, {"answered first", true, 1, 1}} {
 		b, got := &fakeBackend{}, &recordingClient{}
 		l := newLoop(t, b)
 		l.cfg.CancelAtUnlisted = true
@@ -147,7 +148,7 @@
 			t.Errorf("%s: %d sent, answered %v", c.name, len(b.begun), *got)
 		}
 		if closed := body.Append([]byte("more")) != nil; closed == c.answerFirst {
-			t.Errorf("%s: whether its body is still taken: %v", c.name, !closed)
+			t.Errorf("%s: body still accepted: %v", c.name, !closed)
 		}
 	}
 }
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -6,18 +6,18 @@
 	"firplank/balance"
 )
 
-// Observer is notified of what happens to requests, for figures and for the log. Its methods are called from the
+// Observer is notified of the ends of requests and attempts, for metrics and the log. Its methods are called from the
 // exchange's goroutine and must not block.
 type Observer interface {
-	// RequestEnded reports the final answer of a call; nil: its client has left. The attempts are those made so far, in
-	// order, and the cause is the balancer's, of a call that was not served.
+	// RequestEnded reports the final answer of a call; nil: its client has disconnected. The attempts are those made so far,
+	// in order. The cause is the balancer's reason if it did not serve the call.
 	RequestEnded(c *Call, a *Answer, attempts []*Attempt, cause balance.Cause)
 	// AttemptEnded reports the end of an attempt.
 	AttemptEnded(a *Attempt)
 }
 
-// Ended returns how an attempt has ended; ok is false while it is under way. It is for an Observer, on the exchange's
-// goroutine.
+// Ended returns the result and latency of an attempt that has ended; ok is false while it is in flight. It is for use by
+// an Observer, on the exchange's goroutine.
 func (a *Attempt) Ended() (r Result, latency time.Duration, ok bool) {
 	if !a.recorded {
 		return Result{}, 0, false
@@ -32,7 +32,7 @@
 	}
 }
 
-// observeAttempt marks an attempt as recorded, and notifies the observer.
+// observeAttempt marks an attempt as recorded and notifies the observer.
 func (l *Loop) observeAttempt(a *Attempt) {
 	a.recorded = true
 	if l.cfg.Observer != nil {
--- a/internal/core/record.go
+++ b/internal/core/record.go
@@ -8,21 +8,21 @@
 	"firplank/balance"
 )
 
-// recordIntervalMillis is the least time between two records.
+// recordIntervalMillis is the shortest interval between two records.
 const recordIntervalMillis = 500
 
-// record counts what the exchange does between two lines of the log, which firplank-lab count sums over a fleet. The
-// keys of a line are its interface and stay. It exists at debug level only; all its methods do nothing on nil. It
-// belongs to the exchange's goroutine.
+// record counts the exchange's work between two lines of the log, which firplank-lab count sums over a fleet and parses by
+// their keys, so the keys must not change. It is enabled at debug level only; on nil all methods do nothing. It is for use
+// on the exchange's goroutine.
 type record struct {
 	log             *slog.Logger
-	slowStartMillis float64 // of a server after its start
-	utilIndex       int     // position of balance.FieldUtil in a report; -1: none
+	slowStartMillis float64 // duration of slow start
+	utilIndex       int     // index of balance.FieldUtil in a report; -1: none
 	nextAt          float64 // when a line is due, by the loop's clock
 
 	requests     int
 	lists        int // updates of the server list
-	listEntries  int // in them
+	listEntries  int // entries of these updates
 	listFailures int
 	causes       [balance.DeadlineExceeded + 1]int // requests that ended unserved
 	outcomes     [balance.NotSent + 1]int          // attempts by result
@@ -31,7 +31,7 @@
 	warmingUpUtil, warmUtil mean // utilisation of servers by their reports
 }
 
-// mean is an average.
+// mean accumulates an arithmetic mean.
 type mean struct {
 	sum float64
 	n   int
@@ -40,7 +40,7 @@
 // add adds a value.
 func (m *mean) add(v float64) { m.sum, m.n = m.sum+v, m.n+1 }
 
-// value is the mean of the values; 0 without any.
+// value returns the mean; 0 without values.
 func (m *mean) value() float64 {
 	if m.n == 0 {
 		return 0
--- a/internal/core/record_test.go
+++ b/internal/core/record_test.go
@@ -10,14 +10,14 @@
 	"firplank/internal/roster"
 )
 
-// At debug level a line tells what was counted since the last one, by which decision requests ended and what cold
-// servers were sent; else there is no record at all.
+// At debug level a line has the counts since the last one, among them causes of unserved requests and attempts at servers
+// in slow start. At other levels there is no record.
 func TestRecordCountsSinceLastLine(t *testing.T) {
 	var text bytes.Buffer
 	cfg := Config{Balance: balance.Config{SlowStartTime: 1000, Fields: []balance.Field{balance.FieldRate, balance.FieldUtil}}}
 	cfg.Log = slog.New(slog.NewTextHandler(&text, nil))
 	if newRecord(&cfg) != nil {
-		t.Fatal("a record that nobody reads")
+		t.Fatal("a record at info level")
 	}
 	cfg.Log = slog.New(slog.NewTextHandler(&text, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	l := New(t.Context(), cfg)
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -10,25 +10,25 @@
 	"firplank/internal/invariant"
 )
 
-// overTallyRetryAfterMillis is the retry-after time of a call that the fleet's tally rejects.
+// overQuotaRetryAfterMillis is the retry-after time of a call that FleetQuota rejects.
 const overQuotaRetryAfterMillis = 1000
 
-// request is a client's request until it is answered and no attempt is in flight.
+// request is the state of a client's request until it is answered and no attempt is in flight.
 type request struct {
 	id             balance.RequestID
-	call           *Call // nil once the request is forgotten
+	call           *Call // nil once the request is removed
 	deadline       float64
 	expiry         timer // fails the request after its deadline if the balancer does not
 	grant          contract.Grant
-	class          int // as submitted: the gate may change the call's
+	class          int // as submitted: the admission controller may change the call's
 	tenant         int
 	attempts       []*Attempt
 	inFlight       int           // attempts
 	answered       bool          // it has its final answer
 	serverAnswer   *Answer       // the last server's own answer of a failed attempt
-	uploading      bool          // its body is still being received: its time does not count yet
-	countedInFleet bool          // Tally has taken it
-	cause          balance.Cause // why the balancer does not serve it
+	uploading      bool          // its body is still being received: its deadline does not count yet
+	countedInFleet bool          // FleetQuota has accepted it
+	cause          balance.Cause // the balancer's reason for not serving it
 }
 
 // beginRequest admits a call and passes it to the balancer.
@@ -47,7 +47,7 @@
 	req.Remaining = max(0, req.Remaining-(l.now-l.millisAt(c.Received))-margin)
 	r.deadline = min(l.now+req.Remaining, l.shutdownAt)
 	l.requests[r.id], l.byCall[c] = r, r
-	if c.Message.Stream != nil { // the front limits the time that the body takes
+	if c.Message.Stream != nil { // the front limits the time for receiving the body
 		req.Upload, r.uploading, r.deadline = true, true, l.shutdownAt
 		c.Message.Remaining = millis(req.Remaining)
 	}
@@ -55,8 +55,8 @@
 	l.notify(req)
 }
 
-// admit applies the fleet's tally, the uniqueness of names and the gate to a new request. It returns the final answer
-// of one that is not admitted.
+// admit checks the fleet's quota, the uniqueness of the name and the admission controller for a new request. It returns the
+// final answer of a request that is not admitted.
 func (l *Loop) admit(r *request) *Answer {
 	c := r.call
 	if l.cfg.FleetQuota != nil {
@@ -67,8 +67,8 @@
 	}
 	if c.Name != "" {
 		if l.byName[c.Name] != nil {
-			// Servers and clients identify a request by its name: under that of an open request it would get that
-			// one's answer, or give it its own.
+			// Servers and clients identify a request by its name: with the name of an open request, the answers of the
+			// two could be exchanged.
 			return failed(DuplicateName, "a request of this id is open")
 		}
 		l.byName[c.Name] = r
@@ -81,7 +81,7 @@
 	return denied
 }
 
-// scheduleExpiry sets or moves the timer that fails a request after its deadline, if it has one.
+// scheduleExpiry sets or moves the timer that fails a request after its deadline, if it has a deadline.
 func (l *Loop) scheduleExpiry(r *request) {
 	if math.IsInf(r.deadline, 1) {
 		return
@@ -97,7 +97,7 @@
 	heap.Push(&l.timers, &r.expiry)
 }
 
-// limitDeadlines limits the deadlines of open requests; beginRequest limits those of later ones.
+// limitDeadlines limits the deadlines of open requests at shutdown; beginRequest limits those of later ones.
 func (l *Loop) limitDeadlines(deadline time.Time) {
 	l.shutdownAt = l.millisAt(deadline)
 	for _, r := range l.requests {
@@ -109,7 +109,7 @@
 	l.notify(balance.Shutdown{Within: l.shutdownAt - l.now})
 }
 
-// startDeadline starts the time of a request whose body was still being received.
+// startDeadline starts the deadline of a request whose body was completely written by an attempt.
 func (l *Loop) startDeadline(a *Attempt) {
 	r := l.requests[a.request]
 	if r == nil || r.answered || !r.uploading {
@@ -121,8 +121,8 @@
 	l.notify(balance.UploadComplete{Request: r.id, Attempt: a.number})
 }
 
-// finish gives a request its final answer, or none if a is nil; the first call counts. Clients are answered nowhere
-// else.
+// finish gives a request its final answer, or none if a is nil; only the first call has an effect. All answers to clients
+// are sent here.
 func (l *Loop) finish(r *request, a *Answer) {
 	if r == nil || r.answered {
 		return
@@ -148,8 +148,8 @@
 	l.forget(r)
 }
 
-// forget removes a request that is answered and has no attempt in flight. Its timer goes too: the timers of answered
-// requests would be most of the heap otherwise.
+// forget removes a request that is answered and has no attempt in flight. It also removes the request's timer: otherwise
+// most of the heap would be timers of answered requests.
 func (l *Loop) forget(r *request) {
 	if !r.answered || r.inFlight > 0 || r.call == nil {
 		return
@@ -164,12 +164,12 @@
 	r.call, r.attempts = nil, nil
 }
 
-// expire fails a request that is still open after its deadline, whatever the state of the balancer.
+// expire fails a request that is still open after its deadline, independently of the balancer's state.
 func (l *Loop) expire(r *request) {
 	if r.answered {
 		return
 	}
-	l.log.Error("a request was left without an answer", "request", r.id)
+	l.log.Error("request still open after its deadline", "request", r.id)
 	l.violated(invariant.AnsweredByDeadline, r, "received", r.call.Received, "in flight", r.inFlight)
 	l.finish(r, failed(DeadlineExceeded, "out of time"))
 	l.notify(balance.ClientDisconnected{Request: r.id})
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -5,7 +5,7 @@
 	at      float64 // by the loop's clock
 	token   uint64  // of the balancer's timers
 	request *request
-	index   int // in the heap; -1: not in it any more
+	index   int // in the heap; -1: removed
 }
 
 // timers is a heap of timers by time, for container/heap.
