--- a/balance/parts_test.go
+++ b/balance/parts_test.go
@@ -87,14 +87,14 @@
 // The number of probes grows with the share of busy servers, within the allowed cost.
 func TestProbeCount(t *testing.T) {
 	for _, c := range []struct {
-		busy, price float64
+		busy, penalty float64
 		want        int
 	}{
 		{0, 0.001, 1}, {0.2, 0.001, 3}, {0.5, 0.001, 7}, {1, 0.001, 30}, {1, 0.01, 3}, {1, 1, 0}, {0.5, 0, 7},
 	} {
 		p := probing{busyShare: c.busy}
-		if got := p.count(c.price); got != c.want {
-			t.Errorf("busy %v, penalty %v: %d probes, want %d", c.busy, c.price, got, c.want)
+		if got := p.count(c.penalty); got != c.want {
+			t.Errorf("busy %v, penalty %v: %d probes, want %d", c.busy, c.penalty, got, c.want)
 		}
 	}
 }
--- a/balance/property_test.go
+++ b/balance/property_test.go
@@ -130,11 +130,11 @@
 			w.handle(ProbeResult{Server: s, Latency: 1, Report: []float32{float32(w.rnd.Intn(6)), 0, 0.5}})
 		}
 	default:
-		gone := id - RequestID(w.rnd.Intn(20)) // unknown and ended requests are ignored
-		if o := w.requests[gone]; o != nil {
+		disconnected := id - RequestID(w.rnd.Intn(20)) // unknown and ended requests are ignored
+		if o := w.requests[disconnected]; o != nil {
 			o.answered = true
 		}
-		w.handle(ClientDisconnected{Request: gone})
+		w.handle(ClientDisconnected{Request: disconnected})
 	}
 }
 
--- a/balance/regression_test.go
+++ b/balance/regression_test.go
@@ -443,7 +443,7 @@
 
 // With a penalty for crossing zones the own zone gets more requests, and the others still get some.
 func TestOwnZoneIsPreferredWhenCrossingCosts(t *testing.T) {
-	for penalty, least := range map[float64]int{0: 10, 0.05: 25} {
+	for penalty, minInOwnZone := range map[float64]int{0: 10, 0.05: 25} {
 		cfg := baseConfig()
 		cfg.Penalties.CrossZone, cfg.Zone = penalty, 1
 		g := newHarness(t, cfg, testServers(8)...)
@@ -453,7 +453,7 @@
 				inOwnZone++
 			}
 		}
-		if inOwnZone < least || inOwnZone > 38 || penalty == 0 && inOwnZone != 20 {
+		if inOwnZone < minInOwnZone || inOwnZone > 38 || penalty == 0 && inOwnZone != 20 {
 			t.Errorf("penalty %v: %d of 40 in the own zone", penalty, inOwnZone)
 		}
 	}
--- a/balance/rotation.go
+++ b/balance/rotation.go
@@ -54,8 +54,8 @@
 		}
 	}
 	if best != nil {
-		weight := r.currentWeight(best, b.now)
-		b.rotation.lastPickedWeight, *weight = *weight, max(*weight-1, -1)
+		current := r.currentWeight(best, b.now)
+		b.rotation.lastPickedWeight, *current = *current, max(*current-1, -1)
 	}
 	return best
 }
@@ -106,8 +106,8 @@
 		*r.currentWeight(s, b.now) = s.currentWeight
 	}
 	if !retry {
-		weight := r.currentWeight(s, b.now)
-		*weight = min(*weight+s.weight/total, 1)
+		current := r.currentWeight(s, b.now)
+		*current = min(*current+s.weight/total, 1)
 	}
 }
 
