--- a/balance/admission.go
+++ b/balance/admission.go
@@ -19,7 +19,7 @@
 	lostLoadGain       = 4    // weight of overdue attempts as load, per excess of latency over the allowance
 	assumedAnswers     = 15   // answers assumed, so that low traffic is not shed by chance
 	maxUnderShare      = 2    // a tenant counts as at most this factor below its quota share
-	valueTolerance     = 1.25 // values within this factor are shed alike, so that a tiny excess has no effect
+	valueTolerance     = 1.25 // values within this factor are shed alike: no tenant is shed for a tiny excess
 	firstTryTolerance  = 0.99 // below this part of the longest remaining time a request counts as a retry
 	minWork            = 1e-3 // keeps quotients finite
 )
@@ -30,7 +30,7 @@
 	usesLoadReports bool    // load reports limit what is sent, so that assumed answers add no load
 	lastArrivalAt   float64 // when the last request was received
 	steadyShed      float64 // steady part of the load to shed
-	lostLoad        float64 // overdue attempts, each as one over its latency target
+	lostLoad        float64 // sum over the overdue attempts of one over their latency target
 }
 
 // onRequest sheds a request, or admits it and starts its first attempt.
--- a/balance/lasthop_test.go
+++ b/balance/lasthop_test.go
@@ -216,7 +216,7 @@
 		sent, _ := runRequest(t, b, Request{ID: id, Remaining: 2000, Candidate: forCandidate}, failed, Outcome{Result: OK})
 		for i, server := range sent {
 			if isCandidate[server] && !(forCandidate && i == 0) {
-				t.Fatalf("request %d, chosen %v: sent to %v", id, forCandidate, sent)
+				t.Fatalf("request %d, for candidates %v: sent to %v", id, forCandidate, sent)
 			}
 		}
 		if len(sent) == 0 {
--- a/balance/parts_test.go
+++ b/balance/parts_test.go
@@ -88,7 +88,7 @@
 func TestProbeCount(t *testing.T) {
 	for _, c := range []struct {
 		busy, penalty float64
-		want        int
+		want          int
 	}{
 		{0, 0.001, 1}, {0.2, 0.001, 3}, {0.5, 0.001, 7}, {1, 0.001, 30}, {1, 0.01, 3}, {1, 1, 0}, {0.5, 0, 7},
 	} {
--- a/balance/property_test.go
+++ b/balance/property_test.go
@@ -19,7 +19,7 @@
 	timers      []pendingTimer
 	probes      []ServerID
 	recentSends []recentSend // of about the last ColdOverloadTime
-	shutdownAt  float64      // when the sidecar must have answered all
+	shutdownAt  float64      // by when every request must be answered
 }
 
 // recentSend is one attempt, for the check of servers in slow start.
--- a/balance/settings_test.go
+++ b/balance/settings_test.go
@@ -16,14 +16,14 @@
 		"no cancels":  func(c *Config, _ *int) { c.Cancel, c.ParallelAttempts = false, false },
 		"streams":     func(c *Config, _ *int) { c.Classes[safeClass].Stream = true },
 		"tenants":     func(c *Config, _ *int) { c.Tenants = []Tenant{{Share: 0.9}, {Share: 0.1}, {}} },
-		"no cold rule": func(c *Config, _ *int) {
+		"no slow start": func(c *Config, _ *int) {
 			c.SlowStartTime, c.ColdOverloadTime, c.ColdOverloadFactor, c.SlowStartInitialFraction = 0, 0, 0, 0
 		},
-		"probes, free":     func(c *Config, _ *int) { c.Probes, c.Reports, c.Fields = true, ReportProbe, []Field{FieldInFlight} },
-		"probes, dear":     func(c *Config, _ *int) { c.Probes, c.Reports, c.Penalties.Probe = true, ReportProbe, 10 },
-		"probes, no field": func(c *Config, _ *int) { c.Probes, c.Reports, c.Fields = true, ReportProbe, []Field{FieldUnknown} },
-		"piggyback":        func(c *Config, _ *int) { c.Reports, c.Fields = ReportPiggyback, []Field{FieldUtil, FieldRate} },
-		"aims of zero":     func(c *Config, _ *int) { c.Classes[safeClass].LatencyTarget, c.Classes[unsafeClass].Value = 0, 0 },
+		"probes, no penalty":   func(c *Config, _ *int) { c.Probes, c.Reports, c.Fields = true, ReportProbe, []Field{FieldInFlight} },
+		"probes, high penalty": func(c *Config, _ *int) { c.Probes, c.Reports, c.Penalties.Probe = true, ReportProbe, 10 },
+		"probes, no field":     func(c *Config, _ *int) { c.Probes, c.Reports, c.Fields = true, ReportProbe, []Field{FieldUnknown} },
+		"piggyback":            func(c *Config, _ *int) { c.Reports, c.Fields = ReportPiggyback, []Field{FieldUtil, FieldRate} },
+		"targets of zero":      func(c *Config, _ *int) { c.Classes[safeClass].LatencyTarget, c.Classes[unsafeClass].Value = 0, 0 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg, n := baseConfig(), 6
