--- a/internal/front/http/poll_linux_test.go
+++ b/internal/front/http/poll_linux_test.go
@@ -54,7 +54,8 @@
 	log := slog.New(slog.DiscardHandler)
 	exchange := core.New(ctx, core.Config{
 		Balance: balance.Config{
-			Classes: rules, Tenants: []balance.Tenant{{Share: 1}}, MaxAttempts: 3, SlowStartInitialFraction: 1, StreamsPerConn: 1, Peers: 1, Cancel: true,
+			Classes: rules, Tenants: []balance.Tenant{{Share: 1}}, MaxAttempts: 3, SlowStartInitialFraction: 1,
+			StreamsPerConn: 1, Peers: 1, Cancel: true,
 		},
 		InitialList: &roster.List{Complete: true, Members: []roster.Member{{ID: "s-1", HostPort: "h:1", Phase: "ready", Size: 1}}},
 		Log:         log, Backend: func(string) core.Backend { return &back{answer} },
