--- a/balance/limits_test.go
+++ b/balance/limits_test.go
@@ -8,8 +8,9 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// New staff read the decisions in their first days: each file has to stay short, and all that the deploy file names as policy together.
-func TestModuleStaysShort(t *testing.T) {
+// The files that deploy/balancer.toml lists as policy are read by every new engineer, so each of them, and all of them
+// together, have to stay short.
+func TestPolicyFilesStayShort(t *testing.T) {
 	text, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -18,7 +19,7 @@
 	if err := toml.Unmarshal(text, &deploy); err != nil {
 		t.Fatal(err)
 	}
-	all := 0
+	totalLines := 0
 	for _, file := range deploy.Policy {
 		text, err := os.ReadFile("../" + file)
 		if err != nil {
@@ -36,9 +37,9 @@
 		if lines > 600 {
 			t.Errorf("%s: %d lines, at most 600", file, lines)
 		}
-		all += lines
+		totalLines += lines
 	}
-	if len(deploy.Policy) < 5 || all > 1200 {
-		t.Errorf("%d lines in %d files, at most 1,200 in all that decide", all, len(deploy.Policy))
+	if len(deploy.Policy) < 5 || totalLines > 1200 {
+		t.Errorf("%d lines in %d policy files, at most 1,200 in 5 files or more", totalLines, len(deploy.Policy))
 	}
 }
--- a/balance/parts_test.go
+++ b/balance/parts_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The estimator returns the rate at which answers came, and forgets it.
+// The estimator returns the rate of answers, which decays when there are none.
 func TestRateEstimatorFollowsTheRate(t *testing.T) {
 	e := rateEstimator{span: 100}
 	for now := 10.0; now <= 10000; now += 10 {
@@ -18,12 +18,12 @@
 		t.Errorf("%v answers per ms after ten seconds without any", got)
 	}
 	if got := e.gain(20000); got != maxGain {
-		t.Errorf("gain %v without answers, want the greatest, %v", got, maxGain)
+		t.Errorf("gain %v without answers, want the maximum, %v", got, maxGain)
 	}
 }
 
-// A burst shows in the short count before the long one has seen it.
-func TestRateEstimatorSeesABurst(t *testing.T) {
+// A burst raises the rate by the short count before it affects the long one.
+func TestRateEstimatorDetectsBurst(t *testing.T) {
 	e := rateEstimator{span: 100}
 	e.add(10000, 0)
 	for now := 10000.0; now < 10100; now++ {
@@ -34,30 +34,30 @@
 	}
 }
 
-// The best latency is taken once a whole window of answers is there; late and rejected attempts count.
-func TestLatencyStatsKeepTheBest(t *testing.T) {
-	l := latencyStats{ratio: initialLatencyRatio, best: initialLatencyRatio}
+// The best latency is updated only after a whole window of answers; late and rejected attempts count in the averages.
+func TestLatencyStatsTrackBestMean(t *testing.T) {
+	l := latencyStats{meanRatio: initialLatencyRatio, bestRatio: initialLatencyRatio}
 	for i := range recentWindow {
-		if l.best != initialLatencyRatio {
-			t.Fatalf("best %v after %d answers", l.best, i)
+		if l.bestRatio != initialLatencyRatio {
+			t.Fatalf("best %v after %d answers", l.bestRatio, i)
 		}
 		l.recordAnswer(float64(i), 10, 100, maxGain)
 	}
-	if math.Abs(l.best-0.1) > 0.01 || l.lateShare != 0 || l.lastAnswerAt != recentWindow-1 {
+	if math.Abs(l.bestRatio-0.1) > 0.01 || l.lateShare != 0 || l.lastAnswerAt != recentWindow-1 {
 		t.Errorf("after fast answers: %+v", l)
 	}
-	best := l.best
+	best := l.bestRatio
 	l.recordAnswer(100, 1e6, 100, maxGain)
 	l.recordRejected(maxGain)
 	if want := maxGain; l.lateShare != want {
 		t.Errorf("late share %v, want %v", l.lateShare, want)
 	}
-	if l.best != best || l.ratio < 0.7 || l.ratio > maxLatencyRatio {
+	if l.bestRatio != best || l.meanRatio < 0.7 || l.meanRatio > maxLatencyRatio {
 		t.Errorf("after slow answers: %+v", l)
 	}
 }
 
-// Without excess load nothing is shed; with it a lasting part builds up, within its bounds.
+// Without excess load nothing is shed; with excess load the steady part grows within its bounds.
 func TestShedderBuildsUpWithinBounds(t *testing.T) {
 	cfg := baseConfig()
 	b := New(cfg)
@@ -65,7 +65,7 @@
 	r := b.openRequest(Request{ID: 1, Remaining: cfg.Classes[0].Deadline})
 	for range 100 {
 		r.arrivedAt++
-		if !b.shedder.admit(&b.traffic, &b.random, r, 0) || b.shedder.steady != 0 {
+		if !b.shedder.admit(&b.traffic, &b.random, r, 0) || b.shedder.steadyShed != 0 {
 			t.Fatalf("shed without load: %+v", b.shedder)
 		}
 	}
@@ -79,27 +79,27 @@
 			refused++
 		}
 	}
-	if b.shedder.steady != maxShed || refused < 800 || refused == 1000 {
-		t.Errorf("%d of 1000 refused, lasting part %v, want %v", refused, b.shedder.steady, maxShed)
+	if b.shedder.steadyShed != maxShed || refused < 800 || refused == 1000 {
+		t.Errorf("%d of 1000 refused, steady part %v, want %v", refused, b.shedder.steadyShed, maxShed)
 	}
 }
 
-// The more servers are busy, the more are probed, within what probes may cost.
+// The number of probes grows with the share of busy servers, within the allowed cost.
 func TestProbeCount(t *testing.T) {
 	for _, c := range []struct {
-		busy, price float64
-		want        int
+		busy, penalty float64
+		want          int
 	}{
 		{0, 0.001, 1}, {0.2, 0.001, 3}, {0.5, 0.001, 7}, {1, 0.001, 30}, {1, 0.01, 3}, {1, 1, 0}, {0.5, 0, 7},
 	} {
 		p := probing{busyShare: c.busy}
-		if got := p.count(c.price); got != c.want {
-			t.Errorf("busy %v, price %v: %d probes, want %d", c.busy, c.price, got, c.want)
+		if got := p.count(c.penalty); got != c.want {
+			t.Errorf("busy %v, penalty %v: %d probes, want %d", c.busy, c.penalty, got, c.want)
 		}
 	}
 }
 
-// What all servers have in common is load: equal latencies move no sizes apart, and a slower kind gets smaller.
+// Equal latencies of all servers are due to load and change no sizes; a slower kind of servers gets a smaller size.
 func TestSizeLearnerSubtractsTheCommonStep(t *testing.T) {
 	l := sizeLearner{kinds: map[int]*size{}, zones: map[int]*size{}}
 	servers := make([]*server, 2)
@@ -122,7 +122,7 @@
 	}
 }
 
-// Servers that a complete list does not contain are removed; the others keep their state, in order of ID.
+// Servers that a complete list does not contain are removed; the others keep their state and are sorted by ID.
 func TestServerTableFollowsTheList(t *testing.T) {
 	table := serverTable{byID: map[ServerID]*server{}}
 	for _, id := range []ServerID{3, 1, 2} {
@@ -145,7 +145,7 @@
 	}
 }
 
-// Each limit of a request's attempts is effective by itself.
+// Each limit of a request's attempts is effective independently of the others.
 func TestLimitsOfAttempts(t *testing.T) {
 	reset, failed, undelivered := attempt{reset: true}, attempt{}, attempt{notDelivered: true}
 	for name, c := range map[string]struct {
@@ -163,7 +163,7 @@
 		"as many attempts as allowed":  {request{attempts: make([]attempt, 10)}, true},
 		"the request's limit":          {request{Request: Request{MaxAttempts: 1}, attempts: []attempt{reset}}, true},
 		"the limit counts deliveries":  {request{Request: Request{MaxAttempts: 1}, attempts: []attempt{undelivered}}, false},
-		"its body is gone":             {request{bodyConsumed: true}, true},
+		"its body is consumed":         {request{bodyConsumed: true}, true},
 		"all undelivered at the limit": {request{attempts: []attempt{9: undelivered, 8: undelivered}}, true},
 	} {
 		if got := c.r.attemptsUsedUp(10); got != c.want {
--- a/balance/replay_codec_test.go
+++ b/balance/replay_codec_test.go
@@ -9,11 +9,11 @@
 	"firplank/balance"
 )
 
-// coder reads or writes the recorded form of what goes into a Balancer and what comes out: big-endian, by position, each field in its
-// full width. One description serves both directions, so that they can't differ. Field names are those of today's code; the positions are
-// those of the recording and must not change.
+// coder encodes and decodes the inputs and outputs of a Balancer in the format of the recording: big-endian, by position,
+// each field in its full width. Both directions use the same methods, so that they can't differ. The order of fields is
+// part of the format and must not change, whatever their present names.
 type coder struct {
-	in  *bytes.Reader // nil: writes
+	in  *bytes.Reader // nil: encode to out
 	out bytes.Buffer
 	err error
 }
@@ -56,10 +56,10 @@
 		return
 	}
 	*v = make([]byte, n)
-	_, _ = c.in.Read(*v) // of a recording in memory; one that is too short differs in what follows
+	_, _ = c.in.Read(*v) // from memory; the length is checked above
 }
 
-// list codes the length of a list, and then each of its elements.
+// list codes the length of a list and each of its elements.
 func list[T any](c *coder, v *[]T, element func(*T)) {
 	n := len(*v)
 	c.int(&n)
@@ -75,7 +75,7 @@
 	}
 }
 
-// enum codes a named number of one byte.
+// enum codes an enumeration value as one byte.
 func enum[T ~uint8](c *coder, v *T) { *v = T(c.word(uint64(*v), 1)) }
 
 func (c *coder) id(v *balance.RequestID)    { *v = balance.RequestID(c.word(uint64(*v), 8)) }
@@ -83,14 +83,14 @@
 
 func (c *coder) class(v *balance.Class) {
 	enum(c, &v.Effect)
-	enum(c, &v.Group)
-	for _, f := range []*float64{&v.DedupWindow, &v.LatencyTarget, &v.TargetStretch, &v.Deadline, &v.Value, &v.LateValue, &v.MaxWait} {
+	enum(c, &v.DedupScope)
+	for _, f := range []*float64{&v.DedupWindow, &v.LatencyTarget, &v.TargetStretch, &v.Deadline, &v.Value, &v.LateValue, &v.MaxWaitFraction} {
 		c.f64(f)
 	}
 	c.bool(&v.Stream)
 }
 
-// config codes all settings but the retry budget, which is an interface.
+// config codes all settings except the retry budget, which is an interface.
 func (c *coder) config(v *balance.Config) {
 	c.u64(&v.Seed)
 	for _, n := range []*int{&v.Index, &v.Peers, &v.Zone, &v.MaxAttempts, &v.StreamsPerConn, &v.MaxOpenRequests} {
@@ -107,12 +107,13 @@
 		c.bool(b)
 	}
 	for _, f := range []*float64{
-		&v.OverShareValue, &v.Quantum, &v.MaxRetryAfter, &v.ConnectTimeout, &v.ConnIdle, &v.RetryAfterFraction, &v.DrainGrace, &v.SlowStartFrom,
+		&v.OverShareValue, &v.MinBatchInterval, &v.MaxRetryAfter, &v.ConnectTimeout, &v.ConnIdle, &v.RetryAfterFraction, &v.DrainGrace,
+		&v.SlowStartInitialFraction,
 		&v.SlowStartTime, &v.ColdOverloadFactor, &v.ColdOverloadTime, &v.ListRefreshLimit, &v.AnswerSlack,
 	} {
 		c.f64(f)
 	}
-	g, p := &v.Goal, &v.Prices
+	g, p := &v.Goal, &v.Penalties
 	for _, f := range []*float64{
 		&g.Total, &g.WorstWindow, &g.WorstClass, &g.WorstTenant, &g.Nines,
 		&p.CrossZone, &p.Waste, &p.Handshake, &p.Probe, &p.Peer, &p.LateFail, &p.Connection,
@@ -136,27 +137,27 @@
 	list(c, v, func(f *float32) { *f = math.Float32frombits(uint32(c.word(uint64(math.Float32bits(*f)), 4))) })
 }
 
-// The kinds of recorded steps.
+// The kinds of steps. The numbers are part of the recording.
 const (
 	stepStart uint8 = iota
-	stepExtend
+	stepAddClass
 	stepList
 	stepRequest
 	stepOutcome
-	stepSent
-	stepStarted
-	stepEnding
-	stepHangUp
+	stepUploadComplete
+	stepResponseStarted
+	stepShutdown
+	stepClientDisconnected
 	stepTimer
 	stepProbe
 	stepMessage
 )
 
-// step is one recorded call of the Balancer: Start, Extend or Handle with an event.
+// step is one recorded call of the Balancer: Start, AddClass or Handle with an event.
 type step struct {
 	kind  uint8
 	now   float64
-	class balance.Class // of Extend
+	class balance.Class // of AddClass
 	event balance.Event // of Handle
 }
 
@@ -164,7 +165,7 @@
 	c.u8(&v.kind)
 	c.f64(&v.now)
 	switch v.kind {
-	case stepExtend:
+	case stepAddClass:
 		c.class(&v.class)
 	case stepList:
 		event(c, v, c.serverList)
@@ -172,18 +173,18 @@
 		event(c, v, c.request)
 	case stepOutcome:
 		event(c, v, c.outcome)
-	case stepSent:
+	case stepUploadComplete:
 		event(c, v, func(e *balance.UploadComplete) { c.id(&e.Request); c.int(&e.Attempt) })
-	case stepStarted:
+	case stepResponseStarted:
 		event(c, v, func(e *balance.ResponseStarted) {
 			c.id(&e.Request)
 			c.int(&e.Attempt)
 			c.server(&e.Server)
 			c.f64(&e.Latency)
 		})
-	case stepEnding:
+	case stepShutdown:
 		event(c, v, func(e *balance.Shutdown) { c.f64(&e.Within) })
-	case stepHangUp:
+	case stepClientDisconnected:
 		event(c, v, func(e *balance.ClientDisconnected) { c.id(&e.Request) })
 	case stepTimer:
 		event(c, v, func(e *balance.TimerFired) { c.u64(&e.Token) })
@@ -199,7 +200,7 @@
 	}
 }
 
-// event codes a step's event as what it is.
+// event codes a step's event by its type.
 func event[T balance.Event](c *coder, v *step, code func(*T)) {
 	var e T
 	if c.in == nil {
@@ -258,17 +259,17 @@
 // actions codes the actions of one step.
 func (c *coder) actions(v *[]balance.Action) { list(c, v, c.action) }
 
-// tokens is a retry budget for the recording: a tenth of the requests and two beside, over all time.
-type tokens struct{ asked, spent float64 }
+// recordedRetryBudget is the retry budget of the recording: a tenth of all requests plus two.
+type recordedRetryBudget struct{ requests, withdrawn float64 }
 
 // Deposit implements balance.RetryBudget.
-func (t *tokens) Deposit(float64) { t.asked++ }
+func (t *recordedRetryBudget) Deposit(float64) { t.requests++ }
 
 // TryWithdraw implements balance.RetryBudget.
-func (t *tokens) TryWithdraw(float64) bool {
-	if t.spent+1 > t.asked/10+2 {
+func (t *recordedRetryBudget) TryWithdraw(float64) bool {
+	if t.withdrawn+1 > t.requests/10+2 {
 		return false
 	}
-	t.spent++
+	t.withdrawn++
 	return true
 }
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -5,26 +5,26 @@
 	"testing"
 )
 
-// sequence sends n safe requests one after the other, each answered before the next.
-func sequence(g *rig, n int) []ServerID {
+// sendSequentially sends n safe requests, each answered before the next, and returns their servers.
+func sendSequentially(g *harness, n int) []ServerID {
 	var ids []ServerID
 	for range n {
-		id, acts := g.ask(safeClass)
+		id, acts := g.request(safeClass)
 		s, ok := sentTo(acts)
 		if !ok {
 			g.t.Fatal("nothing was sent")
 		}
 		ids = append(ids, s)
-		g.b.requests[id].stats.count = 0 // no learning from these answers
-		g.answer(id, 0, OK, 10)
+		g.b.requests[id].stats.count = 0 // these answers must not change the learned sizes
+		g.endAttempt(id, 0, OK, 10)
 	}
 	return ids
 }
 
 func TestRotationFollowsWeights(t *testing.T) {
-	servers := fleet(3)
+	servers := testServers(3)
 	servers[0].Rating = 5
-	got := sequence(newRig(t, baseConfig(), servers...), 7)
+	got := sendSequentially(newHarness(t, baseConfig(), servers...), 7)
 	want := []ServerID{1, 1, 2, 1, 3, 1, 1}
 	for i := range want {
 		if got[i] != want[i] {
@@ -33,95 +33,95 @@
 	}
 }
 
-func TestMultiplierFallsDecaysAndHasAFloor(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(2)...)
+func TestHealthFallsDecaysAndHasMinimum(t *testing.T) {
+	g := newHarness(t, baseConfig(), testServers(2)...)
 	s := g.b.servers[0]
 	if m := s.health(g.b.now); m != 1 {
-		t.Fatalf("m without errors is %v", m)
+		t.Fatalf("health without errors is %v", m)
 	}
 	s.consecutiveErrors, s.lastErrorAt = 2, g.now
 	if m := s.health(g.b.now); math.Abs(m-(1-2*errorPenalty)) > 1e-9 {
-		t.Fatalf("m after two errors is %v", m)
+		t.Fatalf("health after two errors is %v", m)
 	}
-	g.b.now += errorHalfLife
+	g.b.now += errorHalfLifeMillis
 	if m := s.health(g.b.now); math.Abs(m-(1-errorPenalty)) > 1e-9 {
-		t.Fatalf("m after a half-life is %v", m)
+		t.Fatalf("health after a half-life is %v", m)
 	}
 	s.consecutiveErrors = 1000
 	if m := s.health(g.b.now); m != minHealth {
-		t.Fatalf("m after very many errors is %v, want the floor", m)
+		t.Fatalf("health after 1000 errors is %v, want the minimum", m)
 	}
 	if m := g.b.servers[1].health(g.b.now); m != 1 {
-		t.Fatalf("another server's errors moved m to %v", m)
+		t.Fatalf("another server's errors changed the health to %v", m)
 	}
 	s.consecutiveErrors = 2
-	id, _ := g.ask(safeClass)
+	id, _ := g.request(safeClass)
 	g.b.requests[id].attempts[0].server = s
 	s.inFlight, g.b.servers[1].inFlight = 1, 0
-	g.answer(id, 0, OK, 10)
+	g.endAttempt(id, 0, OK, 10)
 	if m := s.health(g.b.now); m != 1 {
-		t.Fatalf("m after a success is %v", m)
+		t.Fatalf("health after a success is %v", m)
 	}
 }
 
-func TestNoServerStarvesAtTheFloor(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(4)...)
+func TestServerAtMinimumHealthStillGetsRequests(t *testing.T) {
+	g := newHarness(t, baseConfig(), testServers(4)...)
 	hits := 0
 	for range 40 { // a success resets the errors, so they are set again each time
 		g.b.servers[2].consecutiveErrors, g.b.servers[2].lastErrorAt = 1000, g.now
-		if sequence(g, 1)[0] == 3 {
+		if sendSequentially(g, 1)[0] == 3 {
 			hits++
 		}
 	}
 	if hits == 0 || hits >= 10 {
-		t.Fatalf("the server at the floor got %d of 40", hits)
+		t.Fatalf("the server at minimum health got %d of 40", hits)
 	}
 }
 
-func TestRerouteTakesTheHealthiestUntried(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(4)...)
+func TestRetryGoesToHealthiestUntriedServer(t *testing.T) {
+	g := newHarness(t, baseConfig(), testServers(4)...)
 	for _, s := range g.b.servers {
 		s.consecutiveErrors, s.lastErrorAt = 2, g.now
 	}
 	g.b.servers[2].consecutiveErrors = 1
-	g.b.servers[1].running = 1000 // its turn, though it is not the healthiest
-	id, acts := g.ask(safeClass)
+	g.b.servers[1].currentWeight = 1000 // next in turn, though it is not the healthiest
+	id, acts := g.request(safeClass)
 	if s, _ := sentTo(acts); s != 2 {
 		t.Fatalf("first sent to %d, want 2", s)
 	}
-	g.b.servers[3].running = 1000 // next in turn, which must not count for a re-route
-	if s, ok := sentTo(g.answer(id, 0, Rejected, 1)); !ok || s != 3 {
-		t.Fatalf("re-routed to %d, want 3", s)
+	g.b.servers[3].currentWeight = 1000 // next in turn, which must not matter for a retry
+	if s, ok := sentTo(g.endAttempt(id, 0, Rejected, 1)); !ok || s != 3 {
+		t.Fatalf("retried at %d, want 3", s)
 	}
 }
 
-// Where every server holds far more than its share a first send goes to the one that holds least for
-// its weight, as the next in turn may be crowded further; a re-route still goes by m. While one is
-// not over its share, the turn decides.
-func TestFirstSendGoesToTheLeastCrowdedOfCrowdedServers(t *testing.T) {
+// If all servers have more than their share of requests in flight, a first attempt goes to the one with the fewest for
+// its weight, so as not to overload the next in turn further; a retry still goes to the healthiest. If a server is
+// within its share, the rotation decides.
+func TestFirstAttemptGoesToLeastLoadedWhenAllExceedShare(t *testing.T) {
 	for _, c := range []struct {
-		holds [4]int
-		want  ServerID
+		inFlight [4]int
+		want     ServerID
 	}{
-		{[4]int{4, 3, 4, 4}, 2}, // all are over
-		{[4]int{4, 4, 1, 0}, 3}, // 3 and 4 are not over, and it is the turn of 3
+		{[4]int{4, 3, 4, 4}, 2}, // all are over their share
+		{[4]int{4, 4, 1, 0}, 3}, // 3 and 4 are within their share, and 3 is next in turn
 	} {
-		g := newRig(t, baseConfig(), fleet(4)...)
+		g := newHarness(t, baseConfig(), testServers(4)...)
 		for i, s := range g.b.servers {
-			s.inFlight, s.running = c.holds[i], float64(10*(4-i))
+			s.inFlight, s.currentWeight = c.inFlight[i], float64(10*(4-i))
 		}
 		g.b.servers[1].consecutiveErrors, g.b.servers[1].lastErrorAt = 1, g.now-5000
 		r := &request{class: &g.b.cfg.Classes[safeClass], stats: &g.b.traffic.classes[safeClass]}
 		if c.want == 2 {
 			if s := g.b.pick(r, true); s.ID == 2 {
-				t.Errorf("%v: the re-route went to the server of lowest m", c.holds)
+				t.Errorf("%v: the retry went to the server of the lowest health", c.inFlight)
 			}
 			for i, s := range g.b.servers {
-				s.running = float64(10 * (4 - i))
+				s.currentWeight = float64(10 * (4 - i))
 			}
 		}
 		if s := g.b.pick(r, false); s.ID != c.want {
-			t.Errorf("%v: sent to %d, not %d", c.holds, s.ID, c.want)
+			t.Errorf("%v: sent to %d, not %d", c.inFlight, s.ID, c.want)
 		}
 	}
 }
--- a/internal/core/catalog.go
+++ b/internal/core/catalog.go
@@ -10,55 +10,55 @@
 	"firplank/balance"
 )
 
-// Catalog holds the names of a deployment's classes and tenants, which the balancer numbers, and the rules of the
+// Catalog maps the names of a deployment's classes and tenants to the balancer's numbers, and holds the rules of the
 // classes. It is immutable and safe for concurrent use.
 type Catalog struct {
 	Classes     []balance.Class // by number
 	classNames  []string
 	tenantNames []string
-	classes     map[string]int // numbers by name
-	tenants     map[string]int
+	classIndex  map[string]int // numbers by name
+	tenantIndex map[string]int
 }
 
-// ErrDuplicateName means that two classes or two tenants have the same name.
+// ErrDuplicateName is the error for two classes or two tenants of the same name.
 var ErrDuplicateName = errors.New("settings: two classes or tenants of one name")
 
 // NewCatalog returns a catalog of classes, with their rules, and tenants, each in the order of the balancer's numbers.
-// The error is ErrDuplicateName.
+// The only error is ErrDuplicateName.
 func NewCatalog(rules []balance.Class, classes, tenants []string) (*Catalog, error) {
 	c := &Catalog{
 		Classes:     rules,
 		classNames:  classes,
 		tenantNames: tenants,
-		classes:     Positions(classes),
-		tenants:     Positions(tenants),
+		classIndex:  IndexByName(classes),
+		tenantIndex: IndexByName(tenants),
 	}
-	if len(c.classes) != len(classes) || len(c.tenants) != len(tenants) {
+	if len(c.classIndex) != len(classes) || len(c.tenantIndex) != len(tenants) {
 		return nil, ErrDuplicateName
 	}
 	return c, nil
 }
 
-// Positions numbers names by their order.
-func Positions(names []string) map[string]int {
-	at := make(map[string]int, len(names))
+// IndexByName returns the index of each name.
+func IndexByName(names []string) map[string]int {
+	index := make(map[string]int, len(names))
 	for i, n := range names {
-		at[n] = i
+		index[n] = i
 	}
-	return at
+	return index
 }
 
 // Class returns the number of the class with a name, and whether there is one.
 func (c *Catalog) Class(name string) (int, bool) {
-	at, ok := c.classes[name]
-	return at, ok
+	index, ok := c.classIndex[name]
+	return index, ok
 }
 
 // Tenant returns the number of the tenant with a name, and whether there is one. In a catalog without tenants any name
 // is tenant 0.
 func (c *Catalog) Tenant(name string) (int, bool) {
-	at, ok := c.tenants[name]
-	return at, ok || len(c.tenants) == 0
+	index, ok := c.tenantIndex[name]
+	return index, ok || len(c.tenantIndex) == 0
 }
 
 // ClassNames returns the classes' names, in the order of their numbers.
@@ -68,9 +68,9 @@
 func (c *Catalog) TenantNames() []string { return c.tenantNames }
 
 // Sizes returns the numbers of classes and of tenants.
-func (c *Catalog) Sizes() (classes, tenants int) { return len(c.classes), len(c.tenants) }
+func (c *Catalog) Sizes() (classes, tenants int) { return len(c.classIndex), len(c.tenantIndex) }
 
-// MaxDeadline is the longest deadline of any class, in milliseconds.
+// MaxDeadline returns the longest deadline of all classes, in milliseconds.
 func (c *Catalog) MaxDeadline() float64 {
 	longest := 0.0
 	for i := range c.Classes {
@@ -79,8 +79,8 @@
 	return longest
 }
 
-// maxToken is the maximal length of an identifier; those in use have 16 and 32 characters.
-const maxToken = 256
+// maxTokenLength is the maximum length of an identifier; those in use have 16 and 32 characters.
+const maxTokenLength = 256
 
 // IsToken reports whether text is a valid identifier: 1 to 256 visible ASCII characters, no spaces.
 func IsToken(text string) bool {
@@ -89,12 +89,12 @@
 			return false
 		}
 	}
-	return text != "" && len(text) <= maxToken
+	return text != "" && len(text) <= maxTokenLength
 }
 
-// Key is a number that identifies what a request is about: text as a hexadecimal number, or else its FNV-1a hash; 0 for
-// an empty text.
-func Key(text string) uint64 {
+// ObjectKey returns the number that identifies the object of a request: text as a hexadecimal number, or, if it is none,
+// the FNV-1a hash of text; 0 for an empty text.
+func ObjectKey(text string) uint64 {
 	if text == "" {
 		return 0
 	}
--- a/internal/core/counts.go
+++ b/internal/core/counts.go
@@ -24,11 +24,11 @@
 // reportKinds maps the kind of an answer to its counter in reports.
 var reportKinds = map[Kind]report.Kind{Served: report.Served, Refused: report.Refused, Failed: report.Failed}
 
-// countEnd counts how a request ends. One with a streamed answer ends when its stream does.
+// countEnd counts the end of a request. A request with a streamed answer ends when the stream does.
 func (l *Loop) countEnd(r *request, a *Answer) {
 	counts, class, tenant, received := l.cfg.Counts, r.class, r.tenant, r.call.Received
-	if a != nil && r.tallied && a.Stream == nil {
-		l.cfg.Tally.End(class, tenant, fleetCounter(a))
+	if a != nil && r.countedInFleet && a.Stream == nil {
+		l.cfg.FleetQuota.End(class, tenant, fleetCounter(a))
 	}
 	switch {
 	case a == nil:
@@ -41,14 +41,14 @@
 				kind, counter = report.Served, fleet.Served
 			}
 			counts.Ended(class, tenant, kind, time.Since(received))
-			if r.tallied {
-				l.cfg.Tally.End(class, tenant, counter)
+			if r.countedInFleet {
+				l.cfg.FleetQuota.End(class, tenant, counter)
 			}
 		})
 	}
 }
 
-// fleetCounter is the counter of package fleet for an answer.
+// fleetCounter returns the counter of package fleet for an answer.
 func fleetCounter(a *Answer) int {
 	switch {
 	case a.Kind == Served:
@@ -63,8 +63,8 @@
 	return fleet.RefusedOther
 }
 
-// overloadEnding is what an answer is evidence of for the limit of concurrent requests: whether the servers can take
-// more.
+// overloadEnding returns what an answer shows to the limiter of concurrent requests: whether the servers have capacity
+// for more.
 func overloadEnding(a *Answer) overload.Outcome {
 	switch {
 	case a != nil && a.Kind == Served:
--- a/internal/core/exclusion.go
+++ b/internal/core/exclusion.go
@@ -6,13 +6,13 @@
 	"firplank/balance"
 )
 
-// maxEverListed bounds the remembered names of servers that are gone.
+// maxEverListed is the maximum number of stored names of servers that are gone.
 const maxEverListed = 4096
 
 // ServerCounts counts the servers of an exchange.
 type ServerCounts struct {
-	Size    int // servers in the list
-	Avoided int // of them, those excluded by operators or ejected by the balancer
+	Size      int // listed servers
+	Unhealthy int // listed servers that operators have excluded or the balancer has ejected
 }
 
 // ServerState is the state of a listed server.
@@ -34,8 +34,8 @@
 func (l *Loop) CountServers() ServerCounts {
 	c := ServerCounts{Size: len(l.endpoints)}
 	for name, e := range l.endpoints {
-		if _, excluded := l.excluded[name]; excluded || l.bal.Ejected(e.id, l.now) {
-			c.Avoided++
+		if _, excluded := l.excluded[name]; excluded || l.balancer.Ejected(e.id, l.now) {
+			c.Unhealthy++
 		}
 	}
 	return c
@@ -48,7 +48,7 @@
 	return listed || excluded
 }
 
-// recordListed remembers that a server was listed.
+// recordListed stores that a server was listed. If there are too many names, it removes one of a server that is gone.
 func (l *Loop) recordListed(name string) {
 	if len(l.everListed) >= maxEverListed+len(l.endpoints) {
 		for old := range l.everListed {
@@ -61,7 +61,7 @@
 	l.everListed[name] = struct{}{}
 }
 
-// AcceptStaleList makes the exchange ready with the list that it has, in spite of Config.RequireFreshList.
+// AcceptStaleList makes the exchange ready with its present list, in spite of Config.RequireFreshList.
 func (l *Loop) AcceptStaleList() {
 	l.cfg.RequireFreshList = false
 	l.updateReady()
@@ -72,28 +72,28 @@
 	l.ready.Store(len(l.endpoints) > 0 && (l.listCount > 0 || !l.cfg.RequireFreshList))
 }
 
-// SetExcluded excludes exactly these servers, each since a time. To the balancer an excluded server is draining: it
-// gets nothing new and completes what it has. One that returns counts as just started, unless the list has a later
-// start: it may have been restarted, which the list has yet to report.
+// SetExcluded excludes exactly the given servers, each since a time. To the balancer an excluded server is draining: it gets
+// no new attempts and completes those in flight. A server that is no longer excluded counts as just started, because it may
+// have been restarted and the list may not report that yet. If the list has a start after the exclusion, that one counts.
 func (l *Loop) SetExcluded(excluded map[string]time.Time) {
-	next := make(map[string]float64, len(excluded))
+	excludedSince := make(map[string]float64, len(excluded))
 	for name, since := range excluded {
-		next[name] = float64(since.UnixMicro()) / 1000
+		excludedSince[name] = float64(since.UnixMicro()) / 1000
 	}
-	before := l.excluded
-	l.excluded = next
+	previous := l.excluded
+	l.excluded = excludedSince
 	var changed []balance.Server
 	for name, e := range l.endpoints {
-		since, was := before[name]
-		if _, is := next[name]; is == was {
+		since, wasExcluded := previous[name]
+		if _, isExcluded := excludedSince[name]; isExcluded == wasExcluded {
 			continue
 		}
-		e.closed.Store(e.member.Phase != phaseReady || !was || l.fenced)
-		if !was {
+		e.closed.Store(e.member.Phase != phaseReady || !wasExcluded || l.fenced)
+		if !wasExcluded {
 			l.closeEndpoint(e)
 		}
 		s := l.listEntry(e)
-		if was && s.State == balance.Ready && s.StartedAt <= since {
+		if wasExcluded && s.State == balance.Ready && s.StartedAt <= since {
 			s.StartedAt = l.now
 		}
 		changed = append(changed, s)
--- a/internal/core/invariants.go
+++ b/internal/core/invariants.go
@@ -8,20 +8,20 @@
 	"firplank/internal/invariant"
 )
 
-// deadlineTolerance is by how much an attempt's deadline may exceed its request's: the clock of the loop is as of the
-// present batch of events.
+// deadlineTolerance is the time by which an attempt's deadline may exceed its request's, because the loop's clock is only
+// updated once for a batch of events.
 const deadlineTolerance = 100 * time.Millisecond
 
 // violated reports a violated invariant of a request.
-func (l *Loop) violated(name invariant.Name, r *request, explanation ...any) {
+func (l *Loop) violated(name invariant.Name, r *request, details ...any) {
 	if l.cfg.Invariants == nil {
 		return
 	}
-	line := []any{"request", r.call.Message.Trace, "target", r.call.Message.Target, "attempts", len(r.attempts)}
-	l.cfg.Invariants.Violated(name, append(line, explanation...)...)
+	attrs := []any{"request", r.call.Message.Trace, "target", r.call.Message.Target, "attempts", len(r.attempts)}
+	l.cfg.Invariants.Violated(name, append(attrs, details...)...)
 }
 
-// mayHaveRun reports whether a server may have begun to work on the request by this attempt.
+// mayHaveRun reports whether a server may have begun to execute the request by this attempt.
 func (a *Attempt) mayHaveRun() bool {
 	if !a.recorded {
 		return true
@@ -33,8 +33,8 @@
 	return !a.result.NotDelivered
 }
 
-// uncertain returns an attempt of a request by which it may have run; nil: there is none.
-func (r *request) uncertain() *Attempt {
+// uncertainAttempt returns an attempt of a request by which it may have been executed; nil: there is none.
+func (r *request) uncertainAttempt() *Attempt {
 	for _, a := range r.attempts {
 		if a.mayHaveRun() {
 			return a
@@ -43,15 +43,15 @@
 	return nil
 }
 
-// checkAttempt checks the invariants of an attempt that is about to begin, which is not among its request's yet.
+// checkAttempt checks the invariants of an attempt that is about to begin and is not yet in the request's attempts.
 func (l *Loop) checkAttempt(r *request, a *Attempt) {
 	if l.cfg.Invariants == nil {
 		return
 	}
 	if !r.call.Message.Safe {
-		if before := r.uncertain(); before != nil {
-			l.violated(invariant.NotResentAfterPossibleStart, r, "earlier", before.number, "ended", before.recorded,
-				"outcome", int(before.result.Outcome))
+		if earlier := r.uncertainAttempt(); earlier != nil {
+			l.violated(invariant.NotResentAfterPossibleStart, r, "earlier", earlier.number, "ended", earlier.recorded,
+				"outcome", int(earlier.result.Outcome))
 		}
 	}
 	if limit := r.call.Request.MaxAttempts; limit > 0 {
@@ -68,7 +68,7 @@
 	}
 }
 
-// reachedServers counts the servers that the request may have reached, once the next attempt has begun.
+// reachedServers returns the number of servers that the request may have reached, including that of the next attempt.
 func (r *request) reachedServers(next *Attempt) (n int) {
 	for i, a := range r.attempts {
 		if a.mayHaveRun() && a.Endpoint != next.Endpoint && !r.reachedBefore(i) {
@@ -78,7 +78,7 @@
 	return n + 1
 }
 
-// reachedBefore reports whether an attempt before the one at an index may have reached the same server.
+// reachedBefore reports whether an attempt before the one at the index may have reached the same server.
 func (r *request) reachedBefore(index int) bool {
 	for _, a := range r.attempts[:index] {
 		if a.mayHaveRun() && a.Endpoint == r.attempts[index].Endpoint {
@@ -93,8 +93,8 @@
 	if l.cfg.Invariants == nil || a == nil || a.Kind != Refused || r.call.Message.Safe {
 		return
 	}
-	if before := r.uncertain(); before != nil {
-		l.violated(invariant.RefusedNeverStarted, r, "earlier", before.number, "ended", before.recorded,
-			"outcome", int(before.result.Outcome))
+	if earlier := r.uncertainAttempt(); earlier != nil {
+		l.violated(invariant.RefusedNeverStarted, r, "earlier", earlier.number, "ended", earlier.recorded,
+			"outcome", int(earlier.result.Outcome))
 	}
 }
--- a/internal/core/record.go
+++ b/internal/core/record.go
@@ -8,21 +8,21 @@
 	"firplank/balance"
 )
 
-// recordIntervalMillis is the least time between two records.
+// recordIntervalMillis is the shortest interval between two records.
 const recordIntervalMillis = 500
 
-// record counts what the exchange does between two lines of the log, which firplank-lab count sums over a fleet. The
-// keys of a line are its interface and stay. It exists at debug level only; all its methods do nothing on nil. It
-// belongs to the exchange's goroutine.
+// record counts the exchange's work between two lines of the log, which firplank-lab count sums over a fleet and parses by
+// their keys, so the keys must not change. It is enabled at debug level only; on nil all methods do nothing. It is for use
+// on the exchange's goroutine.
 type record struct {
 	log             *slog.Logger
-	slowStartMillis float64 // of a server after its start
-	util            int     // position of balance.FieldUtil in a report; -1: none
-	next            float64 // when a line is due, by the loop's clock
+	slowStartMillis float64 // duration of slow start
+	utilIndex       int     // index of balance.FieldUtil in a report; -1: none
+	nextAt          float64 // when a line is due, by the loop's clock
 
 	requests     int
 	lists        int // updates of the server list
-	listEntries  int // in them
+	listEntries  int // entries of these updates
 	listFailures int
 	causes       [balance.DeadlineExceeded + 1]int // requests that ended unserved
 	outcomes     [balance.NotSent + 1]int          // attempts by result
@@ -31,7 +31,7 @@
 	warmingUpUtil, warmUtil mean // utilisation of servers by their reports
 }
 
-// mean is an average.
+// mean accumulates an arithmetic mean.
 type mean struct {
 	sum float64
 	n   int
@@ -40,7 +40,7 @@
 // add adds a value.
 func (m *mean) add(v float64) { m.sum, m.n = m.sum+v, m.n+1 }
 
-// value is the mean of the values; 0 without any.
+// value returns the mean; 0 without values.
 func (m *mean) value() float64 {
 	if m.n == 0 {
 		return 0
@@ -53,10 +53,10 @@
 	if !cfg.Log.Enabled(context.Background(), slog.LevelDebug) {
 		return nil
 	}
-	r := &record{log: cfg.Log, slowStartMillis: cfg.Balance.SlowStartTime, util: -1}
+	r := &record{log: cfg.Log, slowStartMillis: cfg.Balance.SlowStartTime, utilIndex: -1}
 	for i, f := range cfg.Balance.Fields {
 		if f == balance.FieldUtil {
-			r.util = i
+			r.utilIndex = i
 		}
 	}
 	return r
@@ -99,10 +99,10 @@
 		return
 	}
 	r.outcomes[a.result.Outcome]++
-	if r.util < 0 || len(a.result.Report) <= r.util || a.Endpoint == nil {
+	if r.utilIndex < 0 || len(a.result.Report) <= r.utilIndex || a.Endpoint == nil {
 		return
 	}
-	if util := float64(a.result.Report[r.util]); r.inSlowStart(a.Endpoint, a.sentAt+a.latency) {
+	if util := float64(a.result.Report[r.utilIndex]); r.inSlowStart(a.Endpoint, a.sentAt+a.latency) {
 		r.warmingUpUtil.add(util)
 	} else {
 		r.warmUtil.add(util)
@@ -126,10 +126,10 @@
 
 // write writes a line if one is due, and resets the counts.
 func (r *record) write(l *Loop) {
-	if r == nil || l.now < r.next {
+	if r == nil || l.now < r.nextAt {
 		return
 	}
-	snap, out := l.bal.Snapshot(l.now), &r.outcomes
+	snap, out := l.balancer.Snapshot(l.now), &r.outcomes
 	r.log.Debug("record",
 		"up_ms", int64(time.Since(l.started)/time.Millisecond), "asked", r.requests,
 		"shed", r.causes[balance.LoadShed], "crowded", r.causes[balance.Overloaded],
@@ -145,5 +145,5 @@
 		"slowness", snap.LatencyRatio, "quickest", snap.BestLatencyRatio,
 		"load", snap.Load, "pace", snap.AnswerRate*1000,
 	)
-	*r = record{log: r.log, slowStartMillis: r.slowStartMillis, util: r.util, next: l.now + recordIntervalMillis}
+	*r = record{log: r.log, slowStartMillis: r.slowStartMillis, utilIndex: r.utilIndex, nextAt: l.now + recordIntervalMillis}
 }
