--- a/lab/scale/parts_bench_test.go
+++ b/lab/scale/parts_bench_test.go
@@ -114,9 +114,9 @@
 // BenchmarkParents is the choice of a relay.
 func BenchmarkParents(b *testing.B) {
 	atSizes(b, func(b *testing.B, n int) {
-		var all []dissemination.Locality
+		var all []dissemination.Member
 		for _, e := range directoryOf(n).All() {
-			all = append(all, dissemination.Locality{Node: e.Node, Zone: e.Zone, PeerAddr: e.PeerAddr})
+			all = append(all, dissemination.Member{Node: e.Node, Zone: e.Zone, PeerAddr: e.PeerAddr})
 		}
 		loop(b, func() {
 			dissemination.ParentCandidates(all[n/2].Node, all)
--- a/mesh/codec/directory.go
+++ b/mesh/codec/directory.go
@@ -69,21 +69,21 @@
 // the node, its incarnation and LastSeen hold.
 func EntryFromWire(e *wire.EntryT, now time.Duration) (entry directory.Entry, complete bool) {
 	entry = directory.Entry{
-		Node:        e.Node,
-		Incarnation: e.Incarnation,
-		Sequence:    e.Sequence,
-		Addr:        e.Addr,
-		PeerAddr:    e.PeerAddr,
-		Zone:        e.Zone,
-		Service:     e.Service,
-		Server:      e.ServerId,
-		State:       directory.State(e.State &^ lostBit),
-		Lost:        e.State&lostBit != 0,
-		Slots:       int(e.Slots),
-		WarmUntil:   now + time.Duration(e.WarmUpMs)*time.Millisecond,
-		LastSeen:    timeBefore(now, e.AgeMs),
-		Version:     string(e.Edition),
-		Evidence:    evidenceFromWire(e),
+		Node:          e.Node,
+		Incarnation:   e.Incarnation,
+		Sequence:      e.Sequence,
+		Addr:          e.Addr,
+		PeerAddr:      e.PeerAddr,
+		Zone:          e.Zone,
+		Service:       e.Service,
+		Server:        e.ServerId,
+		State:         directory.State(e.State &^ lostBit),
+		Lost:          e.State&lostBit != 0,
+		Slots:         int(e.Slots),
+		WarmUntil:     now + time.Duration(e.WarmUpMs)*time.Millisecond,
+		LastSeen:      timeBefore(now, e.AgeMs),
+		Version:       string(e.Edition),
+		RolloutReport: evidenceFromWire(e),
 	}
 	return entry, e.State != livenessOnly
 }
--- a/mesh/codec/rollout.go
+++ b/mesh/codec/rollout.go
@@ -53,8 +53,8 @@
 }
 
 // AddEvidence adds what an entry's sidecar reports of rollouts, which goes to the control machines only, and returns the sent entry.
-func AddEvidence(sent *wire.EntryT, e *directory.Evidence) *wire.EntryT {
-	sent.RolloutsConfirmed, sent.RolloutOrder, sent.OrderAgeMs = e.Confirmed, e.Order, milliseconds(e.OrderAge)
+func AddEvidence(sent *wire.EntryT, e *directory.RolloutReport) *wire.EntryT {
+	sent.RolloutsConfirmed, sent.RolloutOrder, sent.OrderAgeMs = e.ConfirmedRevision, e.Order, milliseconds(e.OrderAge)
 	for i := range e.Classes {
 		c := &e.Classes[i]
 		sent.Statistics = append(sent.Statistics, &wire.ClassStatisticsT{
@@ -104,11 +104,11 @@
 }
 
 // evidenceFromWire returns what an entry's sidecar reports of rollouts.
-func evidenceFromWire(e *wire.EntryT) directory.Evidence {
-	evidence := directory.Evidence{
-		Confirmed: e.RolloutsConfirmed,
-		Order:     e.RolloutOrder,
-		OrderAge:  time.Duration(e.OrderAgeMs) * time.Millisecond,
+func evidenceFromWire(e *wire.EntryT) directory.RolloutReport {
+	evidence := directory.RolloutReport{
+		ConfirmedRevision: e.RolloutsConfirmed,
+		Order:             e.RolloutOrder,
+		OrderAge:          time.Duration(e.OrderAgeMs) * time.Millisecond,
 	}
 	for _, c := range e.Statistics {
 		evidence.Classes = append(evidence.Classes, rollout.Statistics{
--- a/mesh/codec/rollout_test.go
+++ b/mesh/codec/rollout_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestEvidenceIsReadAsItWasSent(t *testing.T) {
-	sent := directory.Evidence{Confirmed: 7, Order: 2, OrderAge: 1500 * time.Millisecond}
+	sent := directory.RolloutReport{ConfirmedRevision: 7, Order: 2, OrderAge: 1500 * time.Millisecond}
 	for class := range uint32(3) {
 		s := rollout.Statistics{Class: class}
 		for i := range 300 * class {
@@ -19,7 +19,7 @@
 		sent.Classes = append(sent.Classes, s)
 	}
 	received := evidenceFromWire(AddEvidence(&wire.EntryT{}, &sent))
-	if received.Confirmed != sent.Confirmed || received.Order != sent.Order || received.OrderAge != sent.OrderAge {
+	if received.ConfirmedRevision != sent.ConfirmedRevision || received.Order != sent.Order || received.OrderAge != sent.OrderAge {
 		t.Errorf("%+v", received)
 	}
 	for i := range sent.Classes {
--- a/mesh/controlplane/publishing/hub.go
+++ b/mesh/controlplane/publishing/hub.go
@@ -150,13 +150,13 @@
 	}
 	switch d := h.Publisher.Directory; {
 	case !complete:
-		d.RecordEvidence(e.Node, e.Incarnation, e.LastSeen, e.Evidence)
+		d.RecordRolloutReport(e.Node, e.Incarnation, e.LastSeen, e.RolloutReport)
 		d.MarkAlive(e.Node, e.Incarnation, e.LastSeen)
 	case e.Lost && direct:
 		return now-e.LastSeen >= 0 && d.MarkLost(e.Node, e.Incarnation, now, h.durations.MinSilence)
 	default:
 		d.Merge(e, e.LastSeen)
-		d.RecordEvidence(e.Node, e.Incarnation, e.LastSeen, e.Evidence)
+		d.RecordRolloutReport(e.Node, e.Incarnation, e.LastSeen, e.RolloutReport)
 	}
 	return false
 }
--- a/mesh/controlplane/rollouts.go
+++ b/mesh/controlplane/rollouts.go
@@ -316,10 +316,10 @@
 			Slots:     e.Slots,
 			Lost:      e.Lost,
 			LastSeen:  e.LastSeen,
-			Confirmed: e.Evidence.Confirmed,
-			Order:     e.Evidence.Order,
-			OrderAge:  e.Evidence.OrderAge,
-			Classes:   e.Evidence.Classes,
+			Confirmed: e.RolloutReport.ConfirmedRevision,
+			Order:     e.RolloutReport.Order,
+			OrderAge:  e.RolloutReport.OrderAge,
+			Classes:   e.RolloutReport.Classes,
 		}
 	}
 	return machines
--- a/mesh/dataplane/distribution/node.go
+++ b/mesh/dataplane/distribution/node.go
@@ -277,8 +277,8 @@
 }
 
 // ReportEvidence sends the parent what this sidecar has to say of rollouts, and keeps it for later reports.
-func (n *Node) ReportEvidence(now time.Duration, e directory.Evidence) {
-	n.own.Evidence = e
+func (n *Node) ReportEvidence(now time.Duration, e directory.RolloutReport) {
+	n.own.RolloutReport = e
 	n.perform(n.subscription.ReportLiveness(now))
 }
 
--- a/mesh/dataplane/rollouts.go
+++ b/mesh/dataplane/rollouts.go
@@ -257,7 +257,7 @@
 func (p *Proxy) sendEvidence(now time.Duration) {
 	p.rollouts.reportAt = now + p.rollouts.durations.ReportInterval
 	order, classes := p.lastHop.trialStatistics()
-	evidence := directory.Evidence{Confirmed: p.rollouts.confirmed, Order: order, Classes: classes}
+	evidence := directory.RolloutReport{ConfirmedRevision: p.rollouts.confirmed, Order: order, Classes: classes}
 	if f := p.rollouts.followed[*p.serviceName.Load()]; f != nil && order > 0 {
 		evidence.OrderAge = now - f.ordered
 	}
--- a/mesh/dataplane/subscription/subscription.go
+++ b/mesh/dataplane/subscription/subscription.go
@@ -196,7 +196,7 @@
 	s.heartbeatAt = now + s.durations.ReportInterval
 	own := *s.self
 	own.LastSeen = now
-	return s.Report(now, []*wire.EntryT{codec.AddEvidence(codec.LivenessToWire(&own, now), &own.Evidence)})
+	return s.Report(now, []*wire.EntryT{codec.AddEvidence(codec.LivenessToWire(&own, now), &own.RolloutReport)})
 }
 
 // UpdateReceived reports that the parent has sent an update.
@@ -259,16 +259,16 @@
 func (s *Subscription) ownEntry(now time.Duration) *wire.EntryT {
 	own := *s.self
 	own.LastSeen = now
-	return codec.AddEvidence(codec.EntryToWire(&own, now), &own.Evidence)
+	return codec.AddEvidence(codec.EntryToWire(&own, now), &own.RolloutReport)
 }
 
 // chooseParent returns the parent to subscribe to. Before the sidecar is ready that is a control machine.
 func (s *Subscription) chooseParent(now time.Duration) (addr string, relay bool) {
-	var candidates []dissemination.Locality
+	var candidates []dissemination.Member
 	if s.ready {
 		for _, e := range s.state.Directory.All() {
 			if !e.Lost && e.State != directory.Departed || e.Node == s.self.Node {
-				candidates = append(candidates, dissemination.Locality{Node: e.Node, Zone: e.Zone, PeerAddr: e.PeerAddr})
+				candidates = append(candidates, dissemination.Member{Node: e.Node, Zone: e.Zone, PeerAddr: e.PeerAddr})
 			}
 		}
 	}
--- a/mesh/directory/directory.go
+++ b/mesh/directory/directory.go
@@ -44,9 +44,9 @@
 		return e.Incarnation == old.Incarnation && d.revive(old, lastSeen)
 	default:
 		lastSeen = max(lastSeen, old.LastSeen)
-		e.Evidence = Evidence{}
+		e.RolloutReport = RolloutReport{}
 		if e.Incarnation == old.Incarnation {
-			e.Evidence, e.evidenceAt = old.Evidence, old.evidenceAt
+			e.RolloutReport, e.rolloutReportedAt = old.RolloutReport, old.rolloutReportedAt
 		}
 	}
 	e.LastSeen, e.Lost = lastSeen, false
@@ -78,12 +78,12 @@
 
 // RecordEvidence records what a machine's sidecar reported of rollouts at a time. It is of no account where a later incarnation, or a later
 // report, is known.
-func (d *Directory) RecordEvidence(node string, incarnation uint64, reportedAt time.Duration, evidence Evidence) {
+func (d *Directory) RecordRolloutReport(node string, incarnation uint64, receivedAt time.Duration, report RolloutReport) {
 	e := d.entries[node]
-	if e == nil || e.Incarnation != incarnation || reportedAt < e.evidenceAt {
+	if e == nil || e.Incarnation != incarnation || receivedAt < e.rolloutReportedAt {
 		return
 	}
-	e.Evidence, e.evidenceAt = evidence, reportedAt
+	e.RolloutReport, e.rolloutReportedAt = report, receivedAt
 }
 
 // MarkAlive records that a machine's sidecar was alive at lastSeen; evidence of another incarnation is ignored. It reports whether the
@@ -116,11 +116,11 @@
 // reports whether anything changed.
 func (d *Directory) Expire(now, timeout, retention time.Duration) (changed bool) {
 	for node, e := range d.entries {
-		switch unseen := now - e.LastSeen; {
-		case unseen > retention:
+		switch sinceLastSeen := now - e.LastSeen; {
+		case sinceLastSeen > retention:
 			delete(d.entries, node)
 			changed = true
-		case unseen > timeout && !e.Lost:
+		case sinceLastSeen > timeout && !e.Lost:
 			e.Lost = true
 			d.markChanged(e)
 			changed = true
@@ -161,8 +161,8 @@
 
 // Get returns a copy of a node's entry; ok is false where there is none.
 func (d *Directory) Get(node string) (e Entry, ok bool) {
-	if present := d.entries[node]; present != nil {
-		return *present, true
+	if found := d.entries[node]; found != nil {
+		return *found, true
 	}
 	return Entry{}, false
 }
--- a/mesh/directory/directory_test.go
+++ b/mesh/directory/directory_test.go
@@ -19,16 +19,16 @@
 				Sequence:    rapid.Uint64Range(1, 5).Draw(t, "sequence"),
 			})
 		}
-		one, two := New(), New()
+		first, second := New(), New()
 		for _, e := range announcements {
-			one.Merge(e, 0)
+			first.Merge(e, 0)
 		}
 		for _, e := range rapid.Permutation(announcements).Draw(t, "order") {
-			two.Merge(e, 0)
-			two.Merge(e, 0)
+			second.Merge(e, 0)
+			second.Merge(e, 0)
 		}
-		if one.Hash() != two.Hash() {
-			t.Fatalf("%v and %v", one.All(), two.All())
+		if first.Hash() != second.Hash() {
+			t.Fatalf("%v and %v", first.All(), second.All())
 		}
 	})
 }
@@ -36,11 +36,11 @@
 func TestUnseenMachineIsLostAndRevived(t *testing.T) {
 	d := New()
 	d.Merge(Entry{Node: "a", Incarnation: 7, Sequence: 1}, 0)
-	at := d.Revision()
+	revision := d.Revision()
 	if d.Expire(2*time.Second, 3*time.Second, time.Minute) || !d.Expire(4*time.Second, 3*time.Second, time.Minute) {
 		t.Fatal("not lost right after the timeout")
 	}
-	if all := d.ChangedSince(at); len(all) != 1 || !all[0].Lost {
+	if all := d.ChangedSince(revision); len(all) != 1 || !all[0].Lost {
 		t.Errorf("changed entries: %v", all)
 	}
 	if d.MarkAlive("a", 6, 5*time.Second) {
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestUpdateDecidesWhoIsLost(t *testing.T) {
+func TestUpdateOverridesLostState(t *testing.T) {
 	d := New()
 	d.ApplyUpdate(Entry{Node: "a", Incarnation: 1, Sequence: 1}, 0)
 	if !d.ApplyUpdate(Entry{Node: "a", Incarnation: 1, Sequence: 1, Lost: true}, 0) || !d.All()[0].Lost {
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestMergeOfAnEarlierIncarnationIsNoSignOfLife(t *testing.T) {
+func TestMergeOfEarlierIncarnationDoesNotRevive(t *testing.T) {
 	d := New()
 	d.Merge(Entry{Node: "a", Incarnation: 2, Sequence: 1}, 0)
 	d.Expire(4*time.Second, 3*time.Second, time.Minute)
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestNewerEntryKeepsTheLatestSignOfLife(t *testing.T) {
+func TestNewerEntryKeepsLatestLastSeen(t *testing.T) {
 	d := New()
 	d.Merge(Entry{Node: "a", Incarnation: 1, Sequence: 1}, 5*time.Second)
 	d.Merge(Entry{Node: "a", Incarnation: 1, Sequence: 2}, 2*time.Second)
@@ -92,20 +92,20 @@
 	}
 }
 
-func TestUpdateOfANewerEntryMayBeOfALostMachine(t *testing.T) {
+func TestUpdateOfNewEntryKeepsPublishersLostState(t *testing.T) {
 	d := New()
 	if !d.ApplyUpdate(Entry{Node: "a", Incarnation: 1, Sequence: 1, Lost: true}, 0) || !d.All()[0].Lost {
 		t.Error("a machine that the publisher holds for lost is not lost here")
 	}
 }
 
-func TestFullDirectoryRefusesFurtherMachines(t *testing.T) {
+func TestFullDirectoryRejectsNewMachines(t *testing.T) {
 	d := New()
 	for i := range MaxEntries {
 		d.Merge(Entry{Node: strconv.Itoa(i), Incarnation: 1}, 0)
 	}
-	oneMore := Entry{Node: "one more", Incarnation: 1}
-	if d.Merge(oneMore, 0) || d.ApplyUpdate(oneMore, 0) || d.Len() != MaxEntries {
+	extraEntry := Entry{Node: "one more", Incarnation: 1}
+	if d.Merge(extraEntry, 0) || d.ApplyUpdate(extraEntry, 0) || d.Len() != MaxEntries {
 		t.Errorf("%d entries", d.Len())
 	}
 	if !d.Merge(Entry{Node: "7", Incarnation: 2}, 0) {
@@ -114,23 +114,23 @@
 }
 
 // Evidence of rollouts goes with its incarnation, the latest counts, and nobody is updated because of it.
-func TestEvidenceIsNoChangeOfAnEntry(t *testing.T) {
+func TestRolloutReportDoesNotChangeRevision(t *testing.T) {
 	d := New()
 	d.Merge(Entry{Node: "a", Incarnation: 2, Sequence: 1}, 0)
 	revision := d.Revision()
-	d.RecordEvidence("a", 2, 5*time.Second, Evidence{Confirmed: 7})
-	d.RecordEvidence("a", 2, 4*time.Second, Evidence{Confirmed: 6})
-	d.RecordEvidence("a", 1, 6*time.Second, Evidence{Confirmed: 9})
-	d.RecordEvidence("unknown", 1, 6*time.Second, Evidence{Confirmed: 9})
-	if e, _ := d.Get("a"); e.Evidence.Confirmed != 7 || d.Revision() != revision {
-		t.Errorf("%+v, revision %d", e.Evidence, d.Revision())
+	d.RecordRolloutReport("a", 2, 5*time.Second, RolloutReport{ConfirmedRevision: 7})
+	d.RecordRolloutReport("a", 2, 4*time.Second, RolloutReport{ConfirmedRevision: 6})
+	d.RecordRolloutReport("a", 1, 6*time.Second, RolloutReport{ConfirmedRevision: 9})
+	d.RecordRolloutReport("unknown", 1, 6*time.Second, RolloutReport{ConfirmedRevision: 9})
+	if e, _ := d.Get("a"); e.RolloutReport.ConfirmedRevision != 7 || d.Revision() != revision {
+		t.Errorf("%+v, revision %d", e.RolloutReport, d.Revision())
 	}
 	d.Merge(Entry{Node: "a", Incarnation: 2, Sequence: 2}, 0)
-	if e, _ := d.Get("a"); e.Evidence.Confirmed != 7 {
+	if e, _ := d.Get("a"); e.RolloutReport.ConfirmedRevision != 7 {
 		t.Error("an announcement loses the evidence")
 	}
 	d.Merge(Entry{Node: "a", Incarnation: 3, Sequence: 1}, 0)
-	if e, _ := d.Get("a"); e.Evidence.Confirmed != 0 {
+	if e, _ := d.Get("a"); e.RolloutReport.ConfirmedRevision != 0 {
 		t.Error("a new incarnation inherits what the one before has confirmed")
 	}
 }
--- a/mesh/directory/entry.go
+++ b/mesh/directory/entry.go
@@ -66,16 +66,16 @@
 	// LastSeen is the time of the sidecar's latest sign of life, by the clock of this process.
 	LastSeen time.Duration
 	// Evidence is what the sidecar reports of rollouts. It is for control machines: a change of it is no change of the entry.
-	Evidence Evidence
+	RolloutReport RolloutReport
 
-	evidenceAt time.Duration
-	revision   uint64
+	rolloutReportedAt time.Duration
+	revision          uint64
 }
 
 // Evidence is what a sidecar reports of the rollouts that it knows.
-type Evidence struct {
+type RolloutReport struct {
 	// Confirmed is the revision of the rollouts by which the sidecar sends, with nothing in flight that they forbid.
-	Confirmed uint32
+	ConfirmedRevision uint32
 	// Order is that of the rollout of the server's service that Classes were counted in; 0: none is under way. OrderAge is for how long the
 	// sidecar has known of it.
 	Order    uint32
--- a/mesh/dissemination/confirmations.go
+++ b/mesh/dissemination/confirmations.go
@@ -7,7 +7,7 @@
 )
 
 // maxPending bounds the operations that wait; beyond it none does.
-const maxPending = 256
+const maxPendingOperations = 256
 
 // QuorumLost reports whether a control machine counts as out of contact with a majority: one has last replied at lastReply (below 0:
 // never), more than timeout ago (timing.Dissemination.QuorumTimeout). Times count from the machine's start, so that a machine that has
@@ -47,22 +47,22 @@
 }
 
 // lowestInForce returns the lowest version in force anywhere, where lowest is that below this machine. It drops reports that have expired.
-func (c *Confirmations) lowestInForce(lowest uint32, now time.Duration) uint32 {
+func (c *Confirmations) lowestInForce(localLowest uint32, now time.Duration) uint32 {
 	for peer, report := range c.peers {
 		if now-report.receivedAt > c.durations.PeerReportTTL {
 			delete(c.peers, peer)
 			continue
 		}
-		lowest = min(lowest, report.lowestInForce)
+		localLowest = min(localLowest, report.lowestInForce)
 	}
-	return lowest
+	return localLowest
 }
 
 // Defer makes an operation wait whose request arrived at arrivedAt; lowest is the lowest version in force below this machine. It reports
 // false where the operation is to be confirmed at once.
-func (c *Confirmations) Defer(id uint64, version, lowest uint32, arrivedAt, now time.Duration) bool {
+func (c *Confirmations) Defer(id uint64, version, localLowest uint32, arrivedAt, now time.Duration) bool {
 	deadline := arrivedAt + c.durations.AckTimeout
-	if len(c.pending) >= maxPending || now >= deadline || c.lowestInForce(lowest, now) >= version {
+	if len(c.pending) >= maxPendingOperations || now >= deadline || c.lowestInForce(localLowest, now) >= version {
 		return false
 	}
 	c.pending = append(c.pending, pendingOperation{id: id, version: version, deadline: deadline})
@@ -70,22 +70,22 @@
 }
 
 // Release returns the operations to be confirmed now, which don't wait any longer, and when to call it again if no report comes before.
-func (c *Confirmations) Release(lowest uint32, now time.Duration) (confirmed []uint64, next time.Duration) {
+func (c *Confirmations) Release(localLowest uint32, now time.Duration) (confirmed []uint64, next time.Duration) {
 	next = now + c.durations.AckTimeout
 	if len(c.pending) == 0 {
 		return nil, next
 	}
-	inForce := c.lowestInForce(lowest, now)
-	waiting := c.pending[:0]
+	inForce := c.lowestInForce(localLowest, now)
+	remaining := c.pending[:0]
 	for _, op := range c.pending {
 		if inForce >= op.version || now >= op.deadline {
 			confirmed = append(confirmed, op.id)
 			continue
 		}
 		next = min(next, op.deadline)
-		waiting = append(waiting, op)
+		remaining = append(remaining, op)
 	}
-	c.pending = waiting
+	c.pending = remaining
 	return confirmed, next
 }
 
--- a/mesh/dissemination/deltahistory_test.go
+++ b/mesh/dissemination/deltahistory_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestDeltaHistoryHasNoGap(t *testing.T) {
+func TestDeltaHistoryIsClearedAtGap(t *testing.T) {
 	var h deltaHistory
 	h.add([]Delta{{Base: 1, Version: 2}, {Base: 2, Version: 3}})
 	if got := h.since(1); len(got) != 2 {
--- a/mesh/dissemination/parentlink.go
+++ b/mesh/dissemination/parentlink.go
@@ -17,18 +17,18 @@
 // Stale reports whether the sidecar has to look for another parent; asOf is when its configuration was last confirmed, or TimeUnknown.
 // Complete frames are no reason to stay, as a parent that is cut off from the majority sends them, too; only a confirmation is.
 func (l *ParentLink) Stale(now, asOf time.Duration, t *timing.Dissemination) bool {
-	connected := now - l.ConnectedAt
+	connectedFor := now - l.ConnectedAt
 	if asOf == TimeUnknown { // without any configuration no time is to be lost
-		return connected > t.MaxTransferAge || connected > t.FirstUpdateTimeout && !l.arriving(now, t.FirstUpdateTimeout)
+		return connectedFor > t.MaxTransferAge || connectedFor > t.FirstUpdateTimeout && !l.receivingFrame(now, t.FirstUpdateTimeout)
 	}
 	age := now - asOf
-	if age <= t.StaleAfter || connected <= t.StaleAfter {
+	if age <= t.StaleAfter || connectedFor <= t.StaleAfter {
 		return false
 	}
-	return age > t.MaxTransferAge || !l.arriving(now, t.StaleAfter)
+	return age > t.MaxTransferAge || !l.receivingFrame(now, t.StaleAfter)
 }
 
 // arriving reports whether a frame is on its way, of which something came within timeout.
-func (l *ParentLink) arriving(now, timeout time.Duration) bool {
+func (l *ParentLink) receivingFrame(now, timeout time.Duration) bool {
 	return l.PartialBytes != 0 && now-l.LastByteAt <= timeout
 }
--- a/mesh/dissemination/parentlink_test.go
+++ b/mesh/dissemination/parentlink_test.go
@@ -36,7 +36,7 @@
 }
 
 // A sidecar that knows nothing yet doesn't wait long for a parent that sends nothing.
-func TestParentThatSendsNothingIsLeftSoon(t *testing.T) {
+func TestParentWithoutFirstUpdateIsLeftEarly(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		now  time.Duration
--- a/mesh/dissemination/publisher.go
+++ b/mesh/dissemination/publisher.go
@@ -62,7 +62,7 @@
 	newer := version > p.Version && text != nil
 	if newer {
 		if len(deltas) == 0 {
-			deltas = p.makeDeltas(version, text)
+			deltas = p.computeDelta(version, text)
 		}
 		p.history.add(deltas)
 		p.Version, p.Text = version, text
@@ -83,7 +83,7 @@
 	return true
 }
 
-func (p *Publisher) makeDeltas(version uint32, text []byte) []Delta {
+func (p *Publisher) computeDelta(version uint32, text []byte) []Delta {
 	if p.Version == 0 || len(p.Text) > maxDiffBytes || len(text) > maxDiffBytes {
 		return nil
 	}
@@ -100,12 +100,12 @@
 		}
 	}
 	text, version := p.Text, p.Version
-	for _, step := range used {
-		next, err := delta.Apply(text, step.Bytes, maxBytes)
-		if err != nil || step.Base != version {
+	for _, d := range used {
+		next, err := delta.Apply(text, d.Bytes, maxBytes)
+		if err != nil || d.Base != version {
 			return nil, nil, false
 		}
-		text, version = next, step.Version
+		text, version = next, d.Version
 	}
 	return text, used, len(used) > 0
 }
--- a/mesh/dissemination/publisher_test.go
+++ b/mesh/dissemination/publisher_test.go
@@ -12,15 +12,15 @@
 )
 
 // describe shows an update in the log of a test: time, version, full text or the bases of deltas, number of entries.
-func describe(now time.Duration, n Update) string {
-	what := ""
-	if n.FullText {
-		what = "full"
+func describe(now time.Duration, u Update) string {
+	content := ""
+	if u.FullText {
+		content = "full"
 	}
-	for _, d := range n.Deltas {
-		what += fmt.Sprintf("<%d>", d.Base)
+	for _, d := range u.Deltas {
+		content += fmt.Sprintf("<%d>", d.Base)
 	}
-	return fmt.Sprintf("%d:%d%s+%d", now.Milliseconds(), n.Version, what, len(n.Entries))
+	return fmt.Sprintf("%d:%d%s+%d", now.Milliseconds(), u.Version, content, len(u.Entries))
 }
 
 // A subscriber gets each change once, soon after it happened, and at least each HeartbeatInterval the age of what it has.
@@ -42,9 +42,9 @@
 			p.SetConfig(6, []byte("six"), nil, now) // a round of the register that changed something else
 		}
 		pushed, _ := p.Tick(now)
-		for _, n := range pushed {
-			log = append(log, describe(now, n))
-			p.HandleAck(1, Ack{Nonce: n.Nonce, Version: n.Version, LowestInForce: n.Version}, now)
+		for _, update := range pushed {
+			log = append(log, describe(now, update))
+			p.HandleAck(1, Ack{Nonce: update.Nonce, Version: update.Version, LowestInForce: update.Version}, now)
 		}
 	}
 	if got, want := strings.Join(log, " "), "0:5full+1 350:5+0 515:6<5>+1 865:6+0"; got != want {
@@ -56,7 +56,7 @@
 }
 
 // As on a day with a storm of changes: full texts, each of which was superseded, filled the links of relays.
-func TestSlowSubscriberGetsOnlyTheNewest(t *testing.T) {
+func TestSlowSubscriberSkipsSupersededVersions(t *testing.T) {
 	p := NewPublisher(durations)
 	p.SetConfig(1, []byte("text number 1"), nil, 0)
 	p.Subscribe(1, 1, 0)
@@ -67,22 +67,22 @@
 			p.SetConfig(p.Version+1, fmt.Appendf(nil, "text number %d", p.Version+1), nil, now)
 		}
 		pushed, _ := p.Tick(now)
-		for _, n := range pushed {
-			if n.Version < p.Version && n.AsOf != TimeUnknown {
+		for _, update := range pushed {
+			if update.Version < p.Version && update.AsOf != TimeUnknown {
 				t.Fatalf("%v: a superseded version is said to be the newest", now)
 			}
-			if n.Nonce == 0 {
+			if update.Nonce == 0 {
 				continue
 			}
 			if nonce > 0 {
 				t.Fatalf("%v: a second update in flight", now)
 			}
 			subscriber := Publisher{Version: version, Text: text}
-			got, _, ok := subscriber.ApplyDeltas(n.Deltas, 100)
+			got, _, ok := subscriber.ApplyDeltas(update.Deltas, 100)
 			if !ok || string(got) != fmt.Sprintf("text number %d", p.Version) {
 				t.Fatalf("%v: %q %v", now, got, ok)
 			}
-			updates, nonce, text, version = updates+1, n.Nonce, got, n.Version
+			updates, nonce, text, version = updates+1, update.Nonce, got, update.Version
 		}
 		if now%time.Second == 0 && nonce > 0 { // the link is that slow
 			p.HandleAck(1, Ack{Nonce: nonce, Version: version, LowestInForce: version}, now)
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestSilentSubscriberDoesNotCount(t *testing.T) {
+func TestSubscriberWithoutReportsDoesNotDelayConfirmations(t *testing.T) {
 	p := NewPublisher(durations)
 	p.SetConfig(7, []byte("seven"), nil, 0)
 	p.Subscribe(1, 3, 0)
@@ -138,7 +138,7 @@
 	}
 }
 
-func TestFullPublisherRefusesSubscribers(t *testing.T) {
+func TestFullPublisherRejectsSubscribers(t *testing.T) {
 	p := NewPublisher(durations)
 	for id := range uint64(MaxSubscribers) {
 		if !p.Subscribe(id, 0, 0) {
@@ -151,7 +151,7 @@
 }
 
 // pushed returns the update for the only subscriber, which has to be due.
-func pushed(t *testing.T, p *Publisher, now time.Duration) Update {
+func nextUpdate(t *testing.T, p *Publisher, now time.Duration) Update {
 	t.Helper()
 	updates, _ := p.Tick(now)
 	if len(updates) != 1 {
@@ -161,16 +161,16 @@
 }
 
 // Until it has acknowledged an update, a subscriber gets heartbeats at their interval, which say of no newer version that it has it.
-func TestHeartbeatsUntilTheAck(t *testing.T) {
+func TestOnlyHeartbeatsUntilAck(t *testing.T) {
 	p := NewPublisher(durations)
 	p.SetConfig(1, []byte("one"), nil, 0)
 	p.Subscribe(1, 0, 0)
-	first := pushed(t, p, 20*time.Millisecond)
+	first := nextUpdate(t, p, 20*time.Millisecond)
 	p.SetConfig(2, []byte("two"), nil, 30*time.Millisecond)
 	if updates, _ := p.Tick(100 * time.Millisecond); len(updates) != 0 {
 		t.Error("an update before the heartbeat, while the first one is not acknowledged")
 	}
-	heartbeat := pushed(t, p, 20*time.Millisecond+durations.HeartbeatInterval)
+	heartbeat := nextUpdate(t, p, 20*time.Millisecond+durations.HeartbeatInterval)
 	if heartbeat.Version != 1 || heartbeat.AsOf != TimeUnknown || heartbeat.Nonce != 0 || heartbeat.Deltas != nil || heartbeat.FullText {
 		t.Errorf("%+v", heartbeat)
 	}
@@ -182,13 +182,13 @@
 	}
 	p.HandleAck(1, Ack{Nonce: first.Nonce, Version: 1}, now)
 	p.Tick(now)
-	if second := pushed(t, p, now+batchDelay); second.Version != 2 || len(second.Deltas) != 1 {
+	if second := nextUpdate(t, p, now+batchDelay); second.Version != 2 || len(second.Deltas) != 1 {
 		t.Errorf("%+v", second)
 	}
 }
 
 // A subscriber that serves already gets the configuration first, and many entries once that is acknowledged.
-func TestManyEntriesFollowTheConfiguration(t *testing.T) {
+func TestManyEntriesArePushedAfterConfigurationIsAcknowledged(t *testing.T) {
 	p := NewPublisher(durations)
 	add := func(sequence uint64) {
 		for i := range maxUnackedEntries + 1 {
@@ -198,25 +198,25 @@
 	add(1)
 	p.SetConfig(1, []byte("one"), nil, 0)
 	p.Subscribe(1, 0, 0)
-	first := pushed(t, p, 0)
+	first := nextUpdate(t, p, 0)
 	if !first.FullText || len(first.Entries) != maxUnackedEntries+1 || first.Nonce == 0 {
 		t.Errorf("first: %d entries, %+v", len(first.Entries), first.Version)
 	}
 	p.HandleAck(1, Ack{Nonce: first.Nonce, Version: 1}, 0)
 	add(2)
 	p.SetConfig(2, []byte("two"), nil, 0)
-	second := pushed(t, p, time.Second)
+	second := nextUpdate(t, p, time.Second)
 	if len(second.Deltas) != 1 || len(second.Entries) != 0 {
 		t.Errorf("second: %d deltas, %d entries", len(second.Deltas), len(second.Entries))
 	}
 	p.HandleAck(1, Ack{Nonce: second.Nonce, Version: 2}, time.Second)
-	third := pushed(t, p, 2*time.Second)
+	third := nextUpdate(t, p, 2*time.Second)
 	if len(third.Entries) != maxUnackedEntries+1 || third.Nonce == 0 {
 		t.Errorf("third: %d entries, nonce %d", len(third.Entries), third.Nonce)
 	}
 }
 
-func TestDeltasApplyWithoutGapOnly(t *testing.T) {
+func TestDeltasWithGapAreRejected(t *testing.T) {
 	one, two, three := []byte("text one"), []byte("text two"), []byte("text three")
 	first := Delta{Base: 1, Version: 2, Bytes: delta.Encode(one, two)}
 	second := Delta{Base: 2, Version: 3, Bytes: delta.Encode(two, three)}
@@ -238,7 +238,7 @@
 }
 
 // Entries of servers of a new version never come ahead of their rollout, which doesn't wait for an acknowledgement either.
-func TestRolloutsComeAheadOfNewServers(t *testing.T) {
+func TestRolloutsArePushedBeforeEntriesOfNewServers(t *testing.T) {
 	p := NewPublisher(durations)
 	p.SetConfig(1, []byte("text"), nil, 0)
 	p.Subscribe(1, 0, 0)
@@ -271,7 +271,7 @@
 	t.Fatal("nothing is pushed")
 }
 
-func TestOlderRolloutsReplaceNothing(t *testing.T) {
+func TestOlderRolloutsAreIgnored(t *testing.T) {
 	p := NewPublisher(durations)
 	if !p.SetRollouts(rollout.Set{Revision: 3}) || p.SetRollouts(rollout.Set{Revision: 3}) || p.SetRollouts(rollout.Set{Revision: 2}) ||
 		p.Rollouts.Revision != 3 {
--- a/mesh/dissemination/subscriber.go
+++ b/mesh/dissemination/subscriber.go
@@ -13,15 +13,15 @@
 	maxRelayCandidates = 2
 	// exhaustedFactor times LastResort is the longest time that a sidecar looks for a fresh configuration, where it never gets through
 	// all control machines.
-	exhaustedFactor = 3
+	maxSearchFactor = 3
 	// maxTrackedFailures bounds the parents whose failures are remembered; beyond it all are forgotten, and tried again.
 	maxTrackedFailures = 256
 	// unseenOrder is the order of one that the others have not seen lately: after all that never failed, before all that did.
-	unseenOrder = -time.Minute
+	notSeenRank = -time.Minute
 	// neverFailed is subtracted from the order of a control machine that never failed, so that it comes before all that did.
-	neverFailed = time.Hour
+	neverFailedPreference = time.Hour
 	// zonePreference is subtracted from that of one of the own zone.
-	zonePreference = time.Hour
+	sameZonePreference = time.Hour
 )
 
 // Subscriber decides for one sidecar which publisher it subscribes to, and when it is ready. It is not safe for concurrent use.
@@ -64,16 +64,16 @@
 // Ready reports whether the sidecar is ready, which it stays from then on. It has a version (0: none) that was the newest at asOf, or
 // TimeUnknown.
 func (s *Subscriber) Ready(now time.Duration, version uint32, asOf time.Duration, machines []ControlMachine) bool {
-	waited := now - s.StartedAt
+	searchedFor := now - s.StartedAt
 	switch {
 	case s.ready:
 	case version == 0 || asOf == TimeUnknown:
 	case now-asOf <= s.durations.MaxReadyAge:
 		s.ready = true
-	case waited >= exhaustedFactor*s.durations.LastResort:
+	case searchedFor >= maxSearchFactor*s.durations.LastResort:
 		s.ready = true
 	default:
-		s.ready = waited >= s.durations.LastResort && s.allControlMachinesFailed(machines)
+		s.ready = searchedFor >= s.durations.LastResort && s.allControlMachinesFailed(machines)
 	}
 	return s.ready
 }
@@ -117,21 +117,21 @@
 // Members are the sidecars of the directory. A sidecar whose configuration was last confirmed so long ago that its parent counts as stale
 // turns to the control machines at once: a relay that is cut off as well would cost the time that is left (timing.Durations.Reconnect).
 func (s *Subscriber) ChooseParent(
-	now, asOf time.Duration, members []Locality, machines []ControlMachine,
+	now, asOf time.Duration, members []Member, machines []ControlMachine,
 ) (addr string, relay bool) {
 	if s.ready && now-asOf <= s.durations.StaleAfter {
 		if addr := s.chooseRelay(now, members); addr != "" {
 			return addr, true
 		}
 	}
-	zones, unseen := map[string]string{}, s.unseen(machines)
+	zones, notSeen := map[string]string{}, s.notSeenLately(machines)
 	for _, m := range machines {
 		zones[m.Addr] = m.Zone
 	}
-	best, bestOrder := "", time.Duration(1<<62)
+	best, bestRank := "", time.Duration(1<<62)
 	for _, addr := range s.controlMachineAddrs(machines) {
-		if order := s.attemptOrder(addr, zones[addr], unseen[addr]); order < bestOrder {
-			best, bestOrder = addr, order
+		if rank := s.attemptRank(addr, zones[addr], notSeen[addr]); rank < bestRank {
+			best, bestRank = addr, rank
 		}
 	}
 	return best, false
@@ -139,40 +139,40 @@
 
 // unseen returns the control machines that were seen longer ago than the latest, by more than timing.Dissemination.UnseenAfter: they
 // are down, or cut off from the machine that listed them.
-func (s *Subscriber) unseen(machines []ControlMachine) map[string]bool {
+func (s *Subscriber) notSeenLately(machines []ControlMachine) map[string]bool {
 	latest := TimeUnknown
 	for _, m := range machines {
 		latest = max(latest, m.LastSeen)
 	}
-	unseen := map[string]bool{}
+	notSeen := map[string]bool{}
 	for _, m := range machines {
-		unseen[m.Addr] = latest-m.LastSeen > s.durations.UnseenAfter
+		notSeen[m.Addr] = latest-m.LastSeen > s.durations.UnseenAfter
 	}
-	return unseen
+	return notSeen
 }
 
 // attemptOrder ranks a control machine; the lowest is tried first. It is the time of the last failure; those that never failed come before,
 // spread over the sidecars by a hash.
-func (s *Subscriber) attemptOrder(addr, zone string, unseen bool) time.Duration {
-	if at, failed := s.lastFailure[addr]; failed {
-		return at
+func (s *Subscriber) attemptRank(addr, zone string, notSeen bool) time.Duration {
+	if failedAt, failed := s.lastFailure[addr]; failed {
+		return failedAt
 	}
-	if unseen {
-		return unseenOrder
+	if notSeen {
+		return notSeenRank
 	}
-	order := -neverFailed
+	rank := -neverFailedPreference
 	if zone == s.Zone {
-		order -= zonePreference
+		rank -= sameZonePreference
 	}
-	return order - time.Duration(hashOf(s.Node+addr)%uint64(time.Minute))
+	return rank - time.Duration(hashOf(s.Node+addr)%uint64(time.Minute))
 }
 
 // chooseRelay returns the address of the first candidate that has not failed lately; empty: none.
-func (s *Subscriber) chooseRelay(now time.Duration, members []Locality) string {
+func (s *Subscriber) chooseRelay(now time.Duration, members []Member) string {
 	candidates := ParentCandidates(s.Node, members)
-	for _, l := range candidates[:min(len(candidates), maxRelayCandidates)] {
-		if at, failed := s.lastFailure[l.PeerAddr]; !failed || now-at > relayBackoff {
-			return l.PeerAddr
+	for _, relay := range candidates[:min(len(candidates), maxRelayCandidates)] {
+		if failedAt, failed := s.lastFailure[relay.PeerAddr]; !failed || now-failedAt > relayBackoff {
+			return relay.PeerAddr
 		}
 	}
 	return ""
--- a/mesh/dissemination/subscriber_test.go
+++ b/mesh/dissemination/subscriber_test.go
@@ -46,7 +46,7 @@
 	machines := []ControlMachine{{Addr: "a"}, {Addr: "b", Zone: "z"}, {Addr: "c"}}
 	var tried []string
 	for now := time.Duration(0); now < 3*time.Second; now += time.Second {
-		addr, relay := sub.ChooseParent(now, now, []Locality{{Node: "n"}, {Node: "m"}}, machines)
+		addr, relay := sub.ChooseParent(now, now, []Member{{Node: "n"}, {Node: "m"}}, machines)
 		if relay {
 			t.Error("subscribes to a sidecar while it is not ready")
 		}
@@ -65,10 +65,10 @@
 }
 
 // A relay that failed is left alone for a while; with the first ones failed a control machine is tried.
-func TestFailedRelayIsLeftAlone(t *testing.T) {
+func TestFailedRelayIsNotRetriedDuringBackoff(t *testing.T) {
 	const s = time.Second
-	members := localities("z", 30)
-	var leaf Locality
+	members := zoneMembers("z", 30)
+	var leaf Member
 	for _, l := range members {
 		if len(ParentCandidates(l.Node, members)) > maxRelayCandidates {
 			leaf = l
@@ -80,32 +80,32 @@
 	if !sub.Ready(s, 1, s, machines) {
 		t.Fatal("not ready with a fresh configuration")
 	}
-	choose := func(now time.Duration, want string) {
+	expectParent := func(now time.Duration, want string) {
 		t.Helper()
 		if got, _ := sub.ChooseParent(now, now, members, machines); got != want {
 			t.Errorf("%v: %s, want %s", now, got, want)
 		}
 	}
-	choose(s, candidates[0].PeerAddr)
+	expectParent(s, candidates[0].PeerAddr)
 	sub.RecordFailure(candidates[0].PeerAddr, s)
-	choose(2*s, candidates[1].PeerAddr)
+	expectParent(2*s, candidates[1].PeerAddr)
 	sub.RecordFailure(candidates[1].PeerAddr, 2*s)
-	choose(3*s, "core")
-	choose(s+relayBackoff+1, candidates[0].PeerAddr)
+	expectParent(3*s, "core")
+	expectParent(s+relayBackoff+1, candidates[0].PeerAddr)
 }
 
 // A sidecar whose configuration has become stale turns to the control machines at once, to those that the others have heard of first.
-func TestStaleSidecarTurnsToControlMachinesThatAreUp(t *testing.T) {
+func TestStaleSidecarPrefersControlMachinesSeenLately(t *testing.T) {
 	s, now := time.Second, 10*time.Second
 	sub := NewSubscriber("n", "z", durations, 0)
 	if !sub.Ready(0, 1, 0, nil) {
 		t.Fatal("it is not ready")
 	}
-	var members []Locality
+	var members []Member
 	for i := range 30 {
-		members = append(members, Locality{Node: "m" + string(rune('a'+i)), Zone: "z", PeerAddr: "relay:" + string(rune('a'+i))})
+		members = append(members, Member{Node: "m" + string(rune('a'+i)), Zone: "z", PeerAddr: "relay:" + string(rune('a'+i))})
 	}
-	members = append(members, Locality{Node: "n", Zone: "z", PeerAddr: "n:1"})
+	members = append(members, Member{Node: "n", Zone: "z", PeerAddr: "n:1"})
 	machines := []ControlMachine{{"down:1", "z", now - 8*s}, {"up:1", "other", now - s}, {"up:2", "other", now - s}}
 	if _, relay := sub.ChooseParent(now, now-s, members, machines); !relay {
 		t.Error("with a fresh configuration it does not turn to a relay")
--- a/mesh/dissemination/subscription.go
+++ b/mesh/dissemination/subscription.go
@@ -6,23 +6,23 @@
 	// maxUnackedEntries is how many entries are pushed without awaiting an acknowledgement, and together with a configuration.
 	maxUnackedEntries = 32
 	// pushesBetweenMachines is how many pushes go without the list of control machines after one that had it.
-	pushesBetweenMachines = 2
+	pushesBetweenMachineLists = 2
 	// notChanged is the value of subscription.changedAt while there is nothing new for the subscriber.
-	notChanged = time.Duration(-1)
+	noChange = time.Duration(-1)
 )
 
 // subscription is a publisher's state for one subscriber.
 type subscription struct {
-	directoryRevision uint64 // of the directory, up to which entries were pushed
-	sentRollouts      uint32 // revision of the rollouts that were pushed
-	sentVersion       uint32 // that the subscriber has once it has applied all that was pushed
-	nonce             uint64 // of the last update that had one
-	awaitingAck       bool   // that update is not acknowledged yet
-	lowestInForce     uint32
-	lastAck           time.Duration
-	lastPush          time.Duration
-	changedAt         time.Duration // since when there is something to push; below 0: there is nothing
-	pushesToMachines  int           // pushes left until the control machines are listed again
+	directoryRevision      uint64 // of the directory, up to which entries were pushed
+	sentRolloutRevision    uint32 // revision of the rollouts that were pushed
+	sentVersion            uint32 // that the subscriber has once it has applied all that was pushed
+	nonce                  uint64 // of the last update that had one
+	awaitingAck            bool   // that update is not acknowledged yet
+	lowestInForce          uint32
+	lastAck                time.Duration
+	lastPush               time.Duration
+	changedAt              time.Duration // since when there is something to push; below 0: there is nothing
+	pushesUntilMachineList int           // pushes left until the control machines are listed again
 }
 
 // newSubscription returns the state for a subscriber that has a version. Its first push is due a heartbeat interval after lastPush.
@@ -55,7 +55,7 @@
 
 // hasChanges reports whether there is something that may be pushed now.
 func (s *subscription) hasChanges(p *Publisher) bool {
-	if s.sentRollouts < p.Rollouts.Revision {
+	if s.sentRolloutRevision < p.Rollouts.Revision {
 		return true
 	}
 	return !s.awaitingAck && (s.sentVersion < p.Version || s.directoryRevision < p.Directory.Revision())
@@ -65,9 +65,9 @@
 // subscriber's first.
 func (s *subscription) push(id uint64, p *Publisher, now time.Duration) Update {
 	update := Update{SubscriberID: id, AsOf: TimeUnknown}
-	if s.sentRollouts < p.Rollouts.Revision { // ahead of the entries of servers of new versions
+	if s.sentRolloutRevision < p.Rollouts.Revision { // ahead of the entries of servers of new versions
 		rollouts := p.Rollouts
-		update.Rollouts, s.sentRollouts = &rollouts, rollouts.Revision
+		update.Rollouts, s.sentRolloutRevision = &rollouts, rollouts.Revision
 	}
 	if !s.awaitingAck {
 		config := s.addConfig(&update, p)
@@ -81,10 +81,10 @@
 	if s.sentVersion >= p.Version {
 		update.Version, update.AsOf = p.Version, p.AsOf
 	}
-	if s.pushesToMachines--; s.pushesToMachines < 0 {
-		update.ControlMachines, s.pushesToMachines = p.ControlMachines, pushesBetweenMachines
+	if s.pushesUntilMachineList--; s.pushesUntilMachineList < 0 {
+		update.ControlMachines, s.pushesUntilMachineList = p.ControlMachines, pushesBetweenMachineLists
 	}
-	s.lastPush, s.changedAt = now, notChanged
+	s.lastPush, s.changedAt = now, noChange
 	return update
 }
 
@@ -100,13 +100,13 @@
 }
 
 // addEntries adds what has changed in the directory. It reports whether that has to be acknowledged.
-func (s *subscription) addEntries(update *Update, p *Publisher, besideConfig bool) bool {
+func (s *subscription) addEntries(update *Update, p *Publisher, withConfig bool) bool {
 	revision := p.Directory.Revision()
 	if s.directoryRevision >= revision {
 		return false
 	}
 	entries := p.Directory.ChangedSince(s.directoryRevision)
-	if besideConfig && s.directoryRevision > 0 && len(entries) > maxUnackedEntries {
+	if withConfig && s.directoryRevision > 0 && len(entries) > maxUnackedEntries {
 		return false // they follow once the configuration is acknowledged
 	}
 	update.Entries, s.directoryRevision = entries, revision
--- a/mesh/dissemination/tree.go
+++ b/mesh/dissemination/tree.go
@@ -11,11 +11,11 @@
 	Fanout = 5
 	// maxFlatZone is the number of sidecars up to which a zone has no relays: all subscribe to control machines, as a tree would cost
 	// them time and spare the control plane nothing.
-	maxFlatZone = 6
+	maxFlatZoneSize = 6
 )
 
 // Locality is a sidecar as the tree sees it.
-type Locality struct {
+type Member struct {
 	Node     string // its name
 	Zone     string // its failure domain
 	PeerAddr string // host and port that subscribers connect to
@@ -26,17 +26,17 @@
 // Sidecars that know the same members compute the same tree without any agreement: in each zone the first in the order of a hash of their
 // names are relays, and the others are dealt out to them. Relays subscribe to control machines only, so that an update takes one hop more
 // at most, and no cycle can form where sidecars know different members.
-func ParentCandidates(self string, members []Locality) []Locality {
-	at := slices.IndexFunc(members, func(l Locality) bool { return l.Node == self })
-	if at < 0 {
+func ParentCandidates(self string, members []Member) []Member {
+	selfIndex := slices.IndexFunc(members, func(l Member) bool { return l.Node == self })
+	if selfIndex < 0 {
 		return nil
 	}
-	zone := sidecarsOfZone(members[at].Zone, members)
-	if len(zone) <= maxFlatZone {
+	zone := membersOfZone(members[selfIndex].Zone, members)
+	if len(zone) <= maxFlatZoneSize {
 		return nil
 	}
 	relays := (len(zone) + Fanout) / (Fanout + 1)
-	rank := slices.IndexFunc(zone, func(l Locality) bool { return l.Node == self })
+	rank := slices.IndexFunc(zone, func(l Member) bool { return l.Node == self })
 	if rank < relays {
 		return nil // a relay itself
 	}
@@ -45,14 +45,14 @@
 }
 
 // sidecarsOfZone returns the members of a zone in the order of the hashes of their names.
-func sidecarsOfZone(name string, members []Locality) []Locality {
-	var zone []Locality
-	for _, l := range members {
-		if l.Zone == name {
-			zone = append(zone, l)
+func membersOfZone(name string, members []Member) []Member {
+	var zone []Member
+	for _, m := range members {
+		if m.Zone == name {
+			zone = append(zone, m)
 		}
 	}
-	slices.SortFunc(zone, func(a, b Locality) int {
+	slices.SortFunc(zone, func(a, b Member) int {
 		return cmp.Or(cmp.Compare(hashOf(a.Node), hashOf(b.Node)), cmp.Compare(a.Node, b.Node))
 	})
 	return zone
--- a/mesh/dissemination/tree_test.go
+++ b/mesh/dissemination/tree_test.go
@@ -6,16 +6,16 @@
 	"testing"
 )
 
-func localities(zone string, n int) (all []Locality) {
+func zoneMembers(zone string, n int) (members []Member) {
 	for i := range n {
-		all = append(all, Locality{Node: fmt.Sprintf("%s-%d", zone, i), Zone: zone, PeerAddr: fmt.Sprintf("%s:%d", zone, i)})
+		members = append(members, Member{Node: fmt.Sprintf("%s-%d", zone, i), Zone: zone, PeerAddr: fmt.Sprintf("%s:%d", zone, i)})
 	}
-	return all
+	return members
 }
 
 func TestTreeHasTwoLevelsAndNoCycle(t *testing.T) {
 	for _, n := range []int{1, 6, 7, 12, 40, 90} {
-		all := slices.Concat(localities("x", n), localities("y", 3))
+		all := slices.Concat(zoneMembers("x", n), zoneMembers("y", 3))
 		subscribers := map[string]int{}
 		relays := 0
 		for _, p := range all {
@@ -36,14 +36,14 @@
 				t.Errorf("%d: %s has %d subscribers", n, node, c)
 			}
 		}
-		if n > maxFlatZone && relays-3 != (n+Fanout)/(Fanout+1) {
+		if n > maxFlatZoneSize && relays-3 != (n+Fanout)/(Fanout+1) {
 			t.Errorf("%d: %d relays", n, relays-3)
 		}
 	}
 }
 
 func TestSidecarsWithTheSameMembersComputeTheSameTree(t *testing.T) {
-	all := localities("x", 30)
+	all := zoneMembers("x", 30)
 	reversed := slices.Clone(all)
 	slices.Reverse(reversed)
 	for _, p := range all {
--- a/mesh/membership/detector.go
+++ b/mesh/membership/detector.go
@@ -116,17 +116,17 @@
 
 // checkProbes moves on the pings that have timed out: a member's own go to indirect ones, then to a suspicion.
 func (d *Detector) checkProbes(now time.Duration) (out []Message) {
-	timeout := d.scaled(d.config.PingTimeout)
+	timeout := d.scaledTimeout(d.config.PingTimeout)
 	for _, seqNo := range sortedKeys(d.probes) {
 		p := d.probes[seqNo]
-		switch waited := now - p.sentAt; {
-		case waited < timeout:
+		switch elapsed := now - p.sentAt; {
+		case elapsed < timeout:
 		case p.requester != "":
 			delete(d.probes, seqNo)
-		case waited >= 2*timeout:
+		case elapsed >= 2*timeout:
 			delete(d.probes, seqNo)
 			out = append(out, d.suspect(now, p.target)...)
-			timeout = d.scaled(d.config.PingTimeout) // a suspicion changes the local health
+			timeout = d.scaledTimeout(d.config.PingTimeout) // a suspicion changes the local health
 		case !p.indirect:
 			p.indirect = true
 			for _, helper := range d.randomHealthy(p.target) {
@@ -139,7 +139,7 @@
 
 // confirmSuspects turns suspicions into losses that nobody has refuted in time. It reports whether there were any.
 func (d *Detector) confirmSuspects(now time.Duration) (changed bool) {
-	timeout := d.scaled(d.config.SuspicionTimeout)
+	timeout := d.scaledTimeout(d.config.SuspicionTimeout)
 	for _, m := range d.members {
 		if m.suspected() && !m.lost && now-m.suspectedAt >= timeout {
 			m.lost, changed = true, true
@@ -256,15 +256,15 @@
 }
 
 // scaled lengthens a time-out by the local health score.
-func (d *Detector) scaled(timeout time.Duration) time.Duration {
+func (d *Detector) scaledTimeout(timeout time.Duration) time.Duration {
 	return timeout * time.Duration(1+min(d.localHealth, d.config.MaxLocalHealth))
 }
 
 // randomHealthy picks up to IndirectProbes members that are not suspected, other than one.
 func (d *Detector) randomHealthy(except string) (picked []string) {
-	all := sortedKeys(d.members)
-	d.shuffle(all)
-	for _, name := range all {
+	names := sortedKeys(d.members)
+	d.shuffle(names)
+	for _, name := range names {
 		if name != except && !d.members[name].suspected() && len(picked) < d.config.IndirectProbes {
 			picked = append(picked, name)
 		}
--- a/mesh/membership/detector_test.go
+++ b/mesh/membership/detector_test.go
@@ -22,37 +22,37 @@
 // "slow" delays all that a member sends by slowDelay; "full" loses a member's datagrams, while it answers requests; "busy" loses them too,
 // and it answers no requests, but pings over connections.
 type cluster struct {
-	names    []string
-	all      []*Detector
-	cut      map[int]bool
-	deaf     map[[2]string]bool
-	slow     map[int]bool
-	full     map[int]bool
-	busy     map[int]bool
-	inFlight []delivery
-	log      []string
-	lost     string // the last line of the log
+	names      []string
+	detectors  []*Detector
+	cut        map[int]bool
+	cutLinks   map[[2]string]bool
+	slow       map[int]bool
+	full       map[int]bool
+	busy       map[int]bool
+	inFlight   []delivery
+	log        []string
+	lastLogged string // the last line of the log
 }
 
 type delivery struct {
-	at      time.Duration
-	message Message
+	arrivesAt time.Duration
+	message   Message
 }
 
 func (c *cluster) send(now time.Duration, messages []Message) {
 	for _, m := range messages {
-		at := now + linkDelay
+		arrivesAt := now + linkDelay
 		if c.slow[slices.Index(c.names, m.From)] {
-			at += slowDelay
+			arrivesAt += slowDelay
 		}
-		c.inFlight = append(c.inFlight, delivery{at, m})
+		c.inFlight = append(c.inFlight, delivery{arrivesAt, m})
 	}
 }
 
 func (c *cluster) step(now time.Duration) {
 	c.deliver(now)
-	var lost []string
-	for i, d := range c.all {
+	var losses []string
+	for i, d := range c.detectors {
 		for j := range c.full {
 			if d != nil && i != j && now%contactInterval == 0 {
 				d.RecordContact(now, c.names[j])
@@ -63,37 +63,37 @@
 		}
 		out, _ := d.Tick(now)
 		c.send(now, out)
-		if names := c.lostTo(d); names != nil {
-			lost = append(lost, fmt.Sprintf("%s without %s", c.names[i], strings.Join(names, ",")))
+		if names := c.membersLostTo(d); names != nil {
+			losses = append(losses, fmt.Sprintf("%s without %s", c.names[i], strings.Join(names, ",")))
 		}
 	}
-	c.logLost(now, strings.Join(lost, "; "))
+	c.logLost(now, strings.Join(losses, "; "))
 }
 
 // deliver hands over the messages that have arrived.
 func (c *cluster) deliver(now time.Duration) {
 	inFlight := c.inFlight
 	c.inFlight = nil
-	for _, l := range inFlight {
-		from, to := l.message.From, l.message.To
+	for _, d := range inFlight {
+		from, to := d.message.From, d.message.To
 		i, j := slices.Index(c.names, from), slices.Index(c.names, to)
 		switch {
-		case l.at > now:
-			c.inFlight = append(c.inFlight, l)
-		case l.message.Kind == StreamPing:
-			if c.all[i] != nil && c.all[j] != nil && (c.busy[j] || !c.cut[j]) && (c.busy[i] || !c.cut[i]) && !c.deaf[[2]string{from, to}] {
-				c.all[i].RecordContact(now, to)
+		case d.arrivesAt > now:
+			c.inFlight = append(c.inFlight, d)
+		case d.message.Kind == StreamPing:
+			if c.detectors[i] != nil && c.detectors[j] != nil && (c.busy[j] || !c.cut[j]) && (c.busy[i] || !c.cut[i]) && !c.cutLinks[[2]string{from, to}] {
+				c.detectors[i].RecordContact(now, to)
 			}
-		case c.all[j] == nil || c.cut[i] || c.cut[j] || c.deaf[[2]string{from, to}] || c.deaf[[2]string{to, from}]:
+		case c.detectors[j] == nil || c.cut[i] || c.cut[j] || c.cutLinks[[2]string{from, to}] || c.cutLinks[[2]string{to, from}]:
 		default:
-			out, _ := c.all[j].Handle(now, l.message)
+			out, _ := c.detectors[j].Handle(now, d.message)
 			c.send(now, out)
 		}
 	}
 }
 
 // lostTo returns the members that a detector holds for lost.
-func (c *cluster) lostTo(d *Detector) (names []string) {
+func (c *cluster) membersLostTo(d *Detector) (names []string) {
 	for _, name := range c.names {
 		if d.Lost(name) {
 			names = append(names, name)
@@ -104,23 +104,23 @@
 
 // logLost logs who is lost to whom, where that has changed.
 func (c *cluster) logLost(now time.Duration, text string) {
-	if text == c.lost {
+	if text == c.lastLogged {
 		return
 	}
-	c.lost = text
+	c.lastLogged = text
 	if text == "" {
 		text = "all are there to all"
 	}
 	c.log = append(c.log, fmt.Sprintf("%5.2f  %s", now.Seconds(), text))
 }
 
-func (c *cluster) do(now time.Duration, i int, cell string) {
+func (c *cluster) apply(now time.Duration, i int, cell string) {
 	switch verb, arg, _ := strings.Cut(cell, ":"); verb {
 	case "up":
-		c.all[i] = New(c.names[i], uint64(i+1), DefaultConfig())
-		c.all[i].SetMembers(now, c.names)
+		c.detectors[i] = New(c.names[i], uint64(i+1), DefaultConfig())
+		c.detectors[i].SetMembers(now, c.names)
 	case "kill":
-		c.all[i] = nil
+		c.detectors[i] = nil
 	case "cut":
 		c.cut[i] = true
 	case "full":
@@ -132,9 +132,9 @@
 		delete(c.full, i)
 		delete(c.cut, i)
 		delete(c.slow, i)
-		clear(c.deaf)
+		clear(c.cutLinks)
 	case "deaf":
-		c.deaf[[2]string{c.names[i], arg}] = true
+		c.cutLinks[[2]string{c.names[i], arg}] = true
 	case "slow":
 		c.slow[i] = true
 	}
@@ -142,20 +142,20 @@
 
 func TestTimelines(t *testing.T) {
 	datadriven.RunTest(t, "testdata/timelines", func(t *testing.T, d *datadriven.TestData) string {
-		drawing, err := timeline.Parse(d.Input)
+		scenario, err := timeline.Parse(d.Input)
 		if err != nil {
 			t.Fatal(err)
 		}
 		c := &cluster{
-			names: drawing.Names,
-			all:   make([]*Detector, len(drawing.Names)),
-			cut:   map[int]bool{},
-			deaf:  map[[2]string]bool{},
-			slow:  map[int]bool{},
-			full:  map[int]bool{},
-			busy:  map[int]bool{},
+			names:     scenario.Names,
+			detectors: make([]*Detector, len(scenario.Names)),
+			cut:       map[int]bool{},
+			cutLinks:  map[[2]string]bool{},
+			slow:      map[int]bool{},
+			full:      map[int]bool{},
+			busy:      map[int]bool{},
 		}
-		drawing.Play(10*time.Millisecond, c.step, c.do)
+		scenario.Play(10*time.Millisecond, c.step, c.apply)
 		if c.log == nil {
 			return "nobody is ever lost\n"
 		}
@@ -164,14 +164,14 @@
 }
 
 // detectorOf returns a detector of a whose other members are b and c, seen at 0.
-func detectorOf(config Config) *Detector {
+func newTestDetector(config Config) *Detector {
 	d := New("a", 1, config)
 	d.SetMembers(0, []string{"a", "b", "c"})
 	return d
 }
 
-func TestSuspicionIsRefutedByWhoHasSeenTheSuspect(t *testing.T) {
-	d := detectorOf(DefaultConfig())
+func TestSuspicionIsRefutedByMemberThatSawTheSuspect(t *testing.T) {
+	d := newTestDetector(DefaultConfig())
 	suspicion := Message{Kind: Suspect, From: "b", To: "a", Target: "c"}
 	out, _ := d.Handle(100*time.Millisecond, suspicion)
 	if len(out) != 1 || out[0].Kind != Alive || out[0].To != "b" || out[0].Target != "c" {
@@ -183,8 +183,8 @@
 	}
 }
 
-func TestAckOfAnotherMemberDoesNotCount(t *testing.T) {
-	d := detectorOf(DefaultConfig())
+func TestAckFromAnotherMemberIsIgnored(t *testing.T) {
+	d := newTestDetector(DefaultConfig())
 	out, _ := d.Handle(0, Message{Kind: PingReq, From: "b", To: "a", SeqNo: 9, Target: "c"})
 	if len(out) != 1 || out[0].Kind != Ping || out[0].To != "c" {
 		t.Fatalf("%+v", out)
@@ -202,7 +202,7 @@
 func TestPendingProbesAreBounded(t *testing.T) {
 	config := DefaultConfig()
 	config.MaxPendingProbes = 2
-	d := detectorOf(config)
+	d := newTestDetector(config)
 	pings := 0
 	for n := range uint64(5) {
 		out, _ := d.Handle(0, Message{Kind: PingReq, From: "b", To: "a", SeqNo: n, Target: "c"})
