--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -60,7 +60,7 @@
 	// (rule CONFIG).
 	ReadCoversAcknowledged Name = "read_covers_acknowledged"
 	// OperationsProgress: while a quorum answers a control machine, no operation waits for one for longer than
-	// timing.Operations.MaxProgress (rule ACKS).
+	// timing.Operations.MaxWait (rule ACKS).
 	OperationsProgress Name = "operations_progress"
 	// MembersKnown: a committed value has members.
 	MembersKnown Name = "members_known"
--- a/lab/explore/cutoff/sidecar.go
+++ b/lab/explore/cutoff/sidecar.go
@@ -65,7 +65,7 @@
 		updates.MaxReadyAge = time.Hour
 	}
 	if s.w.defect.neverReady {
-		updates.LastResort = time.Hour
+		updates.StaleFallbackDelay = time.Hour
 	}
 	s.policy = dissemination.NewSubscriber(s.name(), s.zone, updates, 0)
 	s.policy.Seeds = s.seeds
--- a/lab/explore/liveness/liveness.go
+++ b/lab/explore/liveness/liveness.go
@@ -59,7 +59,7 @@
 
 // limit is the time in which a run has to end.
 func (s Surroundings) limit() time.Duration {
-	return time.Second + time.Duration(changes*s.Writers*roundsPerChange)*(s.round()+timing.Default().Register.MinPhase)
+	return time.Second + time.Duration(changes*s.Writers*roundsPerChange)*(s.round()+timing.Default().Register.MinPhaseTimeout)
 }
 
 // delivery is something that happens at a time.
--- a/lab/explore/liveness/liveness_test.go
+++ b/lab/explore/liveness/liveness_test.go
@@ -46,7 +46,7 @@
 				}
 				longest = max(longest, took)
 			}
-			t.Logf("%+v, phases from %v: %v at most", in, rounds.MinPhase, longest)
+			t.Logf("%+v, phases from %v: %v at most", in, rounds.MinPhaseTimeout, longest)
 		}
 	}
 }
@@ -54,19 +54,19 @@
 // shortPhases is the timing of rounds in a deployment whose syncS is 2 s.
 func shortPhases() timing.Register {
 	r := durations.Register
-	r.MinPhase = short.PhaseTimeout
+	r.MinPhaseTimeout = short.PhaseTimeout
 	return r
 }
 
 // A phase that ends after a fixed time is begun anew for ever where its replies take longer.
 func TestPhasesOfFixedLengthStarve(t *testing.T) {
 	fixed := durations.Register
-	fixed.MaxPhase = fixed.MinPhase
+	fixed.MaxPhaseTimeout = fixed.MinPhaseTimeout
 	if took, err := Rounds(steadyDisks, fixed, 1); err == nil {
 		t.Errorf("every change is answered after %v", took)
 	}
 	fixed = shortPhases()
-	fixed.MaxPhase = fixed.MinPhase
+	fixed.MaxPhaseTimeout = fixed.MinPhaseTimeout
 	if took, err := Rounds(rivals, fixed, 1); err == nil {
 		t.Errorf("short phases: every change is answered after %v", took)
 	}
@@ -75,7 +75,7 @@
 // Proposers that pause for as short a time as a single failure wants starve each other.
 func TestShortPausesStarve(t *testing.T) {
 	hasty := durations.Register
-	hasty.MinBackoff, hasty.BackoffJitter, hasty.MaxPhase = ms, ms, hasty.MinPhase
+	hasty.MinBackoff, hasty.BackoffJitter, hasty.MaxPhaseTimeout = ms, ms, hasty.MinPhaseTimeout
 	for seed := range uint64(20) {
 		if _, err := Rounds(rivals, hasty, seed); err != nil {
 			t.Logf("seed %d: %v", seed, err)
--- a/lab/explore/rollouts/world.go
+++ b/lab/explore/rollouts/world.go
@@ -195,7 +195,7 @@
 	if known {
 		toOld, toTarget = r.Eligibility(old, false), r.Eligibility(target, false)
 	}
-	stale := w.now-s.contactAt > durations.HoldUp
+	stale := w.now-s.contactAt > durations.LostSidecarWait
 	if known && r.Stage == rollout.Canary {
 		s.requests++
 		if chosen {
@@ -335,7 +335,7 @@
 	}
 	w.deliveredAt = w.now
 	for _, s := range w.sidecars {
-		s.behind = s.cut && w.now-s.contactAt > durations.HoldUp
+		s.behind = s.cut && w.now-s.contactAt > durations.LostSidecarWait
 		if len(s.atOld) > 0 && !s.behind && w.broken == nil {
 			w.broken = fmt.Errorf("%d requests are held at the old version as the rollout is delivered", len(s.atOld))
 		}
--- a/mesh/admission/controller_test.go
+++ b/mesh/admission/controller_test.go
@@ -77,10 +77,10 @@
 			t.Fatal(err)
 		}
 		p := &played{controller: New(timing.Server{
-			HeartbeatTimeout:  3 * time.Second,
-			RestoredTimeout:   2250 * time.Millisecond,
-			IdentifiedTimeout: time.Second,
-			ConfirmBy:         2500 * time.Millisecond,
+			HeartbeatTimeout:      3 * time.Second,
+			RestoredTimeout:       2250 * time.Millisecond,
+			IdentifiedTimeout:     time.Second,
+			RestartConfirmTimeout: 2500 * time.Millisecond,
 		})}
 		step := func(now time.Duration) { p.noteIf(p.controller.Tick(now), now, "heartbeat time-out") }
 		drawing.Play(100*time.Millisecond, step, func(now time.Duration, column int, cell string) {
--- a/mesh/admission/server.go
+++ b/mesh/admission/server.go
@@ -68,7 +68,7 @@
 	case confirmed:
 		c.confirmBy = 0
 	case serverID != c.serverID || c.confirmBy == 0:
-		c.confirmBy = c.durations.ConfirmBy
+		c.confirmBy = c.durations.RestartConfirmTimeout
 	}
 }
 
@@ -111,13 +111,13 @@
 
 // Identify takes over what a server's health check says, as Restore does where nothing else is known of it. The server may have announced
 // its end to an earlier incarnation of this sidecar, with nobody left that knows, and health checks may lie; so it has to send a heartbeat
-// before this machine is in touch (timing.Server.IdentifiedTimeout, ConfirmBy). A server that has sent one is confirmed by its health
+// before this machine is in touch (timing.Server.IdentifiedTimeout, RestartConfirmTimeout). A server that has sent one is confirmed by its health
 // check.
 func (c *Controller) Identify(now time.Duration, e *directory.Entry) {
 	c.identified = e.Server
 	switch {
 	case e.Server != c.lastBeat.ServerID:
-		c.restore(now, e, min(c.durations.IdentifiedTimeout, max(0, c.durations.ConfirmBy-now)))
+		c.restore(now, e, min(c.durations.IdentifiedTimeout, max(0, c.durations.RestartConfirmTimeout-now)))
 	case e.Server != c.serverID:
 		c.HandleHeartbeat(now, c.lastBeat)
 	default:
--- a/mesh/controlplane/operations/invariants.go
+++ b/mesh/controlplane/operations/invariants.go
@@ -17,7 +17,7 @@
 	for _, id := range slices.Sorted(maps.Keys(t.pending)) {
 		op := t.pending[id]
 		waited := now - max(op.requestedAt, t.servingSince)
-		if op.decided || op.stalled || waited <= t.durations.Operations.MaxProgress {
+		if op.decided || op.stalled || waited <= t.durations.Operations.MaxWait {
 			continue
 		}
 		op.stalled = true
--- a/mesh/controlplane/operations/invariants_test.go
+++ b/mesh/controlplane/operations/invariants_test.go
@@ -47,7 +47,7 @@
 
 // An operation that waits for too long while a quorum answers is reported, once; not one that waits for sidecars, or without a quorum.
 func TestOperationsWithoutProgressAreReported(t *testing.T) {
-	bound := durations.Operations.MaxProgress
+	bound := durations.Operations.MaxWait
 	for _, c := range []struct {
 		name string
 		play func(table *Table, r *replica, id uint64)
--- a/mesh/controlplane/persistence/pipeline.go
+++ b/mesh/controlplane/persistence/pipeline.go
@@ -120,7 +120,7 @@
 // Progress describes, for the log, what the replica is at work on, and for how long the disk has been.
 func (p *Pipeline) Progress(now time.Duration) string {
 	text := p.replica.Progress(now)
-	if waited := p.queue.Waiting(now); waited > 0 {
+	if waited := p.queue.UnsyncedFor(now); waited > 0 {
 		text += "; the disk for " + waited.Round(time.Millisecond).String()
 	}
 	return text
--- a/mesh/dataplane/lifecycle.go
+++ b/mesh/dataplane/lifecycle.go
@@ -91,7 +91,7 @@
 	cfg := httpfront.Config{
 		Catalog:     &core.Catalog{},
 		Connections: connections,
-		LastCalls:   p.durations.Shutdown.Accept,
+		LastCalls:   p.durations.Shutdown.StopAccepting,
 		Idle:        frontIdleTimeout,
 		Waiting:     maxOccupancy,
 		Evict:       func() bool { return false },
--- a/mesh/dataplane/rollouts.go
+++ b/mesh/dataplane/rollouts.go
@@ -161,7 +161,7 @@
 	}
 	p.countForRollout()
 	asOf := p.node.State().AsOf
-	stale := asOf != dissemination.TimeUnknown && now-asOf > r.durations.HoldUp
+	stale := asOf != dissemination.TimeUnknown && now-asOf > r.durations.LostSidecarWait
 	if retired := r.retire(now); retired || stale != r.stale {
 		r.stale = stale
 		p.exchanges.Invalidate()
@@ -175,7 +175,7 @@
 func (r *rollouts) retire(now time.Duration) (changed bool) {
 	for service, f := range r.followed {
 		one, ok := r.set.Find(service)
-		if ok && one.Stage == rollout.Delivered && !f.retired && now-f.since > r.durations.Retirement {
+		if ok && one.Stage == rollout.Delivered && !f.retired && now-f.since > r.durations.RetirementPeriod {
 			f.retired, changed = true, true
 		}
 	}
@@ -227,7 +227,7 @@
 	for i := range r.set.Rollouts {
 		one := &r.set.Rollouts[i]
 		f := r.followed[one.Service]
-		if one.Stage == rollout.Promoting && f != nil && now-f.since <= r.durations.StreamHoldUp {
+		if one.Stage == rollout.Promoting && f != nil && now-f.since <= r.durations.OpenStreamWait {
 			return true
 		}
 	}
@@ -246,7 +246,7 @@
 func (p *Proxy) reportRollouts(now time.Duration) (next time.Duration) {
 	r := &p.rollouts
 	if !r.counting {
-		return now + r.durations.HoldUp
+		return now + r.durations.LostSidecarWait
 	}
 	if now >= r.reportAt {
 		p.sendEvidence(now)
--- a/mesh/dataplane/rollouts_test.go
+++ b/mesh/dataplane/rollouts_test.go
@@ -31,10 +31,10 @@
 		!r.anyServes([]directory.Entry{server("v2", directory.Accepting), server("v1", directory.Accepting)}, &canary) {
 		t.Error("whether there is another version")
 	}
-	if r.retire(time.Second+r.durations.Retirement) || r.eligibility(&delivered, "v1") != rollout.Finishes {
+	if r.retire(time.Second+r.durations.RetirementPeriod) || r.eligibility(&delivered, "v1") != rollout.Finishes {
 		t.Error("the old version is used before it has retired")
 	}
-	if !r.retire(2*time.Second+r.durations.Retirement) || r.eligibility(&delivered, "v1") != rollout.Serves {
+	if !r.retire(2*time.Second+r.durations.RetirementPeriod) || r.eligibility(&delivered, "v1") != rollout.Serves {
 		t.Error("servers that come long after a delivery get nothing")
 	}
 	if r.stale = true; r.eligibility(&canary, "v2") != rollout.Serves || r.eligibility(&canary, "v1") != rollout.Serves {
--- a/mesh/dataplane/shutdown.go
+++ b/mesh/dataplane/shutdown.go
@@ -22,7 +22,7 @@
 }
 
 func newShutdownSchedule(began time.Time, t timing.Shutdown) *shutdownSchedule {
-	return &shutdownSchedule{late: began.Add(t.Late), cut: began.Add(t.Cut), ended: began.Add(t.End)}
+	return &shutdownSchedule{late: began.Add(t.CheckDeadlines), cut: began.Add(t.AbortRequests), ended: began.Add(t.FrontsEnded)}
 }
 
 // takes reports whether a request that may last so long is taken at a time. Without a shutdown, s is nil.
--- a/mesh/delta/compatibility_test.go
+++ b/mesh/delta/compatibility_test.go
@@ -42,7 +42,7 @@
 
 // Deltas that earlier releases made are applied to the expected texts, and the same texts are encoded to the same
 // bytes: both releases run side by side while one replaces the other.
-func TestDeltasOfEarlierReleases(t *testing.T) {
+func TestDeltasOfEarlierReleasesAreCompatible(t *testing.T) {
 	file, err := os.ReadFile("testdata/5126712/deltas.txt")
 	if err != nil {
 		t.Fatal(err)
--- a/mesh/delta/delta.go
+++ b/mesh/delta/delta.go
@@ -105,11 +105,11 @@
 		return nil, ErrWrongBase
 	}
 	textHash := binary.LittleEndian.Uint64(delta[hashSize:])
-	size, operations, ok := cutUvarint(delta[headerSize:])
+	size, operations, ok := readUvarint(delta[headerSize:])
 	if !ok || size > uint64(maxSize) {
 		return nil, ErrMalformed
 	}
-	text, ok := run(base, operations, int(size))
+	text, ok := applyOperations(base, operations, int(size))
 	if !ok || len(text) != int(size) || Hash(text) != textHash {
 		return nil, ErrMalformed
 	}
@@ -118,12 +118,12 @@
 
 // run carries out operations; ok is false where one leaves the bounds of the base, of the operations, or of a text of
 // size bytes.
-func run(base, operations []byte, size int) (text []byte, ok bool) {
+func applyOperations(base, operations []byte, size int) (text []byte, ok bool) {
 	text = make([]byte, 0, size)
 	offset := int64(0) // in the base, the end of the last copy
 	for len(operations) > 0 {
 		var operation uint64
-		if operation, operations, ok = cutUvarint(operations); !ok {
+		if operation, operations, ok = readUvarint(operations); !ok {
 			return nil, false
 		}
 		length := operation >> kindBits
@@ -138,11 +138,11 @@
 			operations = operations[length:]
 			continue
 		}
-		distance, used := binary.Varint(operations)
-		if used <= 0 {
+		distance, size := binary.Varint(operations)
+		if size <= 0 {
 			return nil, false
 		}
-		operations = operations[used:]
+		operations = operations[size:]
 		offset += distance
 		if offset < 0 || offset > int64(len(base)) || length > uint64(int64(len(base))-offset) {
 			return nil, false
@@ -154,12 +154,12 @@
 }
 
 // cutUvarint returns the unsigned varint that bytes begin with, and what follows it.
-func cutUvarint(b []byte) (v uint64, rest []byte, ok bool) {
-	v, used := binary.Uvarint(b)
-	if used <= 0 {
+func readUvarint(b []byte) (v uint64, rest []byte, ok bool) {
+	v, size := binary.Uvarint(b)
+	if size <= 0 {
 		return 0, nil, false
 	}
-	return v, b[used:], true
+	return v, b[size:], true
 }
 
 // encoder writes a delta.
@@ -174,7 +174,7 @@
 	return &encoder{out: binary.AppendUvarint(out, uint64(len(text)))}
 }
 
-func (e *encoder) begin(kind uint64, length int) {
+func (e *encoder) appendOperation(kind uint64, length int) {
 	e.out = binary.AppendUvarint(e.out, uint64(length)<<kindBits|kind)
 }
 
@@ -182,12 +182,12 @@
 	if len(literal) == 0 {
 		return
 	}
-	e.begin(opInsert, len(literal))
+	e.appendOperation(opInsert, len(literal))
 	e.out = append(e.out, literal...)
 }
 
 func (e *encoder) copy(from, length int) {
-	e.begin(opCopy, length)
+	e.appendOperation(opCopy, length)
 	e.out = binary.AppendVarint(e.out, int64(from-e.offset))
 	e.offset = from + length
 }
--- a/mesh/delta/delta_test.go
+++ b/mesh/delta/delta_test.go
@@ -10,10 +10,10 @@
 )
 
 // maxSize bounds the texts, in bytes.
-const maxSize = 1 << 20
+const maxTextBytes = 1 << 20
 
 // routes is a text of the size and form of a configuration, by routes.
-func routes(r *rand.Rand, n int) (all [][]byte) {
+func routeEntries(r *rand.Rand, n int) (all [][]byte) {
 	const route = `{"name":"r-%08x","routeKind":"safe","targetS":0.3,"sorting":{"lanePrefix":"/%x/"},` +
 		`"dispatch":{"line":"huvo%da","deadlineS":1.2,"attempts":2}},`
 	for i := range n {
@@ -24,50 +24,50 @@
 
 func TestDeltaGivesTheExactText(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
-	old := routes(r, 300)
+	current := routeEntries(r, 300)
 	for round := range 60 {
-		next := append([][]byte(nil), old...)
+		next := append([][]byte(nil), current...)
 		for range r.IntN(6) {
 			i := r.IntN(len(next))
 			switch r.IntN(3) {
 			case 0:
 				next = append(next[:i:i], next[i+1:]...)
 			case 1:
-				next = append(next[:i:i], append(routes(r, 1), next[i:]...)...)
+				next = append(next[:i:i], append(routeEntries(r, 1), next[i:]...)...)
 			default:
 				next[i] = bytes.Replace(next[i], []byte("1.2"), []byte("0.75"), 1)
 			}
 		}
-		a, b := bytes.Join(old, nil), bytes.Join(next, nil)
-		d := Encode(a, b)
-		got, err := Apply(a, d, maxSize)
-		if err != nil || !bytes.Equal(got, b) {
+		base, text := bytes.Join(current, nil), bytes.Join(next, nil)
+		encoded := Encode(base, text)
+		got, err := Apply(base, encoded, maxTextBytes)
+		if err != nil || !bytes.Equal(got, text) {
 			t.Fatalf("round %d: %v", round, err)
 		}
-		if len(d) > 1500 {
-			t.Errorf("round %d: the delta of a few routes takes %d bytes of %d", round, len(d), len(b))
+		if len(encoded) > 1500 {
+			t.Errorf("round %d: the delta of a few routes takes %d bytes of %d", round, len(encoded), len(text))
 		}
-		old = next
+		current = next
 	}
 }
 
-func TestMalformedDeltaIsRefused(t *testing.T) {
-	a := []byte("one text that is long enough to be found again")
-	b := []byte("one text that is long enough to be found again, and more")
-	d := Encode(a, b)
-	if _, err := Apply(b, d, maxSize); !errors.Is(err, ErrWrongBase) {
+func TestMalformedDeltaIsRejected(t *testing.T) {
+	base := []byte("one text that is long enough to be found again")
+	text := []byte("one text that is long enough to be found again, and more")
+	encoded := Encode(base, text)
+	if _, err := Apply(text, encoded, maxTextBytes); !errors.Is(err, ErrWrongBase) {
 		t.Errorf("applied to another base: %v", err)
 	}
-	if _, err := Apply(a, d, len(b)-1); !errors.Is(err, ErrMalformed) {
+	if _, err := Apply(base, encoded, len(text)-1); !errors.Is(err, ErrMalformed) {
 		t.Errorf("above the size limit: %v", err)
 	}
-	for i := range d {
-		bad := bytes.Clone(d)
-		bad[i] ^= 0x41
-		if got, err := Apply(a, bad, maxSize); err == nil && !bytes.Equal(got, b) {
+	for i := range encoded {
+		corrupted := bytes.Clone(encoded)
+		corrupted[i] ^= 0x41
+		if got, err := Apply(base, corrupted, maxTextBytes); err == nil && !bytes.Equal(got, text) {
 			t.Errorf("byte %d altered: %q", i, got)
 		}
-		if _, err := Apply(a, d[:i], maxSize); err == nil {
+		if _, err := Apply(base, encoded[:i], maxTextBytes); err == nil {
 			t.Errorf("cut after %d bytes and applied", i)
 		}
 	}
@@ -77,12 +77,12 @@
 	base := []byte("a base of some length, which is copied from in parts")
 	f.Add(base, Encode(base, append([]byte("x"), base...)))
 	f.Add([]byte(nil), Encode(nil, base))
-	f.Fuzz(func(t *testing.T, base, bytesGiven []byte) {
-		if text, err := Apply(base, bytesGiven, maxSize); err == nil && len(text) > maxSize {
+	f.Fuzz(func(t *testing.T, base, data []byte) {
+		if text, err := Apply(base, data, maxTextBytes); err == nil && len(text) > maxTextBytes {
 			t.Error("above the size limit")
 		}
-		d := Encode(base, bytesGiven)
-		if got, err := Apply(base, d, len(bytesGiven)); err != nil || !bytes.Equal(got, bytesGiven) {
+		d := Encode(base, data)
+		if got, err := Apply(base, d, len(data)); err != nil || !bytes.Equal(got, data) {
 			t.Errorf("%v", err)
 		}
 	})
@@ -90,13 +90,13 @@
 
 func BenchmarkEncode(b *testing.B) {
 	r := rand.New(rand.NewPCG(1, 2))
-	all := routes(r, 600)
-	x := bytes.Join(all, nil)
+	all := routeEntries(r, 600)
+	base := bytes.Join(all, nil)
 	all = append(all[:200:200], all[201:]...)
-	y := bytes.Join(all, nil)
+	text := bytes.Join(all, nil)
 	for b.Loop() {
-		Encode(x, y)
+		Encode(base, text)
 	}
-	b.ReportMetric(float64(len(Encode(x, y))), "bytes/delta")
-	b.ReportMetric(float64(len(y)), "bytes/text")
+	b.ReportMetric(float64(len(Encode(base, text))), "bytes/delta")
+	b.ReportMetric(float64(len(text)), "bytes/text")
 }
--- a/mesh/delta/index.go
+++ b/mesh/delta/index.go
@@ -53,7 +53,7 @@
 	for tried := 0; n > 0 && tried < maxCandidates; tried++ {
 		candidate := int(n-1) * blockSize
 		common := commonLength(base, text, candidate, offset)
-		longer := common > length || common == length && nearer(candidate, from, expected)
+		longer := common > length || common == length && isNearer(candidate, from, expected)
 		if common >= blockSize && longer {
 			from, length = candidate, common
 		}
@@ -63,7 +63,7 @@
 }
 
 // nearer reports whether a is nearer to an offset than b.
-func nearer(a, b, to int) bool { return max(a-to, to-a) < max(b-to, to-b) }
+func isNearer(a, b, to int) bool { return max(a-to, to-a) < max(b-to, to-b) }
 
 // rollingHash is the hash of the block at an offset of a text, cheap for offsets that follow each other (Rabin-Karp).
 type rollingHash struct {
--- a/mesh/dissemination/subscriber.go
+++ b/mesh/dissemination/subscriber.go
@@ -70,10 +70,10 @@
 	case version == 0 || asOf == TimeUnknown:
 	case now-asOf <= s.durations.MaxReadyAge:
 		s.ready = true
-	case searchedFor >= maxSearchFactor*s.durations.LastResort:
+	case searchedFor >= maxSearchFactor*s.durations.StaleFallbackDelay:
 		s.ready = true
 	default:
-		s.ready = searchedFor >= s.durations.LastResort && s.allControlMachinesFailed(machines)
+		s.ready = searchedFor >= s.durations.StaleFallbackDelay && s.allControlMachinesFailed(machines)
 	}
 	return s.ready
 }
@@ -146,7 +146,7 @@
 	}
 	notSeen := map[string]bool{}
 	for _, m := range machines {
-		notSeen[m.Addr] = latest-m.LastSeen > s.durations.UnseenAfter
+		notSeen[m.Addr] = latest-m.LastSeen > s.durations.NotSeenAfter
 	}
 	return notSeen
 }
--- a/mesh/persist/queue.go
+++ b/mesh/persist/queue.go
@@ -21,15 +21,15 @@
 	DiskTimeout = time.Second
 	// retryMin is the pause after a failed write, which doubles with each further one up to retryMax. The number of
 	// retries isn't bounded: an error of the disk loses nothing but time, and this is how often it is tried again.
-	retryMin = 20 * time.Millisecond
-	retryMax = time.Second
+	minRetryDelay = 20 * time.Millisecond
+	maxRetryDelay = time.Second
 	// maxDoublings keeps the pause's shift from overflowing; retryMax is reached long before.
 	maxDoublings = 10
 	// maxOutputs and maxBytes bound what is pending, the latter in bytes of configurations. Beyond either the queue is
 	// full, and its owner gives the replica no more events: messages are lost as on a link, operators are refused. One
 	// more output than the bound may be pending, as what an event leads to is known after it.
-	maxOutputs = 512
-	maxBytes   = 8 << 20
+	maxPendingOutputs = 512
+	maxPendingBytes   = 8 << 20
 )
 
 // Committed is the newest value that the replica knew to be on a majority of disks, its own counted as if synced.
@@ -55,21 +55,21 @@
 
 // output waits for the state that it was made in.
 type output struct {
-	needs uint64 // number of that state
-	bytes int
-	ready Ready
+	requiredState uint64 // number of that state
+	bytes         int
+	ready         Ready
 }
 
 // Queue holds the outputs of a replica back until their states are on disk. The zero Queue is empty. It isn't safe for
 // concurrent use.
 type Queue struct {
-	newest   Write
-	synced   uint64 // number of the newest state that is on disk
-	inFlight bool   // a write is
+	newest        Write
+	syncedNumber  uint64 // number of the newest state that is on disk
+	writeInFlight bool   // a write is
 
-	waitingSince time.Duration // of the oldest state that isn't on disk
-	failures     int           // failed writes in a row
-	retryAt      time.Duration
+	unsyncedSince time.Duration // of the oldest state that isn't on disk
+	failures      int           // failed writes in a row
+	retryAt       time.Duration
 
 	outputs      []output
 	pendingBytes int
@@ -80,14 +80,14 @@
 func (q *Queue) Add(now time.Duration, out register.Output, committed Committed) {
 	if out.State != nil {
 		if q.allSynced() {
-			q.waitingSince = now
+			q.unsyncedSince = now
 		}
 		q.newest = Write{Number: q.newest.Number + 1, State: out.State}
 	}
 	o := output{
-		needs: q.newest.Number,
-		bytes: bodyBytes(out),
-		ready: Ready{Messages: out.Messages, Committed: committed, Outcomes: out.Outcomes},
+		requiredState: q.newest.Number,
+		bytes:         configurationBytes(out),
+		ready:         Ready{Messages: out.Messages, Committed: committed, Outcomes: out.Outcomes},
 	}
 	q.outputs = append(q.outputs, o)
 	q.pendingBytes += o.bytes
@@ -95,7 +95,7 @@
 
 // bodyBytes is the size of the configurations that an output holds. One that stands in several messages counts with
 // each.
-func bodyBytes(out register.Output) (size int) {
+func configurationBytes(out register.Output) (size int) {
 	for i := range out.Messages {
 		if v := out.Messages[i].Value; v != nil {
 			size += len(v.Body)
@@ -110,7 +110,7 @@
 // TakeReady removes and returns what may leave now, in the order in which it was added.
 func (q *Queue) TakeReady() (ready []Ready) {
 	for _, o := range q.outputs {
-		if o.needs > q.synced {
+		if o.requiredState > q.syncedNumber {
 			break
 		}
 		ready = append(ready, o.ready)
@@ -121,45 +121,47 @@
 }
 
 // Full reports whether the replica may be given no more events.
-func (q *Queue) Full() bool { return len(q.outputs) >= maxOutputs || q.pendingBytes >= maxBytes }
+func (q *Queue) Full() bool {
+	return len(q.outputs) >= maxPendingOutputs || q.pendingBytes >= maxPendingBytes
+}
 
 // NextWrite returns the state to be written now; ok is false where there is none, a write is in flight, or a retry
 // isn't due. The owner reports its end with WriteSynced or WriteFailed.
 func (q *Queue) NextWrite(now time.Duration) (w Write, ok bool) {
-	if q.inFlight || q.allSynced() || now < q.retryAt {
+	if q.writeInFlight || q.allSynced() || now < q.retryAt {
 		return Write{}, false
 	}
-	q.inFlight = true
+	q.writeInFlight = true
 	return q.newest, true
 }
 
 // WriteSynced reports that the write in flight is on disk.
 func (q *Queue) WriteSynced(now time.Duration, number uint64) {
-	q.inFlight = false
+	q.writeInFlight = false
 	q.failures = 0
 	q.retryAt = now
-	q.synced = max(q.synced, number)
-	q.waitingSince = now // states that came meanwhile begin to wait now
+	q.syncedNumber = max(q.syncedNumber, number)
+	q.unsyncedSince = now // states that came meanwhile begin to wait now
 }
 
 // WriteFailed reports that the write in flight may not be on disk.
 func (q *Queue) WriteFailed(now time.Duration) {
-	q.inFlight = false
-	q.retryAt = now + min(retryMax, retryMin<<min(q.failures, maxDoublings))
+	q.writeInFlight = false
+	q.retryAt = now + min(maxRetryDelay, minRetryDelay<<min(q.failures, maxDoublings))
 	q.failures++
 }
 
 // DiskFailing reports whether a state has been waiting for the disk for DiskTimeout.
 func (q *Queue) DiskFailing(now time.Duration) bool {
-	return !q.allSynced() && now >= q.waitingSince+DiskTimeout
+	return !q.allSynced() && now >= q.unsyncedSince+DiskTimeout
 }
 
 // Waiting returns for how long a state has been waiting for the disk; 0: none is.
-func (q *Queue) Waiting(now time.Duration) time.Duration {
+func (q *Queue) UnsyncedFor(now time.Duration) time.Duration {
 	if q.allSynced() {
 		return 0
 	}
-	return now - q.waitingSince
+	return now - q.unsyncedSince
 }
 
 // NextTick returns when the owner has to look at the queue again, as a write is due or the disk begins to count as
@@ -168,11 +170,11 @@
 	if q.allSynced() {
 		return 0, false
 	}
-	if !q.inFlight {
+	if !q.writeInFlight {
 		return q.retryAt, true
 	}
-	at = q.waitingSince + DiskTimeout
+	at = q.unsyncedSince + DiskTimeout
 	return at, now < at
 }
 
-func (q *Queue) allSynced() bool { return q.newest.Number == q.synced }
+func (q *Queue) allSynced() bool { return q.newest.Number == q.syncedNumber }
--- a/mesh/persist/queue_test.go
+++ b/mesh/persist/queue_test.go
@@ -17,21 +17,21 @@
 	queue Queue
 	now   time.Duration
 
-	states  uint64   // made
-	onDisk  uint64   // number of the state
-	writing uint64   // number of the state; 0: none
-	needs   []uint64 // of each output, the number of the state it was made in
-	left    uint64   // outputs that have left
+	statesMade     uint64   // made
+	syncedState    uint64   // number of the state
+	writtenState   uint64   // number of the state; 0: none
+	requiredStates []uint64 // of each output, the number of the state it was made in
+	released       uint64   // outputs that have left
 }
 
-func (d *driver) add() {
-	out := register.Output{Outcomes: []register.Outcome{{ID: uint64(len(d.needs))}}}
+func (d *driver) addOutput() {
+	out := register.Output{Outcomes: []register.Outcome{{ID: uint64(len(d.requiredStates))}}}
 	if d.rng.IntN(2) == 0 {
-		d.states++
-		out.State = &register.State{Promised: register.Ballot{Number: d.states}}
+		d.statesMade++
+		out.State = &register.State{Promised: register.Ballot{Number: d.statesMade}}
 	}
 	d.queue.Add(d.now, out, Committed{})
-	d.needs = append(d.needs, d.states)
+	d.requiredStates = append(d.requiredStates, d.statesMade)
 }
 
 func (d *driver) beginWrite() {
@@ -39,29 +39,29 @@
 	if !ok {
 		return
 	}
-	if newest := w.State.Promised.Number; d.writing != 0 || newest != d.states {
-		d.t.Fatalf("seed %d: state %d of %d is to be written while %d is", d.seed, newest, d.states, d.writing)
+	if newest := w.State.Promised.Number; d.writtenState != 0 || newest != d.statesMade {
+		d.t.Fatalf("seed %d: state %d of %d is to be written while %d is", d.seed, newest, d.statesMade, d.writtenState)
 	}
-	d.writing = w.Number
+	d.writtenState = w.Number
 }
 
 func (d *driver) endWrite(failed bool) {
 	if failed {
 		d.queue.WriteFailed(d.now)
 	} else {
-		d.onDisk = d.writing
-		d.queue.WriteSynced(d.now, d.writing)
+		d.syncedState = d.writtenState
+		d.queue.WriteSynced(d.now, d.writtenState)
 	}
-	d.writing = 0
+	d.writtenState = 0
 }
 
-func (d *driver) take() {
+func (d *driver) takeReady() {
 	for _, r := range d.queue.TakeReady() {
 		id := r.Outcomes[0].ID
-		if id != d.left || d.needs[id] > d.onDisk {
-			d.t.Fatalf("seed %d: output %d left after %d with state %d on disk, it needs %d", d.seed, id, d.left, d.onDisk, d.needs[id])
+		if id != d.released || d.requiredStates[id] > d.syncedState {
+			d.t.Fatalf("seed %d: output %d left after %d with state %d on disk, it needs %d", d.seed, id, d.released, d.syncedState, d.requiredStates[id])
 		}
-		d.left++
+		d.released++
 	}
 }
 
@@ -70,39 +70,39 @@
 	switch d.rng.IntN(4) {
 	case 0, 1:
 		if !d.queue.Full() {
-			d.add()
+			d.addOutput()
 		}
 	case 2:
 		d.beginWrite()
 	case 3:
-		if d.writing != 0 {
+		if d.writtenState != 0 {
 			d.endWrite(d.rng.IntN(3) == 0)
 		}
 	}
-	d.take()
+	d.takeReady()
 }
 
 // Whatever the order of outputs, writes, failures and stalls: nothing leaves before its state is on disk, nothing
 // leaves out of order, and all leaves once the disk works.
-func TestNothingLeavesBeforeItsState(t *testing.T) {
+func TestOutputsAreHeldBackUntilTheirStateIsSynced(t *testing.T) {
 	for seed := range uint64(300) {
 		d := &driver{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 1))}
 		for range 200 {
 			d.step()
 		}
-		for d.left < uint64(len(d.needs)) {
+		for d.released < uint64(len(d.requiredStates)) {
 			if w, ok := d.queue.NextWrite(d.now); ok {
-				d.writing = w.Number
+				d.writtenState = w.Number
 			}
 			d.endWrite(false)
-			d.take()
+			d.takeReady()
 		}
 	}
 }
 
 // A disk that refuses or hangs counts as failing after DiskTimeout, is retried for ever but seldom, and works again
 // with the first sync.
-func TestFailingDiskIsRetriedForEverButSeldom(t *testing.T) {
+func TestFailingDiskIsRetriedWithBackoff(t *testing.T) {
 	q := &Queue{}
 	q.Add(0, register.Output{State: &register.State{}}, Committed{})
 	attempts := 0
@@ -128,16 +128,16 @@
 func TestQueueIsBounded(t *testing.T) {
 	q := &Queue{}
 	body := &register.Value{Body: make([]byte, 1<<20)}
-	for _, m := range [][]register.Message{nil, {{Value: body}, {Value: body}}} {
-		n := 0
-		for ; !q.Full(); n++ {
-			q.Add(0, register.Output{State: &register.State{}, Messages: m}, Committed{})
+	for _, messages := range [][]register.Message{nil, {{Value: body}, {Value: body}}} {
+		added := 0
+		for ; !q.Full(); added++ {
+			q.Add(0, register.Output{State: &register.State{}, Messages: messages}, Committed{})
 		}
-		if m == nil && n != maxOutputs || m != nil && n != 4 {
-			t.Errorf("full after %d", n)
+		if messages == nil && added != maxPendingOutputs || messages != nil && added != 4 {
+			t.Errorf("full after %d", added)
 		}
 		w, _ := q.NextWrite(0)
-		if q.WriteSynced(0, w.Number); len(q.TakeReady()) != n || q.Full() || q.pendingBytes != 0 {
+		if q.WriteSynced(0, w.Number); len(q.TakeReady()) != added || q.Full() || q.pendingBytes != 0 {
 			t.Errorf("%d bytes are still pending", q.pendingBytes)
 		}
 	}
--- a/mesh/register/pace.go
+++ b/mesh/register/pace.go
@@ -11,7 +11,7 @@
 var defaultDurations = timing.Default().Register
 
 // pace decides how long a proposer waits: for the replies of a phase, and after a round that was rejected. How long messages and disks take
-// is not known, and may be anything up to timing.Register.MaxPhase. So a phase is not abandoned while replies may still come: its request
+// is not known, and may be anything up to timing.Register.MaxPhaseTimeout. So a phase is not abandoned while replies may still come: its request
 // is sent again to those that have not replied, at intervals that double, and a reply to any of them counts. And proposers that abort each
 // other wait for random times that grow with each rejection, until one of them has the time to finish.
 type pace struct {
@@ -28,8 +28,8 @@
 
 // begin begins a phase. It returns when its requests are to be sent again, and when it ends.
 func (p *pace) begin(now time.Duration) (resendAt, endAt time.Duration) {
-	p.resend = p.durations.MinPhase
-	return now + p.resend, now + p.durations.MaxPhase
+	p.resend = p.durations.MinPhaseTimeout
+	return now + p.resend, now + p.durations.MaxPhaseTimeout
 }
 
 // resent returns when requests that were just sent again are to be sent once more.
@@ -41,12 +41,12 @@
 // stragglerWait returns for how long a read that has a quorum waits for further replies, which may show that somebody else is about to
 // finish what it would have to.
 func (p *pace) stragglerWait() time.Duration {
-	return p.grown(p.durations.MinPhase / stragglerShare)
+	return p.grown(p.durations.MinPhaseTimeout / stragglerShare)
 }
 
 // rejected records that a round was rejected after a time, and returns the pause before the next one.
 func (p *pace) rejected(took time.Duration) time.Duration {
-	window := max(p.grown(p.durations.BackoffJitter), min(2*took, p.durations.MaxPhase))
+	window := max(p.grown(p.durations.BackoffJitter), min(2*took, p.durations.MaxPhaseTimeout))
 	p.rejections++
 	return p.durations.MinBackoff + p.jitter(window)
 }
@@ -59,15 +59,15 @@
 // completed records that a round was completed.
 func (p *pace) completed() { p.rejections = 0 }
 
-// grown doubles a duration for each rejection in a row, up to MaxPhase.
+// grown doubles a duration for each rejection in a row, up to MaxPhaseTimeout.
 func (p *pace) grown(d time.Duration) time.Duration {
 	for range p.rejections {
-		if d >= p.durations.MaxPhase {
+		if d >= p.durations.MaxPhaseTimeout {
 			break
 		}
 		d *= 2
 	}
-	return min(d, p.durations.MaxPhase)
+	return min(d, p.durations.MaxPhaseTimeout)
 }
 
 // jitter returns a random duration below d.
--- a/mesh/register/proposer.go
+++ b/mesh/register/proposer.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// stragglerShare is the part of timing.Register.MinPhase for which a read waits for more replies than those of a quorum.
+// stragglerShare is the part of timing.Register.MinPhaseTimeout for which a read waits for more replies than those of a quorum.
 const stragglerShare = 4
 
 // startRead begins a round: it asks the members for their accepted values.
--- a/mesh/register/replica.go
+++ b/mesh/register/replica.go
@@ -156,7 +156,7 @@
 // advance ends a wait or a phase that has timed out, and begins a round where one is due.
 func (r *Replica) advance() {
 	if r.round.awaitingStragglers && r.round.phase == reading && r.now >= r.round.deadline {
-		r.round.awaitingStragglers, r.round.deadline = false, r.now+r.pace.durations.MinPhase
+		r.round.awaitingStragglers, r.round.deadline = false, r.now+r.pace.durations.MinPhaseTimeout
 		r.evaluateRead()
 	}
 	switch {
--- a/mesh/register/round_test.go
+++ b/mesh/register/round_test.go
@@ -108,16 +108,16 @@
 	r := New("a", []string{"a", "b", "c"}, true, nil, 1)
 	first := r.Handle(0, Tick{}).Messages
 	var sent []time.Duration
-	for now := time.Duration(0); now < durations.MaxPhase; now = r.NextTick() {
+	for now := time.Duration(0); now < durations.MaxPhaseTimeout; now = r.NextTick() {
 		if out := r.Handle(now, Tick{}); len(out.Messages) > 0 {
 			sent = append(sent, now)
 		}
 	}
-	if len(sent) < 2 || sent[0] != durations.MinPhase || sent[len(sent)-1]-sent[0] < 2*durations.MinPhase {
+	if len(sent) < 2 || sent[0] != durations.MinPhaseTimeout || sent[len(sent)-1]-sent[0] < 2*durations.MinPhaseTimeout {
 		t.Fatalf("sent again at %v", sent)
 	}
 	reply := Message{Kind: ReadReply, From: "b", To: "a", Round: first[0].Round, Voter: true}
-	r.Handle(durations.MaxPhase-time.Millisecond, MessageReceived{reply})
+	r.Handle(durations.MaxPhaseTimeout-time.Millisecond, MessageReceived{reply})
 	if _, _, known := r.Committed(); !known {
 		t.Error("a late reply to the first request does not complete the round")
 	}
@@ -148,10 +148,10 @@
 	for range 3 {
 		p.rejected(0)
 	}
-	if grown := longest(); grown < 5*first || grown > p.durations.MinBackoff+p.durations.MaxPhase {
+	if grown := longest(); grown < 5*first || grown > p.durations.MinBackoff+p.durations.MaxPhaseTimeout {
 		t.Errorf("up to %v after four rejections, up to %v after one", grown, first)
 	}
-	if slow := p.rejected(time.Second); slow > p.durations.MinBackoff+p.durations.MaxPhase {
+	if slow := p.rejected(time.Second); slow > p.durations.MinBackoff+p.durations.MaxPhaseTimeout {
 		t.Errorf("%v", slow)
 	}
 	if p.completed(); longest() > p.durations.MinBackoff+p.durations.BackoffJitter {
--- a/mesh/rollout/controller.go
+++ b/mesh/rollout/controller.go
@@ -106,7 +106,7 @@
 // EndedLately reports whether the rollout of a service was seen to end so short a time ago that copies of its order may still come.
 func (c *Controller) EndedLately(now time.Duration, service string) bool {
 	p := c.progress[service]
-	return p != nil && !p.stage.Active() && now-p.stageSeenAt <= c.durations.RepeatWindow
+	return p != nil && !p.stage.Active() && now-p.stageSeenAt <= c.durations.DuplicateOrderWindow
 }
 
 // Judgment returns the last judgement on the rollout of a service.
@@ -136,7 +136,7 @@
 	case !v.Leader:
 		p.waitsFor = "the holder of the lease"
 		return 0, ""
-	case now <= c.durations.HoldUp: // until then this process may not know all machines yet
+	case now <= c.durations.LostSidecarWait: // until then this process may not know all machines yet
 		p.waitsFor = "reports of all sidecars to this machine, which has just started"
 		return 0, ""
 	case elapsed > giveUpAfter*r.Term:
@@ -186,12 +186,12 @@
 // part is a part of a duration.
 func part(d time.Duration, share float64) time.Duration { return time.Duration(share * float64(d)) }
 
-// Unconfirmed returns the number of sidecars that have not confirmed a revision. One that is lost counts for timing.Rollouts.HoldUp since
+// Unconfirmed returns the number of sidecars that have not confirmed a revision. One that is lost counts for timing.Rollouts.LostSidecarWait since
 // it was last seen.
 func (c *Controller) Unconfirmed(now time.Duration, revision uint32, machines []Machine) (count int) {
 	for i := range machines {
 		m := &machines[i]
-		gone := m.Lost && now-m.LastSeen > c.durations.HoldUp
+		gone := m.Lost && now-m.LastSeen > c.durations.LostSidecarWait
 		if m.Confirmed < revision && !gone {
 			count++
 		}
--- a/mesh/rollout/rollout_test.go
+++ b/mesh/rollout/rollout_test.go
@@ -368,7 +368,7 @@
 	promoting := advanced(started(Set{}, "v2"), Promoting)
 	promoting.Rollouts[0].Term = time.Second
 	controller := NewController(timing.Default().Rollouts, 50)
-	for now := time.Duration(0); now <= timing.Default().Rollouts.HoldUp; now += 100 * time.Millisecond {
+	for now := time.Duration(0); now <= timing.Default().Rollouts.LostSidecarWait; now += 100 * time.Millisecond {
 		if due := controller.Decide(now, View{Leader: true, Set: promoting}); len(due) > 0 {
 			t.Fatalf("at %v: %+v", now, due)
 		}
--- a/mesh/timing/control.go
+++ b/mesh/timing/control.go
@@ -17,7 +17,7 @@
 
 func newPeers(b *bootstrap.Bounds) Peers {
 	return Peers{
-		DialTimeout:    span{minInTouch, fullInTouch, 300 * time.Millisecond, 600 * time.Millisecond}.at(b.InTouch),
+		DialTimeout:    interpolation{minInTouch, fullInTouch, 300 * time.Millisecond, 600 * time.Millisecond}.at(b.InTouch),
 		RedialInterval: 120 * time.Millisecond,
 	}
 }
@@ -28,21 +28,21 @@
 	Timeout time.Duration
 	// MaxProgress is how long an operation may wait while a majority answers; beyond it invariant.OperationsProgress is violated: four
 	// fifths of Timeout.
-	MaxProgress time.Duration
+	MaxWait time.Duration
 }
 
 func newOperations(b *bootstrap.Bounds) Operations {
 	const maxTimeout = 2500 * time.Millisecond
 	timeout := min(maxTimeout, b.Receipt/2)
-	return Operations{Timeout: timeout, MaxProgress: timeout * 4 / 5}
+	return Operations{Timeout: timeout, MaxWait: timeout * 4 / 5}
 }
 
 // Register is the timing of the register's rounds. Phases adapt to what replies take: see register.Pace. It serves ACKS and RECOVER.
 type Register struct {
 	// MinPhase is the time-out of a phase while replies are quick: 350 ms, less where a change of members has to fit into syncS.
-	MinPhase time.Duration
+	MinPhaseTimeout time.Duration
 	// MaxPhase is the longest that a time-out grows to: three tenths of receiptS, 1.5 s at most, and MinPhase at least.
-	MaxPhase time.Duration
+	MaxPhaseTimeout time.Duration
 	// MinBackoff and BackoffJitter are the fixed and the random part of the pause before a round that failed for the first time is begun
 	// again. The random part grows with further failures, up to MaxPhase.
 	MinBackoff, BackoffJitter time.Duration
@@ -56,10 +56,10 @@
 )
 
 func newRegister(b *bootstrap.Bounds, r *Replacement) Register {
-	const longestPhase = 1500 * time.Millisecond
+	const phaseTimeoutLimit = 1500 * time.Millisecond
 	return Register{
-		MinPhase:         r.PhaseTimeout,
-		MaxPhase:         max(r.PhaseTimeout, min(longestPhase, b.Receipt*3/10)),
+		MinPhaseTimeout:  r.PhaseTimeout,
+		MaxPhaseTimeout:  max(r.PhaseTimeout, min(phaseTimeoutLimit, b.Receipt*3/10)),
 		MinBackoff:       minBackoff,
 		BackoffJitter:    backoffJitter,
 		IdleReadInterval: newDissemination(b).IdleReadInterval,
--- a/mesh/timing/dissemination.go
+++ b/mesh/timing/dissemination.go
@@ -40,7 +40,7 @@
 	MaxReadyAge time.Duration
 	// LastResort is after how long a starting sidecar that has tried all control machines is ready with an older configuration, and a
 	// third of the time after which it is in any case: inForceS, a quarter of recoveryS at most (RECOVER).
-	LastResort time.Duration
+	StaleFallbackDelay time.Duration
 	// QuorumTimeout is for how long a control machine may be without a committed round before it refuses operations: three tenths of
 	// receiptS, 1.5 s at most. It is above two idle reads whose first attempt times out.
 	QuorumTimeout time.Duration
@@ -50,35 +50,35 @@
 	// PeerReportTTL is for how long another control machine's report of the lowest version in force counts: 1 s, over three hellos.
 	PeerReportTTL time.Duration
 	// UnseenAfter is by how much longer ago than the others a control machine was seen for a sidecar to try it last: two reports.
-	UnseenAfter time.Duration
+	NotSeenAfter time.Duration
 	// SubscriberTimeout is for how long after its last report a subscriber still delays acknowledgements: two reports and a margin.
 	SubscriberTimeout time.Duration
 }
 
 const (
-	maxQuorumTimeout  = 1500 * time.Millisecond
-	maxTransferAge    = 4 * time.Second
-	peerReportTTL     = time.Second
-	subscriberMargin  = 100 * time.Millisecond
-	recoveryPerResort = 4
+	maxQuorumTimeout         = 1500 * time.Millisecond
+	maxTransferAge           = 4 * time.Second
+	peerReportTTL            = time.Second
+	subscriberMargin         = 100 * time.Millisecond
+	recoveryPerFallbackDelay = 4
 )
 
 func newDissemination(b *bootstrap.Bounds) Dissemination {
-	inForce := func(low, high time.Duration) time.Duration {
-		return span{minInForce, fullInForce, low * time.Millisecond, high * time.Millisecond}.at(b.InForce)
+	byInForce := func(low, high time.Duration) time.Duration {
+		return interpolation{minInForce, fullInForce, low * time.Millisecond, high * time.Millisecond}.at(b.InForce)
 	}
 	return Dissemination{
-		IdleReadInterval:   inForce(150, 300),
-		HeartbeatInterval:  inForce(165, 350),
-		StaleAfter:         inForce(700, 1350),
+		IdleReadInterval:   byInForce(150, 300),
+		HeartbeatInterval:  byInForce(165, 350),
+		StaleAfter:         byInForce(700, 1350),
 		MaxTransferAge:     min(maxTransferAge, b.InForce*8/5),
-		FirstUpdateTimeout: inForce(300, 450),
+		FirstUpdateTimeout: byInForce(300, 450),
 		MaxReadyAge:        b.InForce / 2,
-		LastResort:         min(b.InForce, b.Recovery/recoveryPerResort),
+		StaleFallbackDelay: min(b.InForce, b.Recovery/recoveryPerFallbackDelay),
 		QuorumTimeout:      min(maxQuorumTimeout, b.Receipt*3/10),
-		AckTimeout:         inForce(400, 650),
+		AckTimeout:         byInForce(400, 650),
 		PeerReportTTL:      peerReportTTL,
-		UnseenAfter:        2 * peerReportTTL,
+		NotSeenAfter:       2 * peerReportTTL,
 		SubscriberTimeout:  2*reportInterval + subscriberMargin,
 	}
 }
@@ -102,15 +102,15 @@
 )
 
 func newSubscription(b *bootstrap.Bounds) Subscription {
-	const shortDial, longDial = 300 * time.Millisecond, 500 * time.Millisecond
+	const minDialTimeout, maxDialTimeout = 300 * time.Millisecond, 500 * time.Millisecond
 	return Subscription{
 		ReportInterval: reportInterval,
 		DialTimeout: min(
-			span{minInForce, fullInForce, shortDial, longDial}.at(b.InForce),
-			span{minInTouch, fullInTouch, shortDial, longDial}.at(b.InTouch),
+			interpolation{minInForce, fullInForce, minDialTimeout, maxDialTimeout}.at(b.InForce),
+			interpolation{minInTouch, fullInTouch, minDialTimeout, maxDialTimeout}.at(b.InTouch),
 		),
 		RedialDelay:  redialDelay,
-		TickInterval: span{minInForce, fullInForce, 100 * time.Millisecond, 200 * time.Millisecond}.at(b.InForce),
+		TickInterval: interpolation{minInForce, fullInForce, 100 * time.Millisecond, 200 * time.Millisecond}.at(b.InForce),
 	}
 }
 
@@ -118,10 +118,10 @@
 // candidate is down.
 func (d *Durations) Reconnect(e Environment) time.Duration {
 	s := &d.Subscription
-	detection := d.Dissemination.StaleAfter + s.TickInterval
-	failedDial := s.DialTimeout + s.RedialDelay
-	subscribed := s.TickInterval + 2*e.RoundTrip
-	return detection + failedDial + subscribed
+	detectionTime := d.Dissemination.StaleAfter + s.TickInterval
+	failedDialTime := s.DialTimeout + s.RedialDelay
+	subscribeTime := s.TickInterval + 2*e.RoundTrip
+	return detectionTime + failedDialTime + subscribeTime
 }
 
 // Sidecars is when a control machine holds a sidecar for lost. It serves LOST: what is at work on a machine that is up must not be given
--- a/mesh/timing/inequalities.go
+++ b/mesh/timing/inequalities.go
@@ -43,9 +43,9 @@
 // updateInequalities are about what is in force, and when (docs/design/control-safety-1.md).
 func updateInequalities(s Settings, d *Durations, e Environment) []Inequality {
 	b, t := &s.Bounds, &d.Dissemination
-	read := e.RoundTrip + e.Scheduling
-	atControl := t.IdleReadInterval + read
-	hop := t.HeartbeatInterval + e.RoundTrip/2 + e.Scheduling
+	readTime := e.RoundTrip + e.Scheduling
+	ageAtControl := t.IdleReadInterval + readTime
+	hopTime := t.HeartbeatInterval + e.RoundTrip/2 + e.Scheduling
 	return []Inequality{
 		{
 			"reconnect_within_in_force", "CONFIG", "inForceS, inTouchS",
@@ -53,26 +53,26 @@
 		},
 		{
 			"fresh_parent_not_left", "CONFIG", "inForceS",
-			"what a relay sends is fresh enough for those below it to stay", atControl + 2*hop, t.StaleAfter,
+			"what a relay sends is fresh enough for those below it to stay", ageAtControl + 2*hopTime, t.StaleAfter,
 		},
 		{
 			"fresh_configuration_makes_ready", "CONFIG", "inForceS",
-			"what a control machine in contact sends makes a sidecar ready", atControl + hop, t.MaxReadyAge,
+			"what a control machine in contact sends makes a sidecar ready", ageAtControl + hopTime, t.MaxReadyAge,
 		},
 		{
 			"ready_configuration_in_force", "CONFIG", "inForceS",
-			"a sidecar that becomes ready has what was acknowledged so long before", t.MaxReadyAge + hop, b.InForce,
+			"a sidecar that becomes ready has what was acknowledged so long before", t.MaxReadyAge + hopTime, b.InForce,
 		},
 		{
 			"stale_parent_left_in_transfer", "CONFIG", "inForceS",
 			"a large frame excuses a parent for longer than none does", t.StaleAfter, t.MaxTransferAge,
 		},
 		{
-			"first_update_comes", "CONFIG", "inForceS", "a parent's first update comes before it is given up", 3 * read, t.FirstUpdateTimeout,
+			"first_update_comes", "CONFIG", "inForceS", "a parent's first update comes before it is given up", 3 * readTime, t.FirstUpdateTimeout,
 		},
 		{
 			"last_resort_within_recovery", "RECOVER", "inForceS, recoveryS",
-			"a sidecar that finds nothing fresh serves by what it has", 3 * t.LastResort, b.Recovery,
+			"a sidecar that finds nothing fresh serves by what it has", 3 * t.StaleFallbackDelay, b.Recovery,
 		},
 	}
 }
@@ -81,17 +81,17 @@
 func connectionInequalities(s Settings, d *Durations, e Environment) []Inequality {
 	b := &s.Bounds
 	handshake := e.RoundTrip + 2*e.Scheduling
-	peers := d.Peers.DialTimeout + d.Peers.RedialInterval + handshake + d.Replacement.HelloInterval + e.RoundTrip
+	peerReconnect := d.Peers.DialTimeout + d.Peers.RedialInterval + handshake + d.Replacement.HelloInterval + e.RoundTrip
 	subscription := &d.Subscription
-	sidecar := subscription.DialTimeout + subscription.RedialDelay + 2*subscription.TickInterval + handshake + 2*e.RoundTrip
+	sidecarReconnect := subscription.DialTimeout + subscription.RedialDelay + 2*subscription.TickInterval + handshake + 2*e.RoundTrip
 	return []Inequality{
 		{
 			"sidecar_connected_within_in_touch", "CONFIG", "inForceS, inTouchS",
-			"a sidecar that was cut off has what was acknowledged once it is in touch again", sidecar, b.InTouch,
+			"a sidecar that was cut off has what was acknowledged once it is in touch again", sidecarReconnect, b.InTouch,
 		},
 		{
 			"control_connected_within_in_touch", "CONFIG", "inTouchS",
-			"control machines that were cut off answer again once the core is settled", peers, b.InTouch,
+			"control machines that were cut off answer again once the core is settled", peerReconnect, b.InTouch,
 		},
 		{
 			"peer_dial_succeeds", "CONFIG", "inTouchS", "a connection between machines in order is made in one attempt",
@@ -111,9 +111,9 @@
 // operationInequalities are about operators' calls (docs/design/control-safety-1.md).
 func operationInequalities(s Settings, d *Durations, e Environment) []Inequality {
 	// operatorPatience is the silence after which an operator asks another machine, by the page on the protocol.
-	const operatorPatience = time.Second
+	const operatorRetryDelay = time.Second
 	b, t := &s.Bounds, &d.Dissemination
-	rounds := e.Round() + d.Register.MinBackoff + d.Register.BackoffJitter
+	roundWithBackoff := e.Round() + d.Register.MinBackoff + d.Register.BackoffJitter
 	return []Inequality{
 		{
 			"acknowledged_within_receipt", "ACKS", "receiptS", "a call that times out leaves time for another one",
@@ -121,16 +121,16 @@
 		},
 		{
 			"acknowledgement_before_operator_leaves", "ACKS", "inForceS",
-			"the wait for sidecars ends before the operator asks another machine", t.AckTimeout + e.Scheduling, operatorPatience,
+			"the wait for sidecars ends before the operator asks another machine", t.AckTimeout + e.Scheduling, operatorRetryDelay,
 		},
 		{
 			"round_within_call", "ACKS", "receiptS", "a round that fails once, and the wait for sidecars, end within a call",
-			2*rounds + t.AckTimeout, d.Operations.Timeout,
+			2*roundWithBackoff + t.AckTimeout, d.Operations.Timeout,
 		},
 		{
 			"quorum_not_lost_in_order", "ACKS", "receiptS, inForceS",
 			"an idle read that fails once is no loss of the quorum",
-			2*(t.IdleReadInterval+d.Register.MinPhase) + d.Register.MinBackoff + d.Register.BackoffJitter, t.QuorumTimeout,
+			2*(t.IdleReadInterval+d.Register.MinPhaseTimeout) + d.Register.MinBackoff + d.Register.BackoffJitter, t.QuorumTimeout,
 		},
 		{
 			"report_outlives_its_interval", "CONFIG", "syncS",
@@ -138,11 +138,11 @@
 		},
 		{
 			"phase_outlasts_a_round_trip", "ACKS", "syncS", "a phase that messages and a disk in order take does not time out",
-			e.RoundTrip + e.DiskSync + e.Scheduling, d.Register.MinPhase,
+			e.RoundTrip + e.DiskSync + e.Scheduling, d.Register.MinPhaseTimeout,
 		},
 		{
 			"phases_grow", "ACKS", "receiptS, syncS", "a time-out can grow to three times what messages and a disk in order take",
-			3 * (e.RoundTrip + e.DiskSync + e.Scheduling), d.Register.MaxPhase,
+			3 * (e.RoundTrip + e.DiskSync + e.Scheduling), d.Register.MaxPhaseTimeout,
 		},
 	}
 }
@@ -215,21 +215,21 @@
 func shutdownInequalities(s Settings, d *Durations, e Environment) []Inequality {
 	// excused is the time after SIGTERM up to which a request may have been sent that the rules allow to cut off, and lastReadinessCheck
 	// that until which the platform may send clients to a machine that says it is not ready.
-	const excused, lastReadinessCheck, processEnd = 3 * time.Second, 2 * time.Second, 200 * time.Millisecond
+	const maxExcusedDelay, lastReadinessCheck, processExitTime = 3 * time.Second, 2 * time.Second, 200 * time.Millisecond
 	grace, t, r := s.Bounds.Grace, &d.Shutdown, &d.Replacement
 	return []Inequality{
 		{
-			"cut_in_last_sixth", "LOST", "graceS", "requests are cut off in the last sixth of the grace time only", grace * 5 / 6, t.Cut,
+			"cut_in_last_sixth", "LOST", "graceS", "requests are cut off in the last sixth of the grace time only", grace * 5 / 6, t.AbortRequests,
 		},
 		{
 			"late_requests_excused", "LOST", "graceS", "what is taken without regard to its time was sent before the rules excuse it no more",
-			t.Late + e.Scheduling, excused,
+			t.CheckDeadlines + e.Scheduling, maxExcusedDelay,
 		},
 		{
-			"clients_accepted", "LOST", "graceS", "connections are accepted for as long as the platform sends clients", lastReadinessCheck, t.Accept,
+			"clients_accepted", "LOST", "graceS", "connections are accepted for as long as the platform sends clients", lastReadinessCheck, t.StopAccepting,
 		},
 		{
-			"sidecar_ends_before_kill", "LOST", "graceS", "the process ends before it is killed", t.End + processEnd, grace,
+			"sidecar_ends_before_kill", "LOST", "graceS", "the process ends before it is killed", t.FrontsEnded + processExitTime, grace,
 		},
 		{
 			"departure_before_kill", "LOST", "graceS", "a control machine that departs ends before it is killed",
@@ -257,7 +257,7 @@
 		{
 			"restarted_server_confirmed", "DRAIN", "inTouchS",
 			"a server that one heartbeat tells of after a restart is barred before its machine is in touch",
-			d.Server.ConfirmBy, s.Bounds.InTouch,
+			d.Server.RestartConfirmTimeout, s.Bounds.InTouch,
 		},
 		{
 			"heartbeats_may_be_lost", "DRAIN", "beatS", "two heartbeats in a row may be lost before a server is unresponsive",
--- a/mesh/timing/replacement.go
+++ b/mesh/timing/replacement.go
@@ -62,17 +62,17 @@
 // NewReplacement derives the durations from syncS and graceS.
 func NewReplacement(sync, grace time.Duration) Replacement {
 	sync = min(max(sync, minSync), maxSync)
-	detection, change := sync/4, sync/4
+	detectionTimeout, changeTimeout := sync/4, sync/4
 	return Replacement{
 		HelloInterval:     min(maxHelloInterval, sync/14),
 		CheckInterval:     sync / 40,
-		DetectionTimeout:  detection,
+		DetectionTimeout:  detectionTimeout,
 		FrozenTimeout:     2 * sync,
 		ObservationPeriod: sync * 3 / 8,
-		MaxContactAge:     detection / 2,
+		MaxContactAge:     detectionTimeout / 2,
 		Lease:             NewLease(sync / 5),
-		PhaseTimeout:      min(maxPhaseTimeout, change/2-maxBackoff-phaseMargin),
-		ChangeTimeout:     change,
+		PhaseTimeout:      min(maxPhaseTimeout, changeTimeout/2-maxBackoff-phaseMargin),
+		ChangeTimeout:     changeTimeout,
 		CopyTimeout:       sync / 10,
 		MinChangeInterval: sync / 2,
 		DepartureTimeout:  max(0, min(grace*2/3, grace-terminationTime)),
@@ -87,8 +87,8 @@
 
 // MaxGrowthTime bounds the time from the first start until a group of three has as many members as its tolerance needs.
 func (r Replacement) MaxGrowthTime(members int) time.Duration {
-	elected := r.Lease.StartupDelay + 2*r.Lease.VoteTimeout + time.Duration(members)*r.Lease.Stagger
-	return max(r.ObservationPeriod, elected) + r.CheckInterval + r.ChangeTimeout + r.CopyTimeout
+	leaseTime := r.Lease.StartupDelay + 2*r.Lease.VoteTimeout + time.Duration(members)*r.Lease.Stagger
+	return max(r.ObservationPeriod, leaseTime) + r.CheckInterval + r.ChangeTimeout + r.CopyTimeout
 }
 
 // HandoverTimeout is the part of DepartureTimeout in which the membership has to be handed over: two thirds. The rest is for the
--- a/mesh/timing/replacement_test.go
+++ b/mesh/timing/replacement_test.go
@@ -11,35 +11,35 @@
 // For every setting of syncS the repair of one loss is over before the next may follow.
 func TestRepairEndsWithinSync(t *testing.T) {
 	for sync := 2 * time.Second; sync <= 30*time.Second; sync += 100 * time.Millisecond {
-		v := NewReplacement(sync, 6*time.Second)
-		if v.MaxRepairTime(maxMembers) >= sync {
-			t.Errorf("syncS %v: a repair takes %v", sync, v.MaxRepairTime(maxMembers))
+		r := NewReplacement(sync, 6*time.Second)
+		if r.MaxRepairTime(maxMembers) >= sync {
+			t.Errorf("syncS %v: a repair takes %v", sync, r.MaxRepairTime(maxMembers))
 		}
-		change := v.CheckInterval + v.ChangeTimeout + v.CopyTimeout
-		if v.ObservationPeriod+change >= sync || v.Lease.StartupDelay+v.Lease.MaxVacancy(maxMembers)+change >= sync {
+		change := r.CheckInterval + r.ChangeTimeout + r.CopyTimeout
+		if r.ObservationPeriod+change >= sync || r.Lease.StartupDelay+r.Lease.MaxVacancy(maxMembers)+change >= sync {
 			t.Errorf("syncS %v: after a restart of all, a repair takes too long", sync)
 		}
-		if v.MinChangeInterval > sync+v.DetectionTimeout-(sync-v.ChangeTimeout-v.CopyTimeout) {
-			t.Errorf("syncS %v: the least interval between changes, %v, delays the next repair", sync, v.MinChangeInterval)
+		if r.MinChangeInterval > sync+r.DetectionTimeout-(sync-r.ChangeTimeout-r.CopyTimeout) {
+			t.Errorf("syncS %v: the least interval between changes, %v, delays the next repair", sync, r.MinChangeInterval)
 		}
 	}
 }
 
 // The timeouts keep their order, or they don't mean what their names say.
-func TestTimeoutsFitIntoEachOther(t *testing.T) {
+func TestReplacementTimeoutsAreOrdered(t *testing.T) {
 	for sync := 2 * time.Second; sync <= 30*time.Second; sync += 100 * time.Millisecond {
-		v := NewReplacement(sync, 6*time.Second)
+		r := NewReplacement(sync, 6*time.Second)
 		for _, c := range []struct {
 			name       string
 			less, than time.Duration
 		}{
-			{"three hellos fit into the detection timeout", 3 * v.HelloInterval, v.DetectionTimeout},
-			{"a machine that is up is heard of in time to become a member", v.HelloInterval, v.MaxContactAge},
-			{"a change has room for a phase and a backoff of each round", 2 * (v.PhaseTimeout + maxBackoff), v.ChangeTimeout},
-			{"a holder stops before votes expire", v.Lease.LeaseDuration + v.Lease.VoteDuration/10, v.Lease.VoteDuration},
-			{"a holder renews twice before it stops", 2 * v.Lease.RenewInterval, v.Lease.LeaseDuration},
-			{"a machine decides only after it could have heard of all", v.DetectionTimeout, v.ObservationPeriod},
-			{"a departure ends before the kill", v.DepartureTimeout, 6 * time.Second},
+			{"three hellos fit into the detection timeout", 3 * r.HelloInterval, r.DetectionTimeout},
+			{"a machine that is up is heard of in time to become a member", r.HelloInterval, r.MaxContactAge},
+			{"a change has room for a phase and a backoff of each round", 2 * (r.PhaseTimeout + maxBackoff), r.ChangeTimeout},
+			{"a holder stops before votes expire", r.Lease.LeaseDuration + r.Lease.VoteDuration/10, r.Lease.VoteDuration},
+			{"a holder renews twice before it stops", 2 * r.Lease.RenewInterval, r.Lease.LeaseDuration},
+			{"a machine decides only after it could have heard of all", r.DetectionTimeout, r.ObservationPeriod},
+			{"a departure ends before the kill", r.DepartureTimeout, 6 * time.Second},
 		} {
 			if c.less >= c.than {
 				t.Errorf("syncS %v: %s: %v is not below %v", sync, c.name, c.less, c.than)
@@ -49,7 +49,7 @@
 }
 
 // The constants as they were would fail the first test at the pages' syncS of 4 s.
-func TestFormerConstantsDidNotFit(t *testing.T) {
+func TestRepairWithFormerConstantsExceedsSync(t *testing.T) {
 	former := NewReplacement(4*time.Second, 6*time.Second)
 	former.DetectionTimeout, former.ObservationPeriod, former.ChangeTimeout = 4*time.Second, 6*time.Second, 3*time.Second
 	if former.MaxRepairTime(maxMembers) < 4*time.Second {
@@ -58,7 +58,7 @@
 }
 
 // Whatever the vote duration, a holder stops before any vote for it expires, and renews twice before that.
-func TestTimingKeepsItsOrder(t *testing.T) {
+func TestLeaseDurationsAreOrdered(t *testing.T) {
 	for voteDuration := 100 * time.Millisecond; voteDuration <= 10*time.Second; voteDuration += 100 * time.Millisecond {
 		l := NewLease(voteDuration)
 		if l.LeaseDuration+voteDuration/10 >= l.VoteDuration {
--- a/mesh/timing/rollouts.go
+++ b/mesh/timing/rollouts.go
@@ -13,15 +13,15 @@
 	// recallS, 100 to 250 ms. Several reports, a hello and a round of the register fit into recallS.
 	ReportInterval time.Duration
 	// HoldUp is for how long a sidecar that is lost holds up a delivery: inTouchS, after which it is out of touch.
-	HoldUp time.Duration
+	LostSidecarWait time.Duration
 	// StreamHoldUp is for how long after a promotion answers that an old server is still sending hold up a delivery, after which it may be
 	// stopped: graceS, the time that a process has to end.
-	StreamHoldUp time.Duration
+	OpenStreamWait time.Duration
 	// Retirement is for how long after a delivery servers of the old version still get no requests: graceS. Any that appear after that are
 	// new ones.
-	Retirement time.Duration
+	RetirementPeriod time.Duration
 	// RepeatWindow is for how long after a rollout has ended an order like its own is taken for a late copy: twice receiptS.
-	RepeatWindow time.Duration
+	DuplicateOrderWindow time.Duration
 	// ProposeInterval is the time between two proposals of the same transition: lost ones are proposed again.
 	ProposeInterval time.Duration
 }
@@ -35,11 +35,11 @@
 
 func newRollouts(b *bootstrap.Bounds) Rollouts {
 	return Rollouts{
-		ReportInterval:  min(maxRolloutReport, max(minRolloutReport, b.Recall/reportsPerRecall)),
-		HoldUp:          b.InTouch,
-		StreamHoldUp:    b.Grace,
-		Retirement:      b.Grace,
-		RepeatWindow:    2 * b.Receipt,
-		ProposeInterval: proposeInterval,
+		ReportInterval:       min(maxRolloutReport, max(minRolloutReport, b.Recall/reportsPerRecall)),
+		LostSidecarWait:      b.InTouch,
+		OpenStreamWait:       b.Grace,
+		RetirementPeriod:     b.Grace,
+		DuplicateOrderWindow: 2 * b.Receipt,
+		ProposeInterval:      proposeInterval,
 	}
 }
--- a/mesh/timing/sidecar.go
+++ b/mesh/timing/sidecar.go
@@ -11,27 +11,27 @@
 type Shutdown struct {
 	// Accept is for how long new connections are accepted: 2.2 s, as the platform sends clients for two more readiness checks of a second
 	// each; not after Cut.
-	Accept time.Duration
+	StopAccepting time.Duration
 	// Late is after how long a request is taken only if its time is over before Cut: 2.9 s, which is below the 3 s up to which the rules
 	// excuse that a request is cut off, and not after Cut.
-	Late time.Duration
+	CheckDeadlines time.Duration
 	// Cut is when requests that are still open fail: 0.87 of graceS, within its last sixth.
-	Cut time.Duration
+	AbortRequests time.Duration
 	// End is when the fronts have ended: 0.92 of graceS. Between Cut and End the answers go out; after it the process ends.
-	End time.Duration
+	FrontsEnded time.Duration
 }
 
 const (
-	acceptAfterShutdown = 2200 * time.Millisecond
-	lateAfterShutdown   = 2900 * time.Millisecond
-	cutShare            = 0.87
-	endShare            = 0.92
+	maxAcceptTime     = 2200 * time.Millisecond
+	deadlineCheckTime = 2900 * time.Millisecond
+	abortShare        = 0.87
+	frontsEndedShare  = 0.92
 )
 
 func newShutdown(grace time.Duration) Shutdown {
-	share := func(of float64) time.Duration { return time.Duration(of * float64(grace)) }
-	cut := share(cutShare)
-	return Shutdown{Accept: min(acceptAfterShutdown, cut), Late: min(lateAfterShutdown, cut), Cut: cut, End: share(endShare)}
+	shareOfGrace := func(fraction float64) time.Duration { return time.Duration(fraction * float64(grace)) }
+	abort := shareOfGrace(abortShare)
+	return Shutdown{StopAccepting: min(maxAcceptTime, abort), CheckDeadlines: min(deadlineCheckTime, abort), AbortRequests: abort, FrontsEnded: shareOfGrace(frontsEndedShare)}
 }
 
 // Server is when a sidecar doubts its local server. It serves DRAIN and the rule that a silent server gets no requests.
@@ -47,25 +47,25 @@
 	// ConfirmBy is when a restarted sidecar has to know by more than one heartbeat, or one health check, that its server goes on, from its
 	// own start on: nine tenths of inTouchS. So a late heartbeat of a server whose acknowledged end nobody knows any more brings it no
 	// request that a machine in touch has sent on.
-	ConfirmBy time.Duration
+	RestartConfirmTimeout time.Duration
 }
 
 const (
-	heartbeatsMissed    = 2.6
-	minServerHeartbeat  = 200 * time.Millisecond
-	restoredNumerator   = 3
-	restoredDenominator = 4
-	identifiedShare     = 0.9
+	heartbeatTimeoutFactor = 2.6
+	minServerHeartbeat     = 200 * time.Millisecond
+	restoredNumerator      = 3
+	restoredDenominator    = 4
+	inTouchShare           = 0.9
 )
 
 func newServer(b *bootstrap.Bounds, heartbeat time.Duration) Server {
-	timeout := time.Duration(heartbeatsMissed * float64(max(heartbeat, minServerHeartbeat)))
+	timeout := time.Duration(heartbeatTimeoutFactor * float64(max(heartbeat, minServerHeartbeat)))
 	restored := timeout * restoredNumerator / restoredDenominator
-	confirmBy := time.Duration(identifiedShare * float64(b.InTouch))
+	confirmTimeout := time.Duration(inTouchShare * float64(b.InTouch))
 	return Server{
-		HeartbeatTimeout:  timeout,
-		RestoredTimeout:   restored,
-		IdentifiedTimeout: min(restored, confirmBy),
-		ConfirmBy:         confirmBy,
+		HeartbeatTimeout:      timeout,
+		RestoredTimeout:       restored,
+		IdentifiedTimeout:     min(restored, confirmTimeout),
+		RestartConfirmTimeout: confirmTimeout,
 	}
 }
--- a/mesh/timing/timing.go
+++ b/mesh/timing/timing.go
@@ -111,15 +111,15 @@
 const defaultServerHeartbeat = 1500 * time.Millisecond
 
 // span is a range of a bound and the values of a duration at its ends.
-type span struct {
-	from, to     time.Duration // of the bound
-	atFrom, atTo time.Duration // of the duration
+type interpolation struct {
+	minBound, maxBound     time.Duration // of the bound
+	atMinBound, atMaxBound time.Duration // of the duration
 }
 
 // at interpolates between the ends of a span. Beyond them the duration does not change: a shorter one would take delays of the Environment
 // for failures, and a longer one would make repairs slower than they need to be.
-func (s span) at(bound time.Duration) time.Duration {
-	bound = min(max(bound, s.from), s.to)
-	part := float64(bound-s.from) / float64(s.to-s.from)
-	return s.atFrom + time.Duration(part*float64(s.atTo-s.atFrom))
+func (s interpolation) at(bound time.Duration) time.Duration {
+	bound = min(max(bound, s.minBound), s.maxBound)
+	fraction := float64(bound-s.minBound) / float64(s.maxBound-s.minBound)
+	return s.atMinBound + time.Duration(fraction*float64(s.atMaxBound-s.atMinBound))
 }
--- a/mesh/timing/timing_test.go
+++ b/mesh/timing/timing_test.go
@@ -10,7 +10,7 @@
 )
 
 // legal draws settings from the ranges that the users' deployments may have.
-func legal(t *rapid.T) Settings {
+func drawLegalSettings(t *rapid.T) Settings {
 	draw := func(name string, low, high float64) time.Duration {
 		return time.Duration(rapid.Float64Range(low, high).Draw(t, name) * float64(time.Second))
 	}
@@ -21,7 +21,7 @@
 }
 
 // corners returns the settings at the ends of all ranges.
-func corners() (all []Settings) {
+func cornerSettings() (all []Settings) {
 	for i := range 1 << 7 {
 		pick := func(bit int, low, high float64) time.Duration {
 			if i>>bit&1 == 0 {
@@ -37,7 +37,7 @@
 	return all
 }
 
-func broken(s Settings, d *Durations) (all []Inequality) {
+func violated(s Settings, d *Durations) (all []Inequality) {
 	for _, i := range Inequalities(s, d, AssumedEnvironment()) {
 		if !i.Holds() {
 			all = append(all, i)
@@ -48,22 +48,22 @@
 
 func TestLegalSettingsKeepEveryInequality(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := legal(t)
+		s := drawLegalSettings(t)
 		d := New(s)
-		for _, i := range broken(s, &d) {
+		for _, i := range violated(s, &d) {
 			t.Errorf("%s: %v", i.Name, i)
 		}
 	})
-	for _, s := range corners() {
+	for _, s := range cornerSettings() {
 		d := New(s)
-		for _, i := range broken(s, &d) {
+		for _, i := range violated(s, &d) {
 			t.Errorf("%+v: %s: %v", s, i.Name, i)
 		}
 	}
 }
 
 // The durations of the deployments in service are what they were as constants.
-func TestDeploymentsInServiceKeepTheirDurations(t *testing.T) {
+func TestDeployedSettingsKeepTheirDurations(t *testing.T) {
 	for _, inForce := range []time.Duration{2500 * time.Millisecond, 3 * time.Second} {
 		b := bootstrap.DefaultBounds()
 		b.InForce = inForce
@@ -80,14 +80,14 @@
 			{"quorum", d.Dissemination.QuorumTimeout, 1500 * time.Millisecond},
 			{"acknowledgement", d.Dissemination.AckTimeout, 650 * time.Millisecond},
 			{"subscriber", d.Dissemination.SubscriberTimeout, 1500 * time.Millisecond},
-			{"last resort", d.Dissemination.LastResort, inForce},
+			{"last resort", d.Dissemination.StaleFallbackDelay, inForce},
 			{"dial", d.Subscription.DialTimeout, 500 * time.Millisecond},
 			{"tick", d.Subscription.TickInterval, 200 * time.Millisecond},
 			{"peer dial", d.Peers.DialTimeout, 600 * time.Millisecond},
 			{"sidecar", d.Sidecars.Timeout, 3 * time.Second},
 			{"silence", d.Sidecars.MinSilence, 1200 * time.Millisecond},
 			{"call", d.Operations.Timeout, 2500 * time.Millisecond},
-			{"phase", d.Register.MinPhase, 350 * time.Millisecond},
+			{"phase", d.Register.MinPhaseTimeout, 350 * time.Millisecond},
 			{"departure", d.Replacement.DepartureTimeout, 4 * time.Second},
 			{"heartbeats", d.Server.HeartbeatTimeout, 3900 * time.Millisecond},
 		} {
@@ -99,7 +99,7 @@
 }
 
 // Settings that cannot be kept are served with the nearest values and named.
-func TestConflictsAreNamed(t *testing.T) {
+func TestConflictingSettingsAreReported(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*Settings)
@@ -131,7 +131,7 @@
 }
 
 // Each duration that is derived matters: as the constant that it was it breaks an inequality at a corner of the legal settings.
-func TestConstantsOfBeforeAreFound(t *testing.T) {
+func TestFormerConstantsViolateInequalities(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		plant func(*Durations)
@@ -142,7 +142,7 @@
 		{"MaxReadyAge", func(d *Durations) { d.Dissemination.MaxReadyAge = 1500 * time.Millisecond }},
 		{"MaxTransferAge", func(d *Durations) { d.Dissemination.MaxTransferAge = d.Dissemination.StaleAfter / 2 }},
 		{"FirstUpdateTimeout", func(d *Durations) { d.Dissemination.FirstUpdateTimeout = 200 * time.Millisecond }},
-		{"LastResort", func(d *Durations) { d.Dissemination.LastResort = 8 * time.Second }},
+		{"StaleFallbackDelay", func(d *Durations) { d.Dissemination.StaleFallbackDelay = 8 * time.Second }},
 		{"AckTimeout", func(d *Durations) { d.Dissemination.AckTimeout = time.Second }},
 		{"QuorumTimeout", func(d *Durations) { d.Dissemination.QuorumTimeout = 700 * time.Millisecond }},
 		{"DialTimeout", func(d *Durations) { d.Subscription.DialTimeout = 500 * time.Millisecond }},
@@ -151,8 +151,8 @@
 		{"Sidecars.Timeout", func(d *Durations) { d.Sidecars.Timeout = 2 * time.Second }},
 		{"Sidecars.MinSilence", func(d *Durations) { d.Sidecars.MinSilence = 600 * time.Millisecond }},
 		{"Operations.Timeout", func(d *Durations) { d.Operations.Timeout = 4 * time.Second }},
-		{"MinPhase", func(d *Durations) { d.Register.MinPhase = 100 * time.Millisecond }},
-		{"MaxPhase", func(d *Durations) { d.Register.MaxPhase = 350 * time.Millisecond }},
+		{"MinPhaseTimeout", func(d *Durations) { d.Register.MinPhaseTimeout = 100 * time.Millisecond }},
+		{"MaxPhaseTimeout", func(d *Durations) { d.Register.MaxPhaseTimeout = 350 * time.Millisecond }},
 		{"DetectionTimeout", func(d *Durations) { d.Replacement.DetectionTimeout = 4 * time.Second }},
 		{"HelloInterval", func(d *Durations) { d.Replacement.HelloInterval = 300 * time.Millisecond }},
 		{"ObservationPeriod", func(d *Durations) { d.Replacement.ObservationPeriod = 6 * time.Second }},
@@ -161,19 +161,19 @@
 		{"DepartureTimeout", func(d *Durations) { d.Replacement.DepartureTimeout = 4 * time.Second }},
 		{"VoteTimeout", func(d *Durations) { d.Replacement.Lease.VoteTimeout = 60 * time.Millisecond }},
 		{"LeaseDuration", func(d *Durations) { d.Replacement.Lease.LeaseDuration = d.Replacement.Lease.VoteDuration }},
-		{"Shutdown.Late", func(d *Durations) { d.Shutdown.Late = 3 * time.Second }},
-		{"Shutdown.Accept", func(d *Durations) { d.Shutdown.Accept = 1500 * time.Millisecond }},
-		{"Shutdown.Cut", func(d *Durations) { d.Shutdown.Cut = 4500 * time.Millisecond }},
-		{"Shutdown.End", func(d *Durations) { d.Shutdown.End = 5500 * time.Millisecond }},
+		{"Shutdown.CheckDeadlines", func(d *Durations) { d.Shutdown.CheckDeadlines = 3 * time.Second }},
+		{"Shutdown.StopAccepting", func(d *Durations) { d.Shutdown.StopAccepting = 1500 * time.Millisecond }},
+		{"Shutdown.AbortRequests", func(d *Durations) { d.Shutdown.AbortRequests = 4500 * time.Millisecond }},
+		{"Shutdown.FrontsEnded", func(d *Durations) { d.Shutdown.FrontsEnded = 5500 * time.Millisecond }},
 		{"HeartbeatTimeout", func(d *Durations) { d.Server.HeartbeatTimeout = 3900 * time.Millisecond }},
 		{"IdentifiedTimeout", func(d *Durations) { d.Server.IdentifiedTimeout = d.Server.RestoredTimeout }},
-		{"ConfirmBy", func(d *Durations) { d.Server.ConfirmBy = 3 * time.Second }},
+		{"RestartConfirmTimeout", func(d *Durations) { d.Server.RestartConfirmTimeout = 3 * time.Second }},
 	} {
 		found := false
-		for _, s := range corners() {
+		for _, s := range cornerSettings() {
 			d := New(s)
 			c.plant(&d)
-			found = found || len(broken(s, &d)) > 0
+			found = found || len(violated(s, &d)) > 0
 		}
 		if !found {
 			t.Errorf("%s: no corner of the settings tells it from a constant", c.name)
