--- a/mesh/admission/server.go
+++ b/mesh/admission/server.go
@@ -111,8 +111,8 @@
 
 // Identify takes over what a server's health check says, as Restore does where nothing else is known of it. The server may have announced
 // its end to an earlier incarnation of this sidecar, with nobody left that knows, and health checks may lie; so it has to send a heartbeat
-// before this machine is in touch (timing.Server.IdentifiedTimeout, RestartConfirmTimeout). A server that has sent one is confirmed by its health
-// check.
+// before this machine is in touch (timing.Server.IdentifiedTimeout, RestartConfirmTimeout). A server that has sent one is confirmed by its
+// health check.
 func (c *Controller) Identify(now time.Duration, e *directory.Entry) {
 	c.identified = e.Server
 	switch {
--- a/mesh/directory/directory.go
+++ b/mesh/directory/directory.go
@@ -1,8 +1,8 @@
 // Package directory is the membership list of the mesh: which sidecars exist, at which addresses, and the state of the local server of
 // each. Entries are ordered by incarnation and sequence number, so that replicas that have merged the same announcements in any order hold
-// the same entries (a last-writer-wins map with one writer an entry). It also decides when a machine counts as lost for want of
-// signs of life, and when a lost one is revived. It has no clock and no socket: times are arguments, measured from the start of the
-// process.
+// the same entries (a last-writer-wins map with one writer per entry). The package also decides when a machine that was not seen for too
+// long counts as lost, and when a lost machine is revived. It has no clock and no socket: times are arguments, measured from the start of
+// the process.
 //
 // Start reading at Directory.Merge.
 package directory
@@ -15,11 +15,11 @@
 	"time"
 )
 
-// MaxEntries bounds the machines in a directory; announcements of more are refused.
+// MaxEntries is the maximum number of machines in a directory. Announcements of further machines are rejected.
 const MaxEntries = 8192
 
-// revivalMargin is by how much evidence of life has to be later than the latest one of a lost machine to revive it. The same evidence,
-// relayed by another process, appears later by the time that it spent under way.
+// revivalMargin is how much later than the last time a lost machine was seen it has to be seen again to be revived. The same message,
+// relayed by another process, appears to be later by its transit time.
 const revivalMargin = 400 * time.Millisecond
 
 // Directory holds the newest entry of each machine. It is not safe for concurrent use.
@@ -31,8 +31,8 @@
 // New returns an empty directory.
 func New() *Directory { return &Directory{entries: map[string]*Entry{}} }
 
-// Merge adds or updates an entry whose sidecar is known to have been alive at lastSeen. An entry that is not newer than the present one
-// counts as evidence of life only, and only in the same incarnation. It reports whether subscribers have to be updated.
+// Merge adds or updates an entry whose sidecar is known to have been alive at lastSeen. An entry that is not newer than the stored one
+// only updates LastSeen, and only if the incarnation is the same. Merge reports whether subscribers have to be updated.
 func (d *Directory) Merge(e Entry, lastSeen time.Duration) bool {
 	old := d.entries[e.Node]
 	switch {
@@ -55,8 +55,8 @@
 	return true
 }
 
-// ApplyUpdate merges an entry from the process that this one subscribes to. Unlike Merge it follows the publisher's judgement on whether
-// the machine is lost. It reports whether subscribers have to be updated.
+// ApplyUpdate merges an entry received from the process that this one subscribes to. Unlike Merge, it takes the Lost state from the
+// publisher. It reports whether subscribers have to be updated.
 func (d *Directory) ApplyUpdate(e Entry, now time.Duration) bool {
 	old := d.entries[e.Node]
 	if old == nil || e.Newer(old) {
@@ -76,24 +76,25 @@
 	return true
 }
 
-// RecordEvidence records what a machine's sidecar reported of rollouts at a time. It is of no account where a later incarnation, or a later
-// report, is known.
-func (d *Directory) RecordRolloutReport(node string, incarnation uint64, receivedAt time.Duration, report RolloutReport) {
+// RecordRolloutReport records what a machine's sidecar reported about rollouts at reportedAt. The report is ignored if it is of another
+// incarnation than the entry, or if a later one is stored.
+func (d *Directory) RecordRolloutReport(node string, incarnation uint64, reportedAt time.Duration, report RolloutReport) {
 	e := d.entries[node]
-	if e == nil || e.Incarnation != incarnation || receivedAt < e.rolloutReportedAt {
+	if e == nil || e.Incarnation != incarnation || reportedAt < e.rolloutReportedAt {
 		return
 	}
-	e.RolloutReport, e.rolloutReportedAt = report, receivedAt
+	e.RolloutReport, e.rolloutReportedAt = report, reportedAt
 }
 
-// MarkAlive records that a machine's sidecar was alive at lastSeen; evidence of another incarnation is ignored. It reports whether the
-// machine counted as lost until now.
+// MarkAlive records that a machine's sidecar was alive at lastSeen. The call is ignored if the incarnation is not that of the entry. It
+// reports whether the machine was lost until now.
 func (d *Directory) MarkAlive(node string, incarnation uint64, lastSeen time.Duration) bool {
 	e := d.entries[node]
 	return e != nil && e.Incarnation == incarnation && d.revive(e, lastSeen)
 }
 
-// revive advances an entry's LastSeen. It reports whether the entry was lost; a lost one is revived by clearly later evidence only.
+// revive advances an entry's LastSeen, and reports whether the entry was lost until now. A lost entry is revived only if lastSeen is later
+// by more than revivalMargin.
 func (d *Directory) revive(e *Entry, lastSeen time.Duration) bool {
 	if lastSeen <= e.LastSeen || e.Lost && lastSeen <= e.LastSeen+revivalMargin {
 		return false
@@ -112,8 +113,8 @@
 	e.revision = d.revision
 }
 
-// Expire marks machines as lost that were not seen for longer than timeout, and removes those not seen for longer than retention. It
-// reports whether anything changed.
+// Expire marks machines as lost that were not seen for longer than timeout, and removes those that were not seen for longer than
+// retention. It reports whether anything changed.
 func (d *Directory) Expire(now, timeout, retention time.Duration) (changed bool) {
 	for node, e := range d.entries {
 		switch sinceLastSeen := now - e.LastSeen; {
@@ -129,8 +130,8 @@
 	return changed
 }
 
-// MarkLost marks a machine as lost on the evidence of others, unless it was seen here within minSilence or has another incarnation. It
-// reports whether that is a change.
+// MarkLost marks a machine as lost that other processes reported as lost, unless this process has seen it within minSilence or its entry
+// has another incarnation. It reports whether the entry changed.
 func (d *Directory) MarkLost(node string, incarnation uint64, now, minSilence time.Duration) bool {
 	e := d.entries[node]
 	if e == nil || e.Incarnation != incarnation || e.Lost || now-e.LastSeen <= minSilence {
@@ -141,11 +142,11 @@
 	return true
 }
 
-// Revision identifies the directory's present content: it is higher after each change, but for the removal of an entry.
+// Revision identifies the directory's current content. It rises with each change except the removal of an entry.
 func (d *Directory) Revision() uint64 { return d.revision }
 
-// ChangedSince returns copies of the entries that have changed after a revision, in the order of their nodes' names. Removals are not
-// among them: every directory removes entries by itself.
+// ChangedSince returns copies of the entries that have changed after a revision, ordered by node name. Removals are not reported, as every
+// directory expires entries on its own.
 func (d *Directory) ChangedSince(revision uint64) []Entry {
 	var changed []Entry
 	for _, node := range slices.Sorted(maps.Keys(d.entries)) {
@@ -156,10 +157,10 @@
 	return changed
 }
 
-// All returns copies of all entries, in the order of their nodes' names.
+// All returns copies of all entries, ordered by node name.
 func (d *Directory) All() []Entry { return d.ChangedSince(0) }
 
-// Get returns a copy of a node's entry; ok is false where there is none.
+// Get returns a copy of a node's entry; ok is false if there is none.
 func (d *Directory) Get(node string) (e Entry, ok bool) {
 	if found := d.entries[node]; found != nil {
 		return *found, true
@@ -170,7 +171,7 @@
 // Len returns the number of entries.
 func (d *Directory) Len() int { return len(d.entries) }
 
-// Hash is equal for two directories that hold the same announcement of each node. Lost and LastSeen do not count.
+// Hash returns a hash that is equal for two directories that hold the same announcement of each node. Lost and LastSeen are not included.
 func (d *Directory) Hash() uint64 {
 	var sum uint64
 	for _, e := range d.entries {
--- a/mesh/directory/directory_test.go
+++ b/mesh/directory/directory_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// Two directories that have merged the same announcements, in whatever order and however often, hold the same entries.
+// Directories that have merged the same announcements hold the same entries, whatever the order and the number of repetitions.
 func TestMergeOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var announcements []Entry
@@ -44,16 +44,16 @@
 		t.Errorf("changed entries: %v", all)
 	}
 	if d.MarkAlive("a", 6, 5*time.Second) {
-		t.Error("an earlier incarnation revives a later one")
+		t.Error("a message of an earlier incarnation revives a later one")
 	}
 	if d.MarkAlive("a", 7, 100*time.Millisecond) || d.Merge(Entry{Node: "a", Incarnation: 7, Sequence: 1}, 50*time.Millisecond) {
-		t.Error("revived by known evidence that was relayed again")
+		t.Error("revived by an old message that was relayed again")
 	}
 	if !d.MarkAlive("a", 7, 5*time.Second) || d.All()[0].Lost {
 		t.Error("not revived")
 	}
 	if d.MarkLost("a", 7, 5500*time.Millisecond, time.Second) || !d.MarkLost("a", 7, 7*time.Second, time.Second) {
-		t.Error("evidence of others counts before the minimal silence, or not after it")
+		t.Error("a report by others counts within the minimum silence, or is ignored after it")
 	}
 	if !d.Expire(2*time.Minute, 3*time.Second, time.Minute) || d.Len() != 0 {
 		t.Error("never removed")
@@ -64,7 +64,7 @@
 	d := New()
 	d.ApplyUpdate(Entry{Node: "a", Incarnation: 1, Sequence: 1}, 0)
 	if !d.ApplyUpdate(Entry{Node: "a", Incarnation: 1, Sequence: 1, Lost: true}, 0) || !d.All()[0].Lost {
-		t.Error("the publisher's judgement is not followed")
+		t.Error("the publisher's Lost state is not applied")
 	}
 	if d.ApplyUpdate(Entry{Node: "a", Incarnation: 1, Sequence: 0, Lost: false}, 0) {
 		t.Error("an older announcement counts as a change")
@@ -95,7 +95,7 @@
 func TestUpdateOfNewEntryKeepsPublishersLostState(t *testing.T) {
 	d := New()
 	if !d.ApplyUpdate(Entry{Node: "a", Incarnation: 1, Sequence: 1, Lost: true}, 0) || !d.All()[0].Lost {
-		t.Error("a machine that the publisher holds for lost is not lost here")
+		t.Error("a machine that the publisher marks as lost is not lost here")
 	}
 }
 
@@ -109,11 +109,11 @@
 		t.Errorf("%d entries", d.Len())
 	}
 	if !d.Merge(Entry{Node: "7", Incarnation: 2}, 0) {
-		t.Error("a known machine is refused")
+		t.Error("an update of a known machine is rejected")
 	}
 }
 
-// Evidence of rollouts goes with its incarnation, the latest counts, and nobody is updated because of it.
+// A rollout report belongs to one incarnation, the latest report is kept, and reports do not raise the directory's revision.
 func TestRolloutReportDoesNotChangeRevision(t *testing.T) {
 	d := New()
 	d.Merge(Entry{Node: "a", Incarnation: 2, Sequence: 1}, 0)
@@ -127,10 +127,10 @@
 	}
 	d.Merge(Entry{Node: "a", Incarnation: 2, Sequence: 2}, 0)
 	if e, _ := d.Get("a"); e.RolloutReport.ConfirmedRevision != 7 {
-		t.Error("an announcement loses the evidence")
+		t.Error("a newer announcement discards the rollout report")
 	}
 	d.Merge(Entry{Node: "a", Incarnation: 3, Sequence: 1}, 0)
 	if e, _ := d.Get("a"); e.RolloutReport.ConfirmedRevision != 0 {
-		t.Error("a new incarnation inherits what the one before has confirmed")
+		t.Error("a new incarnation keeps the report of the one before")
 	}
 }
--- a/mesh/dissemination/confirmations.go
+++ b/mesh/dissemination/confirmations.go
@@ -47,15 +47,15 @@
 }
 
 // lowestInForce returns the lowest version in force anywhere, where lowest is that below this machine. It drops reports that have expired.
-func (c *Confirmations) lowestInForce(localLowest uint32, now time.Duration) uint32 {
+func (c *Confirmations) lowestInForce(lowest uint32, now time.Duration) uint32 {
 	for peer, report := range c.peers {
 		if now-report.receivedAt > c.durations.PeerReportTTL {
 			delete(c.peers, peer)
 			continue
 		}
-		localLowest = min(localLowest, report.lowestInForce)
+		lowest = min(lowest, report.lowestInForce)
 	}
-	return localLowest
+	return lowest
 }
 
 // Defer makes an operation wait whose request arrived at arrivedAt; lowest is the lowest version in force below this machine. It reports
--- a/mesh/register/pace.go
+++ b/mesh/register/pace.go
@@ -11,9 +11,9 @@
 var defaultDurations = timing.Default().Register
 
 // pace decides how long a proposer waits: for the replies of a phase, and after a round that was rejected. How long messages and disks take
-// is not known, and may be anything up to timing.Register.MaxPhaseTimeout. So a phase is not abandoned while replies may still come: its request
-// is sent again to those that have not replied, at intervals that double, and a reply to any of them counts. And proposers that abort each
-// other wait for random times that grow with each rejection, until one of them has the time to finish.
+// is not known, and may be anything up to timing.Register.MaxPhaseTimeout. So a phase is not abandoned while replies may still come: its
+// request is sent again to those that have not replied, at intervals that double, and a reply to any of them counts. And proposers that
+// abort each other wait for random times that grow with each rejection, until one of them has the time to finish.
 type pace struct {
 	durations  timing.Register
 	random     *rand.Rand
--- a/mesh/rollout/controller.go
+++ b/mesh/rollout/controller.go
@@ -186,8 +186,8 @@
 // part is a part of a duration.
 func part(d time.Duration, share float64) time.Duration { return time.Duration(share * float64(d)) }
 
-// Unconfirmed returns the number of sidecars that have not confirmed a revision. One that is lost counts for timing.Rollouts.LostSidecarWait since
-// it was last seen.
+// Unconfirmed returns the number of sidecars that have not confirmed a revision. One that is lost counts for
+// timing.Rollouts.LostSidecarWait since it was last seen.
 func (c *Controller) Unconfirmed(now time.Duration, revision uint32, machines []Machine) (count int) {
 	for i := range machines {
 		m := &machines[i]
