--- a/mesh/dissemination/confirmations.go
+++ b/mesh/dissemination/confirmations.go
@@ -6,30 +6,30 @@
 	"firplank/mesh/timing"
 )
 
-// maxPending bounds the operations that wait; beyond it none does.
+// maxPendingOperations is the maximum number of deferred operations. Further operations are confirmed at once.
 const maxPendingOperations = 256
 
-// QuorumLost reports whether a control machine counts as out of contact with a majority: one has last replied at lastReply (below 0:
-// never), more than timeout ago (timing.Dissemination.QuorumTimeout). Times count from the machine's start, so that a machine that has
-// just started has that time to complete its first phase. The control plane refuses operations by it (operations.Health).
+// QuorumLost reports whether a control machine counts as out of contact with a majority: a majority last replied at lastReply (negative if
+// never), more than timeout ago (timing.Dissemination.QuorumTimeout). Times are measured from the machine's start, so a machine that has
+// just started has that time to complete its first phase. The control plane uses it to reject operations (operations.Health).
 func QuorumLost(now, lastReply, timeout time.Duration) bool { return now-max(lastReply, 0) > timeout }
 
-// Confirmations decides when a control machine confirms an operation that the register has committed: when the version is in force at all
-// sidecars that subscribe to this machine or, directly or not, to the others in contact, at the latest timing.Dissemination.AckTimeout
-// after the operation arrived. So a sidecar that is cut off or slow delays each change by that time at most, and only while it counts as
-// a subscriber. It is not safe for concurrent use.
+// Confirmations decides when a control machine confirms an operation that the register has committed: as soon as the version is in force
+// at all sidecars that subscribe, directly or through relays, to this machine or to other control machines in contact, and at the latest
+// timing.Dissemination.AckTimeout after the operation arrived. So a partitioned or slow sidecar delays each change by that time at most,
+// and only while it counts as a subscriber. It is not safe for concurrent use.
 type Confirmations struct {
 	durations timing.Dissemination
 	peers     map[string]peerReport
 	pending   []pendingOperation
 }
 
-// NewConfirmations returns confirmations for which no operation waits.
+// NewConfirmations returns a Confirmations without deferred operations.
 func NewConfirmations(t timing.Dissemination) *Confirmations {
 	return &Confirmations{durations: t, peers: map[string]peerReport{}}
 }
 
-// peerReport is the lowest version in force below another control machine, and when it was reported.
+// peerReport is the lowest version in force at the subscribers of another control machine, and when that was reported.
 type peerReport struct {
 	lowestInForce uint32
 	receivedAt    time.Duration
@@ -41,12 +41,13 @@
 	deadline time.Duration
 }
 
-// RecordPeer records the lowest version in force below another control machine.
+// RecordPeer records the lowest version in force that another control machine reports for its subscribers.
 func (c *Confirmations) RecordPeer(peer string, lowest uint32, now time.Duration) {
 	c.peers[peer] = peerReport{lowestInForce: lowest, receivedAt: now}
 }
 
-// lowestInForce returns the lowest version in force anywhere, where lowest is that below this machine. It drops reports that have expired.
+// lowestInForce returns the lowest version in force at any sidecar. The argument lowest is the one of this machine's subscribers. Expired
+// peer reports are deleted.
 func (c *Confirmations) lowestInForce(lowest uint32, now time.Duration) uint32 {
 	for peer, report := range c.peers {
 		if now-report.receivedAt > c.durations.PeerReportTTL {
@@ -58,8 +59,8 @@
 	return lowest
 }
 
-// Defer makes an operation wait whose request arrived at arrivedAt; lowest is the lowest version in force below this machine. It reports
-// false where the operation is to be confirmed at once.
+// Defer defers the confirmation of an operation whose request arrived at arrivedAt. localLowest is the lowest version in force at this
+// machine's subscribers. Defer returns false if the operation is to be confirmed at once.
 func (c *Confirmations) Defer(id uint64, version, localLowest uint32, arrivedAt, now time.Duration) bool {
 	deadline := arrivedAt + c.durations.AckTimeout
 	if len(c.pending) >= maxPendingOperations || now >= deadline || c.lowestInForce(localLowest, now) >= version {
@@ -69,7 +70,8 @@
 	return true
 }
 
-// Release returns the operations to be confirmed now, which don't wait any longer, and when to call it again if no report comes before.
+// Release removes the operations that are to be confirmed now and returns their IDs. next is when to call it again if no report arrives
+// earlier.
 func (c *Confirmations) Release(localLowest uint32, now time.Duration) (confirmed []uint64, next time.Duration) {
 	next = now + c.durations.AckTimeout
 	if len(c.pending) == 0 {
@@ -89,5 +91,5 @@
 	return confirmed, next
 }
 
-// Clear forgets the operations that wait.
+// Clear discards the deferred operations.
 func (c *Confirmations) Clear() { c.pending = c.pending[:0] }
--- a/mesh/dissemination/deltahistory.go
+++ b/mesh/dissemination/deltahistory.go
@@ -1,19 +1,19 @@
 package dissemination
 
-// Bounds of the deltas that a publisher keeps. A subscriber that is further behind gets the full text.
+// Bounds of the deltas that a publisher keeps. A subscriber whose version is older gets the full text.
 const (
 	maxDeltas     = 64
 	maxDeltaBytes = 64 << 10
 )
 
-// deltaHistory is a chain of deltas that ends at the present version: each applies to the version of the one before.
+// deltaHistory is a chain of deltas that ends at the current version. Each delta applies to the version that the previous one results in.
 type deltaHistory struct {
 	deltas []Delta
 	bytes  int
 }
 
-// add appends deltas that lead from the present version to a later one. None, or a gap, means that the way is unknown: the chain is cleared
-// first.
+// add appends deltas that lead from the current version to a later one. If deltas is empty or leaves a gap, the deltas between the
+// versions are not known, and the chain is cleared first.
 func (h *deltaHistory) add(deltas []Delta) {
 	if len(deltas) == 0 || len(h.deltas) > 0 && h.deltas[len(h.deltas)-1].Version != deltas[0].Base {
 		h.deltas, h.bytes = nil, 0
@@ -28,7 +28,7 @@
 	}
 }
 
-// since returns the deltas that lead from a version to the present one; nil: that version is not in the chain.
+// since returns the deltas that lead from a version to the current one, or nil if the version is not in the chain.
 func (h *deltaHistory) since(version uint32) []Delta {
 	for i := range h.deltas {
 		if h.deltas[i].Base == version {
--- a/mesh/dissemination/deltahistory_test.go
+++ b/mesh/dissemination/deltahistory_test.go
@@ -10,11 +10,11 @@
 	}
 	h.add([]Delta{{Base: 4, Version: 5}})
 	if h.since(1) != nil || h.since(2) != nil || len(h.since(4)) != 1 {
-		t.Error("deltas on both sides of a gap")
+		t.Error("the history holds deltas on both sides of a gap")
 	}
 	h.add(nil)
 	if h.since(4) != nil {
-		t.Error("deltas to a version that is not the present one")
+		t.Error("the history holds deltas to a version that is not the current one")
 	}
 }
 
--- a/mesh/dissemination/parentlink_test.go
+++ b/mesh/dissemination/parentlink_test.go
@@ -7,11 +7,11 @@
 	"firplank/mesh/timing"
 )
 
-// durations are those of the deployments in service.
+// durations are those of the deployments in production.
 var durations = timing.Default().Dissemination
 
-// As on a day on which the control plane was partitioned: the parent was cut off from the majority, and its heartbeats kept the
-// sidecar with it for 4 s.
+// Guards against a sidecar that stays with a parent without a majority: during a partition of the control plane, the heartbeats of such a
+// parent kept the sidecar subscribed to it for 4 s.
 func TestSidecarLeavesParentWithoutMajority(t *testing.T) {
 	s := time.Second
 	for _, c := range []struct {
@@ -35,7 +35,7 @@
 	}
 }
 
-// A sidecar that knows nothing yet doesn't wait long for a parent that sends nothing.
+// A sidecar without a configuration leaves a parent that sends nothing within FirstUpdateTimeout.
 func TestParentWithoutFirstUpdateIsLeftEarly(t *testing.T) {
 	for _, c := range []struct {
 		name string
--- a/mesh/dissemination/publisher.go
+++ b/mesh/dissemination/publisher.go
@@ -1,10 +1,12 @@
-// Package dissemination decides what is pushed to whom, and when, in the tree that spreads the configuration and the directory: control
-// machines at the root, relays (sidecars that serve others of their zone) below them, the other sidecars as leaves.
+// Package dissemination decides which updates are pushed to which subscribers, and when, in the tree that distributes the configuration
+// and the directory: control machines are the roots, relays (sidecars that pass updates on to other sidecars of their zone) are below them,
+// and the other sidecars are the leaves.
 //
-// A Publisher pushes the configuration and the directory to its subscribers, as a discovery server does in xDS: each gets what it does not
-// have yet, with the age of that knowledge, and acknowledges it by nonce. Control machines have one, and so have sidecars, which may become
-// relays. A Subscriber decides for a sidecar which publisher it subscribes to, when it switches, and when it is ready.
-// ParentCandidates chooses a sidecar's relays. Confirmations decides when an operator's change is acknowledged.
+// A Publisher pushes the configuration and the directory to its subscribers, like a discovery server in xDS: each subscriber gets what it
+// does not have yet, with the time at which that was known to be the newest, and acknowledges it by nonce. Control machines have a
+// Publisher, and so do sidecars, as any of them may become a relay. A Subscriber decides for a sidecar which publisher it subscribes to,
+// when it switches, and when it is ready. ParentCandidates chooses a sidecar's relays. Confirmations decides when an operator's change is
+// acknowledged.
 //
 // The package has no socket and no clock: times are arguments, measured from the start of the process. Its types are not safe for
 // concurrent use.
@@ -22,28 +24,28 @@
 )
 
 const (
-	// MaxSubscribers bounds the subscribers of a publisher; more are refused, and turn to another one.
+	// MaxSubscribers is the maximum number of subscribers of a publisher. Further ones are rejected, and try another publisher.
 	MaxSubscribers = 512
-	// batchDelay is how long a change waits for further ones, so that changes which come together share a push.
+	// batchDelay is how long a push is delayed after a change, so that changes in quick succession share one push.
 	batchDelay = 15 * time.Millisecond
-	// maxDiffBytes bounds the texts that deltas are computed of, for the processor time that takes.
+	// maxDiffBytes is the size of a text above which no delta is computed, as that would take too much CPU time.
 	maxDiffBytes = 2 << 20
 )
 
-// Publisher holds what is published and what each subscriber has of it. The exported fields are for reading, but for ControlMachines, which
-// the owner replaces; SetConfig sets the others.
+// Publisher holds what is published and which part of it each subscriber has received. The exported fields are read-only outside of this
+// package, except ControlMachines, which the owner replaces.
 type Publisher struct {
-	// Directory is published; the owner changes it by its own methods.
+	// Directory is the published directory. The owner changes it by the directory's own methods.
 	Directory *directory.Directory
-	// Version is the version of the configuration that is published; 0: none.
+	// Version is the published version of the configuration, or 0 if there is none.
 	Version uint32
-	// Text is the configuration's text. It is shared, and not to be changed.
+	// Text is the configuration's text. It is shared and must not be modified.
 	Text []byte
-	// AsOf is a time at which Version was the newest that a majority had; or TimeUnknown.
+	// AsOf is a time at which Version was the newest version that a majority had, or TimeUnknown.
 	AsOf time.Duration
-	// Rollouts are the newest that were published; SetRollouts replaces them.
+	// Rollouts is the published set of rollouts.
 	Rollouts rollout.Set
-	// ControlMachines are the control machines that subscribers may turn to.
+	// ControlMachines are the control machines that subscribers may connect to.
 	ControlMachines []ControlMachine
 
 	durations     timing.Dissemination
@@ -56,8 +58,9 @@
 	return &Publisher{Directory: directory.New(), AsOf: TimeUnknown, durations: t, subscriptions: map[uint64]*subscription{}}
 }
 
-// SetConfig records that a version was the newest at asOf. Text may be nil where the version is the present one. The deltas are those that
-// led to it from the present version; without any, one is computed. It reports whether the version is newer than the present one.
+// SetConfig records that a version was the newest at asOf. text may be nil if the version is the current one. deltas lead from the current
+// version to the new one; if there are none, one is computed. SetConfig reports whether the version is newer than the current one and is
+// now published.
 func (p *Publisher) SetConfig(version uint32, text []byte, deltas []Delta, asOf time.Duration) bool {
 	newer := version > p.Version && text != nil
 	if newer {
@@ -67,14 +70,14 @@
 		p.history.add(deltas)
 		p.Version, p.Text = version, text
 	}
-	// An older version proves nothing about the present one, and a newer one without its text isn't published.
+	// An older version says nothing about the age of the current one, and a newer one without its text isn't published.
 	if version == p.Version && asOf > p.AsOf {
 		p.AsOf = asOf
 	}
 	return newer
 }
 
-// SetRollouts replaces the rollouts by later ones. It reports whether they are later.
+// SetRollouts replaces the rollouts if the new set has a higher revision, and reports whether it has.
 func (p *Publisher) SetRollouts(s rollout.Set) bool {
 	if s.Revision <= p.Rollouts.Revision {
 		return false
@@ -90,8 +93,8 @@
 	return []Delta{{Base: p.Version, Version: version, Bytes: delta.Encode(p.Text, text)}}
 }
 
-// ApplyDeltas returns the text to which deltas lead from the present one, of at most maxBytes, and the deltas that were needed for that;
-// those of earlier versions are passed over. It changes nothing. Ok is false where they do not apply.
+// ApplyDeltas applies deltas to the current text. It returns the resulting text, of at most maxBytes, and the deltas used; deltas of
+// earlier versions are skipped. The publisher is not changed. ok is false if the deltas do not apply.
 func (p *Publisher) ApplyDeltas(deltas []Delta, maxBytes int) (text []byte, used []Delta, ok bool) {
 	for i := range deltas {
 		if deltas[i].Base == p.Version {
@@ -110,8 +113,8 @@
 	return text, used, len(used) > 0
 }
 
-// Subscribe adds a subscriber that has a version of the configuration (0: none) and nothing of the directory. It reports false where there
-// are MaxSubscribers.
+// Subscribe adds a subscriber that has a version of the configuration (0 for none) and no directory entries. It returns false if there are
+// MaxSubscribers already.
 func (p *Publisher) Subscribe(id uint64, version uint32, now time.Duration) bool {
 	if len(p.subscriptions) >= MaxSubscribers {
 		return false
@@ -126,14 +129,15 @@
 // Subscribers returns the number of subscribers.
 func (p *Publisher) Subscribers() int { return len(p.subscriptions) }
 
-// HandleAck records a subscriber's report; one of an unknown subscriber is ignored.
+// HandleAck processes a subscriber's acknowledgement. Unknown subscribers are ignored.
 func (p *Publisher) HandleAck(id uint64, ack Ack, now time.Duration) {
 	if s := p.subscriptions[id]; s != nil {
 		s.handleAck(ack, now)
 	}
 }
 
-// LowestInForce returns the lowest version in force among the subscribers that have reported lately; Unconstrained: there are none.
+// LowestInForce returns the lowest version in force among the subscribers that have reported within SubscriberTimeout, or Unconstrained if
+// there are none.
 func (p *Publisher) LowestInForce(now time.Duration) uint32 {
 	lowest := uint32(Unconstrained)
 	for _, s := range p.subscriptions {
@@ -144,8 +148,8 @@
 	return lowest
 }
 
-// Tick returns the updates that are due, in no particular order, and when to call it again at the latest. A subscriber that has yet to
-// acknowledge an update gets heartbeats only, so that versions which are superseded meanwhile are never sent to it.
+// Tick returns the updates that are due, in no particular order, and when to call it again at the latest. A subscriber that has not yet
+// acknowledged an update gets only heartbeats and rollouts, so that versions superseded in the meantime are never sent to it.
 func (p *Publisher) Tick(now time.Duration) (updates []Update, next time.Duration) {
 	next = now + p.durations.HeartbeatInterval
 	for id, s := range p.subscriptions {
--- a/mesh/dissemination/publisher_test.go
+++ b/mesh/dissemination/publisher_test.go
@@ -11,7 +11,7 @@
 	"firplank/mesh/rollout"
 )
 
-// describe shows an update in the log of a test: time, version, full text or the bases of deltas, number of entries.
+// describe formats an update for a test's log: time, version, "full" or the base versions of deltas, number of entries.
 func describe(now time.Duration, u Update) string {
 	content := ""
 	if u.FullText {
@@ -23,7 +23,7 @@
 	return fmt.Sprintf("%d:%d%s+%d", now.Milliseconds(), u.Version, content, len(u.Entries))
 }
 
-// A subscriber gets each change once, soon after it happened, and at least each HeartbeatInterval the age of what it has.
+// A subscriber gets each change once, soon after it happened, and a heartbeat at least each HeartbeatInterval.
 func TestSubscriberGetsEachChangeOnce(t *testing.T) {
 	p := NewPublisher(durations)
 	p.SetConfig(5, []byte("five"), nil, 0)
@@ -39,7 +39,7 @@
 		case 600 * time.Millisecond:
 			p.SetConfig(4, []byte("four"), nil, now) // an older one that arrives late
 		case 700 * time.Millisecond:
-			p.SetConfig(6, []byte("six"), nil, now) // a round of the register that changed something else
+			p.SetConfig(6, []byte("six"), nil, now) // a register round that changed something else
 		}
 		pushed, _ := p.Tick(now)
 		for _, update := range pushed {
@@ -51,11 +51,12 @@
 		t.Errorf("got  %s\nwant %s", got, want)
 	}
 	if p.Unsubscribe(1); p.Subscribers() != 0 {
-		t.Error("a subscriber is there after Unsubscribe")
+		t.Error("the subscriber is still counted after Unsubscribe")
 	}
 }
 
-// As on a day with a storm of changes: full texts, each of which was superseded, filled the links of relays.
+// Guards against sending superseded versions: during a burst of changes, full texts that were already superseded filled the links of
+// relays.
 func TestSlowSubscriberSkipsSupersededVersions(t *testing.T) {
 	p := NewPublisher(durations)
 	p.SetConfig(1, []byte("text number 1"), nil, 0)
@@ -69,7 +70,7 @@
 		pushed, _ := p.Tick(now)
 		for _, update := range pushed {
 			if update.Version < p.Version && update.AsOf != TimeUnknown {
-				t.Fatalf("%v: a superseded version is said to be the newest", now)
+				t.Fatalf("%v: a superseded version is reported as the newest", now)
 			}
 			if update.Nonce == 0 {
 				continue
@@ -84,7 +85,7 @@
 			}
 			updates, nonce, text, version = updates+1, update.Nonce, got, update.Version
 		}
-		if now%time.Second == 0 && nonce > 0 { // the link is that slow
+		if now%time.Second == 0 && nonce > 0 { // over the slow link, acknowledgements arrive once a second
 			p.HandleAck(1, Ack{Nonce: nonce, Version: version, LowestInForce: version}, now)
 			nonce = 0
 		}
@@ -94,7 +95,7 @@
 	}
 }
 
-// A delta that does not apply is rejected, and followed by the full text.
+// A subscriber that rejects a delta because it does not apply gets the full text next.
 func TestSubscriberThatRejectsADeltaGetsTheFullText(t *testing.T) {
 	p := NewPublisher(durations)
 	p.SetConfig(1, []byte("one"), nil, 0)
@@ -112,7 +113,7 @@
 	}
 }
 
-// An older version that is confirmed later proves nothing about the present one.
+// A later confirmation of an older version does not advance AsOf of the current one.
 func TestOlderVersionDoesNotConfirmTheNewest(t *testing.T) {
 	p := NewPublisher(durations)
 	p.SetConfig(5, []byte("five"), nil, time.Second)
@@ -134,7 +135,7 @@
 		t.Errorf("lowest %d, then %d", before, after)
 	}
 	if p.LowestInForce(time.Minute) != Unconstrained {
-		t.Error("constrained by subscribers that are silent")
+		t.Error("subscribers that no longer report still count")
 	}
 }
 
@@ -142,15 +143,15 @@
 	p := NewPublisher(durations)
 	for id := range uint64(MaxSubscribers) {
 		if !p.Subscribe(id, 0, 0) {
-			t.Fatalf("subscriber %d is refused", id)
+			t.Fatalf("subscriber %d is rejected", id)
 		}
 	}
 	if p.Subscribe(MaxSubscribers, 0, 0) {
-		t.Error("one more than the bound")
+		t.Error("accepts more than MaxSubscribers")
 	}
 }
 
-// pushed returns the update for the only subscriber, which has to be due.
+// nextUpdate returns the update for the only subscriber, and fails the test if none is due.
 func nextUpdate(t *testing.T, p *Publisher, now time.Duration) Update {
 	t.Helper()
 	updates, _ := p.Tick(now)
@@ -160,7 +161,7 @@
 	return updates[0]
 }
 
-// Until it has acknowledged an update, a subscriber gets heartbeats at their interval, which say of no newer version that it has it.
+// Until a subscriber has acknowledged an update it gets only heartbeats, which do not confirm any newer version.
 func TestOnlyHeartbeatsUntilAck(t *testing.T) {
 	p := NewPublisher(durations)
 	p.SetConfig(1, []byte("one"), nil, 0)
@@ -178,7 +179,7 @@
 	p.HandleAck(1, Ack{Nonce: first.Nonce - 1, Version: 1}, now)
 	p.Tick(now)
 	if updates, _ := p.Tick(now + batchDelay); len(updates) != 0 {
-		t.Error("an ack of another nonce counts")
+		t.Error("an ack with another nonce is accepted")
 	}
 	p.HandleAck(1, Ack{Nonce: first.Nonce, Version: 1}, now)
 	p.Tick(now)
@@ -187,7 +188,7 @@
 	}
 }
 
-// A subscriber that serves already gets the configuration first, and many entries once that is acknowledged.
+// A subscriber that already has entries gets the configuration first, and a large number of entries after it has acknowledged that.
 func TestManyEntriesArePushedAfterConfigurationIsAcknowledged(t *testing.T) {
 	p := NewPublisher(durations)
 	add := func(sequence uint64) {
@@ -228,7 +229,7 @@
 	if text, used, ok := late.ApplyDeltas([]Delta{first, second}, 100); !ok || len(used) != 1 || string(text) != string(three) {
 		t.Errorf("%q by %d deltas, %v", text, len(used), ok)
 	}
-	second.Base = 0 // its text fits, but nobody says so
+	second.Base = 0 // the bytes would apply, but the version numbers leave a gap
 	if _, _, ok := p.ApplyDeltas([]Delta{first, second}, 100); ok {
 		t.Error("applied across a gap")
 	}
@@ -237,7 +238,7 @@
 	}
 }
 
-// Entries of servers of a new version never come ahead of their rollout, which doesn't wait for an acknowledgement either.
+// Entries of servers of a new version are never pushed before their rollout, which is pushed without waiting for an acknowledgement.
 func TestRolloutsArePushedBeforeEntriesOfNewServers(t *testing.T) {
 	p := NewPublisher(durations)
 	p.SetConfig(1, []byte("text"), nil, 0)
@@ -247,7 +248,7 @@
 	}
 	p.SetRollouts(rollout.Set{Revision: 2, Rollouts: []rollout.Rollout{{Service: "one", Target: "v2", Order: 1, Stage: rollout.Canary}}})
 	p.Directory.Merge(directory.Entry{Node: "n1", Incarnation: 1, Sequence: 1, Version: "v2"}, 0)
-	p.Tick(time.Millisecond) // notices the change, which waits for further ones
+	p.Tick(time.Millisecond) // detects the change, whose push is delayed by batchDelay
 	pushed, _ := p.Tick(time.Millisecond + batchDelay)
 	if len(pushed) != 1 || pushed[0].Rollouts == nil || pushed[0].Rollouts.Revision != 2 || len(pushed[0].Entries) != 0 {
 		t.Fatalf("while an acknowledgement is awaited: %+v", pushed)
--- a/mesh/dissemination/subscriber.go
+++ b/mesh/dissemination/subscriber.go
@@ -7,34 +7,35 @@
 )
 
 const (
-	// relayBackoff is how long a relay that failed is left alone.
+	// relayBackoff is how long a relay is not retried after a failure.
 	relayBackoff = 5 * time.Second
-	// maxRelayCandidates is how many relays are tried before a control machine.
+	// maxRelayCandidates is the number of relays that are tried before a control machine.
 	maxRelayCandidates = 2
-	// exhaustedFactor times LastResort is the longest time that a sidecar looks for a fresh configuration, where it never gets through
-	// all control machines.
+	// maxSearchFactor times StaleFallbackDelay is how long a sidecar looks for a fresh configuration at most, even if it has not tried
+	// all control machines by then.
 	maxSearchFactor = 3
-	// maxTrackedFailures bounds the parents whose failures are remembered; beyond it all are forgotten, and tried again.
+	// maxTrackedFailures is the maximum number of parents whose failures are recorded. When it is reached, all records are cleared, and
+	// these parents are tried again.
 	maxTrackedFailures = 256
-	// unseenOrder is the order of one that the others have not seen lately: after all that never failed, before all that did.
+	// notSeenRank is the rank of a control machine that the others have not seen lately: after all that never failed, before all that did.
 	notSeenRank = -time.Minute
-	// neverFailed is subtracted from the order of a control machine that never failed, so that it comes before all that did.
+	// neverFailedPreference is subtracted from the rank of a control machine that never failed, so that it comes before all that did.
 	neverFailedPreference = time.Hour
-	// zonePreference is subtracted from that of one of the own zone.
+	// sameZonePreference is subtracted from the rank of a control machine that never failed and is in the sidecar's zone.
 	sameZonePreference = time.Hour
 )
 
 // Subscriber decides for one sidecar which publisher it subscribes to, and when it is ready. It is not safe for concurrent use.
 //
-// A sidecar becomes ready with a configuration that was the newest at most timing.Dissemination.MaxReadyAge ago. What is older comes from
-// a control machine that has lost its quorum: the sidecar then goes on to the other control machines, and is ready with what it has only
-// when all that it has learned of have failed, and has looked for LastResort (exhaustedFactor times that, where it never gets through
-// them all). By then it is cut off from every majority that there may be, and serving by an old configuration is better than not serving.
+// A sidecar becomes ready with a configuration that was the newest at most timing.Dissemination.MaxReadyAge ago. An older one comes from a
+// control machine that has lost its quorum. The sidecar then tries the other control machines. It becomes ready with an old configuration
+// only after all known control machines have failed and StaleFallbackDelay has passed, or after maxSearchFactor times that delay if it has
+// not tried them all. By then it is cut off from any majority, and serving with an old configuration is better than not serving.
 type Subscriber struct {
 	Node, Zone string
-	// Seeds are the control machines that the settings name.
+	// Seeds are the addresses of the control machines named in the settings.
 	Seeds []string
-	// StartedAt is when the sidecar began to look for its first configuration.
+	// StartedAt is when the sidecar started to look for its first configuration.
 	StartedAt time.Duration
 
 	durations   timing.Dissemination
@@ -53,7 +54,7 @@
 	}
 }
 
-// RecordFailure records that a parent could not be reached, was left, or had nothing fresh.
+// RecordFailure records that a parent could not be reached, was left as stale, or had no fresh configuration.
 func (s *Subscriber) RecordFailure(addr string, now time.Duration) {
 	if len(s.lastFailure) >= maxTrackedFailures {
 		clear(s.lastFailure)
@@ -61,8 +62,8 @@
 	s.lastFailure[addr] = now
 }
 
-// Ready reports whether the sidecar is ready, which it stays from then on. It has a version (0: none) that was the newest at asOf, or
-// TimeUnknown.
+// Ready reports whether the sidecar is ready. Once ready, it stays ready. version is the sidecar's configuration version (0 for none),
+// which was the newest at asOf (TimeUnknown if that is not known).
 func (s *Subscriber) Ready(now time.Duration, version uint32, asOf time.Duration, machines []ControlMachine) bool {
 	searchedFor := now - s.StartedAt
 	switch {
@@ -87,7 +88,7 @@
 	return true
 }
 
-// controlMachineAddrs returns the addresses of the control machines that were learned, then those of the seeds that are not among them.
+// controlMachineAddrs returns the addresses of the control machines learned from updates, then those of the seeds that are not among them.
 func (s *Subscriber) controlMachineAddrs(machines []ControlMachine) []string {
 	var addrs []string
 	learned := map[string]bool{}
@@ -104,7 +105,7 @@
 }
 
 // ShouldSwitch reports whether to look for another parent. The configuration was last confirmed at asOf. A sidecar that is not ready leaves
-// a parent at once whose configuration is too old.
+// a parent with too old a configuration at once.
 func (s *Subscriber) ShouldSwitch(now, asOf time.Duration, link ParentLink) bool {
 	if !s.ready && link.Received && link.PartialBytes == 0 && asOf != TimeUnknown && now-asOf > s.durations.MaxReadyAge {
 		return true
@@ -112,10 +113,11 @@
 	return link.Stale(now, asOf, &s.durations)
 }
 
-// ChooseParent returns the address to subscribe to: a relay, once the sidecar is ready and has a candidate that is worth an attempt, else
-// the control machine that failed longest ago, those of the own zone first, and those last that the others have not seen lately.
-// Members are the sidecars of the directory. A sidecar whose configuration was last confirmed so long ago that its parent counts as stale
-// turns to the control machines at once: a relay that is cut off as well would cost the time that is left (timing.Durations.Reconnect).
+// ChooseParent returns the address to subscribe to, and whether it is a relay. members are the sidecars in the directory.
+//
+// A relay is chosen if the sidecar is ready, its configuration was confirmed within StaleAfter (asOf), and a relay candidate is not in
+// backoff. Otherwise the control machine with the lowest attemptRank is chosen. A sidecar with a stale configuration goes to the control
+// machines directly, as a relay that is cut off as well would take the time that is left (timing.Durations.Reconnect).
 func (s *Subscriber) ChooseParent(
 	now, asOf time.Duration, members []Member, machines []ControlMachine,
 ) (addr string, relay bool) {
@@ -137,8 +139,8 @@
 	return best, false
 }
 
-// unseen returns the control machines that were seen longer ago than the latest, by more than timing.Dissemination.UnseenAfter: they
-// are down, or cut off from the machine that listed them.
+// notSeenLately returns, by address, whether a control machine was last seen more than timing.Dissemination.NotSeenAfter before the most
+// recently seen one. Such a machine is down, or cut off from the machine that sent the list.
 func (s *Subscriber) notSeenLately(machines []ControlMachine) map[string]bool {
 	latest := TimeUnknown
 	for _, m := range machines {
@@ -151,8 +153,9 @@
 	return notSeen
 }
 
-// attemptOrder ranks a control machine; the lowest is tried first. It is the time of the last failure; those that never failed come before,
-// spread over the sidecars by a hash.
+// attemptRank returns the rank of a control machine; the lowest is tried first. The rank of a machine that failed is the time of its last
+// failure. Machines that never failed come first, those of the sidecar's zone before the others, in an order that differs between sidecars
+// by a hash, so that the load is spread. Machines not seen lately come between the two groups.
 func (s *Subscriber) attemptRank(addr, zone string, notSeen bool) time.Duration {
 	if failedAt, failed := s.lastFailure[addr]; failed {
 		return failedAt
@@ -167,7 +170,8 @@
 	return rank - time.Duration(hashOf(s.Node+addr)%uint64(time.Minute))
 }
 
-// chooseRelay returns the address of the first candidate that has not failed lately; empty: none.
+// chooseRelay returns the address of the first of maxRelayCandidates candidates that has not failed within relayBackoff, or "" if there is
+// none.
 func (s *Subscriber) chooseRelay(now time.Duration, members []Member) string {
 	candidates := ParentCandidates(s.Node, members)
 	for _, relay := range candidates[:min(len(candidates), maxRelayCandidates)] {
--- a/mesh/dissemination/subscriber_test.go
+++ b/mesh/dissemination/subscriber_test.go
@@ -9,8 +9,8 @@
 	"firplank/mesh/timing"
 )
 
-// As on a day on which the control plane was partitioned: a sidecar that had just started took the configuration of a machine without a
-// quorum, however old, because the time at which that was the newest lay before the start of the sidecar's own clock.
+// Guards against becoming ready with a stale configuration: during a partition of the control plane, a sidecar that had just started
+// accepted a configuration of any age from a machine without a quorum, because its AsOf was before the start of the sidecar's own clock.
 func TestSidecarIsNotReadyWithStaleConfiguration(t *testing.T) {
 	const s = time.Second
 	machines := []ControlMachine{{Addr: "a"}, {Addr: "b"}}
@@ -21,7 +21,7 @@
 		failed    []string
 		want      bool
 	}{
-		{"nothing is known", 9 * s, TimeUnknown, 0, []string{"a", "b", "seed"}, false},
+		{"no configuration", 9 * s, TimeUnknown, 0, []string{"a", "b", "seed"}, false},
 		{"fresh", 100 * time.Millisecond, -s, 7, nil, true},
 		{"from before it started, and old", 100 * time.Millisecond, -8 * s, 7, nil, false},
 		{"old, and not all have failed", 4 * s, -8 * s, 7, []string{"a", "b"}, false},
@@ -48,23 +48,23 @@
 	for now := time.Duration(0); now < 3*time.Second; now += time.Second {
 		addr, relay := sub.ChooseParent(now, now, []Member{{Node: "n"}, {Node: "m"}}, machines)
 		if relay {
-			t.Error("subscribes to a sidecar while it is not ready")
+			t.Error("subscribes to a relay before it is ready")
 		}
 		if !sub.ShouldSwitch(now+time.Millisecond, now-5*time.Second, ParentLink{ConnectedAt: now, Received: true}) {
-			t.Errorf("stays with %s, whose configuration is old", addr)
+			t.Errorf("stays with %s, which has an old configuration", addr)
 		}
 		sub.RecordFailure(addr, now)
 		tried = append(tried, addr)
 	}
 	if tried[0] != "b" {
-		t.Errorf("tried %v, and b is of its zone", tried)
+		t.Errorf("tried %v, but b is in its zone and should come first", tried)
 	}
 	if slices.Sort(tried); !slices.Equal(tried, []string{"a", "b", "c"}) {
 		t.Errorf("tried %v", tried)
 	}
 }
 
-// A relay that failed is left alone for a while; with the first ones failed a control machine is tried.
+// A relay that failed is not retried within relayBackoff. After the first candidates have failed, a control machine is tried.
 func TestFailedRelayIsNotRetriedDuringBackoff(t *testing.T) {
 	const s = time.Second
 	members := zoneMembers("z", 30)
@@ -94,12 +94,12 @@
 	expectParent(s+relayBackoff+1, candidates[0].PeerAddr)
 }
 
-// A sidecar whose configuration has become stale turns to the control machines at once, to those that the others have heard of first.
+// A sidecar whose configuration has become stale goes to the control machines at once, and tries those seen lately first.
 func TestStaleSidecarPrefersControlMachinesSeenLately(t *testing.T) {
 	s, now := time.Second, 10*time.Second
 	sub := NewSubscriber("n", "z", durations, 0)
 	if !sub.Ready(0, 1, 0, nil) {
-		t.Fatal("it is not ready")
+		t.Fatal("not ready with a fresh configuration at 0")
 	}
 	var members []Member
 	for i := range 30 {
@@ -108,12 +108,12 @@
 	members = append(members, Member{Node: "n", Zone: "z", PeerAddr: "n:1"})
 	machines := []ControlMachine{{"down:1", "z", now - 8*s}, {"up:1", "other", now - s}, {"up:2", "other", now - s}}
 	if _, relay := sub.ChooseParent(now, now-s, members, machines); !relay {
-		t.Error("with a fresh configuration it does not turn to a relay")
+		t.Error("does not choose a relay although its configuration is fresh")
 	}
 	for _, want := range []string{"up", "up", "down"} {
 		addr, relay := sub.ChooseParent(now, now-2*s, members, machines)
 		if relay || !strings.HasPrefix(addr, want) {
-			t.Errorf("it turns to %s, want one that is %s", addr, want)
+			t.Errorf("chooses %s, want a control machine that is %s", addr, want)
 		}
 		sub.RecordFailure(addr, now)
 		now += time.Millisecond
--- a/mesh/dissemination/subscription.go
+++ b/mesh/dissemination/subscription.go
@@ -3,29 +3,31 @@
 import "time"
 
 const (
-	// maxUnackedEntries is how many entries are pushed without awaiting an acknowledgement, and together with a configuration.
+	// maxUnackedEntries is the maximum number of entries that are pushed without awaiting an acknowledgement, or together with a
+	// configuration.
 	maxUnackedEntries = 32
-	// pushesBetweenMachines is how many pushes go without the list of control machines after one that had it.
+	// pushesBetweenMachineLists is the number of pushes without the list of control machines between two that include it.
 	pushesBetweenMachineLists = 2
-	// notChanged is the value of subscription.changedAt while there is nothing new for the subscriber.
+	// noChange is the value of subscription.changedAt while there is nothing to push.
 	noChange = time.Duration(-1)
 )
 
 // subscription is a publisher's state for one subscriber.
 type subscription struct {
-	directoryRevision      uint64 // of the directory, up to which entries were pushed
+	directoryRevision      uint64 // revision of the directory up to which entries were pushed
 	sentRolloutRevision    uint32 // revision of the rollouts that were pushed
-	sentVersion            uint32 // that the subscriber has once it has applied all that was pushed
-	nonce                  uint64 // of the last update that had one
-	awaitingAck            bool   // that update is not acknowledged yet
+	sentVersion            uint32 // version that the subscriber has after applying all updates pushed so far
+	nonce                  uint64 // of the last update with a nonce
+	awaitingAck            bool   // the update with that nonce is not acknowledged yet
 	lowestInForce          uint32
 	lastAck                time.Duration
 	lastPush               time.Duration
-	changedAt              time.Duration // since when there is something to push; below 0: there is nothing
-	pushesUntilMachineList int           // pushes left until the control machines are listed again
+	changedAt              time.Duration // when the oldest change not yet pushed was detected, or noChange
+	pushesUntilMachineList int           // number of pushes until the list of control machines is sent again
 }
 
-// newSubscription returns the state for a subscriber that has a version. Its first push is due a heartbeat interval after lastPush.
+// newSubscription returns the state for a subscriber that has a version of the configuration (0 for none). Its first push is due a
+// heartbeat interval after lastPush, or batchDelay after now, whichever is earlier.
 func newSubscription(version uint32, lastPush, now time.Duration) *subscription {
 	return &subscription{
 		sentVersion:   version,
@@ -36,7 +38,7 @@
 	}
 }
 
-// handleAck records an acknowledgement. One of an earlier nonce does not tell what the subscriber has by now.
+// handleAck records an acknowledgement. One with an earlier nonce does not say which version the subscriber has after the last update.
 func (s *subscription) handleAck(ack Ack, now time.Duration) {
 	s.lastAck, s.lowestInForce = now, ack.LowestInForce
 	if ack.Nonce == s.nonce {
@@ -44,7 +46,7 @@
 	}
 }
 
-// dueAt returns when the next push is due: soon after a change, else at the next heartbeat.
+// dueAt returns when the next push is due: batchDelay after a change, or else at the next heartbeat.
 func (s *subscription) dueAt(heartbeatInterval time.Duration) time.Duration {
 	heartbeat := s.lastPush + heartbeatInterval
 	if s.changedAt < 0 {
@@ -61,11 +63,11 @@
 	return !s.awaitingAck && (s.sentVersion < p.Version || s.directoryRevision < p.Directory.Revision())
 }
 
-// push builds the update that is due, and records it as sent: the configuration first, with entries where they are few or the
-// subscriber's first.
+// push builds the update that is due and records it as sent. The configuration comes first. Entries are added to it if they are few or if
+// the subscriber has none yet.
 func (s *subscription) push(id uint64, p *Publisher, now time.Duration) Update {
 	update := Update{SubscriberID: id, AsOf: TimeUnknown}
-	if s.sentRolloutRevision < p.Rollouts.Revision { // ahead of the entries of servers of new versions
+	if s.sentRolloutRevision < p.Rollouts.Revision { // before the entries of servers of new versions
 		rollouts := p.Rollouts
 		update.Rollouts, s.sentRolloutRevision = &rollouts, rollouts.Revision
 	}
@@ -88,7 +90,7 @@
 	return update
 }
 
-// addConfig adds the newest version where the subscriber has an older one. It reports whether it did.
+// addConfig adds the newest version if the subscriber has an older one. It reports whether it did.
 func (s *subscription) addConfig(update *Update, p *Publisher) bool {
 	if s.sentVersion >= p.Version {
 		return false
@@ -99,7 +101,7 @@
 	return true
 }
 
-// addEntries adds what has changed in the directory. It reports whether that has to be acknowledged.
+// addEntries adds the directory entries that have changed. It reports whether the update has to be acknowledged because of them.
 func (s *subscription) addEntries(update *Update, p *Publisher, withConfig bool) bool {
 	revision := p.Directory.Revision()
 	if s.directoryRevision >= revision {
@@ -107,7 +109,7 @@
 	}
 	entries := p.Directory.ChangedSince(s.directoryRevision)
 	if withConfig && s.directoryRevision > 0 && len(entries) > maxUnackedEntries {
-		return false // they follow once the configuration is acknowledged
+		return false // pushed after the configuration is acknowledged
 	}
 	update.Entries, s.directoryRevision = entries, revision
 	return len(entries) > maxUnackedEntries
--- a/mesh/dissemination/tree.go
+++ b/mesh/dissemination/tree.go
@@ -7,25 +7,26 @@
 )
 
 const (
-	// Fanout is how many subscribers a relay is meant to have: a zone of n sidecars has one relay in Fanout + 1.
+	// Fanout is the intended number of subscribers of a relay: of Fanout + 1 sidecars in a zone, one is a relay.
 	Fanout = 5
-	// maxFlatZone is the number of sidecars up to which a zone has no relays: all subscribe to control machines, as a tree would cost
-	// them time and spare the control plane nothing.
+	// maxFlatZoneSize is the number of sidecars up to which a zone has no relays. They all subscribe to control machines, as in a zone
+	// this small a relay adds delay without taking load off the control plane.
 	maxFlatZoneSize = 6
 )
 
-// Locality is a sidecar as the tree sees it.
+// Member is a sidecar in the tree.
 type Member struct {
-	Node     string // its name
-	Zone     string // its failure domain
+	Node     string // name of the machine
+	Zone     string // failure domain
 	PeerAddr string // host and port that subscribers connect to
 }
 
-// ParentCandidates returns the relays that a sidecar may subscribe to, the preferred one first; none: it subscribes to a control machine.
+// ParentCandidates returns the relays that a sidecar may subscribe to, the preferred one first. If there are none, the sidecar subscribes
+// to a control machine.
 //
-// Sidecars that know the same members compute the same tree without any agreement: in each zone the first in the order of a hash of their
-// names are relays, and the others are dealt out to them. Relays subscribe to control machines only, so that an update takes one hop more
-// at most, and no cycle can form where sidecars know different members.
+// Sidecars that know the same members compute the same tree without coordination: in each zone the sidecars are ordered by a hash of their
+// names, the first are relays, and the others are assigned to them in turn. Relays subscribe only to control machines, so an update takes
+// at most one additional hop, and no cycle can form between sidecars that know different members.
 func ParentCandidates(self string, members []Member) []Member {
 	selfIndex := slices.IndexFunc(members, func(l Member) bool { return l.Node == self })
 	if selfIndex < 0 {
@@ -38,13 +39,13 @@
 	relays := (len(zone) + Fanout) / (Fanout + 1)
 	rank := slices.IndexFunc(zone, func(l Member) bool { return l.Node == self })
 	if rank < relays {
-		return nil // a relay itself
+		return nil // self is a relay
 	}
 	first := (rank - relays) % relays
 	return slices.Concat(zone[first:relays], zone[:first])
 }
 
-// sidecarsOfZone returns the members of a zone in the order of the hashes of their names.
+// membersOfZone returns the members of a zone, ordered by the hashes of their names.
 func membersOfZone(name string, members []Member) []Member {
 	var zone []Member
 	for _, m := range members {
--- a/mesh/dissemination/tree_test.go
+++ b/mesh/dissemination/tree_test.go
@@ -27,7 +27,7 @@
 			subscribers[parents[0].Node]++
 			for _, parent := range parents {
 				if parent.Zone != p.Zone || len(ParentCandidates(parent.Node, all)) > 0 {
-					t.Errorf("%d: %s has %s above it, which is not a relay of its zone", n, p.Node, parent.Node)
+					t.Errorf("%d: the parent of %s is %s, which is not a relay of its zone", n, p.Node, parent.Node)
 				}
 			}
 		}
--- a/mesh/dissemination/update.go
+++ b/mesh/dissemination/update.go
@@ -8,56 +8,57 @@
 	"firplank/mesh/rollout"
 )
 
-// TimeUnknown stands for the time at which a version was the newest where there is none. Real times may be below 0, before the start of
-// the process's clock: a sidecar that has just started learns what was the newest before it ran.
+// TimeUnknown means that no time is known at which a version was the newest. Known times may be negative, as times are measured from the
+// start of the process: a sidecar that has just started receives versions that were the newest before its start.
 const TimeUnknown = time.Duration(math.MinInt64)
 
-// Unconstrained is the lowest version in force of a process that no configuration has to reach.
+// Unconstrained is the value of LowestInForce for a process without subscribers that a configuration has to reach.
 const Unconstrained = math.MaxUint32
 
 // ControlMachine is a control machine that sidecars can subscribe to.
 type ControlMachine struct {
 	Addr     string        // host and port that sidecars connect to
-	Zone     string        // its failure domain; empty: not reported yet
+	Zone     string        // failure domain; empty if not reported yet
 	LastSeen time.Duration // by the clock of this process
 }
 
-// Delta leads from the text of one version of the configuration to that of a later one.
+// Delta is the difference between the texts of two versions of the configuration.
 type Delta struct {
-	Base    uint32 // the version that it applies to
-	Version uint32 // the version that results
-	Bytes   []byte // as package delta encodes it; not to be changed
+	Base    uint32 // version that the delta applies to
+	Version uint32 // version that results, later than Base
+	Bytes   []byte // encoded by package delta; must not be modified
 }
 
-// Update is one push to a subscriber. The publisher gives it away; slices in it are shared and not to be changed.
+// Update is one push to a subscriber. Its slices are shared and must not be modified.
 type Update struct {
 	SubscriberID uint64
-	// Nonce is to be returned in an Ack, as in xDS; 0: no acknowledgement is awaited. Nothing large follows before it.
+	// Nonce has to be returned in an Ack, as in xDS. It is 0 if no acknowledgement is awaited. No further configuration and no further
+	// entries are pushed until the acknowledgement arrives.
 	Nonce uint64
-	// Version is the version of the configuration that the subscriber has once it has applied the update.
+	// Version is the version of the configuration that the subscriber has after applying the update.
 	Version uint32
-	// AsOf is a time at which Version was the newest that a majority had, by the publisher's clock. TimeUnknown: the update proves
-	// nothing about its age.
+	// AsOf is a time at which Version was the newest version that a majority had, by the publisher's clock. With TimeUnknown the update
+	// says nothing about the age of Version.
 	AsOf time.Duration
-	// Deltas lead from what the subscriber has to Version.
+	// Deltas lead from the version that the subscriber has to Version.
 	Deltas []Delta
-	// FullText: the complete text of Version belongs to the update in place of deltas.
+	// FullText reports whether the complete text of Version has to be sent in place of deltas.
 	FullText bool
-	// Rollouts are those of the publisher, before the entries; nil: the subscriber has them.
+	// Rollouts is the publisher's set of rollouts, to be applied before the entries. It is nil if the subscriber has it already.
 	Rollouts *rollout.Set
-	// Entries are the directory's entries that have changed since the last push.
+	// Entries are the directory entries that have changed since the last push.
 	Entries []directory.Entry
-	// ControlMachines are the publisher's; nil: not repeated in this push.
+	// ControlMachines is the publisher's list of control machines, or nil if this push does not repeat it.
 	ControlMachines []ControlMachine
 }
 
-// Ack is what a subscriber reports of itself and of those that subscribe to it.
+// Ack is a subscriber's report about itself and its own subscribers.
 type Ack struct {
-	// Nonce is that of the last update with one that was applied.
+	// Nonce is the nonce of the last update that had one.
 	Nonce uint64
-	// Version is the version that the subscriber has. Below what was pushed: a delta did not apply, and the full text is needed (a NACK
-	// in the terms of xDS).
+	// Version is the version that the subscriber has. A version lower than the pushed one means that a delta did not apply and the full
+	// text is needed (a NACK in xDS).
 	Version uint32
-	// LowestInForce is the lowest version in force at the subscriber and below it in the tree; Unconstrained: nobody has to reach any.
+	// LowestInForce is the lowest version in force at the subscriber and its own subscribers, or Unconstrained.
 	LowestInForce uint32
 }
