--- a/mesh/membership/config.go
+++ b/mesh/membership/config.go
@@ -2,25 +2,27 @@
 
 import "time"
 
-// Config holds the parameters of a detector. A member is lost to another at the earliest PingTimeout twice (directly, then through others)
-// and SuspicionTimeout after a ping that it did not answer.
+// Config holds the parameters of a detector. A member counts as lost 2*PingTimeout (direct, then indirect pings) plus SuspicionTimeout
+// after a ping that it did not answer, at the earliest.
 type Config struct {
-	// ProbeInterval is the time between two pings, each to another member; all members are pinged once in a round. Higher: fewer
-	// datagrams, and a failure is noticed later, by ProbeInterval times the number of members at worst.
+	// ProbeInterval is the time between two pings, each to another member. All members are pinged once in a round. A higher value sends
+	// fewer datagrams and detects failures later, in the worst case by ProbeInterval times the number of members.
 	ProbeInterval time.Duration
-	// PingTimeout is how long a member has to answer a ping, and then how long others have to reach it. Higher: a failure is noticed
-	// later. Lower: members on slow links are suspected.
+	// PingTimeout is how long a member has to answer a direct ping, and then how long an indirect ping may take. A higher value detects
+	// failures later; with a lower one, members on slow links are suspected.
 	PingTimeout time.Duration
-	// IndirectProbes is how many other members get a PingReq for one that did not answer, and a Suspect message (SWIM's k).
-	// Higher: more datagrams for each unanswered ping, fewer wrong suspicions.
+	// IndirectProbes is the number of other members that get a PingReq, and later a Suspect message, for a member that did not answer
+	// (SWIM's k). A higher value sends more datagrams for each unanswered ping and gives fewer false suspicions.
 	IndirectProbes int
-	// SuspicionTimeout is how long a suspect has to be refuted, by itself or by a member that has seen it lately. Higher: requests are
-	// sent to a failed machine for longer. Lower: members that paused are lost.
+	// SuspicionTimeout is the time in which a suspicion can be refuted, by the suspect or by a member that has seen it lately. With a
+	// higher value, requests are sent to a failed machine for longer; with a lower one, members that only paused count as lost.
 	SuspicionTimeout time.Duration
-	// MaxLocalHealth bounds the local health score: how many unanswered pings in a row lengthen this member's time-outs, each by their
-	// initial value (Lifeguard's local health multiplier). Higher: a member that is cut off takes longer to hold others for lost.
+	// MaxLocalHealth is the maximum of the local health score. Up to it, each unanswered ping in a row lengthens this member's time-outs
+	// by their initial value (Lifeguard's local health multiplier). With a higher value, a member that is cut off takes longer to declare
+	// others lost.
 	MaxLocalHealth int
-	// MaxPendingProbes bounds the pings that await an answer; beyond it no further ones are sent. Higher: more memory.
+	// MaxPendingProbes is the maximum number of pings that await an answer. No further ones are sent beyond it. A higher value takes more
+	// memory.
 	MaxPendingProbes int
 }
 
--- a/mesh/membership/detector.go
+++ b/mesh/membership/detector.go
@@ -1,14 +1,15 @@
 // Package membership is the failure detector among sidecars, after SWIM (Das, Gupta, Motivala, 2002) and Lifeguard (Dadgar, Phillips,
-// Currey, 2018). Each sidecar pings the members it uses in turn; one that does not answer is pinged through other members, then suspected,
-// and is lost only when no refutation comes within a time-out. By Lifeguard's local health score a member that gets no answers doubts
-// itself first, and gives the others more time.
+// Currey, 2018). Each sidecar pings in turn the members that it sends requests to. A member that does not answer is pinged through other
+// members, then suspected, and counts as lost only if the suspicion is not refuted within a time-out. With Lifeguard's local health score,
+// a member that gets no answers lengthens its own time-outs, as the fault may be on its side.
 //
-// It differs from SWIM in what a finding means: it stays local, as a reason to send no requests to a machine, and is revoked by any sign of
-// life. A suspect is also pinged over a connection (memberlist's fallback ping over TCP), as a full link loses datagrams first and a
-// machine behind one is not lost. There is no dissemination of findings, and no incarnation: package directory has both.
+// Unlike in SWIM, the detector's result stays local: it is a reason to send no requests to a machine, and it is revoked by any message from
+// that machine. A suspect is also pinged over a connection (like memberlist's fallback ping over TCP), because a congested link drops
+// datagrams first, and a machine behind such a link is not lost. The package has neither dissemination nor incarnations; package directory
+// has both.
 //
-// The package has no socket and no clock: messages go in and out, times are arguments, randomness is a seed. The same calls give the same
-// results.
+// The package has no socket and no clock: messages are arguments and results, times are arguments, and random choices depend on a seed. The
+// same calls give the same results.
 //
 // Start reading at Detector.Tick.
 package membership
@@ -21,15 +22,15 @@
 	"time"
 )
 
-// notSuspected is the value of member.suspectedAt of a member without suspicion.
+// notSuspected is the value of member.suspectedAt for a member that is not suspected.
 const notSuspected = time.Duration(-1)
 
-// randomStream is the second half of the generator's seed, which sets it apart from other generators of the same seed.
+// randomStream is the second half of the generator's seed. It makes the sequence differ from other generators with the same seed.
 const randomStream = 3
 
 // member is a detector's state for another member.
 type member struct {
-	lastSeen    time.Duration // when it last gave a sign of life, here or to another member
+	lastSeen    time.Duration // when it was last known to be alive, directly or through another member
 	suspectedAt time.Duration // or notSuspected
 	lost        bool          // suspected, and the suspicion has timed out
 }
@@ -40,8 +41,8 @@
 type probe struct {
 	target         string
 	sentAt         time.Duration
-	requester      string // on whose PingReq it was sent; empty: it is the member's own
-	requesterSeqNo uint64 // the sequence number of that PingReq
+	requester      string // member whose PingReq it was sent for; empty for the detector's own probe
+	requesterSeqNo uint64 // sequence number of that PingReq
 	indirect       bool   // PingReq messages were sent for the target
 }
 
@@ -51,14 +52,14 @@
 	self        string
 	rng         *rand.Rand
 	members     map[string]*member
-	probeOrder  []string // members not yet pinged in this round, the next one last
+	probeOrder  []string // members not yet pinged in this round; the last one is pinged next
 	nextProbeAt time.Duration
 	seqNo       uint64
 	probes      map[uint64]*probe // by sequence number
-	localHealth int               // own pings in a row without an answer: 0 is healthy
+	localHealth int               // number of own pings in a row without an answer; 0 is healthy
 }
 
-// New returns the detector of the member self, which has no other members yet. Seed determines all random choices.
+// New returns the detector of the member self, without other members. seed determines all random choices.
 func New(self string, seed uint64, config Config) *Detector {
 	return &Detector{
 		config:  config,
@@ -69,8 +70,8 @@
 	}
 }
 
-// SetMembers sets the members to be pinged, which may include the detector's own name. A new one counts as seen now; one that is left out
-// is forgotten.
+// SetMembers sets the members to be pinged. The detector's own name is ignored. A new member counts as seen now, and members not in names
+// are removed.
 func (d *Detector) SetMembers(now time.Duration, names []string) {
 	for name := range d.members {
 		if !slices.Contains(names, name) {
@@ -84,7 +85,7 @@
 	}
 }
 
-// Lost reports whether a member is held to have failed; false for a name that is not a member's.
+// Lost reports whether a member counts as failed. It is false for a name that is not a member's.
 func (d *Detector) Lost(name string) bool {
 	m := d.members[name]
 	return m != nil && m.lost
@@ -100,21 +101,22 @@
 	return false
 }
 
-// RecordContact records that a member has answered something else than a ping: on a congested link datagrams are lost, while answers over
-// TCP still arrive. It reports whether the member was lost until now.
+// RecordContact records that a member has answered something other than a datagram ping: on a congested link datagrams are lost while
+// answers over TCP still arrive. It reports whether the member was lost until now.
 func (d *Detector) RecordContact(now time.Duration, name string) (changed bool) {
 	return d.markAlive(now, name)
 }
 
-// Tick returns the messages that are due, and whether any member was lost by the passing of time. It is to be called several times in a
-// PingTimeout.
+// Tick returns the messages that are due, and whether a member became lost as its suspicion timed out. It has to be called several times
+// per PingTimeout.
 func (d *Detector) Tick(now time.Duration) (out []Message, changed bool) {
 	out = d.checkProbes(now)
 	changed = d.confirmSuspects(now)
 	return append(out, d.probeNext(now)...), changed
 }
 
-// checkProbes moves on the pings that have timed out: a member's own go to indirect ones, then to a suspicion.
+// checkProbes handles the pings that have timed out. For the detector's own pings, indirect pings are requested first, and then the target
+// is suspected. Pings on behalf of others are dropped.
 func (d *Detector) checkProbes(now time.Duration) (out []Message) {
 	timeout := d.scaledTimeout(d.config.PingTimeout)
 	for _, seqNo := range sortedKeys(d.probes) {
@@ -126,7 +128,7 @@
 		case elapsed >= 2*timeout:
 			delete(d.probes, seqNo)
 			out = append(out, d.suspect(now, p.target)...)
-			timeout = d.scaledTimeout(d.config.PingTimeout) // a suspicion changes the local health
+			timeout = d.scaledTimeout(d.config.PingTimeout) // suspect has changed the local health score
 		case !p.indirect:
 			p.indirect = true
 			for _, helper := range d.randomHealthy(p.target) {
@@ -137,7 +139,7 @@
 	return out
 }
 
-// confirmSuspects turns suspicions into losses that nobody has refuted in time. It reports whether there were any.
+// confirmSuspects marks as lost the members whose suspicion was not refuted in time. It reports whether there were any.
 func (d *Detector) confirmSuspects(now time.Duration) (changed bool) {
 	timeout := d.scaledTimeout(d.config.SuspicionTimeout)
 	for _, m := range d.members {
@@ -148,8 +150,8 @@
 	return changed
 }
 
-// probeNext pings the next member once a ProbeInterval. The order is shuffled anew for each round, as in SWIM: so each member is pinged
-// within two rounds.
+// probeNext pings the next member once per ProbeInterval. The order is shuffled for each round, as in SWIM, so that at most two rounds pass
+// between two pings of a member.
 func (d *Detector) probeNext(now time.Duration) []Message {
 	if now < d.nextProbeAt || len(d.members) == 0 {
 		return nil
@@ -168,7 +170,8 @@
 	return d.ping(now, name, "", 0)
 }
 
-// ping sends a ping, on behalf of the requester of a PingReq where one is named; nothing while too many are pending.
+// ping returns a ping of target, and records it as pending. A requester that is not empty is the sender of the PingReq that asked for it.
+// While MaxPendingProbes are pending, no ping is sent.
 func (d *Detector) ping(now time.Duration, target, requester string, requesterSeqNo uint64) []Message {
 	if len(d.probes) >= d.config.MaxPendingProbes {
 		return nil
@@ -178,8 +181,7 @@
 	return []Message{{Kind: Ping, From: d.self, To: target, SeqNo: d.seqNo}}
 }
 
-// suspect begins a suspicion: it requests a refutation from others, and another answer from the suspect, by a datagram and over a
-// connection.
+// suspect starts a suspicion. It asks other members for a refutation, and pings the suspect again, by datagram and over a connection.
 func (d *Detector) suspect(now time.Duration, name string) (out []Message) {
 	d.localHealth++
 	m := d.members[name]
@@ -194,7 +196,8 @@
 	return append(out, d.ping(now, name, "", 0)...)
 }
 
-// Handle processes a message, whose sender is alive. It returns the messages to be sent, and whether any member was lost until now.
+// Handle processes a received message, which shows that its sender is alive. It returns the messages to be sent, and whether a lost member
+// was found alive.
 func (d *Detector) Handle(now time.Duration, m Message) (out []Message, changed bool) {
 	changed = d.markAlive(now, m.From)
 	switch m.Kind {
@@ -218,7 +221,7 @@
 	return out, changed
 }
 
-// handleAck ends the ping that an Ack answers. One sent on behalf of another member is passed on to it.
+// handleAck completes the ping that an Ack answers. If the ping was sent on behalf of another member, an Alive message is returned for it.
 func (d *Detector) handleAck(m Message) []Message {
 	p := d.probes[m.SeqNo]
 	if p == nil || p.target != m.From {
@@ -232,7 +235,7 @@
 	return nil
 }
 
-// handleSuspect refutes a suspicion of a member that was seen lately, and else pings it.
+// handleSuspect refutes the suspicion of a member that was seen within SuspicionTimeout, and pings it otherwise.
 func (d *Detector) handleSuspect(now time.Duration, m Message) []Message {
 	target := d.members[m.Target]
 	if target == nil || target.suspected() {
@@ -244,7 +247,7 @@
 	return d.ping(now, m.Target, "", 0)
 }
 
-// markAlive ends the suspicion and the loss of a member. It reports whether the member was lost.
+// markAlive records that a member was seen now, and clears its suspected and lost states. It reports whether the member was lost.
 func (d *Detector) markAlive(now time.Duration, name string) (wasLost bool) {
 	m := d.members[name]
 	if m == nil {
@@ -255,12 +258,12 @@
 	return wasLost
 }
 
-// scaled lengthens a time-out by the local health score.
+// scaledTimeout lengthens a time-out according to the local health score.
 func (d *Detector) scaledTimeout(timeout time.Duration) time.Duration {
 	return timeout * time.Duration(1+min(d.localHealth, d.config.MaxLocalHealth))
 }
 
-// randomHealthy picks up to IndirectProbes members that are not suspected, other than one.
+// randomHealthy picks up to IndirectProbes random members that are not suspected, other than except.
 func (d *Detector) randomHealthy(except string) (picked []string) {
 	names := sortedKeys(d.members)
 	d.shuffle(names)
@@ -276,7 +279,7 @@
 	d.rng.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 }
 
-// sortedKeys returns a map's keys in order, as random choices have to be the same for the same seed.
+// sortedKeys returns a map's keys in order, so that random choices are the same for the same seed.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
 	return slices.Sorted(maps.Keys(m))
 }
--- a/mesh/membership/detector_test.go
+++ b/mesh/membership/detector_test.go
@@ -18,12 +18,12 @@
 	contactInterval = 200 * time.Millisecond
 )
 
-// cluster runs detectors over links of linkDelay. A member that is "cut" receives and sends nothing; "deaf:x" cuts the link to x alone;
-// "slow" delays all that a member sends by slowDelay; "full" loses a member's datagrams, while it answers requests; "busy" loses them too,
-// and it answers no requests, but pings over connections.
+// cluster runs detectors that exchange messages with a delay of linkDelay. Commands of a timeline inject faults: "cut" drops all messages
+// of a member, "deaf:x" cuts only its link to x, "slow" delays the messages that it sends by slowDelay, "full" drops its datagrams while it
+// still answers requests, and "busy" drops its datagrams while it answers only pings over connections.
 type cluster struct {
 	names      []string
-	detectors  []*Detector
+	nodes      []*Detector
 	cut        map[int]bool
 	cutLinks   map[[2]string]bool
 	slow       map[int]bool
@@ -31,7 +31,7 @@
 	busy       map[int]bool
 	inFlight   []delivery
 	log        []string
-	lastLogged string // the last line of the log
+	lastLogged string // losses in the last line of the log
 }
 
 type delivery struct {
@@ -52,13 +52,13 @@
 func (c *cluster) step(now time.Duration) {
 	c.deliver(now)
 	var losses []string
-	for i, d := range c.detectors {
+	for i, d := range c.nodes {
 		for j := range c.full {
 			if d != nil && i != j && now%contactInterval == 0 {
 				d.RecordContact(now, c.names[j])
 			}
 		}
-		if d == nil || c.full[i] { // what one whose datagrams are lost makes of the others is not logged
+		if d == nil || c.full[i] { // with a full link it suspects others wrongly; that is not logged
 			continue
 		}
 		out, _ := d.Tick(now)
@@ -70,7 +70,7 @@
 	c.logLost(now, strings.Join(losses, "; "))
 }
 
-// deliver hands over the messages that have arrived.
+// deliver passes the messages whose delay is over to their recipients.
 func (c *cluster) deliver(now time.Duration) {
 	inFlight := c.inFlight
 	c.inFlight = nil
@@ -81,18 +81,18 @@
 		case d.arrivesAt > now:
 			c.inFlight = append(c.inFlight, d)
 		case d.message.Kind == StreamPing:
-			if c.detectors[i] != nil && c.detectors[j] != nil && (c.busy[j] || !c.cut[j]) && (c.busy[i] || !c.cut[i]) && !c.cutLinks[[2]string{from, to}] {
-				c.detectors[i].RecordContact(now, to)
+			if c.nodes[i] != nil && c.nodes[j] != nil && (c.busy[j] || !c.cut[j]) && (c.busy[i] || !c.cut[i]) && !c.cutLinks[[2]string{from, to}] {
+				c.nodes[i].RecordContact(now, to)
 			}
-		case c.detectors[j] == nil || c.cut[i] || c.cut[j] || c.cutLinks[[2]string{from, to}] || c.cutLinks[[2]string{to, from}]:
+		case c.nodes[j] == nil || c.cut[i] || c.cut[j] || c.cutLinks[[2]string{from, to}] || c.cutLinks[[2]string{to, from}]:
 		default:
-			out, _ := c.detectors[j].Handle(now, d.message)
+			out, _ := c.nodes[j].Handle(now, d.message)
 			c.send(now, out)
 		}
 	}
 }
 
-// lostTo returns the members that a detector holds for lost.
+// membersLostTo returns the members that count as lost to a detector.
 func (c *cluster) membersLostTo(d *Detector) (names []string) {
 	for _, name := range c.names {
 		if d.Lost(name) {
@@ -102,7 +102,7 @@
 	return names
 }
 
-// logLost logs who is lost to whom, where that has changed.
+// logLost logs which members are lost to which, if that has changed.
 func (c *cluster) logLost(now time.Duration, text string) {
 	if text == c.lastLogged {
 		return
@@ -117,10 +117,10 @@
 func (c *cluster) apply(now time.Duration, i int, cell string) {
 	switch verb, arg, _ := strings.Cut(cell, ":"); verb {
 	case "up":
-		c.detectors[i] = New(c.names[i], uint64(i+1), DefaultConfig())
-		c.detectors[i].SetMembers(now, c.names)
+		c.nodes[i] = New(c.names[i], uint64(i+1), DefaultConfig())
+		c.nodes[i].SetMembers(now, c.names)
 	case "kill":
-		c.detectors[i] = nil
+		c.nodes[i] = nil
 	case "cut":
 		c.cut[i] = true
 	case "full":
@@ -147,13 +147,13 @@
 			t.Fatal(err)
 		}
 		c := &cluster{
-			names:     scenario.Names,
-			detectors: make([]*Detector, len(scenario.Names)),
-			cut:       map[int]bool{},
-			cutLinks:  map[[2]string]bool{},
-			slow:      map[int]bool{},
-			full:      map[int]bool{},
-			busy:      map[int]bool{},
+			names:    scenario.Names,
+			nodes:    make([]*Detector, len(scenario.Names)),
+			cut:      map[int]bool{},
+			cutLinks: map[[2]string]bool{},
+			slow:     map[int]bool{},
+			full:     map[int]bool{},
+			busy:     map[int]bool{},
 		}
 		scenario.Play(10*time.Millisecond, c.step, c.apply)
 		if c.log == nil {
@@ -163,7 +163,7 @@
 	})
 }
 
-// detectorOf returns a detector of a whose other members are b and c, seen at 0.
+// newTestDetector returns the detector of member a. Its other members are b and c, last seen at 0.
 func newTestDetector(config Config) *Detector {
 	d := New("a", 1, config)
 	d.SetMembers(0, []string{"a", "b", "c"})
--- a/mesh/membership/message.go
+++ b/mesh/membership/message.go
@@ -9,24 +9,24 @@
 	Ping Kind = iota + 1
 	// Ack answers a Ping.
 	Ack
-	// PingReq requests a ping of Target on behalf of the sender.
+	// PingReq asks the recipient to ping Target on behalf of the sender.
 	PingReq
-	// Alive reports a sign of life of Target: the answer to a PingReq that succeeded, or the refutation of a Suspect.
+	// Alive reports that Target is alive: it answers a PingReq whose ping was acknowledged, or refutes a Suspect.
 	Alive
-	// Suspect reports that the sender suspects Target to have failed, and requests a refutation.
+	// Suspect reports that the sender suspects Target to have failed, and asks for a refutation.
 	Suspect
-	// StreamPing asks who carries the messages for a Ping of To over a connection, and for RecordContact once it is answered. It is no
-	// datagram: those are lost first where a link is full.
+	// StreamPing is not sent as a datagram. It tells the transport to ping To over a connection, and to call RecordContact when that is
+	// answered. Datagrams are the first to be lost on a congested link.
 	StreamPing
 )
 
-// Message is a datagram between two members, or a StreamPing. Any of them may be lost, delayed or duplicated.
+// Message is a datagram between two members, or a StreamPing. Messages may be lost, delayed or duplicated.
 type Message struct {
 	Kind Kind
 	// From and To are the names of the members.
 	From, To string
-	// SeqNo is chosen by who sends a Ping or a PingReq, and returned in the answer; 0: the message is no answer and awaits none.
+	// SeqNo is chosen by the sender of a Ping or a PingReq, and returned in the answer. It is 0 in other messages.
 	SeqNo uint64
-	// Target is the member that a PingReq, Alive or Suspect is about; empty in a Ping and an Ack.
+	// Target is the member that a PingReq, Alive or Suspect is about. It is empty in other messages.
 	Target string
 }
