--- a/mesh/persist/queue.go
+++ b/mesh/persist/queue.go
@@ -1,12 +1,13 @@
-// Package persist decides what of a replica's output may leave the process, and when: an output leaves once a state at
-// least as new as the one that it was made in is on disk, and after all outputs before it. While a write is in flight,
-// the states that follow it are merged: the next write is of the newest. It is the part of etcd/raft's Ready contract
-// that messages are sent after the state is saved, with the disk written in the background.
+// Package persist holds a replica's outputs back until they are safe to send: an output is released once a state at least
+// as new as the one that it was produced with is on disk, and after all earlier outputs. While a write is in flight, newer
+// states replace each other, and the next write is of the newest one. This is the part of etcd/raft's Ready contract that
+// requires messages to be sent after the state is saved, with writes to the disk in the background.
 //
-// It does no I/O, has no goroutine, and takes the clock as an argument. The owner of a Queue adds outputs, does what
-// NextWrite returns, one write at a time, reports how that ended, and sends what TakeReady returns.
+// The package does no I/O, has no goroutine, and takes times as arguments. The owner of a Queue adds outputs, performs the
+// writes that NextWrite returns, one at a time, reports their results, and sends what TakeReady returns.
 //
-// Begin with Queue.Add and Queue.TakeReady. docs/design/register.md ("What is on disk") has the rule that this keeps.
+// Start reading at Queue.Add and Queue.TakeReady. docs/design/register.md ("What is on disk") describes the rule that is
+// enforced here.
 package persist
 
 import (
@@ -17,57 +18,59 @@
 )
 
 const (
-	// DiskTimeout is how long a state may wait for the disk before the disk counts as failing.
+	// DiskTimeout is how long a state may be unsynced before the disk counts as failing.
 	DiskTimeout = time.Second
-	// retryMin is the pause after a failed write, which doubles with each further one up to retryMax. The number of
-	// retries isn't bounded: an error of the disk loses nothing but time, and this is how often it is tried again.
+	// minRetryDelay is the delay after a failed write. It doubles with each further failure up to maxRetryDelay. The number
+	// of retries isn't bounded, as a failed write loses no data.
 	minRetryDelay = 20 * time.Millisecond
 	maxRetryDelay = time.Second
-	// maxDoublings keeps the pause's shift from overflowing; retryMax is reached long before.
+	// maxDoublings keeps the shift of the delay from overflowing. maxRetryDelay is reached earlier.
 	maxDoublings = 10
-	// maxOutputs and maxBytes bound what is pending, the latter in bytes of configurations. Beyond either the queue is
-	// full, and its owner gives the replica no more events: messages are lost as on a link, operators are refused. One
-	// more output than the bound may be pending, as what an event leads to is known after it.
+	// maxPendingOutputs and maxPendingBytes bound the pending outputs, the latter in bytes of configurations. When either is
+	// reached the queue is full, and its owner passes no more events to the replica: messages are dropped as on a lossy
+	// link, and operators' requests are rejected. One output may exceed the bounds, as an event's output is known only after
+	// the event.
 	maxPendingOutputs = 512
 	maxPendingBytes   = 8 << 20
 )
 
-// Committed is the newest value that the replica knew to be on a majority of disks, its own counted as if synced.
+// Committed is the newest value that the replica knew to be on a majority of disks. The replica's own disk is counted as
+// if the state were synced.
 type Committed struct {
-	Known bool // there is one
+	Known bool // whether there is such a value
 	Value register.Value
 	AsOf  time.Duration // when it was known to be the newest
 }
 
-// Ready is what an event has led to and what may leave the process: messages first, then the value in force, then
-// outcomes of operations.
+// Ready is the part of an event's output that may leave the process. Messages are sent first, then the committed value is
+// put in force, then the outcomes of operations are reported.
 type Ready struct {
 	Messages  []register.Message
 	Committed Committed
 	Outcomes  []register.Outcome
 }
 
-// Write is a state to be written.
+// Write is a state to be written to the disk.
 type Write struct {
-	Number uint64 // rises with each state
+	Number uint64 // rises by one with each state
 	State  *register.State
 }
 
-// output waits for the state that it was made in.
+// output is a pending output.
 type output struct {
-	requiredState uint64 // number of that state
+	requiredState uint64 // number of the state that has to be on disk first
 	bytes         int
 	ready         Ready
 }
 
-// Queue holds the outputs of a replica back until their states are on disk. The zero Queue is empty. It isn't safe for
-// concurrent use.
+// Queue holds a replica's outputs back until their states are on disk. The zero Queue is empty and ready for use. It isn't
+// safe for concurrent use.
 type Queue struct {
 	newest        Write
 	syncedNumber  uint64 // number of the newest state that is on disk
-	writeInFlight bool   // a write is
+	writeInFlight bool
 
-	unsyncedSince time.Duration // of the oldest state that isn't on disk
+	unsyncedSince time.Duration // since when a state has not been synced
 	failures      int           // failed writes in a row
 	retryAt       time.Duration
 
@@ -75,8 +78,8 @@
 	pendingBytes int
 }
 
-// Add records what an event has led to, and the newest value that the replica knew after it. The queue keeps the
-// output's slices.
+// Add appends an event's output, and the newest value that the replica knew to be committed after the event. The queue
+// keeps the output's slices.
 func (q *Queue) Add(now time.Duration, out register.Output, committed Committed) {
 	if out.State != nil {
 		if q.allSynced() {
@@ -93,8 +96,8 @@
 	q.pendingBytes += o.bytes
 }
 
-// bodyBytes is the size of the configurations that an output holds. One that stands in several messages counts with
-// each.
+// configurationBytes returns the size of the configurations in an output. A configuration in several messages counts once
+// for each.
 func configurationBytes(out register.Output) (size int) {
 	for i := range out.Messages {
 		if v := out.Messages[i].Value; v != nil {
@@ -107,7 +110,7 @@
 	return size
 }
 
-// TakeReady removes and returns what may leave now, in the order in which it was added.
+// TakeReady removes and returns the outputs that may leave the process now, in the order in which they were added.
 func (q *Queue) TakeReady() (ready []Ready) {
 	for _, o := range q.outputs {
 		if o.requiredState > q.syncedNumber {
@@ -120,13 +123,13 @@
 	return ready
 }
 
-// Full reports whether the replica may be given no more events.
+// Full reports whether the queue is full. While it is, no events may be passed to the replica.
 func (q *Queue) Full() bool {
 	return len(q.outputs) >= maxPendingOutputs || q.pendingBytes >= maxPendingBytes
 }
 
-// NextWrite returns the state to be written now; ok is false where there is none, a write is in flight, or a retry
-// isn't due. The owner reports its end with WriteSynced or WriteFailed.
+// NextWrite returns the state to be written now. ok is false if there is none, a write is in flight, or a retry isn't due
+// yet. The owner reports the result by calling WriteSynced or WriteFailed.
 func (q *Queue) NextWrite(now time.Duration) (w Write, ok bool) {
 	if q.writeInFlight || q.allSynced() || now < q.retryAt {
 		return Write{}, false
@@ -135,28 +138,28 @@
 	return q.newest, true
 }
 
-// WriteSynced reports that the write in flight is on disk.
+// WriteSynced records that the write in flight, of the state with this number, is on disk.
 func (q *Queue) WriteSynced(now time.Duration, number uint64) {
 	q.writeInFlight = false
 	q.failures = 0
 	q.retryAt = now
 	q.syncedNumber = max(q.syncedNumber, number)
-	q.unsyncedSince = now // states that came meanwhile begin to wait now
+	q.unsyncedSince = now // a state added during the write counts as unsynced from now
 }
 
-// WriteFailed reports that the write in flight may not be on disk.
+// WriteFailed records that the write in flight may not be on disk, and schedules a retry.
 func (q *Queue) WriteFailed(now time.Duration) {
 	q.writeInFlight = false
 	q.retryAt = now + min(maxRetryDelay, minRetryDelay<<min(q.failures, maxDoublings))
 	q.failures++
 }
 
-// DiskFailing reports whether a state has been waiting for the disk for DiskTimeout.
+// DiskFailing reports whether a state has been unsynced for DiskTimeout.
 func (q *Queue) DiskFailing(now time.Duration) bool {
 	return !q.allSynced() && now >= q.unsyncedSince+DiskTimeout
 }
 
-// Waiting returns for how long a state has been waiting for the disk; 0: none is.
+// UnsyncedFor returns how long a state has been unsynced, or 0 if all states are on disk.
 func (q *Queue) UnsyncedFor(now time.Duration) time.Duration {
 	if q.allSynced() {
 		return 0
@@ -164,8 +167,8 @@
 	return now - q.unsyncedSince
 }
 
-// NextTick returns when the owner has to look at the queue again, as a write is due or the disk begins to count as
-// failing; ok is false where neither is to come.
+// NextTick returns when the owner has to check the queue again, because a write becomes due or the disk starts to count as
+// failing. ok is false if there is no such time.
 func (q *Queue) NextTick(now time.Duration) (at time.Duration, ok bool) {
 	if q.allSynced() {
 		return 0, false
--- a/mesh/persist/queue_test.go
+++ b/mesh/persist/queue_test.go
@@ -8,8 +8,8 @@
 	"firplank/mesh/register"
 )
 
-// driver adds random outputs to a queue, does the writes that are due on a disk that fails at random, and checks what
-// leaves.
+// driver adds random outputs to a queue, performs the due writes on a disk that fails at random, and checks the outputs
+// that are released.
 type driver struct {
 	t     *testing.T
 	seed  uint64
@@ -17,21 +17,21 @@
 	queue Queue
 	now   time.Duration
 
-	statesMade     uint64   // made
-	syncedState    uint64   // number of the state
-	writtenState   uint64   // number of the state; 0: none
-	requiredStates []uint64 // of each output, the number of the state it was made in
-	released       uint64   // outputs that have left
+	statesMade   uint64   // number of states added
+	syncedState  uint64   // number of the newest state on disk
+	writtenState uint64   // number of the state being written; 0 if none
+	required     []uint64 // for each output, the number of the state it was added with
+	released     uint64   // number of outputs released
 }
 
 func (d *driver) addOutput() {
-	out := register.Output{Outcomes: []register.Outcome{{ID: uint64(len(d.requiredStates))}}}
+	out := register.Output{Outcomes: []register.Outcome{{ID: uint64(len(d.required))}}}
 	if d.rng.IntN(2) == 0 {
 		d.statesMade++
 		out.State = &register.State{Promised: register.Ballot{Number: d.statesMade}}
 	}
 	d.queue.Add(d.now, out, Committed{})
-	d.requiredStates = append(d.requiredStates, d.statesMade)
+	d.required = append(d.required, d.statesMade)
 }
 
 func (d *driver) beginWrite() {
@@ -58,8 +58,8 @@
 func (d *driver) takeReady() {
 	for _, r := range d.queue.TakeReady() {
 		id := r.Outcomes[0].ID
-		if id != d.released || d.requiredStates[id] > d.syncedState {
-			d.t.Fatalf("seed %d: output %d left after %d with state %d on disk, it needs %d", d.seed, id, d.released, d.syncedState, d.requiredStates[id])
+		if id != d.released || d.required[id] > d.syncedState {
+			d.t.Fatalf("seed %d: output %d released after %d with state %d on disk, needs %d", d.seed, id, d.released, d.syncedState, d.required[id])
 		}
 		d.released++
 	}
@@ -82,15 +82,15 @@
 	d.takeReady()
 }
 
-// Whatever the order of outputs, writes, failures and stalls: nothing leaves before its state is on disk, nothing
-// leaves out of order, and all leaves once the disk works.
+// For any order of outputs, writes, failures and stalls, no output is released before its state is on disk or out of
+// order, and all are released once the disk works.
 func TestOutputsAreHeldBackUntilTheirStateIsSynced(t *testing.T) {
 	for seed := range uint64(300) {
 		d := &driver{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 1))}
 		for range 200 {
 			d.step()
 		}
-		for d.released < uint64(len(d.requiredStates)) {
+		for d.released < uint64(len(d.required)) {
 			if w, ok := d.queue.NextWrite(d.now); ok {
 				d.writtenState = w.Number
 			}
@@ -100,8 +100,8 @@
 	}
 }
 
-// A disk that refuses or hangs counts as failing after DiskTimeout, is retried for ever but seldom, and works again
-// with the first sync.
+// A disk whose writes fail counts as failing after DiskTimeout. Writes are retried without limit, at most about once a
+// second, and the disk no longer counts as failing after the first successful sync.
 func TestFailingDiskIsRetriedWithBackoff(t *testing.T) {
 	q := &Queue{}
 	q.Add(0, register.Output{State: &register.State{}}, Committed{})
@@ -124,7 +124,7 @@
 	}
 }
 
-// The queue is full by count and by bytes, one output beyond either at most.
+// The queue is full by number of outputs or by bytes.
 func TestQueueIsBounded(t *testing.T) {
 	q := &Queue{}
 	body := &register.Value{Body: make([]byte, 1<<20)}
