--- a/mesh/delta/compatibility_test.go
+++ b/mesh/delta/compatibility_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// configuration has a line for each route; the routes that a version changes depend on it.
+// configuration returns a text with an object for each route. Which routes differ from another version depends on version.
 func configuration(version, routes int) []byte {
 	var text bytes.Buffer
 	for i := range routes {
@@ -25,7 +25,7 @@
 	return text.Bytes()
 }
 
-// pairs are a base and a text each.
+// pairs returns the pairs of a base and a text that testdata has deltas for.
 func pairs() [][2][]byte {
 	all := [][2][]byte{
 		{nil, nil},
@@ -40,8 +40,8 @@
 	return all
 }
 
-// Deltas that earlier releases made are applied to the expected texts, and the same texts are encoded to the same
-// bytes: both releases run side by side while one replaces the other.
+// Deltas of earlier releases have to give the expected texts, and the same texts have to be encoded to the same bytes, because both
+// releases run at the same time during an upgrade.
 func TestDeltasOfEarlierReleasesAreCompatible(t *testing.T) {
 	file, err := os.ReadFile("testdata/5126712/deltas.txt")
 	if err != nil {
@@ -59,10 +59,10 @@
 		}
 		base, text := pair[0], pair[1]
 		if got, err := Apply(base, delta, len(text)); err != nil || !bytes.Equal(got, text) {
-			t.Errorf("pair %d: %q is applied to %q, %v", i, delta, got, err)
+			t.Errorf("pair %d: applying %q gives %q, %v", i, delta, got, err)
 		}
 		if got := Encode(base, text); !bytes.Equal(got, delta) {
-			t.Errorf("pair %d: encoded to %x, earlier to %x", i, got, delta)
+			t.Errorf("pair %d: encoded to %x, by the earlier release to %x", i, got, delta)
 		}
 	}
 }
--- a/mesh/delta/delta.go
+++ b/mesh/delta/delta.go
@@ -1,23 +1,23 @@
-// Package delta encodes a text as its difference from a base that the receiver has, as copies of runs of the base and
-// literal bytes between them (in the way of VCDIFF, RFC 3284, in a format of its own). Applying a delta gives the exact
-// bytes of the text or an error, as both texts are named by their hashes. The package has no state, does no I/O, and
-// may be used from any goroutine.
+// Package delta encodes a text as its difference from a base that the receiver has: copies of byte ranges of the base,
+// and literal bytes between them (like VCDIFF, RFC 3284, but in its own format). Applying a delta gives the exact bytes
+// of the text or an error, as the delta contains the hashes of both texts. The package has no state and does no I/O, and
+// its functions may be called concurrently.
 //
-// A delta is, numbers of the header little endian:
+// The format of a delta, with sizes in bytes and the hashes in little endian, is:
 //
 //	8  xxHash64 of the base
 //	8  xxHash64 of the text
 //	   length of the text, an unsigned varint
 //	   operations
 //
-// An operation is an unsigned varint, whose lowest bit is its kind and whose rest is its length in bytes. An insert (0)
-// is followed by the bytes, a copy (1) by a signed varint: the distance from the end of the last copy in the base, at
-// first from its begin, to this one's begin.
+// An operation starts with an unsigned varint. Its lowest bit is the kind, the other bits are the length in bytes. An
+// insert (0) is followed by the bytes. A copy (1) is followed by a signed varint: the distance in the base from the end
+// of the last copy (initially offset 0) to the start of this one.
 //
-// Encode takes an index of the base of one entry per block and one pass over the text; Apply takes the text's bytes and
-// nothing else.
+// Encode allocates an index of the base with one entry per block, and makes one pass over the text. Apply allocates only
+// the text.
 //
-// Begin with Encode and Apply.
+// Start reading at Encode and Apply.
 package delta
 
 import (
@@ -30,7 +30,7 @@
 const (
 	hashSize   = 8
 	headerSize = 2 * hashSize
-	// initialSize is what a delta's buffer begins with, in bytes: that of a change of a few routes.
+	// initialSize is the initial capacity of a delta's buffer in bytes, enough for a change of a few routes.
 	initialSize = 128
 )
 
@@ -43,13 +43,13 @@
 )
 
 var (
-	// ErrWrongBase is returned for a delta from another base.
+	// ErrWrongBase is returned if the delta was made from another base.
 	ErrWrongBase = errors.New("delta is from another base")
-	// ErrMalformed is returned for bytes that aren't a delta, or don't give the text that they name.
+	// ErrMalformed is returned for bytes that aren't a valid delta, or whose result doesn't match the text's length and hash.
 	ErrMalformed = errors.New("malformed delta")
 )
 
-// Hash names a text.
+// Hash returns the hash that identifies a text in a delta.
 func Hash(text []byte) uint64 { return xxhash.Sum64(text) }
 
 // Encode returns the delta that leads from a base to a text. Equal arguments give equal bytes.
@@ -58,7 +58,7 @@
 	blocks := newIndex(base)
 	hash := rollingHash{}
 	inserted := 0 // offset in the text up to which operations are written
-	expected := 0 // offset in the base where the text would go on
+	expected := 0 // offset in the base after the last copy, where the next match is most likely
 	for offset := 0; offset < len(text); {
 		length := commonLength(base, text, expected, offset)
 		from := expected
@@ -69,7 +69,7 @@
 			offset++
 			continue
 		}
-		// The match may begin earlier.
+		// Extend the match backwards.
 		for offset > inserted && from > 0 && base[from-1] == text[offset-1] {
 			from--
 			offset--
@@ -84,7 +84,7 @@
 	return e.out
 }
 
-// commonLength returns how many bytes the base from one offset and the text from another have in common.
+// commonLength returns the length of the common prefix of base[from:] and text[offset:].
 func commonLength(base, text []byte, from, offset int) int {
 	limit := max(0, min(len(base)-from, len(text)-offset))
 	for i := range limit {
@@ -95,8 +95,8 @@
 	return limit
 }
 
-// Apply returns the text that a delta leads to from a base. Texts of more than maxSize bytes are refused. The error is
-// ErrWrongBase or ErrMalformed.
+// Apply returns the text that results from applying a delta to a base. Texts of more than maxSize bytes are rejected.
+// The error is ErrWrongBase or ErrMalformed.
 func Apply(base, delta []byte, maxSize int) ([]byte, error) {
 	if len(delta) < headerSize+1 {
 		return nil, ErrMalformed
@@ -116,8 +116,8 @@
 	return text, nil
 }
 
-// run carries out operations; ok is false where one leaves the bounds of the base, of the operations, or of a text of
-// size bytes.
+// applyOperations returns the text that operations produce from base. ok is false if an operation exceeds the bounds of
+// the base, of the operations, or of a text of size bytes.
 func applyOperations(base, operations []byte, size int) (text []byte, ok bool) {
 	text = make([]byte, 0, size)
 	offset := int64(0) // in the base, the end of the last copy
@@ -138,11 +138,11 @@
 			operations = operations[length:]
 			continue
 		}
-		distance, size := binary.Varint(operations)
-		if size <= 0 {
+		distance, distanceBytes := binary.Varint(operations)
+		if distanceBytes <= 0 {
 			return nil, false
 		}
-		operations = operations[size:]
+		operations = operations[distanceBytes:]
 		offset += distance
 		if offset < 0 || offset > int64(len(base)) || length > uint64(int64(len(base))-offset) {
 			return nil, false
@@ -153,7 +153,7 @@
 	return text, true
 }
 
-// cutUvarint returns the unsigned varint that bytes begin with, and what follows it.
+// readUvarint returns the unsigned varint at the start of b, and the bytes after it.
 func readUvarint(b []byte) (v uint64, rest []byte, ok bool) {
 	v, size := binary.Uvarint(b)
 	if size <= 0 {
@@ -162,7 +162,7 @@
 	return v, b[size:], true
 }
 
-// encoder writes a delta.
+// encoder appends the header and the operations of a delta to a buffer.
 type encoder struct {
 	out    []byte
 	offset int // in the base, the end of the last copy
--- a/mesh/delta/delta_test.go
+++ b/mesh/delta/delta_test.go
@@ -9,10 +9,10 @@
 	"github.com/go-faster/errors"
 )
 
-// maxSize bounds the texts, in bytes.
+// maxTextBytes is the size limit passed to Apply.
 const maxTextBytes = 1 << 20
 
-// routes is a text of the size and form of a configuration, by routes.
+// routeEntries returns n random route objects, in size and form like those of a configuration.
 func routeEntries(r *rand.Rand, n int) (all [][]byte) {
 	const route = `{"name":"r-%08x","routeKind":"safe","targetS":0.3,"sorting":{"lanePrefix":"/%x/"},` +
 		`"dispatch":{"line":"huvo%da","deadlineS":1.2,"attempts":2}},`
@@ -45,7 +45,7 @@
 			t.Fatalf("round %d: %v", round, err)
 		}
 		if len(encoded) > 1500 {
-			t.Errorf("round %d: the delta of a few routes takes %d bytes of %d", round, len(encoded), len(text))
+			t.Errorf("round %d: a change of a few routes takes a delta of %d bytes for a text of %d", round, len(encoded), len(text))
 		}
 		current = next
 	}
@@ -59,16 +59,16 @@
 		t.Errorf("applied to another base: %v", err)
 	}
 	if _, err := Apply(base, encoded, len(text)-1); !errors.Is(err, ErrMalformed) {
-		t.Errorf("above the size limit: %v", err)
+		t.Errorf("applied above the size limit: %v", err)
 	}
 	for i := range encoded {
 		corrupted := bytes.Clone(encoded)
 		corrupted[i] ^= 0x41
 		if got, err := Apply(base, corrupted, maxTextBytes); err == nil && !bytes.Equal(got, text) {
-			t.Errorf("byte %d altered: %q", i, got)
+			t.Errorf("applied with byte %d corrupted: %q", i, got)
 		}
 		if _, err := Apply(base, encoded[:i], maxTextBytes); err == nil {
-			t.Errorf("cut after %d bytes and applied", i)
+			t.Errorf("applied although truncated after %d bytes", i)
 		}
 	}
 }
--- a/mesh/delta/index.go
+++ b/mesh/delta/index.go
@@ -3,12 +3,11 @@
 import "math/bits"
 
 const (
-	// blockSize is the length of the runs of the base that are indexed, in bytes: shorter matches aren't found, unless
-	// they go on from a longer one.
+	// blockSize is the length in bytes of the indexed blocks of the base. Shorter matches aren't encoded as copies.
 	blockSize = 24
-	// maxCandidates bounds the blocks with one hash that are tried at an offset of the text.
+	// maxCandidates is the maximum number of blocks in a hash slot that are compared at an offset of the text.
 	maxCandidates = 8
-	// minSlotBits is the least size of the index's table, as a power of two.
+	// minSlotBits is the minimum size of the index's table, as a power of two.
 	minSlotBits = 4
 	// hashPrime is the multiplier of the rolling hash: FNV's 32-bit prime.
 	hashPrime = 0x01000193
@@ -16,8 +15,8 @@
 	slotMultiplier = 0x9e3779b1
 )
 
-// index finds blocks of a base by their hash. Each slot has a chain of block numbers, newest first, plus 1 so that 0
-// ends it.
+// index finds blocks of a base by their hash. Each slot has a linked list of block numbers, the last block first. The
+// numbers are stored plus 1, so that 0 marks the end.
 type index struct {
 	shift uint
 	first []int32 // by slot
@@ -42,9 +41,9 @@
 
 func (ix *index) slot(hash uint32) uint32 { return hash * slotMultiplier >> ix.shift }
 
-// find returns the longest run of the base that the text goes on with from an offset, of those that begin with one of
-// the blocks tried; of equally long ones the nearest to expected. Its length is 0 where there is none of a block's
-// length.
+// find returns the longest match between the base and the text at an offset, among those that start at one of the
+// candidate blocks. Among equally long matches it returns the one nearest to expected. length is 0 if no match is at
+// least blockSize long.
 func (ix *index) find(base, text []byte, offset, expected int, hash *rollingHash) (from, length int) {
 	if offset+blockSize > len(text) {
 		return 0, 0
@@ -62,12 +61,13 @@
 	return from, length
 }
 
-// nearer reports whether a is nearer to an offset than b.
+// isNearer reports whether a is nearer to an offset than b.
 func isNearer(a, b, to int) bool { return max(a-to, to-a) < max(b-to, to-b) }
 
-// rollingHash is the hash of the block at an offset of a text, cheap for offsets that follow each other (Rabin-Karp).
+// rollingHash computes the hash of the block at an offset of a text, in constant time for consecutive offsets
+// (Rabin-Karp).
 type rollingHash struct {
-	next int // the offset after the last one; 0: there was none
+	next int // the offset after the last one; 0 if there was none
 	hash uint32
 }
 
@@ -81,7 +81,7 @@
 	return r.hash
 }
 
-// firstMultiplier is the multiplier of a block's first byte, hashPrime to the power of blockSize-1.
+// firstMultiplier is the multiplier of a block's first byte: hashPrime to the power of blockSize-1.
 var firstMultiplier = func() uint32 {
 	power := uint32(1)
 	for range blockSize - 1 {
@@ -90,7 +90,7 @@
 	return power
 }()
 
-// blockHash returns the hash of the block that bytes begin with.
+// blockHash returns the hash of the first blockSize bytes of b.
 func blockHash(b []byte) (hash uint32) {
 	for _, c := range b[:blockSize] {
 		hash = hash*hashPrime + uint32(c)
