--- a/mesh/timing/conflict.go
+++ b/mesh/timing/conflict.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// tooFewControlMachines is the name of the conflict of a tolerance with the number of control machines.
+// tooFewControlMachines is the name of the conflict between a tolerance and the number of control machines.
 const tooFewControlMachines = "tolerance_within_machines"
 
-// MissingMachines returns how many control machines a deployment lacks for its tolerance, where so many are known: none of those may be
-// lost for good that are tolerated to be, if fewer than twice the tolerance and one store the configuration.
+// MissingMachines returns how many more control machines a deployment needs for its tolerance than the known ones. It needs twice the
+// tolerance plus one: with fewer machines that store the configuration, a majority does not survive the permanent loss of as many machines
+// as the tolerance allows.
 func MissingMachines(tolerance, known int) int { return max(0, 2*tolerance+1-known) }
 
-// MachinesConflict names the conflict of a tolerance with the number of control machines, for logs and the status. Its sides are numbers of
-// machines.
+// MachinesConflict returns the conflict between a tolerance and the number of known control machines, for logs and the status.
 func MachinesConflict(tolerance, known int) Conflict {
 	return Conflict{
 		Name:     tooFewControlMachines,
 		Rule:     "CONFIG, LOST",
 		Settings: "tolerance",
-		Claim:    "as many control machines as the tolerance needs are there",
+		Claim:    "there are as many control machines as the tolerance needs",
 		Needed:   2*tolerance + 1,
 		Found:    known,
 	}
 }
 
-// Conflict is something that a deployment's settings ask for and that cannot be kept.
+// Conflict is a requirement that a deployment's settings imply and that cannot be met.
 type Conflict struct {
-	// Name, Rule, Settings and Claim are those of an Inequality.
+	// Name, Rule, Settings and Claim are as in Inequality.
 	Name, Rule, Settings, Claim string
-	// Needed and Found are numbers of machines; 0 where Value and Limit are the sides.
+	// Needed and Found are numbers of machines. Both are 0 in a conflict between durations.
 	Needed, Found int
-	// Value is above Limit.
+	// Value is the duration that exceeds Limit. Both are 0 in a conflict between numbers of machines.
 	Value, Limit time.Duration
 }
 
-// LogLine returns the conflict as keys and values of a log line.
+// LogLine returns the conflict as the keys and values of a log line.
 func (c Conflict) LogLine() []any {
 	line := []any{"msg", "settings cannot be kept: the nearest values are served", "name", c.Name, "settings", c.Settings, "rule", c.Rule,
 		"claim", c.Claim}
@@ -42,7 +42,7 @@
 	return append(line, "value", c.Value, "limit", c.Limit)
 }
 
-// conflict returns an inequality that is not kept as a Conflict.
+// conflict returns the Conflict that reports a violated inequality.
 func (i Inequality) conflict() Conflict {
 	return Conflict{Name: i.Name, Rule: i.Rule, Settings: i.Settings, Claim: i.Claim, Value: i.Value, Limit: i.Limit}
 }
--- a/mesh/timing/control.go
+++ b/mesh/timing/control.go
@@ -6,8 +6,8 @@
 	"firplank/mesh/bootstrap"
 )
 
-// Peers is the timing of connections between control machines. It serves the rule that control machines are in order again inTouchS after
-// the last trouble among them (Settled).
+// Peers is the timing of connections between control machines. It implements the rule that control machines work again inTouchS after the
+// last fault among them (Settled).
 type Peers struct {
 	// DialTimeout bounds one attempt to connect: 300 to 600 ms, with inTouchS from 1.5 to 3 s.
 	DialTimeout time.Duration
@@ -22,12 +22,12 @@
 	}
 }
 
-// Operations is the timing of operators' calls. It serves ACKS: a change is acknowledged within receiptS.
+// Operations is the timing of operators' calls. It implements the rule ACKS: a change is acknowledged within receiptS.
 type Operations struct {
 	// Timeout is how long a call waits for its operation: half of receiptS, 2.5 s at most.
 	Timeout time.Duration
-	// MaxProgress is how long an operation may wait while a majority answers; beyond it invariant.OperationsProgress is violated: four
-	// fifths of Timeout.
+	// MaxWait is how long an operation may wait while a majority answers: four fifths of Timeout. If it waits longer,
+	// invariant.OperationsProgress is violated.
 	MaxWait time.Duration
 }
 
@@ -37,16 +37,17 @@
 	return Operations{Timeout: timeout, MaxWait: timeout * 4 / 5}
 }
 
-// Register is the timing of the register's rounds. Phases adapt to what replies take: see register.Pace. It serves ACKS and RECOVER.
+// Register is the timing of the register's rounds, for the rules ACKS and RECOVER. The time-outs adapt to the times of replies (the
+// register package's pace).
 type Register struct {
-	// MinPhase is the time-out of a phase while replies are quick: 350 ms, less where a change of members has to fit into syncS.
+	// MinPhaseTimeout is the time-out of a phase while replies are fast: 350 ms, or less if a membership change has to fit into syncS.
 	MinPhaseTimeout time.Duration
-	// MaxPhase is the longest that a time-out grows to: three tenths of receiptS, 1.5 s at most, and MinPhase at least.
+	// MaxPhaseTimeout is the maximum that the time-out grows to: three tenths of receiptS, at most 1.5 s and at least MinPhaseTimeout.
 	MaxPhaseTimeout time.Duration
-	// MinBackoff and BackoffJitter are the fixed and the random part of the pause before a round that failed for the first time is begun
-	// again. The random part grows with further failures, up to MaxPhase.
+	// MinBackoff and BackoffJitter are the fixed and the random part of the delay before a round is retried after its first failure. The
+	// random part grows with further failures, up to MaxPhaseTimeout.
 	MinBackoff, BackoffJitter time.Duration
-	// IdleReadInterval is that of Dissemination.
+	// IdleReadInterval equals Dissemination.IdleReadInterval.
 	IdleReadInterval time.Duration
 }
 
@@ -66,26 +67,26 @@
 	}
 }
 
-// Lease is how long each part of a lease takes. See NewLease.
+// Lease is the timing of a lease. See NewLease.
 type Lease struct {
-	// VoteDuration is how long a vote binds the voter, and LeaseDuration how long the holder acts on the lease. Their difference allows for
-	// the drift of clocks within that time.
+	// VoteDuration is how long a vote binds the voter, and LeaseDuration how long the holder may act on the lease. The difference allows
+	// for clock drift within that time.
 	VoteDuration, LeaseDuration time.Duration
-	// RenewInterval is the time between a holder's requests.
+	// RenewInterval is the time between a holder's renewal requests.
 	RenewInterval time.Duration
-	// VoteTimeout is how long a candidate waits for a majority at first. It grows with each vote in a row that came to nothing, up to
-	// MaxVoteTimeout, so that replies which are slower than expected still count.
+	// VoteTimeout is how long a candidate waits for a majority at first. The time-out grows with each failed vote in a row, up to
+	// MaxVoteTimeout, so that replies that are slower than expected still count.
 	VoteTimeout, MaxVoteTimeout time.Duration
-	// Stagger is by how much later each member, in their order, requests votes when the lease has become free.
+	// Stagger is the additional delay of each further member, in their order, before it requests votes for a free lease.
 	Stagger time.Duration
-	// StartupDelay is how long after its start a machine votes for nobody: it may have voted before the start.
+	// StartupDelay is how long after its start a machine casts no vote, as it may have voted before it restarted.
 	StartupDelay time.Duration
 }
 
-// DefaultVoteDuration is the vote duration where nobody states another.
+// DefaultVoteDuration is the vote duration if no other one is configured.
 const DefaultVoteDuration = 2 * time.Second
 
-// minVoteTimeout leaves a round-trip of the Environment and its delays for the votes.
+// minVoteTimeout allows for a round trip and the scheduling delay of the Environment.
 const minVoteTimeout = 100 * time.Millisecond
 
 // NewLease derives the timing of a lease from the vote duration.
@@ -102,9 +103,9 @@
 	}
 }
 
-// MaxVacancy bounds how long nobody holds the lease after its holder was lost, where there are so many members, a majority of them is up,
-// message delays are small compared with VoteTimeout, and at most one vote is split: the last votes expire, all candidates request votes at
-// once, and then each in its turn.
+// MaxVacancy returns the maximum time without a lease holder after the holder was lost, in a group of that many members. It holds if a
+// majority of the members is up, message delays are small compared with VoteTimeout, and at most one vote is split: the last votes expire,
+// all candidates request votes at once, and then each requests votes in turn.
 func (l Lease) MaxVacancy(members int) time.Duration {
 	return l.VoteDuration + 2*l.VoteTimeout + time.Duration(members)*l.Stagger
 }
--- a/mesh/timing/dissemination.go
+++ b/mesh/timing/dissemination.go
@@ -6,52 +6,53 @@
 	"firplank/mesh/bootstrap"
 )
 
-// Range of inForceS over which the durations of updates change.
+// Range of inForceS over which the durations of dissemination are interpolated.
 const (
 	minInForce  = 1500 * time.Millisecond
 	fullInForce = 2500 * time.Millisecond
 )
 
-// Range of inTouchS over which reconnections change.
+// Range of inTouchS over which the durations of reconnections are interpolated.
 const (
 	minInTouch  = 1500 * time.Millisecond
 	fullInTouch = 3 * time.Second
 )
 
-// Dissemination is the timing of updates down the tree of sidecars. It serves CONFIG: what was acknowledged is in force at machines in
-// touch within inForceS.
+// Dissemination is the timing of updates in the tree of sidecars. It implements the rule CONFIG: an acknowledged change is in force within
+// inForceS at the machines that are in touch.
 type Dissemination struct {
-	// IdleReadInterval is the time after a commit after which a control machine's replica reads without being asked, so that it knows how
-	// old its value is: 150 to 300 ms, with inForceS from 1.5 to 2.5 s.
+	// IdleReadInterval is the time after a commit at which a control machine's replica starts a read on its own, to learn whether its value
+	// is still the newest: 150 to 300 ms, with inForceS from 1.5 to 2.5 s.
 	IdleReadInterval time.Duration
-	// HeartbeatInterval is the longest time between two updates to a subscriber: 165 to 350 ms, over the same range.
+	// HeartbeatInterval is the maximum time between two updates to a subscriber: 165 to 350 ms, over the same range.
 	HeartbeatInterval time.Duration
-	// StaleAfter is the age of what a parent last confirmed at which a sidecar leaves it: 700 to 1350 ms, over the same range. It is above
-	// the age that an idle read and two heartbeats add up to, and leaves time to reconnect within inForceS.
+	// StaleAfter is the time since the last confirmation of its configuration after which a sidecar leaves its parent: 700 to 1350 ms, over
+	// the same range. It is above the sum of an idle read and two heartbeats, and leaves time to reconnect within inForceS.
 	StaleAfter time.Duration
-	// MaxTransferAge is the age at which a sidecar leaves a parent from which a large frame is still arriving: 1.6 times inForceS, 4 s at
-	// most. Leaving earlier would begin the same transfer anew.
+	// MaxTransferAge is the time since the last confirmation after which a sidecar leaves a parent from which a large frame is still
+	// arriving: 1.6 times inForceS, at most 4 s. Leaving earlier would start the same transfer again.
 	MaxTransferAge time.Duration
 	// FirstUpdateTimeout is how long a parent may take to send anything to a sidecar without a configuration: 300 to 450 ms, over the same
-	// range. It is above three round-trips.
+	// range. It is above three round trips.
 	FirstUpdateTimeout time.Duration
-	// MaxReadyAge is the age of a configuration up to which a starting sidecar is ready with it: half of inForceS. The other half is left
-	// for what was acknowledged meanwhile to arrive.
+	// MaxReadyAge is the maximum age of a configuration with which a starting sidecar becomes ready: half of inForceS. The other half is
+	// left for changes that were acknowledged in the meantime to arrive.
 	MaxReadyAge time.Duration
-	// LastResort is after how long a starting sidecar that has tried all control machines is ready with an older configuration, and a
-	// third of the time after which it is in any case: inForceS, a quarter of recoveryS at most (RECOVER).
+	// StaleFallbackDelay is the time after which a starting sidecar that has tried all control machines becomes ready with an older
+	// configuration: inForceS, at most a quarter of recoveryS (RECOVER). After three times that it becomes ready in any case.
 	StaleFallbackDelay time.Duration
-	// QuorumTimeout is for how long a control machine may be without a committed round before it refuses operations: three tenths of
-	// receiptS, 1.5 s at most. It is above two idle reads whose first attempt times out.
+	// QuorumTimeout is the time without a committed round after which a control machine rejects operations: three tenths of receiptS, at
+	// most 1.5 s. It is above two idle reads whose first attempt times out.
 	QuorumTimeout time.Duration
-	// AckTimeout bounds how long an operator's change waits, from its arrival, until its version is in force everywhere: 400 to 650 ms,
-	// with inForceS from 1.5 to 2.5 s. It is below the second after which an operator asks another machine.
+	// AckTimeout is how long an operator's change waits at most, from its arrival, for its version to be in force everywhere: 400 to
+	// 650 ms, with inForceS from 1.5 to 2.5 s. It is below the 1 s after which an operator asks another machine.
 	AckTimeout time.Duration
-	// PeerReportTTL is for how long another control machine's report of the lowest version in force counts: 1 s, over three hellos.
+	// PeerReportTTL is how long another control machine's report of the lowest version in force is valid: 1 s, above three hello intervals.
 	PeerReportTTL time.Duration
-	// UnseenAfter is by how much longer ago than the others a control machine was seen for a sidecar to try it last: two reports.
+	// NotSeenAfter is how much earlier than the most recently seen control machine another one has to have been seen for sidecars to try it
+	// after the others: two reports.
 	NotSeenAfter time.Duration
-	// SubscriberTimeout is for how long after its last report a subscriber still delays acknowledgements: two reports and a margin.
+	// SubscriberTimeout is how long after its last report a subscriber still delays acknowledgements: two report intervals and a margin.
 	SubscriberTimeout time.Duration
 }
 
@@ -83,16 +84,18 @@
 	}
 }
 
-// Subscription is the timing of a sidecar's connection to its parent. It serves CONFIG, by the time in which a sidecar has a parent again.
+// Subscription is the timing of a sidecar's connection to its parent. The rule CONFIG depends on it, as it bounds the time in which a
+// sidecar reconnects to a parent.
 type Subscription struct {
-	// ReportInterval is the longest time between two reports to the parent: 700 ms.
+	// ReportInterval is the maximum time between two reports to the parent: 700 ms.
 	ReportInterval time.Duration
-	// DialTimeout bounds the wait for a connection to a parent: 300 to 500 ms, with inForceS from 1.5 to 2.5 s and inTouchS from 1.5 to
-	// 3 s, whichever is less.
+	// DialTimeout is the maximum time to connect to a parent: 300 to 500 ms, with inForceS from 1.5 to 2.5 s and inTouchS from 1.5 to 3 s,
+	// whichever gives less.
 	DialTimeout time.Duration
-	// RedialDelay is the pause after a dial that failed: 60 ms.
+	// RedialDelay is the delay after a failed dial: 60 ms.
 	RedialDelay time.Duration
-	// TickInterval is how often the sidecar's loop checks for what time alone changes: 100 to 200 ms, with inForceS from 1.5 to 2.5 s.
+	// TickInterval is how often the sidecar's loop checks conditions that depend only on time: 100 to 200 ms, with inForceS from 1.5 to
+	// 2.5 s.
 	TickInterval time.Duration
 }
 
@@ -114,8 +117,8 @@
 	}
 }
 
-// Reconnect bounds the time from the last confirmation of a parent that fails until another one has sent an update, where one more
-// candidate is down.
+// Reconnect returns the maximum time from the last confirmation by a parent that fails to the first update of another parent, if one
+// further candidate is down.
 func (d *Durations) Reconnect(e Environment) time.Duration {
 	s := &d.Subscription
 	detectionTime := d.Dissemination.StaleAfter + s.TickInterval
@@ -124,13 +127,13 @@
 	return detectionTime + failedDialTime + subscribeTime
 }
 
-// Sidecars is when a control machine holds a sidecar for lost. It serves LOST: what is at work on a machine that is up must not be given
-// up.
+// Sidecars is the timing of the failure detection of sidecars by control machines. It implements the rule LOST: requests in progress on a
+// machine that is up must not be abandoned.
 type Sidecars struct {
-	// Timeout is the silence after which a sidecar counts as lost: four reports and a margin, 3 s.
+	// Timeout is the time without contact after which a sidecar counts as lost: four report intervals and a margin, 3 s.
 	Timeout time.Duration
-	// MinSilence is for how long a control machine must not have seen a sidecar that others report lost: a report, and the delay of one
-	// that a relay forwards.
+	// MinSilence is the time for which a control machine must not have seen a sidecar before it accepts reports by others that the sidecar
+	// is lost: a report interval plus the delay of a report that a relay forwards.
 	MinSilence time.Duration
 }
 
--- a/mesh/timing/rollouts.go
+++ b/mesh/timing/rollouts.go
@@ -6,23 +6,24 @@
 	"firplank/mesh/bootstrap"
 )
 
-// Rollouts is the timing of rollouts of versions. It serves EXPOSURE: a bad version is recalled within recallS; and that nobody sends to
-// servers that may be stopped.
+// Rollouts is the timing of rollouts of versions. It implements the rule EXPOSURE, that a bad version is recalled within recallS, and the
+// rule that no requests are sent to servers that may be stopped.
 type Rollouts struct {
-	// ReportInterval is how often a last hop reports what its server has counted while a rollout of its service is under way: a twentieth of
-	// recallS, 100 to 250 ms. Several reports, a hello and a round of the register fit into recallS.
+	// ReportInterval is how often a last hop reports its server's request statistics while a rollout of the service is under way: a
+	// twentieth of recallS, 100 to 250 ms, so that several reports, a hello and a round of the register fit into recallS.
 	ReportInterval time.Duration
-	// HoldUp is for how long a sidecar that is lost holds up a delivery: inTouchS, after which it is out of touch.
+	// LostSidecarWait is how long a lost sidecar delays a delivery: inTouchS, after which the sidecar is out of touch. After the delivery,
+	// servers of the old version may be stopped.
 	LostSidecarWait time.Duration
-	// StreamHoldUp is for how long after a promotion answers that an old server is still sending hold up a delivery, after which it may be
-	// stopped: graceS, the time that a process has to end.
+	// OpenStreamWait is how long after a promotion responses that old servers are still sending delay a delivery: graceS, the time that a
+	// process has to end.
 	OpenStreamWait time.Duration
-	// Retirement is for how long after a delivery servers of the old version still get no requests: graceS. Any that appear after that are
-	// new ones.
+	// RetirementPeriod is how long after a delivery servers of the old version get no requests: graceS. Servers of that version that appear
+	// later are new ones.
 	RetirementPeriod time.Duration
-	// RepeatWindow is for how long after a rollout has ended an order like its own is taken for a late copy: twice receiptS.
+	// DuplicateOrderWindow is how long after the end of a rollout an identical order is treated as a delayed duplicate: twice receiptS.
 	DuplicateOrderWindow time.Duration
-	// ProposeInterval is the time between two proposals of the same transition: lost ones are proposed again.
+	// ProposeInterval is the time after which the same transition is proposed again, as a proposal may be lost.
 	ProposeInterval time.Duration
 }
 
--- a/mesh/timing/sidecar.go
+++ b/mesh/timing/sidecar.go
@@ -6,18 +6,20 @@
 	"firplank/mesh/bootstrap"
 )
 
-// Shutdown is the schedule of a sidecar that was asked to end, from that moment on. It takes as much of graceS as it can: the platform's
-// clients may wait for what was taken until the last sixth of it, and what is cut off earlier is lost to them (LOST).
+// Shutdown is the schedule of a sidecar's graceful shutdown. All times are measured from the termination request (SIGTERM). The schedule
+// uses as much of graceS as possible: the platform's clients may wait for accepted requests until its last sixth, and a request that is
+// aborted earlier counts as lost (LOST).
 type Shutdown struct {
-	// Accept is for how long new connections are accepted: 2.2 s, as the platform sends clients for two more readiness checks of a second
-	// each; not after Cut.
+	// StopAccepting is when new connections are no longer accepted: after 2.2 s, as the platform keeps sending clients for two more
+	// readiness checks, at an interval of 1 s. It is not after AbortRequests.
 	StopAccepting time.Duration
-	// Late is after how long a request is taken only if its time is over before Cut: 2.9 s, which is below the 3 s up to which the rules
-	// excuse that a request is cut off, and not after Cut.
+	// CheckDeadlines is from when on a request is accepted only if its deadline is before AbortRequests: after 2.9 s, which is below the
+	// 3 s after which the rules no longer excuse an aborted request. It is not after AbortRequests.
 	CheckDeadlines time.Duration
-	// Cut is when requests that are still open fail: 0.87 of graceS, within its last sixth.
+	// AbortRequests is when requests that are still in flight fail: after 0.87 of graceS, within its last sixth.
 	AbortRequests time.Duration
-	// End is when the fronts have ended: 0.92 of graceS. Between Cut and End the answers go out; after it the process ends.
+	// FrontsEnded is when the fronts have ended: after 0.92 of graceS. The responses to aborted requests are sent before that, and the
+	// process ends after it.
 	FrontsEnded time.Duration
 }
 
@@ -31,22 +33,30 @@
 func newShutdown(grace time.Duration) Shutdown {
 	shareOfGrace := func(fraction float64) time.Duration { return time.Duration(fraction * float64(grace)) }
 	abort := shareOfGrace(abortShare)
-	return Shutdown{StopAccepting: min(maxAcceptTime, abort), CheckDeadlines: min(deadlineCheckTime, abort), AbortRequests: abort, FrontsEnded: shareOfGrace(frontsEndedShare)}
+	return Shutdown{
+		StopAccepting:  min(maxAcceptTime, abort),
+		CheckDeadlines: min(deadlineCheckTime, abort),
+		AbortRequests:  abort,
+		FrontsEnded:    shareOfGrace(frontsEndedShare),
+	}
 }
 
-// Server is when a sidecar doubts its local server. It serves DRAIN and the rule that a silent server gets no requests.
+// Server is the timing of a sidecar's health checks of its local server. It implements the rule DRAIN, and the rule that a server without
+// heartbeats gets no requests.
 type Server struct {
-	// HeartbeatTimeout is the silence after which a server is unresponsive: 2.6 heartbeats, so that two may be lost.
+	// HeartbeatTimeout is the time without a heartbeat after which a server is unresponsive: 2.6 heartbeat intervals, so that two
+	// heartbeats may be lost.
 	HeartbeatTimeout time.Duration
-	// RestoredTimeout is how long a server that another process has announced may take until its first heartbeat: three quarters of
+	// RestoredTimeout is how long a server that an earlier process announced may take until its first heartbeat: three quarters of
 	// HeartbeatTimeout.
 	RestoredTimeout time.Duration
-	// IdentifiedTimeout is the same for a server that is known by its health check alone, whose acknowledged end nobody may know any more:
-	// RestoredTimeout, and nine tenths of inTouchS at most. So it gets no request that a machine in touch has sent on.
+	// IdentifiedTimeout is the same for a server that is known only by its health check. Such a server may have announced its shutdown to a
+	// process that has ended, without any other process that knows of it. The time-out is RestoredTimeout, at most nine tenths of inTouchS,
+	// so that the server gets no request that a machine in touch has forwarded.
 	IdentifiedTimeout time.Duration
-	// ConfirmBy is when a restarted sidecar has to know by more than one heartbeat, or one health check, that its server goes on, from its
-	// own start on: nine tenths of inTouchS. So a late heartbeat of a server whose acknowledged end nobody knows any more brings it no
-	// request that a machine in touch has sent on.
+	// RestartConfirmTimeout is the time after its own start by which a restarted sidecar needs more than one heartbeat, or one health
+	// check, to confirm that its server is still running: nine tenths of inTouchS. So a server whose acknowledged shutdown no process knows
+	// any more gets no requests that a machine in touch has forwarded because of one delayed heartbeat.
 	RestartConfirmTimeout time.Duration
 }
 
--- a/mesh/timing/timing.go
+++ b/mesh/timing/timing.go
@@ -1,12 +1,12 @@
-// Package timing derives the durations that the promises of the mesh rest on: time-outs, intervals and windows of both planes. They follow
-// from the bounds that a deployment's settings state (bootstrap.Bounds), and from what messages, disks and processes of a machine in order
-// may take (Environment). The planes hand each decision package its part.
+// Package timing derives the durations that the guarantees of the mesh depend on: time-outs, intervals and windows of the control plane and
+// the data plane. They are computed from the bounds in a deployment's settings (bootstrap.Bounds), and from the longest times that
+// messages, disks and processes of a healthy machine may take (Environment). The planes pass each decision package its part.
 //
-// A duration that a promise rests on is derived here and nowhere else; lab/durations lists the constants that remain in other packages,
-// each with its reason. What the derivations have to keep, as the proofs in docs/design use it, is the list of Inequalities. A deployment
-// whose settings do not allow one of them is served with the nearest values, and Durations.Conflicts names it.
+// A duration that a guarantee depends on is derived here and nowhere else. lab/durations lists the constants that remain in other packages,
+// each with its reason. Inequalities lists the conditions that the derived durations have to meet, as the proofs in docs/design use them.
+// If the settings of a deployment do not allow one of them, the nearest values are used, and Durations.Conflicts names it.
 //
-// The package is arithmetic: it has no clock and no state. All values are time.Durations.
+// The package only computes: it has no clock and no state. All values are time.Durations.
 //
 // Start reading at New.
 package timing
@@ -17,29 +17,30 @@
 	"firplank/mesh/bootstrap"
 )
 
-// Settings is what durations are derived from.
+// Settings are the settings that durations are derived from.
 type Settings struct {
 	Bounds bootstrap.Bounds
 	// ServerHeartbeat is the interval of the servers' heartbeats (beatS).
 	ServerHeartbeat time.Duration
-	// Tolerance is how many control machines may be lost at the same time.
+	// Tolerance is the number of control machines that may be lost at the same time.
 	Tolerance int
 }
 
-// Environment is what a machine that is in order may experience. The derivations allow for it; what is slower than that is met by time-outs
-// that grow (Register.MaxPhase, Lease.MaxVoteTimeout).
+// Environment holds the longest delays on a healthy machine. The derived durations allow for them. Time-outs that grow handle longer delays
+// (Register.MaxPhaseTimeout, Lease.MaxVoteTimeout).
 type Environment struct {
 	RoundTrip  time.Duration // of a message between any two machines and its reply
 	DiskSync   time.Duration
-	Scheduling time.Duration // from when a process should run until it does
+	Scheduling time.Duration // delay until a runnable process runs
 }
 
-// AssumedEnvironment is the slowest one for which the Inequalities hold: zones 40 ms apart, and disks of 40 ms a sync.
+// AssumedEnvironment returns the slowest environment for which the Inequalities hold: zones with a one-way delay of 40 ms, and disks that
+// take 40 ms for a sync.
 func AssumedEnvironment() Environment {
 	return Environment{RoundTrip: 80 * time.Millisecond, DiskSync: 40 * time.Millisecond, Scheduling: 10 * time.Millisecond}
 }
 
-// Round is how long a round of the register takes that reads, prepares and accepts.
+// Round returns how long a round of the register with a read, a prepare and an accept phase takes.
 func (e Environment) Round() time.Duration {
 	return 3*(e.RoundTrip+e.Scheduling) + 2*e.DiskSync
 }
@@ -56,7 +57,7 @@
 	Shutdown      Shutdown
 	Server        Server
 	Rollouts      Rollouts
-	// Conflicts are the inequalities that the settings do not allow. They are reported, and the nearest values are served.
+	// Conflicts are the inequalities that the settings do not allow. They are reported, and the nearest values are used.
 	Conflicts []Conflict
 }
 
@@ -92,32 +93,32 @@
 	})
 }
 
-// Default derives the durations of settings that state no bounds.
+// Default derives the durations for the default bounds.
 func Default() Durations { return DefaultWith(func(*bootstrap.Bounds) {}) }
 
-// DefaultWith derives the durations of settings that state no bounds but those that change sets.
+// DefaultWith derives the durations for the default bounds as modified by change.
 func DefaultWith(change func(*bootstrap.Bounds)) Durations {
 	bounds := bootstrap.DefaultBounds()
 	change(&bounds)
 	return New(Settings{Bounds: bounds, ServerHeartbeat: defaultServerHeartbeat, Tolerance: 1})
 }
 
-// DefaultInForce derives the durations of settings that state no bounds but inForceS.
+// DefaultInForce derives the durations for the default bounds except for inForceS.
 func DefaultInForce(inForce time.Duration) Durations {
 	return DefaultWith(func(b *bootstrap.Bounds) { b.InForce = inForce })
 }
 
-// defaultServerHeartbeat is the interval of servers' heartbeats in the examples of the users' page.
+// defaultServerHeartbeat is the servers' heartbeat interval in the examples of the users' page.
 const defaultServerHeartbeat = 1500 * time.Millisecond
 
-// span is a range of a bound and the values of a duration at its ends.
+// interpolation maps a range of a bound to a range of a derived duration.
 type interpolation struct {
-	minBound, maxBound     time.Duration // of the bound
-	atMinBound, atMaxBound time.Duration // of the duration
+	minBound, maxBound     time.Duration // range of the bound
+	atMinBound, atMaxBound time.Duration // duration at the ends of that range
 }
 
-// at interpolates between the ends of a span. Beyond them the duration does not change: a shorter one would take delays of the Environment
-// for failures, and a longer one would make repairs slower than they need to be.
+// at interpolates linearly between the ends of the range. Beyond them the duration does not change: with a shorter one, delays of the
+// Environment would be mistaken for failures, and a longer one would make repairs slower than necessary.
 func (s interpolation) at(bound time.Duration) time.Duration {
 	bound = min(max(bound, s.minBound), s.maxBound)
 	fraction := float64(bound-s.minBound) / float64(s.maxBound-s.minBound)
--- a/mesh/timing/timing_test.go
+++ b/mesh/timing/timing_test.go
@@ -9,7 +9,7 @@
 	"firplank/mesh/bootstrap"
 )
 
-// legal draws settings from the ranges that the users' deployments may have.
+// drawLegalSettings draws settings from the ranges that deployments may use.
 func drawLegalSettings(t *rapid.T) Settings {
 	draw := func(name string, low, high float64) time.Duration {
 		return time.Duration(rapid.Float64Range(low, high).Draw(t, name) * float64(time.Second))
@@ -20,7 +20,7 @@
 	return Settings{Bounds: b, ServerHeartbeat: draw("beatS", 0.5, 5), Tolerance: rapid.IntRange(1, 2).Draw(t, "tolerance")}
 }
 
-// corners returns the settings at the ends of all ranges.
+// cornerSettings returns the settings for all combinations of the ends of the ranges.
 func cornerSettings() (all []Settings) {
 	for i := range 1 << 7 {
 		pick := func(bit int, low, high float64) time.Duration {
@@ -62,7 +62,7 @@
 	}
 }
 
-// The durations of the deployments in service are what they were as constants.
+// For the settings of the deployments in production, the derived durations equal the constants that were used before.
 func TestDeployedSettingsKeepTheirDurations(t *testing.T) {
 	for _, inForce := range []time.Duration{2500 * time.Millisecond, 3 * time.Second} {
 		b := bootstrap.DefaultBounds()
@@ -98,7 +98,7 @@
 	}
 }
 
-// Settings that cannot be kept are served with the nearest values and named.
+// Settings that cannot be met are reported by name, and the nearest values are used.
 func TestConflictingSettingsAreReported(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -122,7 +122,7 @@
 			t.Errorf("%s: %v", c.name, d.Conflicts)
 		}
 		if d.Dissemination.StaleAfter < 700*time.Millisecond || d.Replacement.DetectionTimeout < 500*time.Millisecond {
-			t.Errorf("%s: served with %+v", c.name, d)
+			t.Errorf("%s: durations below their minimum: %+v", c.name, d)
 		}
 	}
 	if d := Default(); len(d.Conflicts) > 0 {
@@ -130,7 +130,8 @@
 	}
 }
 
-// Each duration that is derived matters: as the constant that it was it breaks an inequality at a corner of the legal settings.
+// The inequalities depend on each derived duration: replaced by its former constant, each one violates an inequality at a corner of the
+// legal settings.
 func TestFormerConstantsViolateInequalities(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -176,7 +177,7 @@
 			found = found || len(violated(s, &d)) > 0
 		}
 		if !found {
-			t.Errorf("%s: no corner of the settings tells it from a constant", c.name)
+			t.Errorf("%s: no inequality is violated at any corner of the settings", c.name)
 		}
 	}
 }
