--- a/mesh/dissemination/subscriber.go
+++ b/mesh/dissemination/subscriber.go
@@ -126,13 +126,13 @@
 			return addr, true
 		}
 	}
-	zones, notSeen := map[string]string{}, s.notSeenLately(machines)
+	zones, notSeenLately := map[string]string{}, s.notSeenLately(machines)
 	for _, m := range machines {
 		zones[m.Addr] = m.Zone
 	}
 	best, bestRank := "", time.Duration(1<<62)
 	for _, addr := range s.controlMachineAddrs(machines) {
-		if rank := s.attemptRank(addr, zones[addr], notSeen[addr]); rank < bestRank {
+		if rank := s.attemptRank(addr, zones[addr], notSeenLately[addr]); rank < bestRank {
 			best, bestRank = addr, rank
 		}
 	}
@@ -146,11 +146,11 @@
 	for _, m := range machines {
 		latest = max(latest, m.LastSeen)
 	}
-	notSeen := map[string]bool{}
+	notSeenLately := map[string]bool{}
 	for _, m := range machines {
-		notSeen[m.Addr] = latest-m.LastSeen > s.durations.NotSeenAfter
+		notSeenLately[m.Addr] = latest-m.LastSeen > s.durations.NotSeenAfter
 	}
-	return notSeen
+	return notSeenLately
 }
 
 // attemptRank returns the rank of a control machine; the lowest is tried first. The rank of a machine that failed is the time of its last
--- a/mesh/persist/queue.go
+++ b/mesh/persist/queue.go
@@ -68,7 +68,7 @@
 type Queue struct {
 	newest        Write
 	syncedNumber  uint64 // number of the newest state that is on disk
-	writeInFlight bool
+	writeInFlight bool   // NextWrite has returned a state, and its result is not reported yet
 
 	unsyncedSince time.Duration // since when a state has not been synced
 	failures      int           // failed writes in a row
--- a/mesh/persist/queue_test.go
+++ b/mesh/persist/queue_test.go
@@ -19,7 +19,7 @@
 
 	statesMade   uint64   // number of states added
 	syncedState  uint64   // number of the newest state on disk
-	writtenState uint64   // number of the state being written; 0 if none
+	writingState uint64   // number of the state being written; 0 if none
 	required     []uint64 // for each output, the number of the state it was added with
 	released     uint64   // number of outputs released
 }
@@ -39,20 +39,20 @@
 	if !ok {
 		return
 	}
-	if newest := w.State.Promised.Number; d.writtenState != 0 || newest != d.statesMade {
-		d.t.Fatalf("seed %d: state %d of %d is to be written while %d is", d.seed, newest, d.statesMade, d.writtenState)
+	if newest := w.State.Promised.Number; d.writingState != 0 || newest != d.statesMade {
+		d.t.Fatalf("seed %d: state %d of %d is to be written while %d is", d.seed, newest, d.statesMade, d.writingState)
 	}
-	d.writtenState = w.Number
+	d.writingState = w.Number
 }
 
 func (d *driver) endWrite(failed bool) {
 	if failed {
 		d.queue.WriteFailed(d.now)
 	} else {
-		d.syncedState = d.writtenState
-		d.queue.WriteSynced(d.now, d.writtenState)
+		d.syncedState = d.writingState
+		d.queue.WriteSynced(d.now, d.writingState)
 	}
-	d.writtenState = 0
+	d.writingState = 0
 }
 
 func (d *driver) takeReady() {
@@ -75,7 +75,7 @@
 	case 2:
 		d.beginWrite()
 	case 3:
-		if d.writtenState != 0 {
+		if d.writingState != 0 {
 			d.endWrite(d.rng.IntN(3) == 0)
 		}
 	}
@@ -92,7 +92,7 @@
 		}
 		for d.released < uint64(len(d.required)) {
 			if w, ok := d.queue.NextWrite(d.now); ok {
-				d.writtenState = w.Number
+				d.writingState = w.Number
 			}
 			d.endWrite(false)
 			d.takeReady()
--- a/mesh/timing/inequalities.go
+++ b/mesh/timing/inequalities.go
@@ -129,12 +129,12 @@
 		},
 		{
 			"quorum_not_lost_in_order", "ACKS", "receiptS, inForceS",
-			"two idle reads that each fail once do not count as a lost quorum",
+			"an idle read that fails once does not count as a lost quorum",
 			2*(t.IdleReadInterval+d.Register.MinPhaseTimeout) + d.Register.MinBackoff + d.Register.BackoffJitter, t.QuorumTimeout,
 		},
 		{
 			"report_outlives_its_interval", "CONFIG", "syncS",
-			"a control machine's report is valid until the second next one arrives", 2*d.Replacement.HelloInterval + e.RoundTrip, t.PeerReportTTL,
+			"a control machine's report is valid until the second one after it", 2*d.Replacement.HelloInterval + e.RoundTrip, t.PeerReportTTL,
 		},
 		{
 			"phase_outlasts_a_round_trip", "ACKS", "syncS", "a phase does not time out while messages and disks are healthy",
@@ -157,7 +157,7 @@
 			r.MaxRepairTime(members), b.Sync,
 		},
 		{
-			"repair_after_restart_within_sync", "LOST", "syncS, tolerance", "a loss is repaired in time after a restart of all machines", afterRestart, b.Sync,
+			"repair_after_restart_within_sync", "LOST", "syncS, tolerance", "a repair after all machines restart ends in time", afterRestart, b.Sync,
 		},
 		{
 			"growth_within_sync", "LOST", "syncS, tolerance",
@@ -222,7 +222,7 @@
 			"cut_in_last_sixth", "LOST", "graceS", "requests are aborted only in the last sixth of the grace time", grace * 5 / 6, t.AbortRequests,
 		},
 		{
-			"late_requests_excused", "LOST", "graceS", "requests accepted without a check of their deadline may be aborted by the rules",
+			"late_requests_excused", "LOST", "graceS", "the rules excuse it if requests that were accepted without a deadline check are aborted",
 			t.CheckDeadlines + e.Scheduling, maxExcusedDelay,
 		},
 		{
