--- a/mesh/admission/server.go
+++ b/mesh/admission/server.go
@@ -71,7 +71,7 @@
 	case confirmed:
 		c.confirmBy = 0
 	case serverID != c.serverID || c.confirmBy == 0:
-		c.confirmBy = c.durations.ConfirmBy
+		c.confirmBy = c.durations.RestartConfirmTimeout
 	}
 }
 
@@ -115,12 +115,12 @@
 // Identify handles a health check that has passed. A server that has sent a heartbeat is confirmed by it. Any other is restored from the
 // entry, as by Restore. Such a server may have announced its shutdown to an earlier incarnation of this sidecar, with no record of it left,
 // and health checks may be wrong. It therefore has to send a heartbeat before this machine counts as in touch
-// (timing.Server.IdentifiedTimeout, ConfirmBy).
+// (timing.Server.IdentifiedTimeout, RestartConfirmTimeout).
 func (c *Controller) Identify(now time.Duration, e *directory.Entry) {
 	c.identified = e.Server
 	switch {
 	case e.Server != c.lastHeartbeat.ServerID:
-		c.restore(now, e, min(c.durations.IdentifiedTimeout, max(0, c.durations.ConfirmBy-now)))
+		c.restore(now, e, min(c.durations.IdentifiedTimeout, max(0, c.durations.RestartConfirmTimeout-now)))
 	case e.Server != c.serverID:
 		c.HandleHeartbeat(now, c.lastHeartbeat)
 	default:
--- a/mesh/dissemination/publisher_test.go
+++ b/mesh/dissemination/publisher_test.go
@@ -11,19 +11,19 @@
 	"firplank/mesh/rollout"
 )
 
-// describe shows an update in the log of a test: time, version, full text or the bases of deltas, number of entries.
-func describe(now time.Duration, n Update) string {
-	what := ""
-	if n.FullText {
-		what = "full"
+// describe formats an update for a test's log: time, version, "full" or the base versions of deltas, number of entries.
+func describe(now time.Duration, u Update) string {
+	content := ""
+	if u.FullText {
+		content = "full"
 	}
-	for _, d := range n.Deltas {
-		what += fmt.Sprintf("<%d>", d.Base)
+	for _, d := range u.Deltas {
+		content += fmt.Sprintf("<%d>", d.Base)
 	}
-	return fmt.Sprintf("%d:%d%s+%d", now.Milliseconds(), n.Version, what, len(n.Entries))
+	return fmt.Sprintf("%d:%d%s+%d", now.Milliseconds(), u.Version, content, len(u.Entries))
 }
 
-// A subscriber gets each change once, soon after it happened, and at least each HeartbeatInterval the age of what it has.
+// A subscriber gets each change once, soon after it happened, and a heartbeat at least each HeartbeatInterval.
 func TestSubscriberGetsEachChangeOnce(t *testing.T) {
 	p := NewPublisher(durations)
 	p.SetConfig(5, []byte("five"), nil, 0)
@@ -39,24 +39,25 @@
 		case 600 * time.Millisecond:
 			p.SetConfig(4, []byte("four"), nil, now) // an older one that arrives late
 		case 700 * time.Millisecond:
-			p.SetConfig(6, []byte("six"), nil, now) // a round of the register that changed something else
+			p.SetConfig(6, []byte("six"), nil, now) // a register round that changed something else
 		}
 		pushed, _ := p.Tick(now)
-		for _, n := range pushed {
-			log = append(log, describe(now, n))
-			p.HandleAck(1, Ack{Nonce: n.Nonce, Version: n.Version, LowestInForce: n.Version}, now)
+		for _, update := range pushed {
+			log = append(log, describe(now, update))
+			p.HandleAck(1, Ack{Nonce: update.Nonce, Version: update.Version, LowestInForce: update.Version}, now)
 		}
 	}
 	if got, want := strings.Join(log, " "), "0:5full+1 350:5+0 515:6<5>+1 865:6+0"; got != want {
 		t.Errorf("got  %s\nwant %s", got, want)
 	}
 	if p.Unsubscribe(1); p.Subscribers() != 0 {
-		t.Error("a subscriber is there after Unsubscribe")
+		t.Error("the subscriber is still counted after Unsubscribe")
 	}
 }
 
-// As on a day with a storm of changes: full texts, each of which was superseded, filled the links of relays.
-func TestSlowSubscriberGetsOnlyTheNewest(t *testing.T) {
+// Guards against sending superseded versions: during a burst of changes, full texts that were already superseded filled the links of
+// relays.
+func TestSlowSubscriberSkipsSupersededVersions(t *testing.T) {
 	p := NewPublisher(durations)
 	p.SetConfig(1, []byte("text number 1"), nil, 0)
 	p.Subscribe(1, 1, 0)
@@ -67,24 +68,24 @@
 			p.SetConfig(p.Version+1, fmt.Appendf(nil, "text number %d", p.Version+1), nil, now)
 		}
 		pushed, _ := p.Tick(now)
-		for _, n := range pushed {
-			if n.Version < p.Version && n.AsOf != TimeUnknown {
-				t.Fatalf("%v: a superseded version is said to be the newest", now)
+		for _, update := range pushed {
+			if update.Version < p.Version && update.AsOf != TimeUnknown {
+				t.Fatalf("%v: a superseded version is reported as the newest", now)
 			}
-			if n.Nonce == 0 {
+			if update.Nonce == 0 {
 				continue
 			}
 			if nonce > 0 {
 				t.Fatalf("%v: a second update in flight", now)
 			}
 			subscriber := Publisher{Version: version, Text: text}
-			got, _, ok := subscriber.ApplyDeltas(n.Deltas, 100)
+			got, _, ok := subscriber.ApplyDeltas(update.Deltas, 100)
 			if !ok || string(got) != fmt.Sprintf("text number %d", p.Version) {
 				t.Fatalf("%v: %q %v", now, got, ok)
 			}
-			updates, nonce, text, version = updates+1, n.Nonce, got, n.Version
+			updates, nonce, text, version = updates+1, update.Nonce, got, update.Version
 		}
-		if now%time.Second == 0 && nonce > 0 { // the link is that slow
+		if now%time.Second == 0 && nonce > 0 { // over the slow link, acknowledgements arrive once a second
 			p.HandleAck(1, Ack{Nonce: nonce, Version: version, LowestInForce: version}, now)
 			nonce = 0
 		}
@@ -94,7 +95,7 @@
 	}
 }
 
-// A delta that does not apply is rejected, and followed by the full text.
+// A subscriber that rejects a delta because it does not apply gets the full text next.
 func TestSubscriberThatRejectsADeltaGetsTheFullText(t *testing.T) {
 	p := NewPublisher(durations)
 	p.SetConfig(1, []byte("one"), nil, 0)
@@ -112,7 +113,7 @@
 	}
 }
 
-// An older version that is confirmed later proves nothing about the present one.
+// A later confirmation of an older version does not advance AsOf of the current one.
 func TestOlderVersionDoesNotConfirmTheNewest(t *testing.T) {
 	p := NewPublisher(durations)
 	p.SetConfig(5, []byte("five"), nil, time.Second)
@@ -123,7 +124,7 @@
 	}
 }
 
-func TestSilentSubscriberDoesNotCount(t *testing.T) {
+func TestSubscriberWithoutReportsDoesNotDelayConfirmations(t *testing.T) {
 	p := NewPublisher(durations)
 	p.SetConfig(7, []byte("seven"), nil, 0)
 	p.Subscribe(1, 3, 0)
@@ -134,24 +135,24 @@
 		t.Errorf("lowest %d, then %d", before, after)
 	}
 	if p.LowestInForce(time.Minute) != Unconstrained {
-		t.Error("constrained by subscribers that are silent")
+		t.Error("subscribers that no longer report still count")
 	}
 }
 
-func TestFullPublisherRefusesSubscribers(t *testing.T) {
+func TestFullPublisherRejectsSubscribers(t *testing.T) {
 	p := NewPublisher(durations)
 	for id := range uint64(MaxSubscribers) {
 		if !p.Subscribe(id, 0, 0) {
-			t.Fatalf("subscriber %d is refused", id)
+			t.Fatalf("subscriber %d is rejected", id)
 		}
 	}
 	if p.Subscribe(MaxSubscribers, 0, 0) {
-		t.Error("one more than the bound")
+		t.Error("accepts more than MaxSubscribers")
 	}
 }
 
-// pushed returns the update for the only subscriber, which has to be due.
-func pushed(t *testing.T, p *Publisher, now time.Duration) Update {
+// nextUpdate returns the update for the only subscriber, and fails the test if none is due.
+func nextUpdate(t *testing.T, p *Publisher, now time.Duration) Update {
 	t.Helper()
 	updates, _ := p.Tick(now)
 	if len(updates) != 1 {
@@ -160,17 +161,17 @@
 	return updates[0]
 }
 
-// Until it has acknowledged an update, a subscriber gets heartbeats at their interval, which say of no newer version that it has it.
-func TestHeartbeatsUntilTheAck(t *testing.T) {
+// Until a subscriber has acknowledged an update it gets only heartbeats, which do not confirm any newer version.
+func TestOnlyHeartbeatsUntilAck(t *testing.T) {
 	p := NewPublisher(durations)
 	p.SetConfig(1, []byte("one"), nil, 0)
 	p.Subscribe(1, 0, 0)
-	first := pushed(t, p, 20*time.Millisecond)
+	first := nextUpdate(t, p, 20*time.Millisecond)
 	p.SetConfig(2, []byte("two"), nil, 30*time.Millisecond)
 	if updates, _ := p.Tick(100 * time.Millisecond); len(updates) != 0 {
 		t.Error("an update before the heartbeat, while the first one is not acknowledged")
 	}
-	heartbeat := pushed(t, p, 20*time.Millisecond+durations.HeartbeatInterval)
+	heartbeat := nextUpdate(t, p, 20*time.Millisecond+durations.HeartbeatInterval)
 	if heartbeat.Version != 1 || heartbeat.AsOf != TimeUnknown || heartbeat.Nonce != 0 || heartbeat.Deltas != nil || heartbeat.FullText {
 		t.Errorf("%+v", heartbeat)
 	}
@@ -178,17 +179,17 @@
 	p.HandleAck(1, Ack{Nonce: first.Nonce - 1, Version: 1}, now)
 	p.Tick(now)
 	if updates, _ := p.Tick(now + batchDelay); len(updates) != 0 {
-		t.Error("an ack of another nonce counts")
+		t.Error("an ack with another nonce is accepted")
 	}
 	p.HandleAck(1, Ack{Nonce: first.Nonce, Version: 1}, now)
 	p.Tick(now)
-	if second := pushed(t, p, now+batchDelay); second.Version != 2 || len(second.Deltas) != 1 {
+	if second := nextUpdate(t, p, now+batchDelay); second.Version != 2 || len(second.Deltas) != 1 {
 		t.Errorf("%+v", second)
 	}
 }
 
-// A subscriber that serves already gets the configuration first, and many entries once that is acknowledged.
-func TestManyEntriesFollowTheConfiguration(t *testing.T) {
+// A subscriber that already has entries gets the configuration first, and a large number of entries after it has acknowledged that.
+func TestManyEntriesArePushedAfterConfigurationIsAcknowledged(t *testing.T) {
 	p := NewPublisher(durations)
 	add := func(sequence uint64) {
 		for i := range maxUnackedEntries + 1 {
@@ -198,25 +199,25 @@
 	add(1)
 	p.SetConfig(1, []byte("one"), nil, 0)
 	p.Subscribe(1, 0, 0)
-	first := pushed(t, p, 0)
+	first := nextUpdate(t, p, 0)
 	if !first.FullText || len(first.Entries) != maxUnackedEntries+1 || first.Nonce == 0 {
 		t.Errorf("first: %d entries, %+v", len(first.Entries), first.Version)
 	}
 	p.HandleAck(1, Ack{Nonce: first.Nonce, Version: 1}, 0)
 	add(2)
 	p.SetConfig(2, []byte("two"), nil, 0)
-	second := pushed(t, p, time.Second)
+	second := nextUpdate(t, p, time.Second)
 	if len(second.Deltas) != 1 || len(second.Entries) != 0 {
 		t.Errorf("second: %d deltas, %d entries", len(second.Deltas), len(second.Entries))
 	}
 	p.HandleAck(1, Ack{Nonce: second.Nonce, Version: 2}, time.Second)
-	third := pushed(t, p, 2*time.Second)
+	third := nextUpdate(t, p, 2*time.Second)
 	if len(third.Entries) != maxUnackedEntries+1 || third.Nonce == 0 {
 		t.Errorf("third: %d entries, nonce %d", len(third.Entries), third.Nonce)
 	}
 }
 
-func TestDeltasApplyWithoutGapOnly(t *testing.T) {
+func TestDeltasWithGapAreRejected(t *testing.T) {
 	one, two, three := []byte("text one"), []byte("text two"), []byte("text three")
 	first := Delta{Base: 1, Version: 2, Bytes: delta.Encode(one, two)}
 	second := Delta{Base: 2, Version: 3, Bytes: delta.Encode(two, three)}
@@ -228,7 +229,7 @@
 	if text, used, ok := late.ApplyDeltas([]Delta{first, second}, 100); !ok || len(used) != 1 || string(text) != string(three) {
 		t.Errorf("%q by %d deltas, %v", text, len(used), ok)
 	}
-	second.Base = 0 // its text fits, but nobody says so
+	second.Base = 0 // the bytes would apply, but the version numbers leave a gap
 	if _, _, ok := p.ApplyDeltas([]Delta{first, second}, 100); ok {
 		t.Error("applied across a gap")
 	}
@@ -237,8 +238,8 @@
 	}
 }
 
-// Entries of servers of a new version never come ahead of their rollout, which doesn't wait for an acknowledgement either.
-func TestRolloutsComeAheadOfNewServers(t *testing.T) {
+// Entries of servers of a new version are never pushed before their rollout, which is pushed without waiting for an acknowledgement.
+func TestRolloutsArePushedBeforeEntriesOfNewServers(t *testing.T) {
 	p := NewPublisher(durations)
 	p.SetConfig(1, []byte("text"), nil, 0)
 	p.Subscribe(1, 0, 0)
@@ -247,7 +248,7 @@
 	}
 	p.SetRollouts(rollout.Set{Revision: 2, Rollouts: []rollout.Rollout{{Service: "one", Target: "v2", Order: 1, Stage: rollout.Canary}}})
 	p.Directory.Merge(directory.Entry{Node: "n1", Incarnation: 1, Sequence: 1, Version: "v2"}, 0)
-	p.Tick(time.Millisecond) // notices the change, which waits for further ones
+	p.Tick(time.Millisecond) // detects the change, whose push is delayed by batchDelay
 	pushed, _ := p.Tick(time.Millisecond + batchDelay)
 	if len(pushed) != 1 || pushed[0].Rollouts == nil || pushed[0].Rollouts.Revision != 2 || len(pushed[0].Entries) != 0 {
 		t.Fatalf("while an acknowledgement is awaited: %+v", pushed)
@@ -271,7 +272,7 @@
 	t.Fatal("nothing is pushed")
 }
 
-func TestOlderRolloutsReplaceNothing(t *testing.T) {
+func TestOlderRolloutsAreIgnored(t *testing.T) {
 	p := NewPublisher(durations)
 	if !p.SetRollouts(rollout.Set{Revision: 3}) || p.SetRollouts(rollout.Set{Revision: 3}) || p.SetRollouts(rollout.Set{Revision: 2}) ||
 		p.Rollouts.Revision != 3 {
--- a/mesh/rollout/controller.go
+++ b/mesh/rollout/controller.go
@@ -107,7 +107,7 @@
 // EndedRecently reports whether the rollout of a service ended so recently that copies of its order may still arrive.
 func (c *Controller) EndedRecently(now time.Duration, service string) bool {
 	p := c.progress[service]
-	return p != nil && !p.stage.Active() && now-p.stageSeenAt <= c.durations.RepeatWindow
+	return p != nil && !p.stage.Active() && now-p.stageSeenAt <= c.durations.DuplicateOrderWindow
 }
 
 // LastVerdict returns the last verdict on the rollout of a service.
@@ -137,7 +137,7 @@
 	case !v.Leader:
 		p.waitsFor = "the holder of the lease"
 		return 0, ""
-	case now <= c.durations.HoldUp: // this process may not have received the reports of all sidecars yet
+	case now <= c.durations.LostSidecarWait: // this process may not have received the reports of all sidecars yet
 		p.waitsFor = "reports of all sidecars to this machine, which has just started"
 		return 0, ""
 	case elapsed > recallAfterTerms*r.Term:
@@ -189,12 +189,12 @@
 	return time.Duration(share * float64(d))
 }
 
-// Unconfirmed returns the number of sidecars that have not confirmed a revision. A lost sidecar counts until timing.Rollouts.HoldUp has
-// passed since it was last seen.
+// Unconfirmed returns the number of sidecars that have not confirmed a revision. A lost sidecar counts until
+// timing.Rollouts.LostSidecarWait has passed since it was last seen.
 func (c *Controller) Unconfirmed(now time.Duration, revision uint32, machines []Machine) (count int) {
 	for i := range machines {
 		m := &machines[i]
-		ignored := m.Lost && now-m.LastSeen > c.durations.HoldUp
+		ignored := m.Lost && now-m.LastSeen > c.durations.LostSidecarWait
 		if m.Confirmed < revision && !ignored {
 			count++
 		}
--- a/mesh/rollout/rollout_test.go
+++ b/mesh/rollout/rollout_test.go
@@ -372,7 +372,7 @@
 	promoting := moveTo(startRollout(Set{}, "v2"), Promoting)
 	promoting.Rollouts[0].Term = time.Second
 	controller := NewController(timing.Default().Rollouts, 50)
-	for now := time.Duration(0); now <= timing.Default().Rollouts.HoldUp; now += 100 * time.Millisecond {
+	for now := time.Duration(0); now <= timing.Default().Rollouts.LostSidecarWait; now += 100 * time.Millisecond {
 		if transitions := controller.Decide(now, View{Leader: true, Set: promoting}); len(transitions) > 0 {
 			t.Fatalf("at %v: %+v", now, transitions)
 		}
