--- a/cmd/firplank/fleet.go
+++ b/cmd/firplank/fleet.go
@@ -71,7 +71,8 @@
 		if m.Conflict {
 			note = " TWO PROCESSES"
 		}
-		t.Printf("%d\t%s%s\t%s\t%s\t%s\t%d\t%s\t%s\n", m.Number, m.Reachability, note, age(m.SinceDatagram), age(m.SinceHeartbeat), age(m.SinceComplete),
+		t.Printf("%d\t%s%s\t%s\t%s\t%s\t%d\t%s\t%s\n", m.Number, m.Reachability, note,
+			age(m.SinceDatagram), age(m.SinceHeartbeat), age(m.SinceComplete),
 			m.Received, m.Incarnation, row(m.ReceivesFrom, len(s.Members)))
 	}
 	t.Println("\nclass\ttenant\ttaken\tretried\tserved\tno room\tover budget\trefused\tfailed")
