--- a/cmd/firplankctl/config.go
+++ b/cmd/firplankctl/config.go
@@ -20,8 +20,8 @@
 	if err != nil {
 		return err
 	}
-	printer.Printf("%s: edition %08x, %d routes, %d services\n", c.File, cfg.Version, cfg.Routes(), len(cfg.Services))
-	for _, name := range cfg.Unused() {
+	printer.Printf("%s: edition %08x, %d routes, %d services\n", c.File, cfg.Version, cfg.RouteCount(), len(cfg.Services))
+	for _, name := range cfg.UnusedServices() {
 		printer.Printf("no route leads to %s\n", name)
 	}
 	return printer.Err()
--- a/cmd/firplankctl/fsck.go
+++ b/cmd/firplankctl/fsck.go
@@ -48,6 +48,6 @@
 	if err != nil {
 		return errors.Wrap(err, "the configuration")
 	}
-	printer.Printf("the configuration is whole: %d routes, %d services\n", cfg.Routes(), len(cfg.Services))
+	printer.Printf("the configuration is whole: %d routes, %d services\n", cfg.RouteCount(), len(cfg.Services))
 	return printer.Err()
 }
--- a/cmd/firplankctl/plan.go
+++ b/cmd/firplankctl/plan.go
@@ -31,11 +31,11 @@
 		return printer.Err()
 	}
 	changes := config.Diff(from, to)
-	printer.Printf("edition %08x to %08x: %d of %d routes differ\n", from.Version, to.Version, len(changes), from.Routes())
+	printer.Printf("edition %08x to %08x: %d of %d routes differ\n", from.Version, to.Version, len(changes), from.RouteCount())
 	for _, change := range changes {
 		printer.Printf("%3.0f%% moved  %s%s: %s\n", 100*change.MovedShare, change.Host, change.Prefix, change.Description)
 	}
-	for _, name := range to.Unused() {
+	for _, name := range to.UnusedServices() {
 		printer.Printf("no route leads to %s\n", name)
 	}
 	return printer.Err()
--- a/cmd/firplankctl/rollout.go
+++ b/cmd/firplankctl/rollout.go
@@ -54,7 +54,7 @@
 
 // Run recalls a rollout.
 func (c *recallCommand) Run(out io.Writer) error {
-	if err := postOrder(c.ControlAddr, api.RecallPath+"/"+url.PathEscape(c.Service), nil); err != nil {
+	if err := postOrder(c.ControlAddr, api.RecallRolloutPath+"/"+url.PathEscape(c.Service), nil); err != nil {
 		return err
 	}
 	printer := output.New(out)
--- a/lab/scale/plan_test.go
+++ b/lab/scale/plan_test.go
@@ -60,8 +60,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if cfg.Version != 2 || cfg.Routes() != 660 || len(cfg.Services) != 330 {
-		t.Errorf("edition %d, %d routes, %d services", cfg.Version, cfg.Routes(), len(cfg.Services))
+	if cfg.Version != 2 || cfg.RouteCount() != 660 || len(cfg.Services) != 330 {
+		t.Errorf("edition %d, %d routes, %d services", cfg.Version, cfg.RouteCount(), len(cfg.Services))
 	}
 	changed := 0
 	for i := range one.VirtualHosts {
--- a/mesh/api/router.go
+++ b/mesh/api/router.go
@@ -123,8 +123,8 @@
 	}
 	segment, rest := segments[0], segments[1:]
 	if next := rt.literals[segment]; next != nil {
-		if found, args := next.lookup(rest, args); found != nil {
-			return found, args
+		if node, args := next.lookup(rest, args); node != nil {
+			return node, args
 		}
 	}
 	if rt.wildcard != nil && segment != "" {
--- a/mesh/api/router_test.go
+++ b/mesh/api/router_test.go
@@ -67,7 +67,7 @@
 }
 
 // The keys are read by operators' scripts, and by firplankctl of another release.
-func TestStatusKeepsItsKeys(t *testing.T) {
+func TestStatusKeysAreStable(t *testing.T) {
 	got := JSONResponse(http.StatusOK, ControlStatus{PreviousMembers: []string{"a"}, Machines: []ControlMachine{{}}})
 	const want = `{"self":"","members":null,"membersBefore":["a"],"version":0,"ballot":"","leaseHolder":"","fullCopies":false,` +
 		`"machines":[{"address":"","zone":"","member":false,"voter":false,"linked":false,"heardS":0,"leaving":false,` +
--- a/mesh/api/status.go
+++ b/mesh/api/status.go
@@ -3,11 +3,11 @@
 // StatusPath is the path of the call for ControlStatus, by GET on a control machine's control address.
 const StatusPath = "/Control.Status"
 
-// Paths of the calls for rollouts. Those of ReadRolloutPath and RecallPath go on with a slash and the name of a service.
+// Paths of the calls for rollouts. Those of ReadRolloutPath and RecallRolloutPath go on with a slash and the name of a service.
 const (
-	StartRolloutPath = "/Rollouts.Start"
-	ReadRolloutPath  = "/Rollouts.Read"
-	RecallPath       = "/Rollouts.Recall"
+	StartRolloutPath  = "/Rollouts.Start"
+	ReadRolloutPath   = "/Rollouts.Read"
+	RecallRolloutPath = "/Rollouts.Recall"
 )
 
 // ControlStatus is the control plane as one control machine sees it. It answers without contact to the others, whose view may differ.
--- a/mesh/bootstrap/bounds.go
+++ b/mesh/bootstrap/bounds.go
@@ -62,7 +62,7 @@
 }
 
 // parseBounds reads bounds as "name=figure", times in seconds. Unknown names are ignored.
-func parseBounds(texts []string) (Bounds, error) {
+func parseBounds(entries []string) (Bounds, error) {
 	b := DefaultBounds()
 	durations := map[string]*time.Duration{
 		"inTouchS":      &b.InTouch,
@@ -77,26 +77,26 @@
 		"retryWindowS":  &b.RetryWindow,
 		"recallS":       &b.Recall,
 	}
-	figures := map[string]*float64{
+	numbers := map[string]*float64{
 		"retryRatio":    &b.RetryRatio,
 		"retrySlack":    &b.RetrySlack,
 		"exposureShare": &b.ExposureShare,
 		"exposureSlack": &b.ExposureSlack,
 	}
-	for i, text := range texts {
-		name, figure, _ := strings.Cut(text, "=")
-		duration, plain := durations[name], figures[name]
-		if duration == nil && plain == nil {
+	for i, entry := range entries {
+		name, valueText, _ := strings.Cut(entry, "=")
+		duration, number := durations[name], numbers[name]
+		if duration == nil && number == nil {
 			continue
 		}
-		v, err := strconv.ParseFloat(figure, 64)
+		value, err := strconv.ParseFloat(valueText, 64)
 		switch {
-		case err != nil || !(v >= 0 && v < maxBound):
-			return b, errors.Errorf("bounds[%d]: %q has no figure of 0 or more", i, text)
+		case err != nil || !(value >= 0 && value < maxBound):
+			return b, errors.Errorf("bounds[%d]: %q has no figure of 0 or more", i, entry)
 		case duration != nil:
-			*duration = time.Duration(v * float64(time.Second))
+			*duration = time.Duration(value * float64(time.Second))
 		default:
-			*plain = v
+			*number = value
 		}
 	}
 	return b, nil
--- a/mesh/bootstrap/file.go
+++ b/mesh/bootstrap/file.go
@@ -15,7 +15,7 @@
 type File struct {
 	Path string
 
-	last []byte // the content when it was last read; nil: it was not
+	lastContent []byte // the content when it was last read; nil: it was not
 }
 
 // ReadIfChanged returns the settings if the content of the file is another than at the last call, else nil. So an error in the content is
@@ -28,10 +28,10 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "settings")
 	}
-	if f.last != nil && bytes.Equal(text, f.last) {
+	if f.lastContent != nil && bytes.Equal(text, f.lastContent) {
 		return nil, nil
 	}
-	f.last = text
+	f.lastContent = text
 	s, err := Parse(text)
 	if err != nil {
 		return nil, errors.Wrap(err, f.Path)
--- a/mesh/bootstrap/log.go
+++ b/mesh/bootstrap/log.go
@@ -17,13 +17,13 @@
 		allow = level.AllowDebug()
 	}
 	l := kitlog.With(level.NewFilter(kitlog.NewJSONLogger(kitlog.NewSyncWriter(w)), allow), "ts", kitlog.DefaultTimestampUTC)
-	return l, slog.New(&slogHandler{to: l, debug: debug})
+	return l, slog.New(&slogHandler{logger: l, debug: debug})
 }
 
 // slogHandler is a handler of log/slog that writes to a go-kit logger.
 type slogHandler struct {
-	to    kitlog.Logger
-	debug bool
+	logger kitlog.Logger
+	debug  bool
 }
 
 // Enabled implements slog.Handler.
@@ -33,30 +33,30 @@
 
 // Handle implements slog.Handler.
 func (h *slogHandler) Handle(_ context.Context, r slog.Record) error {
-	to := level.Info(h.to)
+	leveled := level.Info(h.logger)
 	switch {
 	case r.Level >= slog.LevelError:
-		to = level.Error(h.to)
+		leveled = level.Error(h.logger)
 	case r.Level >= slog.LevelWarn:
-		to = level.Warn(h.to)
+		leveled = level.Warn(h.logger)
 	case r.Level < slog.LevelInfo:
-		to = level.Debug(h.to)
+		leveled = level.Debug(h.logger)
 	}
-	line := []any{"msg", r.Message}
+	fields := []any{"msg", r.Message}
 	r.Attrs(func(a slog.Attr) bool {
-		line = append(line, a.Key, a.Value.String())
+		fields = append(fields, a.Key, a.Value.String())
 		return true
 	})
-	return to.Log(line...)
+	return leveled.Log(fields...)
 }
 
 // WithAttrs implements slog.Handler.
 func (h *slogHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
-	var with []any
+	var fields []any
 	for _, a := range attrs {
-		with = append(with, a.Key, a.Value.String())
+		fields = append(fields, a.Key, a.Value.String())
 	}
-	return &slogHandler{to: kitlog.With(h.to, with...), debug: h.debug}
+	return &slogHandler{logger: kitlog.With(h.logger, fields...), debug: h.debug}
 }
 
 // WithGroup implements slog.Handler; attributes of a group are written without its name.
--- a/mesh/bootstrap/settings_test.go
+++ b/mesh/bootstrap/settings_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-func TestErrorsNameTheSetting(t *testing.T) {
-	for _, c := range []struct{ old, now, want string }{
+func TestParseErrorsNameTheSetting(t *testing.T) {
+	for _, c := range []struct{ old, replacement, want string }{
 		{`nodeName: "n1"`, ``, "NodeName: cannot be blank"},
 		{`ip: "10.1.0.8"`, `ip: "here"`, "IP: is no address"},
 		{`"10.1.0.8:8300"`, `"10.1.0.8"`, "Incoming"},
@@ -51,21 +51,21 @@
 		{`["10.1.0.13:8306", "10.2.0.11:8306"]`, `[]`, "SeedNodes"},
 		{`zone: "z"`, `beatS: -1`, "BeatS: must be no less than 0"},
 	} {
-		_, err := Parse([]byte(strings.Replace(valid, c.old, c.now, 1)))
+		_, err := Parse([]byte(strings.Replace(valid, c.old, c.replacement, 1)))
 		if err == nil || !strings.Contains(strings.ToLower(err.Error()), strings.ToLower(c.want)) {
-			t.Errorf("%s: %v, want %q", c.now, err, c.want)
+			t.Errorf("%s: %v, want %q", c.replacement, err, c.want)
 		}
 	}
 }
 
 func TestLogWritesLinesOfJSON(t *testing.T) {
 	var out bytes.Buffer
-	kit, shared := NewLog(&out, false)
-	if err := kit.Log("msg", "one", "n", 1); err != nil {
+	kitLogger, slogLogger := NewLog(&out, false)
+	if err := kitLogger.Log("msg", "one", "n", 1); err != nil {
 		t.Fatal(err)
 	}
-	shared.Info("two", "error", "e")
-	shared.Debug("not written")
+	slogLogger.Info("two", "error", "e")
+	slogLogger.Debug("not written")
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	if len(lines) != 2 {
 		t.Fatalf("%q", out.String())
@@ -81,8 +81,8 @@
 func TestFileIsReadIfChanged(t *testing.T) {
 	f := File{Path: filepath.Join(t.TempDir(), "settings.yaml")}
 	for i, c := range []struct {
-		text        string
-		read, wrong bool
+		text              string
+		wantRead, wantErr bool
 	}{
 		{valid, true, false}, {valid, false, false}, {"nodeName: [", false, true}, {"nodeName: [", false, false},
 		{strings.Replace(valid, `"z"`, `"y"`, 1), true, false}, {valid, true, false},
@@ -91,7 +91,7 @@
 			t.Fatal(err)
 		}
 		s, err := f.ReadIfChanged()
-		if (s != nil) != c.read || (err != nil) != c.wrong {
+		if (s != nil) != c.wantRead || (err != nil) != c.wantErr {
 			t.Errorf("%d: %v, %v", i, s, err)
 		}
 	}
--- a/mesh/config/config.go
+++ b/mesh/config/config.go
@@ -112,14 +112,14 @@
 		c.hosts[host] = routes
 	}
 	for i := range v.Routes {
-		at := fmt.Sprintf("%s.regulations[%d]", path, i)
+		routePath := fmt.Sprintf("%s.regulations[%d]", path, i)
 		r, err := c.newRoute(&v.Routes[i])
 		if err != nil {
-			return invalid(at, err)
+			return invalid(routePath, err)
 		}
 		prefix := r.Match.Prefix
 		if routes[prefix] != nil {
-			return invalid(at, errors.Errorf("%s%s %w", host, prefix, ErrDuplicate))
+			return invalid(routePath, errors.Errorf("%s%s %w", host, prefix, ErrDuplicate))
 		}
 		routes[prefix] = r
 	}
@@ -149,16 +149,16 @@
 	return nil
 }
 
-// Routes returns the number of routes.
-func (c *Config) Routes() (n int) {
+// RouteCount returns the number of routes.
+func (c *Config) RouteCount() (n int) {
 	for _, routes := range c.hosts {
 		n += len(routes)
 	}
 	return n
 }
 
-// all yields all routes in no particular order.
-func (c *Config) all() iter.Seq[*Route] {
+// allRoutes yields all routes in no particular order.
+func (c *Config) allRoutes() iter.Seq[*Route] {
 	return func(yield func(*Route) bool) {
 		for _, routes := range c.hosts {
 			for _, r := range routes {
--- a/mesh/config/config_test.go
+++ b/mesh/config/config_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-func TestErrorsNameThePlace(t *testing.T) {
-	for _, c := range []struct{ name, old, now, want string }{
+func TestParseErrorsNameThePlace(t *testing.T) {
+	for _, c := range []struct{ name, old, replacement, want string }{
 		{"cut short", valid, valid[:len(valid)/2], "line 6"},
 		{"two of them", valid, valid + valid, "line 9: something follows"},
 		{
@@ -64,7 +64,7 @@
 		{"a string for a number", `"deadlineS":3`, `"deadlineS":"3"`, "line 4"},
 		{"two services of one name", `"name":"two"`, `"name":"one"`, `"one" is there twice`},
 	} {
-		_, err := Parse([]byte(strings.Replace(valid, c.old, c.now, 1)))
+		_, err := Parse([]byte(strings.Replace(valid, c.old, c.replacement, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", c.name, err, c.want)
 		}
@@ -72,9 +72,9 @@
 }
 
 // A caller can tell what kind of fault a configuration has, and where.
-func TestErrorsAreTyped(t *testing.T) {
-	parse := func(old, now string) error {
-		_, err := Parse([]byte(strings.Replace(valid, old, now, 1)))
+func TestParseErrorsAreTyped(t *testing.T) {
+	parse := func(old, replacement string) error {
+		_, err := Parse([]byte(strings.Replace(valid, old, replacement, 1)))
 		return err
 	}
 	var syntax *SyntaxError
@@ -98,7 +98,7 @@
 	}
 }
 
-func TestDiffShowsWhatMoves(t *testing.T) {
+func TestDiffReportsMovedShares(t *testing.T) {
 	from, err := Parse([]byte(valid))
 	if err != nil {
 		t.Fatal(err)
@@ -166,7 +166,7 @@
 }
 
 // A route of the highest precedence has no say in which others are urgent.
-func TestRanksComeFromOrdinaryRoutes(t *testing.T) {
+func TestHighestPrecedenceDoesNotMakeOthersUrgent(t *testing.T) {
 	c, err := Parse([]byte(strings.Replace(valid, `"targetS":1,"precedence":1`, `"targetS":9,"precedence":0`, 1)))
 	if err != nil {
 		t.Fatal(err)
@@ -177,11 +177,11 @@
 }
 
 func TestSplitsAreValidated(t *testing.T) {
-	for _, c := range []struct{ name, old, now, want string }{
+	for _, c := range []struct{ name, old, replacement, want string }{
 		{"a negative weight", `"share":10`, `"share":-10`, "dispatch.split[1].share: -10"},
 		{"a service and a split", `"dispatch":{"split"`, `"dispatch":{"line":"one","split"`, "both line and split"},
 	} {
-		if _, err := Parse([]byte(strings.Replace(valid, c.old, c.now, 1))); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := Parse([]byte(strings.Replace(valid, c.old, c.replacement, 1))); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", c.name, err, c.want)
 		}
 	}
@@ -196,7 +196,7 @@
 		return []byte(`{"edition":"00000001","gates":[{"depot":"a","regulations":[` + strings.Join(routes, ",") + `]}],
 			"fleets":[{"name":"one"}]}`)
 	}
-	if c, err := Parse(text(MaxRoutes)); err != nil || c.Routes() != MaxRoutes {
+	if c, err := Parse(text(MaxRoutes)); err != nil || c.RouteCount() != MaxRoutes {
 		t.Errorf("%v", err)
 	}
 	if _, err := Parse(text(MaxRoutes + 1)); err == nil {
@@ -204,7 +204,7 @@
 	}
 }
 
-func TestSomethingBehindAConfigurationIsRefused(t *testing.T) {
+func TestTrailingDataIsRejected(t *testing.T) {
 	const good = `{"edition":"00000001","gates":[],"fleets":[]}`
 	for text, want := range map[string]bool{
 		good: true, good + " \n": true,
--- a/mesh/config/diff.go
+++ b/mesh/config/diff.go
@@ -108,10 +108,10 @@
 	return strings.Join(parts, "; ")
 }
 
-// Unused returns the names of the services that no route leads to, in order.
-func (c *Config) Unused() []string {
+// UnusedServices returns the names of the services that no route leads to, in order.
+func (c *Config) UnusedServices() []string {
 	used := map[string]bool{}
-	for r := range c.all() {
+	for r := range c.allRoutes() {
 		for _, s := range r.Services {
 			used[s.Service] = used[s.Service] || s.Weight > 0
 		}
--- a/mesh/config/document.go
+++ b/mesh/config/document.go
@@ -113,7 +113,7 @@
 
 // validate checks what can be checked of a route by itself. A valid one is recognised without reflection, as configurations hold thousands.
 func (r *RouteSpec) validate() error {
-	if r.plausible() {
+	if r.certainlyValid() {
 		return nil
 	}
 	if err := validation.ValidateStruct(r,
@@ -133,8 +133,8 @@
 	return nil
 }
 
-// plausible reports whether a route passes validate for sure; it may pass although it is not plausible.
-func (r *RouteSpec) plausible() bool {
+// certainlyValid reports whether a route passes validate for sure; it may pass although it is not plausible.
+func (r *RouteSpec) certainlyValid() bool {
 	switch r.Kind {
 	case Safe, Unsafe, Download:
 	default:
--- a/mesh/config/route.go
+++ b/mesh/config/route.go
@@ -56,7 +56,7 @@
 // assignRanks sets the ranks of all routes.
 func (c *Config) assignRanks() {
 	longestTarget := map[string]float64{} // by service, of the routes without the highest precedence
-	for r := range c.all() {
+	for r := range c.allRoutes() {
 		r.Rank = r.Precedence
 		if r.Precedence <= 0 {
 			continue
@@ -65,7 +65,7 @@
 			longestTarget[s.Service] = max(longestTarget[s.Service], r.LatencyTargetS)
 		}
 	}
-	for r := range c.all() {
+	for r := range c.allRoutes() {
 		for _, s := range r.Services {
 			if r.LatencyTargetS*urgencyFactor <= longestTarget[s.Service] {
 				r.Rank = 0
@@ -75,18 +75,18 @@
 }
 
 // ChooseService picks a service by the weights. At, of 0 or more and below 1, decides: the same value picks the same service.
-func (r *Route) ChooseService(at float64) string {
+func (r *Route) ChooseService(fraction float64) string {
 	if len(r.Services) == 1 {
 		return r.Services[0].Service
 	}
-	at *= r.totalWeight
+	fraction *= r.totalWeight
 	last := ""
 	for _, s := range r.Services {
 		if s.Weight <= 0 {
 			continue
 		}
 		last = s.Service
-		if at -= s.Weight; at < 0 {
+		if fraction -= s.Weight; fraction < 0 {
 			break
 		}
 	}
--- a/mesh/controlplane/events.go
+++ b/mesh/controlplane/events.go
@@ -34,11 +34,11 @@
 		err    error
 	}
 	// statusRequested asks for the status; done has room for one.
-	statusRequested struct{ done chan api.ControlStatus }
+	statusRequested struct{ reply chan api.ControlStatus }
 	// rolloutsRequested asks for what is known here of the rollouts; done has room for one.
 	rolloutsRequested struct {
 		service string
-		done    chan rolloutsView
+		reply   chan rolloutsView
 	}
 )
 
@@ -79,9 +79,9 @@
 	case writeCompleted:
 		s.handleWriteCompleted(e)
 	case statusRequested:
-		e.done <- s.status(s.now())
+		e.reply <- s.status(s.now())
 	case rolloutsRequested:
-		e.done <- s.rolloutsView(e.service)
+		e.reply <- s.rolloutsView(e.service)
 	case operationCancelled:
 		s.operations.Cancel(e.call.ID)
 	}
--- a/mesh/controlplane/figures.go
+++ b/mesh/controlplane/metrics.go
@@ -12,7 +12,7 @@
 )
 
 // figures are the counters and gauges of a control machine. The loop writes, scrapes read.
-type figures struct {
+type controlMetrics struct {
 	registry *telemetry.Registry
 
 	diskErrors, sidecarsLost, unknownCalls *metrics.Counter
@@ -21,10 +21,10 @@
 	pendingOperations, quorumAgeMillis, lowestInForce      atomic.Int64
 }
 
-// newFigures returns the figures of a machine, all at 0.
-func newFigures() *figures {
+// newControlMetrics returns the figures of a machine, all at 0.
+func newControlMetrics() *controlMetrics {
 	r := telemetry.NewRegistry()
-	f := &figures{
+	f := &controlMetrics{
 		registry:     r,
 		diskErrors:   r.Counter("disk_errors_total"),
 		sidecarsLost: r.Counter("sidecars_lost_total"),
@@ -40,12 +40,12 @@
 	return f
 }
 
-// serveFigures serves the figures until close is called, where the port is free.
-func (s *Server) serveFigures() (close func()) {
+// serveMetrics serves the figures until close is called, where the port is free.
+func (s *Server) serveMetrics() (close func()) {
 	if s.settings.IP == "" {
 		return func() {}
 	}
-	close, err := s.figures.registry.Serve(s.settings.IP, telemetry.ControlPort)
+	close, err := s.metrics.registry.Serve(s.settings.IP, telemetry.ControlPort)
 	if err != nil {
 		_ = level.Warn(s.log).Log("msg", "metrics are not served", "error", err)
 		return func() {}
@@ -53,9 +53,9 @@
 	return close
 }
 
-// updateFigures brings the gauges up to date.
-func (s *Server) updateFigures() {
-	f, now := s.figures, s.now()
+// updateMetrics brings the gauges up to date.
+func (s *Server) updateMetrics() {
+	f, now := s.metrics, s.now()
 	committed := s.pipeline.Committed()
 	f.committedVersion.Store(int64(committed.Value.Version))
 	f.members.Store(int64(len(committed.Value.Members)))
@@ -78,18 +78,18 @@
 	f.peersConnected.Store(int64(connected))
 }
 
-// operationEnded counts the operation of a client, by its kind and its result, and logs one that failed.
-func (s *Server) operationEnded(call *operations.Call, err error) {
+// recordOperationResult counts the operation of a client, by its kind and its result, and logs one that failed.
+func (s *Server) recordOperationResult(call *operations.Call, err error) {
 	kind := "read"
-	line := []any{"msg", "operation not completed", "operation", kind}
+	logFields := []any{"msg", "operation not completed", "operation", kind}
 	if write, ok := call.Request.(operations.Write); ok {
 		kind = "write"
-		line = []any{"msg", "operation not completed", "operation", kind, "version", formatVersion(write.Version), "content", write.Content}
+		logFields = []any{"msg", "operation not completed", "operation", kind, "version", formatVersion(write.Version), "content", write.Content}
 	}
 	result := "completed"
 	if err != nil {
 		result = operations.ErrorName(err)
-		_ = level.Info(s.log).Log(append(line, "error", err, "cause", result)...)
+		_ = level.Info(s.log).Log(append(logFields, "error", err, "cause", result)...)
 	}
-	s.figures.registry.LabelledCounter("operations_"+kind+"_total", "result", result).Inc()
+	s.metrics.registry.LabelledCounter("operations_"+kind+"_total", "result", result).Inc()
 }
--- a/mesh/controlplane/operations/errors.go
+++ b/mesh/controlplane/operations/errors.go
@@ -24,19 +24,19 @@
 // VersionTakenError reports that a version was committed with another content before. The write is never in force under that version; the
 // client has to send it under one above Newest.
 type VersionTakenError struct {
-	Version, Newest uint32
-	Content, Taken  register.Content // of the write that is rejected, and the committed one
+	Version, Newest           uint32
+	Content, CommittedContent register.Content // of the write that is rejected, and the committed one
 }
 
 func newVersionTakenError(o register.Outcome, w Write) *VersionTakenError {
-	taken, _ := o.Value.History.Find(w.Version)
-	return &VersionTakenError{Version: w.Version, Newest: o.Value.Version, Content: w.Content, Taken: taken.Content}
+	committed, _ := o.Value.History.Find(w.Version)
+	return &VersionTakenError{Version: w.Version, Newest: o.Value.Version, Content: w.Content, CommittedContent: committed.Content}
 }
 
 // Error is the text that the operator reads in the answer to the call.
 func (e *VersionTakenError) Error() string {
 	return fmt.Sprintf("edition %08x was taken with another content (%s): this one (%s) is not in force and never will be under that number; "+
-		"the newest edition is %08x, send yours under a higher one", e.Version, e.Taken, e.Content, e.Newest)
+		"the newest edition is %08x, send yours under a higher one", e.Version, e.CommittedContent, e.Content, e.Newest)
 }
 
 // ErrorName returns a short name of an error of this package, for metrics: they have to be few.
--- a/mesh/controlplane/operations/invariants.go
+++ b/mesh/controlplane/operations/invariants.go
@@ -17,10 +17,10 @@
 	for _, id := range slices.Sorted(maps.Keys(t.pending)) {
 		op := t.pending[id]
 		waited := now - max(op.requestedAt, t.servingSince)
-		if op.decided || op.stalled || waited <= t.durations.Operations.MaxWait {
+		if op.decided || op.reportedStalled || waited <= t.durations.Operations.MaxWait {
 			continue
 		}
-		op.stalled = true
+		op.reportedStalled = true
 		t.invariants.Violated(invariant.OperationsProgress, "operation", id, "waited", waited, "for", t.register.Progress(now))
 	}
 }
@@ -38,10 +38,10 @@
 			t.invariants.Violated(invariant.AcknowledgedIsCommitted, "version", request.Version, "content", request.Content,
 				"committed", value.Version)
 		}
-		t.acknowledged = max(t.acknowledged, request.Version)
+		t.highestAcknowledged = max(t.highestAcknowledged, request.Version)
 	case Read:
-		if value.Version < t.acknowledged {
-			t.invariants.Violated(invariant.ReadCoversAcknowledged, "version", value.Version, "acknowledged", t.acknowledged)
+		if value.Version < t.highestAcknowledged {
+			t.invariants.Violated(invariant.ReadCoversAcknowledged, "version", value.Version, "acknowledged", t.highestAcknowledged)
 		}
 	}
 }
--- a/mesh/controlplane/operations/invariants_test.go
+++ b/mesh/controlplane/operations/invariants_test.go
@@ -9,16 +9,16 @@
 	"firplank/mesh/register"
 )
 
-// checkedTable returns a table with the invariants that it reports as violated.
-func checkedTable() (*Table, *replica, *[]invariant.Name) {
-	var got []invariant.Name
+// newCheckedTable returns a table with the invariants that it reports as violated.
+func newCheckedTable() (*Table, *recordingReplica, *[]invariant.Name) {
+	var violations []invariant.Name
 	table, r := newTable()
-	table.SetInvariants(invariant.Func(func(name invariant.Name, _ ...any) { got = append(got, name) }))
-	return table, r, &got
+	table.SetInvariants(invariant.Func(func(name invariant.Name, _ ...any) { violations = append(violations, name) }))
+	return table, r, &violations
 }
 
 // A change is acknowledged only where the committed value records it, and a read returns what was acknowledged before.
-func TestResultsAreChecked(t *testing.T) {
+func TestResultInvariantsAreReported(t *testing.T) {
 	mine, other := register.ContentOf([]byte("mine")), register.ContentOf([]byte("other"))
 	recorded := func(version uint32, content register.Content) register.Value {
 		return register.Value{Version: version, History: register.History{}.With(register.Record{Version: version, Content: content})}
@@ -36,11 +36,11 @@
 		{"a read of what was acknowledged", 7, Read{}, recorded(7, mine), nil},
 		{"a read of something older", 8, Read{}, recorded(7, mine), []invariant.Name{invariant.ReadCoversAcknowledged}},
 	} {
-		table, _, got := checkedTable()
-		table.acknowledged = c.acknowledged
+		table, _, violations := newCheckedTable()
+		table.highestAcknowledged = c.acknowledged
 		table.checkResult(c.request, Result{Outcome: register.Outcome{Value: c.value}})
-		if !slices.Equal(*got, c.want) {
-			t.Errorf("%s: %v, want %v", c.name, *got, c.want)
+		if !slices.Equal(*violations, c.want) {
+			t.Errorf("%s: %v, want %v", c.name, *violations, c.want)
 		}
 	}
 }
@@ -50,34 +50,34 @@
 	bound := durations.Operations.MaxWait
 	for _, c := range []struct {
 		name string
-		play func(table *Table, r *replica, id uint64)
+		run  func(table *Table, r *recordingReplica, id uint64)
 		want []invariant.Name
 	}{
-		{"just in time", func(table *Table, _ *replica, _ uint64) { table.FailPending(now + bound) }, nil},
-		{"for too long", func(table *Table, _ *replica, _ uint64) {
+		{"just in time", func(table *Table, _ *recordingReplica, _ uint64) { table.FailPending(now + bound) }, nil},
+		{"for too long", func(table *Table, _ *recordingReplica, _ uint64) {
 			table.FailPending(now + bound + 1)
 			table.FailPending(now + 2*bound)
 		}, []invariant.Name{invariant.OperationsProgress}},
-		{"decided, and waiting for sidecars", func(table *Table, _ *replica, id uint64) {
+		{"decided, and waiting for sidecars", func(table *Table, _ *recordingReplica, id uint64) {
 			table.Complete(now, register.Outcome{ID: id, Result: register.Confirmed}, 6)
 			table.FailPending(now + 2*bound)
 		}, nil},
-		{"with a quorum only lately", func(table *Table, r *replica, _ uint64) {
+		{"with a quorum only lately", func(table *Table, r *recordingReplica, _ uint64) {
 			r.health = Health{LastQuorum: -1}
 			table.FailPending(now + bound - time.Millisecond)
 			r.health = healthyAt(now + 3*bound)
-			var got results
-			table.Propose(now, Write{Version: 8}, &got)
+			var violations results
+			table.Propose(now, Write{Version: 8}, &violations)
 			table.FailPending(now + bound + 1)
 		}, nil},
 	} {
-		table, r, got := checkedTable()
+		table, r, violations := newCheckedTable()
 		r.health = healthyAt(now + 3*bound)
 		var answers results
 		id := table.Propose(now, Write{Version: 7}, &answers)
-		c.play(table, r, id)
-		if !slices.Equal(*got, c.want) {
-			t.Errorf("%s: %v, want %v", c.name, *got, c.want)
+		c.run(table, r, id)
+		if !slices.Equal(*violations, c.want) {
+			t.Errorf("%s: %v, want %v", c.name, *violations, c.want)
 		}
 	}
 }
--- a/mesh/controlplane/operations/operations.go
+++ b/mesh/controlplane/operations/operations.go
@@ -110,25 +110,25 @@
 
 // operation waits for a quorum or, once outcome is set, for the acknowledgements of sidecars.
 type operation struct {
-	request     Request
-	responder   Responder
-	requestedAt time.Duration
-	decided     bool // outcome is set
-	outcome     register.Outcome
-	stalled     bool // it was reported as an operation without progress
+	request         Request
+	responder       Responder
+	requestedAt     time.Duration
+	decided         bool // outcome is set
+	outcome         register.Outcome
+	reportedStalled bool // it was reported as an operation without progress
 }
 
 // Table holds the operations that wait for a quorum or for acknowledgements. It is not safe for concurrent use. Its size is bounded
 // by the clients' connections.
 type Table struct {
-	register      Register
-	nextID        func() uint64
-	pending       map[uint64]*operation
-	durations     timing.Durations
-	confirmations *dissemination.Confirmations
-	invariants    invariant.Reporter
-	acknowledged  uint32        // the highest version that was acknowledged here
-	servingSince  time.Duration // since when this machine can commit operations, as far as FailPending has seen
+	register            Register
+	nextID              func() uint64
+	pending             map[uint64]*operation
+	durations           timing.Durations
+	confirmations       *dissemination.Confirmations
+	invariants          invariant.Reporter
+	highestAcknowledged uint32        // the highest version that was acknowledged here
+	servingSince        time.Duration // since when this machine can commit operations, as far as FailPending has seen
 }
 
 // NewTable returns an empty table over a register. nextID returns a number that no other operation of this replica has.
--- a/mesh/controlplane/operations/operations_test.go
+++ b/mesh/controlplane/operations/operations_test.go
@@ -22,34 +22,34 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// replica records what it is given, and answers at once where it has an outcome.
-type replica struct {
-	table     *Table
-	applied   []register.Event
-	cancelled []uint64
-	atOnce    *register.Outcome
-	health    Health
+// recordingReplica records what it is given, and answers at once where it has an outcome.
+type recordingReplica struct {
+	table            *Table
+	applied          []register.Event
+	cancelled        []uint64
+	immediateOutcome *register.Outcome
+	health           Health
 }
 
-func (r *replica) Apply(_ time.Duration, ev register.Event) {
+func (r *recordingReplica) Apply(_ time.Duration, ev register.Event) {
 	r.applied = append(r.applied, ev)
-	if r.atOnce != nil {
-		r.table.Complete(0, *r.atOnce, dissemination.Unconstrained)
+	if r.immediateOutcome != nil {
+		r.table.Complete(0, *r.immediateOutcome, dissemination.Unconstrained)
 	}
 }
 
-func (r *replica) Health(time.Duration) Health { return r.health }
+func (r *recordingReplica) Health(time.Duration) Health { return r.health }
 
-func (r *replica) Progress(time.Duration) string { return "reading" }
+func (r *recordingReplica) Progress(time.Duration) string { return "reading" }
 
-func (r *replica) Cancel(id uint64) { r.cancelled = append(r.cancelled, id) }
+func (r *recordingReplica) Cancel(id uint64) { r.cancelled = append(r.cancelled, id) }
 
 type results []Result
 
 func (r *results) Respond(got Result) { *r = append(*r, got) }
 
-func newTable() (*Table, *replica) {
-	r, last := &replica{health: healthy}, uint64(0)
+func newTable() (*Table, *recordingReplica) {
+	r, last := &recordingReplica{health: healthy}, uint64(0)
 	r.table = NewTable(r, func() uint64 { last++; return last }, durations)
 	return r.table, r
 }
@@ -95,7 +95,7 @@
 }
 
 // What is proposed is what the client asked for, under a number of its own.
-func TestProposedEvents(t *testing.T) {
+func TestProposedEventIsTheRequestedOperation(t *testing.T) {
 	table, r := newTable()
 	content := register.ContentOf([]byte("text"))
 	table.Propose(now, Write{Version: 7, Content: content, Body: []byte("packed")}, &results{})
@@ -110,10 +110,10 @@
 }
 
 // The only member of a group answers while it is given the operation.
-func TestOutcomeDuringPropose(t *testing.T) {
+func TestOutcomeDuringProposeIsAnswered(t *testing.T) {
 	table, r := newTable()
 	r.health = Health{}
-	r.atOnce = &register.Outcome{ID: 1, Result: register.Confirmed}
+	r.immediateOutcome = &register.Outcome{ID: 1, Result: register.Confirmed}
 	var got results
 	table.Propose(0, Write{Version: 7}, &got)
 	if len(got) != 1 || got[0].Err != nil || table.Len() != 0 {
@@ -174,34 +174,34 @@
 
 // A confirmation waits for the sidecars below this machine and the others, for so long at most; a rejected write and a read do not wait.
 func TestConfirmationWaitsForSidecars(t *testing.T) {
-	late := durations.Dissemination.AckTimeout
+	ackTimeout := durations.Dissemination.AckTimeout
 	for _, c := range []struct {
-		name          string
-		request       Request
-		result        register.Result
-		lowest, peers uint32
-		acks          uint32        // the lowest version below this machine, ...
-		at            time.Duration // so long after the request
-		held, waits   bool          // the answer is held at first, and still then
+		name                      string
+		request                   Request
+		result                    register.Result
+		lowestHere, lowestOfPeers uint32
+		ackedLowest               uint32        // the lowest version below this machine, ...
+		after                     time.Duration // so long after the request
+		held, waits               bool          // the answer is held at first, and still then
 	}{
 		{"in force everywhere", Write{Version: 7}, register.Confirmed, 7, 7, 7, 0, false, false},
-		{"behind below this machine", Write{Version: 7}, register.Confirmed, 6, 7, 6, late - 1, true, true},
+		{"behind below this machine", Write{Version: 7}, register.Confirmed, 6, 7, 6, ackTimeout - 1, true, true},
 		{"acknowledged", Write{Version: 7}, register.Confirmed, 6, 7, 7, 10 * ms, true, false},
-		{"not acknowledged in time", Write{Version: 7}, register.Confirmed, 6, 7, 6, late, true, false},
-		{"behind below another machine", Write{Version: 7}, register.Confirmed, 7, 6, 7, late - 1, true, true},
+		{"not acknowledged in time", Write{Version: 7}, register.Confirmed, 6, 7, 6, ackTimeout, true, false},
+		{"behind below another machine", Write{Version: 7}, register.Confirmed, 7, 6, 7, ackTimeout - 1, true, true},
 		{"rejected", Write{Version: 7}, register.Conflict, 6, 6, 6, 0, false, false},
 		{"read", Read{}, register.Confirmed, 6, 6, 6, 0, false, false},
 	} {
 		table, _ := newTable()
 		var got results
-		table.PeerAcknowledged("b", c.peers, now)
+		table.PeerAcknowledged("b", c.lowestOfPeers, now)
 		id := table.Propose(now, c.request, &got)
-		table.Complete(now, register.Outcome{ID: id, Result: c.result, Value: register.Value{Version: 7}}, c.lowest)
+		table.Complete(now, register.Outcome{ID: id, Result: c.result, Value: register.Value{Version: 7}}, c.lowestHere)
 		if held := len(got) == 0; held != c.held {
 			t.Errorf("%s: held is %v", c.name, held)
 		}
-		next := table.Acknowledge(now+c.at, c.acks)
-		if waits := len(got) == 0; waits != c.waits || c.waits && next != now+late {
+		next := table.Acknowledge(now+c.after, c.ackedLowest)
+		if waits := len(got) == 0; waits != c.waits || c.waits && next != now+ackTimeout {
 			t.Errorf("%s: waits is %v, until %v", c.name, waits, next)
 		}
 		if len(got) == 1 && got[0].Outcome.Value.Version != 7 {
@@ -211,7 +211,7 @@
 }
 
 // A confirmation waits for the sidecars that are behind, a refusal for nobody.
-func TestRefusalDoesNotWaitForSidecars(t *testing.T) {
+func TestRejectedWriteDoesNotWaitForSidecars(t *testing.T) {
 	table, _ := newTable()
 	table.PeerAcknowledged("b", 5, now)
 	for _, result := range []register.Result{register.Confirmed, register.Conflict} {
@@ -242,7 +242,7 @@
 }
 
 // An operator whose edition is refused reads which number it was, that it never comes into force, and above which one to go.
-func TestConflictSaysWhatToDo(t *testing.T) {
+func TestVersionTakenErrorNamesVersionsAndContents(t *testing.T) {
 	mine, taken := register.ContentOf([]byte("mine")), register.ContentOf([]byte("taken"))
 	history := register.History{}.With(register.Record{Version: 7, Content: taken})
 	table, _ := newTable()
@@ -262,7 +262,7 @@
 }
 
 // A client waits until its operation has a result, its time is over or the machine stops.
-func TestCallWaits(t *testing.T) {
+func TestCallWaitsForResultTimeoutOrShutdown(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		result  *Result
@@ -299,7 +299,7 @@
 }
 
 // Failed writes leave room: those that follow wait for the sidecars as before.
-func TestFailedWritesLeaveRoom(t *testing.T) {
+func TestFailedWritesReleaseTheirConfirmations(t *testing.T) {
 	table, r := newTable()
 	var got results
 	for range 1000 {
--- a/mesh/controlplane/operators.go
+++ b/mesh/controlplane/operators.go
@@ -28,20 +28,20 @@
 
 // operatorAPI routes the calls of operators.
 func (s *Server) operatorAPI() *api.Router {
-	t := &api.Router{Rejected: s.logUnknownCall}
-	t.Handle(http.MethodPost, "/Timetable.Replace", s.replaceConfig)
-	t.Handle(http.MethodGet, api.StatusPath, s.readStatus)
-	t.Handle(http.MethodGet, "/Timetable.Read", s.readConfig)
-	t.Handle(http.MethodPost, api.StartRolloutPath, s.startRollout)
-	t.Handle(http.MethodGet, api.ReadRolloutPath+"/*", s.readRollout)
-	t.Handle(http.MethodPost, api.RecallPath+"/*", s.recallRollout)
-	return t
+	router := &api.Router{Rejected: s.logUnknownCall}
+	router.Handle(http.MethodPost, "/Timetable.Replace", s.replaceConfig)
+	router.Handle(http.MethodGet, api.StatusPath, s.readStatus)
+	router.Handle(http.MethodGet, "/Timetable.Read", s.readConfig)
+	router.Handle(http.MethodPost, api.StartRolloutPath, s.startRollout)
+	router.Handle(http.MethodGet, api.ReadRolloutPath+"/*", s.readRollout)
+	router.Handle(http.MethodPost, api.RecallRolloutPath+"/*", s.recallRollout)
+	return router
 }
 
 // logUnknownCall counts a call that this program does not have, and logs some of them.
 func (s *Server) logUnknownCall(r *http.Request, status int) {
-	s.figures.unknownCalls.Inc()
-	s.unknownCalls.Do(func() {
+	s.metrics.unknownCalls.Inc()
+	s.unknownCallLog.Do(func() {
 		_ = level.Warn(s.log).Log("msg", "call rejected: not known", "method", r.Method, "path", r.URL.Path, "status", status)
 	})
 }
@@ -51,9 +51,9 @@
 // unavailable is the answer to a call that this machine cannot commit now, and states why. It leaves open whether the
 // operation was committed, and another machine may be able to commit it.
 func unavailable(err error) api.Response {
-	a := api.ErrorResponse(http.StatusServiceUnavailable, err)
-	a.RetryAfter = retryAfter
-	return a
+	response := api.ErrorResponse(http.StatusServiceUnavailable, err)
+	response.RetryAfter = retryAfter
+	return response
 }
 
 // commit posts an operation to the event loop, which proposes it, and waits for its outcome.
@@ -64,7 +64,7 @@
 	if errors.Is(err, operations.ErrTimeout) {
 		s.post(operationCancelled{call})
 	}
-	s.operationEnded(call, err)
+	s.recordOperationResult(call, err)
 	return o, err
 }
 
@@ -88,7 +88,7 @@
 
 func (s *Server) logVersionTaken(e *operations.VersionTakenError) {
 	_ = level.Warn(s.log).Log("msg", "configuration rejected: version taken with another content", "version", formatVersion(e.Version),
-		"content", e.Content, "taken", e.Taken, "newest", formatVersion(e.Newest))
+		"content", e.Content, "taken", e.CommittedContent, "newest", formatVersion(e.Newest))
 }
 
 // formatVersion writes a version as operators write it.
--- a/mesh/controlplane/peers/peers.go
+++ b/mesh/controlplane/peers/peers.go
@@ -37,8 +37,8 @@
 	// Revision is that of the directory which the peer has been sent over Conn.
 	Revision      uint64
 	connChangedAt time.Duration
-	// mute is how many connections in a row have ended, or were replaced, before the peer was seen.
-	mute int
+	// silentConns is how many connections in a row have ended, or were replaced, before the peer was seen.
+	silentConns int
 }
 
 // Connected reports whether there is a connection to the peer.
@@ -91,10 +91,10 @@
 func (t *Table[C]) SetConn(addr string, conn C, now time.Duration) {
 	p := t.peers[addr]
 	if p.Connected() {
-		p.mute++
+		p.silentConns++
 	}
 	if p.seenSinceConnected() {
-		p.mute = 0
+		p.silentConns = 0
 	}
 	p.Conn, p.Revision, p.connChangedAt = conn, 0, now
 }
@@ -108,7 +108,7 @@
 	if p.seenSinceConnected() {
 		return timeout
 	}
-	return timeout << min(p.mute, maxSilenceDoublings)
+	return timeout << min(p.silentConns, maxSilenceDoublings)
 }
 
 // Seen returns the addresses of the peers that were ever seen, in order.
--- a/mesh/controlplane/peers/peers_test.go
+++ b/mesh/controlplane/peers/peers_test.go
@@ -85,9 +85,9 @@
 // A connection is silent when nothing was heard of the peer since it was made, for longer than the time-out.
 func TestSilent(t *testing.T) {
 	for _, c := range []struct {
-		name          string
-		heard, linked time.Duration // below 0: not connected
-		want          bool
+		name                  string
+		lastSeen, connectedAt time.Duration // below 0: not connected
+		want                  bool
 	}{
 		{"heard of lately", 9 * s, s, false},
 		{"made lately", s, 9 * s, false},
@@ -96,9 +96,9 @@
 		{"not connected", s, -1, false},
 	} {
 		table := New[string]("a", "")
-		table.Record("b", "", c.heard)
-		if c.linked >= 0 {
-			table.SetConn("b", "conn", c.linked)
+		table.Record("b", "", c.lastSeen)
+		if c.connectedAt >= 0 {
+			table.SetConn("b", "conn", c.connectedAt)
 		}
 		if silent := len(table.Silent(10*s, 2*s)) == 1; silent != c.want {
 			t.Errorf("%s: %v", c.name, silent)
@@ -107,7 +107,7 @@
 }
 
 // Over a new connection the directory is sent from the beginning.
-func TestNewConnectionHasNothing(t *testing.T) {
+func TestNewConnectionResetsTheRevision(t *testing.T) {
 	table := New[string]("a", "")
 	table.Record("b", "", s)
 	p := table.Get("b")
@@ -141,7 +141,7 @@
 
 // A connection over which the first message takes longer than a silence may last is not closed and made anew for ever, each time before
 // anything has come: the time that it is given grows until something does.
-func TestSlowConnectionsAreGivenTime(t *testing.T) {
+func TestSlowConnectionIsNotReplacedForever(t *testing.T) {
 	table := New[string]("a", "")
 	table.Record("b", "", 0)
 	const timeout, slow = time.Second, 3 * time.Second
--- a/mesh/controlplane/persistence/invariants.go
+++ b/mesh/controlplane/persistence/invariants.go
@@ -55,14 +55,14 @@
 	case !before.Known:
 	case next.Value.Version < before.Value.Version:
 		p.invariants.Violated(invariant.CommittedMonotonic, "version", next.Value.Version, "before", before.Value.Version)
-	case next.Value.Version == before.Value.Version && !sameText(next.Value.Body, before.Value.Body):
+	case next.Value.Version == before.Value.Version && !sameBody(next.Value.Body, before.Value.Body):
 		p.invariants.Violated(invariant.OneContentPerVersion, "version", next.Value.Version, "bytes", len(next.Value.Body),
 			"before", len(before.Value.Body))
 	}
 }
 
-// sameText compares texts, which mostly share their memory.
-func sameText(a, b []byte) bool {
+// sameBody compares texts, which mostly share their memory.
+func sameBody(a, b []byte) bool {
 	if len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0]) {
 		return true
 	}
--- a/mesh/controlplane/persistence/invariants_test.go
+++ b/mesh/controlplane/persistence/invariants_test.go
@@ -9,22 +9,22 @@
 	"firplank/mesh/register"
 )
 
-// checked returns a pipeline over a state on disk, with the invariants that it reports as violated.
-func checked(onDisk register.State) (*Pipeline, *[]invariant.Name) {
-	var got []invariant.Name
+// newCheckedPipeline returns a pipeline over a state on disk, with the invariants that it reports as violated.
+func newCheckedPipeline(onDisk register.State) (*Pipeline, *[]invariant.Name) {
+	var violations []invariant.Name
 	p := New(register.New("a", []string{"a"}, true, nil, 1), onDisk, nil)
-	p.SetInvariants(invariant.Func(func(name invariant.Name, _ ...any) { got = append(got, name) }))
-	return p, &got
+	p.SetInvariants(invariant.Func(func(name invariant.Name, _ ...any) { violations = append(violations, name) }))
+	return p, &violations
 }
 
 func ballot(n uint64) register.Ballot { return register.Ballot{Number: n, Proposer: "a"} }
 
 // What a reply states has to be on disk: the promise, the acceptance, and what was accepted before.
-func TestRepliesAreChecked(t *testing.T) {
+func TestRepliesBeforeTheirStateIsOnDiskAreReported(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		reply register.Message
-		found bool
+		name     string
+		reply    register.Message
+		violates bool
 	}{
 		{"a promise that is on disk", register.Message{Kind: register.Promise, Promised: ballot(5), Accepted: ballot(3), Voter: true}, false},
 		{"a promise that is not", register.Message{Kind: register.Promise, Promised: ballot(6), Voter: true}, true},
@@ -34,20 +34,20 @@
 		{"a reply that counts nowhere", register.Message{Kind: register.Promise, Promised: ballot(9)}, false},
 		{"a request", register.Message{Kind: register.Prepare, Ballot: ballot(9), Voter: true}, false},
 	} {
-		p, got := checked(register.State{Voter: true, Promised: ballot(5), Accepted: ballot(3)})
+		p, got := newCheckedPipeline(register.State{Voter: true, Promised: ballot(5), Accepted: ballot(3)})
 		p.checkSent(&c.reply)
-		if found := slices.Equal(*got, []invariant.Name{invariant.SyncedBeforeSent}); found != c.found || !found && len(*got) > 0 {
+		if reported := slices.Equal(*got, []invariant.Name{invariant.SyncedBeforeSent}); reported != c.violates || !reported && len(*got) > 0 {
 			t.Errorf("%s: %v", c.name, *got)
 		}
 	}
 }
 
 // A state on disk is followed by newer ones only.
-func TestStatesOnDiskAreChecked(t *testing.T) {
+func TestOlderStatesOnDiskAreReported(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		next  register.State
-		found bool
+		name     string
+		next     register.State
+		violates bool
 	}{
 		{"newer", register.State{Voter: true, Promised: ballot(6), Accepted: ballot(6)}, false},
 		{"the same", register.State{Voter: true, Promised: ballot(5), Accepted: ballot(3)}, false},
@@ -55,16 +55,16 @@
 		{"an acceptance is taken back", register.State{Voter: true, Promised: ballot(5), Accepted: ballot(2)}, true},
 		{"a voter is none any more", register.State{Promised: ballot(5), Accepted: ballot(3)}, true},
 	} {
-		p, got := checked(register.State{Voter: true, Promised: ballot(5), Accepted: ballot(3)})
+		p, got := newCheckedPipeline(register.State{Voter: true, Promised: ballot(5), Accepted: ballot(3)})
 		p.checkWritten(&c.next)
-		if found := slices.Equal(*got, []invariant.Name{invariant.DiskMonotonic}); found != c.found || !found && len(*got) > 0 {
+		if reported := slices.Equal(*got, []invariant.Name{invariant.DiskMonotonic}); reported != c.violates || !reported && len(*got) > 0 {
 			t.Errorf("%s: %v", c.name, *got)
 		}
 	}
 }
 
 // A committed value has members, and is followed by no older one and by no other text of its version.
-func TestCommittedValuesAreChecked(t *testing.T) {
+func TestCommittedValueInvariantsAreReported(t *testing.T) {
 	value := func(version uint32, body string) persist.Committed {
 		return persist.Committed{Known: true, Value: register.Value{Version: version, Body: []byte(body), Members: []string{"a"}}}
 	}
@@ -82,7 +82,7 @@
 		{"without members", memberless, []invariant.Name{invariant.MembersKnown}},
 		{"none", persist.Committed{}, nil},
 	} {
-		p, got := checked(register.State{Voter: true})
+		p, got := newCheckedPipeline(register.State{Voter: true})
 		p.committed = value(7, "text")
 		p.checkCommitted(&c.next)
 		if !slices.Equal(*got, c.want) {
--- a/mesh/controlplane/persistence/pipeline_test.go
+++ b/mesh/controlplane/persistence/pipeline_test.go
@@ -22,8 +22,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// world is the disk and the surroundings of one replica.
-type world struct {
+// testReplica is the disk and the surroundings of one replica.
+type testReplica struct {
 	pipeline  *Pipeline
 	write     *persist.Write
 	disk      register.State
@@ -33,30 +33,30 @@
 	log       []string
 }
 
-func (w *world) Write(write persist.Write) {
+func (w *testReplica) Write(write persist.Write) {
 	if w.write != nil {
 		panic("a second write is begun")
 	}
 	w.write = &write
 }
 
-func (w *world) Send(m *register.Message) {
+func (w *testReplica) Send(m *register.Message) {
 	w.sent = append(w.sent, *m)
 	w.log = append(w.log, "send")
 }
 
-func (w *world) Publish(c persist.Committed) {
+func (w *testReplica) Publish(c persist.Committed) {
 	w.committed = c
 	w.log = append(w.log, fmt.Sprint("publish ", c.Value.Version))
 }
 
-func (w *world) Complete(o register.Outcome) {
+func (w *testReplica) Complete(o register.Outcome) {
 	w.outcomes = append(w.outcomes, o)
 	w.log = append(w.log, fmt.Sprint("complete ", o.ID))
 }
 
-// end ends the write that is under way.
-func (w *world) end(now time.Duration, err error) {
+// completeWrite ends the write that is under way.
+func (w *testReplica) completeWrite(now time.Duration, err error) {
 	write := w.write
 	w.write = nil
 	if err == nil {
@@ -65,8 +65,8 @@
 	w.pipeline.WriteCompleted(now, write.Number, err)
 }
 
-func start(members ...string) *world {
-	w := &world{}
+func newTestReplica(members ...string) *testReplica {
+	w := &testReplica{}
 	w.pipeline = New(register.New("a", members, true, nil, 1), register.State{}, w)
 	return w
 }
@@ -75,22 +75,22 @@
 
 const ms = time.Millisecond
 
-// settle lets time pass in short steps on a disk that takes what it is given.
-func (w *world) settle(now time.Duration, steps int) time.Duration {
+// runSteps lets time pass in short steps on a disk that takes what it is given.
+func (w *testReplica) runSteps(now time.Duration, steps int) time.Duration {
 	for range steps {
 		now += 50 * ms
 		w.pipeline.Tick(now)
 		for w.write != nil {
-			w.end(now, nil)
+			w.completeWrite(now, nil)
 		}
 	}
 	return now
 }
 
 // While a write is under way or has failed, nothing leaves that rests on it, and the machine says nothing of it.
-func TestNothingLeavesBeforeItIsWritten(t *testing.T) {
-	w := start("a")
-	now := w.settle(0, 10)
+func TestNothingIsSentBeforeItIsWritten(t *testing.T) {
+	w := newTestReplica("a")
+	now := w.runSteps(0, 10)
 	w.log = nil
 	w.pipeline.Apply(now, register.Put{ID: 7, Version: 1, Body: []byte("x")})
 	for attempt := range 3 {
@@ -103,12 +103,12 @@
 		if on := w.pipeline.OnDisk(); on.Accepted == w.write.State.Accepted || on.Value.Version > 0 {
 			t.Fatalf("attempt %d: the machine says that it has %v on disk", attempt, on.Accepted)
 		}
-		w.end(now, errDisk)
+		w.completeWrite(now, errDisk)
 		now += time.Second
 		w.pipeline.Tick(now)
 	}
 	w.log = nil
-	w.settle(now, 10)
+	w.runSteps(now, 10)
 	if w.pipeline.OnDisk().Value.Version != 1 || w.pipeline.Committed().Value.Version != 1 {
 		t.Errorf("on disk %d, committed %d", w.pipeline.OnDisk().Value.Version, w.pipeline.Committed().Value.Version)
 	}
@@ -119,10 +119,10 @@
 }
 
 // A promise that a machine sends is on its disk.
-func TestPromisesAreWritten(t *testing.T) {
+func TestPromiseIsOnDiskBeforeItIsSent(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		w := start("a", "b", "c")
+		w := newTestReplica("a", "b", "c")
 		for now := time.Duration(0); now < 5*time.Second; now += time.Duration(rng.IntN(60)) * ms {
 			w.sent = nil
 			switch rng.IntN(4) {
@@ -135,7 +135,7 @@
 				w.pipeline.Tick(now)
 			default:
 				if w.write != nil {
-					w.end(now, []error{nil, nil, errDisk}[rng.IntN(3)])
+					w.completeWrite(now, []error{nil, nil, errDisk}[rng.IntN(3)])
 				}
 			}
 			for _, m := range w.sent {
@@ -148,12 +148,12 @@
 }
 
 // What a machine can commit follows from when a quorum has last replied, its disk and the length of the queue.
-func TestHealth(t *testing.T) {
-	w := start("a")
+func TestHealthFollowsQuorumDiskAndQueue(t *testing.T) {
+	w := newTestReplica("a")
 	if h := w.pipeline.Health(0); h.LastQuorum >= 0 || h.DiskFailing || h.QueueFull {
 		t.Errorf("at the start: %+v", h)
 	}
-	now := w.settle(0, 40)
+	now := w.runSteps(0, 40)
 	if h := w.pipeline.Health(now); h.LastQuorum < now-time.Second || h.CheckAccepting(now, quorumTimeout) != nil {
 		t.Errorf("at %v, with a disk that works: %+v", now, h)
 	}
@@ -170,8 +170,8 @@
 	if !errors.Is(w.pipeline.Health(early).CheckAccepting(early, quorumTimeout), operations.ErrDiskFailing) {
 		t.Error("with a disk that has stalled for its time-out operations are accepted")
 	}
-	w.end(stalled, nil)
-	now = w.settle(stalled, 40)
+	w.completeWrite(stalled, nil)
+	now = w.runSteps(stalled, 40)
 	if h := w.pipeline.Health(now); h.CheckAccepting(now, quorumTimeout) != nil {
 		t.Errorf("with a disk that works again: %+v", h)
 	}
@@ -179,7 +179,7 @@
 
 // What waits for a disk that stalls is bounded: events are dropped beyond it, and the pipeline asks for no tick that it would drop.
 func TestQueueIsBounded(t *testing.T) {
-	w := start("a", "b", "c")
+	w := newTestReplica("a", "b", "c")
 	w.pipeline.Tick(time.Second)
 	if w.write == nil {
 		w.pipeline.Apply(time.Second, register.MessageReceived{
@@ -205,7 +205,7 @@
 	if at, ok := w.pipeline.NextTick(10 * time.Second); ok && at <= 10*time.Second {
 		t.Errorf("a tick is wanted at %v that would be dropped", at)
 	}
-	w.end(2*time.Second, nil)
+	w.completeWrite(2*time.Second, nil)
 	if w.pipeline.Health(0).QueueFull || !strings.Contains(strings.Join(w.log, " "), "send") {
 		t.Error("the queue stays full after the write")
 	}
@@ -213,19 +213,19 @@
 
 // A cancelled operation has no outcome, and one that is not has one.
 func TestCancelledOperationHasNoOutcome(t *testing.T) {
-	a, b := start("a", "b"), &world{}
+	a, b := newTestReplica("a", "b"), &testReplica{}
 	b.pipeline = New(register.New("b", []string{"a", "b"}, true, nil, 2), register.State{}, b)
 	a.pipeline.Apply(0, register.LinearizableRead{ID: 7})
 	a.pipeline.Apply(0, register.LinearizableRead{ID: 8})
 	a.pipeline.Cancel(7)
 	for now := time.Duration(0); now < 3*time.Second; now += 50 * ms {
-		for from, to := range map[*world]*world{a: b, b: a} {
+		for from, to := range map[*testReplica]*testReplica{a: b, b: a} {
 			messages := from.sent
 			from.sent = nil
 			for _, m := range messages {
 				to.pipeline.Apply(now, register.MessageReceived{Message: m})
 			}
-			to.settle(now, 1)
+			to.runSteps(now, 1)
 		}
 	}
 	if len(a.outcomes) != 1 || a.outcomes[0].ID != 8 {
--- a/mesh/controlplane/persistence_test.go
+++ b/mesh/controlplane/persistence_test.go
@@ -17,37 +17,39 @@
 	"firplank/mesh/register"
 )
 
-// stalledNode is the only member of a core, whose disk takes what it is given when the test says so.
-func stalledNode() *Server {
+// newTestServer is the only member of a core, whose disk takes what it is given when the test says so.
+func newTestServer() *Server {
 	s := newServer(&bootstrap.Settings{Bounds: bootstrap.DefaultBounds()}, "a", kitlog.NewNopLogger())
 	s.ctx = context.Background()
 	s.setReplica(register.New("a", []string{"a"}, true, nil, 1), register.State{})
 	return s
 }
 
-// age lets time pass for a node, whose clock counts from its start.
-func (s *Server) age(by time.Duration) { s.start = s.start.Add(-by) }
+// advanceClock lets time pass for a node, whose clock counts from its start.
+func (s *Server) advanceClock(elapsed time.Duration) { s.startedAt = s.startedAt.Add(-elapsed) }
 
-// put has an operator's write handled.
-func (s *Server) put(version uint32) *result {
-	r := &result{}
+// proposeWrite has an operator's write handled.
+func (s *Server) proposeWrite(version uint32) *recordedResult {
+	r := &recordedResult{}
 	s.operations.Propose(s.now(), operations.Write{Version: version, Body: []byte("x")}, r)
 	return r
 }
 
-// result is that of an operation, once it has one.
-type result struct {
-	answers int
+// recordedResult is that of an operation, once it has one.
+type recordedResult struct {
+	responses int
 	operations.Result
 }
 
 // Respond implements operations.Responder.
-func (r *result) Respond(got operations.Result) { r.answers, r.Result = r.answers+1, got }
+func (r *recordedResult) Respond(result operations.Result) {
+	r.responses, r.Result = r.responses+1, result
+}
 
-// work lets time pass in short steps; the disk takes what it is given.
-func (s *Server) work(steps int) {
+// runSteps lets time pass in short steps; the disk takes what it is given.
+func (s *Server) runSteps(steps int) {
 	for range steps {
-		s.age(50 * time.Millisecond)
+		s.advanceClock(50 * time.Millisecond)
 		s.pipeline.Apply(s.now(), register.Tick{})
 		select {
 		case w := <-s.writes:
@@ -59,40 +61,40 @@
 
 // While the disk stalls, nothing is said that rests on what is not on it, calls wait no longer than a span and are then
 // refused at once, and the node's goroutine goes on; when the disk is well, so is the node.
-func TestStalledDiskHoldsNobodyUp(t *testing.T) {
-	s := stalledNode()
-	s.work(10)
-	first := s.put(1)
+func TestStalledDiskDoesNotBlockTheServer(t *testing.T) {
+	s := newTestServer()
+	s.runSteps(10)
+	first := s.proposeWrite(1)
 	w := <-s.writes
-	if first.answers > 0 || s.pipeline.Committed().Value.Version != 0 {
+	if first.responses > 0 || s.pipeline.Committed().Value.Version != 0 {
 		t.Fatal("an order is answered, or in force, before it is on disk")
 	}
-	s.age(persist.DiskTimeout)
+	s.advanceClock(persist.DiskTimeout)
 	s.operations.FailPending(s.now())
-	if first.answers != 1 || !errors.Is(first.Err, operations.ErrDiskFailing) || !s.pipeline.DiskFailing(s.now()) {
+	if first.responses != 1 || !errors.Is(first.Err, operations.ErrDiskFailing) || !s.pipeline.DiskFailing(s.now()) {
 		t.Fatal("the order is taken as settled, or the disk as well")
 	}
-	if second := s.put(2); second.answers != 1 || !errors.Is(second.Err, operations.ErrDiskFailing) {
+	if second := s.proposeWrite(2); second.responses != 1 || !errors.Is(second.Err, operations.ErrDiskFailing) {
 		t.Fatal("another is taken as settled")
 	}
-	s.work(2000)
+	s.runSteps(2000)
 	if len(s.writes) > 0 || !s.pipeline.Health(s.now()).QueueFull {
 		t.Error("a second write was begun, or the queue is not full after 100 s")
 	}
 	s.handle(writeCompleted{number: w.Number})
-	s.work(20)
+	s.runSteps(20)
 	if s.pipeline.DiskFailing(s.now()) || s.pipeline.Health(s.now()).CheckAccepting(s.now(), s.durations.Dissemination.QuorumTimeout) != nil {
 		t.Error("the disk is well, and the node is not")
 	}
-	last := s.put(3)
-	s.work(10)
-	if last.answers != 1 || last.Err != nil || s.pipeline.Committed().Value.Version != 3 {
-		t.Errorf("%d answers, version %d is in force", last.answers, s.pipeline.Committed().Value.Version)
+	last := s.proposeWrite(3)
+	s.runSteps(10)
+	if last.responses != 1 || last.Err != nil || s.pipeline.Committed().Value.Version != 3 {
+		t.Errorf("%d answers, version %d is in force", last.responses, s.pipeline.Committed().Value.Version)
 	}
 }
 
 // What a replica has said is never forgotten by a start, and the folder tells that it may have spoken.
-func TestFolderIsMarkedBeforeTheFirstWord(t *testing.T) {
+func TestReplicaWhoseStateWasDeletedIsNoVoter(t *testing.T) {
 	folder := t.TempDir() + "/data"
 	start := func() *register.Replica {
 		store, replica, err := openStore(context.Background(), folder, true, kitlog.NewNopLogger(),
@@ -119,8 +121,8 @@
 }
 
 // A tolerance that the control machines do not suffice for is told once, by name, when all could have been heard of.
-func TestToleranceAboveTheMachinesIsTold(t *testing.T) {
-	s := stalledNode()
+func TestToleranceAboveTheMachinesIsReported(t *testing.T) {
+	s := newTestServer()
 	s.settings.Tolerance.Machines = 2
 	s.peers.Record("b", "z", time.Second)
 	s.checkTolerance(s.settings.Bounds.Sync - 1)
--- a/mesh/controlplane/publishing.go
+++ b/mesh/controlplane/publishing.go
@@ -34,17 +34,17 @@
 
 // mergeEntries merges entries of the directory, from sidecars (direct) or from peers.
 func (s *Server) mergeEntries(entries []*wire.EntryT, now time.Duration, direct bool) {
-	for _, sent := range entries {
-		e, complete := codec.EntryFromWire(sent, now)
+	for _, wireEntry := range entries {
+		e, complete := codec.EntryFromWire(wireEntry, now)
 		if s.hub.HandleEntry(e, complete, direct, now) {
-			s.figures.sidecarsLost.Inc()
+			s.metrics.sidecarsLost.Inc()
 			_ = level.Info(s.log).Log("msg", "sidecar lost", "node", e.Node)
 		}
 	}
 }
 
-// acknowledge answers the writes that the sidecars have acknowledged, and returns when to be called again.
-func (s *Server) acknowledge(now time.Duration) (next time.Duration) {
+// acknowledgeWrites answers the writes that the sidecars have acknowledged, and returns when to be called again.
+func (s *Server) acknowledgeWrites(now time.Duration) (next time.Duration) {
 	lowest, changed := s.hub.Announce(now)
 	if changed {
 		s.broadcastInForce(lowest)
--- a/mesh/controlplane/publishing/hub_test.go
+++ b/mesh/controlplane/publishing/hub_test.go
@@ -153,7 +153,7 @@
 		name             string
 		seen, now        time.Duration
 		direct           bool
-		lost, countsLost bool
+		lost, markedLost bool
 	}{
 		{"silent here too", s, s + durations.Sidecars.MinSilence + 1, true, true, true},
 		{"silent for not long enough", s, s + durations.Sidecars.MinSilence, true, false, false},
@@ -167,7 +167,7 @@
 		if lost := h.HandleEntry(report, true, c.direct, c.now); lost != c.lost {
 			t.Errorf("%s: reported lost: %v", c.name, lost)
 		}
-		if e, _ := h.Publisher.Directory.Get("n"); e.Lost != c.countsLost {
+		if e, _ := h.Publisher.Directory.Get("n"); e.Lost != c.markedLost {
 			t.Errorf("%s: counts as lost: %v", c.name, e.Lost)
 		}
 	}
--- a/mesh/controlplane/reconcile.go
+++ b/mesh/controlplane/reconcile.go
@@ -21,8 +21,8 @@
 		Zone:      s.settings.Zone,
 		Timeouts:  s.durations.Replacement,
 		Tolerance: s.settings.Tolerance.Members(),
-		Seed:      uint64(s.start.UnixNano()),
-	}, s.pipeline, s.peers, reconcileSink{s}, s.nextID)
+		Seed:      uint64(s.startedAt.UnixNano()),
+	}, s.pipeline, s.peers, reconcileSink{s}, s.nextOperationID)
 }
 
 // reconcileMembers closes silent connections to peers, and then looks at the members and at the lease under which they are replaced.
@@ -108,7 +108,7 @@
 func (s *Server) stopServing() {
 	ctx, cancel := context.WithTimeout(s.ctx, timing.HTTPShutdownTimeout)
 	defer cancel()
-	if err := s.server.Shutdown(ctx); err != nil {
+	if err := s.operatorServer.Shutdown(ctx); err != nil {
 		_ = level.Warn(s.log).Log("msg", "calls under way were cut off by the shutdown", "error", err)
 	}
 	time.Sleep(timing.FlushDelay)
--- a/mesh/controlplane/reconcile/reconcile_test.go
+++ b/mesh/controlplane/reconcile/reconcile_test.go
@@ -24,8 +24,8 @@
 
 var timeouts = timing.NewReplacement(4*time.Second, 6*time.Second)
 
-// machine is the only voter of its register, so that what it proposes is committed at once; peers says who else there is.
-type machine struct {
+// testMachine is the only voter of its register, so that what it proposes is committed at once; peers says who else there is.
+type testMachine struct {
 	*persistence.Pipeline
 	reconciler  *Reconciler
 	diskFailing bool
@@ -37,51 +37,53 @@
 	reason      error
 }
 
-func (m *machine) DiskFailing(time.Duration) bool { return m.diskFailing }
+func (m *testMachine) DiskFailing(time.Duration) bool { return m.diskFailing }
 
-func (m *machine) Apply(now time.Duration, ev register.Event) {
+func (m *testMachine) Apply(now time.Duration, ev register.Event) {
 	if c, ok := ev.(register.ChangeMembers); ok {
 		m.change = c
 	}
 	m.Pipeline.Apply(now, ev)
 }
 
-func (m *machine) Cancel(id uint64) {
+func (m *testMachine) Cancel(id uint64) {
 	m.cancelled = append(m.cancelled, id)
 	m.Pipeline.Cancel(id)
 }
 
-func (m *machine) View(register.Ballot) []replacement.Machine { return m.peers }
+func (m *testMachine) View(register.Ballot) []replacement.Machine { return m.peers }
 
-func (m *machine) Write(w persist.Write)     { m.WriteCompleted(0, w.Number, nil) }
-func (m *machine) Send(*register.Message)    {}
-func (m *machine) Publish(persist.Committed) {}
-func (m *machine) Complete(o register.Outcome) {
-	m.note("completed %d", o.ID)
+func (m *testMachine) Write(w persist.Write)     { m.WriteCompleted(0, w.Number, nil) }
+func (m *testMachine) Send(*register.Message)    {}
+func (m *testMachine) Publish(persist.Committed) {}
+func (m *testMachine) Complete(o register.Outcome) {
+	m.record("completed %d", o.ID)
 	m.reconciler.Complete(o)
 }
 
-func (m *machine) SendLease(l lease.Message) { m.note("lease message %d to %s", l.Kind, l.To) }
-func (m *machine) ReplacementProposed(c replacement.Change) {
-	m.note("replaces %v by %v", c.Lost, c.Successors)
+func (m *testMachine) SendLease(l lease.Message) { m.record("lease message %d to %s", l.Kind, l.To) }
+func (m *testMachine) ReplacementProposed(c replacement.Change) {
+	m.record("replaces %v by %v", c.Lost, c.Successors)
 }
-func (m *machine) HandoverProposed(c replacement.Change)  { m.note("hands over to %v", c.Successors) }
-func (m *machine) RepairCompleted(n int, _ time.Duration) { m.note("repaired: %d members", n) }
-func (m *machine) Depart(reason error, replicated bool) {
+func (m *testMachine) HandoverProposed(c replacement.Change) {
+	m.record("hands over to %v", c.Successors)
+}
+func (m *testMachine) RepairCompleted(n int, _ time.Duration) { m.record("repaired: %d members", n) }
+func (m *testMachine) Depart(reason error, replicated bool) {
 	m.reason = reason
-	m.note("departs, replicated %v", replicated)
+	m.record("departs, replicated %v", replicated)
 }
 
-func (m *machine) note(format string, args ...any) {
+func (m *testMachine) record(format string, args ...any) {
 	m.log = append(m.log, fmt.Sprintf(format, args...))
 }
 
-func (m *machine) logged(what string) int {
-	return slices.IndexFunc(m.log, func(line string) bool { return strings.HasPrefix(line, what) })
+func (m *testMachine) logIndex(prefix string) int {
+	return slices.IndexFunc(m.log, func(line string) bool { return strings.HasPrefix(line, prefix) })
 }
 
-func start(members ...string) *machine {
-	m := &machine{}
+func newTestMachine(members ...string) *testMachine {
+	m := &testMachine{}
 	replica := register.New("a", members, true, nil, 1)
 	m.Pipeline = persistence.New(replica, replica.State(), m)
 	nextID := func() uint64 { m.lastID++; return m.lastID }
@@ -90,7 +92,7 @@
 }
 
 // run lets time pass.
-func (m *machine) run(from, until time.Duration) {
+func (m *testMachine) run(from, until time.Duration) {
 	for now := from; now < until; now += 10 * ms {
 		if now >= m.reconciler.NextTick() {
 			m.reconciler.Tick(now)
@@ -105,20 +107,20 @@
 
 // A machine without a quorum, and so without the lease, replaces nobody, whoever seems lost.
 func TestNothingIsReplacedWithoutTheLease(t *testing.T) {
-	m := start("a", "b", "c")
+	m := newTestMachine("a", "b", "c")
 	m.peers = []replacement.Machine{{Addr: "b"}, {Addr: "c"}, standby("d", 9*time.Second)}
 	m.run(0, 10*time.Second)
-	if m.logged("replaces") >= 0 || m.reconciler.LeaseHeld(10*time.Second) {
+	if m.logIndex("replaces") >= 0 || m.reconciler.LeaseHeld(10*time.Second) {
 		t.Errorf("%v", m.log)
 	}
-	if m.logged("lease message") < 0 {
+	if m.logIndex("lease message") < 0 {
 		t.Error("it does not even ask for the lease")
 	}
 }
 
 // A machine that held the lease replaces nobody once the lease has run out.
 func TestNothingIsReplacedAfterTheLease(t *testing.T) {
-	m := start("a")
+	m := newTestMachine("a")
 	m.run(0, 4*time.Second)
 	m.Apply(4*time.Second, register.ChangeMembers{ID: 1 << 40, Members: []string{"a", "b"}})
 	m.run(4*time.Second, 10*time.Second)
@@ -126,14 +128,14 @@
 		t.Fatal("the lease is held still")
 	}
 	m.peers = []replacement.Machine{{Addr: "b"}, standby("d", 10*time.Second)}
-	if m.reconciler.Tick(10 * time.Second); m.logged("replaces") >= 0 {
+	if m.reconciler.Tick(10 * time.Second); m.logIndex("replaces") >= 0 {
 		t.Errorf("%v", m.log)
 	}
 }
 
 // A machine whose disk fails does not ask for the lease, so that another reconciles, and looks again soon.
 func TestMachineWithFailingDiskDoesNothing(t *testing.T) {
-	m := start("a", "b", "c")
+	m := newTestMachine("a", "b", "c")
 	m.diskFailing = true
 	m.peers = []replacement.Machine{{Addr: "b"}, {Addr: "c"}, standby("d", 0)}
 	m.run(0, 10*time.Second)
@@ -150,7 +152,7 @@
 
 // Under the lease a lost member is replaced by a machine that stands by, and the repair has ended when all have the committed value.
 func TestLostMemberIsReplaced(t *testing.T) {
-	m := start("a")
+	m := newTestMachine("a")
 	m.run(0, 4*time.Second)
 	m.Apply(4*time.Second, register.ChangeMembers{ID: 1 << 40, Members: []string{"a", "b"}})
 	if got := m.Replica().Members(); !slices.Equal(got, []string{"a", "b"}) {
@@ -164,7 +166,7 @@
 		t.Fatal("the lease is not held")
 	}
 	m.reconciler.Tick(4 * time.Second)
-	if m.logged("replaces [b] by [d]") < 0 {
+	if m.logIndex("replaces [b] by [d]") < 0 {
 		t.Fatalf("%v", m.log)
 	}
 	if len(m.cancelled) > 0 {
@@ -182,18 +184,18 @@
 
 // The end of a repair is reported once, when the members are those of the change and all have the committed value.
 func TestRepairCompleted(t *testing.T) {
-	m := start("a")
+	m := newTestMachine("a")
 	m.run(0, 4*time.Second)
 	r := m.reconciler
 	r.change, r.proposedAt, r.repairing = replacement.Change{Members: []string{"a"}}, 4*time.Second, true
 	m.run(4*time.Second, 5*time.Second)
-	if first := m.logged("repaired: 1 members"); first < 0 || slices.Contains(m.log[first+1:], m.log[first]) {
+	if first := m.logIndex("repaired: 1 members"); first < 0 || slices.Contains(m.log[first+1:], m.log[first]) {
 		t.Errorf("%v", m.log)
 	}
 	m.log = nil
 	r.change, r.repairing = replacement.Change{Members: []string{"a", "b"}}, true
 	m.run(5*time.Second, 6*time.Second)
-	if m.logged("repaired") >= 0 {
+	if m.logIndex("repaired") >= 0 {
 		t.Errorf("the members are others, and %v", m.log)
 	}
 }
@@ -222,7 +224,7 @@
 }
 
 // A machine that is told to end releases the lease at once, and departs in time, whatever stands in the way.
-func TestDeparture(t *testing.T) {
+func TestDepartureReleasesTheLeaseAndEndsInTime(t *testing.T) {
 	const began = 4 * time.Second
 	for _, c := range []struct {
 		name        string
@@ -244,7 +246,7 @@
 			[]string{"hands over to [d]", "departs, replicated false"},
 		},
 	} {
-		m := start(c.members...)
+		m := newTestMachine(c.members...)
 		m.run(0, began)
 		m.diskFailing, m.peers, m.log = c.diskFailing, c.peers, nil
 		m.reconciler.BeginDeparture(began)
@@ -252,13 +254,13 @@
 			t.Errorf("%s: the lease is held still, or the machine does not say that it drains", c.name)
 		}
 		m.run(began, began+timeouts.DepartureTimeout+time.Second)
-		at := -1
+		last := -1
 		for _, want := range c.log {
-			next := m.logged(want)
-			if next <= at {
+			next := m.logIndex(want)
+			if next <= last {
 				t.Errorf("%s: %q does not come in order in %v", c.name, want, m.log)
 			}
-			at = next
+			last = next
 		}
 		if !errors.Is(m.reason, c.reason) {
 			t.Errorf("%s: departs with %v, want %v", c.name, m.reason, c.reason)
@@ -270,19 +272,19 @@
 }
 
 // The departure goes on once the register has replicated the committed value, and not for another's outcome.
-func TestOutcomeOfReplication(t *testing.T) {
-	m := start("b")
+func TestDepartureWaitsForItsOwnReplication(t *testing.T) {
+	m := newTestMachine("b")
 	m.reconciler.BeginDeparture(0)
 	m.reconciler.Complete(register.Outcome{ID: 0})
 	m.reconciler.Tick(0) // asks for the replication
 	m.reconciler.Complete(register.Outcome{ID: m.lastID + 1})
 	m.reconciler.Tick(100 * ms)
-	if m.logged("departs") >= 0 {
+	if m.logIndex("departs") >= 0 {
 		t.Fatalf("it departs for another's outcome: %v", m.log)
 	}
 	m.reconciler.Complete(register.Outcome{ID: m.lastID})
 	m.reconciler.Tick(200 * ms)
-	if m.logged("departs, replicated true") < 0 || m.reason != nil {
+	if m.logIndex("departs, replicated true") < 0 || m.reason != nil {
 		t.Errorf("%v %v", m.log, m.reason)
 	}
 }
--- a/mesh/controlplane/rollouts.go
+++ b/mesh/controlplane/rollouts.go
@@ -31,17 +31,17 @@
 	errUnknownService  = errors.New("no configuration has the service")
 	errNoRollout       = errors.New("there is no rollout of the service")
 	errRolloutHasEnded = errors.New("the rollout has ended")
-	errServerShutsDown = errors.New("the control machine shuts down")
+	errShuttingDown    = errors.New("the control machine shuts down")
 )
 
 // rolloutDriver moves rollouts on. It belongs to the event loop.
 type rolloutDriver struct {
-	durations  timing.Rollouts
-	controller *rollout.Controller
-	nextTick   time.Duration
-	proposals  map[string]proposal // by service
-	logged     uint32              // the revision that was logged
-	waiting    map[string]string   // what was logged that rollouts wait for, by service
+	durations      timing.Rollouts
+	controller     *rollout.Controller
+	nextTick       time.Duration
+	proposals      map[string]proposal // by service
+	loggedRevision uint32              // the revision that was logged
+	loggedWaits    map[string]string   // what was logged that rollouts wait for, by service
 }
 
 // proposal is a transition that was proposed to the register.
@@ -52,10 +52,10 @@
 
 func newRolloutDriver(t timing.Rollouts, exposureSlack float64) *rolloutDriver {
 	return &rolloutDriver{
-		durations:  t,
-		controller: rollout.NewController(t, exposureSlack),
-		proposals:  map[string]proposal{},
-		waiting:    map[string]string{},
+		durations:   t,
+		controller:  rollout.NewController(t, exposureSlack),
+		proposals:   map[string]proposal{},
+		loggedWaits: map[string]string{},
 	}
 }
 
@@ -101,14 +101,14 @@
 
 // rolloutsView is what this machine knows of the rollouts beyond the register.
 type rolloutsView struct {
-	endedLately bool   // the rollout of the service has ended so short a time ago that copies of its order may still come
-	confirmed   uint32 // the revision that all sidecars have confirmed
+	endedRecently bool   // the rollout of the service has ended so short a time ago that copies of its order may still come
+	confirmed     uint32 // the revision that all sidecars have confirmed
 }
 
 // rolloutsView returns what this machine knows of the rollouts.
 func (s *Server) rolloutsView(service string) rolloutsView {
 	now, controller := s.now(), s.rollouts.controller
-	view := rolloutsView{endedLately: controller.EndedRecently(now, service)}
+	view := rolloutsView{endedRecently: controller.EndedRecently(now, service)}
 	set := s.pipeline.Committed().Value.Rollouts
 	if controller.Unconfirmed(now, set.Revision, s.rolloutMachines()) == 0 {
 		view.confirmed = set.Revision
@@ -116,58 +116,58 @@
 	return view
 }
 
-// viewRollouts asks the event loop for what it knows of the rollouts.
-func (s *Server) viewRollouts(service string) (rolloutsView, error) {
-	done := make(chan rolloutsView, 1)
-	s.post(rolloutsRequested{service, done})
+// requestRolloutsView asks the event loop for what it knows of the rollouts.
+func (s *Server) requestRolloutsView(service string) (rolloutsView, error) {
+	reply := make(chan rolloutsView, 1)
+	s.post(rolloutsRequested{service, reply})
 	select {
-	case view := <-done:
+	case view := <-reply:
 		return view, nil
 	case <-s.ctx.Done():
-		return rolloutsView{}, errServerShutsDown
+		return rolloutsView{}, errShuttingDown
 	}
 }
 
 // startRollout takes an order of a rollout. It is acknowledged once it is committed, and in force at the sidecars, or these have had
 // timing.Dissemination.AckTimeout.
 func (s *Server) startRollout(c *api.Request) api.Response {
-	arrived := time.Now()
-	var o rolloutOrder
-	if err := json.Unmarshal(c.Body, &o); err != nil {
+	receivedAt := time.Now()
+	var requested rolloutOrder
+	if err := json.Unmarshal(c.Body, &requested); err != nil {
 		return api.ErrorResponse(http.StatusBadRequest, err)
 	}
-	if err := o.Validate(); err != nil {
+	if err := requested.Validate(); err != nil {
 		return api.ErrorResponse(http.StatusBadRequest, err)
 	}
-	present, err := s.commit(operations.Read{})
+	current, err := s.commit(operations.Read{})
 	if err != nil {
 		return unavailable(err)
 	}
-	known, err := hasService(&present.Value, o.Service)
+	known, err := hasService(&current.Value, requested.Service)
 	switch {
 	case errors.Is(err, errNoConfig): // it may come any moment, and a 404 ends the order
 		return unavailable(err)
 	case err != nil || !known:
 		return api.ErrorResponse(http.StatusNotFound, errors.Join(errUnknownService, err))
 	}
-	view, err := s.viewRollouts(o.Service)
+	view, err := s.requestRolloutsView(requested.Service)
 	if err != nil {
 		return unavailable(err)
 	}
 	order := rollout.Order{
-		Service:    o.Service,
-		Target:     o.Target,
-		Term:       time.Duration(o.TermS * float64(time.Second)),
-		Supersedes: present.Value.Rollouts.Supersedes(o.Service, o.Target, view.endedLately),
+		Service:    requested.Service,
+		Target:     requested.Target,
+		Term:       time.Duration(requested.TermS * float64(time.Second)),
+		Supersedes: current.Value.Rollouts.Supersedes(requested.Service, requested.Target, view.endedRecently),
 	}
-	taken, err := s.commit(operations.StartRollout{Order: order})
+	committed, err := s.commit(operations.StartRollout{Order: order})
 	switch {
 	case errors.Is(err, operations.ErrRolloutUnderWay):
 		return api.ErrorResponse(http.StatusConflict, err)
 	case err != nil:
 		return unavailable(err)
 	}
-	s.awaitConfirmation(o.Service, taken.Value.Rollouts.Revision, arrived)
+	s.awaitConfirmation(requested.Service, committed.Value.Rollouts.Revision, receivedAt)
 	return api.Response{Status: http.StatusOK}
 }
 
@@ -188,9 +188,9 @@
 }
 
 // awaitConfirmation waits until all sidecars have confirmed a revision of the rollouts, for as long as a configuration waits at most.
-func (s *Server) awaitConfirmation(service string, revision uint32, arrived time.Time) {
-	for time.Since(arrived) < s.durations.Dissemination.AckTimeout {
-		view, err := s.viewRollouts(service)
+func (s *Server) awaitConfirmation(service string, revision uint32, receivedAt time.Time) {
+	for time.Since(receivedAt) < s.durations.Dissemination.AckTimeout {
+		view, err := s.requestRolloutsView(service)
 		if err != nil || view.confirmed >= revision {
 			return
 		}
@@ -253,8 +253,8 @@
 	if set.AnyActive() {
 		view.Machines = s.rolloutMachines()
 	}
-	due := d.controller.Decide(now, view)
-	for _, transition := range due {
+	transitions := d.controller.Decide(now, view)
+	for _, transition := range transitions {
 		s.proposeTransition(now, transition)
 	}
 	s.logWaiting(set)
@@ -266,10 +266,10 @@
 	for i := range set.Rollouts {
 		service := set.Rollouts[i].Service
 		waitsFor := d.controller.WaitsFor(service)
-		if waitsFor != "" && waitsFor != d.waiting[service] {
+		if waitsFor != "" && waitsFor != d.loggedWaits[service] {
 			_ = level.Info(s.log).Log("msg", "rollout waits", "service", service, "for", waitsFor)
 		}
-		d.waiting[service] = waitsFor
+		d.loggedWaits[service] = waitsFor
 	}
 }
 
@@ -283,7 +283,7 @@
 	if proposed {
 		s.pipeline.Cancel(last.id)
 	}
-	d.proposals[t.Service] = proposal{id: s.nextID(), proposedAt: now}
+	d.proposals[t.Service] = proposal{id: s.nextOperationID(), proposedAt: now}
 	_ = level.Info(s.log).Log("msg", "rollout stage proposed", "service", t.Service, "order", t.Order,
 		"from", t.From, "to", t.To, "reason", t.Reason)
 	s.pipeline.Apply(now, register.AdvanceRollout{ID: d.proposals[t.Service].id, Transition: t})
@@ -291,10 +291,10 @@
 
 // logRollouts logs the rollouts of a revision, once.
 func (s *Server) logRollouts(set rollout.Set) {
-	if set.Revision == s.rollouts.logged {
+	if set.Revision == s.rollouts.loggedRevision {
 		return
 	}
-	s.rollouts.logged = set.Revision
+	s.rollouts.loggedRevision = set.Revision
 	for i := range set.Rollouts {
 		r := &set.Rollouts[i]
 		_ = level.Info(s.log).Log("msg", "rollout", "service", r.Service, "target", r.Target, "order", r.Order, "stage", r.Stage, "term", r.Term,
--- a/mesh/controlplane/rollouts_test.go
+++ b/mesh/controlplane/rollouts_test.go
@@ -48,44 +48,44 @@
 }
 
 // callUntil repeats a call until it has a status.
-func (m *soleMachine) callUntil(status int, method, path, body string) (answer string) {
+func (m *soleMachine) callUntil(status int, method, path, body string) (response string) {
 	m.t.Helper()
-	got := 0
-	for end := time.Now().Add(10 * time.Second); got != status && time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if got, answer = callOperatorAPI(m.t, m.settings.Addresses.Control, method, path, body); got == http.StatusNotFound {
+	lastStatus := 0
+	for deadline := time.Now().Add(10 * time.Second); lastStatus != status && time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
+		if lastStatus, response = callOperatorAPI(m.t, m.settings.Addresses.Control, method, path, body); lastStatus == http.StatusNotFound {
 			break
 		}
 	}
-	if got != status {
-		m.t.Fatalf("%s %s: %d %s, want %d", method, path, got, answer, status)
+	if lastStatus != status {
+		m.t.Fatalf("%s %s: %d %s, want %d", method, path, lastStatus, response, status)
 	}
-	return answer
+	return response
 }
 
 const (
-	servicesOfRollout = `{"edition":"0000000a","gates":[],"fleets":[{"name":"huvo11a","healthPath":"/health","maxConns":9,"protocol":"h1"}]}`
-	orderOfRollout    = `{"line":"huvo11a","toEdition":"v2","overS":12}`
+	rolloutConfig    = `{"edition":"0000000a","gates":[],"fleets":[{"name":"huvo11a","healthPath":"/health","maxConns":9,"protocol":"h1"}]}`
+	rolloutOrderBody = `{"line":"huvo11a","toEdition":"v2","overS":12}`
 )
 
-func TestRolloutOrderAheadOfTheFirstConfigurationIsAskedForAgain(t *testing.T) {
+func TestRolloutOrderBeforeTheFirstConfigurationIsRetryable(t *testing.T) {
 	m := newSoleMachine(t)
 	m.start()
 	defer m.end()
-	m.callUntil(http.StatusServiceUnavailable, http.MethodPost, "/Rollouts.Start", orderOfRollout)
-	m.callUntil(http.StatusOK, http.MethodPost, "/Timetable.Replace", servicesOfRollout)
-	m.callUntil(http.StatusOK, http.MethodPost, "/Rollouts.Start", orderOfRollout)
+	m.callUntil(http.StatusServiceUnavailable, http.MethodPost, "/Rollouts.Start", rolloutOrderBody)
+	m.callUntil(http.StatusOK, http.MethodPost, "/Timetable.Replace", rolloutConfig)
+	m.callUntil(http.StatusOK, http.MethodPost, "/Rollouts.Start", rolloutOrderBody)
 }
 
-func TestRolloutOrderIsTakenAndSurvivesARestart(t *testing.T) {
+func TestCommittedRolloutOrderSurvivesARestart(t *testing.T) {
 	m := newSoleMachine(t)
 	m.start()
-	m.callUntil(http.StatusOK, http.MethodPost, "/Timetable.Replace", servicesOfRollout)
-	m.callUntil(http.StatusOK, http.MethodPost, "/Rollouts.Start", orderOfRollout)
+	m.callUntil(http.StatusOK, http.MethodPost, "/Timetable.Replace", rolloutConfig)
+	m.callUntil(http.StatusOK, http.MethodPost, "/Rollouts.Start", rolloutOrderBody)
 	m.end()
 	m.start()
 	defer m.end()
 	const want = `{"condition":"in_service","toEdition":"v2"}`
-	if answer := m.callUntil(http.StatusOK, http.MethodGet, "/Rollouts.Read/huvo11a", ""); answer != want {
-		t.Errorf("after a restart: %s, want %s", answer, want)
+	if response := m.callUntil(http.StatusOK, http.MethodGet, "/Rollouts.Read/huvo11a", ""); response != want {
+		t.Errorf("after a restart: %s, want %s", response, want)
 	}
 }
--- a/mesh/controlplane/run_test.go
+++ b/mesh/controlplane/run_test.go
@@ -26,7 +26,7 @@
 }
 
 // callOperatorAPI makes a call of an operator; status 0: it was not answered.
-func callOperatorAPI(t *testing.T, control, method, path, body string) (status int, answer string) {
+func callOperatorAPI(t *testing.T, control, method, path, body string) (status int, response string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, "http://"+control+path, strings.NewReader(body))
 	if err != nil {
@@ -55,18 +55,18 @@
 	go func() { ended <- Run(ctx, settings, kitlog.NewNopLogger()) }()
 	call := func(method, path, body string) (int, string) { return callOperatorAPI(t, control, method, path, body) }
 	const configuration = `{"edition":"0000000a","gates":[],"fleets":[]}`
-	status, answer := 0, ""
+	status, response := 0, ""
 	for end := time.Now().Add(10 * time.Second); status != http.StatusOK && time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		status, answer = call(http.MethodPost, "/Timetable.Replace", configuration)
+		status, response = call(http.MethodPost, "/Timetable.Replace", configuration)
 	}
 	if status != http.StatusOK {
-		t.Fatalf("the configuration is not committed: %d %s", status, answer)
+		t.Fatalf("the configuration is not committed: %d %s", status, response)
 	}
-	if status, answer = call(http.MethodGet, "/Timetable.Read", ""); status != http.StatusOK || answer != configuration {
-		t.Errorf("read back: %d %s", status, answer)
+	if status, response = call(http.MethodGet, "/Timetable.Read", ""); status != http.StatusOK || response != configuration {
+		t.Errorf("read back: %d %s", status, response)
 	}
-	if status, answer = call(http.MethodPost, "/Timetable.Replace", configuration+" "); status != http.StatusConflict {
-		t.Errorf("another content under the same version: %d %s", status, answer)
+	if status, response = call(http.MethodPost, "/Timetable.Replace", configuration+" "); status != http.StatusConflict {
+		t.Errorf("another content under the same version: %d %s", status, response)
 	}
 	stop()
 	select {
--- a/mesh/controlplane/server.go
+++ b/mesh/controlplane/server.go
@@ -48,15 +48,15 @@
 	durations timing.Durations
 	log       kitlog.Logger
 	self      string    // the address for peers and subscribers
-	start     time.Time // the zero of this machine's clock
+	startedAt time.Time // the zero of this machine's clock
 
-	ctx        context.Context // of the process's work
-	stop       context.CancelFunc
-	background sync.WaitGroup // goroutines of listeners, of connections to peers and of the shutdown
-	events     chan event
-	server     *http.Server       // for operators
-	store      *storage.Store     // of the goroutine of writeStates
-	writes     chan persist.Write // to it; one at a time
+	ctx            context.Context // of the process's work
+	stop           context.CancelFunc
+	background     sync.WaitGroup // goroutines of listeners, of connections to peers and of the shutdown
+	events         chan event
+	operatorServer *http.Server       // for operators
+	store          *storage.Store     // of the goroutine of writeStates
+	writes         chan persist.Write // to it; one at a time
 
 	operations *operations.Table
 	pipeline   *persistence.Pipeline
@@ -64,50 +64,50 @@
 	reconciler *reconcile.Reconciler
 	hub        *publishing.Hub[*transport.Conn]
 	rollouts   *rolloutDriver
-	figures    *figures
-	// unknownCalls bounds what is logged of calls that this program does not have.
-	unknownCalls rate.Sometimes
+	metrics    *controlMetrics
+	// unknownCallLog bounds what is logged of calls that this program does not have.
+	unknownCallLog rate.Sometimes
 	// toleranceReported: that fewer control machines are known than the tolerance needs was reported.
 	toleranceReported bool
 
-	lastID    uint64        // of the operations of the register
-	nextHello time.Duration // when the next hello is due
+	lastOperationID uint64        // of the operations of the register
+	nextHello       time.Duration // when the next hello is due
 }
 
 // newServer returns a server without a replica, store and listeners.
 func newServer(settings *bootstrap.Settings, self string, log kitlog.Logger) *Server {
 	durations := timing.FromSettings(settings)
 	return &Server{
-		settings: settings,
-		log:      log,
-		self:     self,
-		start:    time.Now(),
-		figures:  newFigures(),
-
-		unknownCalls: rate.Sometimes{First: 10, Interval: unknownCallLogInterval},
-		events:       make(chan event, maxQueuedEvents),
-		writes:       make(chan persist.Write, 1),
-		hub:          publishing.New[*transport.Conn](config.Unpack, durations),
-		peers:        peers.New[*transport.Conn](self, settings.Zone),
-		durations:    durations,
+		settings:  settings,
+		log:       log,
+		self:      self,
+		startedAt: time.Now(),
+		metrics:   newControlMetrics(),
+
+		unknownCallLog: rate.Sometimes{First: 10, Interval: unknownCallLogInterval},
+		events:         make(chan event, maxQueuedEvents),
+		writes:         make(chan persist.Write, 1),
+		hub:            publishing.New[*transport.Conn](config.Unpack, durations),
+		peers:          peers.New[*transport.Conn](self, settings.Zone),
+		durations:      durations,
 	}
 }
 
 // setReplica puts a replica behind the disk, which has onDisk already.
 func (s *Server) setReplica(r *register.Replica, onDisk register.State) {
-	s.pipeline = persistence.New(r, onDisk, sink{s})
-	s.operations = operations.NewTable(s.pipeline, s.nextID, s.durations)
-	monitor := s.figures.registry.NewMonitor(s.log)
+	s.pipeline = persistence.New(r, onDisk, pipelineSink{s})
+	s.operations = operations.NewTable(s.pipeline, s.nextOperationID, s.durations)
+	monitor := s.metrics.registry.NewMonitor(s.log)
 	s.pipeline.SetInvariants(monitor)
 	s.operations.SetInvariants(monitor)
 	s.reconciler = newReconciler(s)
 	s.rollouts = newRolloutDriver(s.durations.Rollouts, s.settings.Bounds.ExposureSlack)
 }
 
-// nextID returns a number for an operation of the register.
-func (s *Server) nextID() uint64 {
-	s.lastID++
-	return s.lastID
+// nextOperationID returns a number for an operation of the register.
+func (s *Server) nextOperationID() uint64 {
+	s.lastOperationID++
+	return s.lastOperationID
 }
 
 // Run serves until ctx ends, and then leaves the core in order: within a part of graceS it gives its membership to
@@ -130,15 +130,15 @@
 	}
 	s.store = store
 	s.setReplica(replica, replica.State())
-	written := make(chan struct{})
-	go s.writeStates(written)
-	defer s.endWrites(written)
+	writesEnded := make(chan struct{})
+	go s.writeStates(writesEnded)
+	defer s.closeStore(writesEnded)
 	closeListeners, err := s.listen()
 	if err != nil {
 		return err
 	}
 	defer closeListeners()
-	defer s.serveFigures()()
+	defer s.serveMetrics()()
 	for _, addr := range append(settings.SeedPeerAddrs(), replica.Members()...) {
 		s.recordPeer(addr, "", 0)
 	}
@@ -151,7 +151,7 @@
 
 // newReplica makes the replica of the register over what was found on disk.
 func (s *Server) newReplica(voteAtOnce bool, onDisk *register.State) *register.Replica {
-	r := register.New(s.self, s.settings.SeedPeerAddrs(), voteAtOnce, onDisk, uint64(s.start.UnixNano()))
+	r := register.New(s.self, s.settings.SeedPeerAddrs(), voteAtOnce, onDisk, uint64(s.startedAt.UnixNano()))
 	r.SetTiming(s.durations.Register)
 	return r
 }
@@ -167,12 +167,12 @@
 		_ = peerListener.Close() // nothing was served on it
 		return nil, errors.Wrap(err, "listen for operators")
 	}
-	s.server = &http.Server{Handler: s.operatorAPI(), ReadTimeout: readTimeout, IdleTimeout: idleTimeout}
-	s.background.Go(func() { s.logServeEnd("operators", s.server.Serve(operatorListener)) })
+	s.operatorServer = &http.Server{Handler: s.operatorAPI(), ReadTimeout: readTimeout, IdleTimeout: idleTimeout}
+	s.background.Go(func() { s.logServeEnd("operators", s.operatorServer.Serve(operatorListener)) })
 	s.background.Go(func() { s.logServeEnd("peers", transport.Serve(peerListener, s)) })
 	return func() {
-		_ = s.server.Close()     // calls that are cut off here were given timing.HTTPShutdownTimeout before
-		_ = peerListener.Close() // the process ends
+		_ = s.operatorServer.Close() // calls that are cut off here were given timing.HTTPShutdownTimeout before
+		_ = peerListener.Close()     // the process ends
 	}, nil
 }
 
@@ -184,10 +184,10 @@
 }
 
 // now is the time on this machine's clock, which begins with the process.
-func (s *Server) now() time.Duration { return time.Since(s.start) }
+func (s *Server) now() time.Duration { return time.Since(s.startedAt) }
 
 // loop is the event loop: it does what is due and handles events until s.ctx ends. leave asks the machine to shut down in order.
-func (s *Server) loop(leave <-chan struct{}) {
+func (s *Server) loop(shutdown <-chan struct{}) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -200,8 +200,8 @@
 				s.handle(<-s.events)
 			}
 		case <-timer.C:
-		case <-leave:
-			leave = nil
+		case <-shutdown:
+			shutdown = nil
 			s.beginShutdown(s.now())
 		case <-s.ctx.Done():
 			return
@@ -220,15 +220,15 @@
 	if now >= s.reconciler.NextTick() {
 		s.reconcileMembers(now)
 		s.operations.FailPending(now)
-		s.updateFigures()
+		s.updateMetrics()
 		s.checkTolerance(now)
 	}
 	s.advanceRollouts(now)
 	s.pipeline.Tick(now)
 	next = s.updateSubscribers(s.now())
-	next = min(next, s.acknowledge(s.now()), s.reconciler.NextTick(), s.nextHello, s.rollouts.nextTick)
-	if at, ok := s.pipeline.NextTick(s.now()); ok {
-		next = min(next, at)
+	next = min(next, s.acknowledgeWrites(s.now()), s.reconciler.NextTick(), s.nextHello, s.rollouts.nextTick)
+	if pipelineTick, ok := s.pipeline.NextTick(s.now()); ok {
+		next = min(next, pipelineTick)
 	}
 	return next
 }
--- a/mesh/controlplane/status.go
+++ b/mesh/controlplane/status.go
@@ -14,10 +14,10 @@
 
 // readStatus answers the call for the status.
 func (s *Server) readStatus(*api.Request) api.Response {
-	e := statusRequested{done: make(chan api.ControlStatus, 1)}
+	e := statusRequested{reply: make(chan api.ControlStatus, 1)}
 	s.post(e)
 	select {
-	case status := <-e.done:
+	case status := <-e.reply:
 		return api.JSONResponse(http.StatusOK, status)
 	case <-time.After(s.durations.Operations.Timeout):
 	case <-s.ctx.Done():
@@ -27,43 +27,43 @@
 
 // status is what this machine knows of the control plane.
 func (s *Server) status(now time.Duration) api.ControlStatus {
-	g := s.reconciler.Group(now)
+	group := s.reconciler.Group(now)
 	value, _, _ := s.pipeline.Replica().Committed()
 	status := api.ControlStatus{
 		Self:            s.self,
-		Members:         g.Members,
-		PreviousMembers: g.PriorMembers,
+		Members:         group.Members,
+		PreviousMembers: group.PriorMembers,
 		Version:         value.Version,
 		Ballot:          s.pipeline.Replica().CommittedBallot().String(),
 		LeaseHolder:     s.reconciler.LeaseHolder(now),
-		FullyReplicated: reconcile.FullyReplicated(g),
+		FullyReplicated: reconcile.FullyReplicated(group),
 		Conflicts:       s.conflictNames(),
 		Rollouts:        s.rolloutStatus(now, value.Rollouts),
 	}
-	for _, m := range g.Machines {
-		about := api.ControlMachine{
+	for _, m := range group.Machines {
+		machine := api.ControlMachine{
 			Address:   m.Addr,
 			Zone:      m.Zone,
-			Member:    slices.Contains(g.Members, m.Addr),
+			Member:    slices.Contains(group.Members, m.Addr),
 			Voter:     m.Voter,
 			Connected: m.Connected,
 			LastSeenS: -1,
 			Leaving:   m.Draining,
 			DiskFails: m.DiskFailed,
-			Ballot:    s.accepted(m.Addr).String(),
+			Ballot:    s.acceptedBallot(m.Addr).String(),
 			UpToDate:  m.CaughtUp,
 		}
 		if m.LastContact > 0 {
-			about.LastSeenS = (now - m.LastContact).Seconds()
+			machine.LastSeenS = (now - m.LastContact).Seconds()
 		}
-		status.Machines = append(status.Machines, about)
+		status.Machines = append(status.Machines, machine)
 	}
 	slices.SortFunc(status.Machines, func(a, b api.ControlMachine) int { return strings.Compare(a.Address, b.Address) })
 	return status
 }
 
-// accepted is the ballot of the value that a machine has on its disk, as far as is known.
-func (s *Server) accepted(addr string) register.Ballot {
+// acceptedBallot is the ballot of the value that a machine has on its disk, as far as is known.
+func (s *Server) acceptedBallot(addr string) register.Ballot {
 	if addr == s.self {
 		return s.pipeline.OnDisk().Accepted
 	}
--- a/mesh/controlplane/store.go
+++ b/mesh/controlplane/store.go
@@ -22,10 +22,10 @@
 	closeTimeout = 500 * time.Millisecond
 )
 
-// retryUntilWritten repeats an operation of the disk until it succeeds or ctx ends.
-func retryUntilWritten(ctx context.Context, log kitlog.Logger, do func() error) error {
+// retryDiskOperation repeats an operation of the disk until it succeeds or ctx ends.
+func retryDiskOperation(ctx context.Context, log kitlog.Logger, operation func() error) error {
 	for pause := openBackoffMin; ; pause = min(2*pause, openBackoffMax) {
-		err := do()
+		err := operation()
 		if err == nil {
 			return nil
 		}
@@ -46,26 +46,26 @@
 func openStore(
 	ctx context.Context, folder string, firstStart bool, log kitlog.Logger, newReplica newReplicaFunc,
 ) (store *storage.Store, replica *register.Replica, err error) {
-	var found storage.Recovered
-	err = retryUntilWritten(ctx, log, func() (err error) {
-		store, found, err = storage.Open(folder)
+	var recovered storage.Recovered
+	err = retryDiskOperation(ctx, log, func() (err error) {
+		store, recovered, err = storage.Open(folder)
 		return err
 	})
 	if err != nil {
 		return nil, nil, err
 	}
-	voteAtOnce := found.MayVoteWithoutRejoin(firstStart)
-	if found.State == nil && !voteAtOnce {
-		_ = level.Warn(log).Log("msg", "no usable state on disk: the replica rejoins", "corrupt", found.Corrupt,
-			"earlier incarnation", found.EarlierIncarnation)
+	voteAtOnce := recovered.MayVoteWithoutRejoin(firstStart)
+	if recovered.State == nil && !voteAtOnce {
+		_ = level.Warn(log).Log("msg", "no usable state on disk: the replica rejoins", "corrupt", recovered.Corrupt,
+			"earlier incarnation", recovered.EarlierIncarnation)
 	}
-	replica = newReplica(voteAtOnce, found.State)
-	var first *register.State
+	replica = newReplica(voteAtOnce, recovered.State)
+	var initial *register.State
 	if voteAtOnce {
 		state := replica.State()
-		first = &state
+		initial = &state
 	}
-	err = retryUntilWritten(ctx, log, func() error { return store.Activate(first) })
+	err = retryDiskOperation(ctx, log, func() error { return store.Activate(initial) })
 	if err != nil {
 		return nil, nil, errors.Join(err, store.Close())
 	}
@@ -84,8 +84,8 @@
 	}
 }
 
-// endWrites closes the store, unless a write hangs.
-func (s *Server) endWrites(ended <-chan struct{}) {
+// closeStore closes the store, unless a write hangs.
+func (s *Server) closeStore(ended <-chan struct{}) {
 	close(s.writes)
 	select {
 	case <-ended:
@@ -96,16 +96,16 @@
 	}
 }
 
-// sink is how the pipeline acts on the rest of a server. It implements persistence.Sink.
-type sink struct{ s *Server }
+// pipelineSink is how the pipeline acts on the rest of a server. It implements persistence.Sink.
+type pipelineSink struct{ s *Server }
 
 // Write hands a state to the goroutine of writeStates.
-func (k sink) Write(w persist.Write) {
+func (k pipelineSink) Write(w persist.Write) {
 	k.s.writes <- w // has room: one is under way at a time
 }
 
 // Send sends a message to another replica. A machine that was not known becomes so.
-func (k sink) Send(m *register.Message) {
+func (k pipelineSink) Send(m *register.Message) {
 	if p := k.s.peers.Get(m.To); p == nil {
 		k.s.recordPeer(m.To, "", 0)
 	} else if p.Connected() {
@@ -114,10 +114,10 @@
 }
 
 // Publish brings the subscribers up to date.
-func (k sink) Publish(c persist.Committed) { k.s.publish(c) }
+func (k pipelineSink) Publish(c persist.Committed) { k.s.publish(c) }
 
 // Complete hands an outcome to whoever asked for it.
-func (k sink) Complete(o register.Outcome) {
+func (k pipelineSink) Complete(o register.Outcome) {
 	s := k.s
 	s.reconciler.Complete(o)
 	s.operations.Complete(s.now(), o, s.hub.LowestInForce(s.now()))
@@ -126,7 +126,7 @@
 // handleWriteCompleted goes on after a write.
 func (s *Server) handleWriteCompleted(w writeCompleted) {
 	if w.err != nil {
-		s.figures.diskErrors.Inc()
+		s.metrics.diskErrors.Inc()
 		_ = level.Error(s.log).Log("msg", "write of the register's state failed", "error", w.err)
 	}
 	s.pipeline.WriteCompleted(s.now(), w.number, w.err)
