--- a/mesh/controlplane/conflicts.go
+++ b/mesh/controlplane/conflicts.go
@@ -8,7 +8,7 @@
 	"firplank/mesh/timing"
 )
 
-// reportConflicts logs and counts what the settings ask for and cannot be kept.
+// reportConflicts logs and counts the rules of the settings that cannot hold together.
 func (s *Server) reportConflicts() {
 	for _, c := range s.durations.Conflicts {
 		s.metrics.registry.Flag("settings_conflict", "name", c.Name)
@@ -16,8 +16,8 @@
 	}
 }
 
-// checkTolerance reports, once, that fewer control machines are known than the tolerance needs. It is called several times a second; a
-// machine decides on that once it could know of all.
+// checkTolerance reports, once, that fewer control machines are known than the tolerance needs. It is called several times a second and
+// does nothing before Bounds.Sync has passed, in which a machine learns of all others.
 func (s *Server) checkTolerance(now time.Duration) {
 	tolerance := s.settings.Tolerance.Members()
 	known := len(s.knownMachines(now))
--- a/mesh/controlplane/events.go
+++ b/mesh/controlplane/events.go
@@ -9,11 +9,11 @@
 	"firplank/mesh/wire"
 )
 
-// event is what the loop handles. The interface is sealed: its implementations are those of this package.
+// event is an input of the event loop. The interface is sealed: only types of this package implement it.
 type event interface{ isEvent() }
 
 type (
-	// frameReceived is a frame from a peer or a subscriber.
+	// frameReceived reports a frame from a peer or a subscriber.
 	frameReceived struct {
 		conn  *transport.Conn
 		frame *wire.FrameT
@@ -25,17 +25,17 @@
 		addr string
 		conn *transport.Conn // nil: the connection was lost
 	}
-	// operationRequested asks for an operation, operationCancelled withdraws it.
+	// operationRequested requests an operation, operationCancelled cancels it.
 	operationRequested struct{ call *operations.Call }
 	operationCancelled struct{ call *operations.Call }
-	// writeCompleted reports how a write of the register's state has ended.
+	// writeCompleted reports the result of a write of the register's state.
 	writeCompleted struct {
 		number uint64
 		err    error
 	}
-	// statusRequested asks for the status; done has room for one.
+	// statusRequested requests the status. reply is buffered, so that the loop doesn't block on it.
 	statusRequested struct{ reply chan api.ControlStatus }
-	// rolloutsRequested asks for what is known here of the rollouts; done has room for one.
+	// rolloutsRequested requests this machine's view of the rollouts. reply is buffered, so that the loop doesn't block on it.
 	rolloutsRequested struct {
 		service string
 		reply   chan rolloutsView
@@ -51,7 +51,7 @@
 func (statusRequested) isEvent()    {}
 func (rolloutsRequested) isEvent()  {}
 
-// post hands an event to the loop, and waits while too many are queued; once the server has stopped the event is dropped.
+// post queues an event for the loop. It blocks while the queue is full, and drops the event once the server has stopped.
 func (s *Server) post(e event) {
 	select {
 	case s.events <- e:
@@ -65,7 +65,7 @@
 // HandleClose implements transport.Handler.
 func (s *Server) HandleClose(c *transport.Conn) { s.post(connClosed{c}) }
 
-// handle hands an event to the part that it is for.
+// handle dispatches an event to the component that handles it.
 func (s *Server) handle(e event) {
 	switch e := e.(type) {
 	case frameReceived:
@@ -87,7 +87,7 @@
 	}
 }
 
-// handleFrame hands a frame to the part that it is for; frames of kinds that are not known are ignored.
+// handleFrame dispatches a frame by its kind. Frames of unknown kinds are ignored.
 func (s *Server) handleFrame(c *transport.Conn, f *wire.FrameT) {
 	now := s.now()
 	if m, ok := codec.RegisterFromFrame(f); ok {
--- a/mesh/controlplane/metrics.go
+++ b/mesh/controlplane/metrics.go
@@ -11,7 +11,7 @@
 	"firplank/mesh/dissemination"
 )
 
-// figures are the counters and gauges of a control machine. The loop writes, scrapes read.
+// controlMetrics are the counters and gauges of a control machine. The event loop writes them, scrapes read them.
 type controlMetrics struct {
 	registry *telemetry.Registry
 
@@ -21,7 +21,7 @@
 	pendingOperations, quorumAgeMillis, lowestInForce      atomic.Int64
 }
 
-// newControlMetrics returns the figures of a machine, all at 0.
+// newControlMetrics returns the metrics of a machine, all at 0.
 func newControlMetrics() *controlMetrics {
 	r := telemetry.NewRegistry()
 	f := &controlMetrics{
@@ -40,20 +40,20 @@
 	return f
 }
 
-// serveMetrics serves the figures until close is called, where the port is free.
+// serveMetrics serves the metrics until close is called. If the port is taken, it logs that and the machine runs without them.
 func (s *Server) serveMetrics() (close func()) {
 	if s.settings.IP == "" {
 		return func() {}
 	}
 	close, err := s.metrics.registry.Serve(s.settings.IP, telemetry.ControlPort)
 	if err != nil {
-		_ = level.Warn(s.log).Log("msg", "metrics are not served", "error", err)
+		_ = level.Warn(s.log).Log("msg", "serving metrics failed", "error", err)
 		return func() {}
 	}
 	return close
 }
 
-// updateMetrics brings the gauges up to date.
+// updateMetrics sets the gauges to their current values.
 func (s *Server) updateMetrics() {
 	f, now := s.metrics, s.now()
 	committed := s.pipeline.Committed()
@@ -78,13 +78,13 @@
 	f.peersConnected.Store(int64(connected))
 }
 
-// recordOperationResult counts the operation of a client, by its kind and its result, and logs one that failed.
+// recordOperationResult counts a client's operation by its kind and result, and logs it if it failed.
 func (s *Server) recordOperationResult(call *operations.Call, err error) {
 	kind := "read"
-	logFields := []any{"msg", "operation not completed", "operation", kind}
+	logFields := []any{"msg", "operation failed", "operation", kind}
 	if write, ok := call.Request.(operations.Write); ok {
 		kind = "write"
-		logFields = []any{"msg", "operation not completed", "operation", kind, "version", formatVersion(write.Version), "content", write.Content}
+		logFields = []any{"msg", "operation failed", "operation", kind, "version", formatVersion(write.Version), "content", write.Content}
 	}
 	result := "completed"
 	if err != nil {
--- a/mesh/controlplane/operations/errors.go
+++ b/mesh/controlplane/operations/errors.go
@@ -8,9 +8,9 @@
 	"firplank/mesh/register"
 )
 
-// Why an operation has no outcome. Table.Propose returns the first three for one that was not proposed; those of Table.FailPending and
-// ErrTimeout leave open whether it was committed. The client cannot tell these cases apart: it sends the same operation again, to any
-// control machine.
+// Reasons why an operation has no outcome. Table.Propose reports the first three for an operation that it did not propose. After those of
+// Table.FailPending and after ErrTimeout the operation may have been committed. Clients cannot distinguish these cases, and send the same
+// operation again, to any control machine.
 var (
 	ErrNoQuorum    = errors.New("no majority of the core answers")
 	ErrDiskFailing = errors.New("the disk of this control machine fails")
@@ -18,14 +18,14 @@
 	ErrTimeout     = errors.New("operation timed out")
 )
 
-// ErrRolloutUnderWay reports that a rollout of the service to another version stands in the way of an order, which has no effect.
+// ErrRolloutUnderWay reports that an order has no effect because a rollout of the service to another version is in progress.
 var ErrRolloutUnderWay = errors.New("a rollout of the service to another version is under way")
 
-// VersionTakenError reports that a version was committed with another content before. The write is never in force under that version; the
-// client has to send it under one above Newest.
+// VersionTakenError reports that the version of a write was committed with another content before. The write never comes into force under
+// that version; the client has to send it under a version above Newest.
 type VersionTakenError struct {
 	Version, Newest           uint32
-	Content, CommittedContent register.Content // of the write that is rejected, and the committed one
+	Content, CommittedContent register.Content // of the rejected write, and of the committed version
 }
 
 func newVersionTakenError(o register.Outcome, w Write) *VersionTakenError {
@@ -33,13 +33,14 @@
 	return &VersionTakenError{Version: w.Version, Newest: o.Value.Version, Content: w.Content, CommittedContent: committed.Content}
 }
 
-// Error is the text that the operator reads in the answer to the call.
+// Error returns the text that the operator reads in the response to the call.
 func (e *VersionTakenError) Error() string {
 	return fmt.Sprintf("edition %08x was taken with another content (%s): this one (%s) is not in force and never will be under that number; "+
 		"the newest edition is %08x, send yours under a higher one", e.Version, e.CommittedContent, e.Content, e.Newest)
 }
 
-// ErrorName returns a short name of an error of this package, for metrics: they have to be few.
+// ErrorName returns a short name for an error of this package. It is used as a metric label, so there are few of them. All other errors
+// are named "shutdown".
 func ErrorName(err error) string {
 	var taken *VersionTakenError
 	switch {
--- a/mesh/controlplane/operations/invariants.go
+++ b/mesh/controlplane/operations/invariants.go
@@ -9,10 +9,11 @@
 	"firplank/mesh/register"
 )
 
-// SetInvariants sets who is notified of violated invariants; without it nobody is.
+// SetInvariants sets the reporter of violated invariants; without it they are ignored.
 func (t *Table) SetInvariants(reporter invariant.Reporter) { t.invariants = reporter }
 
-// checkProgress checks that operations do not wait for a quorum while one answers. It reports each operation once.
+// checkProgress reports, once each, the operations that have waited for an outcome for longer than timing.Operations.MaxProgress although
+// a quorum replies.
 func (t *Table) checkProgress(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(t.pending)) {
 		op := t.pending[id]
@@ -25,7 +26,8 @@
 	}
 }
 
-// checkResult checks a result that its client is about to get as a success.
+// checkResult checks the invariants of a successful result before it is returned: the committed value records an acknowledged write, and
+// a read returns at least the highest version acknowledged here.
 func (t *Table) checkResult(request Request, result Result) {
 	if result.Err != nil {
 		return
--- a/mesh/controlplane/operations/invariants_test.go
+++ b/mesh/controlplane/operations/invariants_test.go
@@ -9,7 +9,7 @@
 	"firplank/mesh/register"
 )
 
-// newCheckedTable returns a table with the invariants that it reports as violated.
+// newCheckedTable returns a table, its register, and the invariants that the table reports as violated.
 func newCheckedTable() (*Table, *recordingReplica, *[]invariant.Name) {
 	var violations []invariant.Name
 	table, r := newTable()
@@ -17,7 +17,7 @@
 	return table, r, &violations
 }
 
-// A change is acknowledged only where the committed value records it, and a read returns what was acknowledged before.
+// A write may be acknowledged only if the committed value records it, and a read has to return at least what was acknowledged before.
 func TestResultInvariantsAreReported(t *testing.T) {
 	mine, other := register.ContentOf([]byte("mine")), register.ContentOf([]byte("other"))
 	recorded := func(version uint32, content register.Content) register.Value {
@@ -45,7 +45,8 @@
 	}
 }
 
-// An operation that waits for too long while a quorum answers is reported, once; not one that waits for sidecars, or without a quorum.
+// An operation that waits too long although a quorum replies is reported once. One that waits for sidecars, or waited without a quorum, is
+// not reported.
 func TestOperationsWithoutProgressAreReported(t *testing.T) {
 	bound := durations.Operations.MaxWait
 	for _, c := range []struct {
@@ -53,8 +54,8 @@
 		run  func(table *Table, r *recordingReplica, id uint64)
 		want []invariant.Name
 	}{
-		{"just in time", func(table *Table, _ *recordingReplica, _ uint64) { table.FailPending(now + bound) }, nil},
-		{"for too long", func(table *Table, _ *recordingReplica, _ uint64) {
+		{"at the bound", func(table *Table, _ *recordingReplica, _ uint64) { table.FailPending(now + bound) }, nil},
+		{"beyond the bound", func(table *Table, _ *recordingReplica, _ uint64) {
 			table.FailPending(now + bound + 1)
 			table.FailPending(now + 2*bound)
 		}, []invariant.Name{invariant.OperationsProgress}},
@@ -62,7 +63,7 @@
 			table.Complete(now, register.Outcome{ID: id, Result: register.Confirmed}, 6)
 			table.FailPending(now + 2*bound)
 		}, nil},
-		{"with a quorum only lately", func(table *Table, r *recordingReplica, _ uint64) {
+		{"without a quorum until recently", func(table *Table, r *recordingReplica, _ uint64) {
 			r.health = Health{LastQuorum: -1}
 			table.FailPending(now + bound - time.Millisecond)
 			r.health = healthyAt(now + 3*bound)
@@ -82,5 +83,5 @@
 	}
 }
 
-// healthyAt is the health of a machine that a quorum has answered at a time.
+// healthyAt returns the health of a machine whose last contact with a quorum was at a time.
 func healthyAt(at time.Duration) Health { return Health{LastQuorum: at} }
--- a/mesh/controlplane/operations/operations.go
+++ b/mesh/controlplane/operations/operations.go
@@ -1,10 +1,9 @@
-// Package operations owns the client operations of a control machine that wait for a quorum. It decides when an
-// operation is proposed to the replicated register, rejected because no quorum can be reached, answered, deferred until the
-// sidecars have acknowledged its version, failed because the quorum was lost meanwhile, or cancelled by its client.
+// Package operations owns the client operations of a control machine that wait for a quorum. It decides when an operation is proposed to
+// the replicated register, rejected because no quorum can be reached, answered, deferred until the sidecars have acknowledged its version,
+// failed because the quorum was lost meanwhile, or cancelled by its client.
 //
-// Table has no I/O, no goroutine and no clock; it belongs to the control machine's event loop. Call is the client's
-// side of one operation and is used on the goroutine that serves the client. docs/design/control-safety-1.md states the
-// rules that it keeps.
+// Table has no I/O, no goroutine and no clock, and belongs to the control machine's event loop. Call is the client's side of one
+// operation and is used on the goroutine that serves the client. docs/design/control-safety-1.md states the rules.
 //
 // Start reading at Table.Propose.
 package operations
@@ -21,25 +20,25 @@
 	"firplank/mesh/timing"
 )
 
-// Request is what a client asks for: a Write, a Read, a StartRollout or an AdvanceRollout.
+// Request is an operation that a client requests: a Write, a Read, a StartRollout or an AdvanceRollout.
 type Request interface {
 	event(id uint64) register.Event
 }
 
-// Write asks for a configuration to be committed under a version.
+// Write commits a configuration under a version.
 type Write struct {
 	Version uint32
 	Content register.Content // hash of the text as the client sent it
 	Body    []byte           // the compressed text
 }
 
-// Read asks for the newest committed configuration, as of its request or later (a linearizable read).
+// Read returns the newest committed configuration, as of its request or later (a linearizable read).
 type Read struct{}
 
-// StartRollout asks for an order of a rollout to be taken.
+// StartRollout commits the order of a rollout.
 type StartRollout struct{ Order rollout.Order }
 
-// AdvanceRollout asks for a rollout to be moved to another stage, where it is at the transition's.
+// AdvanceRollout moves a rollout to another stage if it is at the stage that the transition starts from.
 type AdvanceRollout struct{ Transition rollout.Transition }
 
 func (s StartRollout) event(id uint64) register.Event {
@@ -61,31 +60,31 @@
 	Apply(now time.Duration, ev register.Event)
 	// Health reports whether an operation can be committed now.
 	Health(now time.Duration) Health
-	// Cancel drops an operation; one that is not known is ignored.
+	// Cancel drops an operation. An unknown one is ignored.
 	Cancel(id uint64)
-	// Progress describes, for the log, what the register is at work on.
+	// Progress describes, for the log, what the register is working on.
 	Progress(now time.Duration) string
 }
 
-// Responder receives the result of one operation, once, on the event loop; it must not block.
+// Responder receives the result of one operation. Respond is called once, on the event loop, and must not block.
 type Responder interface {
 	Respond(r Result)
 }
 
-// Result is how an operation ended. Outcome counts only where Err is nil or a *VersionTakenError.
+// Result is how an operation ended. Outcome is valid only if Err is nil or a *VersionTakenError.
 type Result struct {
 	Outcome register.Outcome
 	Err     error
 }
 
-// Health is what decides whether this machine can commit operations. It is not about servers, as admission.Health is.
+// Health determines whether this machine can commit operations. It is unrelated to the servers' admission.Health.
 type Health struct {
-	LastQuorum  time.Duration // when a quorum last replied, by this machine's clock; below 0: never
+	LastQuorum  time.Duration // when a quorum replied last, by this machine's clock; below 0: never
 	DiskFailing bool
-	QueueFull   bool // too much waits for the disk
+	QueueFull   bool // the queue of what waits for the disk is full
 }
 
-// checkServing returns the error with which pending operations fail, as they cannot be committed any more; nil where they can.
+// checkServing returns the error with which pending operations fail; nil if they can still be committed.
 func (h Health) checkServing(now, quorumTimeout time.Duration) error {
 	switch {
 	case dissemination.QuorumLost(now, h.LastQuorum, quorumTimeout):
@@ -96,7 +95,7 @@
 	return nil
 }
 
-// CheckAccepting returns the error with which new operations are refused: ErrNoQuorum, ErrDiskFailing or ErrQueueFull; nil where they are
+// CheckAccepting returns the error with which new operations are rejected: ErrNoQuorum, ErrDiskFailing or ErrQueueFull; nil if they are
 // accepted.
 func (h Health) CheckAccepting(now, quorumTimeout time.Duration) error {
 	if err := h.checkServing(now, quorumTimeout); err != nil {
@@ -115,11 +114,11 @@
 	requestedAt     time.Duration
 	decided         bool // outcome is set
 	outcome         register.Outcome
-	reportedStalled bool // it was reported as an operation without progress
+	reportedStalled bool // checkProgress has reported it
 }
 
-// Table holds the operations that wait for a quorum or for acknowledgements. It is not safe for concurrent use. Its size is bounded
-// by the clients' connections.
+// Table holds the operations that wait for a quorum or for acknowledgements. It is not safe for concurrent use. Its size is bounded by
+// the number of clients' connections.
 type Table struct {
 	register            Register
 	nextID              func() uint64
@@ -127,8 +126,8 @@
 	durations           timing.Durations
 	confirmations       *dissemination.Confirmations
 	invariants          invariant.Reporter
-	highestAcknowledged uint32        // the highest version that was acknowledged here
-	servingSince        time.Duration // since when this machine can commit operations, as far as FailPending has seen
+	highestAcknowledged uint32        // the highest version whose write was acknowledged to a client here
+	servingSince        time.Duration // when FailPending last found that this machine can't commit operations
 }
 
 // NewTable returns an empty table over a register. nextID returns a number that no other operation of this replica has.
@@ -146,8 +145,9 @@
 // Len returns how many operations wait.
 func (t *Table) Len() int { return len(t.pending) }
 
-// Propose hands an operation to the register and returns the number to cancel it by. Where this machine cannot commit it now, it is not
-// proposed: the responder gets ErrNoQuorum, ErrDiskFailing or ErrQueueFull at once. Another machine may be able to commit it.
+// Propose proposes an operation to the register and returns its number, by which it can be cancelled. If this machine cannot commit it
+// now, it is not proposed, and the responder gets ErrNoQuorum, ErrDiskFailing or ErrQueueFull at once. Another machine may be able to
+// commit it.
 func (t *Table) Propose(now time.Duration, request Request, responder Responder) (id uint64) {
 	if err := t.register.Health(now).CheckAccepting(now, t.durations.Dissemination.QuorumTimeout); err != nil {
 		responder.Respond(Result{Err: err})
@@ -159,8 +159,8 @@
 	return id
 }
 
-// Complete records the outcome of an operation that a quorum has decided. A confirmed write waits until its version is in force at the
-// sidecars, of which lowest is the lowest version below this machine; a rejected one, and a read, is answered at once.
+// Complete records the outcome of an operation that a quorum has decided. A confirmed write waits until its version is in force at all
+// sidecars; lowest is the lowest version in force among this machine's subscribers. Other operations are answered at once.
 func (t *Table) Complete(now time.Duration, o register.Outcome, lowest uint32) {
 	op := t.pending[o.ID]
 	if op == nil {
@@ -182,8 +182,9 @@
 	t.respond(o.ID, result)
 }
 
-// Acknowledge answers the writes whose version is in force below this machine, where lowest is the lowest, and below the other control
-// machines, and those that have waited long enough. It returns when to be called again at the latest.
+// Acknowledge answers the writes whose version is in force among the subscribers of this machine, where lowest is the lowest version, and
+// of the other control machines, and those that have waited for timing.Dissemination.AckTimeout. It returns when it is to be called again
+// at the latest.
 func (t *Table) Acknowledge(now time.Duration, lowest uint32) (next time.Duration) {
 	ids, next := t.confirmations.Release(lowest, now)
 	for _, id := range ids {
@@ -194,13 +195,13 @@
 	return next
 }
 
-// PeerAcknowledged records the lowest version in force below another control machine.
+// PeerAcknowledged records the lowest version in force among another control machine's subscribers.
 func (t *Table) PeerAcknowledged(peer string, lowest uint32, now time.Duration) {
 	t.confirmations.RecordPeer(peer, lowest, now)
 }
 
-// FailPending is called several times a second. It fails all operations, in the order of their requests, where this machine has lost the
-// quorum or its disk fails. They may have been committed or not: a client may send the same operation again, to this machine or another.
+// FailPending is called several times a second. If this machine has lost the quorum or its disk fails, it fails all operations in the
+// order of their requests. They may or may not have been committed; a client may send the same operation again, to any machine.
 func (t *Table) FailPending(now time.Duration) {
 	err := t.register.Health(now).checkServing(now, t.durations.Dissemination.QuorumTimeout)
 	if err == nil {
@@ -215,7 +216,7 @@
 	t.confirmations.Clear()
 }
 
-// Cancel drops an operation whose client does not wait any more. It may be committed all the same.
+// Cancel drops an operation whose client no longer waits. It may be committed all the same.
 func (t *Table) Cancel(id uint64) {
 	delete(t.pending, id)
 	t.register.Cancel(id)
--- a/mesh/controlplane/operations/operations_test.go
+++ b/mesh/controlplane/operations/operations_test.go
@@ -17,12 +17,12 @@
 	"firplank/mesh/timing"
 )
 
-// durations are those of the deployments in service.
+// durations are the defaults, which the deployments use.
 var durations = timing.Default()
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// recordingReplica records what it is given, and answers at once where it has an outcome.
+// recordingReplica records the events that are applied to it. If it has an immediate outcome, Apply completes the operation with it.
 type recordingReplica struct {
 	table            *Table
 	applied          []register.Event
@@ -61,7 +61,7 @@
 
 var healthy = Health{LastQuorum: now}
 
-// A machine that is out of contact with a quorum, or whose disk fails or lags, proposes nothing and says so at once.
+// A machine without contact to a quorum, or whose disk fails or lags, proposes nothing and rejects operations at once.
 func TestProposeWithoutQuorumContactIsRejected(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -73,7 +73,7 @@
 		{"last contact is too old", Health{LastQuorum: now - 1501*ms}, ErrNoQuorum},
 		{"never in contact", Health{LastQuorum: -1}, ErrNoQuorum},
 		{"disk fails", Health{LastQuorum: now, DiskFailing: true}, ErrDiskFailing},
-		{"too much waits for the disk", Health{LastQuorum: now, QueueFull: true}, ErrQueueFull},
+		{"queue for the disk is full", Health{LastQuorum: now, QueueFull: true}, ErrQueueFull},
 		{"no contact and no disk", Health{LastQuorum: 0, DiskFailing: true, QueueFull: true}, ErrNoQuorum},
 	} {
 		for _, request := range []Request{Read{}, Write{Version: 7}} {
@@ -94,7 +94,7 @@
 	}
 }
 
-// What is proposed is what the client asked for, under a number of its own.
+// An operation is proposed as the client requested it, under a number of its own.
 func TestProposedEventIsTheRequestedOperation(t *testing.T) {
 	table, r := newTable()
 	content := register.ContentOf([]byte("text"))
@@ -109,7 +109,7 @@
 	}
 }
 
-// The only member of a group answers while it is given the operation.
+// A register with one member completes an operation before Apply returns. The result must not be lost.
 func TestOutcomeDuringProposeIsAnswered(t *testing.T) {
 	table, r := newTable()
 	r.health = Health{}
@@ -121,7 +121,7 @@
 	}
 }
 
-// When contact with the quorum is lost or the disk fails, what is pending is failed in order; a full queue alone fails nothing.
+// When contact with the quorum is lost or the disk fails, pending operations fail in order. A full queue alone fails none.
 func TestFailPendingOnQuorumLoss(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -132,7 +132,7 @@
 		{"last contact is recent enough", Health{LastQuorum: now - 1500*ms}, nil},
 		{"last contact is too old", Health{LastQuorum: now - 1501*ms}, ErrNoQuorum},
 		{"disk fails", Health{LastQuorum: now, DiskFailing: true}, ErrDiskFailing},
-		{"too much waits for the disk", Health{LastQuorum: now, QueueFull: true}, nil},
+		{"queue for the disk is full", Health{LastQuorum: now, QueueFull: true}, nil},
 	} {
 		table, r := newTable()
 		var got results
@@ -158,7 +158,7 @@
 	}
 }
 
-// A write that waits for sidecars when the quorum is lost is failed, and not answered a second time when they acknowledge it.
+// A write that waits for sidecars fails when the quorum is lost, and is not answered a second time when they acknowledge it.
 func TestFailedWriteIsNotAcknowledged(t *testing.T) {
 	table, r := newTable()
 	var got results
@@ -172,7 +172,8 @@
 	}
 }
 
-// A confirmation waits for the sidecars below this machine and the others, for so long at most; a rejected write and a read do not wait.
+// A confirmed write waits for the sidecars of this machine and of the others, at most for AckTimeout. A rejected write and a read don't
+// wait.
 func TestConfirmationWaitsForSidecars(t *testing.T) {
 	ackTimeout := durations.Dissemination.AckTimeout
 	for _, c := range []struct {
@@ -180,9 +181,9 @@
 		request                   Request
 		result                    register.Result
 		lowestHere, lowestOfPeers uint32
-		ackedLowest               uint32        // the lowest version below this machine, ...
-		after                     time.Duration // so long after the request
-		held, waits               bool          // the answer is held at first, and still then
+		ackedLowest               uint32        // the lowest version in force among this machine's subscribers, ...
+		after                     time.Duration // ... this long after the request
+		held, waits               bool          // the response is held back on completion, and still after that time
 	}{
 		{"in force everywhere", Write{Version: 7}, register.Confirmed, 7, 7, 7, 0, false, false},
 		{"behind below this machine", Write{Version: 7}, register.Confirmed, 6, 7, 6, ackTimeout - 1, true, true},
@@ -210,7 +211,7 @@
 	}
 }
 
-// A confirmation waits for the sidecars that are behind, a refusal for nobody.
+// While sidecars are behind, a confirmed write waits for them and a rejected one is answered at once.
 func TestRejectedWriteDoesNotWaitForSidecars(t *testing.T) {
 	table, _ := newTable()
 	table.PeerAcknowledged("b", 5, now)
@@ -219,12 +220,12 @@
 		id := table.Propose(now, Write{Version: 7}, &got)
 		table.Complete(now, register.Outcome{ID: id, Result: result}, dissemination.Unconstrained)
 		if answered := len(got) == 1; answered != (result == register.Conflict) {
-			t.Errorf("result %d is answered while sidecars are behind: %v", result, answered)
+			t.Errorf("result %d: answered while sidecars are behind is %v", result, answered)
 		}
 	}
 }
 
-// A cancelled operation is dropped in the register, and its outcome is not sent to anyone.
+// A cancelled operation is dropped in the register, and its client gets no result. Others are not affected.
 func TestCancelledOperationIsNotAnswered(t *testing.T) {
 	table, r := newTable()
 	var got results
@@ -237,11 +238,12 @@
 	}
 	table.Complete(now, register.Outcome{ID: other, Value: register.Value{Version: 3}}, 0)
 	if len(got) != 1 || got[0].Outcome.Value.Version != 3 {
-		t.Errorf("the other: %v", got)
+		t.Errorf("the operation that was not cancelled: %v", got)
 	}
 }
 
-// An operator whose edition is refused reads which number it was, that it never comes into force, and above which one to go.
+// The error for a version that is taken has to state the version, both contents, that the write never comes into force, and the newest
+// version, above which the operator has to send it.
 func TestVersionTakenErrorNamesVersionsAndContents(t *testing.T) {
 	mine, taken := register.ContentOf([]byte("mine")), register.ContentOf([]byte("taken"))
 	history := register.History{}.With(register.Record{Version: 7, Content: taken})
@@ -256,12 +258,12 @@
 	text := conflict.Error()
 	for _, want := range []string{"00000007", mine.String(), taken.String(), "never", "0000000c"} {
 		if !strings.Contains(text, want) {
-			t.Errorf("%q does not say %s", text, want)
+			t.Errorf("%q does not contain %s", text, want)
 		}
 	}
 }
 
-// A client waits until its operation has a result, its time is over or the machine stops.
+// Call.Wait returns when the operation has a result, the time-out has passed, or the machine stops.
 func TestCallWaitsForResultTimeoutOrShutdown(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -298,7 +300,8 @@
 	}
 }
 
-// Failed writes leave room: those that follow wait for the sidecars as before.
+// Guards against failed writes that keep occupying the bounded number of writes that wait for sidecars: later writes would be answered
+// before their version is in force.
 func TestFailedWritesReleaseTheirConfirmations(t *testing.T) {
 	table, r := newTable()
 	var got results
@@ -307,7 +310,7 @@
 		table.Complete(now, register.Outcome{ID: id, Result: register.Confirmed}, 6)
 	}
 	if len(got) == 0 || len(got) == 1000 {
-		t.Fatalf("%d of 1000 writes do not wait: the bound is not reached, or nothing waits", len(got))
+		t.Fatalf("%d of 1000 writes are answered at once: the bound is not reached, or no write waits", len(got))
 	}
 	r.health = Health{LastQuorum: -1}
 	table.FailPending(now)
@@ -315,6 +318,6 @@
 	id := table.Propose(now, Write{Version: 7}, &got)
 	table.Complete(now, register.Outcome{ID: id, Result: register.Confirmed}, 6)
 	if len(got) > 0 {
-		t.Error("a write is answered before the sidecars have its version")
+		t.Error("a write is answered before its version is in force at the sidecars")
 	}
 }
--- a/mesh/controlplane/operators.go
+++ b/mesh/controlplane/operators.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// retryAfter is how long a client is asked to wait before it repeats a call to a machine that has no quorum.
+	// retryAfter is sent to clients as Retry-After by a machine that cannot commit, for example without a quorum.
 	retryAfter = 500 * time.Millisecond
 	// readTimeout and idleTimeout bound an operator's connection.
 	readTimeout = 10 * time.Second
 	idleTimeout = 30 * time.Second
-	// unknownCallLogInterval is how often a call that is not known is logged, after the first ones.
+	// unknownCallLogInterval is the minimum interval between log lines on unknown calls, after the first ones.
 	unknownCallLogInterval = time.Second
-	// maxQueuedEvents bounds what waits for the one goroutine; beyond it connections are not read.
+	// maxQueuedEvents bounds the event loop's queue. While it is full, connections are not read.
 	maxQueuedEvents = 2048
 )
 
-// operatorAPI routes the calls of operators.
+// operatorAPI returns the routes of the operators' calls.
 func (s *Server) operatorAPI() *api.Router {
 	router := &api.Router{Rejected: s.logUnknownCall}
 	router.Handle(http.MethodPost, "/Timetable.Replace", s.replaceConfig)
@@ -38,25 +38,25 @@
 	return router
 }
 
-// logUnknownCall counts a call that this program does not have, and logs some of them.
+// logUnknownCall counts an unknown call, and logs it at a limited rate.
 func (s *Server) logUnknownCall(r *http.Request, status int) {
 	s.metrics.unknownCalls.Inc()
 	s.unknownCallLog.Do(func() {
-		_ = level.Warn(s.log).Log("msg", "call rejected: not known", "method", r.Method, "path", r.URL.Path, "status", status)
+		_ = level.Warn(s.log).Log("msg", "unknown call rejected", "method", r.Method, "path", r.URL.Path, "status", status)
 	})
 }
 
 var errNoConfig = errors.New("there is no configuration yet")
 
-// unavailable is the answer to a call that this machine cannot commit now, and states why. It leaves open whether the
-// operation was committed, and another machine may be able to commit it.
+// unavailable returns the response to a call that this machine cannot commit now, with err as the reason. The operation may have been
+// committed all the same, and another machine may be able to commit it.
 func unavailable(err error) api.Response {
 	response := api.ErrorResponse(http.StatusServiceUnavailable, err)
 	response.RetryAfter = retryAfter
 	return response
 }
 
-// commit posts an operation to the event loop, which proposes it, and waits for its outcome.
+// commit posts an operation to the event loop, which proposes it, and waits for the outcome.
 func (s *Server) commit(r operations.Request) (register.Outcome, error) {
 	call := operations.NewCall(r)
 	s.post(operationRequested{call})
@@ -68,7 +68,7 @@
 	return o, err
 }
 
-// replaceConfig has a configuration committed under the version that it names.
+// replaceConfig commits a configuration under the version that it states.
 func (s *Server) replaceConfig(c *api.Request) api.Response {
 	cfg, err := config.Parse(c.Body)
 	if err != nil {
--- a/mesh/controlplane/peers.go
+++ b/mesh/controlplane/peers.go
@@ -11,14 +11,14 @@
 	"firplank/mesh/wire"
 )
 
-// recordPeer records that a control machine was seen at a time, and maintains a connection to it from then on.
+// recordPeer records that a control machine was seen at a time. If it is new, a connection to it is maintained from then on.
 func (s *Server) recordPeer(addr, zone string, seen time.Duration) {
 	if s.peers.Record(addr, zone, seen) {
 		s.background.Go(func() { s.maintainConn(addr) })
 	}
 }
 
-// maintainConn connects to a peer, again and again, until the server ends.
+// maintainConn connects to a peer and reconnects when the connection is lost, until the server stops.
 func (s *Server) maintainConn(addr string) {
 	for s.ctx.Err() == nil {
 		c, err := transport.Dial(s.ctx, addr, s.durations.Peers.DialTimeout, s)
@@ -40,7 +40,7 @@
 	}
 }
 
-// handlePeerConn records that the connection to a peer was made or lost.
+// handlePeerConn records that the connection to a peer was made or lost, and sends a hello over a new one.
 func (s *Server) handlePeerConn(e peerConnChanged) {
 	s.peers.SetConn(e.addr, e.conn, s.now())
 	if e.conn != nil {
@@ -49,13 +49,13 @@
 	}
 }
 
-// knownMachines returns the control machines that hellos and updates list.
+// knownMachines returns the control machines that are listed in hellos and updates.
 func (s *Server) knownMachines(now time.Duration) []dissemination.ControlMachine {
 	return s.peers.Known(now, s.pipeline.Replica().Members())
 }
 
-// sendHello sends a peer this machine's status, the control machines that it knows of, and what has changed in
-// the directory since the last hello, with evidence of life of the sidecars that were seen directly.
+// sendHello sends a connected peer this machine's status, the known control machines, the directory's changes since the last hello, and
+// evidence of life for the sidecars that were seen directly.
 func (s *Server) sendHello(addr string, now time.Duration) {
 	p := s.peers.Get(addr)
 	if !p.Connected() {
@@ -80,7 +80,7 @@
 	p.Conn.Send(f)
 }
 
-// broadcastHello sends a hello to each peer that is connected, and notifies the register of the peers.
+// broadcastHello sends a hello to each connected peer, and passes the list of seen peers to the register.
 func (s *Server) broadcastHello(now time.Duration) {
 	for _, p := range s.peers.All() {
 		s.sendHello(p.Addr, now)
@@ -92,10 +92,10 @@
 	}
 }
 
-// handleHello handles a peer's hello.
+// handleHello merges a peer's hello into the tables of peers and the directory.
 func (s *Server) handleHello(f *wire.FrameT, now time.Duration) {
 	s.recordPeer(f.From, f.Text, now)
-	if p := s.peers.Get(f.From); p != nil { // else beyond the bound of the table
+	if p := s.peers.Get(f.From); p != nil { // nil if the table is full
 		if status, ok := codec.NodeStatusFromFrame(f); ok {
 			p.Status = status
 		}
--- a/mesh/controlplane/peers/peers_test.go
+++ b/mesh/controlplane/peers/peers_test.go
@@ -23,7 +23,7 @@
 	return out
 }
 
-// A connection is wanted once for each other machine, for a bounded number of them; what is known does not go back.
+// Record asks for one connection for each other machine, up to MaxPeers, and older information does not replace newer.
 func TestRecord(t *testing.T) {
 	table := New[string]("a", "z1")
 	for _, c := range []struct {
@@ -36,8 +36,8 @@
 		{"itself", "a", "z1", s, false, "", 0},
 		{"no address", "", "z1", s, false, "", 0},
 		{"only an address", "b", "", 0, true, "", 0},
-		{"heard of", "b", "z2", 5 * s, false, "z2", 5 * s},
-		{"heard of earlier, by way of another", "b", "", 3 * s, false, "z2", 5 * s},
+		{"seen", "b", "z2", 5 * s, false, "z2", 5 * s},
+		{"seen earlier, as reported by another", "b", "", 3 * s, false, "z2", 5 * s},
 		{"another", "c", "z3", s, true, "z3", s},
 	} {
 		if added := table.Record(c.addr, c.zone, c.seen); added != c.added {
@@ -57,11 +57,11 @@
 		t.Errorf("%d peers", n)
 	}
 	if table.Record("b", "", 9*s); table.Get("b").LastSeen != 9*s {
-		t.Error("a full table does not follow the peers that it has")
+		t.Error("a full table does not update its peers")
 	}
 }
 
-// Others are told of machines that were heard of lately and of members, the last heard of first.
+// Known lists the machines that were seen recently and the members, most recently seen first.
 func TestKnown(t *testing.T) {
 	table := New[string]("a", "z1")
 	table.Record("long ago", "", s)
@@ -69,12 +69,12 @@
 	table.Record("most recent", "", 39*s)
 	table.Record("never", "", 0)
 	table.Record("silent member", "", 2*s)
-	table.Record("unheard member", "", 0)
+	table.Record("unseen member", "", 0)
 	var got []string
-	for _, m := range table.Known(40*s, []string{"a", "silent member", "unheard member"}) {
+	for _, m := range table.Known(40*s, []string{"a", "silent member", "unseen member"}) {
 		got = append(got, m.Addr)
 	}
-	if want := []string{"a", "most recent", "recent", "silent member", "unheard member"}; !slices.Equal(got, want) {
+	if want := []string{"a", "most recent", "recent", "silent member", "unseen member"}; !slices.Equal(got, want) {
 		t.Errorf("%v, want %v", got, want)
 	}
 	if got, want := table.Seen(), []string{"long ago", "most recent", "recent", "silent member"}; !slices.Equal(got, want) {
@@ -82,15 +82,15 @@
 	}
 }
 
-// A connection is silent when nothing was heard of the peer since it was made, for longer than the time-out.
+// A connection is silent if the peer was not seen for longer than the time-out, counted from when the connection was made at the earliest.
 func TestSilent(t *testing.T) {
 	for _, c := range []struct {
 		name                  string
 		lastSeen, connectedAt time.Duration // below 0: not connected
 		want                  bool
 	}{
-		{"heard of lately", 9 * s, s, false},
-		{"made lately", s, 9 * s, false},
+		{"seen recently", 9 * s, s, false},
+		{"connected recently", s, 9 * s, false},
 		{"at the time-out", 8 * s, s, false},
 		{"silent", 8*s - 1, s, true},
 		{"not connected", s, -1, false},
@@ -106,7 +106,7 @@
 	}
 }
 
-// Over a new connection the directory is sent from the beginning.
+// Over a new connection the directory is sent from the beginning, so the revision is reset.
 func TestNewConnectionResetsTheRevision(t *testing.T) {
 	table := New[string]("a", "")
 	table.Record("b", "", s)
@@ -114,11 +114,11 @@
 	table.SetConn("b", "one", s)
 	p.Revision = 7
 	if table.SetConn("b", "", 2*s); p.Connected() || p.Revision != 0 {
-		t.Errorf("once it is lost: %+v", p)
+		t.Errorf("after the connection was lost: %+v", p)
 	}
 }
 
-// The view says what each peer said of itself, and who has the committed value.
+// The view contains what each peer reported as its status, and whether it has the committed value.
 func TestView(t *testing.T) {
 	table := New[string]("a", "")
 	table.Record("b", "z", s)
@@ -139,8 +139,8 @@
 	}
 }
 
-// A connection over which the first message takes longer than a silence may last is not closed and made anew for ever, each time before
-// anything has come: the time that it is given grows until something does.
+// Guards against a slow connection that is replaced forever, each time before its first message, because that takes longer than the
+// allowed silence. The allowed silence grows with each silent connection.
 func TestSlowConnectionIsNotReplacedForever(t *testing.T) {
 	table := New[string]("a", "")
 	table.Record("b", "", 0)
@@ -149,12 +149,12 @@
 	table.SetConn("b", "conn", made)
 	for now := made; now < time.Minute; now += 100 * time.Millisecond {
 		if now >= made+slow {
-			return // its first message has come
+			return // the first message arrives in time
 		}
 		if len(table.Silent(now, timeout)) > 0 {
 			made = now
 			table.SetConn("b", "conn", made)
 		}
 	}
-	t.Error("in a minute no connection was left for as long as its first message takes")
+	t.Error("within a minute every connection was replaced before its first message")
 }
--- a/mesh/controlplane/persistence/invariants.go
+++ b/mesh/controlplane/persistence/invariants.go
@@ -8,10 +8,10 @@
 	"firplank/mesh/register"
 )
 
-// SetInvariants sets who is notified of violated invariants; without it nobody is.
+// SetInvariants sets the reporter of violated invariants; without it they are ignored.
 func (p *Pipeline) SetInvariants(reporter invariant.Reporter) { p.invariants = reporter }
 
-// checkSent checks that a reply rests on a state that is on disk.
+// checkSent checks that the state on which a voter's reply rests is on disk.
 func (p *Pipeline) checkSent(m *register.Message) {
 	stated := m.Promised
 	switch m.Kind {
@@ -31,7 +31,7 @@
 	}
 }
 
-// checkWritten checks that a state on disk is followed by a newer one.
+// checkWritten checks that a voter's state on disk is replaced by none with a lower ballot and by none that is no voter.
 func (p *Pipeline) checkWritten(next *register.State) {
 	before := &p.onDisk
 	if !before.Voter {
@@ -43,7 +43,7 @@
 	}
 }
 
-// checkCommitted checks a committed value against the one before.
+// checkCommitted checks a committed value against the previous one.
 func (p *Pipeline) checkCommitted(next *persist.Committed) {
 	if !next.Known {
 		return
@@ -61,7 +61,7 @@
 	}
 }
 
-// sameBody compares texts, which mostly share their memory.
+// sameBody compares two bodies. Most share their memory, in which case the bytes are not compared.
 func sameBody(a, b []byte) bool {
 	if len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0]) {
 		return true
--- a/mesh/controlplane/persistence/invariants_test.go
+++ b/mesh/controlplane/persistence/invariants_test.go
@@ -9,7 +9,7 @@
 	"firplank/mesh/register"
 )
 
-// newCheckedPipeline returns a pipeline over a state on disk, with the invariants that it reports as violated.
+// newCheckedPipeline returns a pipeline with a state on disk, and the invariants that it reports as violated.
 func newCheckedPipeline(onDisk register.State) (*Pipeline, *[]invariant.Name) {
 	var violations []invariant.Name
 	p := New(register.New("a", []string{"a"}, true, nil, 1), onDisk, nil)
@@ -19,7 +19,7 @@
 
 func ballot(n uint64) register.Ballot { return register.Ballot{Number: n, Proposer: "a"} }
 
-// What a reply states has to be on disk: the promise, the acceptance, and what was accepted before.
+// The state on which a voter's reply rests has to be on disk: the promise, the acceptance, and the value that was accepted before.
 func TestRepliesBeforeTheirStateIsOnDiskAreReported(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -27,11 +27,11 @@
 		violates bool
 	}{
 		{"a promise that is on disk", register.Message{Kind: register.Promise, Promised: ballot(5), Accepted: ballot(3), Voter: true}, false},
-		{"a promise that is not", register.Message{Kind: register.Promise, Promised: ballot(6), Voter: true}, true},
-		{"a value that is not", register.Message{Kind: register.ReadReply, Promised: ballot(5), Accepted: ballot(4), Voter: true}, true},
-		{"an acceptance that is not", register.Message{Kind: register.Accepted, Ballot: ballot(6), Voter: true}, true},
+		{"a promise that is not on disk", register.Message{Kind: register.Promise, Promised: ballot(6), Voter: true}, true},
+		{"a value that is not on disk", register.Message{Kind: register.ReadReply, Promised: ballot(5), Accepted: ballot(4), Voter: true}, true},
+		{"an acceptance that is not on disk", register.Message{Kind: register.Accepted, Ballot: ballot(6), Voter: true}, true},
 		{"an acceptance that is on disk", register.Message{Kind: register.Accepted, Ballot: ballot(5), Voter: true}, false},
-		{"a reply that counts nowhere", register.Message{Kind: register.Promise, Promised: ballot(9)}, false},
+		{"a reply of a machine that is no voter", register.Message{Kind: register.Promise, Promised: ballot(9)}, false},
 		{"a request", register.Message{Kind: register.Prepare, Ballot: ballot(9), Voter: true}, false},
 	} {
 		p, got := newCheckedPipeline(register.State{Voter: true, Promised: ballot(5), Accepted: ballot(3)})
@@ -42,7 +42,7 @@
 	}
 }
 
-// A state on disk is followed by newer ones only.
+// The state on disk may only be replaced by one with the same or higher ballots, and a voter stays a voter.
 func TestOlderStatesOnDiskAreReported(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -51,9 +51,9 @@
 	}{
 		{"newer", register.State{Voter: true, Promised: ballot(6), Accepted: ballot(6)}, false},
 		{"the same", register.State{Voter: true, Promised: ballot(5), Accepted: ballot(3)}, false},
-		{"a promise is taken back", register.State{Voter: true, Promised: ballot(4), Accepted: ballot(3)}, true},
-		{"an acceptance is taken back", register.State{Voter: true, Promised: ballot(5), Accepted: ballot(2)}, true},
-		{"a voter is none any more", register.State{Promised: ballot(5), Accepted: ballot(3)}, true},
+		{"with a lower promise", register.State{Voter: true, Promised: ballot(4), Accepted: ballot(3)}, true},
+		{"with a lower acceptance", register.State{Voter: true, Promised: ballot(5), Accepted: ballot(2)}, true},
+		{"no longer a voter", register.State{Promised: ballot(5), Accepted: ballot(3)}, true},
 	} {
 		p, got := newCheckedPipeline(register.State{Voter: true, Promised: ballot(5), Accepted: ballot(3)})
 		p.checkWritten(&c.next)
@@ -63,7 +63,7 @@
 	}
 }
 
-// A committed value has members, and is followed by no older one and by no other text of its version.
+// A committed value has members, and is not followed by an older version or by another text of the same version.
 func TestCommittedValueInvariantsAreReported(t *testing.T) {
 	value := func(version uint32, body string) persist.Committed {
 		return persist.Committed{Known: true, Value: register.Value{Version: version, Body: []byte(body), Members: []string{"a"}}}
@@ -80,7 +80,7 @@
 		{"older", value(6, "text"), []invariant.Name{invariant.CommittedMonotonic}},
 		{"another text of the version", value(7, "other"), []invariant.Name{invariant.OneContentPerVersion}},
 		{"without members", memberless, []invariant.Name{invariant.MembersKnown}},
-		{"none", persist.Committed{}, nil},
+		{"not known", persist.Committed{}, nil},
 	} {
 		p, got := newCheckedPipeline(register.State{Voter: true})
 		p.committed = value(7, "text")
--- a/mesh/controlplane/persistence/pipeline.go
+++ b/mesh/controlplane/persistence/pipeline.go
@@ -1,6 +1,5 @@
-// Package persistence puts a control machine's replica of the register behind its disk: what an event leads to leaves the machine once the
-// state that it rests on has been written (docs/design/register.md; the rule of Paxos that a promise is on stable
-// storage before it is sent).
+// Package persistence delays the output of a control machine's replica of the register until the state that the output rests on is on
+// disk. Paxos requires that a promise is on stable storage before it is sent (docs/design/register.md).
 //
 // Pipeline has no I/O, no goroutine and no clock. It belongs to the control machine's event loop and acts through Sink.
 //
@@ -16,37 +15,37 @@
 	"firplank/mesh/register"
 )
 
-// Sink is what a Pipeline acts on. Its methods must not block. Complete may call Pipeline.Apply, the others must not.
+// Sink receives the output of a Pipeline. Its methods must not block. Complete may call Pipeline.Apply, the others must not.
 type Sink interface {
-	// Write begins to write a state. Its end is reported by WriteCompleted; one write is under way at a time.
+	// Write begins to write a state. The caller reports its end by Pipeline.WriteCompleted. One write is in flight at a time.
 	Write(w persist.Write)
 	// Send sends a message to another replica.
 	Send(m *register.Message)
-	// Publish receives the newest committed value, which may be the same as before with a later time.
+	// Publish receives the newest committed value. It may be the same as before, with a later time.
 	Publish(c persist.Committed)
 	// Complete records the outcome of an operation.
 	Complete(o register.Outcome)
 }
 
-// Pipeline owns a replica, the queue of what waits for the disk, and what is known to be on it. It is not safe for
+// Pipeline owns a replica, the queue of output that waits for the disk, and the state that is known to be on disk. It is not safe for
 // concurrent use. Its memory is bounded by persist.Queue.
 type Pipeline struct {
 	replica   *register.Replica
 	sink      Sink
 	queue     persist.Queue
-	writing   *register.State   // that Sink.Write was given last
-	onDisk    register.State    // the newest that is known to be written
-	committed persist.Committed // the newest value that has left the queue
+	writing   *register.State   // the state that was passed to Sink.Write last
+	onDisk    register.State    // the newest state that is known to be written
+	committed persist.Committed // the newest committed value that has left the queue
 
 	invariants invariant.Reporter
 }
 
-// New returns a pipeline for a replica whose state the disk already has.
+// New returns a pipeline for a replica whose state is already on disk.
 func New(replica *register.Replica, onDisk register.State, sink Sink) *Pipeline {
 	return &Pipeline{replica: replica, onDisk: onDisk, sink: sink, invariants: invariant.Ignored{}}
 }
 
-// Apply hands an event to the replica. Where too much waits for the disk the event is dropped, as a link may drop a message.
+// Apply passes an event to the replica. If the queue for the disk is full, the event is dropped, as if a link had lost a message.
 func (p *Pipeline) Apply(now time.Duration, ev register.Event) {
 	if p.queue.Full() {
 		return
@@ -57,10 +56,10 @@
 	p.flush(now)
 }
 
-// Cancel drops an operation whose outcome nobody waits for.
+// Cancel drops an operation whose client no longer waits.
 func (p *Pipeline) Cancel(id uint64) { p.replica.Cancel(id) }
 
-// Tick does what is due.
+// Tick runs the replica's periodic work and the writes that are due.
 func (p *Pipeline) Tick(now time.Duration) {
 	if now >= p.replica.NextTick() {
 		p.Apply(now, register.Tick{})
@@ -68,7 +67,7 @@
 	p.flush(now)
 }
 
-// NextTick is when Tick is to be called at the latest; ok is false where only an event or the end of a write can lead on.
+// NextTick returns when Tick is to be called at the latest. ok is false if there is nothing to do before an event or the end of a write.
 func (p *Pipeline) NextTick(now time.Duration) (at time.Duration, ok bool) {
 	at, ok = p.queue.NextTick(now)
 	if p.queue.Full() {
@@ -80,7 +79,7 @@
 	return at, true
 }
 
-// WriteCompleted records the end of the write that is under way. After an error the state counts as not written, and is written again.
+// WriteCompleted reports the end of the write in flight. After an error the state counts as not written, and is written again.
 func (p *Pipeline) WriteCompleted(now time.Duration, number uint64, err error) {
 	if err != nil {
 		p.queue.WriteFailed(now)
@@ -92,7 +91,8 @@
 	p.flush(now)
 }
 
-// flush gives the disk what is to be written and the sink what may leave: messages first, then what is committed, then outcomes.
+// flush begins the next write if one is due, and passes the released output to the sink: messages first, then the committed value, then
+// outcomes.
 func (p *Pipeline) flush(now time.Duration) {
 	if w, ok := p.queue.NextWrite(now); ok {
 		p.writing = w.State
@@ -117,7 +117,7 @@
 	return operations.Health{LastQuorum: p.replica.LastQuorum(), DiskFailing: p.DiskFailing(now), QueueFull: p.queue.Full()}
 }
 
-// Progress describes, for the log, what the replica is at work on, and for how long the disk has been.
+// Progress describes, for the log, what the replica is working on, and how long it has waited for the disk.
 func (p *Pipeline) Progress(now time.Duration) string {
 	text := p.replica.Progress(now)
 	if waited := p.queue.UnsyncedFor(now); waited > 0 {
@@ -129,11 +129,11 @@
 // DiskFailing reports whether a state has waited for the disk for too long.
 func (p *Pipeline) DiskFailing(now time.Duration) bool { return p.queue.DiskFailing(now) }
 
-// OnDisk is the newest state that is known to be written: what this machine may report of itself.
+// OnDisk returns the newest state that is known to be written. The machine reports its own status by it.
 func (p *Pipeline) OnDisk() *register.State { return &p.onDisk }
 
-// Committed is the newest committed value that has left the queue.
+// Committed returns the newest committed value that has left the queue.
 func (p *Pipeline) Committed() persist.Committed { return p.committed }
 
-// Replica is the replica, for what it knows; events go to Apply.
+// Replica returns the replica for reading its state. Events have to go through Apply.
 func (p *Pipeline) Replica() *register.Replica { return p.replica }
--- a/mesh/controlplane/persistence/pipeline_test.go
+++ b/mesh/controlplane/persistence/pipeline_test.go
@@ -17,12 +17,12 @@
 	"firplank/mesh/timing"
 )
 
-// quorumTimeout is that of the deployments in service.
+// quorumTimeout is the default, which the deployments use.
 var quorumTimeout = timing.Default().Dissemination.QuorumTimeout
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testReplica is the disk and the surroundings of one replica.
+// testReplica is a pipeline with a simulated disk, and the Sink that records what the pipeline releases.
 type testReplica struct {
 	pipeline  *Pipeline
 	write     *persist.Write
@@ -35,7 +35,7 @@
 
 func (w *testReplica) Write(write persist.Write) {
 	if w.write != nil {
-		panic("a second write is begun")
+		panic("a second write began while one is in flight")
 	}
 	w.write = &write
 }
@@ -55,7 +55,7 @@
 	w.log = append(w.log, fmt.Sprint("complete ", o.ID))
 }
 
-// completeWrite ends the write that is under way.
+// completeWrite ends the write in flight.
 func (w *testReplica) completeWrite(now time.Duration, err error) {
 	write := w.write
 	w.write = nil
@@ -75,7 +75,7 @@
 
 const ms = time.Millisecond
 
-// runSteps lets time pass in short steps on a disk that takes what it is given.
+// runSteps advances the time in steps of 50 ms and completes each write at once. It returns the new time.
 func (w *testReplica) runSteps(now time.Duration, steps int) time.Duration {
 	for range steps {
 		now += 50 * ms
@@ -87,7 +87,8 @@
 	return now
 }
 
-// While a write is under way or has failed, nothing leaves that rests on it, and the machine says nothing of it.
+// Guards against output ahead of its write: while a write is in flight or has failed, the pipeline neither publishes nor completes what
+// rests on it, and does not report the state as on disk.
 func TestNothingIsSentBeforeItIsWritten(t *testing.T) {
 	w := newTestReplica("a")
 	now := w.runSteps(0, 10)
@@ -95,13 +96,13 @@
 	w.pipeline.Apply(now, register.Put{ID: 7, Version: 1, Body: []byte("x")})
 	for attempt := range 3 {
 		if w.write == nil {
-			t.Fatalf("attempt %d: no write is under way", attempt)
+			t.Fatalf("attempt %d: no write is in flight", attempt)
 		}
 		if len(w.outcomes) > 0 || w.committed.Value.Version > 0 || w.pipeline.Committed().Value.Version > 0 {
 			t.Fatalf("attempt %d: %v", attempt, w.log)
 		}
 		if on := w.pipeline.OnDisk(); on.Accepted == w.write.State.Accepted || on.Value.Version > 0 {
-			t.Fatalf("attempt %d: the machine says that it has %v on disk", attempt, on.Accepted)
+			t.Fatalf("attempt %d: %v is reported as on disk", attempt, on.Accepted)
 		}
 		w.completeWrite(now, errDisk)
 		now += time.Second
@@ -114,11 +115,11 @@
 	}
 	publish, complete := slices.Index(w.log, "publish 1"), slices.Index(w.log, "complete 7")
 	if publish < 0 || complete < publish {
-		t.Errorf("an outcome leaves before what it commits is published: %v", w.log)
+		t.Errorf("an outcome is completed before its value is published: %v", w.log)
 	}
 }
 
-// A promise that a machine sends is on its disk.
+// Guards against a promise that is sent before it is on disk, over random orders of requests, ticks and completed or failed writes.
 func TestPromiseIsOnDiskBeforeItIsSent(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -147,7 +148,7 @@
 	}
 }
 
-// What a machine can commit follows from when a quorum has last replied, its disk and the length of the queue.
+// Health reflects the last reply of a quorum, a disk that stalls and recovers, and the length of the queue.
 func TestHealthFollowsQuorumDiskAndQueue(t *testing.T) {
 	w := newTestReplica("a")
 	if h := w.pipeline.Health(0); h.LastQuorum >= 0 || h.DiskFailing || h.QueueFull {
@@ -155,7 +156,7 @@
 	}
 	now := w.runSteps(0, 40)
 	if h := w.pipeline.Health(now); h.LastQuorum < now-time.Second || h.CheckAccepting(now, quorumTimeout) != nil {
-		t.Errorf("at %v, with a disk that works: %+v", now, h)
+		t.Errorf("at %v, with a working disk: %+v", now, h)
 	}
 	w.pipeline.Apply(now, register.Put{ID: 7, Version: 1, Body: []byte("x")})
 	stalled := now + 10*time.Second
@@ -164,20 +165,20 @@
 	}
 	h := w.pipeline.Health(stalled)
 	if !h.DiskFailing || !errors.Is(h.CheckAccepting(stalled, quorumTimeout), operations.ErrDiskFailing) {
-		t.Errorf("with a disk that stalls: %+v", h)
+		t.Errorf("with a stalled disk: %+v", h)
 	}
 	early := now + persist.DiskTimeout
 	if !errors.Is(w.pipeline.Health(early).CheckAccepting(early, quorumTimeout), operations.ErrDiskFailing) {
-		t.Error("with a disk that has stalled for its time-out operations are accepted")
+		t.Error("operations are accepted although the disk has stalled for persist.DiskTimeout")
 	}
 	w.completeWrite(stalled, nil)
 	now = w.runSteps(stalled, 40)
 	if h := w.pipeline.Health(now); h.CheckAccepting(now, quorumTimeout) != nil {
-		t.Errorf("with a disk that works again: %+v", h)
+		t.Errorf("after the disk has recovered: %+v", h)
 	}
 }
 
-// What waits for a disk that stalls is bounded: events are dropped beyond it, and the pipeline asks for no tick that it would drop.
+// The queue for a stalled disk is bounded: while it is full, events are dropped, and NextTick asks for no tick that would be dropped.
 func TestQueueIsBounded(t *testing.T) {
 	w := newTestReplica("a", "b", "c")
 	w.pipeline.Tick(time.Second)
@@ -200,18 +201,18 @@
 		Message: register.Message{Kind: register.Prepare, From: "b", To: "a", Ballot: register.Ballot{Number: n + 1, Proposer: "b"}},
 	})
 	if got := w.pipeline.Replica().State().Promised; got != before {
-		t.Errorf("an event reaches the replica beyond the bound: %v", got)
+		t.Errorf("an event reaches the replica while the queue is full: %v", got)
 	}
 	if at, ok := w.pipeline.NextTick(10 * time.Second); ok && at <= 10*time.Second {
-		t.Errorf("a tick is wanted at %v that would be dropped", at)
+		t.Errorf("NextTick asks for a tick at %v that would be dropped", at)
 	}
 	w.completeWrite(2*time.Second, nil)
 	if w.pipeline.Health(0).QueueFull || !strings.Contains(strings.Join(w.log, " "), "send") {
-		t.Error("the queue stays full after the write")
+		t.Error("after the write the queue is still full, or no message was sent")
 	}
 }
 
-// A cancelled operation has no outcome, and one that is not has one.
+// A cancelled operation has no outcome. One that is pending at the same time has its outcome.
 func TestCancelledOperationHasNoOutcome(t *testing.T) {
 	a, b := newTestReplica("a", "b"), &testReplica{}
 	b.pipeline = New(register.New("b", []string{"a", "b"}, true, nil, 2), register.State{}, b)
@@ -229,6 +230,6 @@
 		}
 	}
 	if len(a.outcomes) != 1 || a.outcomes[0].ID != 8 {
-		t.Errorf("%+v", a.outcomes)
+		t.Errorf("outcomes %+v, want one of operation 8", a.outcomes)
 	}
 }
--- a/mesh/controlplane/persistence_test.go
+++ b/mesh/controlplane/persistence_test.go
@@ -17,7 +17,7 @@
 	"firplank/mesh/register"
 )
 
-// newTestServer is the only member of a core, whose disk takes what it is given when the test says so.
+// newTestServer returns a server that is the only member. The test completes its disk writes by hand.
 func newTestServer() *Server {
 	s := newServer(&bootstrap.Settings{Bounds: bootstrap.DefaultBounds()}, "a", kitlog.NewNopLogger())
 	s.ctx = context.Background()
@@ -25,17 +25,17 @@
 	return s
 }
 
-// advanceClock lets time pass for a node, whose clock counts from its start.
+// advanceClock advances the server's clock, which counts from startedAt.
 func (s *Server) advanceClock(elapsed time.Duration) { s.startedAt = s.startedAt.Add(-elapsed) }
 
-// proposeWrite has an operator's write handled.
+// proposeWrite proposes an operator's write and returns where its result is recorded.
 func (s *Server) proposeWrite(version uint32) *recordedResult {
 	r := &recordedResult{}
 	s.operations.Propose(s.now(), operations.Write{Version: version, Body: []byte("x")}, r)
 	return r
 }
 
-// recordedResult is that of an operation, once it has one.
+// recordedResult records the result of an operation and how often there was one.
 type recordedResult struct {
 	responses int
 	operations.Result
@@ -46,7 +46,7 @@
 	r.responses, r.Result = r.responses+1, result
 }
 
-// runSteps lets time pass in short steps; the disk takes what it is given.
+// runSteps advances the clock in steps of 50 ms, and completes each write at once.
 func (s *Server) runSteps(steps int) {
 	for range steps {
 		s.advanceClock(50 * time.Millisecond)
@@ -59,41 +59,43 @@
 	}
 }
 
-// While the disk stalls, nothing is said that rests on what is not on it, calls wait no longer than a span and are then
-// refused at once, and the node's goroutine goes on; when the disk is well, so is the node.
+// Guards against a stalled disk that blocks the event loop or its clients. While a write hangs, nothing that rests on it is published or
+// answered, pending operations fail after persist.DiskTimeout, and new ones are rejected at once. When the disk works again, so does the
+// server.
 func TestStalledDiskDoesNotBlockTheServer(t *testing.T) {
 	s := newTestServer()
 	s.runSteps(10)
 	first := s.proposeWrite(1)
 	w := <-s.writes
 	if first.responses > 0 || s.pipeline.Committed().Value.Version != 0 {
-		t.Fatal("an order is answered, or in force, before it is on disk")
+		t.Fatal("a write is answered, or committed, before it is on disk")
 	}
 	s.advanceClock(persist.DiskTimeout)
 	s.operations.FailPending(s.now())
 	if first.responses != 1 || !errors.Is(first.Err, operations.ErrDiskFailing) || !s.pipeline.DiskFailing(s.now()) {
-		t.Fatal("the order is taken as settled, or the disk as well")
+		t.Fatal("the pending write did not fail, or the disk is not reported as failing")
 	}
 	if second := s.proposeWrite(2); second.responses != 1 || !errors.Is(second.Err, operations.ErrDiskFailing) {
-		t.Fatal("another is taken as settled")
+		t.Fatal("a new write is not rejected at once")
 	}
 	s.runSteps(2000)
 	if len(s.writes) > 0 || !s.pipeline.Health(s.now()).QueueFull {
-		t.Error("a second write was begun, or the queue is not full after 100 s")
+		t.Error("a second disk write was begun, or the queue is not full after 100 s")
 	}
 	s.handle(writeCompleted{number: w.Number})
 	s.runSteps(20)
 	if s.pipeline.DiskFailing(s.now()) || s.pipeline.Health(s.now()).CheckAccepting(s.now(), s.durations.Dissemination.QuorumTimeout) != nil {
-		t.Error("the disk is well, and the node is not")
+		t.Error("the disk works again, and the server does not accept operations")
 	}
 	last := s.proposeWrite(3)
 	s.runSteps(10)
 	if last.responses != 1 || last.Err != nil || s.pipeline.Committed().Value.Version != 3 {
-		t.Errorf("%d answers, version %d is in force", last.responses, s.pipeline.Committed().Value.Version)
+		t.Errorf("%d responses, version %d is committed", last.responses, s.pipeline.Committed().Value.Version)
 	}
 }
 
-// What a replica has said is never forgotten by a start, and the folder tells that it may have spoken.
+// Guards against a replica that votes without the promises of its earlier run: if the register's files are deleted, the data folder still
+// shows that messages may have been sent, so the replica has to rejoin before its votes count.
 func TestReplicaWhoseStateWasDeletedIsNoVoter(t *testing.T) {
 	folder := t.TempDir() + "/data"
 	start := func() *register.Replica {
@@ -109,34 +111,35 @@
 	}
 	for range 2 {
 		if !start().State().Voter {
-			t.Error("no voter at the first start, or none with its disk")
+			t.Error("not a voter at the first start, or after a restart with its state")
 		}
 	}
 	if err := os.RemoveAll(filepath.Join(folder, "register")); err != nil {
 		t.Fatal(err)
 	}
 	if start().State().Voter {
-		t.Error("a voter whose disk has lost what it promised")
+		t.Error("a voter although the promises on its disk are lost")
 	}
 }
 
-// A tolerance that the control machines do not suffice for is told once, by name, when all could have been heard of.
+// A tolerance that needs more control machines than are known is reported once, by name, and not before Bounds.Sync has passed, as a
+// machine may not know of all others earlier.
 func TestToleranceAboveTheMachinesIsReported(t *testing.T) {
 	s := newTestServer()
 	s.settings.Tolerance.Machines = 2
 	s.peers.Record("b", "z", time.Second)
 	s.checkTolerance(s.settings.Bounds.Sync - 1)
 	if names := s.conflictNames(); len(names) > 0 {
-		t.Fatalf("%v before its time", names)
+		t.Fatalf("%v reported before Bounds.Sync has passed", names)
 	}
 	s.checkTolerance(s.settings.Bounds.Sync)
 	s.checkTolerance(s.settings.Bounds.Sync + 1)
 	if names := s.status(s.now()).Conflicts; !slices.Equal(names, []string{"tolerance_within_machines"}) {
-		t.Errorf("%v", names)
+		t.Errorf("conflicts %v", names)
 	}
 	s.settings.Tolerance.Machines = 0
 	s.toleranceReported = false
 	if s.checkTolerance(s.settings.Bounds.Sync); s.toleranceReported {
-		t.Error("three members are needed for no tolerance at all")
+		t.Error("a conflict is reported for a tolerance of 0")
 	}
 }
--- a/mesh/controlplane/publishing.go
+++ b/mesh/controlplane/publishing.go
@@ -10,11 +10,11 @@
 	"firplank/mesh/wire"
 )
 
-// publish receives the newest committed value. A version that is new goes to the subscribers at once.
+// publish takes the newest committed value over, and sends a new version to the subscribers at once.
 func (s *Server) publish(committed persist.Committed) {
 	newer, err := s.hub.Publish(committed)
-	if err != nil { // it was checked before it was proposed
-		_ = level.Error(s.log).Log("msg", "publishing of a committed configuration failed", "error", err)
+	if err != nil { // unexpected: the configuration was validated before it was proposed
+		_ = level.Error(s.log).Log("msg", "publishing the committed configuration failed", "error", err)
 		return
 	}
 	if newer {
@@ -23,7 +23,7 @@
 	}
 }
 
-// updateSubscribers sends the updates that are due, and returns when to be called again.
+// updateSubscribers sends the updates that are due, and returns when it is to be called again.
 func (s *Server) updateSubscribers(now time.Duration) (next time.Duration) {
 	updates, next := s.hub.Updates(now)
 	for i := range updates {
@@ -32,7 +32,7 @@
 	return next
 }
 
-// mergeEntries merges entries of the directory, from sidecars (direct) or from peers.
+// mergeEntries merges entries of the directory that came from sidecars (direct) or from peers.
 func (s *Server) mergeEntries(entries []*wire.EntryT, now time.Duration, direct bool) {
 	for _, wireEntry := range entries {
 		e, complete := codec.EntryFromWire(wireEntry, now)
@@ -43,7 +43,8 @@
 	}
 }
 
-// acknowledgeWrites answers the writes that the sidecars have acknowledged, and returns when to be called again.
+// acknowledgeWrites answers the writes that the sidecars have acknowledged, announces this machine's lowest version in force to the peers
+// if it has changed, and returns when it is to be called again.
 func (s *Server) acknowledgeWrites(now time.Duration) (next time.Duration) {
 	lowest, changed := s.hub.Announce(now)
 	if changed {
@@ -52,7 +53,7 @@
 	return s.operations.Acknowledge(now, lowest)
 }
 
-// broadcastInForce sends the lowest version in force below this machine to its peers.
+// broadcastInForce sends the peers the lowest version in force among this machine's subscribers.
 func (s *Server) broadcastInForce(lowest uint32) {
 	for _, p := range s.peers.All() {
 		if p.Connected() {
@@ -61,7 +62,7 @@
 	}
 }
 
-// handleInForce records the lowest version in force below a peer.
+// handleInForce records the lowest version in force among a peer's subscribers.
 func (s *Server) handleInForce(f *wire.FrameT, now time.Duration) {
 	if s.peers.Get(f.From) != nil {
 		s.operations.PeerAcknowledged(f.From, f.LowestVersion, now)
--- a/mesh/controlplane/publishing/hub.go
+++ b/mesh/controlplane/publishing/hub.go
@@ -1,8 +1,8 @@
-// Package publishing owns what a control machine publishes: the committed configuration, the directory of sidecars, and the sidecars that
-// subscribe to both. It decides when a committed configuration replaces the published one, what each subscriber is sent, and which version
-// this machine announces as in force to the other control machines.
+// Package publishing owns the data that a control machine publishes, which are the committed configuration and the directory of sidecars,
+// and its subscribers. It decides when a committed configuration replaces the published one, which updates each subscriber gets, and which
+// version this machine announces as in force to the other control machines.
 //
-// Hub has no I/O, no goroutine and no clock; it belongs to the control machine's event loop.
+// Hub has no I/O, no goroutine and no clock. It belongs to the control machine's event loop.
 //
 // Start reading at Hub.Publish and Hub.Updates.
 package publishing
@@ -21,16 +21,16 @@
 // SidecarRetention is how long a sidecar may be silent before its entry is deleted.
 const SidecarRetention = 10 * time.Minute
 
-// Update is an update and the connection of the subscriber that it is for.
+// Update is an update and the connection of its subscriber.
 type Update[C comparable] struct {
 	Conn C
 	dissemination.Update
 }
 
-// Hub is the publisher of a control machine and its subscribers by their connections, of type C. It is not safe for
+// Hub is the publisher of a control machine with its subscribers, which it identifies by their connections of type C. It is not safe for
 // concurrent use. The number of subscribers is bounded by dissemination.MaxSubscribers.
 type Hub[C comparable] struct {
-	// Publisher is for reading, for its Directory and for replacing its ControlMachines.
+	// Publisher may be read by the caller, who may also change its Directory and set its ControlMachines.
 	Publisher *dissemination.Publisher
 
 	durations    timing.Sidecars
@@ -39,8 +39,8 @@
 	ids          map[C]uint64
 	conns        map[uint64]C
 	lastID       uint64
-	announced    uint32            // the lowest version in force that the other control machines know
-	seenDirectly map[string]uint64 // incarnations of the sidecars that were seen directly since the last report
+	announced    uint32            // the lowest version in force that was announced last
+	seenDirectly map[string]uint64 // incarnations, by node, of the sidecars that were seen directly since ReportSent
 }
 
 // New returns a hub that publishes nothing yet. unpack decompresses a committed configuration.
@@ -55,7 +55,8 @@
 	}
 }
 
-// Publish receives the newest committed value and when it was the newest. It reports true where its version is published from now on.
+// Publish takes the newest committed value, with the time as of which it was the newest, over. It reports whether its version is newly
+// published.
 func (h *Hub[C]) Publish(committed persist.Committed) (newer bool, err error) {
 	v := &committed.Value
 	h.Publisher.SetRollouts(v.Rollouts)
@@ -74,10 +75,11 @@
 	return h.Publisher.SetConfig(v.Version, text, nil, committed.AsOf), nil
 }
 
-// Packed is the published text, compressed.
+// Packed returns the published text, compressed.
 func (h *Hub[C]) Packed() []byte { return h.packed }
 
-// Subscribe adds a subscriber with what it has. It reports false where the connection subscribes already, or there are too many.
+// Subscribe adds a subscriber, which has what ack states. It reports false if the connection has subscribed before, or there are too many
+// subscribers.
 func (h *Hub[C]) Subscribe(conn C, ack dissemination.Ack, now time.Duration) bool {
 	if _, subscribed := h.ids[conn]; subscribed {
 		return false
@@ -91,14 +93,14 @@
 	return true
 }
 
-// HandleAck handles a subscriber's report of what it has; one from a connection that does not subscribe is ignored.
+// HandleAck handles a subscriber's acknowledgement. One from a connection that has not subscribed is ignored.
 func (h *Hub[C]) HandleAck(conn C, ack dissemination.Ack, now time.Duration) {
 	if id, ok := h.ids[conn]; ok {
 		h.Publisher.HandleAck(id, ack, now)
 	}
 }
 
-// Disconnect removes the subscriber of a connection that has closed, if it is one.
+// Disconnect removes the subscriber of a closed connection, if there is one.
 func (h *Hub[C]) Disconnect(conn C) {
 	id, ok := h.ids[conn]
 	if !ok {
@@ -128,11 +130,11 @@
 	return updates, next
 }
 
-// LowestInForce is the lowest version in force among the subscribers; dissemination.Unconstrained: there are none.
+// LowestInForce returns the lowest version in force among the subscribers, or dissemination.Unconstrained if there are none.
 func (h *Hub[C]) LowestInForce(now time.Duration) uint32 { return h.Publisher.LowestInForce(now) }
 
-// Announce returns the lowest version in force where it is to be announced to the other control machines: it has
-// changed since the last time.
+// Announce returns the lowest version in force, and whether it has changed since the last call. If so, the caller announces it to the other
+// control machines.
 func (h *Hub[C]) Announce(now time.Duration) (lowest uint32, changed bool) {
 	lowest = h.LowestInForce(now)
 	changed = lowest != h.announced
@@ -140,10 +142,10 @@
 	return lowest, changed
 }
 
-// HandleEntry merges an entry of the directory. One that isn't complete is evidence of life and no more. A direct one
-// comes from the sidecar itself or the relay above it, others from control machines, whose judgement on who is lost
-// does not count here. It reports whether a sidecar counts as lost by that: a relay reports so, and this machine has
-// not seen it for more than timing.Sidecars.MinSilence.
+// HandleEntry merges an entry of the directory. An entry that isn't complete is only evidence of life. A direct entry comes from the
+// sidecar itself or from the relay that it subscribes to; others come from control machines, whose reports of losses are ignored. It
+// reports whether the entry marks a sidecar as lost: a relay has to report the loss, and this machine must not have seen the sidecar for
+// more than timing.Sidecars.MinSilence.
 func (h *Hub[C]) HandleEntry(e directory.Entry, complete, direct bool, now time.Duration) (lost bool) {
 	if direct && !e.Lost {
 		h.seenDirectly[e.Node] = e.Incarnation
@@ -161,19 +163,19 @@
 	return false
 }
 
-// Expire marks and then deletes the entries of silent sidecars.
+// Expire marks silent sidecars as lost, and deletes their entries after SidecarRetention.
 func (h *Hub[C]) Expire(now time.Duration) {
 	h.Publisher.Directory.Expire(now, h.durations.Timeout, SidecarRetention)
 }
 
-// Report is what of the directory a peer gets with a hello.
+// Report is the part of the directory that is sent to a peer with a hello.
 type Report struct {
-	Changed  []directory.Entry // in full
-	Alive    []directory.Entry // seen directly: as evidence of life
-	Revision uint64            // that the peer has with this
+	Changed  []directory.Entry // sent in full
+	Alive    []directory.Entry // unchanged and seen directly: sent as evidence of life
+	Revision uint64            // of the directory as the peer has it after this report
 }
 
-// Report returns what has changed since a revision, and which sidecars were seen directly since ReportSent.
+// Report returns the entries that have changed since a revision, and the other sidecars that were seen directly since ReportSent.
 func (h *Hub[C]) Report(since uint64) Report {
 	d := h.Publisher.Directory
 	r := Report{Changed: d.ChangedSince(since), Revision: d.Revision()}
@@ -189,5 +191,5 @@
 	return r
 }
 
-// ReportSent forgets the sidecars that were seen directly, once all peers have their report.
+// ReportSent clears the set of sidecars that were seen directly. It is called when all peers have been sent their reports.
 func (h *Hub[C]) ReportSent() { clear(h.seenDirectly) }
--- a/mesh/controlplane/publishing/hub_test.go
+++ b/mesh/controlplane/publishing/hub_test.go
@@ -15,7 +15,7 @@
 	"firplank/mesh/timing"
 )
 
-// durations are those of the deployments in service.
+// durations are the defaults, which the deployments use.
 var durations = timing.Default()
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -35,7 +35,7 @@
 	return persist.Committed{Known: true, Value: register.Value{Version: version, Body: []byte(body)}, AsOf: asOf}
 }
 
-// A committed version replaces the published one only where it is newer and can be decompressed; its age follows the quorum's last answer.
+// A committed version replaces the published one only if it is newer and can be decompressed. Its AsOf follows the last reply of a quorum.
 func TestPublish(t *testing.T) {
 	h := New[string](unpack, durations)
 	for _, c := range []struct {
@@ -67,7 +67,7 @@
 	}
 }
 
-// A connection subscribes once; its updates go to it until it closes.
+// A connection subscribes at most once, and gets updates until it closes.
 func TestSubscribers(t *testing.T) {
 	h := New[string](unpack, durations)
 	if _, err := h.Publish(committed(7, "a", 0)); err != nil {
@@ -75,10 +75,10 @@
 	}
 	if !h.Subscribe("x", dissemination.Ack{}, 0) || h.Subscribe("x", dissemination.Ack{}, 0) ||
 		!h.Subscribe("y", dissemination.Ack{Version: 7, LowestInForce: 7}, 0) {
-		t.Error("x subscribes once, and y too")
+		t.Error("x and y must be able to subscribe, each once")
 	}
 	if lowest := h.LowestInForce(0); lowest != 0 {
-		t.Errorf("x has nothing, and %d is in force", lowest)
+		t.Errorf("x has no configuration, and %d is in force", lowest)
 	}
 	updates, _ := h.Updates(s)
 	full := map[string]bool{}
@@ -89,15 +89,15 @@
 	if len(updates) != 2 || !full["x"] || full["y"] {
 		t.Errorf("%+v", updates)
 	}
-	h.HandleAck("stranger", dissemination.Ack{Version: 3}, s)
+	h.HandleAck("unsubscribed", dissemination.Ack{Version: 3}, s)
 	if lowest := h.LowestInForce(s); lowest != 7 {
 		t.Errorf("%d is in force", lowest)
 	}
 	h.HandleAck("x", dissemination.Ack{Version: 7, LowestInForce: 2}, s)
 	h.Disconnect("x")
-	h.Disconnect("stranger")
+	h.Disconnect("unsubscribed")
 	if lowest := h.LowestInForce(s); lowest != 7 {
-		t.Errorf("x has gone, and %d is in force", lowest)
+		t.Errorf("x has disconnected, and %d is in force", lowest)
 	}
 	if _, err := h.Publish(committed(8, "b", 2*s)); err != nil {
 		t.Fatal(err)
@@ -119,7 +119,7 @@
 	h := New[string](unpack, durations)
 	h.Subscribe("x", dissemination.Ack{Version: 8, LowestInForce: 7}, 0)
 	if lowest := h.LowestInForce(0); lowest != 7 {
-		t.Errorf("it has 7 in force, and %d is in force", lowest)
+		t.Errorf("x has 7 in force, and %d is in force", lowest)
 	}
 	for _, c := range []struct {
 		name    string
@@ -147,7 +147,8 @@
 	return directory.Entry{Node: node, Incarnation: 1, Sequence: 1, LastSeen: seen}
 }
 
-// A sidecar that a relay reports lost counts as lost where nothing was heard of it for a while; a peer's report of a loss does not count.
+// A sidecar that a relay reports as lost is marked lost only if this machine has not seen it for MinSilence either. A peer's report of a
+// loss is ignored.
 func TestLostSidecars(t *testing.T) {
 	for _, c := range []struct {
 		name             string
@@ -157,7 +158,7 @@
 	}{
 		{"silent here too", s, s + durations.Sidecars.MinSilence + 1, true, true, true},
 		{"silent for not long enough", s, s + durations.Sidecars.MinSilence, true, false, false},
-		{"heard of lately", s, s + durations.Sidecars.MinSilence/2, true, false, false},
+		{"seen recently", s, s + durations.Sidecars.MinSilence/2, true, false, false},
 		{"reported by a peer", s, s + durations.Sidecars.MinSilence + 1, false, false, false},
 	} {
 		h := New[string](unpack, durations)
@@ -168,12 +169,12 @@
 			t.Errorf("%s: reported lost: %v", c.name, lost)
 		}
 		if e, _ := h.Publisher.Directory.Get("n"); e.Lost != c.markedLost {
-			t.Errorf("%s: counts as lost: %v", c.name, e.Lost)
+			t.Errorf("%s: marked lost: %v", c.name, e.Lost)
 		}
 	}
 }
 
-// A peer gets what has changed since its last report in full, and of the rest those that were heard of directly, as signs of life.
+// A peer gets the entries that have changed since its last report in full, and evidence of life for the others that were seen directly.
 func TestReport(t *testing.T) {
 	h := New[string](unpack, durations)
 	h.HandleEntry(entry("a", s), true, true, s)
@@ -185,7 +186,7 @@
 	}
 	second := h.Report(first.Revision)
 	if len(second.Changed) != 0 || len(second.Alive) != 2 {
-		t.Errorf("the next, before all have the first: %+v", second)
+		t.Errorf("the second report, before ReportSent: %+v", second)
 	}
 	h.ReportSent()
 	h.HandleEntry(entry("a", 2*s), false, true, 2*s)
@@ -196,14 +197,14 @@
 	third := h.Report(first.Revision)
 	if len(third.Changed) != 1 || third.Changed[0].Node != "b" || len(third.Alive) != 1 || third.Alive[0].Node != "a" ||
 		third.Alive[0].LastSeen != 2*s {
-		t.Errorf("the next: %+v", third)
+		t.Errorf("the third report: %+v", third)
 	}
 	if !slices.Equal([]uint64{third.Revision}, []uint64{h.Publisher.Directory.Revision()}) {
 		t.Errorf("revision %d", third.Revision)
 	}
 }
 
-// Sidecars of which nothing is heard count as lost, and are forgotten.
+// A silent sidecar is marked lost after Timeout, and its entry is deleted after SidecarRetention.
 func TestExpire(t *testing.T) {
 	h := New[string](unpack, durations)
 	h.HandleEntry(entry("n", s), true, true, s)
--- a/mesh/controlplane/reconcile.go
+++ b/mesh/controlplane/reconcile.go
@@ -14,7 +14,7 @@
 	"firplank/mesh/wire"
 )
 
-// newReconciler returns the reconciler of a server that has its replica.
+// newReconciler returns the reconciler of a server whose replica is set.
 func newReconciler(s *Server) *reconcile.Reconciler {
 	return reconcile.New(reconcile.Config{
 		Self:      s.self,
@@ -25,7 +25,7 @@
 	}, s.pipeline, s.peers, reconcileSink{s}, s.nextOperationID)
 }
 
-// reconcileMembers closes silent connections to peers, and then looks at the members and at the lease under which they are replaced.
+// reconcileMembers closes silent connections to peers, and runs the reconciler on the members and the lease.
 func (s *Server) reconcileMembers(now time.Duration) {
 	for _, p := range s.peers.Silent(now, s.durations.Replacement.DetectionTimeout/2) {
 		p.Conn.Close()
@@ -33,7 +33,7 @@
 	s.reconciler.Tick(now)
 }
 
-// beginShutdown begins to leave the core in order. The server goes on serving until the reconciler lets it depart.
+// beginShutdown begins the graceful shutdown. The server serves on until the reconciler calls Depart.
 func (s *Server) beginShutdown(now time.Duration) {
 	_ = level.Info(s.log).Log("msg", "shutdown begins", "within", s.durations.Replacement.DepartureTimeout)
 	s.reconciler.BeginDeparture(now)
@@ -41,24 +41,24 @@
 	s.reconcileMembers(now)
 }
 
-// reconcileSink is how the reconciler acts on the rest of a server. It implements reconcile.Sink.
+// reconcileSink executes the reconciler's decisions on a server. It implements reconcile.Sink.
 type reconcileSink struct{ s *Server }
 
-// frameKinds are the kinds of the frames in which messages on the lease travel.
+// frameKinds maps the kinds of lease messages to those of the frames that carry them.
 var frameKinds = map[lease.Kind]wire.Kind{
 	lease.VoteRequest:  wire.VoteRequest,
 	lease.VoteResponse: wire.VoteResponse,
 	lease.Release:      wire.LeaseRelease,
 }
 
-// SendLease sends a message on the lease to a peer that is connected.
+// SendLease sends a lease message to a peer, or drops it if the peer is not connected.
 func (k reconcileSink) SendLease(m lease.Message) {
 	if p := k.s.peers.Get(m.To); p != nil && p.Connected() {
 		p.Conn.Send(&wire.FrameT{Kind: frameKinds[m.Kind], Id: m.Number, From: m.From, Ok: m.Granted})
 	}
 }
 
-// handleLease hands a frame to the lease.
+// handleLease passes a lease message from a peer to the reconciler.
 func (s *Server) handleLease(f *wire.FrameT, now time.Duration) {
 	m := lease.Message{From: f.From, To: s.self, Number: f.Id, Granted: f.Ok}
 	switch f.Kind {
@@ -72,30 +72,30 @@
 	s.reconciler.HandleLease(now, m)
 }
 
-// ReplacementProposed logs that the replacement of lost members is about to be proposed, by this machine as the lease holder. The line says
-// "replaced", but is no proof that the change is committed: RepairCompleted logs that.
+// ReplacementProposed logs that this machine, as the lease holder, is about to propose the replacement of lost members. The line says
+// "replaced" although the change is not committed yet; RepairCompleted logs its completion.
 func (k reconcileSink) ReplacementProposed(c replacement.Change) {
 	_ = level.Info(k.s.log).Log("msg", "member replaced", "from", len(c.ExpectedMembers), "to", len(c.Members),
 		"lost", strings.Join(c.Lost, " "), "successor", strings.Join(c.Successors, " "))
 }
 
-// HandoverProposed logs that this machine is about to propose to hand its membership over.
+// HandoverProposed logs that this machine is about to propose to hand its membership over to another.
 func (k reconcileSink) HandoverProposed(c replacement.Change) {
-	_ = level.Info(k.s.log).Log("msg", "membership handed over", "successor", strings.Join(c.Successors, " "))
+	_ = level.Info(k.s.log).Log("msg", "membership handover proposed", "successor", strings.Join(c.Successors, " "))
 }
 
-// RepairCompleted logs that the last change is complete: all members have the committed value on their disks.
+// RepairCompleted logs that the last change of members is complete: all members have the committed value on disk.
 func (k reconcileSink) RepairCompleted(members int, after time.Duration) {
 	_ = level.Info(k.s.log).Log("msg", "all members have the committed value", "members", members, "after", after)
 }
 
-// Depart notifies the peers and the subscribers, and ends the server once calls that are under way are answered.
+// Depart notifies the peers and the subscribers, and stops the server once the calls in flight are answered.
 func (k reconcileSink) Depart(reason error, replicated bool) {
 	s := k.s
 	if reason == nil {
 		_ = level.Info(s.log).Log("msg", "shutdown completed in order")
 	} else {
-		_ = level.Warn(s.log).Log("msg", "shutdown not in order", "reason", reason, "replicated", replicated)
+		_ = level.Warn(s.log).Log("msg", "shutdown did not complete in order", "reason", reason, "replicated", replicated)
 	}
 	s.broadcastHello(s.now())
 	for _, c := range s.hub.Conns() {
@@ -104,12 +104,13 @@
 	s.background.Go(s.stopServing)
 }
 
-// stopServing ends the server's work.
+// stopServing waits up to timing.HTTPShutdownTimeout for operators' calls in flight, leaves timing.FlushDelay for frames that are queued
+// on connections, and then stops the server.
 func (s *Server) stopServing() {
 	ctx, cancel := context.WithTimeout(s.ctx, timing.HTTPShutdownTimeout)
 	defer cancel()
 	if err := s.operatorServer.Shutdown(ctx); err != nil {
-		_ = level.Warn(s.log).Log("msg", "calls under way were cut off by the shutdown", "error", err)
+		_ = level.Warn(s.log).Log("msg", "shutdown cut off calls in flight", "error", err)
 	}
 	time.Sleep(timing.FlushDelay)
 	s.stop()
--- a/mesh/controlplane/reconcile/reconcile.go
+++ b/mesh/controlplane/reconcile/reconcile.go
@@ -1,7 +1,6 @@
-// Package reconcile keeps the members of the register at the number that the deployment wants: under a lease it
-// replaces lost members, and it leads this machine out of the members when the process is to end. What is to be
-// done package replacement decides; this package proposes it to the register and follows it until it is done
-// (docs/design/control-safety-3.md).
+// Package reconcile reconciles the members of the register with the number that the deployment needs. Under a lease it replaces lost
+// members, and in a graceful shutdown it hands this machine's membership over. Package replacement decides on the changes; this package
+// proposes them to the register and tracks them to completion (docs/design/control-safety-3.md).
 //
 // Reconciler has no I/O, no goroutine and no clock. It belongs to the control machine's event loop and acts through Register and Sink.
 //
@@ -19,16 +18,16 @@
 	"firplank/mesh/timing"
 )
 
-// Register is this machine's replica behind its disk.
+// Register is this machine's replica with its disk (persistence.Pipeline).
 type Register interface {
 	Apply(now time.Duration, ev register.Event)
-	// Cancel drops an operation; one that is not known is ignored.
+	// Cancel drops an operation. An unknown one is ignored.
 	Cancel(id uint64)
-	// DiskFailing reports whether the disk stalls or refuses writes.
+	// DiskFailing reports whether the disk stalls or writes fail.
 	DiskFailing(now time.Duration) bool
-	// OnDisk is the newest state that is known to be written.
+	// OnDisk returns the newest state that is known to be written.
 	OnDisk() *register.State
-	// Replica is for what the replica knows; events go to Apply.
+	// Replica returns the replica for reading its state. Events have to go through Apply.
 	Replica() *register.Replica
 }
 
@@ -37,17 +36,17 @@
 	View(committed register.Ballot) []replacement.Machine
 }
 
-// Sink is what a Reconciler acts on and reports to. Its methods may call Group, Status and Complete of the Reconciler,
-// and nothing else of it.
+// Sink executes a Reconciler's decisions. Its methods may call Group, Status and Complete of the Reconciler, and no other method of it.
 type Sink interface {
 	SendLease(m lease.Message)
-	// ReplacementProposed reports that a change is about to be proposed which replaces lost members.
+	// ReplacementProposed reports that a change that replaces lost members is about to be proposed.
 	ReplacementProposed(c replacement.Change)
-	// HandoverProposed reports that a change is about to be proposed which gives this machine's membership to another.
+	// HandoverProposed reports that a change that hands this machine's membership to another is about to be proposed.
 	HandoverProposed(c replacement.Change)
-	// RepairCompleted reports that all members have the committed value on disk again, so long after the last change was proposed.
+	// RepairCompleted reports that all members have the committed value on disk again, and how long after the proposal of the last change.
 	RepairCompleted(members int, after time.Duration)
-	// Depart ends the machine's work, once. A nil reason: in order. replicated reports that no committed value is on its disk alone.
+	// Depart stops the machine. It is called once. reason is nil if the departure has completed, and otherwise says why not. replicated
+	// reports that no committed value is on this machine's disk alone.
 	Depart(reason error, replicated bool)
 }
 
@@ -56,10 +55,10 @@
 	Self, Zone string
 	Timeouts   timing.Replacement
 	Tolerance  int    // how many members may be lost at a time
-	Seed       uint64 // the first number of this process's lease requests: above those of earlier processes
+	Seed       uint64 // the first number of this process's lease requests; has to be above those of earlier processes
 }
 
-// Reconciler is not safe for concurrent use.
+// Reconciler replaces lost members and manages this machine's departure. It is not safe for concurrent use.
 type Reconciler struct {
 	config   Config
 	register Register
@@ -71,14 +70,14 @@
 	planner  *replacement.Planner
 	nextTick time.Duration
 
-	changeID   uint64 // of the last change that was proposed; 0: none
-	change     replacement.Change
+	changeID   uint64             // of the change that was proposed last; 0: none
+	change     replacement.Change // that was proposed last
 	proposedAt time.Duration
-	repairing  bool // not all members of the change are known to have the committed value
+	repairing  bool // not all members of the change are known to have the committed value on disk
 	departure  *departure
 }
 
-// departure is how far the machine is on its way out.
+// departure is the progress of this machine's departure.
 type departure struct {
 	plan        *replacement.Departure
 	replicateID uint64 // of the ReplicateWithoutSelf that was proposed; 0: none
@@ -86,7 +85,7 @@
 	ended       bool
 }
 
-// New returns a reconciler whose clock begins at 0. nextID returns a number that no other operation of this replica has.
+// New returns a reconciler whose clock starts at 0. nextID returns a number that no other operation of this replica has.
 func New(c Config, r Register, p Peers, s Sink, nextID func() uint64) *Reconciler {
 	return &Reconciler{
 		config:   c,
@@ -99,11 +98,11 @@
 	}
 }
 
-// NextTick is when Tick is to be called at the latest.
+// NextTick returns when Tick is to be called at the latest.
 func (r *Reconciler) NextTick() time.Duration { return r.nextTick }
 
-// Tick looks at the lease and the members and does what is due. A machine whose disk fails does nothing, unless it
-// drains: its lease runs out, and another machine reconciles.
+// Tick checks the lease and the members, and proposes the changes that are due. A machine whose disk fails does nothing unless it is
+// departing, so that its lease expires and another machine reconciles.
 func (r *Reconciler) Tick(now time.Duration) {
 	if !r.Draining() && r.register.DiskFailing(now) {
 		r.nextTick = now + r.config.Timeouts.CheckInterval
@@ -120,7 +119,7 @@
 	r.replaceLost(now)
 }
 
-// replaceLost proposes to replace lost members, where this machine holds the lease and knows a committed value.
+// replaceLost proposes to replace lost members, if this machine holds the lease and knows a committed value.
 func (r *Reconciler) replaceLost(now time.Duration) {
 	if !r.lease.HeldAt(now) {
 		return
@@ -134,7 +133,7 @@
 	}
 }
 
-// propose proposes a change in place of the one before it.
+// propose proposes a change of members. It cancels the previous proposal.
 func (r *Reconciler) propose(now time.Duration, c replacement.Change) {
 	if r.changeID > 0 {
 		r.register.Cancel(r.changeID)
@@ -144,7 +143,7 @@
 	r.register.Apply(now, register.ChangeMembers{ID: r.changeID, Members: c.Members, ExpectedMembers: c.ExpectedMembers})
 }
 
-// checkRepair reports the end of a repair that was proposed here.
+// checkRepair reports the completion of the change that was proposed here.
 func (r *Reconciler) checkRepair(now time.Duration) {
 	if !r.repairing {
 		return
@@ -157,7 +156,7 @@
 	r.sink.RepairCompleted(len(g.Members), now-r.proposedAt)
 }
 
-// BeginDeparture begins to lead this machine out. The lease is released at once, so that another machine replaces members meanwhile.
+// BeginDeparture begins this machine's departure. It releases the lease at once, so that another machine can replace members meanwhile.
 func (r *Reconciler) BeginDeparture(now time.Duration) {
 	r.departure = &departure{plan: replacement.NewDeparture(r.config.Timeouts, r.config.Self, now)}
 	r.sendLease(r.lease.Release(now))
@@ -185,27 +184,27 @@
 	}
 }
 
-// Complete records the outcome of an operation of the register, which may be another's.
+// Complete records the outcome of an operation of the register. Outcomes of other components' operations are ignored.
 func (r *Reconciler) Complete(o register.Outcome) {
 	if r.departure != nil && r.departure.replicateID > 0 && o.ID == r.departure.replicateID {
 		r.departure.replicated = true
 	}
 }
 
-// HandleLease handles a message on the lease.
+// HandleLease handles a lease message of a peer.
 func (r *Reconciler) HandleLease(now time.Duration, m lease.Message) {
 	if response, ok := r.lease.Handle(now, m); ok {
 		r.sink.SendLease(response)
 	}
 }
 
-// LeaseHolder is the machine that holds the lease as far as is known here; empty: not known.
+// LeaseHolder returns the machine that holds the lease as far as this one knows; empty if it is not known.
 func (r *Reconciler) LeaseHolder(now time.Duration) string { return r.lease.Holder(now) }
 
 // LeaseHeld reports whether this machine holds the lease.
 func (r *Reconciler) LeaseHeld(now time.Duration) bool { return r.lease.HeldAt(now) }
 
-// Status is what this machine reports of itself: what its disk has, not what waits for the disk.
+// Status returns the status that this machine reports to its peers. It covers what is on disk, not what waits for the disk.
 func (r *Reconciler) Status(now time.Duration) codec.NodeStatus {
 	state := r.register.OnDisk()
 	return codec.NodeStatus{
@@ -216,7 +215,7 @@
 	}
 }
 
-// Group returns the members and the observed state of all control machines, this one first.
+// Group returns the members and the state of all known control machines, this one first.
 func (r *Reconciler) Group(now time.Duration) replacement.Group {
 	members, prior := r.register.Replica().Membership()
 	committed := r.register.Replica().CommittedBallot()
@@ -234,7 +233,7 @@
 	return replacement.Group{Members: members, PriorMembers: prior, Machines: append(machines, r.peers.View(committed)...)}
 }
 
-// FullyReplicated reports whether no change is under way and every member is known to have the committed value on its disk.
+// FullyReplicated reports whether no change of members is in progress and every member is known to have the committed value on its disk.
 func FullyReplicated(g replacement.Group) bool {
 	if len(g.PriorMembers) > 0 || len(g.Members) == 0 {
 		return false
--- a/mesh/controlplane/reconcile/reconcile_test.go
+++ b/mesh/controlplane/reconcile/reconcile_test.go
@@ -24,7 +24,8 @@
 
 var timeouts = timing.NewReplacement(4*time.Second, 6*time.Second)
 
-// testMachine is the only voter of its register, so that what it proposes is committed at once; peers says who else there is.
+// testMachine is the Register, Peers and Sink of a reconciler. If it is the only member of its register, its proposals are committed at
+// once. peers holds the other control machines.
 type testMachine struct {
 	*persistence.Pipeline
 	reconciler  *Reconciler
@@ -91,7 +92,7 @@
 	return m
 }
 
-// run lets time pass.
+// run advances the time in steps of 10 ms.
 func (m *testMachine) run(from, until time.Duration) {
 	for now := from; now < until; now += 10 * ms {
 		if now >= m.reconciler.NextTick() {
@@ -105,7 +106,7 @@
 	return replacement.Machine{Addr: addr, Zone: "y", LastContact: now, Connected: true, Voter: true}
 }
 
-// A machine without a quorum, and so without the lease, replaces nobody, whoever seems lost.
+// A machine without a quorum, and so without the lease, replaces no member, even if all others seem lost.
 func TestNothingIsReplacedWithoutTheLease(t *testing.T) {
 	m := newTestMachine("a", "b", "c")
 	m.peers = []replacement.Machine{{Addr: "b"}, {Addr: "c"}, standby("d", 9*time.Second)}
@@ -114,18 +115,18 @@
 		t.Errorf("%v", m.log)
 	}
 	if m.logIndex("lease message") < 0 {
-		t.Error("it does not even ask for the lease")
+		t.Error("the machine does not request the lease")
 	}
 }
 
-// A machine that held the lease replaces nobody once the lease has run out.
+// A machine whose lease has expired replaces no member.
 func TestNothingIsReplacedAfterTheLease(t *testing.T) {
 	m := newTestMachine("a")
 	m.run(0, 4*time.Second)
 	m.Apply(4*time.Second, register.ChangeMembers{ID: 1 << 40, Members: []string{"a", "b"}})
 	m.run(4*time.Second, 10*time.Second)
 	if m.reconciler.LeaseHeld(10 * time.Second) {
-		t.Fatal("the lease is held still")
+		t.Fatal("the lease has not expired")
 	}
 	m.peers = []replacement.Machine{{Addr: "b"}, standby("d", 10*time.Second)}
 	if m.reconciler.Tick(10 * time.Second); m.logIndex("replaces") >= 0 {
@@ -133,7 +134,7 @@
 	}
 }
 
-// A machine whose disk fails does not ask for the lease, so that another reconciles, and looks again soon.
+// A machine whose disk fails does not request the lease, so that another machine reconciles, and ticks again within CheckInterval.
 func TestMachineWithFailingDiskDoesNothing(t *testing.T) {
 	m := newTestMachine("a", "b", "c")
 	m.diskFailing = true
@@ -143,14 +144,14 @@
 		t.Errorf("%v", m.log)
 	}
 	if next := m.reconciler.NextTick(); next < 10*time.Second || next > 10*time.Second+timeouts.CheckInterval {
-		t.Errorf("it looks again at %v", next)
+		t.Errorf("the next tick is at %v", next)
 	}
 	if s := m.reconciler.Status(0); !s.DiskFailing || s.Draining {
-		t.Errorf("it says of itself %+v", s)
+		t.Errorf("status %+v", s)
 	}
 }
 
-// Under the lease a lost member is replaced by a machine that stands by, and the repair has ended when all have the committed value.
+// The lease holder replaces a lost member by a standby machine. A later proposal cancels the previous one.
 func TestLostMemberIsReplaced(t *testing.T) {
 	m := newTestMachine("a")
 	m.run(0, 4*time.Second)
@@ -159,7 +160,7 @@
 		t.Fatalf("members %v", got)
 	}
 	if FullyReplicated(m.reconciler.Group(4 * time.Second)) {
-		t.Error("fully replicated, and b is not known")
+		t.Error("fully replicated although b is not known")
 	}
 	m.peers = []replacement.Machine{{Addr: "b"}, standby("d", 4*time.Second)}
 	if !m.reconciler.LeaseHeld(4 * time.Second) {
@@ -178,11 +179,11 @@
 	first := m.lastID
 	m.reconciler.propose(5*time.Second, replacement.Change{ExpectedMembers: []string{"a", "b"}, Members: []string{"a", "e"}})
 	if !slices.Equal(m.cancelled, []uint64{first}) {
-		t.Errorf("another change is proposed, and of %d cancelled is %v", first, m.cancelled)
+		t.Errorf("after another proposal cancelled %v, want %d", m.cancelled, first)
 	}
 }
 
-// The end of a repair is reported once, when the members are those of the change and all have the committed value.
+// The completion of a repair is reported once, when the members are those of the change and all have the committed value.
 func TestRepairCompleted(t *testing.T) {
 	m := newTestMachine("a")
 	m.run(0, 4*time.Second)
@@ -196,11 +197,11 @@
 	r.change, r.repairing = replacement.Change{Members: []string{"a", "b"}}, true
 	m.run(5*time.Second, 6*time.Second)
 	if m.logIndex("repaired") >= 0 {
-		t.Errorf("the members are others, and %v", m.log)
+		t.Errorf("reported although the members are not those of the change: %v", m.log)
 	}
 }
 
-// The members are fully replicated when no change is under way and all are known to have the committed value.
+// The members are fully replicated if no change is in progress and all are known to have the committed value.
 func TestFullyReplicated(t *testing.T) {
 	a, b := replacement.Machine{Addr: "a", CaughtUp: true}, replacement.Machine{Addr: "b", CaughtUp: true}
 	behind := replacement.Machine{Addr: "b"}
@@ -213,8 +214,8 @@
 		{"all have it", replacement.Group{Members: members, Machines: []replacement.Machine{a, b}}, true},
 		{"one is behind", replacement.Group{Members: members, Machines: []replacement.Machine{a, behind}}, false},
 		{"one is not known", replacement.Group{Members: members, Machines: []replacement.Machine{a}}, false},
-		{"a stand-by is behind", replacement.Group{Members: []string{"a"}, Machines: []replacement.Machine{a, behind}}, true},
-		{"a change is under way", replacement.Group{Members: members, PriorMembers: members, Machines: []replacement.Machine{a, b}}, false},
+		{"a standby is behind", replacement.Group{Members: []string{"a"}, Machines: []replacement.Machine{a, behind}}, true},
+		{"a change is in progress", replacement.Group{Members: members, PriorMembers: members, Machines: []replacement.Machine{a, b}}, false},
 		{"no members are known", replacement.Group{Machines: []replacement.Machine{a, b}}, false},
 	} {
 		if got := FullyReplicated(c.group); got != c.want {
@@ -223,7 +224,7 @@
 	}
 }
 
-// A machine that is told to end releases the lease at once, and departs in time, whatever stands in the way.
+// A departing machine releases the lease at once, and departs within DepartureTimeout even if it can't hand its membership over.
 func TestDepartureReleasesTheLeaseAndEndsInTime(t *testing.T) {
 	const began = 4 * time.Second
 	for _, c := range []struct {
@@ -234,15 +235,15 @@
 		reason      error
 		log         []string // in this order
 	}{
-		{"no member", []string{"b"}, nil, false, replacement.ErrDepartureTimeout, []string{"departs, replicated false"}},
-		{"the only member, and nobody stands by", []string{"a"}, nil, false, replacement.ErrDepartureTimeout,
+		{"not a member", []string{"b"}, nil, false, replacement.ErrDepartureTimeout, []string{"departs, replicated false"}},
+		{"the only member, without a standby", []string{"a"}, nil, false, replacement.ErrDepartureTimeout,
 			[]string{"departs, replicated false"}},
 		{
-			"another stands by", []string{"a"}, []replacement.Machine{standby("d", began+time.Second)}, false, replacement.ErrDepartureTimeout,
+			"with a standby", []string{"a"}, []replacement.Machine{standby("d", began+time.Second)}, false, replacement.ErrDepartureTimeout,
 			[]string{"hands over to [d]", "departs, replicated false"},
 		},
 		{
-			"its disk fails", []string{"a"}, []replacement.Machine{standby("d", began+time.Second)}, true, replacement.ErrDepartureTimeout,
+			"a disk that fails", []string{"a"}, []replacement.Machine{standby("d", began+time.Second)}, true, replacement.ErrDepartureTimeout,
 			[]string{"hands over to [d]", "departs, replicated false"},
 		},
 	} {
@@ -251,7 +252,7 @@
 		m.diskFailing, m.peers, m.log = c.diskFailing, c.peers, nil
 		m.reconciler.BeginDeparture(began)
 		if m.reconciler.LeaseHeld(began) || !m.reconciler.Status(began).Draining {
-			t.Errorf("%s: the lease is held still, or the machine does not say that it drains", c.name)
+			t.Errorf("%s: the lease is still held, or the status does not report draining", c.name)
 		}
 		m.run(began, began+timeouts.DepartureTimeout+time.Second)
 		last := -1
@@ -263,7 +264,7 @@
 			last = next
 		}
 		if !errors.Is(m.reason, c.reason) {
-			t.Errorf("%s: departs with %v, want %v", c.name, m.reason, c.reason)
+			t.Errorf("%s: departure reason %v, want %v", c.name, m.reason, c.reason)
 		}
 		if n := strings.Count(strings.Join(m.log, "\n"), "departs"); n != 1 {
 			t.Errorf("%s: departs %d times", c.name, n)
@@ -271,16 +272,16 @@
 	}
 }
 
-// The departure goes on once the register has replicated the committed value, and not for another's outcome.
+// The departure continues when its own replication has completed, and not on the outcome of another operation.
 func TestDepartureWaitsForItsOwnReplication(t *testing.T) {
 	m := newTestMachine("b")
 	m.reconciler.BeginDeparture(0)
 	m.reconciler.Complete(register.Outcome{ID: 0})
-	m.reconciler.Tick(0) // asks for the replication
+	m.reconciler.Tick(0) // proposes the replication
 	m.reconciler.Complete(register.Outcome{ID: m.lastID + 1})
 	m.reconciler.Tick(100 * ms)
 	if m.logIndex("departs") >= 0 {
-		t.Fatalf("it departs for another's outcome: %v", m.log)
+		t.Fatalf("departs on the outcome of another operation: %v", m.log)
 	}
 	m.reconciler.Complete(register.Outcome{ID: m.lastID})
 	m.reconciler.Tick(200 * ms)
--- a/mesh/controlplane/rollouts.go
+++ b/mesh/controlplane/rollouts.go
@@ -21,9 +21,9 @@
 const (
 	// maxNameLength bounds the names of services and versions in an order.
 	maxNameLength = 200
-	// maxTermS bounds the term of an order, in seconds.
+	// maxTermS bounds the term of an order: one day, in seconds.
 	maxTermS = 86_400.
-	// recalledByOperator is the reason of a rollout that an operator has recalled.
+	// recalledByOperator is stored as the reason of a rollout that an operator has recalled.
 	recalledByOperator = "by the operator"
 )
 
@@ -34,17 +34,17 @@
 	errShuttingDown    = errors.New("the control machine shuts down")
 )
 
-// rolloutDriver moves rollouts on. It belongs to the event loop.
+// rolloutDriver advances rollouts through their stages. It belongs to the event loop.
 type rolloutDriver struct {
 	durations      timing.Rollouts
 	controller     *rollout.Controller
 	nextTick       time.Duration
 	proposals      map[string]proposal // by service
-	loggedRevision uint32              // the revision that was logged
-	loggedWaits    map[string]string   // what was logged that rollouts wait for, by service
+	loggedRevision uint32              // of the rollouts that were logged last
+	loggedWaits    map[string]string   // what each service's rollout waits for, as logged last
 }
 
-// proposal is a transition that was proposed to the register.
+// proposal is a rollout transition that was proposed to the register.
 type proposal struct {
 	id         uint64
 	proposedAt time.Duration
@@ -59,7 +59,7 @@
 	}
 }
 
-// rolloutOrder is the body of an order, in the users' names.
+// rolloutOrder is the JSON body of a call that starts a rollout.
 type rolloutOrder struct {
 	Service string  `json:"line"`
 	Target  string  `json:"toEdition"`
@@ -75,20 +75,20 @@
 	)
 }
 
-// rolloutState is the answer to a read of a rollout, in the users' names.
+// rolloutState is the JSON response to a read of a rollout.
 type rolloutState struct {
 	Condition string `json:"condition"`
 	Target    string `json:"toEdition"`
 }
 
-// The conditions of a rollout, in the users' terms.
+// The values of rolloutState.Condition.
 const (
 	conditionInService = "in_service"
 	conditionDelivered = "delivered"
 	conditionRecalled  = "recalled"
 )
 
-// conditionOf returns a stage in the users' terms.
+// conditionOf returns the condition that operators see for a stage.
 func conditionOf(s rollout.Stage) string {
 	switch s {
 	case rollout.Delivered:
@@ -99,13 +99,13 @@
 	return conditionInService
 }
 
-// rolloutsView is what this machine knows of the rollouts beyond the register.
+// rolloutsView is this machine's knowledge of the rollouts that is not in the register.
 type rolloutsView struct {
-	endedRecently bool   // the rollout of the service has ended so short a time ago that copies of its order may still come
+	endedRecently bool   // the service's rollout ended so recently that duplicates of its order may still arrive
 	confirmed     uint32 // the revision that all sidecars have confirmed
 }
 
-// rolloutsView returns what this machine knows of the rollouts.
+// rolloutsView returns the view for a service. It runs on the event loop.
 func (s *Server) rolloutsView(service string) rolloutsView {
 	now, controller := s.now(), s.rollouts.controller
 	view := rolloutsView{endedRecently: controller.EndedRecently(now, service)}
@@ -116,7 +116,7 @@
 	return view
 }
 
-// requestRolloutsView asks the event loop for what it knows of the rollouts.
+// requestRolloutsView requests the view for a service from the event loop.
 func (s *Server) requestRolloutsView(service string) (rolloutsView, error) {
 	reply := make(chan rolloutsView, 1)
 	s.post(rolloutsRequested{service, reply})
@@ -128,8 +128,8 @@
 	}
 }
 
-// startRollout takes an order of a rollout. It is acknowledged once it is committed, and in force at the sidecars, or these have had
-// timing.Dissemination.AckTimeout.
+// startRollout commits the order of a rollout. It responds once all sidecars have confirmed the order, or timing.Dissemination.AckTimeout
+// after the call was received.
 func (s *Server) startRollout(c *api.Request) api.Response {
 	receivedAt := time.Now()
 	var requested rolloutOrder
@@ -145,7 +145,7 @@
 	}
 	known, err := hasService(&current.Value, requested.Service)
 	switch {
-	case errors.Is(err, errNoConfig): // it may come any moment, and a 404 ends the order
+	case errors.Is(err, errNoConfig): // a configuration may be committed soon; after a 404 the client would not retry
 		return unavailable(err)
 	case err != nil || !known:
 		return api.ErrorResponse(http.StatusNotFound, errors.Join(errUnknownService, err))
@@ -187,7 +187,8 @@
 	return cfg.Services[service] != nil, nil
 }
 
-// awaitConfirmation waits until all sidecars have confirmed a revision of the rollouts, for as long as a configuration waits at most.
+// awaitConfirmation waits until all sidecars have confirmed a revision of the rollouts, at most timing.Dissemination.AckTimeout after the
+// call was received. That is the bound for configurations, too.
 func (s *Server) awaitConfirmation(service string, revision uint32, receivedAt time.Time) {
 	for time.Since(receivedAt) < s.durations.Dissemination.AckTimeout {
 		view, err := s.requestRolloutsView(service)
@@ -198,7 +199,7 @@
 	}
 }
 
-// readRollout returns the condition of a service's rollout.
+// readRollout responds with the condition of a service's rollout.
 func (s *Server) readRollout(c *api.Request) api.Response {
 	o, err := s.commit(operations.Read{})
 	if err != nil {
@@ -211,7 +212,7 @@
 	return api.JSONResponse(http.StatusOK, rolloutState{Condition: conditionOf(r.Stage), Target: r.Target})
 }
 
-// recallRollout recalls a rollout for an operator. One that is delivered can't be recalled: its old servers have stopped.
+// recallRollout recalls a rollout for an operator. A delivered rollout can't be recalled, as the servers of the old version have stopped.
 func (s *Server) recallRollout(c *api.Request) api.Response {
 	for {
 		o, err := s.commit(operations.Read{})
@@ -236,7 +237,7 @@
 	}
 }
 
-// advanceRollouts decides on the rollouts, several times a second.
+// advanceRollouts decides on the rollouts every half timing.Rollouts.ReportInterval and proposes the transitions that are due.
 func (s *Server) advanceRollouts(now time.Duration) {
 	d := s.rollouts
 	if now < d.nextTick {
@@ -260,20 +261,21 @@
 	s.logWaiting(set)
 }
 
-// logWaiting logs what rollouts wait for, whenever that has changed.
+// logWaiting logs what each rollout waits for, whenever that changes.
 func (s *Server) logWaiting(set rollout.Set) {
 	d := s.rollouts
 	for i := range set.Rollouts {
 		service := set.Rollouts[i].Service
 		waitsFor := d.controller.WaitsFor(service)
 		if waitsFor != "" && waitsFor != d.loggedWaits[service] {
-			_ = level.Info(s.log).Log("msg", "rollout waits", "service", service, "for", waitsFor)
+			_ = level.Info(s.log).Log("msg", "rollout waiting", "service", service, "for", waitsFor)
 		}
 		d.loggedWaits[service] = waitsFor
 	}
 }
 
-// proposeTransition proposes a transition, unless one of the service was proposed a moment ago.
+// proposeTransition proposes a transition, unless one of the same service was proposed within timing.Rollouts.ProposeInterval. It cancels
+// the service's earlier proposal.
 func (s *Server) proposeTransition(now time.Duration, t rollout.Transition) {
 	d := s.rollouts
 	last, proposed := d.proposals[t.Service]
@@ -289,7 +291,7 @@
 	s.pipeline.Apply(now, register.AdvanceRollout{ID: d.proposals[t.Service].id, Transition: t})
 }
 
-// logRollouts logs the rollouts of a revision, once.
+// logRollouts logs all rollouts once for each revision.
 func (s *Server) logRollouts(set rollout.Set) {
 	if set.Revision == s.rollouts.loggedRevision {
 		return
@@ -302,7 +304,7 @@
 	}
 }
 
-// rolloutMachines returns what the directory has of the sidecars and their servers.
+// rolloutMachines returns the directory's entries of sidecars and their servers as package rollout reads them.
 func (s *Server) rolloutMachines() []rollout.Machine {
 	entries := s.hub.Publisher.Directory.All()
 	machines := make([]rollout.Machine, len(entries))
@@ -325,7 +327,7 @@
 	return machines
 }
 
-// rolloutStatus returns the rollouts of a set as operators read them.
+// rolloutStatus returns the rollouts of a set for the status call.
 func (s *Server) rolloutStatus(now time.Duration, set rollout.Set) (status []api.Rollout) {
 	controller := s.rollouts.controller
 	for i := range set.Rollouts {
--- a/mesh/controlplane/rollouts_test.go
+++ b/mesh/controlplane/rollouts_test.go
@@ -12,7 +12,7 @@
 	"firplank/mesh/bootstrap"
 )
 
-// soleMachine is a control machine that is the only one, with a folder of its own.
+// soleMachine is the only control machine of a deployment, run in this process with a data folder of its own.
 type soleMachine struct {
 	t        *testing.T
 	settings *bootstrap.Settings
@@ -47,7 +47,7 @@
 	}
 }
 
-// callUntil repeats a call until it has a status.
+// callUntil repeats a call until its response has the wanted status. It fails the test after 10 s, or on a 404 that is not wanted.
 func (m *soleMachine) callUntil(status int, method, path, body string) (response string) {
 	m.t.Helper()
 	lastStatus := 0
--- a/mesh/controlplane/run_test.go
+++ b/mesh/controlplane/run_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// freePort returns a port of the loopback that nobody listens on.
+// freePort returns a free loopback port.
 func freePort(t *testing.T) int {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -25,7 +25,7 @@
 	return ln.Addr().(*net.TCPAddr).Port
 }
 
-// callOperatorAPI makes a call of an operator; status 0: it was not answered.
+// callOperatorAPI makes an operator's call. Status 0 means that there was no response.
 func callOperatorAPI(t *testing.T, control, method, path, body string) (status int, response string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, "http://"+control+path, strings.NewReader(body))
@@ -45,8 +45,8 @@
 	return resp.StatusCode, string(b)
 }
 
-// A control machine that is the only one commits a configuration, gives it back, rejects another under the same
-// version, and ends with all of its goroutines once its context does.
+// The only control machine commits a configuration, returns it, rejects another under the same version, and returns from Run when its
+// context ends; TestMain checks that no goroutine is left.
 func TestRunServesOperatorsAndEnds(t *testing.T) {
 	settings := newSoleMachine(t).settings
 	control := settings.Addresses.Control
@@ -66,7 +66,7 @@
 		t.Errorf("read back: %d %s", status, response)
 	}
 	if status, response = call(http.MethodPost, "/Timetable.Replace", configuration+" "); status != http.StatusConflict {
-		t.Errorf("another content under the same version: %d %s", status, response)
+		t.Errorf("write of another content under the same version: %d %s", status, response)
 	}
 	stop()
 	select {
@@ -75,6 +75,6 @@
 			t.Error(err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("it does not end")
+		t.Fatal("Run has not returned 10 s after its context ended")
 	}
 }
--- a/mesh/controlplane/server.go
+++ b/mesh/controlplane/server.go
@@ -1,17 +1,17 @@
-// Package controlplane is the library of the control plane's program. A Server answers operators, runs this machine's replica of the
-// register, exchanges hellos with its peers, the other control machines, and publishes the configuration and the directory to the sidecars
-// that subscribe.
+// Package controlplane implements a control machine. A Server answers operators, runs this machine's replica of the register, exchanges
+// hellos with its peers, the other control machines, and publishes the configuration and the directory to the sidecars that subscribe.
 //
-// Server does the I/O. Its event loop, one goroutine, owns all state, which is divided among parts without I/O, each a
+// Server does the I/O. Its event loop, one goroutine, owns all state. The state is divided among components without I/O, each in a
 // package below this one:
 //
 //   - operations: client operations that wait for a quorum
-//   - persistence: the replica behind its disk
+//   - persistence: the replica, and the messages that wait for its state to be on disk
 //   - peers: the other control machines and the connections to them
-//   - reconcile: replacement of lost members, and this machine's departure
+//   - reconcile: replacement of lost members, and the graceful shutdown of this machine
 //   - publishing: subscribers, the published configuration and the directory
 //
-// The explorers in lab/explore run the same parts in virtual time. docs/ARCHITECTURE.md describes the way of a request and of an update.
+// The explorers in lab/explore run the same components in virtual time. docs/ARCHITECTURE.md describes the path of a request and of an
+// update.
 //
 // Start reading at Run and Server.loop.
 package controlplane
@@ -42,21 +42,22 @@
 	"firplank/mesh/transport"
 )
 
-// Server is one control machine. All but post, commit and the methods of transport.Handler belong to the event loop.
+// Server is one control machine. Its state belongs to the event loop. Other goroutines reach it only through events, as do post, commit,
+// the handlers of operators' calls and the methods of transport.Handler.
 type Server struct {
 	settings  *bootstrap.Settings
 	durations timing.Durations
 	log       kitlog.Logger
 	self      string    // the address for peers and subscribers
-	startedAt time.Time // the zero of this machine's clock
+	startedAt time.Time // 0 on this machine's clock
 
-	ctx            context.Context // of the process's work
+	ctx            context.Context // ends when the shutdown is complete
 	stop           context.CancelFunc
 	background     sync.WaitGroup // goroutines of listeners, of connections to peers and of the shutdown
 	events         chan event
-	operatorServer *http.Server       // for operators
-	store          *storage.Store     // of the goroutine of writeStates
-	writes         chan persist.Write // to it; one at a time
+	operatorServer *http.Server
+	store          *storage.Store     // used by writeStates only, once that runs
+	writes         chan persist.Write // to writeStates, one at a time
 
 	operations *operations.Table
 	pipeline   *persistence.Pipeline
@@ -65,16 +66,16 @@
 	hub        *publishing.Hub[*transport.Conn]
 	rollouts   *rolloutDriver
 	metrics    *controlMetrics
-	// unknownCallLog bounds what is logged of calls that this program does not have.
+	// unknownCallLog limits the rate at which unknown calls are logged.
 	unknownCallLog rate.Sometimes
-	// toleranceReported: that fewer control machines are known than the tolerance needs was reported.
+	// toleranceReported is set once checkTolerance has reported a conflict.
 	toleranceReported bool
 
-	lastOperationID uint64        // of the operations of the register
+	lastOperationID uint64
 	nextHello       time.Duration // when the next hello is due
 }
 
-// newServer returns a server without a replica, store and listeners.
+// newServer returns a server without a replica, a store and listeners.
 func newServer(settings *bootstrap.Settings, self string, log kitlog.Logger) *Server {
 	durations := timing.FromSettings(settings)
 	return &Server{
@@ -93,7 +94,7 @@
 	}
 }
 
-// setReplica puts a replica behind the disk, which has onDisk already.
+// setReplica creates the components that depend on the replica, whose state on disk is onDisk.
 func (s *Server) setReplica(r *register.Replica, onDisk register.State) {
 	s.pipeline = persistence.New(r, onDisk, pipelineSink{s})
 	s.operations = operations.NewTable(s.pipeline, s.nextOperationID, s.durations)
@@ -104,18 +105,18 @@
 	s.rollouts = newRolloutDriver(s.durations.Rollouts, s.settings.Bounds.ExposureSlack)
 }
 
-// nextOperationID returns a number for an operation of the register.
+// nextOperationID returns a number that no other operation of this replica has.
 func (s *Server) nextOperationID() uint64 {
 	s.lastOperationID++
 	return s.lastOperationID
 }
 
-// Run serves until ctx ends, and then leaves the core in order: within a part of graceS it gives its membership to
-// another machine, or makes sure at least that no committed value is on its disk alone. An error names what is
-// missing in the settings, or could not be opened.
+// Run serves until ctx ends, and then shuts down gracefully: within a part of graceS it hands its membership to another machine, or at
+// least ensures that no committed value is on its disk alone. It returns an error if a setting is missing, or if the store or a listener
+// can't be opened.
 func Run(ctx context.Context, settings *bootstrap.Settings, log kitlog.Logger) error {
 	if settings.DataPath == nil || *settings.DataPath == "" {
-		return errors.New("settings: dataPath: a core machine needs a disk")
+		return errors.New("settings: dataPath: a control machine needs a disk")
 	}
 	if settings.Addresses.Control == "" {
 		return errors.New("settings: addresses.control: is missing")
@@ -149,14 +150,14 @@
 	return nil
 }
 
-// newReplica makes the replica of the register over what was found on disk.
+// newReplica creates the replica of the register from the state that was recovered from disk. It is a newReplicaFunc.
 func (s *Server) newReplica(voteAtOnce bool, onDisk *register.State) *register.Replica {
 	r := register.New(s.self, s.settings.SeedPeerAddrs(), voteAtOnce, onDisk, uint64(s.startedAt.UnixNano()))
 	r.SetTiming(s.durations.Register)
 	return r
 }
 
-// listen begins to serve peers, subscribers and operators.
+// listen starts to serve peers, subscribers and operators.
 func (s *Server) listen() (closeListeners func(), err error) {
 	peerListener, err := net.Listen("tcp", s.settings.PeerListenAddr())
 	if err != nil {
@@ -171,22 +172,22 @@
 	s.background.Go(func() { s.logServeEnd("operators", s.operatorServer.Serve(operatorListener)) })
 	s.background.Go(func() { s.logServeEnd("peers", transport.Serve(peerListener, s)) })
 	return func() {
-		_ = s.operatorServer.Close() // calls that are cut off here were given timing.HTTPShutdownTimeout before
+		_ = s.operatorServer.Close() // calls still in flight have had timing.HTTPShutdownTimeout in stopServing
 		_ = peerListener.Close()     // the process ends
 	}, nil
 }
 
-// logServeEnd logs why a listener is served no more, unless it was closed here.
+// logServeEnd logs the error with which serving a listener has ended, unless the server has closed it.
 func (s *Server) logServeEnd(clients string, err error) {
 	if err != nil && s.ctx.Err() == nil && !errors.Is(err, http.ErrServerClosed) {
-		_ = level.Error(s.log).Log("msg", "serving ended", "clients", clients, "error", err)
+		_ = level.Error(s.log).Log("msg", "listener failed", "clients", clients, "error", err)
 	}
 }
 
-// now is the time on this machine's clock, which begins with the process.
+// now returns the time since the server was created.
 func (s *Server) now() time.Duration { return time.Since(s.startedAt) }
 
-// loop is the event loop: it does what is due and handles events until s.ctx ends. leave asks the machine to shut down in order.
+// loop is the event loop: it runs tick and handles events until s.ctx ends. When shutdown is closed, it begins the graceful shutdown.
 func (s *Server) loop(shutdown <-chan struct{}) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -209,7 +210,7 @@
 	}
 }
 
-// tick does what is due, and returns when to be called again at the latest.
+// tick runs the periodic work that is due, and returns when it is to be called again at the latest.
 func (s *Server) tick() (next time.Duration) {
 	now := s.now()
 	if now >= s.nextHello {
--- a/mesh/controlplane/status.go
+++ b/mesh/controlplane/status.go
@@ -12,7 +12,7 @@
 	"firplank/mesh/register"
 )
 
-// readStatus answers the call for the status.
+// readStatus responds with this machine's view of the control plane.
 func (s *Server) readStatus(*api.Request) api.Response {
 	e := statusRequested{reply: make(chan api.ControlStatus, 1)}
 	s.post(e)
@@ -25,7 +25,7 @@
 	return api.ErrorResponse(http.StatusServiceUnavailable, operations.ErrNoQuorum)
 }
 
-// status is what this machine knows of the control plane.
+// status returns this machine's view of the control plane. It runs on the event loop.
 func (s *Server) status(now time.Duration) api.ControlStatus {
 	group := s.reconciler.Group(now)
 	value, _, _ := s.pipeline.Replica().Committed()
@@ -62,7 +62,7 @@
 	return status
 }
 
-// acceptedBallot is the ballot of the value that a machine has on its disk, as far as is known.
+// acceptedBallot returns the ballot of the value on a machine's disk: for a peer, as in its last hello.
 func (s *Server) acceptedBallot(addr string) register.Ballot {
 	if addr == s.self {
 		return s.pipeline.OnDisk().Accepted
--- a/mesh/controlplane/store.go
+++ b/mesh/controlplane/store.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	// openBackoffMin is the pause after a disk has refused to be read at the start, which doubles up to openBackoffMax.
+	// openBackoffMin is the pause after the first failure to open the store; it doubles up to openBackoffMax.
 	openBackoffMin = 50 * time.Millisecond
 	openBackoffMax = time.Second
-	// closeTimeout is how long the end of the process waits for a write that is under way.
+	// closeTimeout is how long a process that ends waits for a write in flight. What it has stated rests on earlier, synced writes.
 	closeTimeout = 500 * time.Millisecond
 )
 
-// retryDiskOperation repeats an operation of the disk until it succeeds or ctx ends.
+// retryDiskOperation repeats a disk operation, with exponential backoff, until it succeeds or ctx ends.
 func retryDiskOperation(ctx context.Context, log kitlog.Logger, operation func() error) error {
 	for pause := openBackoffMin; ; pause = min(2*pause, openBackoffMax) {
 		err := operation()
 		if err == nil {
 			return nil
 		}
-		_ = level.Error(log).Log("msg", "opening the register's store failed, retrying", "error", err)
+		_ = level.Error(log).Log("msg", "opening the register's store failed; retrying", "error", err)
 		select {
 		case <-time.After(pause):
 		case <-ctx.Done():
@@ -38,11 +38,12 @@
 	}
 }
 
-// newReplicaFunc makes a replica over the state that was found on disk; nil: none.
+// newReplicaFunc creates a replica from the state that was recovered from disk; nil if there is none. With voteAtOnce its votes count
+// without a rejoin.
 type newReplicaFunc func(voteAtOnce bool, onDisk *register.State) *register.Replica
 
-// openStore opens the data folder and a replica over it, which votes at once only where that is safe. Nothing has left the machine yet,
-// and from here on the folder records that something may.
+// openStore opens the data folder and creates the replica on it, which votes at once only if it cannot have lost a promise. No message has
+// been sent before openStore returns; it marks the folder, so that a later start knows that promises may have been sent.
 func openStore(
 	ctx context.Context, folder string, firstStart bool, log kitlog.Logger, newReplica newReplicaFunc,
 ) (store *storage.Store, replica *register.Replica, err error) {
@@ -72,7 +73,8 @@
 	return store, replica, nil
 }
 
-// writeStates is the goroutine that waits for the disk.
+// writeStates saves each state that it receives. It runs on its own goroutine, as writes may block, and closes ended after s.writes is
+// closed.
 func (s *Server) writeStates(ended chan<- struct{}) {
 	defer close(ended)
 	for w := range s.writes {
@@ -84,7 +86,7 @@
 	}
 }
 
-// closeStore closes the store, unless a write hangs.
+// closeStore ends writeStates and closes the store, unless a write hangs for closeTimeout.
 func (s *Server) closeStore(ended <-chan struct{}) {
 	close(s.writes)
 	select {
@@ -96,15 +98,15 @@
 	}
 }
 
-// pipelineSink is how the pipeline acts on the rest of a server. It implements persistence.Sink.
+// pipelineSink executes the pipeline's output on a server. It implements persistence.Sink.
 type pipelineSink struct{ s *Server }
 
-// Write hands a state to the goroutine of writeStates.
+// Write passes a state to writeStates.
 func (k pipelineSink) Write(w persist.Write) {
-	k.s.writes <- w // has room: one is under way at a time
+	k.s.writes <- w // doesn't block: the channel is buffered, and one write is in flight at a time
 }
 
-// Send sends a message to another replica. A machine that was not known becomes so.
+// Send sends a message to another replica, or drops it if there is no connection. A machine that was not known is recorded as a peer.
 func (k pipelineSink) Send(m *register.Message) {
 	if p := k.s.peers.Get(m.To); p == nil {
 		k.s.recordPeer(m.To, "", 0)
@@ -113,17 +115,17 @@
 	}
 }
 
-// Publish brings the subscribers up to date.
+// Publish passes the newest committed value to the subscribers.
 func (k pipelineSink) Publish(c persist.Committed) { k.s.publish(c) }
 
-// Complete hands an outcome to whoever asked for it.
+// Complete passes an outcome to the reconciler and the pending operations.
 func (k pipelineSink) Complete(o register.Outcome) {
 	s := k.s
 	s.reconciler.Complete(o)
 	s.operations.Complete(s.now(), o, s.hub.LowestInForce(s.now()))
 }
 
-// handleWriteCompleted goes on after a write.
+// handleWriteCompleted logs a failed write and passes the result on to the pipeline.
 func (s *Server) handleWriteCompleted(w writeCompleted) {
 	if w.err != nil {
 		s.metrics.diskErrors.Inc()
