--- a/mesh/api/router.go
+++ b/mesh/api/router.go
@@ -1,5 +1,5 @@
-// Package api is the HTTP interface of the mesh's programs to servers and operators: a Router that leads requests to handlers and bounds
-// their size, and the JSON form of the control plane's status. What requests mean is their handlers' concern.
+// Package api is the HTTP interface of the mesh's programs to servers and operators: a Router that dispatches requests to handlers and
+// bounds their size, and the JSON form of the control plane's status. The handlers are in other packages.
 //
 // Start reading at Router.
 package api
@@ -15,33 +15,33 @@
 	"github.com/go-faster/errors"
 )
 
-// MaxBodyBytes bounds the body of a request; a longer one is answered by 413.
+// MaxBodyBytes bounds the body of a request. The response to a longer one has status 413.
 const MaxBodyBytes = 8 << 20
 
 // wildcard is the path segment of a pattern that matches any segment but an empty one.
 const wildcard = "*"
 
-// Request is a request whose body has been read. The embedded request's own Body is at its end.
+// Request is a request whose body has been read. The Body of the embedded request is at its end.
 type Request struct {
 	*http.Request
-	Args []string // the path segments that the wildcards of the pattern have matched, in order
+	Args []string // the path segments that the pattern's wildcards have matched, in order
 	Body []byte
 }
 
-// Response is the answer to a request.
+// Response is the response to a request.
 type Response struct {
 	Status int
-	// Body is JSON; nil: the answer has none.
+	// Body is JSON; nil: there is none.
 	Body []byte
 	// Location is the header of that name; empty: there is none.
 	Location string
-	// Close ends the connection after the answer.
+	// Close closes the connection after the response.
 	Close bool
-	// RetryAfter is how long the caller is to wait before it repeats the request here, sent in seconds with fractions; 0: no such header.
+	// RetryAfter is how long the caller has to wait before it repeats the request here. It is sent in seconds with fractions; 0: no header.
 	RetryAfter time.Duration
 }
 
-// JSONResponse returns an answer with a body. It is an internal error where the body cannot be encoded.
+// JSONResponse returns a response with body encoded as JSON. If it cannot be encoded, the response has status 500 and no body.
 func JSONResponse(status int, body any) Response {
 	text, err := json.Marshal(body)
 	if err != nil {
@@ -50,23 +50,23 @@
 	return Response{Status: status, Body: text}
 }
 
-// errorBody is the body of an error's answer.
+// errorBody is the body of an error response.
 type errorBody struct {
 	Message string `json:"fault"`
 }
 
-// ErrorResponse returns an answer whose body holds the text of an error.
+// ErrorResponse returns a response whose body contains the text of an error.
 func ErrorResponse(status int, err error) Response {
 	return JSONResponse(status, errorBody{Message: err.Error()})
 }
 
-// Handler answers requests. It is called on a goroutine of the HTTP server, several at once.
+// Handler returns the response to a request. It is called concurrently, on goroutines of the HTTP server.
 type Handler func(*Request) Response
 
-// Router leads requests to handlers by method and path. It is a tree: each node stands for one segment of a path, or the root. The zero
-// value is an empty router. It is safe for concurrent use once all handlers are added.
+// Router dispatches requests to handlers by method and path. It is the root or a node of a tree; each node below the root stands for one
+// segment of a path. The zero value is an empty router. It is safe for concurrent use once all handlers are added.
 type Router struct {
-	// Rejected is called for each request that no handler takes, with the status of its answer; nil: nobody is notified. It is of the root.
+	// Rejected is called for each request without a handler, with the status of the response; it may be nil. Only the root's is used.
 	Rejected func(r *http.Request, status int)
 
 	literals map[string]*Router
@@ -74,7 +74,7 @@
 	methods  map[string]Handler
 }
 
-// Handle adds a handler for a method and a pattern, in which the segment "*" matches any but an empty one. It returns the router itself.
+// Handle adds a handler for a method and a path pattern, in which the segment "*" matches any non-empty segment. It returns the router.
 func (rt *Router) Handle(method, pattern string, h Handler) *Router {
 	node := rt
 	for _, segment := range splitPath(pattern) {
@@ -87,7 +87,7 @@
 	return rt
 }
 
-// child returns the node of a segment below this one, which it adds where it is missing.
+// child returns the child node for a segment, and adds it if it is missing.
 func (rt *Router) child(segment string) *Router {
 	if segment == wildcard {
 		if rt.wildcard == nil {
@@ -112,8 +112,8 @@
 	return strings.Split(path, "/")
 }
 
-// lookup returns the node of a path, and what the wildcards on the way have matched; nil: there is none with a handler. A literal segment
-// goes before a wildcard.
+// lookup returns the node of a path, and args with the segments that wildcards have matched appended. It returns nil if there is no node
+// with a handler. Literal segments are preferred to wildcards.
 func (rt *Router) lookup(segments, args []string) (*Router, []string) {
 	if len(segments) == 0 {
 		if rt.methods == nil {
@@ -156,10 +156,10 @@
 		header.Set("Connection", "close")
 	}
 	w.WriteHeader(response.Status)
-	_, _ = w.Write(response.Body) // the caller may have disconnected, which changes nothing here
+	_, _ = w.Write(response.Body) // fails if the caller has disconnected; nothing is left to do then
 }
 
-// reject answers a request that no handler takes.
+// reject returns the response to a request without a handler.
 func (rt *Router) reject(r *http.Request, status int, err error) Response {
 	if rt.Rejected != nil {
 		rt.Rejected(r, status)
--- a/mesh/api/router_test.go
+++ b/mesh/api/router_test.go
@@ -28,7 +28,7 @@
 		{"POST", "/Servers.Beat/", "", 404, ""},
 		{"GET", "/Servers.Beat/all", "", 200, "all"},
 		{"GET", "/Servers.Beat/i-1", "", 405, ""},
-		{"GET", "/a/b/c", "", 200, "ac b"}, // the literal leads nowhere, the wildcard does
+		{"GET", "/a/b/c", "", 200, "ac b"}, // the literal "b" has no child "c", the wildcard has
 		{"GET", "/a/b/d", "", 200, "abd"},
 		{"GET", "/a/b", "", 404, ""},
 		{"GET", "/a//c", "", 404, ""}, // a wildcard matches no empty segment
@@ -66,7 +66,7 @@
 	}
 }
 
-// The keys are read by operators' scripts, and by firplankctl of another release.
+// The keys must not change, as operators' scripts and other releases of firplankctl read them.
 func TestStatusKeysAreStable(t *testing.T) {
 	got := JSONResponse(http.StatusOK, ControlStatus{PreviousMembers: []string{"a"}, Machines: []ControlMachine{{}}})
 	const want = `{"self":"","members":null,"membersBefore":["a"],"version":0,"ballot":"","leaseHolder":"","fullCopies":false,` +
--- a/mesh/bootstrap/bounds.go
+++ b/mesh/bootstrap/bounds.go
@@ -37,7 +37,7 @@
 	Recall time.Duration
 }
 
-// maxBound is above each figure that a bound may have.
+// maxBound is the exclusive upper limit of each value in the settings file.
 const maxBound = 1e6
 
 // DefaultBounds returns the bounds of settings that state none.
@@ -61,7 +61,7 @@
 	}
 }
 
-// parseBounds reads bounds as "name=figure", times in seconds. Unknown names are ignored.
+// parseBounds parses bounds of the form "name=value", with times in seconds. Unknown names are ignored.
 func parseBounds(entries []string) (Bounds, error) {
 	b := DefaultBounds()
 	durations := map[string]*time.Duration{
@@ -92,7 +92,7 @@
 		value, err := strconv.ParseFloat(valueText, 64)
 		switch {
 		case err != nil || !(value >= 0 && value < maxBound):
-			return b, errors.Errorf("bounds[%d]: %q has no figure of 0 or more", i, entry)
+			return b, errors.Errorf("bounds[%d]: %q does not contain a valid value: a number of 0 or more", i, entry)
 		case duration != nil:
 			*duration = time.Duration(value * float64(time.Second))
 		default:
--- a/mesh/bootstrap/file.go
+++ b/mesh/bootstrap/file.go
@@ -11,18 +11,18 @@
 // Load reads and validates a settings file.
 func Load(path string) (*Settings, error) { return (&File{Path: path}).ReadIfChanged() }
 
-// File is a settings file that is read from time to time. It is not safe for concurrent use.
+// File is a settings file that is read repeatedly. It is not safe for concurrent use.
 type File struct {
 	Path string
 
-	lastContent []byte // the content when it was last read; nil: it was not
+	lastContent []byte // when the file was read last; nil: it was not read yet
 }
 
-// ReadIfChanged returns the settings if the content of the file is another than at the last call, else nil. So an error in the content is
-// returned once.
+// ReadIfChanged returns the settings if the content of the file has changed since the last call, and otherwise nil. So an error in the
+// content is returned once, not at each call.
 func (f *File) ReadIfChanged() (*Settings, error) {
 	if f.Path == "" {
-		return nil, errors.Errorf("%s names no settings file", EnvVariable)
+		return nil, errors.Errorf("%s is not set: no settings file", EnvVariable)
 	}
 	text, err := os.ReadFile(f.Path)
 	if err != nil {
@@ -39,10 +39,10 @@
 	return s, nil
 }
 
-// Parse reads and validates settings in YAML. Its errors name the line, the field or the bound that is wrong.
+// Parse parses and validates settings in YAML. Its errors state the line, the field or the bound that is wrong.
 func Parse(text []byte) (*Settings, error) {
 	s := &Settings{}
-	if err := yaml.Unmarshal(text, s); err != nil { // which names the line
+	if err := yaml.Unmarshal(text, s); err != nil { // the error states the line
 		return nil, err
 	}
 	if err := s.Validate(); err != nil {
--- a/mesh/bootstrap/log.go
+++ b/mesh/bootstrap/log.go
@@ -9,8 +9,8 @@
 	"github.com/go-kit/log/level"
 )
 
-// NewLog returns a logger that writes JSON lines with a UTC time, and a second one for packages that use log/slog, which writes to the
-// first. Both are safe for concurrent use. Lines of level debug are written if debug is set.
+// NewLog returns a logger that writes lines of JSON with a UTC timestamp, and a log/slog logger that writes to it. Both are safe for
+// concurrent use. Lines of level debug are only written if debug is set.
 func NewLog(w io.Writer, debug bool) (kitlog.Logger, *slog.Logger) {
 	allow := level.AllowInfo()
 	if debug {
@@ -20,7 +20,7 @@
 	return l, slog.New(&slogHandler{logger: l, debug: debug})
 }
 
-// slogHandler is a handler of log/slog that writes to a go-kit logger.
+// slogHandler is a slog.Handler that writes to a go-kit logger.
 type slogHandler struct {
 	logger kitlog.Logger
 	debug  bool
@@ -59,5 +59,5 @@
 	return &slogHandler{logger: kitlog.With(h.logger, fields...), debug: h.debug}
 }
 
-// WithGroup implements slog.Handler; attributes of a group are written without its name.
+// WithGroup implements slog.Handler. The attributes of a group are written without its name.
 func (h *slogHandler) WithGroup(string) slog.Handler { return h }
--- a/mesh/bootstrap/settings_test.go
+++ b/mesh/bootstrap/settings_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// valid are settings that tests start from.
+// valid are settings that tests use as they are or with replacements.
 const valid = `nodeName: "n1"
 machineClass: "branch"
 ip: "10.1.0.8"
@@ -41,7 +41,7 @@
 func TestParseErrorsNameTheSetting(t *testing.T) {
 	for _, c := range []struct{ old, replacement, want string }{
 		{`nodeName: "n1"`, ``, "NodeName: cannot be blank"},
-		{`ip: "10.1.0.8"`, `ip: "here"`, "IP: is no address"},
+		{`ip: "10.1.0.8"`, `ip: "here"`, "IP: is not an IP address"},
 		{`"10.1.0.8:8300"`, `"10.1.0.8"`, "Incoming"},
 		{`"10.1.0.8:8300"`, `"name:8300"`, "Incoming"},
 		{`"10.1.0.8:8300"`, `"10.1.0.8:http"`, "Incoming"},
@@ -77,7 +77,7 @@
 	}
 }
 
-// A file is parsed again where it has changed, and an error in it is returned once.
+// A file is parsed again only if it has changed, and an error in it is returned once.
 func TestFileIsReadIfChanged(t *testing.T) {
 	f := File{Path: filepath.Join(t.TempDir(), "settings.yaml")}
 	for i, c := range []struct {
--- a/mesh/bootstrap/validate.go
+++ b/mesh/bootstrap/validate.go
@@ -39,15 +39,15 @@
 	)
 }
 
-// ipAddress is a rule of package validation for strings.
+// ipAddress is a rule of package validation: the value is a string with an IP address.
 func ipAddress(value any) error {
 	if text, _ := value.(string); net.ParseIP(text) == nil {
-		return errors.New("is no address")
+		return errors.New("is not an IP address")
 	}
 	return nil
 }
 
-// hostPort is a rule of package validation for strings: an IP address and a port, or nothing.
+// hostPort is a rule of package validation: the value is a string with an IP address and a port, or empty.
 func hostPort(value any) error {
 	text, _ := value.(string)
 	if text == "" {
@@ -58,7 +58,7 @@
 		return errors.Errorf("%q is not host:port", text)
 	}
 	if n, err := strconv.Atoi(port); net.ParseIP(host) == nil || err != nil || n < 0 || n > maxPort {
-		return errors.Errorf("%q is no address and port", text)
+		return errors.Errorf("%q is not an IP address with a port", text)
 	}
 	return nil
 }
--- a/mesh/config/config.go
+++ b/mesh/config/config.go
@@ -20,7 +20,7 @@
 // versionDigits is the number of hexadecimal digits of a version.
 const versionDigits = 8
 
-// Config is a valid configuration, indexed for matching. It is immutable, and safe for concurrent use.
+// Config is a validated configuration, indexed for matching. It is immutable, and safe for concurrent use.
 type Config struct {
 	Version  uint32
 	Document *Document
@@ -29,8 +29,8 @@
 	hosts map[string]map[string]*Route // by host in lower case, then by prefix
 }
 
-// Parse reads and validates a configuration. Its errors are ErrTooLarge, a *SyntaxError or an *InvalidError, in each case with the place of
-// what is wrong. The text is not retained.
+// Parse parses and validates a configuration. Its errors wrap ErrTooLarge, or are a *SyntaxError with the line or an *InvalidError with the
+// field. The text is not retained.
 func Parse(text []byte) (*Config, error) {
 	if len(text) > MaxBytes {
 		return nil, errors.Wrapf(ErrTooLarge, "%d bytes, more than %d", len(text), MaxBytes)
@@ -126,8 +126,8 @@
 	return nil
 }
 
-// Match returns the route of a request, whose host may have a port: of the routes of its host the one with the longest prefix of the path;
-// nil: there is none.
+// Match returns the route of a request: of the routes of its host, the one with the longest prefix of its path. It returns nil if there is
+// none. The host may contain a port.
 func (c *Config) Match(host, path string) *Route {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
 		host = host[:i]
--- a/mesh/config/config_test.go
+++ b/mesh/config/config_test.go
@@ -9,7 +9,7 @@
 	"github.com/go-faster/errors"
 )
 
-// valid is a configuration that tests start from.
+// valid is a configuration that tests use as it is or with replacements.
 const valid = `{"edition":"0000000c","caps":{"envelopeBytes":16384},
 "gates":[{"depot":"A.example","regulations":[
  {"name":"r1","routeKind":"safe","targetS":0.8,"precedence":2,"sorting":{"lanePrefix":"/x/"},
@@ -48,17 +48,17 @@
 
 func TestParseErrorsNameThePlace(t *testing.T) {
 	for _, c := range []struct{ name, old, replacement, want string }{
-		{"cut short", valid, valid[:len(valid)/2], "line 6"},
-		{"two of them", valid, valid + valid, "line 9: something follows"},
+		{"truncated", valid, valid[:len(valid)/2], "line 6"},
+		{"two configurations", valid, valid + valid, "line 9: something follows"},
 		{
 			"unknown service", `"line":"one","deadlineS":3`, `"line":"six","deadlineS":3`,
 			`gates[0].regulations[0]: dispatch: unknown service "six"`,
 		},
-		{"same place", `"/x/y/"`, `"/x/"`, "a.example/x/ is there twice"},
+		{"two routes with one prefix", `"/x/y/"`, `"/x/"`, "a.example/x/ is there twice"},
 		{"no time-out", `"deadlineS":3`, `"deadlineS":0`, "dispatch: deadlineS: cannot be blank"},
 		{"no attempts", `"deadlineS":3,"attempts":2`, `"deadlineS":3,"attempts":0`, "dispatch: attempts: cannot be blank"},
 		{"no weight", `"share":90},{"line":"two","share":10`, `"share":0},{"line":"two","share":0`, "no share above 0"},
-		{"a prefix without its slash", `"/x/"`, `"/x"`, "lanePrefix"},
+		{"a prefix without its last slash", `"/x/"`, `"/x"`, "lanePrefix"},
 		{"a version that is too short", `0000000c`, `c`, "edition"},
 		{"an unknown kind", `"routeKind":"safe","targetS":0.8`, `"routeKind":"odd","targetS":0.8`, "routeKind"},
 		{"a string for a number", `"deadlineS":3`, `"deadlineS":"3"`, "line 4"},
@@ -71,7 +71,7 @@
 	}
 }
 
-// A caller can tell what kind of fault a configuration has, and where.
+// Callers can distinguish the errors of Parse by type, and read where the error is.
 func TestParseErrorsAreTyped(t *testing.T) {
 	parse := func(old, replacement string) error {
 		_, err := Parse([]byte(strings.Replace(valid, old, replacement, 1)))
@@ -165,7 +165,7 @@
 	}
 }
 
-// A route of the highest precedence has no say in which others are urgent.
+// The latency target of a route with the highest precedence doesn't make other routes urgent, however long it is.
 func TestHighestPrecedenceDoesNotMakeOthersUrgent(t *testing.T) {
 	c, err := Parse([]byte(strings.Replace(valid, `"targetS":1,"precedence":1`, `"targetS":9,"precedence":0`, 1)))
 	if err != nil {
@@ -200,7 +200,7 @@
 		t.Errorf("%v", err)
 	}
 	if _, err := Parse(text(MaxRoutes + 1)); err == nil {
-		t.Error("one more than the bound is taken")
+		t.Error("a configuration with MaxRoutes+1 routes is accepted")
 	}
 }
 
--- a/mesh/config/diff.go
+++ b/mesh/config/diff.go
@@ -7,12 +7,13 @@
 	"strings"
 )
 
-// Change is one difference between two configurations, as far as requests see it.
+// Change is a difference of one route between two configurations.
 type Change struct {
 	Host, Prefix string
 	// Description is text for operators.
 	Description string
-	// MovedShare is the part, of 0 to 1, of the route's requests that go to another service, or whose route is added or removed.
+	// MovedShare is the share, from 0 to 1, of the route's requests that go to another service. It is 1 for a route that is added or removed
+	// while no other route matches its requests.
 	MovedShare float64
 }
 
@@ -23,8 +24,8 @@
 	return slices.Compare([]string{a.host, a.prefix}, []string{b.host, b.prefix})
 }
 
-// Diff returns what changes from one configuration to another, in the order of hosts and prefixes. Where a route is removed, or added, and
-// another with a shorter prefix takes its requests, or took them, the description names it.
+// Diff returns the changes from one configuration to another, sorted by host and prefix. If the requests of a route that is added or
+// removed match a route with a shorter prefix in the other configuration, the description names that route.
 func Diff(from, to *Config) []Change {
 	keys := map[routeKey]struct{}{}
 	for _, c := range []*Config{from, to} {
@@ -43,7 +44,7 @@
 	return changes
 }
 
-// diffRoute compares one route; the description is empty where it is the same.
+// diffRoute compares one route. The description is empty if the route is the same in both configurations.
 func diffRoute(from, to *Config, key routeKey) Change {
 	change := Change{Host: key.host, Prefix: key.prefix}
 	before, after := from.hosts[key.host][key.prefix], to.hosts[key.host][key.prefix]
@@ -66,7 +67,7 @@
 	return change
 }
 
-// destinations describes where a route leads.
+// destinations describes the services of a route, with their shares if there are several.
 func (r *Route) destinations() string {
 	if len(r.Services) == 1 {
 		return r.Services[0].Service
@@ -78,8 +79,8 @@
 	return strings.Join(parts, ", ")
 }
 
-// movedShare returns the smallest part of the requests that has to move. Requests keep their place in the order of a split, so that more
-// may.
+// movedShare returns the share of the requests that has to move to another service at least. More may move, as ChooseService maps
+// fractions to services in the order of the split.
 func movedShare(before, after *Route) (moved float64) {
 	seen := map[string]bool{}
 	for _, s := range before.Services {
@@ -91,7 +92,7 @@
 	return moved
 }
 
-// describeChange lists the properties of a route that differ; empty: none does.
+// describeChange lists the properties of a route that differ. It returns an empty text if there are none.
 func describeChange(before, after *Route) string {
 	var parts []string
 	add := func(property string, old, now any) {
@@ -108,7 +109,7 @@
 	return strings.Join(parts, "; ")
 }
 
-// UnusedServices returns the names of the services that no route leads to, in order.
+// UnusedServices returns the names of the services that no route leads to, sorted.
 func (c *Config) UnusedServices() []string {
 	used := map[string]bool{}
 	for r := range c.allRoutes() {
--- a/mesh/config/document.go
+++ b/mesh/config/document.go
@@ -7,7 +7,7 @@
 	validation "github.com/go-ozzo/ozzo-validation/v4"
 )
 
-// Bounds of a configuration. One beyond any of them is refused.
+// Bounds of a configuration. A configuration beyond any of them is rejected.
 const (
 	// MaxBytes bounds the text of a configuration.
 	MaxBytes = 8 << 20
@@ -17,16 +17,16 @@
 	MaxServices = 2000
 )
 
-// Kind is whether a request of a route is idempotent (the users' page on requests).
+// Kind states whether the requests of a route are idempotent (the users' page on requests).
 type Kind string
 
 // The kinds of routes.
 const (
-	// Safe: a request may run more than once.
+	// Safe means that a request may run more than once.
 	Safe Kind = "safe"
-	// Unsafe: a request runs at most once for each attempt of its client.
+	// Unsafe means that a request runs at most once for each attempt of its client.
 	Unsafe Kind = "unsafe"
-	// Download: as Safe, with large answers.
+	// Download is like Safe, with large responses.
 	Download Kind = "download"
 )
 
@@ -39,13 +39,13 @@
 	Services     []Service     `json:"fleets"`
 }
 
-// ClientLimits bound what clients may send. 0: no bound is set.
+// ClientLimits bound the requests and connections of clients. 0 means unbounded.
 type ClientLimits struct {
-	// HeaderBytes bounds the first line and the headers of a request.
+	// HeaderBytes bounds the request line and the headers of a request.
 	HeaderBytes int `json:"envelopeBytes"`
 	// BodyBytes bounds the body of a request.
 	BodyBytes int64 `json:"contentsBytes"`
-	// HeaderTimeoutS is the time, in seconds, in which a client has to send the headers.
+	// HeaderTimeoutS is the time, in seconds, within which a client has to send the headers.
 	HeaderTimeoutS float64 `json:"envelopeS"`
 	// IdleTimeoutS is the time, in seconds, that a client may keep a connection idle.
 	IdleTimeoutS float64 `json:"idleS"`
@@ -61,9 +61,9 @@
 type RouteSpec struct {
 	Name string `json:"name"`
 	Kind Kind   `json:"routeKind"`
-	// LatencyTargetS is the time, in seconds, within which an answer earns its full value.
+	// LatencyTargetS is the time, in seconds, within which a response has its full value.
 	LatencyTargetS float64 `json:"targetS"`
-	// Precedence is the priority of the route's requests, 0 the highest.
+	// Precedence is the priority of the route's requests; 0 is the highest.
 	Precedence int         `json:"precedence"`
 	Match      PathMatch   `json:"sorting"`
 	Action     RouteAction `json:"dispatch"`
@@ -71,7 +71,7 @@
 
 // PathMatch is a condition on the path of a request.
 type PathMatch struct {
-	// Prefix begins and ends with a slash. Of the routes of a host the one with the longest matching prefix takes a request.
+	// Prefix begins and ends with a slash. A request matches the route of its host with the longest matching prefix.
 	Prefix string `json:"lanePrefix"`
 }
 
@@ -82,7 +82,7 @@
 	Split   []WeightedService `json:"split"`
 	// TimeoutS is the longest time, in seconds, that a request may take.
 	TimeoutS float64 `json:"deadlineS"`
-	// MaxAttempts is the highest number of servers to which a request may be sent.
+	// MaxAttempts bounds the number of servers to which a request may be sent.
 	MaxAttempts int `json:"attempts"`
 }
 
@@ -97,7 +97,7 @@
 	Name string `json:"name"`
 	// HealthPath is the path of the servers' health check.
 	HealthPath string `json:"healthPath"`
-	// MaxConns is how many connections a server accepts from all callers together.
+	// MaxConns bounds the connections that a server accepts from all callers together.
 	MaxConns int `json:"maxConns"`
 }
 
@@ -111,7 +111,8 @@
 	)
 }
 
-// validate checks what can be checked of a route by itself. A valid one is recognised without reflection, as configurations hold thousands.
+// validate checks the fields of a route that don't depend on the rest of the configuration. Valid routes are recognised without
+// reflection, as configurations hold thousands of them.
 func (r *RouteSpec) validate() error {
 	if r.certainlyValid() {
 		return nil
@@ -133,7 +134,7 @@
 	return nil
 }
 
-// certainlyValid reports whether a route passes validate for sure; it may pass although it is not plausible.
+// certainlyValid reports whether a route certainly passes validate. A route for which it returns false may pass, too.
 func (r *RouteSpec) certainlyValid() bool {
 	switch r.Kind {
 	case Safe, Unsafe, Download:
--- a/mesh/config/errors.go
+++ b/mesh/config/errors.go
@@ -8,27 +8,27 @@
 	"github.com/go-faster/errors"
 )
 
-// ErrTooLarge is in the chain of the error for a configuration of more than MaxBytes.
+// ErrTooLarge is wrapped by the errors for a configuration of more than MaxBytes.
 var ErrTooLarge = errors.New("configuration too large")
 
 // Errors that an InvalidError may wrap.
 var (
-	// ErrMissing: a name is empty.
+	// ErrMissing reports that a name is empty.
 	ErrMissing = errors.New("is missing")
-	// ErrDuplicate: two services share a name, or two routes a host and a prefix.
+	// ErrDuplicate reports that two services have the same name, or two routes the same host and prefix.
 	ErrDuplicate = errors.New("is there twice")
-	// ErrUnknownService: a route leads to a service that is not among the services.
+	// ErrUnknownService reports that a route leads to a service that the configuration doesn't list.
 	ErrUnknownService = errors.New("unknown service")
 )
 
-// SyntaxError is a text that is not a configuration in JSON.
+// SyntaxError reports that a text is not JSON, or that a field has the wrong type.
 type SyntaxError struct {
 	Line  int    // counted from 1
-	Field string // path of the field whose type is wrong; empty: the text is no JSON
+	Field string // path of the field whose type is wrong; empty: the text is not JSON
 	Err   error
 }
 
-// Error names the line, and the field of a wrong type.
+// Error states the line, and the field if its type is wrong.
 func (e *SyntaxError) Error() string {
 	if e.Field != "" {
 		return fmt.Sprintf("line %d: %s: %v", e.Line, e.Field, e.Err)
@@ -39,13 +39,13 @@
 // Unwrap returns the error of the JSON decoder.
 func (e *SyntaxError) Unwrap() error { return e.Err }
 
-// InvalidError is a configuration in JSON that breaks a rule.
+// InvalidError reports that a configuration breaks a rule.
 type InvalidError struct {
 	Path string // of the field, by the keys of the JSON form; empty: Err names it
 	Err  error
 }
 
-// Error names the field.
+// Error states the path of the field, and what is wrong with it.
 func (e *InvalidError) Error() string {
 	if e.Path == "" {
 		return e.Err.Error()
@@ -53,12 +53,12 @@
 	return e.Path + ": " + e.Err.Error()
 }
 
-// Unwrap returns what is wrong with the field.
+// Unwrap returns the error in the field.
 func (e *InvalidError) Unwrap() error { return e.Err }
 
 func invalid(path string, err error) error { return &InvalidError{Path: path, Err: err} }
 
-// syntaxError locates an error of the JSON decoder.
+// syntaxError returns an error of the JSON decoder with its line.
 func syntaxError(text []byte, err error) error {
 	var syntax *json.SyntaxError
 	var wrongType *json.UnmarshalTypeError
@@ -71,7 +71,7 @@
 	return &SyntaxError{Line: lineAt(text, int64(len(text))), Err: err}
 }
 
-// lineAt returns the number of the line at an offset, which may lie outside of the text.
+// lineAt returns the number of the line at an offset. Offsets outside of the text count as its start or end.
 func lineAt(text []byte, offset int64) int {
 	return 1 + bytes.Count(text[:min(max(offset, 0), int64(len(text)))], []byte{'\n'})
 }
--- a/mesh/config/pack.go
+++ b/mesh/config/pack.go
@@ -8,22 +8,23 @@
 	"github.com/go-faster/errors"
 )
 
-// Pack compresses a configuration's text, for disks and links, in the format DEFLATE (RFC 1951).
+// Pack compresses a configuration's text in the DEFLATE format (RFC 1951), in which it is stored and sent.
 func Pack(body []byte) []byte {
 	var out bytes.Buffer
 	w, err := flate.NewWriter(&out, flate.BestSpeed)
 	if err != nil {
-		panic(err) // fails for unknown levels only
+		panic(err) // NewWriter fails only for unknown levels
 	}
 	_, _ = w.Write(body) // writing to a buffer never fails
 	_ = w.Close()
 	return out.Bytes()
 }
 
-// Unpack returns the text that Pack has compressed. It fails on bytes that are damaged, and with ErrTooLarge on a text beyond MaxBytes.
+// Unpack returns the text that Pack has compressed. It fails if the bytes are corrupt, and with ErrTooLarge if the text is longer than
+// MaxBytes.
 func Unpack(packed []byte) ([]byte, error) {
 	r := flate.NewReader(bytes.NewReader(packed))
-	defer func() { _ = r.Close() }() // it holds nothing that could be lost
+	defer func() { _ = r.Close() }() // no data can be lost by an error here
 	body, err := io.ReadAll(io.LimitReader(r, MaxBytes+1))
 	if err != nil {
 		return nil, errors.Wrap(err, "unpack")
@@ -34,7 +35,7 @@
 	return body, nil
 }
 
-// ParsePacked is Parse of the text that Pack has compressed.
+// ParsePacked parses the text that Pack has compressed.
 func ParsePacked(packed []byte) (*Config, error) {
 	body, err := Unpack(packed)
 	if err != nil {
--- a/mesh/config/route.go
+++ b/mesh/config/route.go
@@ -7,17 +7,17 @@
 	"github.com/go-faster/errors"
 )
 
-// urgencyFactor is by how much longer the latency target of another route to the same service has to be for a route to be urgent.
+// urgencyFactor is the ratio of latency targets from which a route is urgent compared with another route to the same service (Route.Rank).
 const urgencyFactor = 1.4
 
-// Route is a valid route. It is immutable, and safe for concurrent use.
+// Route is a validated route. It is immutable, and safe for concurrent use.
 type Route struct {
 	*RouteSpec
-	// Services are where the route leads: at least one, of a positive total weight.
+	// Services are the destinations of the route: at least one, with a positive total weight.
 	Services []WeightedService
-	// Rank is the priority at a server's admission, 0 the highest. It is the route's precedence, except that urgent routes have 0: those
-	// to a service for which another route has a clearly longer latency target. They can wait least, and are mostly calls that a server
-	// makes for a request that it works on.
+	// Rank is the priority at a server's admission; 0 is the highest. It is the route's precedence, except that urgent routes have rank 0. A
+	// route is urgent if another route to the same service has a latency target that is longer by urgencyFactor. Requests of urgent routes can
+	// wait least, and are mostly calls that a server makes for a request that it is working on.
 	Rank int
 
 	totalWeight float64
@@ -53,9 +53,9 @@
 	return r, nil
 }
 
-// assignRanks sets the ranks of all routes.
+// assignRanks sets the ranks of all routes. Latency targets of routes with the highest precedence don't make others urgent.
 func (c *Config) assignRanks() {
-	longestTarget := map[string]float64{} // by service, of the routes without the highest precedence
+	longestTarget := map[string]float64{} // by service, of the routes with a precedence other than 0
 	for r := range c.allRoutes() {
 		r.Rank = r.Precedence
 		if r.Precedence <= 0 {
@@ -74,7 +74,8 @@
 	}
 }
 
-// ChooseService picks a service by the weights. At, of 0 or more and below 1, decides: the same value picks the same service.
+// ChooseService picks a service by the weights. The fraction, from 0 to below 1, determines the choice: the same fraction picks the same
+// service.
 func (r *Route) ChooseService(fraction float64) string {
 	if len(r.Services) == 1 {
 		return r.Services[0].Service
@@ -93,7 +94,7 @@
 	return last
 }
 
-// Allows reports whether the route may lead to a service.
+// Allows reports whether requests of the route may go to a service.
 func (r *Route) Allows(service string) bool {
 	for _, s := range r.Services {
 		if s.Service == service && s.Weight > 0 {
@@ -106,7 +107,7 @@
 // Idempotent reports whether a request of the route may run more than once.
 func (r *Route) Idempotent() bool { return r.Kind != Unsafe }
 
-// share returns the part of the route's requests that go to a service, of 0 to 1.
+// share returns the share of the route's requests that go to a service, from 0 to 1.
 func (r *Route) share(service string) (share float64) {
 	for _, s := range r.Services {
 		if s.Service == service {
