--- a/lab/explore/rollouts/world.go
+++ b/lab/explore/rollouts/world.go
@@ -43,7 +43,7 @@
 )
 
 // durations are those of a deployment in which a sidecar counts as lost well before it is out of touch.
-var durations = timing.DefaultWith(func(b *bootstrap.Bounds) { b.InTouch = 5 * time.Second }).Rollouts
+var durations = timing.DefaultWith(func(b *bootstrap.Bounds) { b.SettleTime = 5 * time.Second }).Rollouts
 
 // sidecar is a branch machine: it sends, and has a server of one version.
 type sidecar struct {
--- a/mesh/bootstrap/bounds.go
+++ b/mesh/bootstrap/bounds.go
@@ -8,56 +8,58 @@
 	"github.com/go-faster/errors"
 )
 
-// Bounds are the figures of the users' rules, by their names there. Those that the settings leave out have the values of DefaultBounds.
+// Bounds are the bounds of the users' rules. parseBounds maps their names in the settings file to the fields. Those that the settings leave
+// out have the values of DefaultBounds.
 type Bounds struct {
-	// InTouch is how long a machine has to be undisturbed until rules with a time bound hold for it.
-	InTouch time.Duration
-	// Receipt is the time in which a configuration has to be acknowledged.
-	Receipt time.Duration
-	// Sync is how long a machine that has returned still counts as lost.
-	Sync time.Duration
-	// LastPost is how long a server that shuts down serves on after the acknowledgement.
-	LastPost time.Duration
-	// Grace is the time between SIGTERM and SIGKILL.
+	// SettleTime is how long a machine has to be undisturbed before rules with a time bound apply to it.
+	SettleTime time.Duration
+	// AckTime is the time within which a configuration has to be acknowledged.
+	AckTime time.Duration
+	// RejoinTime is how long a machine still counts as lost after it has returned.
+	RejoinTime time.Duration
+	// DrainTime is how long a server that shuts down still serves requests after its shutdown was acknowledged.
+	DrainTime time.Duration
+	// Grace is the time from SIGTERM to SIGKILL.
 	Grace time.Duration
-	// InForce is the time in which an acknowledged configuration has to be in force everywhere.
+	// InForce is the time within which an acknowledged configuration has to be in force everywhere.
 	InForce time.Duration
-	// BackSlack is how long a sidecar may still use an older configuration after it has used a newer one.
-	BackSlack time.Duration
-	// Recovery is the time in which requests succeed again after machines have returned.
+	// StaleConfigTime is how long a sidecar may still use an older configuration after it has used a newer one.
+	StaleConfigTime time.Duration
+	// Recovery is the time within which requests have to succeed again after machines have returned.
 	Recovery time.Duration
-	// AddressReuse is how long the address of a server that has ended stays unused.
+	// AddressReuse is how long the address of a stopped server stays unused.
 	AddressReuse time.Duration
-	// RetryRatio, RetrySlack and RetryWindow bound the retries: RetryRatio times the requests, and RetrySlack more, in each RetryWindow.
+	// RetryRatio, RetrySlack and RetryWindow bound the retries in each RetryWindow: RetryRatio times the requests, plus RetrySlack.
 	RetryRatio, RetrySlack float64
 	RetryWindow            time.Duration
-	// ExposureShare is the share of a service's requests that a bad version may get while it is rolled out, and ExposureSlack how many more.
+	// ExposureShare is the share of a service's requests that a bad version may get during its rollout, and ExposureSlack the number of
+	// requests that it may get in addition.
 	ExposureShare, ExposureSlack float64
-	// Recall is the time in which requests to a bad version have to cease.
+	// Recall is the time within which requests to a bad version have to cease.
 	Recall time.Duration
 }
 
 // maxBound is the exclusive upper limit of each value in the settings file.
 const maxBound = 1e6
 
-// DefaultBounds returns the bounds of settings that state none.
+// DefaultBounds returns the bounds for settings that state none.
 func DefaultBounds() Bounds {
 	return Bounds{
-		InTouch:       3 * time.Second,
-		Receipt:       5 * time.Second,
-		Sync:          4 * time.Second,
-		LastPost:      2500 * time.Millisecond,
-		Grace:         6 * time.Second,
-		InForce:       2500 * time.Millisecond,
-		BackSlack:     250 * time.Millisecond,
-		Recovery:      15 * time.Second,
-		AddressReuse:  2 * time.Second,
-		RetryRatio:    0.2,
-		RetrySlack:    0,
-		RetryWindow:   10 * time.Second,
-		ExposureShare: 0.1,
-		ExposureSlack: 50,
-		Recall:        5 * time.Second,
+		SettleTime:      3 * time.Second,
+		AckTime:         5 * time.Second,
+		RejoinTime:      4 * time.Second,
+		DrainTime:       2500 * time.Millisecond,
+		Grace:           6 * time.Second,
+		InForce:         2500 * time.Millisecond,
+		StaleConfigTime: 250 * time.Millisecond,
+		Recovery:        15 * time.Second,
+		AddressReuse:    2 * time.Second,
+		RetryRatio:      0.2,
+		RetrySlack:      0,
+		RetryWindow:     10 * time.Second,
+		ExposureShare:   0.1,
+		ExposureSlack:   50,
+		Recall:          5 * time.Second,
 	}
 }
 
@@ -65,13 +67,13 @@
 func parseBounds(entries []string) (Bounds, error) {
 	b := DefaultBounds()
 	durations := map[string]*time.Duration{
-		"inTouchS":      &b.InTouch,
-		"receiptS":      &b.Receipt,
-		"syncS":         &b.Sync,
-		"lastPostS":     &b.LastPost,
+		"inTouchS":      &b.SettleTime,
+		"receiptS":      &b.AckTime,
+		"syncS":         &b.RejoinTime,
+		"lastPostS":     &b.DrainTime,
 		"graceS":        &b.Grace,
 		"inForceS":      &b.InForce,
-		"backSlackS":    &b.BackSlack,
+		"backSlackS":    &b.StaleConfigTime,
 		"recoveryS":     &b.Recovery,
 		"addressReuseS": &b.AddressReuse,
 		"retryWindowS":  &b.RetryWindow,
--- a/mesh/controlplane/conflicts.go
+++ b/mesh/controlplane/conflicts.go
@@ -17,11 +17,11 @@
 }
 
 // checkTolerance reports, once, that fewer control machines are known than the tolerance needs. It is called several times a second and
-// does nothing before Bounds.Sync has passed, in which a machine learns of all others.
+// does nothing before Bounds.RejoinTime has passed, in which a machine learns of all others.
 func (s *Server) checkTolerance(now time.Duration) {
 	tolerance := s.settings.Tolerance.Members()
 	known := len(s.knownMachines(now))
-	if s.toleranceReported || now < s.settings.Bounds.Sync || timing.MissingMachines(tolerance, known) == 0 {
+	if s.toleranceReported || now < s.settings.Bounds.RejoinTime || timing.MissingMachines(tolerance, known) == 0 {
 		return
 	}
 	s.toleranceReported = true
--- a/mesh/controlplane/persistence_test.go
+++ b/mesh/controlplane/persistence_test.go
@@ -122,24 +122,24 @@
 	}
 }
 
-// A tolerance that needs more control machines than are known is reported once, by name, and not before Bounds.Sync has passed, as a
+// A tolerance that needs more control machines than are known is reported once, by name, and not before Bounds.RejoinTime has passed, as a
 // machine may not know of all others earlier.
 func TestToleranceAboveTheMachinesIsReported(t *testing.T) {
 	s := newTestServer()
 	s.settings.Tolerance.Machines = 2
 	s.peers.Record("b", "z", time.Second)
-	s.checkTolerance(s.settings.Bounds.Sync - 1)
+	s.checkTolerance(s.settings.Bounds.RejoinTime - 1)
 	if names := s.conflictNames(); len(names) > 0 {
-		t.Fatalf("%v reported before Bounds.Sync has passed", names)
+		t.Fatalf("%v reported before Bounds.RejoinTime has passed", names)
 	}
-	s.checkTolerance(s.settings.Bounds.Sync)
-	s.checkTolerance(s.settings.Bounds.Sync + 1)
+	s.checkTolerance(s.settings.Bounds.RejoinTime)
+	s.checkTolerance(s.settings.Bounds.RejoinTime + 1)
 	if names := s.status(s.now()).Conflicts; !slices.Equal(names, []string{"tolerance_within_machines"}) {
 		t.Errorf("conflicts %v", names)
 	}
 	s.settings.Tolerance.Machines = 0
 	s.toleranceReported = false
-	if s.checkTolerance(s.settings.Bounds.Sync); s.toleranceReported {
+	if s.checkTolerance(s.settings.Bounds.RejoinTime); s.toleranceReported {
 		t.Error("a conflict is reported for a tolerance of 0")
 	}
 }
--- a/mesh/controlplane/rollouts_test.go
+++ b/mesh/controlplane/rollouts_test.go
@@ -28,7 +28,7 @@
 	settings.Bounds = bootstrap.DefaultBounds()
 	settings.Addresses.Control = control
 	settings.SeedNodes = []string{control}
-	settings.Bounds.Sync, settings.Bounds.Grace = 2*time.Second, 600*time.Millisecond
+	settings.Bounds.RejoinTime, settings.Bounds.Grace = 2*time.Second, 600*time.Millisecond
 	return &soleMachine{t: t, settings: settings}
 }
 
--- a/mesh/timing/control.go
+++ b/mesh/timing/control.go
@@ -17,7 +17,7 @@
 
 func newPeers(b *bootstrap.Bounds) Peers {
 	return Peers{
-		DialTimeout:    interpolation{minInTouch, fullInTouch, 300 * time.Millisecond, 600 * time.Millisecond}.at(b.InTouch),
+		DialTimeout:    interpolation{minInTouch, fullInTouch, 300 * time.Millisecond, 600 * time.Millisecond}.at(b.SettleTime),
 		RedialInterval: 120 * time.Millisecond,
 	}
 }
@@ -33,7 +33,7 @@
 
 func newOperations(b *bootstrap.Bounds) Operations {
 	const maxTimeout = 2500 * time.Millisecond
-	timeout := min(maxTimeout, b.Receipt/2)
+	timeout := min(maxTimeout, b.AckTime/2)
 	return Operations{Timeout: timeout, MaxWait: timeout * 4 / 5}
 }
 
@@ -60,7 +60,7 @@
 	const phaseTimeoutLimit = 1500 * time.Millisecond
 	return Register{
 		MinPhaseTimeout:  r.PhaseTimeout,
-		MaxPhaseTimeout:  max(r.PhaseTimeout, min(phaseTimeoutLimit, b.Receipt*3/10)),
+		MaxPhaseTimeout:  max(r.PhaseTimeout, min(phaseTimeoutLimit, b.AckTime*3/10)),
 		MinBackoff:       minBackoff,
 		BackoffJitter:    backoffJitter,
 		IdleReadInterval: newDissemination(b).IdleReadInterval,
--- a/mesh/timing/dissemination.go
+++ b/mesh/timing/dissemination.go
@@ -76,7 +76,7 @@
 		FirstUpdateTimeout: byInForce(300, 450),
 		MaxReadyAge:        b.InForce / 2,
 		StaleFallbackDelay: min(b.InForce, b.Recovery/recoveryPerFallbackDelay),
-		QuorumTimeout:      min(maxQuorumTimeout, b.Receipt*3/10),
+		QuorumTimeout:      min(maxQuorumTimeout, b.AckTime*3/10),
 		AckTimeout:         byInForce(400, 650),
 		PeerReportTTL:      peerReportTTL,
 		NotSeenAfter:       2 * peerReportTTL,
@@ -110,7 +110,7 @@
 		ReportInterval: reportInterval,
 		DialTimeout: min(
 			interpolation{minInForce, fullInForce, minDialTimeout, maxDialTimeout}.at(b.InForce),
-			interpolation{minInTouch, fullInTouch, minDialTimeout, maxDialTimeout}.at(b.InTouch),
+			interpolation{minInTouch, fullInTouch, minDialTimeout, maxDialTimeout}.at(b.SettleTime),
 		),
 		RedialDelay:  redialDelay,
 		TickInterval: interpolation{minInForce, fullInForce, 100 * time.Millisecond, 200 * time.Millisecond}.at(b.InForce),
--- a/mesh/timing/inequalities.go
+++ b/mesh/timing/inequalities.go
@@ -87,11 +87,11 @@
 	return []Inequality{
 		{
 			"sidecar_connected_within_in_touch", "CONFIG", "inForceS, inTouchS",
-			"a sidecar that was cut off has the acknowledged changes once it is in touch again", sidecarReconnect, b.InTouch,
+			"a sidecar that was cut off has the acknowledged changes once it is in touch again", sidecarReconnect, b.SettleTime,
 		},
 		{
 			"control_connected_within_in_touch", "CONFIG", "inTouchS",
-			"control machines that were cut off answer again within inTouchS", peerReconnect, b.InTouch,
+			"control machines that were cut off answer again within inTouchS", peerReconnect, b.SettleTime,
 		},
 		{
 			"peer_dial_succeeds", "CONFIG", "inTouchS", "a connection between healthy machines is made in one attempt",
@@ -117,7 +117,7 @@
 	return []Inequality{
 		{
 			"acknowledged_within_receipt", "ACKS", "receiptS", "after a call that timed out there is time for another one",
-			2 * d.Operations.Timeout, b.Receipt,
+			2 * d.Operations.Timeout, b.AckTime,
 		},
 		{
 			"acknowledgement_before_operator_leaves", "ACKS", "inForceS",
@@ -154,14 +154,14 @@
 	return []Inequality{
 		{
 			"repair_within_sync", "LOST", "syncS, tolerance", "a loss is repaired before the next one is allowed",
-			r.MaxRepairTime(members), b.Sync,
+			r.MaxRepairTime(members), b.RejoinTime,
 		},
 		{
-			"repair_after_restart_within_sync", "LOST", "syncS, tolerance", "a repair after all machines restart ends in time", afterRestart, b.Sync,
+			"repair_after_restart_within_sync", "LOST", "syncS, tolerance", "a repair after all machines restart ends in time", afterRestart, b.RejoinTime,
 		},
 		{
 			"growth_within_sync", "LOST", "syncS, tolerance",
-			"the group has grown to the size that the tolerance needs before the first loss is allowed", r.MaxGrowthTime(members), b.Sync,
+			"the group has grown to the size that the tolerance needs before the first loss is allowed", r.MaxGrowthTime(members), b.RejoinTime,
 		},
 		{
 			"hellos_within_detection", "LOST", "syncS", "three hellos may be late before a member counts as lost",
@@ -181,7 +181,7 @@
 		},
 		{
 			"changes_not_delayed", "LOST", "syncS", "the minimum interval between changes does not delay the next repair",
-			r.MinChangeInterval, min(max(b.Sync, minSync), maxSync) - r.ChangeTimeout + r.DetectionTimeout,
+			r.MinChangeInterval, min(max(b.RejoinTime, minSync), maxSync) - r.ChangeTimeout + r.DetectionTimeout,
 		},
 	}
 }
@@ -252,12 +252,12 @@
 		{
 			"identified_server_confirmed", "DRAIN", "inTouchS, beatS",
 			"a server known only by its health check gets no requests by the time its machine is in touch",
-			d.Server.IdentifiedTimeout, s.Bounds.InTouch,
+			d.Server.IdentifiedTimeout, s.Bounds.SettleTime,
 		},
 		{
 			"restarted_server_confirmed", "DRAIN", "inTouchS",
 			"a server with only one heartbeat since a restart gets no requests by the time its machine is in touch",
-			d.Server.RestartConfirmTimeout, s.Bounds.InTouch,
+			d.Server.RestartConfirmTimeout, s.Bounds.SettleTime,
 		},
 		{
 			"heartbeats_may_be_lost", "DRAIN", "beatS", "two heartbeats in a row may be lost before a server is unresponsive",
--- a/mesh/timing/rollouts.go
+++ b/mesh/timing/rollouts.go
@@ -37,10 +37,10 @@
 func newRollouts(b *bootstrap.Bounds) Rollouts {
 	return Rollouts{
 		ReportInterval:       min(maxRolloutReport, max(minRolloutReport, b.Recall/reportsPerRecall)),
-		LostSidecarWait:      b.InTouch,
+		LostSidecarWait:      b.SettleTime,
 		OpenStreamWait:       b.Grace,
 		RetirementPeriod:     b.Grace,
-		DuplicateOrderWindow: 2 * b.Receipt,
+		DuplicateOrderWindow: 2 * b.AckTime,
 		ProposeInterval:      proposeInterval,
 	}
 }
--- a/mesh/timing/sidecar.go
+++ b/mesh/timing/sidecar.go
@@ -71,7 +71,7 @@
 func newServer(b *bootstrap.Bounds, heartbeat time.Duration) Server {
 	timeout := time.Duration(heartbeatTimeoutFactor * float64(max(heartbeat, minServerHeartbeat)))
 	restored := timeout * restoredNumerator / restoredDenominator
-	confirmTimeout := time.Duration(inTouchShare * float64(b.InTouch))
+	confirmTimeout := time.Duration(inTouchShare * float64(b.SettleTime))
 	return Server{
 		HeartbeatTimeout:      timeout,
 		RestoredTimeout:       restored,
--- a/mesh/timing/timing.go
+++ b/mesh/timing/timing.go
@@ -69,7 +69,7 @@
 		Sidecars:      newSidecars(),
 		Peers:         newPeers(b),
 		Operations:    newOperations(b),
-		Replacement:   NewReplacement(b.Sync, b.Grace),
+		Replacement:   NewReplacement(b.RejoinTime, b.Grace),
 		Shutdown:      newShutdown(b.Grace),
 		Server:        newServer(b, s.ServerHeartbeat),
 		Rollouts:      newRollouts(b),
--- a/mesh/timing/timing_test.go
+++ b/mesh/timing/timing_test.go
@@ -15,8 +15,8 @@
 		return time.Duration(rapid.Float64Range(low, high).Draw(t, name) * float64(time.Second))
 	}
 	b := bootstrap.DefaultBounds()
-	b.InTouch, b.Grace, b.LastPost = draw("inTouchS", 1.5, 10), draw("graceS", 2.5, 25), draw("lastPostS", 1, 8)
-	b.InForce, b.Sync, b.Receipt = draw("inForceS", 1.5, 8), draw("syncS", 2, 10), draw("receiptS", 5, 12)
+	b.SettleTime, b.Grace, b.DrainTime = draw("inTouchS", 1.5, 10), draw("graceS", 2.5, 25), draw("lastPostS", 1, 8)
+	b.InForce, b.RejoinTime, b.AckTime = draw("inForceS", 1.5, 8), draw("syncS", 2, 10), draw("receiptS", 5, 12)
 	return Settings{Bounds: b, ServerHeartbeat: draw("beatS", 0.5, 5), Tolerance: rapid.IntRange(1, 2).Draw(t, "tolerance")}
 }
 
@@ -30,8 +30,8 @@
 			return time.Duration(high * float64(time.Second))
 		}
 		b := bootstrap.DefaultBounds()
-		b.InTouch, b.Grace, b.LastPost = pick(0, 1.5, 10), pick(1, 2.5, 25), pick(2, 1, 8)
-		b.InForce, b.Sync = pick(3, 1.5, 8), pick(4, 2, 10)
+		b.SettleTime, b.Grace, b.DrainTime = pick(0, 1.5, 10), pick(1, 2.5, 25), pick(2, 1, 8)
+		b.InForce, b.RejoinTime = pick(3, 1.5, 8), pick(4, 2, 10)
 		all = append(all, Settings{Bounds: b, ServerHeartbeat: pick(5, 0.5, 5), Tolerance: 1 + i>>6&1})
 	}
 	return all
@@ -107,9 +107,9 @@
 	}{
 		{"graceS is below what a departure takes", func(s *Settings) { s.Bounds.Grace = 1500 * time.Millisecond }, "handover_within_departure"},
 		{"inForceS is below a reconnection", func(s *Settings) { s.Bounds.InForce = time.Second }, "reconnect_within_in_force"},
-		{"syncS is below a repair", func(s *Settings) { s.Bounds.Sync = time.Second }, "repair_within_sync"},
-		{"inTouchS is below a reconnection", func(s *Settings) { s.Bounds.InTouch = time.Second / 2 }, "control_connected_within_in_touch"},
-		{"receiptS is below a round", func(s *Settings) { s.Bounds.Receipt = 2 * time.Second }, "round_within_call"},
+		{"syncS is below a repair", func(s *Settings) { s.Bounds.RejoinTime = time.Second }, "repair_within_sync"},
+		{"inTouchS is below a reconnection", func(s *Settings) { s.Bounds.SettleTime = time.Second / 2 }, "control_connected_within_in_touch"},
+		{"receiptS is below a round", func(s *Settings) { s.Bounds.AckTime = 2 * time.Second }, "round_within_call"},
 	} {
 		s := Settings{Bounds: bootstrap.DefaultBounds(), ServerHeartbeat: time.Second, Tolerance: 1}
 		c.change(&s)
