--- a/mesh/bootstrap/log.go
+++ b/mesh/bootstrap/log.go
@@ -33,21 +33,21 @@
 
 // Handle implements slog.Handler.
 func (h *slogHandler) Handle(_ context.Context, r slog.Record) error {
-	leveled := level.Info(h.logger)
+	logger := level.Info(h.logger)
 	switch {
 	case r.Level >= slog.LevelError:
-		leveled = level.Error(h.logger)
+		logger = level.Error(h.logger)
 	case r.Level >= slog.LevelWarn:
-		leveled = level.Warn(h.logger)
+		logger = level.Warn(h.logger)
 	case r.Level < slog.LevelInfo:
-		leveled = level.Debug(h.logger)
+		logger = level.Debug(h.logger)
 	}
 	fields := []any{"msg", r.Message}
 	r.Attrs(func(a slog.Attr) bool {
 		fields = append(fields, a.Key, a.Value.String())
 		return true
 	})
-	return leveled.Log(fields...)
+	return logger.Log(fields...)
 }
 
 // WithAttrs implements slog.Handler.
--- a/mesh/controlplane/operations/invariants_test.go
+++ b/mesh/controlplane/operations/invariants_test.go
@@ -24,11 +24,11 @@
 		return register.Value{Version: version, History: register.History{}.With(register.Record{Version: version, Content: content})}
 	}
 	for _, c := range []struct {
-		name         string
-		acknowledged uint32
-		request      Request
-		value        register.Value
-		want         []invariant.Name
+		name                string
+		highestAcknowledged uint32
+		request             Request
+		value               register.Value
+		want                []invariant.Name
 	}{
 		{"recorded", 0, Write{Version: 7, Content: mine}, recorded(7, mine), nil},
 		{"not recorded", 0, Write{Version: 7, Content: mine}, recorded(6, mine), []invariant.Name{invariant.AcknowledgedIsCommitted}},
@@ -36,11 +36,11 @@
 		{"a read of what was acknowledged", 7, Read{}, recorded(7, mine), nil},
 		{"a read of something older", 8, Read{}, recorded(7, mine), []invariant.Name{invariant.ReadCoversAcknowledged}},
 	} {
-		table, _, violations := newCheckedTable()
-		table.highestAcknowledged = c.acknowledged
+		table, _, got := newCheckedTable()
+		table.highestAcknowledged = c.highestAcknowledged
 		table.checkResult(c.request, Result{Outcome: register.Outcome{Value: c.value}})
-		if !slices.Equal(*violations, c.want) {
-			t.Errorf("%s: %v, want %v", c.name, *violations, c.want)
+		if !slices.Equal(*got, c.want) {
+			t.Errorf("%s: %v, want %v", c.name, *got, c.want)
 		}
 	}
 }
@@ -67,18 +67,18 @@
 			r.health = Health{LastQuorum: -1}
 			table.FailPending(now + bound - time.Millisecond)
 			r.health = healthyAt(now + 3*bound)
-			var violations results
-			table.Propose(now, Write{Version: 8}, &violations)
+			var got results
+			table.Propose(now, Write{Version: 8}, &got)
 			table.FailPending(now + bound + 1)
 		}, nil},
 	} {
-		table, r, violations := newCheckedTable()
+		table, r, got := newCheckedTable()
 		r.health = healthyAt(now + 3*bound)
 		var answers results
 		id := table.Propose(now, Write{Version: 7}, &answers)
 		c.run(table, r, id)
-		if !slices.Equal(*violations, c.want) {
-			t.Errorf("%s: %v, want %v", c.name, *violations, c.want)
+		if !slices.Equal(*got, c.want) {
+			t.Errorf("%s: %v, want %v", c.name, *got, c.want)
 		}
 	}
 }
--- a/mesh/controlplane/peers/peers.go
+++ b/mesh/controlplane/peers/peers.go
@@ -135,9 +135,9 @@
 	return known
 }
 
-// Silent returns the connected peers that have been silent for longer than timeout, or what allowedSilence makes of it. The caller
-// replaces their connections: connecting succeeds at once if the machine is up, even if its process is paused, and otherwise fails long
-// before TCP would report the broken connection.
+// Silent returns the connected peers that have been silent for longer than allowedSilence returns for timeout. The caller replaces their
+// connections: connecting succeeds at once if the machine is up, even if its process is paused, and otherwise fails long before TCP would
+// report the broken connection.
 func (t *Table[C]) Silent(now, timeout time.Duration) (silent []*Peer[C]) {
 	for _, p := range t.All() {
 		if p.Connected() && now-max(p.LastSeen, p.connChangedAt) > p.allowedSilence(timeout) {
--- a/mesh/controlplane/persistence/invariants_test.go
+++ b/mesh/controlplane/persistence/invariants_test.go
@@ -24,7 +24,7 @@
 	for _, c := range []struct {
 		name     string
 		reply    register.Message
-		violates bool
+		reported bool
 	}{
 		{"a promise that is on disk", register.Message{Kind: register.Promise, Promised: ballot(5), Accepted: ballot(3), Voter: true}, false},
 		{"a promise that is not on disk", register.Message{Kind: register.Promise, Promised: ballot(6), Voter: true}, true},
@@ -36,7 +36,7 @@
 	} {
 		p, got := newCheckedPipeline(register.State{Voter: true, Promised: ballot(5), Accepted: ballot(3)})
 		p.checkSent(&c.reply)
-		if reported := slices.Equal(*got, []invariant.Name{invariant.SyncedBeforeSent}); reported != c.violates || !reported && len(*got) > 0 {
+		if reported := slices.Equal(*got, []invariant.Name{invariant.SyncedBeforeSent}); reported != c.reported || !reported && len(*got) > 0 {
 			t.Errorf("%s: %v", c.name, *got)
 		}
 	}
@@ -47,7 +47,7 @@
 	for _, c := range []struct {
 		name     string
 		next     register.State
-		violates bool
+		reported bool
 	}{
 		{"newer", register.State{Voter: true, Promised: ballot(6), Accepted: ballot(6)}, false},
 		{"the same", register.State{Voter: true, Promised: ballot(5), Accepted: ballot(3)}, false},
@@ -57,7 +57,7 @@
 	} {
 		p, got := newCheckedPipeline(register.State{Voter: true, Promised: ballot(5), Accepted: ballot(3)})
 		p.checkWritten(&c.next)
-		if reported := slices.Equal(*got, []invariant.Name{invariant.DiskMonotonic}); reported != c.violates || !reported && len(*got) > 0 {
+		if reported := slices.Equal(*got, []invariant.Name{invariant.DiskMonotonic}); reported != c.reported || !reported && len(*got) > 0 {
 			t.Errorf("%s: %v", c.name, *got)
 		}
 	}
--- a/mesh/controlplane/persistence_test.go
+++ b/mesh/controlplane/persistence_test.go
@@ -135,7 +135,7 @@
 	s.checkTolerance(s.settings.Bounds.RejoinTime)
 	s.checkTolerance(s.settings.Bounds.RejoinTime + 1)
 	if names := s.status(s.now()).Conflicts; !slices.Equal(names, []string{"tolerance_within_machines"}) {
-		t.Errorf("conflicts %v", names)
+		t.Errorf("%v", names)
 	}
 	s.settings.Tolerance.Machines = 0
 	s.toleranceReported = false
--- a/mesh/controlplane/publishing.go
+++ b/mesh/controlplane/publishing.go
@@ -10,7 +10,7 @@
 	"firplank/mesh/wire"
 )
 
-// publish takes the newest committed value over, and sends a new version to the subscribers at once.
+// publish publishes the newest committed value. A new version is sent to the subscribers at once.
 func (s *Server) publish(committed persist.Committed) {
 	newer, err := s.hub.Publish(committed)
 	if err != nil { // unexpected: the configuration was validated before it was proposed
--- a/mesh/controlplane/publishing/hub.go
+++ b/mesh/controlplane/publishing/hub.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// Publish takes the newest committed value, with the time as of which it was the newest, over. It reports whether its version is newly
-// published.
+// Publish updates the published rollouts, configuration and time from the newest committed value. It reports whether a newer version is
+// published from now on, and fails if that version cannot be decompressed; the previous one then stays published.
 func (h *Hub[C]) Publish(committed persist.Committed) (newer bool, err error) {
 	v := &committed.Value
 	h.Publisher.SetRollouts(v.Rollouts)
--- a/mesh/controlplane/reconcile/reconcile.go
+++ b/mesh/controlplane/reconcile/reconcile.go
@@ -70,8 +70,8 @@
 	planner  *replacement.Planner
 	nextTick time.Duration
 
-	changeID   uint64             // of the change that was proposed last; 0: none
-	change     replacement.Change // that was proposed last
+	changeID   uint64 // of the change that was proposed last; 0: none
+	change     replacement.Change
 	proposedAt time.Duration
 	repairing  bool // not all members of the change are known to have the committed value on disk
 	departure  *departure
--- a/mesh/controlplane/reconcile/reconcile_test.go
+++ b/mesh/controlplane/reconcile/reconcile_test.go
@@ -179,7 +179,7 @@
 	first := m.lastID
 	m.reconciler.propose(5*time.Second, replacement.Change{ExpectedMembers: []string{"a", "b"}, Members: []string{"a", "e"}})
 	if !slices.Equal(m.cancelled, []uint64{first}) {
-		t.Errorf("after another proposal cancelled %v, want %d", m.cancelled, first)
+		t.Errorf("after another proposal: want %d cancelled, got %v", first, m.cancelled)
 	}
 }
 
