--- a/mesh/controlplane/operations/invariants.go
+++ b/mesh/controlplane/operations/invariants.go
@@ -12,7 +12,7 @@
 // SetInvariants sets the reporter of violated invariants; without it they are ignored.
 func (t *Table) SetInvariants(reporter invariant.Reporter) { t.invariants = reporter }
 
-// checkProgress reports, once each, the operations that have waited for an outcome for longer than timing.Operations.MaxProgress although
+// checkProgress reports, once each, the operations that have waited for an outcome for longer than timing.Operations.MaxWait although
 // a quorum replies.
 func (t *Table) checkProgress(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(t.pending)) {
--- a/mesh/timing/inequalities.go
+++ b/mesh/timing/inequalities.go
@@ -157,7 +157,8 @@
 			r.MaxRepairTime(members), b.RejoinTime,
 		},
 		{
-			"repair_after_restart_within_sync", "LOST", "syncS, tolerance", "a repair after all machines restart ends in time", afterRestart, b.RejoinTime,
+			"repair_after_restart_within_sync", "LOST", "syncS, tolerance", "a repair after all machines restart ends in time",
+			afterRestart, b.RejoinTime,
 		},
 		{
 			"growth_within_sync", "LOST", "syncS, tolerance",
