--- a/mesh/config/config_test.go
+++ b/mesh/config/config_test.go
@@ -9,7 +9,7 @@
 	"github.com/go-faster/errors"
 )
 
-// valid is a configuration that tests start from.
+// valid is a configuration that tests use as it is or with replacements.
 const valid = `{"edition":"0000000c","caps":{"envelopeBytes":16384},
 "gates":[{"depot":"A.example","regulations":[
  {"name":"r1","routeKind":"safe","targetS":0.8,"precedence":2,"sorting":{"lanePrefix":"/x/"},
@@ -46,35 +46,35 @@
 	}
 }
 
-func TestErrorsNameThePlace(t *testing.T) {
-	for _, c := range []struct{ name, old, now, want string }{
-		{"cut short", valid, valid[:len(valid)/2], "line 6"},
-		{"two of them", valid, valid + valid, "line 9: something follows"},
+func TestParseErrorsNameThePlace(t *testing.T) {
+	for _, c := range []struct{ name, old, replacement, want string }{
+		{"truncated", valid, valid[:len(valid)/2], "line 6"},
+		{"two configurations", valid, valid + valid, "line 9: something follows"},
 		{
 			"unknown service", `"line":"one","deadlineS":3`, `"line":"six","deadlineS":3`,
 			`gates[0].regulations[0]: dispatch: unknown service "six"`,
 		},
-		{"same place", `"/x/y/"`, `"/x/"`, "a.example/x/ is there twice"},
+		{"two routes with one prefix", `"/x/y/"`, `"/x/"`, "a.example/x/ is there twice"},
 		{"no time-out", `"deadlineS":3`, `"deadlineS":0`, "dispatch: deadlineS: cannot be blank"},
 		{"no attempts", `"deadlineS":3,"attempts":2`, `"deadlineS":3,"attempts":0`, "dispatch: attempts: cannot be blank"},
 		{"no weight", `"share":90},{"line":"two","share":10`, `"share":0},{"line":"two","share":0`, "no share above 0"},
-		{"a prefix without its slash", `"/x/"`, `"/x"`, "lanePrefix"},
+		{"a prefix without its last slash", `"/x/"`, `"/x"`, "lanePrefix"},
 		{"a version that is too short", `0000000c`, `c`, "edition"},
 		{"an unknown kind", `"routeKind":"safe","targetS":0.8`, `"routeKind":"odd","targetS":0.8`, "routeKind"},
 		{"a string for a number", `"deadlineS":3`, `"deadlineS":"3"`, "line 4"},
 		{"two services of one name", `"name":"two"`, `"name":"one"`, `"one" is there twice`},
 	} {
-		_, err := Parse([]byte(strings.Replace(valid, c.old, c.now, 1)))
+		_, err := Parse([]byte(strings.Replace(valid, c.old, c.replacement, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", c.name, err, c.want)
 		}
 	}
 }
 
-// A caller can tell what kind of fault a configuration has, and where.
-func TestErrorsAreTyped(t *testing.T) {
-	parse := func(old, now string) error {
-		_, err := Parse([]byte(strings.Replace(valid, old, now, 1)))
+// Callers can distinguish the errors of Parse by type, and read where the error is.
+func TestParseErrorsAreTyped(t *testing.T) {
+	parse := func(old, replacement string) error {
+		_, err := Parse([]byte(strings.Replace(valid, old, replacement, 1)))
 		return err
 	}
 	var syntax *SyntaxError
@@ -98,7 +98,7 @@
 	}
 }
 
-func TestDiffShowsWhatMoves(t *testing.T) {
+func TestDiffReportsMovedShares(t *testing.T) {
 	from, err := Parse([]byte(valid))
 	if err != nil {
 		t.Fatal(err)
@@ -165,8 +165,8 @@
 	}
 }
 
-// A route of the highest precedence has no say in which others are urgent.
-func TestRanksComeFromOrdinaryRoutes(t *testing.T) {
+// The latency target of a route with the highest precedence doesn't make other routes urgent, however long it is.
+func TestHighestPrecedenceDoesNotMakeOthersUrgent(t *testing.T) {
 	c, err := Parse([]byte(strings.Replace(valid, `"targetS":1,"precedence":1`, `"targetS":9,"precedence":0`, 1)))
 	if err != nil {
 		t.Fatal(err)
@@ -177,11 +177,11 @@
 }
 
 func TestSplitsAreValidated(t *testing.T) {
-	for _, c := range []struct{ name, old, now, want string }{
+	for _, c := range []struct{ name, old, replacement, want string }{
 		{"a negative weight", `"share":10`, `"share":-10`, "dispatch.split[1].share: -10"},
 		{"a service and a split", `"dispatch":{"split"`, `"dispatch":{"line":"one","split"`, "both line and split"},
 	} {
-		if _, err := Parse([]byte(strings.Replace(valid, c.old, c.now, 1))); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := Parse([]byte(strings.Replace(valid, c.old, c.replacement, 1))); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", c.name, err, c.want)
 		}
 	}
@@ -196,15 +196,15 @@
 		return []byte(`{"edition":"00000001","gates":[{"depot":"a","regulations":[` + strings.Join(routes, ",") + `]}],
 			"fleets":[{"name":"one"}]}`)
 	}
-	if c, err := Parse(text(MaxRoutes)); err != nil || c.Routes() != MaxRoutes {
+	if c, err := Parse(text(MaxRoutes)); err != nil || c.RouteCount() != MaxRoutes {
 		t.Errorf("%v", err)
 	}
 	if _, err := Parse(text(MaxRoutes + 1)); err == nil {
-		t.Error("one more than the bound is taken")
+		t.Error("a configuration with MaxRoutes+1 routes is accepted")
 	}
 }
 
-func TestSomethingBehindAConfigurationIsRefused(t *testing.T) {
+func TestTrailingDataIsRejected(t *testing.T) {
 	const good = `{"edition":"00000001","gates":[],"fleets":[]}`
 	for text, want := range map[string]bool{
 		good: true, good + " \n": true,
--- a/mesh/controlplane/conflicts.go
+++ b/mesh/controlplane/conflicts.go
@@ -8,26 +8,26 @@
 	"firplank/mesh/timing"
 )
 
-// reportConflicts logs and counts what the settings ask for and cannot be kept.
+// reportConflicts logs and counts the rules of the settings that cannot hold together.
 func (s *Server) reportConflicts() {
 	for _, c := range s.durations.Conflicts {
-		s.figures.registry.Flag("settings_conflict", "name", c.Name)
+		s.metrics.registry.Flag("settings_conflict", "name", c.Name)
 		_ = level.Warn(s.log).Log(c.LogLine()...)
 	}
 }
 
-// checkTolerance reports, once, that fewer control machines are known than the tolerance needs. It is called several times a second; a
-// machine decides on that once it could know of all.
+// checkTolerance reports, once, that fewer control machines are known than the tolerance needs. It is called several times a second and
+// does nothing before Bounds.RejoinTime has passed, in which a machine learns of all others.
 func (s *Server) checkTolerance(now time.Duration) {
 	tolerance := s.settings.Tolerance.Members()
 	known := len(s.knownMachines(now))
-	if s.toleranceReported || now < s.settings.Bounds.Sync || timing.MissingMachines(tolerance, known) == 0 {
+	if s.toleranceReported || now < s.settings.Bounds.RejoinTime || timing.MissingMachines(tolerance, known) == 0 {
 		return
 	}
 	s.toleranceReported = true
 	c := timing.MachinesConflict(tolerance, known)
 	s.durations.Conflicts = append(s.durations.Conflicts, c)
-	s.figures.registry.Flag("settings_conflict", "name", c.Name)
+	s.metrics.registry.Flag("settings_conflict", "name", c.Name)
 	_ = level.Warn(s.log).Log(c.LogLine()...)
 }
 
--- a/mesh/controlplane/operations/invariants.go
+++ b/mesh/controlplane/operations/invariants.go
@@ -9,23 +9,25 @@
 	"firplank/mesh/register"
 )
 
-// SetInvariants sets who is notified of violated invariants; without it nobody is.
+// SetInvariants sets the reporter of violated invariants; without it they are ignored.
 func (t *Table) SetInvariants(reporter invariant.Reporter) { t.invariants = reporter }
 
-// checkProgress checks that operations do not wait for a quorum while one answers. It reports each operation once.
+// checkProgress reports, once each, the operations that have waited for an outcome for longer than timing.Operations.MaxWait although
+// a quorum replies.
 func (t *Table) checkProgress(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(t.pending)) {
 		op := t.pending[id]
 		waited := now - max(op.requestedAt, t.servingSince)
-		if op.decided || op.stalled || waited <= t.durations.Operations.MaxWait {
+		if op.decided || op.reportedStalled || waited <= t.durations.Operations.MaxWait {
 			continue
 		}
-		op.stalled = true
+		op.reportedStalled = true
 		t.invariants.Violated(invariant.OperationsProgress, "operation", id, "waited", waited, "for", t.register.Progress(now))
 	}
 }
 
-// checkResult checks a result that its client is about to get as a success.
+// checkResult checks the invariants of a successful result before it is returned: the committed value records an acknowledged write, and
+// a read returns at least the highest version acknowledged here.
 func (t *Table) checkResult(request Request, result Result) {
 	if result.Err != nil {
 		return
@@ -38,10 +40,10 @@
 			t.invariants.Violated(invariant.AcknowledgedIsCommitted, "version", request.Version, "content", request.Content,
 				"committed", value.Version)
 		}
-		t.acknowledged = max(t.acknowledged, request.Version)
+		t.highestAcknowledged = max(t.highestAcknowledged, request.Version)
 	case Read:
-		if value.Version < t.acknowledged {
-			t.invariants.Violated(invariant.ReadCoversAcknowledged, "version", value.Version, "acknowledged", t.acknowledged)
+		if value.Version < t.highestAcknowledged {
+			t.invariants.Violated(invariant.ReadCoversAcknowledged, "version", value.Version, "acknowledged", t.highestAcknowledged)
 		}
 	}
 }
--- a/mesh/controlplane/operations/operations_test.go
+++ b/mesh/controlplane/operations/operations_test.go
@@ -17,39 +17,39 @@
 	"firplank/mesh/timing"
 )
 
-// durations are those of the deployments in service.
+// durations are the defaults, which the deployments use.
 var durations = timing.Default()
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// replica records what it is given, and answers at once where it has an outcome.
-type replica struct {
-	table     *Table
-	applied   []register.Event
-	cancelled []uint64
-	atOnce    *register.Outcome
-	health    Health
+// recordingReplica records the events that are applied to it. If it has an immediate outcome, Apply completes the operation with it.
+type recordingReplica struct {
+	table            *Table
+	applied          []register.Event
+	cancelled        []uint64
+	immediateOutcome *register.Outcome
+	health           Health
 }
 
-func (r *replica) Apply(_ time.Duration, ev register.Event) {
+func (r *recordingReplica) Apply(_ time.Duration, ev register.Event) {
 	r.applied = append(r.applied, ev)
-	if r.atOnce != nil {
-		r.table.Complete(0, *r.atOnce, dissemination.Unconstrained)
+	if r.immediateOutcome != nil {
+		r.table.Complete(0, *r.immediateOutcome, dissemination.Unconstrained)
 	}
 }
 
-func (r *replica) Health(time.Duration) Health { return r.health }
+func (r *recordingReplica) Health(time.Duration) Health { return r.health }
 
-func (r *replica) Progress(time.Duration) string { return "reading" }
+func (r *recordingReplica) Progress(time.Duration) string { return "reading" }
 
-func (r *replica) Cancel(id uint64) { r.cancelled = append(r.cancelled, id) }
+func (r *recordingReplica) Cancel(id uint64) { r.cancelled = append(r.cancelled, id) }
 
 type results []Result
 
 func (r *results) Respond(got Result) { *r = append(*r, got) }
 
-func newTable() (*Table, *replica) {
-	r, last := &replica{health: healthy}, uint64(0)
+func newTable() (*Table, *recordingReplica) {
+	r, last := &recordingReplica{health: healthy}, uint64(0)
 	r.table = NewTable(r, func() uint64 { last++; return last }, durations)
 	return r.table, r
 }
@@ -61,7 +61,7 @@
 
 var healthy = Health{LastQuorum: now}
 
-// A machine that is out of contact with a quorum, or whose disk fails or lags, proposes nothing and says so at once.
+// A machine without contact to a quorum, or whose disk fails or lags, proposes nothing and rejects operations at once.
 func TestProposeWithoutQuorumContactIsRejected(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -73,7 +73,7 @@
 		{"last contact is too old", Health{LastQuorum: now - 1501*ms}, ErrNoQuorum},
 		{"never in contact", Health{LastQuorum: -1}, ErrNoQuorum},
 		{"disk fails", Health{LastQuorum: now, DiskFailing: true}, ErrDiskFailing},
-		{"too much waits for the disk", Health{LastQuorum: now, QueueFull: true}, ErrQueueFull},
+		{"queue for the disk is full", Health{LastQuorum: now, QueueFull: true}, ErrQueueFull},
 		{"no contact and no disk", Health{LastQuorum: 0, DiskFailing: true, QueueFull: true}, ErrNoQuorum},
 	} {
 		for _, request := range []Request{Read{}, Write{Version: 7}} {
@@ -94,8 +94,8 @@
 	}
 }
 
-// What is proposed is what the client asked for, under a number of its own.
-func TestProposedEvents(t *testing.T) {
+// An operation is proposed as the client requested it, under a number of its own.
+func TestProposedEventIsTheRequestedOperation(t *testing.T) {
 	table, r := newTable()
 	content := register.ContentOf([]byte("text"))
 	table.Propose(now, Write{Version: 7, Content: content, Body: []byte("packed")}, &results{})
@@ -109,11 +109,11 @@
 	}
 }
 
-// The only member of a group answers while it is given the operation.
-func TestOutcomeDuringPropose(t *testing.T) {
+// A register with one member completes an operation before Apply returns. The result must not be lost.
+func TestOutcomeDuringProposeIsAnswered(t *testing.T) {
 	table, r := newTable()
 	r.health = Health{}
-	r.atOnce = &register.Outcome{ID: 1, Result: register.Confirmed}
+	r.immediateOutcome = &register.Outcome{ID: 1, Result: register.Confirmed}
 	var got results
 	table.Propose(0, Write{Version: 7}, &got)
 	if len(got) != 1 || got[0].Err != nil || table.Len() != 0 {
@@ -121,7 +121,7 @@
 	}
 }
 
-// When contact with the quorum is lost or the disk fails, what is pending is failed in order; a full queue alone fails nothing.
+// When contact with the quorum is lost or the disk fails, pending operations fail in order. A full queue alone fails none.
 func TestFailPendingOnQuorumLoss(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -132,7 +132,7 @@
 		{"last contact is recent enough", Health{LastQuorum: now - 1500*ms}, nil},
 		{"last contact is too old", Health{LastQuorum: now - 1501*ms}, ErrNoQuorum},
 		{"disk fails", Health{LastQuorum: now, DiskFailing: true}, ErrDiskFailing},
-		{"too much waits for the disk", Health{LastQuorum: now, QueueFull: true}, nil},
+		{"queue for the disk is full", Health{LastQuorum: now, QueueFull: true}, nil},
 	} {
 		table, r := newTable()
 		var got results
@@ -158,7 +158,7 @@
 	}
 }
 
-// A write that waits for sidecars when the quorum is lost is failed, and not answered a second time when they acknowledge it.
+// A write that waits for sidecars fails when the quorum is lost, and is not answered a second time when they acknowledge it.
 func TestFailedWriteIsNotAcknowledged(t *testing.T) {
 	table, r := newTable()
 	var got results
@@ -172,36 +172,37 @@
 	}
 }
 
-// A confirmation waits for the sidecars below this machine and the others, for so long at most; a rejected write and a read do not wait.
+// A confirmed write waits for the sidecars of this machine and of the others, at most for AckTimeout. A rejected write and a read don't
+// wait.
 func TestConfirmationWaitsForSidecars(t *testing.T) {
-	late := durations.Dissemination.AckTimeout
+	ackTimeout := durations.Dissemination.AckTimeout
 	for _, c := range []struct {
-		name          string
-		request       Request
-		result        register.Result
-		lowest, peers uint32
-		acks          uint32        // the lowest version below this machine, ...
-		at            time.Duration // so long after the request
-		held, waits   bool          // the answer is held at first, and still then
+		name                      string
+		request                   Request
+		result                    register.Result
+		lowestHere, lowestOfPeers uint32
+		ackedLowest               uint32        // the lowest version in force among this machine's subscribers, ...
+		after                     time.Duration // ... this long after the request
+		held, waits               bool          // the response is held back on completion, and still after that time
 	}{
 		{"in force everywhere", Write{Version: 7}, register.Confirmed, 7, 7, 7, 0, false, false},
-		{"behind below this machine", Write{Version: 7}, register.Confirmed, 6, 7, 6, late - 1, true, true},
+		{"behind below this machine", Write{Version: 7}, register.Confirmed, 6, 7, 6, ackTimeout - 1, true, true},
 		{"acknowledged", Write{Version: 7}, register.Confirmed, 6, 7, 7, 10 * ms, true, false},
-		{"not acknowledged in time", Write{Version: 7}, register.Confirmed, 6, 7, 6, late, true, false},
-		{"behind below another machine", Write{Version: 7}, register.Confirmed, 7, 6, 7, late - 1, true, true},
+		{"not acknowledged in time", Write{Version: 7}, register.Confirmed, 6, 7, 6, ackTimeout, true, false},
+		{"behind below another machine", Write{Version: 7}, register.Confirmed, 7, 6, 7, ackTimeout - 1, true, true},
 		{"rejected", Write{Version: 7}, register.Conflict, 6, 6, 6, 0, false, false},
 		{"read", Read{}, register.Confirmed, 6, 6, 6, 0, false, false},
 	} {
 		table, _ := newTable()
 		var got results
-		table.PeerAcknowledged("b", c.peers, now)
+		table.PeerAcknowledged("b", c.lowestOfPeers, now)
 		id := table.Propose(now, c.request, &got)
-		table.Complete(now, register.Outcome{ID: id, Result: c.result, Value: register.Value{Version: 7}}, c.lowest)
+		table.Complete(now, register.Outcome{ID: id, Result: c.result, Value: register.Value{Version: 7}}, c.lowestHere)
 		if held := len(got) == 0; held != c.held {
 			t.Errorf("%s: held is %v", c.name, held)
 		}
-		next := table.Acknowledge(now+c.at, c.acks)
-		if waits := len(got) == 0; waits != c.waits || c.waits && next != now+late {
+		next := table.Acknowledge(now+c.after, c.ackedLowest)
+		if waits := len(got) == 0; waits != c.waits || c.waits && next != now+ackTimeout {
 			t.Errorf("%s: waits is %v, until %v", c.name, waits, next)
 		}
 		if len(got) == 1 && got[0].Outcome.Value.Version != 7 {
@@ -210,8 +211,8 @@
 	}
 }
 
-// A confirmation waits for the sidecars that are behind, a refusal for nobody.
-func TestRefusalDoesNotWaitForSidecars(t *testing.T) {
+// While sidecars are behind, a confirmed write waits for them and a rejected one is answered at once.
+func TestRejectedWriteDoesNotWaitForSidecars(t *testing.T) {
 	table, _ := newTable()
 	table.PeerAcknowledged("b", 5, now)
 	for _, result := range []register.Result{register.Confirmed, register.Conflict} {
@@ -219,12 +220,12 @@
 		id := table.Propose(now, Write{Version: 7}, &got)
 		table.Complete(now, register.Outcome{ID: id, Result: result}, dissemination.Unconstrained)
 		if answered := len(got) == 1; answered != (result == register.Conflict) {
-			t.Errorf("result %d is answered while sidecars are behind: %v", result, answered)
+			t.Errorf("result %d: answered while sidecars are behind is %v", result, answered)
 		}
 	}
 }
 
-// A cancelled operation is dropped in the register, and its outcome is not sent to anyone.
+// A cancelled operation is dropped in the register, and its client gets no result. Others are not affected.
 func TestCancelledOperationIsNotAnswered(t *testing.T) {
 	table, r := newTable()
 	var got results
@@ -237,12 +238,13 @@
 	}
 	table.Complete(now, register.Outcome{ID: other, Value: register.Value{Version: 3}}, 0)
 	if len(got) != 1 || got[0].Outcome.Value.Version != 3 {
-		t.Errorf("the other: %v", got)
+		t.Errorf("the operation that was not cancelled: %v", got)
 	}
 }
 
-// An operator whose edition is refused reads which number it was, that it never comes into force, and above which one to go.
-func TestConflictSaysWhatToDo(t *testing.T) {
+// The error for a version that is taken has to state the version, both contents, that the write never comes into force, and the newest
+// version, above which the operator has to send it.
+func TestVersionTakenErrorNamesVersionsAndContents(t *testing.T) {
 	mine, taken := register.ContentOf([]byte("mine")), register.ContentOf([]byte("taken"))
 	history := register.History{}.With(register.Record{Version: 7, Content: taken})
 	table, _ := newTable()
@@ -256,13 +258,13 @@
 	text := conflict.Error()
 	for _, want := range []string{"00000007", mine.String(), taken.String(), "never", "0000000c"} {
 		if !strings.Contains(text, want) {
-			t.Errorf("%q does not say %s", text, want)
+			t.Errorf("%q does not contain %s", text, want)
 		}
 	}
 }
 
-// A client waits until its operation has a result, its time is over or the machine stops.
-func TestCallWaits(t *testing.T) {
+// Call.Wait returns when the operation has a result, the time-out has passed, or the machine stops.
+func TestCallWaitsForResultTimeoutOrShutdown(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		result  *Result
@@ -298,8 +300,9 @@
 	}
 }
 
-// Failed writes leave room: those that follow wait for the sidecars as before.
-func TestFailedWritesLeaveRoom(t *testing.T) {
+// Guards against failed writes that keep occupying the bounded number of writes that wait for sidecars: later writes would be answered
+// before their version is in force.
+func TestFailedWritesReleaseTheirConfirmations(t *testing.T) {
 	table, r := newTable()
 	var got results
 	for range 1000 {
@@ -307,7 +310,7 @@
 		table.Complete(now, register.Outcome{ID: id, Result: register.Confirmed}, 6)
 	}
 	if len(got) == 0 || len(got) == 1000 {
-		t.Fatalf("%d of 1000 writes do not wait: the bound is not reached, or nothing waits", len(got))
+		t.Fatalf("%d of 1000 writes are answered at once: the bound is not reached, or no write waits", len(got))
 	}
 	r.health = Health{LastQuorum: -1}
 	table.FailPending(now)
@@ -315,6 +318,6 @@
 	id := table.Propose(now, Write{Version: 7}, &got)
 	table.Complete(now, register.Outcome{ID: id, Result: register.Confirmed}, 6)
 	if len(got) > 0 {
-		t.Error("a write is answered before the sidecars have its version")
+		t.Error("a write is answered before its version is in force at the sidecars")
 	}
 }
--- a/mesh/controlplane/rollouts_test.go
+++ b/mesh/controlplane/rollouts_test.go
@@ -12,7 +12,7 @@
 	"firplank/mesh/bootstrap"
 )
 
-// soleMachine is a control machine that is the only one, with a folder of its own.
+// soleMachine is the only control machine of a deployment, run in this process with a data folder of its own.
 type soleMachine struct {
 	t        *testing.T
 	settings *bootstrap.Settings
@@ -28,7 +28,7 @@
 	settings.Bounds = bootstrap.DefaultBounds()
 	settings.Addresses.Control = control
 	settings.SeedNodes = []string{control}
-	settings.Bounds.Sync, settings.Bounds.Grace = 2*time.Second, 600*time.Millisecond
+	settings.Bounds.RejoinTime, settings.Bounds.Grace = 2*time.Second, 600*time.Millisecond
 	return &soleMachine{t: t, settings: settings}
 }
 
@@ -47,45 +47,45 @@
 	}
 }
 
-// callUntil repeats a call until it has a status.
-func (m *soleMachine) callUntil(status int, method, path, body string) (answer string) {
+// callUntil repeats a call until its response has the wanted status. It fails the test after 10 s, or on a 404 that is not wanted.
+func (m *soleMachine) callUntil(status int, method, path, body string) (response string) {
 	m.t.Helper()
-	got := 0
-	for end := time.Now().Add(10 * time.Second); got != status && time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if got, answer = callOperatorAPI(m.t, m.settings.Addresses.Control, method, path, body); got == http.StatusNotFound {
+	lastStatus := 0
+	for deadline := time.Now().Add(10 * time.Second); lastStatus != status && time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
+		if lastStatus, response = callOperatorAPI(m.t, m.settings.Addresses.Control, method, path, body); lastStatus == http.StatusNotFound {
 			break
 		}
 	}
-	if got != status {
-		m.t.Fatalf("%s %s: %d %s, want %d", method, path, got, answer, status)
+	if lastStatus != status {
+		m.t.Fatalf("%s %s: %d %s, want %d", method, path, lastStatus, response, status)
 	}
-	return answer
+	return response
 }
 
 const (
-	servicesOfRollout = `{"edition":"0000000a","gates":[],"fleets":[{"name":"huvo11a","healthPath":"/health","maxConns":9,"protocol":"h1"}]}`
-	orderOfRollout    = `{"line":"huvo11a","toEdition":"v2","overS":12}`
+	rolloutConfig    = `{"edition":"0000000a","gates":[],"fleets":[{"name":"huvo11a","healthPath":"/health","maxConns":9,"protocol":"h1"}]}`
+	rolloutOrderBody = `{"line":"huvo11a","toEdition":"v2","overS":12}`
 )
 
-func TestRolloutOrderAheadOfTheFirstConfigurationIsAskedForAgain(t *testing.T) {
+func TestRolloutOrderBeforeTheFirstConfigurationIsRetryable(t *testing.T) {
 	m := newSoleMachine(t)
 	m.start()
 	defer m.end()
-	m.callUntil(http.StatusServiceUnavailable, http.MethodPost, "/Rollouts.Start", orderOfRollout)
-	m.callUntil(http.StatusOK, http.MethodPost, "/Timetable.Replace", servicesOfRollout)
-	m.callUntil(http.StatusOK, http.MethodPost, "/Rollouts.Start", orderOfRollout)
+	m.callUntil(http.StatusServiceUnavailable, http.MethodPost, "/Rollouts.Start", rolloutOrderBody)
+	m.callUntil(http.StatusOK, http.MethodPost, "/Timetable.Replace", rolloutConfig)
+	m.callUntil(http.StatusOK, http.MethodPost, "/Rollouts.Start", rolloutOrderBody)
 }
 
-func TestRolloutOrderIsTakenAndSurvivesARestart(t *testing.T) {
+func TestCommittedRolloutOrderSurvivesARestart(t *testing.T) {
 	m := newSoleMachine(t)
 	m.start()
-	m.callUntil(http.StatusOK, http.MethodPost, "/Timetable.Replace", servicesOfRollout)
-	m.callUntil(http.StatusOK, http.MethodPost, "/Rollouts.Start", orderOfRollout)
+	m.callUntil(http.StatusOK, http.MethodPost, "/Timetable.Replace", rolloutConfig)
+	m.callUntil(http.StatusOK, http.MethodPost, "/Rollouts.Start", rolloutOrderBody)
 	m.end()
 	m.start()
 	defer m.end()
 	const want = `{"condition":"in_service","toEdition":"v2"}`
-	if answer := m.callUntil(http.StatusOK, http.MethodGet, "/Rollouts.Read/huvo11a", ""); answer != want {
-		t.Errorf("after a restart: %s, want %s", answer, want)
+	if response := m.callUntil(http.StatusOK, http.MethodGet, "/Rollouts.Read/huvo11a", ""); response != want {
+		t.Errorf("after a restart: %s, want %s", response, want)
 	}
 }
