--- a/lab/explore/numbers/defects.go
+++ b/lab/explore/numbers/defects.go
@@ -65,7 +65,7 @@
 		answerLocally: func(r *register.Replica, o order) (answer, bool) {
 			v := r.State().Value
 			standing := v.History.StateOf(uint32(o.number), register.ContentOf([]byte(o.content)))
-			return answer{refused: true}, standing == register.RecordedOther
+			return answer{refused: true}, standing == register.RecordedDifferent
 		}},
 	{Name: "a put is confirmed from the machine's own disk", Bounds: Pair, Seed: 385,
 		answerLocally: func(r *register.Replica, o order) (answer, bool) {
--- a/mesh/register/acceptor.go
+++ b/mesh/register/acceptor.go
@@ -11,7 +11,7 @@
 	}
 	if m.Ballot != r.state.Promised {
 		r.state.Promised = m.Ballot
-		r.persist()
+		r.markStateChanged()
 	}
 	r.reply(m, Promise)
 }
@@ -27,7 +27,7 @@
 	}
 	if m.Ballot != r.state.Accepted { // else the request was sent again: the state has it, or will before this reply leaves
 		r.state.Promised, r.state.Accepted, r.state.Value = m.Ballot, m.Ballot, *m.Value
-		r.persist()
+		r.markStateChanged()
 	}
 	r.send(Message{
 		Kind:             Accepted,
@@ -63,7 +63,7 @@
 	if r.committedBallot.Compare(r.state.Promised) > 0 {
 		r.state.Promised = r.committedBallot
 	}
-	r.persist()
+	r.markStateChanged()
 }
 
 // reply answers a request with the acceptor's state. The value is left out where the requester has it already.
@@ -80,8 +80,8 @@
 		Voter:            r.state.Voter,
 	}
 	newer := r.state.Accepted.Compare(request.Accepted) > 0
-	firstMembers := len(r.state.Value.Members) > 0 && request.Accepted == (Ballot{}) // from a first start, without a ballot
-	if newer || firstMembers {
+	initialMembers := len(r.state.Value.Members) > 0 && request.Accepted == (Ballot{}) // from a first start, without a ballot
+	if newer || initialMembers {
 		value := r.state.Value
 		m.Value = &value
 	}
--- a/mesh/register/history.go
+++ b/mesh/register/history.go
@@ -43,15 +43,15 @@
 
 // The states of a record.
 const (
-	NotRecorded   RecordState = iota // the version was never written
-	RecordedSame                     // it was written with this content
-	RecordedOther                    // it was written with another one
-	BelowFloor                       // its record was dropped, if it had one
+	NotRecorded       RecordState = iota // the version was never written
+	RecordedSame                         // it was written with this content
+	RecordedDifferent                    // it was written with another one
+	BelowFloor                           // its record was dropped, if it had one
 )
 
 // result returns how a Put ends whose record is in this state.
 func (s RecordState) result() Result {
-	if s == RecordedOther {
+	if s == RecordedDifferent {
 		return Conflict
 	}
 	return Confirmed
@@ -80,7 +80,7 @@
 	case found && record.Content == content:
 		return RecordedSame
 	case found:
-		return RecordedOther
+		return RecordedDifferent
 	case version <= h.Floor:
 		return BelowFloor
 	}
@@ -90,11 +90,11 @@
 // With returns a history with one more record, whose version must be NotRecorded in h. Beyond MaxRecords the lowest record is dropped and
 // the floor raised to it.
 func (h History) With(r Record) History {
-	at, _ := h.search(r.Version)
+	index, _ := h.search(r.Version)
 	records := make([]Record, 0, len(h.Records)+1)
-	records = append(records, h.Records[:at]...)
+	records = append(records, h.Records[:index]...)
 	records = append(records, r)
-	records = append(records, h.Records[at:]...)
+	records = append(records, h.Records[index:]...)
 	if len(records) > MaxRecords {
 		h.Floor = records[0].Version
 		records = records[1:]
--- a/mesh/register/history_test.go
+++ b/mesh/register/history_test.go
@@ -6,7 +6,7 @@
 )
 
 // A history of any number of versions records the highest, MaxRecords of them, and knows which others it may have dropped.
-func TestHistoryDropsTheLowest(t *testing.T) {
+func TestFullHistoryDropsLowestVersion(t *testing.T) {
 	x, y := ContentOf([]byte("x")), ContentOf([]byte("y"))
 	var h History
 	for version := uint32(2); version <= 2*(MaxRecords+10); version += 2 {
@@ -28,7 +28,7 @@
 		want    RecordState
 	}{
 		{"recorded", 40, x, RecordedSame},
-		{"recorded with another content", 40, y, RecordedOther},
+		{"recorded with another content", 40, y, RecordedDifferent},
 		{"between others and late", 41, y, RecordedSame},
 		{"never written, in range", 43, x, NotRecorded},
 		{"above all", 1 << 31, x, NotRecorded},
--- a/mesh/register/incarnations_test.go
+++ b/mesh/register/incarnations_test.go
@@ -8,7 +8,7 @@
 
 // However often machines rejoin, and whatever was dropped: an incarnation is above each that its machine had before, and what is kept is
 // bounded.
-func TestLaterIncarnationsAreAboveEarlierOnes(t *testing.T) {
+func TestRejoinIncarnationExceedsEarlierOnes(t *testing.T) {
 	for seed := range uint64(40) {
 		g := newRejoiningGroup(rand.New(rand.NewPCG(seed, 1)))
 		for range 400 {
@@ -20,7 +20,7 @@
 }
 
 // keptByTest is the bound of other machines' incarnations in a rejoiningGroup.
-const keptByTest = 4
+const testIncarnationLimit = 4
 
 // rejoiningGroup is what voters know of incarnations, while members and spare machines rejoin.
 type rejoiningGroup struct {
@@ -70,18 +70,18 @@
 		v := &g.voters[i]
 		v.Incarnations[machine] = max(v.Incarnations[machine], incarnation)
 		g.prune(v)
-		if len(v.Incarnations) > keptByTest+n {
+		if len(v.Incarnations) > testIncarnationLimit+n {
 			return fmt.Errorf("%d incarnations are kept", len(v.Incarnations))
 		}
 	}
 	if self >= 0 {
-		g.relearn(self, repliers)
+		g.restoreFromReplies(self, repliers)
 	}
 	return nil
 }
 
 // relearn gives a member whose disk was emptied what the repliers know.
-func (g *rejoiningGroup) relearn(self int, repliers []int) {
+func (g *rejoiningGroup) restoreFromReplies(self int, repliers []int) {
 	state := State{Incarnations: map[string]uint32{}}
 	for _, i := range repliers {
 		state.IncarnationFloor = max(state.IncarnationFloor, g.voters[i].IncarnationFloor)
@@ -95,18 +95,18 @@
 }
 
 func (g *rejoiningGroup) prune(s *State) {
-	s.Incarnations, s.IncarnationFloor = pruneIncarnations(s.Incarnations, s.IncarnationFloor, g.members, keptByTest)
+	s.Incarnations, s.IncarnationFloor = pruneIncarnations(s.Incarnations, s.IncarnationFloor, g.members, testIncarnationLimit)
 }
 
 // The incarnations of members and prior members are never dropped, and of the others the oldest are.
-func TestOldestIncarnationsAreDropped(t *testing.T) {
+func TestOldestNonMemberIncarnationsArePruned(t *testing.T) {
 	r := New("a", []string{"a", "b"}, true, nil, 1)
 	r.Handle(0, MessageReceived{Message{Kind: Rejoin, From: "b", To: "a", Incarnation: 1}})
 	for i := range uint32(200) {
 		r.Handle(0, MessageReceived{Message{Kind: Rejoin, From: fmt.Sprintf("spare-%d", i), To: "a", Incarnation: 2 + i}})
 	}
 	s := r.State()
-	bounded := len(s.Incarnations) == maxOtherIncarnations+1 && s.IncarnationFloor == 201-maxOtherIncarnations
+	bounded := len(s.Incarnations) == maxNonMemberIncarnations+1 && s.IncarnationFloor == 201-maxNonMemberIncarnations
 	if !bounded || s.Incarnations["b"] != 1 || s.Incarnations["spare-199"] != 201 {
 		t.Errorf("%d incarnations, %d of b, floor %d", len(s.Incarnations), s.Incarnations["b"], s.IncarnationFloor)
 	}
--- a/mesh/register/operation.go
+++ b/mesh/register/operation.go
@@ -13,14 +13,14 @@
 	// complete reports whether a committed value completes the operation, and how.
 	complete(c commit) (Result, bool)
 	// waitsForOthers reports whether the operation, where a round did not complete it, waits for other machines to catch up.
-	waitsForOthers() bool
+	waitsForReplicas() bool
 }
 
 // commit is a value that a round found to be committed, or committed itself.
 type commit struct {
 	value      *Value
 	self       string
-	holders    []string // the machines that have it on their disks, as far as the round has shown
+	replicas   []string // the machines that have it on their disks, as far as the round has shown
 	answerable bool     // the operation waited when the round began to read, or when it proposed the value
 }
 
@@ -44,7 +44,7 @@
 	return state.result(), c.answerable && state != NotRecorded
 }
 
-func (op Put) waitsForOthers() bool { return false }
+func (op Put) waitsForReplicas() bool { return false }
 
 func (op LinearizableRead) id() uint64 { return op.ID }
 
@@ -52,7 +52,7 @@
 
 func (op LinearizableRead) complete(c commit) (Result, bool) { return Confirmed, c.answerable }
 
-func (op LinearizableRead) waitsForOthers() bool { return false }
+func (op LinearizableRead) waitsForReplicas() bool { return false }
 
 func (op ChangeMembers) id() uint64 { return op.ID }
 
@@ -76,7 +76,7 @@
 	return Confirmed, done || op.stale(c.value)
 }
 
-func (op ChangeMembers) waitsForOthers() bool { return true }
+func (op ChangeMembers) waitsForReplicas() bool { return true }
 
 // stale reports whether the members are others than those that the change was decided on.
 func (op ChangeMembers) stale(v *Value) bool {
@@ -88,10 +88,10 @@
 func (op ReplicateWithoutSelf) apply(v Value) Value { return v }
 
 func (op ReplicateWithoutSelf) complete(c commit) (Result, bool) {
-	return Confirmed, isQuorumWithout(c.value, c.holders, c.self)
+	return Confirmed, isQuorumWithout(c.value, c.replicas, c.self)
 }
 
-func (op ReplicateWithoutSelf) waitsForOthers() bool { return true }
+func (op ReplicateWithoutSelf) waitsForReplicas() bool { return true }
 
 // applyPending applies the pending operations to a value, in their order.
 func (r *Replica) applyPending(v Value) Value {
@@ -102,13 +102,13 @@
 }
 
 // completePending answers the pending operations that a commit completes.
-func (r *Replica) completePending(v Value, holders []string) {
+func (r *Replica) completePending(v Value, replicas []string) {
 	remaining := r.pending[:0]
 	for i, op := range r.pending {
 		result, done := op.complete(commit{
 			value:      &v,
 			self:       r.self,
-			holders:    holders,
+			replicas:   replicas,
 			answerable: i < r.round.answerable,
 		})
 		if done {
--- a/mesh/register/proposer.go
+++ b/mesh/register/proposer.go
@@ -6,7 +6,7 @@
 )
 
 // stragglerShare is the part of timing.Register.MinPhaseTimeout for which a read waits for more replies than those of a quorum.
-const stragglerShare = 4
+const stragglerWaitDivisor = 4
 
 // startRead begins a round: it asks the members for their accepted values.
 func (r *Replica) startRead() {
@@ -18,19 +18,19 @@
 	if r.committedBallot.Compare(r.round.highestAccepted) > 0 {
 		r.round.highestAccepted, r.round.acceptedValue = r.committedBallot, r.committedValue
 	}
-	r.contact()
+	r.sendRequests()
 }
 
 // beginPhase begins a phase of the round.
 func (r *Replica) beginPhase(p phase) {
-	resendAt, endsAt := r.pace.begin(r.now)
+	resendAt, endsAt := r.retry.startPhase(r.now)
 	r.round.nextPhase(p, resendAt, endsAt)
 }
 
 // resend sends the phase's request again to the machines that have not replied: it or their reply may be lost, or only slow.
 func (r *Replica) resend() {
-	r.round.deadline = min(r.pace.resent(r.now), r.round.endsAt)
-	for _, machine := range slices.Clone(r.round.contacted) {
+	r.round.deadline = min(r.retry.nextResend(r.now), r.round.endsAt)
+	for _, machine := range slices.Clone(r.round.requested) {
 		if _, replied := r.round.replies[machine]; replied || machine == r.self {
 			continue
 		}
@@ -59,13 +59,13 @@
 
 // contact sends the request of the reading or the preparing phase to the recipients that have not had it. Replies with newer
 // members add recipients.
-func (r *Replica) contact() {
+func (r *Replica) sendRequests() {
 	for _, machine := range r.recipients(&r.round.acceptedValue) {
 		if r.round.phase != reading && r.round.phase != preparing { // also when this replica's own reply has ended the phase
 			return
 		}
-		if !slices.Contains(r.round.contacted, machine) {
-			r.round.contacted = append(r.round.contacted, machine)
+		if !slices.Contains(r.round.requested, machine) {
+			r.round.requested = append(r.round.requested, machine)
 			r.send(r.request(machine))
 		}
 	}
@@ -105,14 +105,14 @@
 	if m.Kind != r.expectedReply() {
 		return
 	}
-	r.round.takeValue(m)
+	r.round.adoptNewerValue(m)
 	if !m.Voter {
-		r.contact() // the members in the value, if it is newer
+		r.sendRequests() // the members in the value, if it is newer
 		return
 	}
 	r.round.countReply(m)
 	phase := r.round.phase // which a reply of this replica itself may change
-	r.contact()
+	r.sendRequests()
 	switch phase {
 	case reading:
 		if r.state.Voter {
@@ -137,24 +137,24 @@
 		return
 	}
 	r.lastQuorum = r.now
-	holders := r.round.holders()
-	committed := isQuorum(v, holders)
-	changing := len(v.PriorMembers) > 0
-	r.round.completesChange = changing && r.round.newMembersHold(v)
-	replicationLacks := r.replicationPending() && !isQuorumWithout(v, holders, r.self)
+	replicas := r.round.replicasOfValue()
+	committed := isQuorum(v, replicas)
+	changingMembers := len(v.PriorMembers) > 0
+	r.round.completesChange = changingMembers && r.round.newMembersHaveValue(v)
+	replicationIncomplete := r.replicationPending() && !isQuorumWithout(v, replicas, r.self)
 
-	unfinished := !committed || changing && !r.round.completesChange || replicationLacks
-	if unfinished && r.mayAwaitStragglers(v) {
+	incomplete := !committed || changingMembers && !r.round.completesChange || replicationIncomplete
+	if incomplete && r.mayAwaitStragglers(v) {
 		r.round.awaitingStragglers, r.round.deadline = true, r.stragglerDeadline()
 		return
 	}
 	// Writing the value again helps a replication only where a quorum without this replica has replied.
-	rewriteHelps := replicationLacks && isQuorumWithout(v, r.round.validRepliers(), r.self)
-	if !committed || r.wantsProposal(v) || rewriteHelps {
+	needsRewrite := replicationIncomplete && isQuorumWithout(v, r.round.validRepliers(), r.self)
+	if !committed || r.needsProposal(v) || needsRewrite {
 		r.startPrepare()
 		return
 	}
-	r.finishRead(holders)
+	r.finishRead(replicas)
 }
 
 // mayAwaitStragglers reports whether replies are missing that may still be waited for: their senders may only be late to receive what was
@@ -164,25 +164,25 @@
 }
 
 func (r *Replica) stragglerDeadline() time.Duration {
-	return r.round.started + r.pace.stragglerWait()
+	return r.round.started + r.retry.stragglerWait()
 }
 
 // finishRead ends a round whose read found its value on the disks of a quorum. Members that a change adds and that lack it, get it.
-func (r *Replica) finishRead(holders []string) {
+func (r *Replica) finishRead(replicas []string) {
 	v := r.round.acceptedValue
 	for _, member := range v.Members {
-		if len(v.PriorMembers) > 0 && member != r.self && !slices.Contains(holders, member) {
+		if len(v.PriorMembers) > 0 && member != r.self && !slices.Contains(replicas, member) {
 			r.send(Message{Kind: Commit, To: member, Ballot: r.round.highestAccepted, Value: &v})
 		}
 	}
-	r.finishRound(r.round.highestAccepted, v, holders)
-	if slices.ContainsFunc(r.pending, operation.waitsForOthers) {
+	r.finishRound(r.round.highestAccepted, v, replicas)
+	if slices.ContainsFunc(r.pending, operation.waitsForReplicas) {
 		r.backOff()
 	}
 }
 
 // wantsProposal reports whether there is something to write: a pending operation's change, or the end of a change of members.
-func (r *Replica) wantsProposal(v *Value) bool {
+func (r *Replica) needsProposal(v *Value) bool {
 	if r.round.completesChange {
 		return true
 	}
@@ -195,7 +195,7 @@
 	r.beginPhase(preparing)
 	r.round.ballot = Ballot{Number: r.highestBallot.Number + 1, Proposer: r.self}
 	r.highestBallot = r.round.ballot
-	r.contact()
+	r.sendRequests()
 }
 
 // evaluatePromises starts the accepting phase once a quorum has promised.
@@ -206,7 +206,7 @@
 	}
 	r.lastQuorum = r.now
 	r.round.completesChange = r.round.completesChange && len(v.PriorMembers) > 0
-	if r.round.completesChange && !r.round.newMembersHold(v) {
+	if r.round.completesChange && !r.round.newMembersHaveValue(v) {
 		if len(r.round.replies) < len(r.recipients(v)) {
 			return // the promise of a member that the change adds may only be late
 		}
@@ -227,8 +227,8 @@
 	} else {
 		r.round.proposal = r.applyPending(*v)
 	}
-	r.round.contacted = sortedSet(append(r.recipients(v), r.recipients(&r.round.proposal)...))
-	for _, machine := range r.round.contacted {
+	r.round.requested = sortedSet(append(r.recipients(v), r.recipients(&r.round.proposal)...))
+	for _, machine := range r.round.requested {
 		r.sendAccept(machine)
 	}
 }
@@ -256,14 +256,14 @@
 }
 
 // finishRound ends a round with a value that was committed when the round began, or later, and that the holders have on their disks.
-func (r *Replica) finishRound(ballot Ballot, v Value, holders []string) {
+func (r *Replica) finishRound(ballot Ballot, v Value, replicas []string) {
 	r.round.finish(r.now)
-	r.pace.completed()
+	r.retry.resetRejections()
 	r.lastCommit, r.lastQuorum = r.now, r.now
 	if ballot.Compare(r.committedBallot) >= 0 {
 		r.committedBallot, r.committedValue = ballot, v
 		r.committedAsOf = max(r.committedAsOf, r.round.started)
 		r.adoptCommitted()
 	}
-	r.completePending(v, holders)
+	r.completePending(v, replicas)
 }
--- a/mesh/register/rejoin.go
+++ b/mesh/register/rejoin.go
@@ -9,7 +9,7 @@
 // it, and takes over the highest ballot and the accepted value of their replies.
 func (r *Replica) tryRejoin() {
 	v := &r.round.acceptedValue
-	if len(v.Members) == 0 || !r.enoughToRejoin(v.Members) || len(v.PriorMembers) > 0 && !r.enoughToRejoin(v.PriorMembers) {
+	if len(v.Members) == 0 || !r.hasRejoinQuorum(v.Members) || len(v.PriorMembers) > 0 && !r.hasRejoinQuorum(v.PriorMembers) {
 		return
 	}
 	if r.rejoinIncarnation == 0 {
@@ -28,7 +28,7 @@
 	r.mergeIncarnations()
 	r.pruneIncarnations()
 	r.rejoinIncarnation = 0
-	r.persist()
+	r.markStateChanged()
 	r.round.finish(r.now)
 }
 
@@ -46,7 +46,7 @@
 
 // enoughToRejoin reports whether so many of the other members have replied that each majority which this machine was part of includes one
 // of them: n - q + 1, where q is the size of a majority of n. A machine that is not a member was part of none and needs a majority.
-func (r *Replica) enoughToRejoin(members []string) bool {
+func (r *Replica) hasRejoinQuorum(members []string) bool {
 	n := len(members)
 	if !slices.Contains(members, r.self) {
 		return countMembers(members, r.round.validRepliers()) >= majoritySize(n)
--- a/mesh/register/rejoin_test.go
+++ b/mesh/register/rejoin_test.go
@@ -8,7 +8,7 @@
 
 // A machine whose disk came back empty takes over the highest promise of those it reads from, with an incarnation above all that they know:
 // it may have promised the ballot itself, before.
-func TestRejoinTakesOverPromiseAndIncarnation(t *testing.T) {
+func TestRejoinAdoptsHighestPromiseAndNewIncarnation(t *testing.T) {
 	members := []string{"a", "b", "c"}
 	r := New("a", members, false, nil, 1)
 	promised, accepted := Ballot{Number: 9, Proposer: "c"}, Ballot{Number: 7, Proposer: "b"}
--- a/mesh/register/replica.go
+++ b/mesh/register/replica.go
@@ -23,7 +23,7 @@
 type Replica struct {
 	self   string
 	random *rand.Rand
-	pace   pace
+	retry  retryPolicy
 	peers  []string // machines that may know a member
 
 	// State of the call of Handle that is under way.
@@ -58,7 +58,7 @@
 		committedAsOf: unknownTime,
 		lastQuorum:    unknownTime,
 	}
-	r.pace = newPace(r.random)
+	r.retry = newRetryPolicy(r.random)
 	r.round.number = r.random.Uint64()
 	switch {
 	case durable != nil:
@@ -74,7 +74,7 @@
 }
 
 // SetTiming sets the durations of rounds, in place of those of timing.Default.
-func (r *Replica) SetTiming(t timing.Register) { r.pace.durations = t }
+func (r *Replica) SetTiming(t timing.Register) { r.retry.durations = t }
 
 // State returns the acceptor's state, which may be newer than the one on disk.
 func (r *Replica) State() State { return r.state }
@@ -95,16 +95,16 @@
 func (r *Replica) CommittedBallot() Ballot { return r.committedBallot }
 
 // Members returns the members of the newest value at this replica, committed or not.
-func (r *Replica) Members() []string { return r.newestKnown().Members }
+func (r *Replica) Members() []string { return r.newestValue().Members }
 
 // Membership returns the members of the newest value at this replica and, while a change of members is under way, the prior ones.
-func (r *Replica) Membership() (members, prior []string) {
-	v := r.newestKnown()
+func (r *Replica) Membership() (members, priorMembers []string) {
+	v := r.newestValue()
 	return v.Members, v.PriorMembers
 }
 
 // newestKnown returns the newest value at this replica, committed or not.
-func (r *Replica) newestKnown() *Value {
+func (r *Replica) newestValue() *Value {
 	if r.committedBallot.Compare(r.state.Accepted) > 0 {
 		return &r.committedValue
 	}
@@ -142,21 +142,21 @@
 
 // NextTick returns the time at which the replica wants a Tick.
 func (r *Replica) NextTick() time.Duration {
-	if r.round.phase != idle || r.wantsRound() {
+	if r.round.phase != idle || r.needsRound() {
 		return r.round.deadline
 	}
-	return max(r.round.deadline, r.lastCommit+r.pace.durations.IdleReadInterval)
+	return max(r.round.deadline, r.lastCommit+r.retry.durations.IdleReadInterval)
 }
 
 // wantsRound reports whether there is a reason for a round other than the interval of idle reads.
-func (r *Replica) wantsRound() bool {
+func (r *Replica) needsRound() bool {
 	return len(r.pending) > 0 || !r.hasCommitted() || !r.state.Voter
 }
 
 // advance ends a wait or a phase that has timed out, and begins a round where one is due.
 func (r *Replica) advance() {
 	if r.round.awaitingStragglers && r.round.phase == reading && r.now >= r.round.deadline {
-		r.round.awaitingStragglers, r.round.deadline = false, r.now+r.pace.durations.MinPhaseTimeout
+		r.round.awaitingStragglers, r.round.deadline = false, r.now+r.retry.durations.MinPhaseTimeout
 		r.evaluateRead()
 	}
 	switch {
@@ -169,7 +169,7 @@
 	if r.round.phase != idle || r.now < r.round.deadline {
 		return
 	}
-	if r.wantsRound() || r.now >= r.lastCommit+r.pace.durations.IdleReadInterval {
+	if r.needsRound() || r.now >= r.lastCommit+r.retry.durations.IdleReadInterval {
 		r.startRead()
 	}
 }
@@ -184,24 +184,24 @@
 // proposers do not abort each other forever.
 func (r *Replica) rejectRound() {
 	r.round.phase = idle
-	r.round.deadline = r.now + r.pace.rejected(r.now-r.round.started)
+	r.round.deadline = r.now + r.retry.recordRejection(r.now-r.round.started)
 }
 
 // backOff puts off the next round by a random time.
-func (r *Replica) backOff() { r.round.deadline = r.now + r.pace.backoff() }
+func (r *Replica) backOff() { r.round.deadline = r.now + r.retry.backoff() }
 
 // Progress describes, for the log, which phase of a round is under way, since when the round is, who has replied, and how often rounds were
 // rejected.
 func (r *Replica) Progress(now time.Duration) string {
 	if r.round.phase == idle {
-		return fmt.Sprintf("%s, %d operations, %d rejections", phaseNames[idle], len(r.pending), r.pace.rejections)
+		return fmt.Sprintf("%s, %d operations, %d rejections", phaseNames[idle], len(r.pending), r.retry.consecutiveRejections)
 	}
 	return fmt.Sprintf("%s for %v, %d of %d replies, %d operations, %d rejections", phaseNames[r.round.phase],
-		(now - r.round.started).Round(time.Millisecond), len(r.round.replies), len(r.round.contacted), len(r.pending), r.pace.rejections)
+		(now - r.round.started).Round(time.Millisecond), len(r.round.replies), len(r.round.requested), len(r.pending), r.retry.consecutiveRejections)
 }
 
 // persist marks the acceptor's state as changed, so that this call's Output carries it.
-func (r *Replica) persist() { r.stateChanged = true }
+func (r *Replica) markStateChanged() { r.stateChanged = true }
 
 // send sends a message. One to this replica itself is handled at once.
 func (r *Replica) send(m Message) {
--- a/mesh/register/rollouts.go
+++ b/mesh/register/rollouts.go
@@ -20,7 +20,7 @@
 	return Confirmed, false
 }
 
-func (op StartRollout) waitsForOthers() bool { return false }
+func (op StartRollout) waitsForReplicas() bool { return false }
 
 func (op AdvanceRollout) id() uint64 { return op.ID }
 
@@ -33,4 +33,4 @@
 	return Confirmed, c.answerable && !c.value.Rollouts.CanApply(op.Transition)
 }
 
-func (op AdvanceRollout) waitsForOthers() bool { return false }
+func (op AdvanceRollout) waitsForReplicas() bool { return false }
--- a/mesh/register/rollouts_test.go
+++ b/mesh/register/rollouts_test.go
@@ -9,9 +9,9 @@
 )
 
 // startAll starts the members of a cluster for the first time, and lets them settle.
-func startAll(c *cluster) (now time.Duration) {
+func startFirstMembers(c *cluster) (now time.Duration) {
 	for i := range c.names {
-		c.do(0, i, "first")
+		c.runCell(0, i, "first")
 	}
 	return c.run(0, time.Second)
 }
@@ -24,15 +24,15 @@
 	return now
 }
 
-func orderOf(target string) rollout.Order {
+func newOrder(target string) rollout.Order {
 	return rollout.Order{Service: "one", Target: target, Term: time.Second}
 }
 
 func TestConcurrentOrdersStartOneRollout(t *testing.T) {
 	c := newCluster([]string{"a", "b", "c"})
-	now := startAll(c)
+	now := startFirstMembers(c)
 	for i, target := range []string{"v2", "v3"} {
-		c.start(now, i, target, func(id uint64) Event { return StartRollout{ID: id, Order: orderOf(target)} })
+		c.startOperation(now, i, target, func(id uint64) Event { return StartRollout{ID: id, Order: newOrder(target)} })
 	}
 	c.run(now, 3*time.Second)
 	value, _, _ := c.replicas[2].Committed()
@@ -40,7 +40,7 @@
 	confirmed, conflicting := 0, 0
 	for _, line := range c.log {
 		switch {
-		case strings.Contains(line, conflicts[Conflict]):
+		case strings.Contains(line, resultSuffixes[Conflict]):
 			conflicting++
 		case strings.Contains(line, r.Target):
 			confirmed++
@@ -51,22 +51,22 @@
 	}
 }
 
-func TestTransitionSurvivesTheLossOfAllMemory(t *testing.T) {
+func TestTransitionSurvivesRestartOfAllReplicas(t *testing.T) {
 	c := newCluster([]string{"a", "b", "c"})
-	now := startAll(c)
-	c.handle(now, 0, StartRollout{ID: 1, Order: orderOf("v2")})
+	now := startFirstMembers(c)
+	c.handle(now, 0, StartRollout{ID: 1, Order: newOrder("v2")})
 	now = c.run(now, time.Second)
 	transition := rollout.Transition{Service: "one", Order: 1, From: rollout.Canary, To: rollout.Recalled, Reason: "bad", DecidedBy: "b"}
 	c.handle(now, 1, AdvanceRollout{ID: 2, Transition: transition})
 	now = c.run(now, time.Second)
 	for i := range c.names {
-		c.do(now, i, "kill")
-		c.do(now, i, "up")
+		c.runCell(now, i, "kill")
+		c.runCell(now, i, "up")
 	}
 	c.run(now, time.Second)
-	value, _, known := c.replicas[2].Committed()
+	value, _, committed := c.replicas[2].Committed()
 	r, _ := value.Rollouts.Find("one")
-	if !known || r.Stage != rollout.Recalled || r.Reason != "bad" || r.DecidedBy != "b" || r.Term != time.Second {
-		t.Errorf("known %v, %+v", known, r)
+	if !committed || r.Stage != rollout.Recalled || r.Reason != "bad" || r.DecidedBy != "b" || r.Term != time.Second {
+		t.Errorf("known %v, %+v", committed, r)
 	}
 }
--- a/mesh/register/round.go
+++ b/mesh/register/round.go
@@ -27,7 +27,7 @@
 	endsAt   time.Duration // when the phase is abandoned
 	ballot   Ballot        // of Prepare and Accept
 
-	contacted []string         // machines that the phase's request was sent to
+	requested []string         // machines that the phase's request was sent to
 	replies   map[string]reply // of the phase, by voter
 
 	highestAccepted Ballot // of all replies of the round
@@ -58,11 +58,11 @@
 func (rd *round) nextPhase(p phase, resendAt, endsAt time.Duration) {
 	rd.number++
 	rd.phase, rd.deadline, rd.endsAt = p, resendAt, endsAt
-	rd.contacted, rd.replies = nil, map[string]reply{}
+	rd.requested, rd.replies = nil, map[string]reply{}
 }
 
 // takeValue takes over the value of a reply where it was accepted at a higher ballot, or the round has none yet.
-func (rd *round) takeValue(m *Message) {
+func (rd *round) adoptNewerValue(m *Message) {
 	newer := m.Accepted.Compare(rd.highestAccepted) > 0
 	if m.Value != nil && (newer || len(rd.acceptedValue.Members) == 0) {
 		rd.highestAccepted, rd.acceptedValue = m.Accepted, *m.Value
@@ -105,7 +105,7 @@
 func (rd *round) hasQuorum(v *Value) bool { return isQuorum(v, rd.validRepliers()) }
 
 // holders returns the valid repliers that have the highest accepted value of the round on their disks.
-func (rd *round) holders() []string {
+func (rd *round) replicasOfValue() []string {
 	return slices.DeleteFunc(rd.validRepliers(), func(machine string) bool {
 		return rd.replies[machine].accepted != rd.highestAccepted
 	})
@@ -113,10 +113,10 @@
 
 // newMembersHold reports whether every member that a change adds has the highest accepted value of the round on its disk. Until then
 // the prior members still count.
-func (rd *round) newMembersHold(v *Value) bool {
-	holders := rd.holders()
+func (rd *round) newMembersHaveValue(v *Value) bool {
+	replicas := rd.replicasOfValue()
 	for _, member := range v.Members {
-		if !slices.Contains(v.PriorMembers, member) && !slices.Contains(holders, member) {
+		if !slices.Contains(v.PriorMembers, member) && !slices.Contains(replicas, member) {
 			return false
 		}
 	}
--- a/mesh/register/round_test.go
+++ b/mesh/register/round_test.go
@@ -39,35 +39,35 @@
 }
 
 // A reply counts no more once another one knows a later incarnation of its sender.
-func TestReplyFromEarlierIncarnationIsVoid(t *testing.T) {
+func TestReplyFromSupersededIncarnationIsNotCounted(t *testing.T) {
 	rd := round{replies: map[string]reply{
 		"a": {accepted: Ballot{Number: 2}, incarnation: 1},
 		"b": {accepted: Ballot{Number: 2}, incarnations: map[string]uint32{"a": 1}},
 		"c": {accepted: Ballot{Number: 1}},
 	}, highestAccepted: Ballot{Number: 2}}
 	v := &Value{Members: []string{"a", "b", "c"}}
-	if holders := rd.holders(); len(holders) != 2 || !isQuorum(v, holders) {
+	if holders := rd.replicasOfValue(); len(holders) != 2 || !isQuorum(v, holders) {
 		t.Errorf("holders %v, want a and b", holders)
 	}
 	rd.replies["c"] = reply{accepted: Ballot{Number: 1}, incarnations: map[string]uint32{"a": 2}}
 	if valid := rd.validRepliers(); len(valid) != 2 || slices.Contains(valid, "a") {
 		t.Errorf("valid repliers %v, want b and c", valid)
 	}
-	if holders := rd.holders(); !slices.Equal(holders, []string{"b"}) {
+	if holders := rd.replicasOfValue(); !slices.Equal(holders, []string{"b"}) {
 		t.Errorf("holders %v, want b alone", holders)
 	}
 }
 
 // A change of members may end only once each new member holds the value: members from before may lack it.
-func TestNewMembersHold(t *testing.T) {
+func TestMemberChangeWaitsUntilNewMembersHaveValue(t *testing.T) {
 	v := &Value{Members: []string{"a", "c", "d"}, PriorMembers: []string{"a", "b", "c"}}
-	at, before := Ballot{Number: 2}, Ballot{Number: 1}
-	rd := round{highestAccepted: at, replies: map[string]reply{"a": {accepted: at}, "b": {accepted: at}, "d": {accepted: before}}}
-	if rd.newMembersHold(v) {
+	highest, lower := Ballot{Number: 2}, Ballot{Number: 1}
+	rd := round{highestAccepted: highest, replies: map[string]reply{"a": {accepted: highest}, "b": {accepted: highest}, "d": {accepted: lower}}}
+	if rd.newMembersHaveValue(v) {
 		t.Error("d holds an older value")
 	}
-	rd.replies["d"] = reply{accepted: at}
-	if !rd.newMembersHold(v) {
+	rd.replies["d"] = reply{accepted: highest}
+	if !rd.newMembersHaveValue(v) {
 		t.Error("d holds the value, and c is no new member")
 	}
 }
@@ -103,28 +103,28 @@
 
 // A phase is not abandoned while replies may come: its request is sent again to those that have not replied, at intervals that double, and
 // a reply to the first one counts.
-func TestRequestsAreSentAgainUntilTheLongestPhase(t *testing.T) {
+func TestPhaseResendsRequestsUntilItTimesOut(t *testing.T) {
 	durations := timing.Default().Register
 	r := New("a", []string{"a", "b", "c"}, true, nil, 1)
 	first := r.Handle(0, Tick{}).Messages
-	var sent []time.Duration
+	var resentAt []time.Duration
 	for now := time.Duration(0); now < durations.MaxPhaseTimeout; now = r.NextTick() {
 		if out := r.Handle(now, Tick{}); len(out.Messages) > 0 {
-			sent = append(sent, now)
+			resentAt = append(resentAt, now)
 		}
 	}
-	if len(sent) < 2 || sent[0] != durations.MinPhaseTimeout || sent[len(sent)-1]-sent[0] < 2*durations.MinPhaseTimeout {
-		t.Fatalf("sent again at %v", sent)
+	if len(resentAt) < 2 || resentAt[0] != durations.MinPhaseTimeout || resentAt[len(resentAt)-1]-resentAt[0] < 2*durations.MinPhaseTimeout {
+		t.Fatalf("sent again at %v", resentAt)
 	}
 	reply := Message{Kind: ReadReply, From: "b", To: "a", Round: first[0].Round, Voter: true}
 	r.Handle(durations.MaxPhaseTimeout-time.Millisecond, MessageReceived{reply})
-	if _, _, known := r.Committed(); !known {
+	if _, _, committed := r.Committed(); !committed {
 		t.Error("a late reply to the first request does not complete the round")
 	}
 }
 
 // A new connection has the requests of a phase sent again at once: those before it may be lost.
-func TestRequestsAreSentAgainOverANewConnection(t *testing.T) {
+func TestNewConnectionTriggersResend(t *testing.T) {
 	r := New("a", []string{"a", "b", "c"}, true, nil, 1)
 	reply := Message{Kind: ReadReply, From: "b", To: "a", Round: r.Handle(0, Tick{}).Messages[0].Round, Voter: true}
 	r.Handle(time.Millisecond, MessageReceived{reply})
@@ -135,26 +135,26 @@
 }
 
 // Pauses after rejections grow, up to the longest phase, until a round completes.
-func TestPausesGrowWithRejections(t *testing.T) {
-	p := newPace(rand.New(rand.NewPCG(1, 2)))
-	longest := func() (most time.Duration) {
+func TestBackoffGrowsWithRejections(t *testing.T) {
+	policy := newRetryPolicy(rand.New(rand.NewPCG(1, 2)))
+	longestBackoff := func() (longest time.Duration) {
 		for range 200 {
-			probe := p
-			most = max(most, probe.rejected(0))
+			policy := policy
+			longest = max(longest, policy.recordRejection(0))
 		}
-		return most
+		return longest
 	}
-	first := longest()
+	afterOne := longestBackoff()
 	for range 3 {
-		p.rejected(0)
+		policy.recordRejection(0)
 	}
-	if grown := longest(); grown < 5*first || grown > p.durations.MinBackoff+p.durations.MaxPhaseTimeout {
-		t.Errorf("up to %v after four rejections, up to %v after one", grown, first)
+	if afterFour := longestBackoff(); afterFour < 5*afterOne || afterFour > policy.durations.MinBackoff+policy.durations.MaxPhaseTimeout {
+		t.Errorf("up to %v after four rejections, up to %v after one", afterFour, afterOne)
 	}
-	if slow := p.rejected(time.Second); slow > p.durations.MinBackoff+p.durations.MaxPhaseTimeout {
-		t.Errorf("%v", slow)
+	if afterSlowRound := policy.recordRejection(time.Second); afterSlowRound > policy.durations.MinBackoff+policy.durations.MaxPhaseTimeout {
+		t.Errorf("%v", afterSlowRound)
 	}
-	if p.completed(); longest() > p.durations.MinBackoff+p.durations.BackoffJitter {
+	if policy.resetRejections(); longestBackoff() > policy.durations.MinBackoff+policy.durations.BackoffJitter {
 		t.Error("a completed round does not end that")
 	}
 }
--- a/mesh/register/timeline_test.go
+++ b/mesh/register/timeline_test.go
@@ -18,35 +18,35 @@
 
 // cluster runs replicas over links with a delay and disks that sync at once.
 type cluster struct {
-	names      []string
-	members    []string
-	replicas   []*Replica // nil: it is down
-	disks      []*State
-	starts     int
-	cut        map[int]bool
-	inFlight   []delivery
-	log        []string
-	lastID     uint64
-	lastChange uint64            // the operation of the last "replace"
-	pending    map[uint64]string // operations without an outcome
+	names             []string
+	members           []string
+	replicas          []*Replica // nil: it is down
+	disks             []*State
+	starts            int
+	disconnected      map[int]bool
+	inFlight          []delivery
+	log               []string
+	lastID            uint64
+	lastReplaceID     uint64            // the operation of the last "replace"
+	pendingOperations map[uint64]string // operations without an outcome
 }
 
 // conflicts is what the log adds to an operation with such a result.
-var conflicts = map[Result]string{Conflict: " conflicts"}
+var resultSuffixes = map[Result]string{Conflict: " conflicts"}
 
 type delivery struct {
-	at      time.Duration
-	message Message
+	arrivesAt time.Duration
+	message   Message
 }
 
 func newCluster(names []string) *cluster {
 	return &cluster{
-		names:    names,
-		members:  []string{"a", "b", "c"},
-		replicas: make([]*Replica, len(names)),
-		disks:    make([]*State, len(names)),
-		cut:      map[int]bool{},
-		pending:  map[uint64]string{},
+		names:             names,
+		members:           []string{"a", "b", "c"},
+		replicas:          make([]*Replica, len(names)),
+		disks:             make([]*State, len(names)),
+		disconnected:      map[int]bool{},
+		pendingOperations: map[uint64]string{},
 	}
 }
 
@@ -67,9 +67,9 @@
 		c.inFlight = append(c.inFlight, delivery{now + linkDelay, m})
 	}
 	for _, o := range output.Outcomes {
-		if operation, ok := c.pending[o.ID]; ok {
-			c.logf(now, "%s: %s, version %d %s", c.names[i], operation+conflicts[o.Result], o.Value.Version, o.Value.Body)
-			delete(c.pending, o.ID)
+		if operation, ok := c.pendingOperations[o.ID]; ok {
+			c.logf(now, "%s: %s, version %d %s", c.names[i], operation+resultSuffixes[o.Result], o.Value.Version, o.Value.Body)
+			delete(c.pendingOperations, o.ID)
 		}
 	}
 }
@@ -83,10 +83,10 @@
 }
 
 // start asks a replica for an operation and returns its id.
-func (c *cluster) start(now time.Duration, i int, description string, operation func(id uint64) Event) uint64 {
+func (c *cluster) startOperation(now time.Duration, i int, description string, operation func(id uint64) Event) uint64 {
 	c.lastID++
 	id := c.lastID
-	c.pending[id] = description
+	c.pendingOperations[id] = description
 	c.handle(now, i, operation(id))
 	return id
 }
@@ -98,9 +98,9 @@
 	for _, d := range inFlight {
 		from, to := slices.Index(c.names, d.message.From), slices.Index(c.names, d.message.To)
 		switch {
-		case d.at > now:
+		case d.arrivesAt > now:
 			c.inFlight = append(c.inFlight, d)
-		case c.replicas[to] == nil || c.cut[from] != c.cut[to]:
+		case c.replicas[to] == nil || c.disconnected[from] != c.disconnected[to]:
 		default:
 			c.handle(now, to, MessageReceived{d.message})
 		}
@@ -113,7 +113,7 @@
 }
 
 // do plays a cell of a timeline.
-func (c *cluster) do(now time.Duration, i int, cell string) {
+func (c *cluster) runCell(now time.Duration, i int, cell string) {
 	verb, argument, _ := strings.Cut(cell, ":")
 	switch verb {
 	case "first", "up":
@@ -127,39 +127,39 @@
 	case "wipe":
 		c.replicas[i], c.disks[i] = nil, nil
 	case "cut":
-		c.cut[i] = true
+		c.disconnected[i] = true
 	case "heal":
-		delete(c.cut, i)
+		delete(c.disconnected, i)
 	case "show":
 		state := c.replicas[i].State()
 		c.logf(now, "%s has version %d on disk, members %v, prior %v", c.names[i], state.Value.Version, state.Value.Members,
 			state.Value.PriorMembers)
 	default:
-		c.operate(now, i, verb, argument)
+		c.runOperationCell(now, i, verb, argument)
 	}
 }
 
 // operate plays a cell that asks for an operation.
-func (c *cluster) operate(now time.Duration, i int, verb, argument string) {
+func (c *cluster) runOperationCell(now time.Duration, i int, verb, argument string) {
 	switch verb {
 	case "put": // version=body
 		version, body, _ := strings.Cut(argument, "=")
 		number, _ := strconv.Atoi(version)
-		c.start(now, i, "put "+argument, func(id uint64) Event {
+		c.startOperation(now, i, "put "+argument, func(id uint64) Event {
 			return Put{ID: id, Version: uint32(number), Content: ContentOf([]byte(body)), Body: []byte(body)}
 		})
 	case "read":
-		c.start(now, i, "read", func(id uint64) Event { return LinearizableRead{id} })
+		c.startOperation(now, i, "read", func(id uint64) Event { return LinearizableRead{id} })
 	case "replicate":
-		c.start(now, i, "replicate", func(id uint64) Event { return ReplicateWithoutSelf{id} })
+		c.startOperation(now, i, "replicate", func(id uint64) Event { return ReplicateWithoutSelf{id} })
 	case "replace": // expected members, then wanted ones, in place of what was asked for before
 		expected, members, _ := strings.Cut(argument, ">")
-		c.replicas[i].Cancel(c.lastChange)
-		c.lastChange = c.start(now, i, "replace "+argument, func(id uint64) Event {
+		c.replicas[i].Cancel(c.lastReplaceID)
+		c.lastReplaceID = c.startOperation(now, i, "replace "+argument, func(id uint64) Event {
 			return ChangeMembers{ID: id, Members: strings.Split(members, ","), ExpectedMembers: strings.Split(expected, ",")}
 		})
 	case "change":
-		c.start(now, i, "change "+argument, func(id uint64) Event {
+		c.startOperation(now, i, "change "+argument, func(id uint64) Event {
 			return ChangeMembers{ID: id, Members: strings.Split(argument, ",")}
 		})
 	}
@@ -172,9 +172,9 @@
 			t.Fatal(err)
 		}
 		c := newCluster(drawing.Names)
-		drawing.Play(time.Millisecond, c.step, c.do)
+		drawing.Play(time.Millisecond, c.step, c.runCell)
 		for id := uint64(1); id <= c.lastID; id++ {
-			if operation, ok := c.pending[id]; ok {
+			if operation, ok := c.pendingOperations[id]; ok {
 				c.log = append(c.log, "no answer: "+operation)
 			}
 		}
