--- a/mesh/register/acceptor.go
+++ b/mesh/register/acceptor.go
@@ -1,6 +1,6 @@
 package register
 
-// handlePrepare promises to accept nothing below the proposer's ballot, unless a higher one was promised.
+// handlePrepare promises to accept nothing below the proposer's ballot, unless a higher ballot was promised before.
 func (r *Replica) handlePrepare(m *Message) {
 	if !r.state.Voter {
 		return
@@ -16,7 +16,7 @@
 	r.reply(m, Promise)
 }
 
-// handleAccept accepts the proposer's value, unless a higher ballot was promised.
+// handleAccept accepts the proposer's value, unless a higher ballot was promised before.
 func (r *Replica) handleAccept(m *Message) {
 	if !r.state.Voter || m.Value == nil {
 		return
@@ -25,7 +25,7 @@
 		r.reject(m)
 		return
 	}
-	if m.Ballot != r.state.Accepted { // else the request was sent again: the state has it, or will before this reply leaves
+	if m.Ballot != r.state.Accepted { // otherwise the request was resent, and its value is stored before this reply is sent
 		r.state.Promised, r.state.Accepted, r.state.Value = m.Ballot, m.Ballot, *m.Value
 		r.markStateChanged()
 	}
@@ -41,7 +41,7 @@
 	})
 }
 
-// handleCommit learns that a quorum has accepted a value, which the message brings along or the acceptor has.
+// handleCommit records that a quorum has accepted a value. The value is in the message, or is the one that the acceptor has accepted.
 func (r *Replica) handleCommit(m *Message) {
 	switch {
 	case m.Ballot.Compare(r.committedBallot) <= 0: // known, or older
@@ -53,8 +53,8 @@
 	}
 }
 
-// adoptCommitted stores a value that is known to be committed, where the acceptor has an older one. A voter may do so whatever ballot it
-// has promised: the value was on the disks of a quorum before, so that every round at the promised ballot finds it there too.
+// adoptCommitted stores a value that is known to be committed if the acceptor has an older one. A voter may do so whatever ballot it has
+// promised: the value is already on the disks of a quorum, so that every round at the promised ballot finds it there as well.
 func (r *Replica) adoptCommitted() {
 	if !r.state.Voter || r.committedBallot.Compare(r.state.Accepted) <= 0 {
 		return
@@ -66,7 +66,7 @@
 	r.markStateChanged()
 }
 
-// reply answers a request with the acceptor's state. The value is left out where the requester has it already.
+// reply answers a request with the acceptor's state. The value is omitted if the requester already has it.
 func (r *Replica) reply(request *Message, kind Kind) {
 	m := Message{
 		Kind:             kind,
@@ -80,7 +80,7 @@
 		Voter:            r.state.Voter,
 	}
 	newer := r.state.Accepted.Compare(request.Accepted) > 0
-	initialMembers := len(r.state.Value.Members) > 0 && request.Accepted == (Ballot{}) // from a first start, without a ballot
+	initialMembers := len(r.state.Value.Members) > 0 && request.Accepted == (Ballot{}) // set at a first start, without a ballot
 	if newer || initialMembers {
 		value := r.state.Value
 		m.Value = &value
--- a/mesh/register/history.go
+++ b/mesh/register/history.go
@@ -7,13 +7,14 @@
 	"slices"
 )
 
-// MaxRecords is the number of records that a History keeps at most: those of the highest versions. That is 20 KiB of RecordSize bytes each.
+// MaxRecords is the maximum number of records in a History, which keeps those of the highest versions. With RecordSize bytes each they
+// take 20 KiB.
 const MaxRecords = 1024
 
 // RecordSize is the size of a Record on the wire and on disk, in bytes.
 const RecordSize = 4 + len(Content{})
 
-// Content identifies the bytes that an operator sent: the first half of their SHA-256 (FIPS 180-4).
+// Content identifies the bytes that an operator sent. It is the first half of their SHA-256 hash (FIPS 180-4).
 type Content [16]byte
 
 // ContentOf returns the Content of the bytes that an operator sent.
@@ -26,30 +27,30 @@
 // String returns the content in hexadecimal digits.
 func (c Content) String() string { return hex.EncodeToString(c[:]) }
 
-// Record is the content that a version was written with.
+// Record states with which content a version was written.
 type Record struct {
 	Version uint32
 	Content Content
 }
 
-// History records the content of the versions that were written. It is never changed: With returns another one.
+// History records the content of the versions that were written. It is immutable: With returns another one.
 type History struct {
 	Floor   uint32   // records of versions up to this one were dropped
-	Records []Record // in order of version, all above Floor, at most MaxRecords
+	Records []Record // sorted by version, all above Floor, at most MaxRecords
 }
 
-// RecordState is the state of a version and a content in a History.
+// RecordState tells how a version and a content relate to the records of a History.
 type RecordState uint8
 
-// The states of a record.
+// The states.
 const (
 	NotRecorded       RecordState = iota // the version was never written
-	RecordedSame                         // it was written with this content
-	RecordedDifferent                    // it was written with another one
-	BelowFloor                           // its record was dropped, if it had one
+	RecordedSame                         // the version was written with this content
+	RecordedDifferent                    // the version was written with another content
+	BelowFloor                           // the version's record was dropped, if there was one
 )
 
-// result returns how a Put ends whose record is in this state.
+// result returns the result of a Put whose version and content are in this state.
 func (s RecordState) result() Result {
 	if s == RecordedDifferent {
 		return Conflict
@@ -57,7 +58,7 @@
 	return Confirmed
 }
 
-// Find returns the record of a version; ok is false where there is none.
+// Find returns the record of a version. ok is false if there is none.
 func (h History) Find(version uint32) (record Record, ok bool) {
 	i, found := h.search(version)
 	if !found {
@@ -66,7 +67,7 @@
 	return h.Records[i], true
 }
 
-// search returns the index of a version's record, or the one at which it would be inserted.
+// search returns the index of a version's record, or the index at which it would be inserted.
 func (h History) search(version uint32) (index int, found bool) {
 	return slices.BinarySearchFunc(h.Records, version, func(r Record, version uint32) int {
 		return cmp.Compare(r.Version, version)
@@ -87,8 +88,8 @@
 	return NotRecorded
 }
 
-// With returns a history with one more record, whose version must be NotRecorded in h. Beyond MaxRecords the lowest record is dropped and
-// the floor raised to it.
+// With returns a history with one more record, whose version must be NotRecorded in h. Beyond MaxRecords, the record of the lowest version
+// is dropped and Floor raised to that version.
 func (h History) With(r Record) History {
 	index, _ := h.search(r.Version)
 	records := make([]Record, 0, len(h.Records)+1)
--- a/mesh/register/history_test.go
+++ b/mesh/register/history_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A history of any number of versions records the highest, MaxRecords of them, and knows which others it may have dropped.
+// A history keeps the records of the MaxRecords highest versions, and reports versions whose record it may have dropped as BelowFloor.
 func TestFullHistoryDropsLowestVersion(t *testing.T) {
 	x, y := ContentOf([]byte("x")), ContentOf([]byte("y"))
 	var h History
@@ -13,12 +13,12 @@
 		before := slices.Clone(h.Records)
 		next := h.With(Record{version, x})
 		if !slices.Equal(h.Records, before) {
-			t.Fatalf("version %d changed the history that it was added to", version)
+			t.Fatalf("adding version %d changed the original history", version)
 		}
 		h = next
 	}
 	if len(h.Records) != MaxRecords || h.Floor != 20 {
-		t.Fatalf("%d records above %d, want %d above 20", len(h.Records), h.Floor, MaxRecords)
+		t.Fatalf("%d records above floor %d, want %d above 20", len(h.Records), h.Floor, MaxRecords)
 	}
 	h = h.With(Record{41, y})
 	for _, c := range []struct {
@@ -29,10 +29,10 @@
 	}{
 		{"recorded", 40, x, RecordedSame},
 		{"recorded with another content", 40, y, RecordedDifferent},
-		{"between others and late", 41, y, RecordedSame},
+		{"added late, between others", 41, y, RecordedSame},
 		{"never written, in range", 43, x, NotRecorded},
 		{"above all", 1 << 31, x, NotRecorded},
-		{"lost its place to a late one", 22, x, BelowFloor},
+		{"dropped for one that was added late", 22, x, BelowFloor},
 		{"below the range", 3, y, BelowFloor},
 	} {
 		if got := h.StateOf(c.version, c.content); got != c.want {
@@ -40,6 +40,6 @@
 		}
 	}
 	if full := h.With(Record{23, x}); full.StateOf(23, y) != BelowFloor || len(full.Records) != MaxRecords {
-		t.Error("one below the range of a full history is not dropped at once")
+		t.Error("a version below the lowest of a full history is not dropped at once")
 	}
 }
--- a/mesh/register/incarnations.go
+++ b/mesh/register/incarnations.go
@@ -6,12 +6,12 @@
 	"slices"
 )
 
-// maxOtherIncarnations bounds the incarnations that are kept of machines that are neither members nor prior members.
+// maxNonMemberIncarnations limits the stored incarnations of machines that are neither members nor prior members.
 const maxNonMemberIncarnations = 64
 
-// highestIncarnation returns the highest incarnation that a voter knows, or knew and dropped. A machine that rejoins takes an incarnation
-// above that of each voter that replied. So each is above the machine's earlier ones, even where those were dropped, and they rise with
-// time.
+// highestIncarnation returns the highest incarnation that a voter has stored, or has stored and dropped. A machine that rejoins takes an
+// incarnation above the highest one of each voter that replied. Therefore it is above the machine's earlier ones, even if those were
+// dropped, and incarnations rise with time.
 func highestIncarnation(incarnations map[string]uint32, floor uint32) uint32 {
 	highest := floor
 	for _, incarnation := range incarnations {
@@ -20,8 +20,8 @@
 	return highest
 }
 
-// recordIncarnation stores a machine's new incarnation. The map is replaced, not changed: messages and states that are being written share
-// it.
+// recordIncarnation stores a machine's new incarnation. The map is replaced and not changed, because messages and states that are being
+// written share it.
 func (r *Replica) recordIncarnation(machine string, incarnation uint32) {
 	if incarnation <= r.state.Incarnations[machine] {
 		return
@@ -32,7 +32,7 @@
 	r.markStateChanged()
 }
 
-// pruneIncarnations keeps the stored incarnations within their bound. Those of members and prior members always stay.
+// pruneIncarnations limits the stored incarnations. Those of members and prior members are always kept.
 func (r *Replica) pruneIncarnations() {
 	newest := r.newestValue()
 	keep := slices.Concat(newest.Members, newest.PriorMembers)
@@ -40,11 +40,11 @@
 		pruneIncarnations(r.state.Incarnations, r.state.IncarnationFloor, keep, maxNonMemberIncarnations)
 }
 
-// pruneIncarnations drops the lowest incarnations, which are the oldest, of machines other than those to keep, until at most limit of them
-// are left, and returns what remains with the floor raised to those that were dropped. It changes no argument.
+// pruneIncarnations drops the lowest incarnations, which are the oldest, of machines that are not in keep, until at most limit of them are
+// left. It returns the remaining incarnations, and the floor raised to the dropped ones. It does not change its arguments.
 //
-// A reply from an incarnation whose successor was dropped could count again only in a round that the machine answered before its disk was
-// emptied, and that lasts while as many other machines as the limit rejoin. A round ends within a second.
+// A reply from an incarnation whose successor was dropped could be counted again only in a round that the machine answered before its disk
+// was emptied, and that lasts until as many other machines as the limit have rejoined. A round ends within a second.
 func pruneIncarnations(incarnations map[string]uint32, floor uint32, keep []string, limit int) (map[string]uint32, uint32) {
 	var prunable []string
 	for machine := range incarnations {
--- a/mesh/register/incarnations_test.go
+++ b/mesh/register/incarnations_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// However often machines rejoin, and whatever was dropped: an incarnation is above each that its machine had before, and what is kept is
-// bounded.
+// However often machines rejoin and whatever was dropped, a new incarnation is above all earlier ones of its machine, and the number of
+// stored incarnations is bounded.
 func TestRejoinIncarnationExceedsEarlierOnes(t *testing.T) {
 	for seed := range uint64(40) {
 		g := newRejoiningGroup(rand.New(rand.NewPCG(seed, 1)))
@@ -19,10 +19,10 @@
 	}
 }
 
-// keptByTest is the bound of other machines' incarnations in a rejoiningGroup.
+// testIncarnationLimit is the maximum number of stored incarnations of non-members in a rejoiningGroup.
 const testIncarnationLimit = 4
 
-// rejoiningGroup is what voters know of incarnations, while members and spare machines rejoin.
+// rejoiningGroup simulates the incarnations that voters store while members and spare machines rejoin.
 type rejoiningGroup struct {
 	random  *rand.Rand
 	members []string
@@ -39,7 +39,7 @@
 	return g
 }
 
-// rejoin lets a machine rejoin, as Replica.tryRejoin does.
+// rejoin makes a random machine rejoin, as Replica.tryRejoin does.
 func (g *rejoiningGroup) rejoin() error {
 	n := len(g.voters)
 	self, machine := -1, fmt.Sprintf("spare-%d", g.random.IntN(30))
@@ -63,7 +63,7 @@
 	}
 	incarnation++
 	if incarnation <= g.highest[machine] {
-		return fmt.Errorf("%s had incarnation %d and begins %d", machine, g.highest[machine], incarnation)
+		return fmt.Errorf("%s had incarnation %d and its new one is %d", machine, g.highest[machine], incarnation)
 	}
 	g.highest[machine] = incarnation
 	for _, i := range repliers {
@@ -71,7 +71,7 @@
 		v.Incarnations[machine] = max(v.Incarnations[machine], incarnation)
 		g.prune(v)
 		if len(v.Incarnations) > testIncarnationLimit+n {
-			return fmt.Errorf("%d incarnations are kept", len(v.Incarnations))
+			return fmt.Errorf("%d incarnations are stored", len(v.Incarnations))
 		}
 	}
 	if self >= 0 {
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// relearn gives a member whose disk was emptied what the repliers know.
+// restoreFromReplies gives a member whose disk was emptied the incarnations that the repliers have stored.
 func (g *rejoiningGroup) restoreFromReplies(self int, repliers []int) {
 	state := State{Incarnations: map[string]uint32{}}
 	for _, i := range repliers {
@@ -98,7 +98,7 @@
 	s.Incarnations, s.IncarnationFloor = pruneIncarnations(s.Incarnations, s.IncarnationFloor, g.members, testIncarnationLimit)
 }
 
-// The incarnations of members and prior members are never dropped, and of the others the oldest are.
+// The incarnations of members and prior members are never dropped. Of other machines, the oldest are dropped first.
 func TestOldestNonMemberIncarnationsArePruned(t *testing.T) {
 	r := New("a", []string{"a", "b"}, true, nil, 1)
 	r.Handle(0, MessageReceived{Message{Kind: Rejoin, From: "b", To: "a", Incarnation: 1}})
--- a/mesh/register/operation.go
+++ b/mesh/register/operation.go
@@ -4,30 +4,30 @@
 	"slices"
 )
 
-// operation is an event that waits for a round to answer it.
+// operation is an event that a round has to complete. Until then it is pending.
 type operation interface {
 	Event
 	id() uint64
-	// apply returns the value with the operation applied; v itself where it changes nothing.
+	// apply returns the value with the operation applied, or v itself if the operation does not change it.
 	apply(v Value) Value
-	// complete reports whether a committed value completes the operation, and how.
+	// complete reports whether a committed value completes the operation, and with which result.
 	complete(c commit) (Result, bool)
-	// waitsForOthers reports whether the operation, where a round did not complete it, waits for other machines to catch up.
+	// waitsForReplicas reports whether the operation, if a round did not complete it, waits until other machines have caught up.
 	waitsForReplicas() bool
 }
 
-// commit is a value that a round found to be committed, or committed itself.
+// commit is a value that a round has found to be committed, or has committed.
 type commit struct {
 	value      *Value
 	self       string
-	replicas   []string // the machines that have it on their disks, as far as the round has shown
-	answerable bool     // the operation waited when the round began to read, or when it proposed the value
+	replicas   []string // the machines that have the value on their disks, as far as their replies in the round show
+	answerable bool     // the operation was pending when the round's read began, or when the value was proposed
 }
 
 func (op Put) id() uint64 { return op.ID }
 
-// apply records the content under the version, unless the value has a record of the version already: of Puts of one version the first
-// pending one wins. The configuration itself is replaced by a higher version only.
+// apply records the content for the version, unless the version is already recorded: of several pending Puts of a version, the first
+// applies. The configuration itself is only replaced by a higher version.
 func (op Put) apply(v Value) Value {
 	if v.History.StateOf(op.Version, op.Content) != NotRecorded {
 		return v
@@ -56,7 +56,7 @@
 
 func (op ChangeMembers) id() uint64 { return op.ID }
 
-// apply begins a change of members. One that is under way is altered or reverted only by an operation with ExpectedMembers.
+// apply begins a change of members. A change that is under way is only altered or reverted by an operation with ExpectedMembers.
 func (op ChangeMembers) apply(v Value) Value {
 	switch {
 	case len(op.Members) == 0 || slices.Equal(v.Members, op.Members) || op.stale(&v):
@@ -78,7 +78,7 @@
 
 func (op ChangeMembers) waitsForReplicas() bool { return true }
 
-// stale reports whether the members are others than those that the change was decided on.
+// stale reports whether the members differ from those that the change was decided for.
 func (op ChangeMembers) stale(v *Value) bool {
 	return op.ExpectedMembers != nil && !slices.Equal(v.Members, op.ExpectedMembers) && !slices.Equal(v.Members, op.Members)
 }
@@ -93,7 +93,7 @@
 
 func (op ReplicateWithoutSelf) waitsForReplicas() bool { return true }
 
-// applyPending applies the pending operations to a value, in their order.
+// applyPending applies the pending operations to a value in order.
 func (r *Replica) applyPending(v Value) Value {
 	for _, op := range r.pending {
 		v = op.apply(v)
@@ -101,7 +101,8 @@
 	return v
 }
 
-// completePending answers the pending operations that a commit completes.
+// completePending adds the outcomes of the pending operations that a committed value completes, and removes these operations. The replicas
+// are those that have the value on their disks.
 func (r *Replica) completePending(v Value, replicas []string) {
 	remaining := r.pending[:0]
 	for i, op := range r.pending {
@@ -121,7 +122,7 @@
 	r.pending, r.round.answerable = remaining, 0
 }
 
-// replicationPending reports whether a ReplicateWithoutSelf waits.
+// replicationPending reports whether a ReplicateWithoutSelf is pending.
 func (r *Replica) replicationPending() bool {
 	return slices.ContainsFunc(r.pending, func(op operation) bool {
 		_, ok := op.(ReplicateWithoutSelf)
@@ -129,7 +130,7 @@
 	})
 }
 
-// Cancel drops a pending operation, which then has no Outcome. A Put or a ChangeMembers may take effect all the same.
+// Cancel drops a pending operation, which then has no Outcome. A Put or a ChangeMembers may still take effect.
 func (r *Replica) Cancel(id uint64) {
 	r.pending = slices.DeleteFunc(r.pending, func(op operation) bool { return op.id() == id })
 }
--- a/mesh/register/proposer.go
+++ b/mesh/register/proposer.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// stragglerShare is the part of timing.Register.MinPhaseTimeout for which a read waits for more replies than those of a quorum.
+// stragglerWaitDivisor is the part of timing.Register.MinPhaseTimeout for which a read waits for more replies than those of a quorum: MinPhaseTimeout
+// divided by it.
 const stragglerWaitDivisor = 4
 
-// startRead begins a round: it asks the members for their accepted values.
+// startRead begins a round by requesting the accepted values of the members.
 func (r *Replica) startRead() {
 	r.round.started = r.now
 	r.beginPhase(reading)
@@ -27,7 +28,7 @@
 	r.round.nextPhase(p, resendAt, endsAt)
 }
 
-// resend sends the phase's request again to the machines that have not replied: it or their reply may be lost, or only slow.
+// resend sends the phase's request again to the machines that have not replied, as the request or the reply may be lost.
 func (r *Replica) resend() {
 	r.round.deadline = min(r.retry.nextResend(r.now), r.round.endsAt)
 	for _, machine := range slices.Clone(r.round.requested) {
@@ -42,7 +43,8 @@
 	}
 }
 
-// recipients returns the machines that a round has to ask about a value: its members and prior members, or where it has none, the peers.
+// recipients returns the machines that a round with a value sends its requests to: the value's members and prior members, or the peers if
+// it has no members.
 func (r *Replica) recipients(v *Value) []string {
 	machines := slices.Concat(v.Members, v.PriorMembers)
 	if len(machines) == 0 {
@@ -51,17 +53,17 @@
 	return sortedSet(machines)
 }
 
-// sortedSet sorts names in place and drops duplicates.
+// sortedSet sorts names in place and removes duplicates.
 func sortedSet(names []string) []string {
 	slices.Sort(names)
 	return slices.Compact(names)
 }
 
-// contact sends the request of the reading or the preparing phase to the recipients that have not had it. Replies with newer
+// sendRequests sends the request of the reading or the preparing phase to the recipients that it was not sent to before. Replies with newer
 // members add recipients.
 func (r *Replica) sendRequests() {
 	for _, machine := range r.recipients(&r.round.acceptedValue) {
-		if r.round.phase != reading && r.round.phase != preparing { // also when this replica's own reply has ended the phase
+		if r.round.phase != reading && r.round.phase != preparing { // this replica's own reply may have ended the phase
 			return
 		}
 		if !slices.Contains(r.round.requested, machine) {
@@ -71,7 +73,7 @@
 	}
 }
 
-// request returns the request of the reading or the preparing phase.
+// request returns the request of the reading or the preparing phase to a machine.
 func (r *Replica) request(to string) Message {
 	m := Message{To: to, Round: r.round.number, Ballot: r.round.ballot, Accepted: r.round.highestAccepted}
 	switch {
@@ -85,7 +87,7 @@
 	return m
 }
 
-// expectedReply returns the kind of the replies to the present phase's request; 0 where none is expected.
+// expectedReply returns the kind of the replies to the present phase's request, or 0 if none is expected.
 func (r *Replica) expectedReply() Kind {
 	switch {
 	case r.round.phase == reading && r.rejoinIncarnation > 0:
@@ -100,18 +102,18 @@
 	return 0
 }
 
-// handleReply handles a reply of the present round, and continues with the next phase where it completes a quorum.
+// handleReply handles a reply in the present round, and continues with the next phase if the reply completes a quorum.
 func (r *Replica) handleReply(m *Message) {
 	if m.Kind != r.expectedReply() {
 		return
 	}
 	r.round.adoptNewerValue(m)
 	if !m.Voter {
-		r.sendRequests() // the members in the value, if it is newer
+		r.sendRequests() // to the members of the value, if it is newer
 		return
 	}
 	r.round.countReply(m)
-	phase := r.round.phase // which a reply of this replica itself may change
+	phase := r.round.phase // sendRequests may change it, through this replica's reply to itself
 	r.sendRequests()
 	switch phase {
 	case reading:
@@ -129,8 +131,8 @@
 	}
 }
 
-// evaluateRead decides, once a quorum has replied, whether the read completes the round: where a quorum holds the same value, that was the
-// committed one, and no more is needed if there is nothing to write.
+// evaluateRead decides, once a quorum has replied, whether the read completes the round. If a quorum has the same value, that is the
+// committed one, and no further phase is needed unless there is something to write.
 func (r *Replica) evaluateRead() {
 	v := &r.round.acceptedValue
 	if !r.round.hasQuorum(v) {
@@ -148,7 +150,7 @@
 		r.round.awaitingStragglers, r.round.deadline = true, r.stragglerDeadline()
 		return
 	}
-	// Writing the value again helps a replication only where a quorum without this replica has replied.
+	// Writing the value again can only complete a replication if a quorum without this replica has replied.
 	needsRewrite := replicationIncomplete && isQuorumWithout(v, r.round.validRepliers(), r.self)
 	if !committed || r.needsProposal(v) || needsRewrite {
 		r.startPrepare()
@@ -157,8 +159,8 @@
 	r.finishRead(replicas)
 }
 
-// mayAwaitStragglers reports whether replies are missing that may still be waited for: their senders may only be late to receive what was
-// committed.
+// mayAwaitStragglers reports whether replies are missing and the time for waiting for them is not over. Machines that replied may have been
+// late to receive what was committed, while the others already have it.
 func (r *Replica) mayAwaitStragglers(v *Value) bool {
 	return len(r.round.replies) < len(r.recipients(v)) && r.now < r.stragglerDeadline()
 }
@@ -167,7 +169,8 @@
 	return r.round.started + r.retry.stragglerWait()
 }
 
-// finishRead ends a round whose read found its value on the disks of a quorum. Members that a change adds and that lack it, get it.
+// finishRead ends a round whose read found its value on the disks of a quorum, which are those of the given replicas. During a change of
+// members, the value is sent to members that lack it.
 func (r *Replica) finishRead(replicas []string) {
 	v := r.round.acceptedValue
 	for _, member := range v.Members {
@@ -181,7 +184,7 @@
 	}
 }
 
-// wantsProposal reports whether there is something to write: a pending operation's change, or the end of a change of members.
+// needsProposal reports whether there is something to write: a change by a pending operation, or the end of a change of members.
 func (r *Replica) needsProposal(v *Value) bool {
 	if r.round.completesChange {
 		return true
@@ -190,7 +193,7 @@
 	return !next.History.Equal(v.History) || !slices.Equal(next.Members, v.Members) || next.Rollouts.Revision != v.Rollouts.Revision
 }
 
-// startPrepare begins the second phase of a round: it requests promises for a ballot above all those seen.
+// startPrepare begins the second phase of a round by requesting promises for a ballot above all known ones.
 func (r *Replica) startPrepare() {
 	r.beginPhase(preparing)
 	r.round.ballot = Ballot{Number: r.highestBallot.Number + 1, Proposer: r.self}
@@ -198,7 +201,7 @@
 	r.sendRequests()
 }
 
-// evaluatePromises starts the accepting phase once a quorum has promised.
+// evaluatePromises begins the accepting phase once a quorum has promised.
 func (r *Replica) evaluatePromises() {
 	v := &r.round.acceptedValue
 	if !r.round.hasQuorum(v) {
@@ -208,19 +211,19 @@
 	r.round.completesChange = r.round.completesChange && len(v.PriorMembers) > 0
 	if r.round.completesChange && !r.round.newMembersHaveValue(v) {
 		if len(r.round.replies) < len(r.recipients(v)) {
-			return // the promise of a member that the change adds may only be late
+			return // the promise of a member that the change adds may be late
 		}
 		r.round.completesChange = false
 	}
 	r.startAccept()
 }
 
-// startAccept begins the last phase of a round: the value accepted at the highest ballot, with the pending operations applied, is
-// proposed to the members of both the value and the proposal.
+// startAccept begins the last phase of a round. It applies the pending operations to the value accepted at the highest ballot, and proposes
+// the result to the members of both values.
 func (r *Replica) startAccept() {
 	v := &r.round.acceptedValue
 	r.beginPhase(accepting)
-	r.round.answerable = len(r.pending) // the proposal is newer than each of them
+	r.round.answerable = len(r.pending) // all were pending before the proposal
 	if r.round.completesChange {
 		r.round.proposal = *v
 		r.round.proposal.PriorMembers = nil
@@ -255,7 +258,7 @@
 	r.finishRound(ballot, v, r.round.validRepliers())
 }
 
-// finishRound ends a round with a value that was committed when the round began, or later, and that the holders have on their disks.
+// finishRound ends a round with a value that was committed when the round began, or later. The replicas have it on their disks.
 func (r *Replica) finishRound(ballot Ballot, v Value, replicas []string) {
 	r.round.finish(r.now)
 	r.retry.resetRejections()
--- a/mesh/register/rejoin.go
+++ b/mesh/register/rejoin.go
@@ -4,9 +4,9 @@
 	"slices"
 )
 
-// tryRejoin makes the replica of an empty disk a voter, once enough others have replied to its read. It takes two reads. The first finds
-// out the incarnations that others know, and the new one is chosen above all of them. The second, of Rejoin messages, has the others store
-// it, and takes over the highest ballot and the accepted value of their replies.
+// tryRejoin makes a replica whose disk is empty a voter, once enough others have replied to its reads. Two reads are needed. The first
+// collects the incarnations that the others have stored, and the new incarnation is chosen above all of them. The second, with Rejoin
+// messages, makes the others store the new incarnation, and the replica adopts the highest ballot and the accepted value of their replies.
 func (r *Replica) tryRejoin() {
 	v := &r.round.acceptedValue
 	if len(v.Members) == 0 || !r.hasRejoinQuorum(v.Members) || len(v.PriorMembers) > 0 && !r.hasRejoinQuorum(v.PriorMembers) {
@@ -32,7 +32,7 @@
 	r.round.finish(r.now)
 }
 
-// mergeIncarnations takes over what the round's replies know of other machines' incarnations.
+// mergeIncarnations adopts the other machines' incarnations from the round's replies.
 func (r *Replica) mergeIncarnations() {
 	for _, re := range r.round.replies {
 		r.state.IncarnationFloor = max(r.state.IncarnationFloor, re.incarnationFloor)
@@ -44,8 +44,8 @@
 	}
 }
 
-// enoughToRejoin reports whether so many of the other members have replied that each majority which this machine was part of includes one
-// of them: n - q + 1, where q is the size of a majority of n. A machine that is not a member was part of none and needs a majority.
+// hasRejoinQuorum reports whether so many other members have replied that each majority that this machine was part of includes one of them:
+// n - q + 1, where q is the size of a majority of n. A machine that is not a member was part of no majority, and needs a majority.
 func (r *Replica) hasRejoinQuorum(members []string) bool {
 	n := len(members)
 	if !slices.Contains(members, r.self) {
@@ -56,7 +56,7 @@
 	return countMembers(others, r.round.validRepliers()) >= required
 }
 
-// nextIncarnation returns an incarnation above all that the round's replies know of, of whichever machine.
+// nextIncarnation returns an incarnation above those of all machines in the round's replies.
 func (r *Replica) nextIncarnation() uint32 {
 	var highest uint32
 	for _, re := range r.round.replies {
--- a/mesh/register/rejoin_test.go
+++ b/mesh/register/rejoin_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A machine whose disk came back empty takes over the highest promise of those it reads from, with an incarnation above all that they know:
-// it may have promised the ballot itself, before.
+// A machine whose disk was emptied adopts the highest promise of the machines that it reads from, as it may have promised that ballot
+// itself before. Its incarnation is above all that they have stored.
 func TestRejoinAdoptsHighestPromiseAndNewIncarnation(t *testing.T) {
 	members := []string{"a", "b", "c"}
 	r := New("a", members, false, nil, 1)
@@ -20,7 +20,7 @@
 		for _, request := range output.Messages {
 			replyKind := map[Kind]Kind{Read: ReadReply, Rejoin: RejoinReply}[request.Kind]
 			if replyKind == 0 {
-				t.Fatalf("a machine that rejoins sends %+v", request)
+				t.Fatalf("the rejoining machine sent %+v", request)
 			}
 			now += time.Millisecond
 			sent = append(sent, r.Handle(now, MessageReceived{Message{
@@ -37,6 +37,6 @@
 	lower := Message{Kind: Prepare, From: "b", To: "a", Ballot: Ballot{Number: 8, Proposer: "b"}}
 	replies := r.Handle(now, MessageReceived{lower}).Messages
 	if !slices.ContainsFunc(replies, func(m Message) bool { return m.Kind == Nack }) {
-		t.Errorf("a ballot below the promise is answered with %+v", replies)
+		t.Errorf("reply to a ballot below the promised one: %+v, want a Nack", replies)
 	}
 }
--- a/mesh/register/replica.go
+++ b/mesh/register/replica.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// maxPendingOperations bounds the operations that wait. Further ones are dropped without an Outcome: the caller's deadline ends them.
+	// maxPendingOperations limits the pending operations. Further ones are dropped without an Outcome, and end at the caller's deadline.
 	maxPendingOperations = 256
 
-	// unknownTime marks that there is no committed value yet.
+	// unknownTime stands for the time of something that has not happened yet.
 	unknownTime = time.Duration(-1)
-	// randomStream is the second half of the seed of a replica's random numbers.
+	// randomStream is the second half of the seed of a replica's random number generator.
 	randomStream = 0x9e3779b97f4a7c15
 )
 
-// Replica is one control machine's part of the register: acceptor and proposer. It is not safe for concurrent use.
+// Replica is the register's replica on one control machine, acceptor and proposer. It is not safe for concurrent use.
 type Replica struct {
 	self   string
 	random *rand.Rand
 	retry  retryPolicy
-	peers  []string // machines that may know a member
+	peers  []string // receive requests while no member is known, and commits
 
 	// State of the call of Handle that is under way.
 	now          time.Duration
@@ -34,22 +34,22 @@
 	state State // of the acceptor
 
 	// State of the proposer.
-	highestBallot     Ballot // of all that were sent or received
+	highestBallot     Ballot // of all messages that were sent or received
 	pending           []operation
 	round             round
 	lastCommit        time.Duration // when the last round was completed
-	lastQuorum        time.Duration // when a quorum has last replied to a phase; unknownTime: never
-	rejoinIncarnation uint32        // the incarnation that a rejoin announces; 0: it has not been chosen
+	lastQuorum        time.Duration // when a quorum last replied to a phase; unknownTime: never
+	rejoinIncarnation uint32        // the incarnation that a rejoin announces; 0: not chosen yet
 
 	// The newest value that is known to be on the disks of a quorum.
 	committedBallot Ballot
 	committedValue  Value
-	committedAsOf   time.Duration // it is at least as new as the committed value at this time; unknownTime: there is none
+	committedAsOf   time.Duration // the value is at least as new as the one committed at this time; unknownTime: there is none
 }
 
-// New returns the replica of a control machine. The seeds are the members that the deployment began with. The durable state is the one
-// that was read from disk; nil: the disk is empty. In that case firstStart may be true only where the deployment starts for the
-// first time: the replica then votes at once. The random seed should differ between replicas and between starts.
+// New returns the replica of a control machine. The seeds are the initial members of the deployment. durable is the state that was read
+// from disk, or nil if the disk is empty. In that case, firstStart may be true only if the whole deployment starts for the first time; the
+// replica then votes without a rejoin. The random seed should differ between replicas and between starts.
 func New(self string, seeds []string, firstStart bool, durable *State, randomSeed uint64) *Replica {
 	r := &Replica{
 		self:          self,
@@ -73,20 +73,20 @@
 	return r
 }
 
-// SetTiming sets the durations of rounds, in place of those of timing.Default.
+// SetTiming replaces the durations of timing.Default.
 func (r *Replica) SetTiming(t timing.Register) { r.retry.durations = t }
 
 // State returns the acceptor's state, which may be newer than the one on disk.
 func (r *Replica) State() State { return r.state }
 
 // Committed returns the newest value that is known to be on the disks of a quorum. It is at least as new as the one that was committed at
-// the time asOf, which is when the last round that this replica completed had begun; ok is false before the first one.
+// the time asOf, the start of the last round that this replica completed. ok is false if no round has completed yet.
 func (r *Replica) Committed() (v Value, asOf time.Duration, ok bool) {
 	return r.committedValue, r.committedAsOf, r.hasCommitted()
 }
 
-// LastQuorum returns when a quorum has last replied to a phase of a round; below 0: never. That is later than what Committed returns, which
-// counts from the round's beginning: a round on slow machines may take longer than a quorum may be silent.
+// LastQuorum returns when a quorum last replied to a phase of a round, or a negative time if that has not happened. It is later than the
+// time that Committed returns, which is that of the round's start: on slow machines, a round may take longer than a quorum may be silent.
 func (r *Replica) LastQuorum() time.Duration { return r.lastQuorum }
 
 func (r *Replica) hasCommitted() bool { return r.committedAsOf >= 0 }
@@ -97,13 +97,14 @@
 // Members returns the members of the newest value at this replica, committed or not.
 func (r *Replica) Members() []string { return r.newestValue().Members }
 
-// Membership returns the members of the newest value at this replica and, while a change of members is under way, the prior ones.
+// Membership returns the members of the newest value at this replica, committed or not, and, while a change of members is under way, the
+// prior members.
 func (r *Replica) Membership() (members, priorMembers []string) {
 	v := r.newestValue()
 	return v.Members, v.PriorMembers
 }
 
-// newestKnown returns the newest value at this replica, committed or not.
+// newestValue returns the newest value at this replica, committed or not.
 func (r *Replica) newestValue() *Value {
 	if r.committedBallot.Compare(r.state.Accepted) > 0 {
 		return &r.committedValue
@@ -111,7 +112,7 @@
 	return &r.state.Value
 }
 
-// Handle applies an event at a time, which must not run backwards. The Output is the caller's until the next call.
+// Handle applies an event at a time, which must not be before that of the last call. The Output is valid until the next call.
 func (r *Replica) Handle(now time.Duration, event Event) Output {
 	r.now, r.output, r.stateChanged = now, Output{}, false
 	switch event := event.(type) {
@@ -128,7 +129,7 @@
 		case !r.hasCommitted() || !r.state.Voter:
 			r.round.finish(now)
 		case r.round.phase != idle && !r.round.awaitingStragglers:
-			r.round.deadline = now // requests to the machine may have been lost
+			r.round.deadline = now // resend: requests to the machine may have been lost
 		}
 	case Tick:
 	}
@@ -140,7 +141,7 @@
 	return r.output
 }
 
-// NextTick returns the time at which the replica wants a Tick.
+// NextTick returns the time at which the replica needs a Tick.
 func (r *Replica) NextTick() time.Duration {
 	if r.round.phase != idle || r.needsRound() {
 		return r.round.deadline
@@ -148,12 +149,12 @@
 	return max(r.round.deadline, r.lastCommit+r.retry.durations.IdleReadInterval)
 }
 
-// wantsRound reports whether there is a reason for a round other than the interval of idle reads.
+// needsRound reports whether there is a reason for a round other than the interval of idle reads.
 func (r *Replica) needsRound() bool {
 	return len(r.pending) > 0 || !r.hasCommitted() || !r.state.Voter
 }
 
-// advance ends a wait or a phase that has timed out, and begins a round where one is due.
+// advance ends a wait or a phase that has timed out, and begins a round if one is due.
 func (r *Replica) advance() {
 	if r.round.awaitingStragglers && r.round.phase == reading && r.now >= r.round.deadline {
 		r.round.awaitingStragglers, r.round.deadline = false, r.now+r.retry.durations.MinPhaseTimeout
@@ -180,18 +181,18 @@
 	r.backOff()
 }
 
-// rejectRound ends a round that a competing proposer has aborted. The next one begins after a backoff that grows with rejections, so that
-// proposers do not abort each other forever.
+// rejectRound ends a round that was rejected for a competing proposer's ballot. The next one begins after a backoff that grows with
+// rejections, so that proposers do not abort each other's rounds forever.
 func (r *Replica) rejectRound() {
 	r.round.phase = idle
 	r.round.deadline = r.now + r.retry.recordRejection(r.now-r.round.started)
 }
 
-// backOff puts off the next round by a random time.
+// backOff delays the next round by a random time.
 func (r *Replica) backOff() { r.round.deadline = r.now + r.retry.backoff() }
 
-// Progress describes, for the log, which phase of a round is under way, since when the round is, who has replied, and how often rounds were
-// rejected.
+// Progress describes the state of the proposer for logs: the phase of the round, its duration, the number of replies and of pending
+// operations, and how many consecutive rounds were rejected.
 func (r *Replica) Progress(now time.Duration) string {
 	if r.round.phase == idle {
 		return fmt.Sprintf("%s, %d operations, %d rejections", phaseNames[idle], len(r.pending), r.retry.consecutiveRejections)
@@ -200,10 +201,10 @@
 		(now - r.round.started).Round(time.Millisecond), len(r.round.replies), len(r.round.requested), len(r.pending), r.retry.consecutiveRejections)
 }
 
-// persist marks the acceptor's state as changed, so that this call's Output carries it.
+// markStateChanged marks the acceptor's state as changed, so that the Output of the present call of Handle contains it.
 func (r *Replica) markStateChanged() { r.stateChanged = true }
 
-// send sends a message. One to this replica itself is handled at once.
+// send adds a message to the Output. A message to this replica itself is handled at once.
 func (r *Replica) send(m Message) {
 	m.From = r.self
 	if m.To == r.self {
@@ -213,7 +214,7 @@
 	r.output.Messages = append(r.output.Messages, m)
 }
 
-// step handles a message. Messages for a ballot or a round that is over have no effect but on highestBallot.
+// step handles a message. Messages for an earlier ballot or round only affect highestBallot.
 func (r *Replica) step(m *Message) {
 	for _, ballot := range []Ballot{m.Ballot, m.Promised, m.Accepted} {
 		if ballot.Compare(r.highestBallot) > 0 {
--- a/mesh/register/retry.go
+++ b/mesh/register/retry.go
@@ -7,61 +7,61 @@
 	"firplank/mesh/timing"
 )
 
-// defaultDurations are the durations of replicas for which SetTiming states no others.
+// defaultTiming has the durations of replicas unless SetTiming sets others.
 var defaultTiming = timing.Default().Register
 
-// pace decides how long a proposer waits: for the replies of a phase, and after a round that was rejected. How long messages and disks take
-// is not known, and may be anything up to timing.Register.MaxPhaseTimeout. So a phase is not abandoned while replies may still come: its request
-// is sent again to those that have not replied, at intervals that double, and a reply to any of them counts. And proposers that abort each
-// other wait for random times that grow with each rejection, until one of them has the time to finish.
+// retryPolicy decides when a proposer resends requests, when it ends a phase, and how long it backs off before the next round. Messages and
+// disk writes may take any time up to timing.Register.MaxPhaseTimeout. Therefore a phase is not abandoned while replies may still arrive: its
+// request is resent to machines that have not replied, at intervals that double, and a reply to any of the requests counts. Proposers that
+// abort each other's rounds back off for random times that grow with each rejection, until one of them has enough time to finish.
 type retryPolicy struct {
 	durations             timing.Register
 	random                *rand.Rand
-	consecutiveRejections int           // rounds in a row that were rejected
-	resendInterval        time.Duration // the present interval of a phase's requests
+	consecutiveRejections int           // number of rounds since the last completed one that were rejected
+	resendInterval        time.Duration // between requests of the present phase
 }
 
 func newRetryPolicy(random *rand.Rand) retryPolicy {
 	return retryPolicy{durations: defaultTiming, random: random}
 }
 
-// resendJitter is the part of a phase's interval by which its next one may be longer.
+// resendJitterDivisor is the part of a resend interval by which jitter may lengthen it: an interval divided by it.
 const resendJitterDivisor = 4
 
-// begin begins a phase. It returns when its requests are to be sent again, and when it ends.
+// startPhase returns when the requests of a phase that begins now are to be resent, and when the phase ends.
 func (p *retryPolicy) startPhase(now time.Duration) (resendAt, endsAt time.Duration) {
 	p.resendInterval = p.durations.MinPhaseTimeout
 	return now + p.resendInterval, now + p.durations.MaxPhaseTimeout
 }
 
-// resent returns when requests that were just sent again are to be sent once more.
+// nextResend returns when requests that were just resent are to be resent once more.
 func (p *retryPolicy) nextResend(now time.Duration) time.Duration {
 	p.resendInterval *= 2
 	return now + p.resendInterval + p.jitter(p.resendInterval/resendJitterDivisor)
 }
 
-// stragglerWait returns for how long a read that has a quorum waits for further replies, which may show that somebody else is about to
-// finish what it would have to.
+// stragglerWait returns how long a read that has a quorum waits for further replies, which may show that another proposer is already
+// completing what this one would have to.
 func (p *retryPolicy) stragglerWait() time.Duration {
 	return p.doubledPerRejection(p.durations.MinPhaseTimeout / stragglerWaitDivisor)
 }
 
-// rejected records that a round was rejected after a time, and returns the pause before the next one.
+// recordRejection records that a round was rejected, and returns the backoff before the next one.
 func (p *retryPolicy) recordRejection(roundDuration time.Duration) time.Duration {
 	maxJitter := max(p.doubledPerRejection(p.durations.BackoffJitter), min(2*roundDuration, p.durations.MaxPhaseTimeout))
 	p.consecutiveRejections++
 	return p.durations.MinBackoff + p.jitter(maxJitter)
 }
 
-// backoff returns the pause before a round that is begun again for another reason than a rejection.
+// backoff returns the backoff before a round that follows an incomplete one for a reason other than a rejection.
 func (p *retryPolicy) backoff() time.Duration {
 	return p.durations.MinBackoff + p.jitter(p.durations.BackoffJitter)
 }
 
-// completed records that a round was completed.
+// resetRejections records that a round was completed.
 func (p *retryPolicy) resetRejections() { p.consecutiveRejections = 0 }
 
-// grown doubles a duration for each rejection in a row, up to MaxPhaseTimeout.
+// doubledPerRejection doubles a duration for each consecutive rejection, up to MaxPhaseTimeout.
 func (p *retryPolicy) doubledPerRejection(d time.Duration) time.Duration {
 	for range p.consecutiveRejections {
 		if d >= p.durations.MaxPhaseTimeout {
@@ -72,7 +72,7 @@
 	return min(d, p.durations.MaxPhaseTimeout)
 }
 
-// jitter returns a random duration below d.
+// jitter returns a random duration from 0 up to but not including d.
 func (p *retryPolicy) jitter(d time.Duration) time.Duration {
 	return time.Duration(p.random.Int64N(int64(d)))
 }
--- a/mesh/register/rollouts_test.go
+++ b/mesh/register/rollouts_test.go
@@ -8,7 +8,7 @@
 	"firplank/mesh/rollout"
 )
 
-// startAll starts the members of a cluster for the first time, and lets them settle.
+// startFirstMembers starts the members of a cluster for the first time, and runs them for a second so that they have a committed value.
 func startFirstMembers(c *cluster) (now time.Duration) {
 	for i := range c.names {
 		c.runCell(0, i, "first")
@@ -16,7 +16,7 @@
 	return c.run(0, time.Second)
 }
 
-// run lets time pass.
+// run runs the cluster for a time, and returns its end.
 func (c *cluster) run(from, span time.Duration) (now time.Duration) {
 	for now = from; now < from+span; now += time.Millisecond {
 		c.step(now)
--- a/mesh/register/round.go
+++ b/mesh/register/round.go
@@ -15,35 +15,35 @@
 	accepting
 )
 
-// phaseNames are the phases as logs name them.
+// phaseNames are the names of the phases in logs.
 var phaseNames = [...]string{idle: "no round", reading: "reading", preparing: "preparing", accepting: "accepting"}
 
 // round is the state of a proposer's present round.
 type round struct {
-	number   uint64 // replies carry it, and count only in the round, or the phase, that it belongs to
+	number   uint64 // differs between rounds and phases; only replies with the present number count
 	phase    phase
 	started  time.Duration
-	deadline time.Duration // when the phase's requests are sent again, or it ends; when idle: no round begins before it
+	deadline time.Duration // when the phase's requests are resent, or the wait for stragglers ends; when idle: no round begins before it
 	endsAt   time.Duration // when the phase is abandoned
 	ballot   Ballot        // of Prepare and Accept
 
-	requested []string         // machines that the phase's request was sent to
-	replies   map[string]reply // of the phase, by voter
+	requested []string         // machines that the present phase's request was sent to
+	replies   map[string]reply // in the present phase, by voter
 
 	highestAccepted Ballot // of all replies of the round
-	acceptedValue   Value  // the value that was accepted at it
-	proposal        Value  // when accepting: the value that is proposed
+	acceptedValue   Value  // the value that was accepted at highestAccepted
+	proposal        Value  // in the accepting phase: the proposed value
 
-	// answerable is the number of pending operations that the round can answer. Those that follow arrived too late for it: when the
-	// read had begun, or when the proposal was sent.
+	// answerable is the number of pending operations that the round can complete. Later ones arrived after the read had begun, or after
+	// the proposal was sent.
 	answerable int
-	// awaitingStragglers is set when a quorum has replied to the read, and the replies of others may still make further phases unnecessary.
+	// awaitingStragglers is set while a quorum has replied to the read, and replies of other machines may make further phases unnecessary.
 	awaitingStragglers bool
-	// completesChange is set when the round ends a change of members: its proposal has no prior members.
+	// completesChange is set if the round ends a change of members, that is, if its proposal has no prior members.
 	completesChange bool
 }
 
-// reply is what a voter replied in the present phase.
+// reply is the reply of a voter in the present phase.
 type reply struct {
 	accepted         Ballot
 	incarnation      uint32
@@ -51,17 +51,17 @@
 	incarnationFloor uint32
 }
 
-// finish makes the round idle; the next one may begin at once.
+// finish makes the round idle. The next one may begin at once.
 func (rd *round) finish(now time.Duration) { rd.phase, rd.deadline = idle, now }
 
-// nextPhase begins a phase that has no replies yet. Replies to earlier phases no longer count.
+// nextPhase begins a phase, without replies. Replies to earlier phases no longer count.
 func (rd *round) nextPhase(p phase, resendAt, endsAt time.Duration) {
 	rd.number++
 	rd.phase, rd.deadline, rd.endsAt = p, resendAt, endsAt
 	rd.requested, rd.replies = nil, map[string]reply{}
 }
 
-// takeValue takes over the value of a reply where it was accepted at a higher ballot, or the round has none yet.
+// adoptNewerValue adopts the value of a reply if it was accepted at a higher ballot, or if the round has no value yet.
 func (rd *round) adoptNewerValue(m *Message) {
 	newer := m.Accepted.Compare(rd.highestAccepted) > 0
 	if m.Value != nil && (newer || len(rd.acceptedValue.Members) == 0) {
@@ -69,7 +69,7 @@
 	}
 }
 
-// countReply counts the reply of a voter.
+// countReply stores the reply of a voter, to be counted in quorums.
 func (rd *round) countReply(m *Message) {
 	rd.replies[m.From] = reply{
 		accepted:         m.Accepted,
@@ -79,8 +79,8 @@
 	}
 }
 
-// validRepliers returns the machines whose replies no other reply contradicts: a machine with a later incarnation has lost the state
-// that its reply was made from.
+// validRepliers returns the machines that replied and whose later incarnation is in no other reply. A machine that has a later incarnation
+// has lost the state that its reply describes.
 func (rd *round) validRepliers() []string {
 	var valid []string
 	for machine, re := range rd.replies {
@@ -104,14 +104,14 @@
 // hasQuorum reports whether a quorum of a value's members has replied.
 func (rd *round) hasQuorum(v *Value) bool { return isQuorum(v, rd.validRepliers()) }
 
-// holders returns the valid repliers that have the highest accepted value of the round on their disks.
+// replicasOfValue returns the valid repliers that have the highest accepted value of the round on their disks.
 func (rd *round) replicasOfValue() []string {
 	return slices.DeleteFunc(rd.validRepliers(), func(machine string) bool {
 		return rd.replies[machine].accepted != rd.highestAccepted
 	})
 }
 
-// newMembersHold reports whether every member that a change adds has the highest accepted value of the round on its disk. Until then
+// newMembersHaveValue reports whether every member that a change adds has the highest accepted value of the round on its disk. Until then,
 // the prior members still count.
 func (rd *round) newMembersHaveValue(v *Value) bool {
 	replicas := rd.replicasOfValue()
@@ -123,23 +123,23 @@
 	return true
 }
 
-// isQuorum reports whether machines include a majority of a value's members and, while a change of members is under way, one of the prior
-// members.
+// isQuorum reports whether the machines include a majority of a value's members and, while a change of members is under way, a majority of
+// the prior members.
 func isQuorum(v *Value, machines []string) bool {
 	return isMajority(v.Members, machines) && (len(v.PriorMembers) == 0 || isMajority(v.PriorMembers, machines))
 }
 
-// isQuorumWithout reports whether machines other than one of them are a quorum.
+// isQuorumWithout reports whether the machines without the excluded one are a quorum.
 func isQuorumWithout(v *Value, machines []string, excluded string) bool {
 	return isQuorum(v, slices.DeleteFunc(slices.Clone(machines), func(machine string) bool { return machine == excluded }))
 }
 
-// isMajority reports whether machines include more than half of the members; never of none.
+// isMajority reports whether the machines include more than half of the members. It is false if there are no members.
 func isMajority(members, machines []string) bool {
 	return len(members) > 0 && countMembers(members, machines) > len(members)/2
 }
 
-// majoritySize returns the least number of members that are a majority of n.
+// majoritySize returns the smallest number of members that is a majority of n.
 func majoritySize(n int) int { return n/2 + 1 }
 
 // countMembers returns how many of the members are among the machines.
--- a/mesh/register/round_test.go
+++ b/mesh/register/round_test.go
@@ -9,7 +9,7 @@
 	"firplank/mesh/timing"
 )
 
-// While a change of members is under way a quorum is a majority of both sets, and never one of no members.
+// While a change of members is under way, a quorum needs a majority of both sets. An empty set of members has no majority.
 func TestQuorum(t *testing.T) {
 	stable := &Value{Members: []string{"a", "b", "c"}}
 	changing := &Value{Members: []string{"a", "c", "d"}, PriorMembers: []string{"a", "b", "c"}}
@@ -21,7 +21,7 @@
 	}{
 		{"two of three", stable, []string{"a", "c"}, true},
 		{"one of three", stable, []string{"b"}, false},
-		{"two, one of them no member", stable, []string{"a", "d"}, false},
+		{"two, one of them not a member", stable, []string{"a", "d"}, false},
 		{"a majority of both", changing, []string{"a", "c"}, true},
 		{"a majority of the members alone", changing, []string{"a", "d"}, false},
 		{"a majority of the prior members alone", changing, []string{"a", "b"}, false},
@@ -34,11 +34,11 @@
 		}
 	}
 	if isQuorumWithout(stable, []string{"a", "b"}, "a") || !isQuorumWithout(stable, []string{"a", "b", "c"}, "a") {
-		t.Error("the excluded machine counts, or another does not")
+		t.Error("the excluded machine is counted, or another one is not")
 	}
 }
 
-// A reply counts no more once another one knows a later incarnation of its sender.
+// A reply no longer counts once another reply contains a later incarnation of its sender.
 func TestReplyFromSupersededIncarnationIsNotCounted(t *testing.T) {
 	rd := round{replies: map[string]reply{
 		"a": {accepted: Ballot{Number: 2}, incarnation: 1},
@@ -58,21 +58,21 @@
 	}
 }
 
-// A change of members may end only once each new member holds the value: members from before may lack it.
+// A change of members may end only once each new member has the value. Members that were also prior members may lack it.
 func TestMemberChangeWaitsUntilNewMembersHaveValue(t *testing.T) {
 	v := &Value{Members: []string{"a", "c", "d"}, PriorMembers: []string{"a", "b", "c"}}
 	highest, lower := Ballot{Number: 2}, Ballot{Number: 1}
 	rd := round{highestAccepted: highest, replies: map[string]reply{"a": {accepted: highest}, "b": {accepted: highest}, "d": {accepted: lower}}}
 	if rd.newMembersHaveValue(v) {
-		t.Error("d holds an older value")
+		t.Error("the change may end although d has an older value")
 	}
 	rd.replies["d"] = reply{accepted: highest}
 	if !rd.newMembersHaveValue(v) {
-		t.Error("d holds the value, and c is no new member")
+		t.Error("the change may not end although d has the value and c is not a new member")
 	}
 }
 
-// Pending operations are applied in order: of two Puts of one version the first is taken, and a lower version is recorded only.
+// Pending operations are applied in order: of two Puts of one version the first one applies, and a lower version is only recorded.
 func TestOperationsApplyInOrder(t *testing.T) {
 	x, y := ContentOf([]byte("x")), ContentOf([]byte("y"))
 	r := &Replica{pending: []operation{
@@ -89,7 +89,7 @@
 		t.Errorf("records %v, want 7 with x and 6 with y", v.History.Records)
 	}
 	if !slices.Equal(v.Members, []string{"a", "b"}) || v.PriorMembers != nil {
-		t.Errorf("members %v, prior %v: a change that was decided on others took effect", v.Members, v.PriorMembers)
+		t.Errorf("members %v, prior %v: a change that expected other members took effect", v.Members, v.PriorMembers)
 	}
 	r.round.answerable = 1
 	r.completePending(v, nil)
@@ -101,8 +101,8 @@
 	}
 }
 
-// A phase is not abandoned while replies may come: its request is sent again to those that have not replied, at intervals that double, and
-// a reply to the first one counts.
+// A phase is not abandoned while replies may arrive. Its request is resent to machines that have not replied, at intervals that double, and
+// a reply to the first request still counts.
 func TestPhaseResendsRequestsUntilItTimesOut(t *testing.T) {
 	durations := timing.Default().Register
 	r := New("a", []string{"a", "b", "c"}, true, nil, 1)
@@ -114,7 +114,7 @@
 		}
 	}
 	if len(resentAt) < 2 || resentAt[0] != durations.MinPhaseTimeout || resentAt[len(resentAt)-1]-resentAt[0] < 2*durations.MinPhaseTimeout {
-		t.Fatalf("sent again at %v", resentAt)
+		t.Fatalf("requests resent at %v", resentAt)
 	}
 	reply := Message{Kind: ReadReply, From: "b", To: "a", Round: first[0].Round, Voter: true}
 	r.Handle(durations.MaxPhaseTimeout-time.Millisecond, MessageReceived{reply})
@@ -123,7 +123,7 @@
 	}
 }
 
-// A new connection has the requests of a phase sent again at once: those before it may be lost.
+// The requests of a phase are resent at once over a new connection, as earlier ones may be lost.
 func TestNewConnectionTriggersResend(t *testing.T) {
 	r := New("a", []string{"a", "b", "c"}, true, nil, 1)
 	reply := Message{Kind: ReadReply, From: "b", To: "a", Round: r.Handle(0, Tick{}).Messages[0].Round, Voter: true}
@@ -134,7 +134,7 @@
 	}
 }
 
-// Pauses after rejections grow, up to the longest phase, until a round completes.
+// The backoff grows with consecutive rejections, up to MaxPhaseTimeout beyond MinBackoff, until a round completes.
 func TestBackoffGrowsWithRejections(t *testing.T) {
 	policy := newRetryPolicy(rand.New(rand.NewPCG(1, 2)))
 	longestBackoff := func() (longest time.Duration) {
@@ -149,12 +149,12 @@
 		policy.recordRejection(0)
 	}
 	if afterFour := longestBackoff(); afterFour < 5*afterOne || afterFour > policy.durations.MinBackoff+policy.durations.MaxPhaseTimeout {
-		t.Errorf("up to %v after four rejections, up to %v after one", afterFour, afterOne)
+		t.Errorf("backoff up to %v after four rejections, up to %v after one", afterFour, afterOne)
 	}
 	if afterSlowRound := policy.recordRejection(time.Second); afterSlowRound > policy.durations.MinBackoff+policy.durations.MaxPhaseTimeout {
-		t.Errorf("%v", afterSlowRound)
+		t.Errorf("backoff of %v after a slow round", afterSlowRound)
 	}
 	if policy.resetRejections(); longestBackoff() > policy.durations.MinBackoff+policy.durations.BackoffJitter {
-		t.Error("a completed round does not end that")
+		t.Error("a completed round does not reset the backoff")
 	}
 }
--- a/mesh/register/timeline_test.go
+++ b/mesh/register/timeline_test.go
@@ -20,18 +20,18 @@
 type cluster struct {
 	names             []string
 	members           []string
-	replicas          []*Replica // nil: it is down
+	replicas          []*Replica // nil: down
 	disks             []*State
 	starts            int
 	disconnected      map[int]bool
 	inFlight          []delivery
 	log               []string
 	lastID            uint64
-	lastReplaceID     uint64            // the operation of the last "replace"
-	pendingOperations map[uint64]string // operations without an outcome
+	lastReplaceID     uint64            // of the operation of the last "replace" cell
+	pendingOperations map[uint64]string // descriptions of operations without an outcome
 }
 
-// conflicts is what the log adds to an operation with such a result.
+// resultSuffixes are added in the log to operations with these results.
 var resultSuffixes = map[Result]string{Conflict: " conflicts"}
 
 type delivery struct {
@@ -54,7 +54,7 @@
 	c.log = append(c.log, fmt.Sprintf("%5.2f  ", now.Seconds())+fmt.Sprintf(format, args...))
 }
 
-// handle runs an event and carries out its output.
+// handle passes an event to a replica, and processes its output.
 func (c *cluster) handle(now time.Duration, i int, event Event) {
 	output := c.replicas[i].Handle(now, event)
 	if output.State != nil {
@@ -74,7 +74,7 @@
 	}
 }
 
-// rejoined reports whether a state makes a voter of a machine whose disk was empty.
+// rejoined reports whether a state makes a machine whose disk was empty a voter.
 func (c *cluster) rejoined(i int, state *State) bool {
 	if c.disks[i] == nil {
 		return state.Incarnation > 0
@@ -82,7 +82,7 @@
 	return !c.disks[i].Voter && state.Voter
 }
 
-// start asks a replica for an operation and returns its id.
+// startOperation starts an operation on a replica, and returns its ID.
 func (c *cluster) startOperation(now time.Duration, i int, description string, operation func(id uint64) Event) uint64 {
 	c.lastID++
 	id := c.lastID
@@ -91,7 +91,7 @@
 	return id
 }
 
-// step delivers what has arrived and lets replicas do what is due.
+// step delivers the messages that have arrived, and ticks the replicas that are due.
 func (c *cluster) step(now time.Duration) {
 	inFlight := c.inFlight
 	c.inFlight = nil
@@ -112,7 +112,7 @@
 	}
 }
 
-// do plays a cell of a timeline.
+// runCell executes a cell of a timeline.
 func (c *cluster) runCell(now time.Duration, i int, cell string) {
 	verb, argument, _ := strings.Cut(cell, ":")
 	switch verb {
@@ -139,7 +139,7 @@
 	}
 }
 
-// operate plays a cell that asks for an operation.
+// runOperationCell executes a cell that starts an operation.
 func (c *cluster) runOperationCell(now time.Duration, i int, verb, argument string) {
 	switch verb {
 	case "put": // version=body
@@ -152,7 +152,7 @@
 		c.startOperation(now, i, "read", func(id uint64) Event { return LinearizableRead{id} })
 	case "replicate":
 		c.startOperation(now, i, "replicate", func(id uint64) Event { return ReplicateWithoutSelf{id} })
-	case "replace": // expected members, then wanted ones, in place of what was asked for before
+	case "replace": // expected members, then new ones; cancels the last "replace"
 		expected, members, _ := strings.Cut(argument, ">")
 		c.replicas[i].Cancel(c.lastReplaceID)
 		c.lastReplaceID = c.startOperation(now, i, "replace "+argument, func(id uint64) Event {
