--- a/mesh/register/incarnations_test.go
+++ b/mesh/register/incarnations_test.go
@@ -24,15 +24,15 @@
 
 // rejoiningGroup simulates the incarnations that voters store while members and spare machines rejoin.
 type rejoiningGroup struct {
-	random  *rand.Rand
-	members []string
-	voters  []State
-	highest map[string]uint32 // of each machine
+	random              *rand.Rand
+	members             []string
+	voters              []State
+	highestIncarnations map[string]uint32 // of each machine
 }
 
 func newRejoiningGroup(random *rand.Rand) *rejoiningGroup {
 	n := 3 + random.IntN(3)
-	g := &rejoiningGroup{random: random, members: make([]string, n), voters: make([]State, n), highest: map[string]uint32{}}
+	g := &rejoiningGroup{random: random, members: make([]string, n), voters: make([]State, n), highestIncarnations: map[string]uint32{}}
 	for i := range g.voters {
 		g.members[i], g.voters[i].Incarnations = fmt.Sprintf("member-%d", i), map[string]uint32{}
 	}
@@ -62,10 +62,10 @@
 		incarnation = max(incarnation, highestIncarnation(g.voters[i].Incarnations, g.voters[i].IncarnationFloor))
 	}
 	incarnation++
-	if incarnation <= g.highest[machine] {
-		return fmt.Errorf("%s had incarnation %d and its new one is %d", machine, g.highest[machine], incarnation)
+	if incarnation <= g.highestIncarnations[machine] {
+		return fmt.Errorf("%s had incarnation %d and its new one is %d", machine, g.highestIncarnations[machine], incarnation)
 	}
-	g.highest[machine] = incarnation
+	g.highestIncarnations[machine] = incarnation
 	for _, i := range repliers {
 		v := &g.voters[i]
 		v.Incarnations[machine] = max(v.Incarnations[machine], incarnation)
--- a/mesh/register/replica.go
+++ b/mesh/register/replica.go
@@ -195,10 +195,10 @@
 // operations, and how many consecutive rounds were rejected.
 func (r *Replica) Progress(now time.Duration) string {
 	if r.round.phase == idle {
-		return fmt.Sprintf("%s, %d operations, %d rejections", phaseNames[idle], len(r.pending), r.retry.consecutiveRejections)
+		return fmt.Sprintf("%s, %d operations, %d rejections", phaseNames[idle], len(r.pending), r.retry.rejections)
 	}
 	return fmt.Sprintf("%s for %v, %d of %d replies, %d operations, %d rejections", phaseNames[r.round.phase],
-		(now - r.round.started).Round(time.Millisecond), len(r.round.replies), len(r.round.requested), len(r.pending), r.retry.consecutiveRejections)
+		(now - r.round.started).Round(time.Millisecond), len(r.round.replies), len(r.round.requested), len(r.pending), r.retry.rejections)
 }
 
 // markStateChanged marks the acceptor's state as changed, so that the Output of the present call of Handle contains it.
--- a/mesh/register/retry.go
+++ b/mesh/register/retry.go
@@ -15,10 +15,10 @@
 // request is resent to machines that have not replied, at intervals that double, and a reply to any of the requests counts. Proposers that
 // abort each other's rounds back off for random times that grow with each rejection, until one of them has enough time to finish.
 type retryPolicy struct {
-	durations             timing.Register
-	random                *rand.Rand
-	consecutiveRejections int           // number of rounds since the last completed one that were rejected
-	resendInterval        time.Duration // between requests of the present phase
+	durations      timing.Register
+	random         *rand.Rand
+	rejections     int           // number of rounds since the last completed one that were rejected
+	resendInterval time.Duration // between requests of the present phase
 }
 
 func newRetryPolicy(random *rand.Rand) retryPolicy {
@@ -49,7 +49,7 @@
 // recordRejection records that a round was rejected, and returns the backoff before the next one.
 func (p *retryPolicy) recordRejection(roundDuration time.Duration) time.Duration {
 	maxJitter := max(p.doubledPerRejection(p.durations.BackoffJitter), min(2*roundDuration, p.durations.MaxPhaseTimeout))
-	p.consecutiveRejections++
+	p.rejections++
 	return p.durations.MinBackoff + p.jitter(maxJitter)
 }
 
@@ -59,11 +59,11 @@
 }
 
 // resetRejections records that a round was completed.
-func (p *retryPolicy) resetRejections() { p.consecutiveRejections = 0 }
+func (p *retryPolicy) resetRejections() { p.rejections = 0 }
 
 // doubledPerRejection doubles a duration for each consecutive rejection, up to MaxPhaseTimeout.
 func (p *retryPolicy) doubledPerRejection(d time.Duration) time.Duration {
-	for range p.consecutiveRejections {
+	for range p.rejections {
 		if d >= p.durations.MaxPhaseTimeout {
 			break
 		}
--- a/mesh/register/round_test.go
+++ b/mesh/register/round_test.go
@@ -46,27 +46,27 @@
 		"c": {accepted: Ballot{Number: 1}},
 	}, highestAccepted: Ballot{Number: 2}}
 	v := &Value{Members: []string{"a", "b", "c"}}
-	if holders := rd.replicasOfValue(); len(holders) != 2 || !isQuorum(v, holders) {
-		t.Errorf("holders %v, want a and b", holders)
+	if replicas := rd.replicasOfValue(); len(replicas) != 2 || !isQuorum(v, replicas) {
+		t.Errorf("holders %v, want a and b", replicas)
 	}
 	rd.replies["c"] = reply{accepted: Ballot{Number: 1}, incarnations: map[string]uint32{"a": 2}}
 	if valid := rd.validRepliers(); len(valid) != 2 || slices.Contains(valid, "a") {
 		t.Errorf("valid repliers %v, want b and c", valid)
 	}
-	if holders := rd.replicasOfValue(); !slices.Equal(holders, []string{"b"}) {
-		t.Errorf("holders %v, want b alone", holders)
+	if replicas := rd.replicasOfValue(); !slices.Equal(replicas, []string{"b"}) {
+		t.Errorf("holders %v, want b alone", replicas)
 	}
 }
 
 // A change of members may end only once each new member has the value. Members that were also prior members may lack it.
 func TestMemberChangeWaitsUntilNewMembersHaveValue(t *testing.T) {
 	v := &Value{Members: []string{"a", "c", "d"}, PriorMembers: []string{"a", "b", "c"}}
-	highest, lower := Ballot{Number: 2}, Ballot{Number: 1}
-	rd := round{highestAccepted: highest, replies: map[string]reply{"a": {accepted: highest}, "b": {accepted: highest}, "d": {accepted: lower}}}
+	newer, older := Ballot{Number: 2}, Ballot{Number: 1}
+	rd := round{highestAccepted: newer, replies: map[string]reply{"a": {accepted: newer}, "b": {accepted: newer}, "d": {accepted: older}}}
 	if rd.newMembersHaveValue(v) {
 		t.Error("the change may end although d has an older value")
 	}
-	rd.replies["d"] = reply{accepted: highest}
+	rd.replies["d"] = reply{accepted: newer}
 	if !rd.newMembersHaveValue(v) {
 		t.Error("the change may not end although d has the value and c is not a new member")
 	}
--- a/mesh/storage/bench_test.go
+++ b/mesh/storage/bench_test.go
@@ -15,46 +15,46 @@
 )
 
 // counting counts the bytes that are written to a file system's files.
-type counting struct {
+type countingFS struct {
 	vfs.FS
-	written int64
+	bytesWritten int64
 }
 
 type countingFile struct {
 	vfs.File
-	disk *counting
+	fs *countingFS
 }
 
 func (f countingFile) Write(b []byte) (int, error) {
-	f.disk.written += int64(len(b))
+	f.fs.bytesWritten += int64(len(b))
 	return f.File.Write(b)
 }
 
 func (f countingFile) WriteAt(b []byte, at int64) (int, error) {
-	f.disk.written += int64(len(b))
+	f.fs.bytesWritten += int64(len(b))
 	return f.File.WriteAt(b, at)
 }
 
 // Create implements vfs.FS.
-func (c *counting) Create(name string, category vfs.DiskWriteCategory) (vfs.File, error) {
+func (c *countingFS) Create(name string, category vfs.DiskWriteCategory) (vfs.File, error) {
 	f, err := c.FS.Create(name, category)
 	return countingFile{f, c}, err
 }
 
 // ReuseForWrite implements vfs.FS.
-func (c *counting) ReuseForWrite(from, to string, category vfs.DiskWriteCategory) (vfs.File, error) {
+func (c *countingFS) ReuseForWrite(from, to string, category vfs.DiskWriteCategory) (vfs.File, error) {
 	f, err := c.FS.ReuseForWrite(from, to, category)
 	return countingFile{f, c}, err
 }
 
 // OpenReadWrite implements vfs.FS.
-func (c *counting) OpenReadWrite(name string, category vfs.DiskWriteCategory, o ...vfs.OpenOption) (vfs.File, error) {
+func (c *countingFS) OpenReadWrite(name string, category vfs.DiskWriteCategory, o ...vfs.OpenOption) (vfs.File, error) {
 	f, err := c.FS.OpenReadWrite(name, category, o...)
 	return countingFile{f, c}, err
 }
 
 // sizeOf is what a folder takes.
-func sizeOf(disk vfs.FS, folder string) (size int64) {
+func folderSize(disk vfs.FS, folder string) (size int64) {
 	names, _ := disk.List(folder)
 	for _, name := range names {
 		path := filepath.Join(folder, name)
@@ -62,7 +62,7 @@
 		switch {
 		case err != nil:
 		case info.IsDir():
-			size += sizeOf(disk, path)
+			size += folderSize(disk, path)
 		default:
 			size += info.Size()
 		}
@@ -71,28 +71,28 @@
 }
 
 const (
-	changes = 2000
-	routes  = 1700
+	changeCount = 2000
+	routeCount  = 1700
 )
 
 // configuration is a packed one; a change alters the weights of some routes.
-func configuration(version int) []byte {
+func packedConfiguration(version int) []byte {
 	rng := rand.New(rand.NewPCG(uint64(version), 1))
-	var all []string
-	for i := range routes {
-		share := 90
+	var routes []string
+	for i := range routeCount {
+		weight := 90
 		if rng.IntN(50) == 0 {
-			share = 1 + rng.IntN(98)
+			weight = 1 + rng.IntN(98)
 		}
-		all = append(all, fmt.Sprintf(`{"name":"route-%d","routeKind":"safe","targetS":0.%d,"precedence":%d,"sorting":{"lanePrefix":"/%x/"},`+
+		routes = append(routes, fmt.Sprintf(`{"name":"route-%d","routeKind":"safe","targetS":0.%d,"precedence":%d,"sorting":{"lanePrefix":"/%x/"},`+
 			`"dispatch":{"split":[{"line":"service-%d","share":%d},{"line":"service-%d","share":%d}],"deadlineS":%d,"attempts":2}}`,
-			i, 1+i%9, i%4, uint32(i)*2654435761, i%60, share, (i+7)%60, 100-share, 1+i%5))
+			i, 1+i%9, i%4, uint32(i)*2654435761, i%60, weight, (i+7)%60, 100-weight, 1+i%5))
 	}
-	return config.Pack([]byte(`{"gates":[{"depot":"a.example","regulations":[` + strings.Join(all, ",") + `]}]}`))
+	return config.Pack([]byte(`{"gates":[{"depot":"a.example","regulations":[` + strings.Join(routes, ",") + `]}]}`))
 }
 
 // change is a round of the register as an acceptor sees it: a promise, then a value.
-func change(s *register.State, version int, body []byte, save func(*register.State) error) error {
+func applyChange(s *register.State, version int, body []byte, save func(*register.State) error) error {
 	ballot := register.Ballot{Number: uint64(version), Proposer: "10.1.0.13:7620"}
 	s.Promised = ballot
 	if err := save(s); err != nil {
@@ -108,7 +108,7 @@
 func BenchmarkChanges(b *testing.B) {
 	bodies := make([][]byte, 40)
 	for i := range bodies {
-		bodies[i] = configuration(i)
+		bodies[i] = packedConfiguration(i)
 	}
 	b.Logf("a packed configuration has %d bytes", len(bodies[0]))
 	b.Run("format 1", func(b *testing.B) {
@@ -149,24 +149,24 @@
 
 func benchmark(b *testing.B, bodies [][]byte, open opener) {
 	for b.Loop() {
-		disk := &counting{FS: vfs.Default}
+		disk := &countingFS{FS: vfs.Default}
 		folder := b.TempDir()
-		save, end := open(b, disk, folder)
+		save, closeStore := open(b, disk, folder)
 		members := []string{"10.1.0.13:7620", "10.2.0.11:7620", "10.3.0.11:7620"}
-		s := &register.State{Voter: true, Value: register.Value{Members: members}}
-		var most int64
-		for i := 1; i <= changes; i++ {
-			if err := change(s, i, bodies[i%len(bodies)], save); err != nil {
+		state := &register.State{Voter: true, Value: register.Value{Members: members}}
+		var maxFolderBytes int64
+		for i := 1; i <= changeCount; i++ {
+			if err := applyChange(state, i, bodies[i%len(bodies)], save); err != nil {
 				b.Fatal(err)
 			}
 			if i%10 == 0 {
-				most = max(most, sizeOf(disk, folder))
+				maxFolderBytes = max(maxFolderBytes, folderSize(disk, folder))
 			}
 		}
-		if err := end(); err != nil {
+		if err := closeStore(); err != nil {
 			b.Fatal(err)
 		}
-		b.ReportMetric(float64(disk.written)/changes, "written-B/change")
-		b.ReportMetric(float64(most), "most-disk-B")
+		b.ReportMetric(float64(disk.bytesWritten)/changeCount, "written-B/change")
+		b.ReportMetric(float64(maxFolderBytes), "most-disk-B")
 	}
 }
--- a/mesh/storage/compatibility_test.go
+++ b/mesh/storage/compatibility_test.go
@@ -12,7 +12,7 @@
 )
 
 // midChange is what a replica holds in the middle of a change of members, with a promise above what it has accepted.
-func midChange(version uint32) *register.State {
+func memberChangeState(version uint32) *register.State {
 	return &register.State{
 		Promised: register.Ballot{Number: uint64(version) + 5, Proposer: "10.3.0.12:7620"},
 		Accepted: register.Ballot{Number: uint64(version), Proposer: "10.2.0.11:7620"},
@@ -37,15 +37,15 @@
 }
 
 // promised is midChange with a promise given after it.
-func promised(version uint32, number uint64) *register.State {
-	s := midChange(version)
+func memberChangeStateWithPromise(version uint32, number uint64) *register.State {
+	s := memberChangeState(version)
 	s.Promised.Number = number
 	return s
 }
 
 // format1 is midChange as format 1 had it: it knew no floor of incarnations.
-func format1(version uint32) *register.State {
-	s := midChange(version)
+func format1State(version uint32) *register.State {
+	s := memberChangeState(version)
 	s.IncarnationFloor = 0
 	return s
 }
@@ -59,8 +59,8 @@
 	}{
 		{
 			folder: "5126712/members",
-			want:   Contents{State: promised(12, 99), Generation: 2, Sequence: 4},
-			found:  Recovered{State: promised(12, 99), EarlierIncarnation: true},
+			want:   Contents{State: memberChangeStateWithPromise(12, 99), Generation: 2, Sequence: 4},
+			found:  Recovered{State: memberChangeStateWithPromise(12, 99), EarlierIncarnation: true},
 		},
 		{
 			folder: "5126712/first",
@@ -70,8 +70,8 @@
 		{folder: "5126712/started"},
 		{
 			folder: "704ec76/format1",
-			want:   Contents{State: format1(11)},
-			found:  Recovered{State: format1(11), EarlierIncarnation: true},
+			want:   Contents{State: format1State(11)},
+			found:  Recovered{State: format1State(11), EarlierIncarnation: true},
 		},
 	} {
 		t.Run(c.folder, func(t *testing.T) {
@@ -83,23 +83,23 @@
 			if dropEmpty(contents.State); err != nil || !reflect.DeepEqual(contents, c.want) {
 				t.Errorf("read %+v of %+v, %v; expected %+v", contents, contents.State, err, c.want)
 			}
-			store, found, err := Open(dir)
+			store, recovered, err := Open(dir)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if dropEmpty(found.State); !reflect.DeepEqual(found, c.found) {
-				t.Errorf("found %+v, expected %+v", found, c.found)
+			if dropEmpty(recovered.State); !reflect.DeepEqual(recovered, c.found) {
+				t.Errorf("found %+v, expected %+v", recovered, c.found)
 			}
-			goOn(t, store, dir, c.want)
+			checkFurtherSaves(t, store, dir, c.want)
 		})
 	}
 }
 
 // goOn saves to a store that was opened, and reads that with the next start.
-func goOn(t *testing.T, store *Store, dir string, before Contents) {
+func checkFurtherSaves(t *testing.T, store *Store, dir string, before Contents) {
 	t.Helper()
 	for version := uint32(20); version < 23; version++ {
-		if err := store.Save(midChange(version)); err != nil {
+		if err := store.Save(memberChangeState(version)); err != nil {
 			t.Fatal(err)
 		}
 		store.RecordSynced()
@@ -111,15 +111,15 @@
 		t.Fatal(err)
 	}
 	contents, err := Read(dir)
-	want := Contents{State: midChange(22), Generation: before.Generation + 1, Sequence: before.Sequence + 3}
+	want := Contents{State: memberChangeState(22), Generation: before.Generation + 1, Sequence: before.Sequence + 3}
 	if err != nil || !reflect.DeepEqual(contents, want) {
 		t.Errorf("read %+v of %+v after further saves, %v; expected %+v", contents, contents.State, err, want)
 	}
-	again, found, err := Open(dir)
-	if err != nil || !reflect.DeepEqual(found, Recovered{State: midChange(22), EarlierIncarnation: true}) {
-		t.Errorf("found %+v after further saves, %v", found, err)
+	reopened, recovered, err := Open(dir)
+	if err != nil || !reflect.DeepEqual(recovered, Recovered{State: memberChangeState(22), EarlierIncarnation: true}) {
+		t.Errorf("found %+v after further saves, %v", recovered, err)
 	}
-	if err := again.Close(); err != nil {
+	if err := reopened.Close(); err != nil {
 		t.Error(err)
 	}
 	if _, err := os.Stat(filepath.Join(dir, format1Name)); err == nil {
--- a/mesh/storage/failstop.go
+++ b/mesh/storage/failstop.go
@@ -35,11 +35,11 @@
 }
 
 // change changes the disk, unless that was ended.
-func (fs *failStopFS) change(call func() error) {
+func (fs *failStopFS) mutate(operation func() error) {
 	if fs.failure() != nil {
 		return
 	}
-	if err := call(); err != nil {
+	if err := operation(); err != nil {
 		fs.fail(err)
 	}
 }
@@ -47,14 +47,14 @@
 // openFile opens a file to write to; after a failure, one that leads nowhere.
 func (fs *failStopFS) openFile(open func() (vfs.File, error)) (vfs.File, error) {
 	var f vfs.File
-	fs.change(func() (err error) {
+	fs.mutate(func() (err error) {
 		f, err = open()
 		return err
 	})
 	if fs.failure() != nil && f == nil {
 		f, _ = vfs.NewMem().Create("nowhere", vfs.WriteCategoryUnspecified) // memory refuses nothing
 	}
-	return &failStopFile{File: f, disk: fs}, nil
+	return &failStopFile{File: f, fs: fs}, nil
 }
 
 // Create implements vfs.FS.
@@ -79,37 +79,37 @@
 
 // Link implements vfs.FS.
 func (fs *failStopFS) Link(from, to string) error {
-	fs.change(func() error { return fs.FS.Link(from, to) })
+	fs.mutate(func() error { return fs.FS.Link(from, to) })
 	return nil
 }
 
 // Remove implements vfs.FS.
 func (fs *failStopFS) Remove(name string) error {
-	fs.change(func() error { return fs.FS.Remove(name) })
+	fs.mutate(func() error { return fs.FS.Remove(name) })
 	return nil
 }
 
 // RemoveAll implements vfs.FS.
 func (fs *failStopFS) RemoveAll(name string) error {
-	fs.change(func() error { return fs.FS.RemoveAll(name) })
+	fs.mutate(func() error { return fs.FS.RemoveAll(name) })
 	return nil
 }
 
 // Rename implements vfs.FS.
 func (fs *failStopFS) Rename(from, to string) error {
-	fs.change(func() error { return fs.FS.Rename(from, to) })
+	fs.mutate(func() error { return fs.FS.Rename(from, to) })
 	return nil
 }
 
 // MkdirAll implements vfs.FS.
 func (fs *failStopFS) MkdirAll(dir string, mode os.FileMode) error {
-	fs.change(func() error { return fs.FS.MkdirAll(dir, mode) })
+	fs.mutate(func() error { return fs.FS.MkdirAll(dir, mode) })
 	return nil
 }
 
 // Lock implements vfs.FS.
 func (fs *failStopFS) Lock(name string) (lock io.Closer, err error) {
-	fs.change(func() (err error) {
+	fs.mutate(func() (err error) {
 		lock, err = fs.FS.Lock(name)
 		return err
 	})
@@ -125,12 +125,12 @@
 // failStopFile is a file of a failStopFS.
 type failStopFile struct {
 	vfs.File
-	disk *failStopFS
+	fs *failStopFS
 }
 
 // Write implements vfs.File.
 func (f *failStopFile) Write(b []byte) (int, error) {
-	f.disk.change(func() error {
+	f.fs.mutate(func() error {
 		_, err := f.File.Write(b)
 		return err
 	})
@@ -139,7 +139,7 @@
 
 // WriteAt implements vfs.File.
 func (f *failStopFile) WriteAt(b []byte, at int64) (int, error) {
-	f.disk.change(func() error {
+	f.fs.mutate(func() error {
 		_, err := f.File.WriteAt(b, at)
 		return err
 	})
@@ -148,7 +148,7 @@
 
 // Preallocate implements vfs.File. It is a hint: where the disk refuses it, the writes will fail.
 func (f *failStopFile) Preallocate(offset, length int64) error {
-	f.disk.change(func() error {
+	f.fs.mutate(func() error {
 		_ = f.File.Preallocate(offset, length)
 		return nil
 	})
@@ -157,19 +157,19 @@
 
 // Sync implements vfs.File.
 func (f *failStopFile) Sync() error {
-	f.disk.change(f.File.Sync)
+	f.fs.mutate(f.File.Sync)
 	return nil
 }
 
 // SyncData implements vfs.File.
 func (f *failStopFile) SyncData() error {
-	f.disk.change(f.File.SyncData)
+	f.fs.mutate(f.File.SyncData)
 	return nil
 }
 
 // SyncTo implements vfs.File.
 func (f *failStopFile) SyncTo(length int64) (complete bool, err error) {
-	f.disk.change(func() (err error) {
+	f.fs.mutate(func() (err error) {
 		complete, err = f.File.SyncTo(length)
 		return err
 	})
@@ -179,7 +179,7 @@
 // Close implements vfs.File.
 func (f *failStopFile) Close() error {
 	if err := f.File.Close(); err != nil {
-		f.disk.fail(err)
+		f.fs.fail(err)
 	}
 	return nil
 }
--- a/mesh/storage/failstop_test.go
+++ b/mesh/storage/failstop_test.go
@@ -15,15 +15,15 @@
 )
 
 // refuser refuses, while it is on, the changes whose path contains a word.
-type refuser struct {
-	on   atomic.Bool
-	word string
-	hits atomic.Int32
+type writeErrorInjector struct {
+	enabled  atomic.Bool
+	pathPart string
+	hits     atomic.Int32
 }
 
 // MaybeError implements errorfs.Injector.
-func (r *refuser) MaybeError(op errorfs.Op) error {
-	if !r.on.Load() || op.Kind.ReadOrWrite() != errorfs.OpIsWrite || !strings.Contains(op.Path, r.word) {
+func (r *writeErrorInjector) MaybeError(op errorfs.Op) error {
+	if !r.enabled.Load() || op.Kind.ReadOrWrite() != errorfs.OpIsWrite || !strings.Contains(op.Path, r.pathPart) {
 		return nil
 	}
 	r.hits.Add(1)
@@ -31,150 +31,150 @@
 }
 
 // String implements errorfs.Injector.
-func (r *refuser) String() string { return "refuses " + r.word }
+func (r *writeErrorInjector) String() string { return "refuses " + r.pathPart }
 
 // Whichever of pebble's files the disk refuses, Save returns the error, the process goes on, all stores close, and the
 // state before is still there.
-func TestEachFileOfPebbleMayBeRefused(t *testing.T) {
-	files := []string{"MANIFEST", ".log", ".sst", "marker", "dbtmp", "LOCK", generationPrefix, completePrefix}
-	for _, word := range files {
-		r := &refuser{word: word}
+func TestSaveSurvivesWriteErrorsInAnyPebbleFile(t *testing.T) {
+	pathParts := []string{"MANIFEST", ".log", ".sst", "marker", "dbtmp", "LOCK", generationPrefix, completePrefix}
+	for _, pathPart := range pathParts {
+		injector := &writeErrorInjector{pathPart: pathPart}
 		memory := vfs.NewMem()
-		v, _, err := OpenFS(errorfs.Wrap(memory, r), folder)
+		store, _, err := OpenFS(errorfs.Wrap(memory, injector), testFolder)
 		if err != nil {
 			t.Fatal(err)
 		}
-		v.memTableSize, v.rotateSize = 40_000, 60_000
-		if err := v.Save(large(1)); err != nil {
+		store.memTableSize, store.rotationBytes = 40_000, 60_000
+		if err := store.Save(largeState(1)); err != nil {
 			t.Fatal(err)
 		}
-		r.on.Store(true)
+		injector.enabled.Store(true)
 		refused := 0
 		for i := uint32(2); i < 40; i++ {
-			if v.Save(large(i)) != nil {
+			if store.Save(largeState(i)) != nil {
 				refused++
 			}
 		}
-		if refused == 0 || r.hits.Load() == 0 {
-			t.Errorf("%s: %d saves refused, of %d hits", word, refused, r.hits.Load())
+		if refused == 0 || injector.hits.Load() == 0 {
+			t.Errorf("%s: %d saves refused, of %d hits", pathPart, refused, injector.hits.Load())
 		}
-		r.on.Store(false)
-		if err := v.Save(large(50)); err != nil {
-			t.Errorf("%s: %v once the disk takes all again", word, err)
+		injector.enabled.Store(false)
+		if err := store.Save(largeState(50)); err != nil {
+			t.Errorf("%s: %v once the disk takes all again", pathPart, err)
 		}
-		if n := v.abandoned.Load(); n != 0 {
-			t.Errorf("%s: %d stores are not closed", word, n)
+		if n := store.closingGenerations.Load(); n != 0 {
+			t.Errorf("%s: %d stores are not closed", pathPart, n)
 		}
-		closeStore(t, v)
-		if c, err := ReadFS(memory, folder); err != nil || c.State.Value.Version != 50 {
-			t.Errorf("%s: %+v, %v", word, c, err)
+		closeStore(t, store)
+		if c, err := ReadFS(memory, testFolder); err != nil || c.State.Value.Version != 50 {
+			t.Errorf("%s: %+v, %v", pathPart, c, err)
 		}
 	}
 }
 
 // Refused saves leave no goroutine and no folder behind.
-func TestRefusedSavesLeaveNothingBehind(t *testing.T) {
-	for _, word := range []string{"MANIFEST", ".log", completePrefix} {
-		r := &refuser{word: word}
+func TestFailedSavesLeakNoGoroutinesOrFolders(t *testing.T) {
+	for _, pathPart := range []string{"MANIFEST", ".log", completePrefix} {
+		injector := &writeErrorInjector{pathPart: pathPart}
 		memory := vfs.NewMem()
-		v, _, err := OpenFS(errorfs.Wrap(memory, r), folder)
+		store, _, err := OpenFS(errorfs.Wrap(memory, injector), testFolder)
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.on.Store(true)
+		injector.enabled.Store(true)
 		before := runtime.NumGoroutine()
 		for i := range uint32(100) {
-			if v.Save(state(i)) == nil {
-				t.Fatalf("%s: save %d is taken", word, i)
+			if store.Save(testState(i)) == nil {
+				t.Fatalf("%s: save %d is taken", pathPart, i)
 			}
 		}
 		if after := runtime.NumGoroutine(); after > before+20 {
-			t.Errorf("%s: %d goroutines, and %d before", word, after, before)
+			t.Errorf("%s: %d goroutines, and %d before", pathPart, after, before)
 		}
-		names, err := memory.List(filepath.Join(folder, registerName))
+		names, err := memory.List(filepath.Join(testFolder, registerName))
 		if err != nil || len(names) > 2 {
-			t.Errorf("%s: left are %v, %v", word, names, err)
+			t.Errorf("%s: left are %v, %v", pathPart, names, err)
 		}
-		closeStore(t, v)
+		closeStore(t, store)
 	}
 }
 
 // staller does not return from closing logs until it is released.
-type staller struct {
+type stallingFS struct {
 	vfs.FS
-	released chan struct{} // closed: it returns
+	release chan struct{} // closed: it returns
 }
 
 type stalledFile struct {
 	vfs.File
-	released chan struct{}
+	release chan struct{}
 }
 
 // Create implements vfs.FS.
-func (s *staller) Create(name string, category vfs.DiskWriteCategory) (vfs.File, error) {
+func (s *stallingFS) Create(name string, category vfs.DiskWriteCategory) (vfs.File, error) {
 	f, err := s.FS.Create(name, category)
 	if err != nil || !strings.HasSuffix(name, logExtension) {
 		return f, err
 	}
-	return &stalledFile{f, s.released}, nil
+	return &stalledFile{f, s.release}, nil
 }
 
 // Close implements vfs.File.
 func (f *stalledFile) Close() error {
-	<-f.released
+	<-f.release
 	return f.File.Close()
 }
 
 // Stores that the disk does not let close are bounded, and saving goes on once it does.
-func TestStalledStoresAreBounded(t *testing.T) {
-	disk := &staller{vfs.NewMem(), make(chan struct{})}
-	v, _, err := OpenFS(disk, folder)
+func TestStalledGenerationsAreBounded(t *testing.T) {
+	disk := &stallingFS{vfs.NewMem(), make(chan struct{})}
+	store, _, err := OpenFS(disk, testFolder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	v.closeTimeout = 0
-	for i := range uint32(maxAbandoned) {
-		if err := v.Save(state(i)); err != nil {
+	store.closeTimeout = 0
+	for i := range uint32(maxClosingGenerations) {
+		if err := store.Save(testState(i)); err != nil {
 			t.Fatalf("save %d: %v", i, err)
 		}
-		v.abandon()
+		store.abandon()
 	}
 	for range 3 {
-		if err := v.Save(state(40)); !errors.Is(err, ErrStalled) {
-			t.Fatalf("with %d stores stalled: %v", v.abandoned.Load(), err)
+		if err := store.Save(testState(40)); !errors.Is(err, ErrStalled) {
+			t.Fatalf("with %d stores stalled: %v", store.closingGenerations.Load(), err)
 		}
 	}
-	close(disk.released)
-	for v.abandoned.Load() == maxAbandoned {
+	close(disk.release)
+	for store.closingGenerations.Load() == maxClosingGenerations {
 		runtime.Gosched()
 	}
-	v.closeTimeout = time.Second
-	if err := v.Save(state(41)); err != nil {
+	store.closeTimeout = time.Second
+	if err := store.Save(testState(41)); err != nil {
 		t.Error(err)
 	}
-	closeStore(t, v)
+	closeStore(t, store)
 }
 
 // What a store that does not close still holds, its folder's lock above all, does not stop the next one.
-func TestStalledStoreDoesNotStopTheNext(t *testing.T) {
-	r := &refuser{word: completePrefix}
-	disk := &staller{errorfs.Wrap(vfs.NewMem(), r), make(chan struct{})}
-	v, _, err := OpenFS(disk, folder)
+func TestStalledGenerationDoesNotBlockTheNext(t *testing.T) {
+	injector := &writeErrorInjector{pathPart: completePrefix}
+	disk := &stallingFS{errorfs.Wrap(vfs.NewMem(), injector), make(chan struct{})}
+	store, _, err := OpenFS(disk, testFolder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	v.closeTimeout = 0
-	r.on.Store(true)
-	if v.Save(state(1)) == nil {
+	store.closeTimeout = 0
+	injector.enabled.Store(true)
+	if store.Save(testState(1)) == nil {
 		t.Error("a generation without its mark is taken")
 	}
-	r.on.Store(false)
-	if err := v.Save(state(2)); err != nil || v.abandoned.Load() != 1 {
-		t.Errorf("beside %d stalled stores: %v", v.abandoned.Load(), err)
+	injector.enabled.Store(false)
+	if err := store.Save(testState(2)); err != nil || store.closingGenerations.Load() != 1 {
+		t.Errorf("beside %d stalled stores: %v", store.closingGenerations.Load(), err)
 	}
-	if c, err := ReadFS(disk, folder); err != nil || c.State.Value.Version != 2 {
+	if c, err := ReadFS(disk, testFolder); err != nil || c.State.Value.Version != 2 {
 		t.Errorf("%+v, %v", c, err)
 	}
-	close(disk.released)
-	closeStore(t, v)
+	close(disk.release)
+	closeStore(t, store)
 }
--- a/mesh/storage/files.go
+++ b/mesh/storage/files.go
@@ -28,27 +28,27 @@
 	completePrefix   = "whole-"
 	syncedName       = "synced"
 	format1Name      = "book"
-	asideSuffix      = ".damaged"
+	damagedSuffix    = ".damaged"
 	// logExtension is that of pebble's write-ahead logs.
 	logExtension = ".log"
 )
 
 // dirMode is the mode of the folders that are made.
-const dirMode = 0o755
+const newDirMode = 0o755
 
 func registerDir(dir string) string { return filepath.Join(dir, registerName) }
 
 func format1Dir(dir string) string { return filepath.Join(dir, format1Name) }
 
 func generationDir(dir string, number uint64) string {
-	return filepath.Join(registerDir(dir), numbered(generationPrefix, number))
+	return filepath.Join(registerDir(dir), numberedName(generationPrefix, number))
 }
 
-func completeMark(dir string, number uint64) string {
-	return filepath.Join(registerDir(dir), numbered(completePrefix, number))
+func completeMarkerPath(dir string, number uint64) string {
+	return filepath.Join(registerDir(dir), numberedName(completePrefix, number))
 }
 
-func numbered(prefix string, number uint64) string { return fmt.Sprintf("%s%016x", prefix, number) }
+func numberedName(prefix string, number uint64) string { return fmt.Sprintf("%s%016x", prefix, number) }
 
 func exists(disk vfs.FS, path string) (bool, error) {
 	_, err := disk.Stat(path)
@@ -62,7 +62,7 @@
 }
 
 // list returns the names in a subfolder; none where there is no such folder.
-func list(disk vfs.FS, dir, subfolder string) ([]string, error) {
+func listDir(disk vfs.FS, dir, subfolder string) ([]string, error) {
 	path := filepath.Join(dir, subfolder)
 	names, err := disk.List(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -87,13 +87,13 @@
 	return b, nil
 }
 
-func markExists(disk vfs.FS, dir, name string) (bool, error) {
+func markerExists(disk vfs.FS, dir, name string) (bool, error) {
 	return exists(disk, filepath.Join(dir, name))
 }
 
 // makeMark makes an empty file durably, where it isn't there.
-func makeMark(disk vfs.FS, dir, name string) error {
-	if there, err := markExists(disk, dir, name); err != nil || there {
+func createMarker(disk vfs.FS, dir, name string) error {
+	if found, err := markerExists(disk, dir, name); err != nil || found {
 		return err
 	}
 	path := filepath.Join(dir, name)
@@ -112,17 +112,17 @@
 }
 
 // makeDir makes a folder and those above it durably, where they aren't there.
-func makeDir(disk vfs.FS, dir string) error {
+func ensureDir(disk vfs.FS, dir string) error {
 	if there, err := exists(disk, dir); err != nil || there {
 		return err
 	}
 	parent := disk.PathDir(dir)
 	if parent != dir {
-		if err := makeDir(disk, parent); err != nil {
+		if err := ensureDir(disk, parent); err != nil {
 			return err
 		}
 	}
-	if err := disk.MkdirAll(dir, dirMode); err != nil {
+	if err := disk.MkdirAll(dir, newDirMode); err != nil {
 		return errors.Wrapf(err, "make %s", dir)
 	}
 	return syncDir(disk, parent)
@@ -147,7 +147,7 @@
 	if there, err := exists(disk, path); err != nil || !there {
 		return err
 	}
-	aside := path + asideSuffix
+	aside := path + damagedSuffix
 	if err := disk.RemoveAll(aside); err != nil {
 		return errors.Wrapf(err, "remove %s", aside)
 	}
--- a/mesh/storage/format1.go
+++ b/mesh/storage/format1.go
@@ -40,18 +40,18 @@
 		return nil, nil
 	}
 	if err != nil {
-		return nil, corrupt("store of format 1")
+		return nil, corruptError("store of format 1")
 	}
 	return decodeFormat1(records[0])
 }
 
 func decodeFormat1(record []byte) (*register.State, error) {
 	if len(record) < format1HeaderSize || record[0] != format1Version {
-		return nil, corrupt("record of format 1")
+		return nil, corruptError("record of format 1")
 	}
 	body := record[format1HeaderSize:]
 	if binary.LittleEndian.Uint64(record[1:]) != xxhash.Sum64(body) {
-		return nil, corrupt("checksum of format 1")
+		return nil, corruptError("checksum of format 1")
 	}
 	return decodeState(body)
 }
--- a/mesh/storage/format2.go
+++ b/mesh/storage/format2.go
@@ -42,18 +42,18 @@
 	stampMagic = []byte("FPR2")
 )
 
-func makeStamp(sequence uint64) []byte {
+func encodeStamp(sequence uint64) []byte {
 	b := binary.LittleEndian.AppendUint64(bytes.Clone(stampMagic), sequence)
 	return binary.LittleEndian.AppendUint64(b, xxhash.Sum64(b))
 }
 
 // readStamp reads the stamp that bytes begin with.
-func readStamp(b []byte) (sequence uint64, ok bool) {
+func decodeStamp(b []byte) (sequence uint64, ok bool) {
 	if len(b) < stampSize || !bytes.HasPrefix(b, stampMagic) {
 		return 0, false
 	}
 	sequence = binary.LittleEndian.Uint64(b[len(stampMagic):])
-	return sequence, bytes.Equal(b[:stampSize], makeStamp(sequence))
+	return sequence, bytes.Equal(b[:stampSize], encodeStamp(sequence))
 }
 
 // highestStamp returns the highest sequence number of all stamps in a file's bytes; 0: there is none.
@@ -64,7 +64,7 @@
 			return highest
 		}
 		file = file[next:]
-		if sequence, ok := readStamp(file); ok {
+		if sequence, ok := decodeStamp(file); ok {
 			highest = max(highest, sequence)
 		}
 		file = file[1:]
@@ -72,19 +72,19 @@
 }
 
 // sealRecord puts version and checksum ahead of a record's body.
-func sealRecord(body []byte) []byte {
+func encodeRecord(body []byte) []byte {
 	record := binary.LittleEndian.AppendUint64([]byte{format2Version}, xxhash.Sum64(body))
 	return append(record, body...)
 }
 
 // openRecord checks a record, and returns its body and checksum.
-func openRecord(record []byte) (body []byte, checksum uint64, err error) {
+func decodeRecord(record []byte) (body []byte, checksum uint64, err error) {
 	if len(record) < recordHeaderSize || record[0] != format2Version {
-		return nil, 0, corrupt("record's version")
+		return nil, 0, corruptError("record's version")
 	}
 	body, checksum = record[recordHeaderSize:], checksumOf(record)
 	if checksum != xxhash.Sum64(body) {
-		return nil, 0, corrupt("record's checksum")
+		return nil, 0, corruptError("record's checksum")
 	}
 	return body, checksum, nil
 }
@@ -92,38 +92,38 @@
 // checksumOf returns the checksum in a record of at least recordHeaderSize bytes.
 func checksumOf(record []byte) uint64 { return binary.LittleEndian.Uint64(record[1:]) }
 
-func valueRecord(state *register.State) []byte {
+func encodeValueRecord(state *register.State) []byte {
 	valueOnly := register.State{Accepted: state.Accepted, Value: state.Value}
-	return sealRecord(wire.EncodeState(codec.StateToWire(&valueOnly)))
+	return encodeRecord(wire.EncodeState(codec.StateToWire(&valueOnly)))
 }
 
 // ballotsRecord has all of a state but its value, whose record has the given checksum.
-func ballotsRecord(state *register.State, sequence, valueChecksum uint64) []byte {
+func encodeBallotsRecord(state *register.State, sequence, valueChecksum uint64) []byte {
 	withoutValue := codec.StateToWire(state)
 	withoutValue.Value = nil
-	stamp := makeStamp(sequence)
+	stamp := encodeStamp(sequence)
 	body := binary.LittleEndian.AppendUint64(bytes.Clone(stamp), valueChecksum)
 	body = append(body, wire.EncodeState(withoutValue)...)
-	return sealRecord(append(body, stamp...))
+	return encodeRecord(append(body, stamp...))
 }
 
 // joinRecords returns the state of its two records, and its save's sequence number. The ballots have to belong to this
 // very value.
-func joinRecords(ballots, value []byte) (state *register.State, sequence uint64, err error) {
-	ballotsBody, _, err := openRecord(ballots)
+func stateFromRecords(ballots, value []byte) (state *register.State, sequence uint64, err error) {
+	ballotsBody, _, err := decodeRecord(ballots)
 	if err != nil {
 		return nil, 0, err
 	}
-	valueBody, checksum, err := openRecord(value)
+	valueBody, checksum, err := decodeRecord(value)
 	if err != nil {
 		return nil, 0, err
 	}
-	sequence, ok := readStamp(ballotsBody)
+	sequence, ok := decodeStamp(ballotsBody)
 	if !ok || len(ballotsBody) < ballotsHeaderSize+stampSize {
-		return nil, 0, corrupt("stamp of the ballots")
+		return nil, 0, corruptError("stamp of the ballots")
 	}
 	if binary.LittleEndian.Uint64(ballotsBody[stampSize:]) != checksum {
-		return nil, 0, corrupt("ballots of another value")
+		return nil, 0, corruptError("ballots of another value")
 	}
 	if state, err = decodeState(ballotsBody[ballotsHeaderSize : len(ballotsBody)-stampSize]); err != nil {
 		return nil, 0, err
@@ -133,7 +133,7 @@
 		return nil, 0, err
 	}
 	if accepted.Accepted != state.Accepted {
-		return nil, 0, corrupt("value of another ballot")
+		return nil, 0, corruptError("value of another ballot")
 	}
 	state.Value = accepted.Value
 	return state, sequence, nil
@@ -143,7 +143,7 @@
 func decodeState(table []byte) (*register.State, error) {
 	s, err := wire.DecodeState(bytes.Clone(table))
 	if err != nil {
-		return nil, corrupt("state")
+		return nil, corruptError("state")
 	}
 	return codec.StateFromWire(s), nil
 }
--- a/mesh/storage/generation.go
+++ b/mesh/storage/generation.go
@@ -9,9 +9,9 @@
 
 // generation is a pebble store that is open to be written. It isn't safe for concurrent use.
 type generation struct {
-	disk    *failStopFS
-	db      *pebble.DB // nil: it could not be opened
-	written int64      // bytes of records
+	fs          *failStopFS
+	db          *pebble.DB // nil: it could not be opened
+	recordBytes int64      // bytes of records
 
 	accepted      register.Ballot // of the value in it
 	valueChecksum uint64          // of that value's record
@@ -19,22 +19,22 @@
 
 // openGeneration makes a new store. One that is returned with an error has to be abandoned all the same.
 func openGeneration(disk vfs.FS, folder string, memTableSize uint64) (*generation, error) {
-	g := &generation{disk: &failStopFS{FS: disk}}
+	g := &generation{fs: &failStopFS{FS: disk}}
 	err := callPebble(func() (err error) {
 		cache := pebble.NewCache(cacheSize)
 		defer cache.Unref()
-		options := pebbleOptions(g.disk, memTableSize, pebbleLogger{onFatal: g.disk.fail})
+		options := pebbleOptions(g.fs, memTableSize, pebbleLogger{onFatal: g.fs.fail})
 		options.Cache = cache
 		options.ErrorIfExists = true
 		g.db, err = pebble.Open(folder, options)
 		return err
 	})
-	return g, g.errorOf(err)
+	return g, g.diskErrorOr(err)
 }
 
 // errorOf returns what the disk refused, or else pebble's error.
-func (g *generation) errorOf(err error) error {
-	if refused := g.disk.failure(); refused != nil {
+func (g *generation) diskErrorOr(err error) error {
+	if refused := g.fs.failure(); refused != nil {
 		return refused
 	}
 	return err
@@ -42,7 +42,7 @@
 
 // lacksValueOf reports whether a state has another value than the one in the store. Ballots are unique to a value but
 // for the zero ballot, whose value may have changed.
-func (g *generation) lacksValueOf(state *register.State) bool {
+func (g *generation) valueDiffersFrom(state *register.State) bool {
 	return state.Accepted != g.accepted || state.Accepted == (register.Ballot{})
 }
 
@@ -51,22 +51,22 @@
 	checksum := g.valueChecksum
 	var value []byte
 	if withValue {
-		value = valueRecord(state)
+		value = encodeValueRecord(state)
 		checksum = checksumOf(value)
 	}
-	ballots := ballotsRecord(state, sequence, checksum)
-	err := callPebble(func() error { return commit(g.db, ballots, value) })
-	if err := g.errorOf(err); err != nil {
+	ballots := encodeBallotsRecord(state, sequence, checksum)
+	err := callPebble(func() error { return commitRecords(g.db, ballots, value) })
+	if err := g.diskErrorOr(err); err != nil {
 		return err
 	}
-	g.written += int64(len(ballots) + len(value))
+	g.recordBytes += int64(len(ballots) + len(value))
 	g.accepted = state.Accepted
 	g.valueChecksum = checksum
 	return nil
 }
 
 // commit writes the records in one synced batch; a nil value stays as it is.
-func commit(db *pebble.DB, ballots, value []byte) error {
+func commitRecords(db *pebble.DB, ballots, value []byte) error {
 	batch := db.NewBatch()
 	if err := batch.Set(ballotsKey, ballots, nil); err != nil {
 		return err
--- a/mesh/storage/pebble.go
+++ b/mesh/storage/pebble.go
@@ -83,7 +83,7 @@
 		return nil, errors.Wrapf(err, "read %s", folder)
 	}
 	if !there {
-		return nil, corrupt("missing store")
+		return nil, corruptError("missing store")
 	}
 	return memory, nil
 }
--- a/mesh/storage/pebble_test.go
+++ b/mesh/storage/pebble_test.go
@@ -22,23 +22,23 @@
 	if err := callPebble(func() error { panic("a bug") }); err == nil {
 		t.Error("a panic is no error")
 	}
-	var noted error
+	var reported error
 	returned := false
 	err := callPebble(func() error {
-		pebbleLogger{func(err error) { noted = err }}.Fatalf("MANIFEST %d", 7)
+		pebbleLogger{func(err error) { reported = err }}.Fatalf("MANIFEST %d", 7)
 		returned = true
 		return nil
 	})
-	if !errors.Is(err, errPebbleExited) || noted == nil || noted.Error() != "MANIFEST 7" || returned {
-		t.Errorf("%v, %v noted, returned %v", err, noted, returned)
+	if !errors.Is(err, errPebbleExited) || reported == nil || reported.Error() != "MANIFEST 7" || returned {
+		t.Errorf("%v, %v noted, returned %v", err, reported, returned)
 	}
 }
 
 // What pebble would end the process for ends its call alone, also with its locks held, where the disk's refusals do
 // reach pebble.
-func TestPebbleGivesUpWithoutEndingTheProcess(t *testing.T) {
-	r := &refuser{word: "marker.manifest"}
-	disk := errorfs.Wrap(vfs.NewMem(), r)
+func TestPebbleFatalErrorEndsOnlyTheCall(t *testing.T) {
+	injector := &writeErrorInjector{pathPart: "marker.manifest"}
+	disk := errorfs.Wrap(vfs.NewMem(), injector)
 	var fatal atomic.Int32
 	log := pebbleLogger{func(error) { fatal.Add(1) }}
 	var db *pebble.DB
@@ -48,16 +48,16 @@
 			return err
 		})
 	}
-	r.on.Store(true)
+	injector.enabled.Store(true)
 	if err := open("/one"); !errors.Is(err, errPebbleExited) || fatal.Load() != 1 {
 		t.Errorf("opened on a disk that refuses to name the MANIFEST: %v, %d fatal", err, fatal.Load())
 	}
-	r.on.Store(false)
+	injector.enabled.Store(false)
 	if err := open("/two"); err != nil {
 		t.Fatal(err)
 	}
-	r.word = logExtension
-	r.on.Store(true)
+	injector.pathPart = logExtension
+	injector.enabled.Store(true)
 	err := callPebble(func() error { return db.Set(valueKey, []byte("x"), pebble.Sync) })
 	if !errors.Is(err, errPebbleExited) || fatal.Load() != 2 {
 		t.Errorf("written to a disk that refuses the log: %v, %d fatal", err, fatal.Load())
--- a/mesh/storage/read.go
+++ b/mesh/storage/read.go
@@ -32,47 +32,47 @@
 
 // readCurrent reads the current generation, which is the highest that is complete.
 func readCurrent(disk vfs.FS, dir string) (c Contents, err error) {
-	found, err := listGenerations(disk, dir)
+	generations, err := listGenerations(disk, dir)
 	if err != nil {
 		return Contents{}, err
 	}
-	synced, err := readSynced(disk, dir)
+	syncedSequence, err := readSynced(disk, dir)
 	if err != nil {
 		return Contents{}, err
 	}
-	for _, number := range found.complete {
+	for _, number := range generations.complete {
 		c.Generation = max(c.Generation, number)
 	}
 	if c.Generation == 0 {
-		if synced > 0 {
-			return c, corrupt("saves were synced, and no generation is complete")
+		if syncedSequence > 0 {
+			return c, corruptError("saves were synced, and no generation is complete")
 		}
 		return c, nil
 	}
-	c.State, c.Sequence, err = readGeneration(disk, generationDir(dir, c.Generation), synced)
+	c.State, c.Sequence, err = readGeneration(disk, generationDir(dir, c.Generation), syncedSequence)
 	return c, err
 }
 
 // readGeneration reads a store, in which the save numbered synced is known to have been synced.
-func readGeneration(disk vfs.FS, folder string, synced uint64) (*register.State, uint64, error) {
+func readGeneration(disk vfs.FS, folder string, syncedSequence uint64) (*register.State, uint64, error) {
 	memory, err := copyToMemory(disk, folder)
 	if err != nil {
 		return nil, 0, err
 	}
-	stamped, err := highestStampIn(memory, folder)
+	highestInLogs, err := highestStampIn(memory, folder)
 	if err != nil {
 		return nil, 0, err
 	}
 	records, err := getRecords(memory, folder, ballotsKey, valueKey)
 	if err != nil {
-		return nil, 0, corrupt("pebble's files")
+		return nil, 0, corruptError("pebble's files")
 	}
-	state, sequence, err := joinRecords(records[0], records[1])
+	state, sequence, err := stateFromRecords(records[0], records[1])
 	if err != nil {
 		return nil, 0, err
 	}
-	if sequence < synced || sequence+1 < stamped {
-		return nil, 0, corrupt("a synced save is missing")
+	if sequence < syncedSequence || sequence+1 < highestInLogs {
+		return nil, 0, corruptError("a synced save is missing")
 	}
 	return state, sequence, nil
 }
--- a/mesh/storage/recovery.go
+++ b/mesh/storage/recovery.go
@@ -25,31 +25,31 @@
 }
 
 // traces are what a data folder held before anything was made in it.
-type traces struct {
-	starting bool // the mark of a first start that never came to send messages
-	active   bool // the mark of a replica that did
-	files    bool // files of the store, whatever they hold
+type priorFiles struct {
+	starting   bool // the mark of a first start that never came to send messages
+	active     bool // the mark of a replica that did
+	storeFiles bool // files of the store, whatever they hold
 }
 
 // earlierIncarnation reports whether a replica may have sent messages. Files without the mark of an unfinished start
 // are those of a replica whose marks were lost, or that knew none.
-func (t traces) earlierIncarnation() bool {
-	return t.active || t.files && !t.starting
+func (t priorFiles) earlierIncarnation() bool {
+	return t.active || t.storeFiles && !t.starting
 }
 
-func findTraces(disk vfs.FS, dir string) (t traces, err error) {
-	if t.starting, err = markExists(disk, dir, startingName); err != nil {
+func findPriorFiles(disk vfs.FS, dir string) (t priorFiles, err error) {
+	if t.starting, err = markerExists(disk, dir, startingName); err != nil {
 		return t, err
 	}
-	if t.active, err = markExists(disk, dir, activeName); err != nil {
+	if t.active, err = markerExists(disk, dir, activeName); err != nil {
 		return t, err
 	}
 	for _, name := range []string{registerName, format1Name} {
-		names, err := list(disk, dir, name)
+		names, err := listDir(disk, dir, name)
 		if err != nil {
 			return t, err
 		}
-		t.files = t.files || len(names) > 0
+		t.storeFiles = t.storeFiles || len(names) > 0
 	}
 	return t, nil
 }
--- a/mesh/storage/recovery_test.go
+++ b/mesh/storage/recovery_test.go
@@ -11,24 +11,24 @@
 
 // Only an untouched folder, or one whose first start never came to send messages, makes a voter without a
 // rejoin.
-func TestOnlyAnUntouchedFolderVotesAtOnce(t *testing.T) {
+func TestOnlyUnusedFolderVotesWithoutRejoin(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		before traces
+		before priorFiles
 		found  Recovered
 		first  bool
 		want   bool
 	}{
-		{"an empty folder at the first start", traces{}, Recovered{}, true, true},
-		{"an empty folder at a later start", traces{}, Recovered{}, false, false},
-		{"the first start was cut off before it sent messages", traces{starting: true, files: true}, Recovered{}, true, true},
-		{"it sent messages, and its store is empty", traces{starting: true, active: true, files: true}, Recovered{}, true, false},
-		{"it sent messages, and its store is gone", traces{starting: true, active: true}, Recovered{}, true, false},
-		{"it sent messages, and all but that mark is gone", traces{active: true}, Recovered{}, true, false},
-		{"files without any mark", traces{files: true}, Recovered{}, true, false},
-		{"a damaged state", traces{}, Recovered{Corrupt: true}, true, false},
-		{"a damaged state of a start that never sent messages", traces{starting: true, files: true}, Recovered{Corrupt: true}, true, false},
-		{"a complete state is taken as it is", traces{}, Recovered{State: &register.State{}}, true, false},
+		{"an empty folder at the first start", priorFiles{}, Recovered{}, true, true},
+		{"an empty folder at a later start", priorFiles{}, Recovered{}, false, false},
+		{"the first start was cut off before it sent messages", priorFiles{starting: true, storeFiles: true}, Recovered{}, true, true},
+		{"it sent messages, and its store is empty", priorFiles{starting: true, active: true, storeFiles: true}, Recovered{}, true, false},
+		{"it sent messages, and its store is gone", priorFiles{starting: true, active: true}, Recovered{}, true, false},
+		{"it sent messages, and all but that mark is gone", priorFiles{active: true}, Recovered{}, true, false},
+		{"files without any mark", priorFiles{storeFiles: true}, Recovered{}, true, false},
+		{"a damaged state", priorFiles{}, Recovered{Corrupt: true}, true, false},
+		{"a damaged state of a start that never sent messages", priorFiles{starting: true, storeFiles: true}, Recovered{Corrupt: true}, true, false},
+		{"a complete state is taken as it is", priorFiles{}, Recovered{State: &register.State{}}, true, false},
 	} {
 		c.found.EarlierIncarnation = c.before.earlierIncarnation()
 		if got := c.found.MayVoteWithoutRejoin(c.first); got != c.want {
@@ -37,21 +37,21 @@
 	}
 }
 
-func activeStore(t *testing.T) *vfs.MemFS {
+func newActiveStore(t *testing.T) *vfs.MemFS {
 	fs := vfs.NewCrashableMem()
-	v, found, err := OpenFS(fs, folder)
-	if err != nil || !found.MayVoteWithoutRejoin(true) {
-		t.Fatalf("%+v, %v", found, err)
+	store, recovered, err := OpenFS(fs, testFolder)
+	if err != nil || !recovered.MayVoteWithoutRejoin(true) {
+		t.Fatalf("%+v, %v", recovered, err)
 	}
 	for version := uint32(1); version < 4; version++ {
-		if err := v.Save(state(version)); err != nil {
+		if err := store.Save(testState(version)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := v.MarkActive(); err != nil {
+	if err := store.MarkActive(); err != nil {
 		t.Fatal(err)
 	}
-	if err := v.Close(); err != nil {
+	if err := store.Close(); err != nil {
 		t.Fatal(err)
 	}
 	return fs
@@ -59,10 +59,10 @@
 
 // A store that lost its files or had bytes altered is reported as corrupt, opens empty, and reports it again at the
 // next start.
-func TestDamageIsNeverAFirstStart(t *testing.T) {
+func TestDamagedStoreIsNotTakenForFirstStart(t *testing.T) {
 	for name, damage := range map[string]func(fs *vfs.MemFS, file string) error{
 		"all files removed":     func(fs *vfs.MemFS, file string) error { return fs.Remove(file) },
-		"all files cut to none": func(fs *vfs.MemFS, file string) error { return rewrite(fs, file, nil) },
+		"all files cut to none": func(fs *vfs.MemFS, file string) error { return writeFile(fs, file, nil) },
 		"all bytes altered": func(fs *vfs.MemFS, file string) error {
 			b, err := fs.UnsafeGetFileDataBuffer(file)
 			for i := range b {
@@ -71,14 +71,14 @@
 			return err
 		},
 	} {
-		fs := activeStore(t)
-		for _, file := range filesIn(t, fs, filepath.Join(folder, registerName)) {
+		fs := newActiveStore(t)
+		for _, file := range listFiles(t, fs, filepath.Join(testFolder, registerName)) {
 			if err := damage(fs, file); err != nil {
 				t.Fatal(err)
 			}
 		}
 		for start := range 2 {
-			v, found, err := OpenFS(fs, folder)
+			v, found, err := OpenFS(fs, testFolder)
 			if err != nil {
 				t.Fatalf("%s: %v", name, err)
 			}
@@ -91,7 +91,7 @@
 }
 
 // filesIn are the files of a folder and of those in it.
-func filesIn(t *testing.T, fs vfs.FS, dir string) (files []string) {
+func listFiles(t *testing.T, fs vfs.FS, dir string) (files []string) {
 	t.Helper()
 	names, err := fs.List(dir)
 	if err != nil {
@@ -104,7 +104,7 @@
 			t.Fatal(err)
 		}
 		if info.IsDir() {
-			files = append(files, filesIn(t, fs, path)...)
+			files = append(files, listFiles(t, fs, path)...)
 		} else {
 			files = append(files, path)
 		}
@@ -112,7 +112,7 @@
 	return files
 }
 
-func rewrite(fs vfs.FS, file string, b []byte) error {
+func writeFile(fs vfs.FS, file string, b []byte) error {
 	f, err := fs.Create(file, vfs.WriteCategoryUnspecified)
 	if err != nil {
 		return err
--- a/mesh/storage/rotation.go
+++ b/mesh/storage/rotation.go
@@ -12,7 +12,7 @@
 
 // memTablesPerState is the size of a generation's memtable in states of the size that it begins with, so that large
 // values make pebble flush seldom.
-const memTablesPerState = 4
+const statesPerMemTable = 4
 
 // generationList is the numbers of the generations in a folder, unordered.
 type generationList struct {
@@ -20,8 +20,8 @@
 	all      []uint64 // have a store or a mark; twice where both
 }
 
-func listGenerations(disk vfs.FS, dir string) (found generationList, err error) {
-	names, err := list(disk, dir, registerName)
+func listGenerations(disk vfs.FS, dir string) (generations generationList, err error) {
+	names, err := listDir(disk, dir, registerName)
 	if err != nil {
 		return generationList{}, err
 	}
@@ -36,40 +36,40 @@
 		}
 		number, err := strconv.ParseUint(digits, 16, 64)
 		if err != nil {
-			return generationList{}, corrupt("name " + name)
+			return generationList{}, corruptError("name " + name)
 		}
-		found.all = append(found.all, number)
+		generations.all = append(generations.all, number)
 		if isComplete {
-			found.complete = append(found.complete, number)
+			generations.complete = append(generations.complete, number)
 		}
 	}
-	return found, nil
+	return generations, nil
 }
 
 // rotate begins a generation with a complete state, and removes those before it once the new one would be read after a
 // power loss.
 func (s *Store) rotate(state *register.State) error {
 	s.abandon()
-	if s.abandoned.Load() >= maxAbandoned {
+	if s.closingGenerations.Load() >= maxClosingGenerations {
 		return ErrStalled
 	}
 	if err := s.removeIncomplete(); err != nil {
 		return err
 	}
-	s.newest++
-	if err := s.begin(state); err != nil {
+	s.newestNumber++
+	if err := s.createGeneration(state); err != nil {
 		s.abandon()
-		return errors.Wrapf(err, "begin generation %d of the register", s.newest)
+		return errors.Wrapf(err, "begin generation %d of the register", s.newestNumber)
 	}
-	s.current = s.newest
+	s.currentNumber = s.newestNumber
 	s.removeOlder()
 	return nil
 }
 
 // begin makes generation s.newest with a state in it, and marks it complete.
-func (s *Store) begin(state *register.State) (err error) {
-	folder := generationDir(s.dir, s.newest)
-	table := max(s.memTableSize, memTablesPerState*uint64(len(state.Value.Body)))
+func (s *Store) createGeneration(state *register.State) (err error) {
+	folder := generationDir(s.dir, s.newestNumber)
+	table := max(s.memTableSize, statesPerMemTable*uint64(len(state.Value.Body)))
 	if s.generation, err = openGeneration(s.disk, folder, table); err != nil {
 		return err
 	}
@@ -79,29 +79,29 @@
 	if err := syncDir(s.disk, folder); err != nil {
 		return err
 	}
-	return makeMark(s.disk, registerDir(s.dir), numbered(completePrefix, s.newest))
+	return createMarker(s.disk, registerDir(s.dir), numberedName(completePrefix, s.newestNumber))
 }
 
 // removeIncomplete removes what a failed begin has left. Its mark goes first, durably, so that no mark is ever without
 // its store; so at most one such store is there besides the current one.
 func (s *Store) removeIncomplete() error {
-	found, err := listGenerations(s.disk, s.dir)
+	generations, err := listGenerations(s.disk, s.dir)
 	if err != nil {
 		return err
 	}
-	for _, number := range found.complete {
-		if number <= s.current {
+	for _, number := range generations.complete {
+		if number <= s.currentNumber {
 			continue
 		}
-		if err := s.disk.Remove(completeMark(s.dir, number)); err != nil {
+		if err := s.disk.Remove(completeMarkerPath(s.dir, number)); err != nil {
 			return errors.Wrapf(err, "remove the mark of generation %d", number)
 		}
 	}
 	if err := syncDir(s.disk, registerDir(s.dir)); err != nil {
 		return err
 	}
-	for _, number := range found.all {
-		if number <= s.current {
+	for _, number := range generations.all {
+		if number <= s.currentNumber {
 			continue
 		}
 		if err := s.disk.RemoveAll(generationDir(s.dir, number)); err != nil {
@@ -114,10 +114,10 @@
 // removeOlder removes what was current before. What the disk refuses to remove takes space only, and goes with the next
 // generation.
 func (s *Store) removeOlder() {
-	found, _ := listGenerations(s.disk, s.dir) // none, where the disk refuses
-	for _, number := range found.all {
-		if number < s.current {
-			_ = s.disk.Remove(completeMark(s.dir, number))
+	generations, _ := listGenerations(s.disk, s.dir) // none, where the disk refuses
+	for _, number := range generations.all {
+		if number < s.currentNumber {
+			_ = s.disk.Remove(completeMarkerPath(s.dir, number))
 			_ = s.disk.RemoveAll(generationDir(s.dir, number))
 		}
 	}
--- a/mesh/storage/store.go
+++ b/mesh/storage/store.go
@@ -27,10 +27,10 @@
 	// compaction. Pebble flushes what fills a memtable and drops its log; with a largest state of F bytes, a generation
 	// holds at most rotateSize + F bytes and what pebble adds to each record (under 200), and the folder two generations;
 	// as much once more where a corrupt register was set aside.
-	rotateSize = 16 << 20
+	rotationBytes = 16 << 20
 	// maxAbandoned bounds the generations that are abandoned and not closed yet. More there are only where the disk
 	// doesn't return from calls: each keeps its memory (memTableSize and cacheSize) and files for as long.
-	maxAbandoned = 16
+	maxClosingGenerations = 16
 	// closeTimeout is how long an abandoned generation is waited for before it is left to close by itself.
 	closeTimeout = 200 * time.Millisecond
 )
@@ -46,7 +46,7 @@
 )
 
 // corrupt returns ErrCorrupt with what it was found in.
-func corrupt(what string) error { return errors.Wrap(ErrCorrupt, what) }
+func corruptError(detail string) error { return errors.Wrap(ErrCorrupt, detail) }
 
 // Store is an open data folder, which it locks. It isn't safe for concurrent use.
 type Store struct {
@@ -55,16 +55,16 @@
 	lock io.Closer
 
 	// Less in tests than the constants that they are set from.
-	rotateSize   int64
-	memTableSize uint64
-	closeTimeout time.Duration
-
-	sequence   uint64      // of the save that was begun last
-	newest     uint64      // number of the generation that was begun last
-	current    uint64      // number of the generation that would be read; 0: none
-	generation *generation // that is written; nil: the next save begins one
-	syncedFile vfs.File    // nil: not open
-	abandoned  atomic.Int32
+	rotationBytes int64
+	memTableSize  uint64
+	closeTimeout  time.Duration
+
+	sequence           uint64      // of the save that was begun last
+	newestNumber       uint64      // number of the generation that was begun last
+	currentNumber      uint64      // number of the generation that would be read; 0: none
+	generation         *generation // that is written; nil: the next save begins one
+	syncedFile         vfs.File    // nil: not open
+	closingGenerations atomic.Int32
 }
 
 // Open opens the register in a data folder, which is made where there is none, and returns what was recovered from it.
@@ -74,12 +74,12 @@
 
 // OpenFS is Open on another file system, for tests of what disks do.
 func OpenFS(disk vfs.FS, dir string) (*Store, Recovered, error) {
-	before, err := findTraces(disk, dir)
+	prior, err := findPriorFiles(disk, dir)
 	if err != nil {
 		return nil, Recovered{}, err
 	}
-	s := &Store{dir: dir, disk: disk, rotateSize: rotateSize, memTableSize: memTableSize, closeTimeout: closeTimeout}
-	recovered, err := s.open(before)
+	s := &Store{dir: dir, disk: disk, rotationBytes: rotationBytes, memTableSize: memTableSize, closeTimeout: closeTimeout}
+	recovered, err := s.open(prior)
 	if err != nil {
 		_ = s.Close() // nothing was written; the error above is the one that matters
 		return nil, recovered, err
@@ -87,11 +87,11 @@
 	return s, recovered, nil
 }
 
-func (s *Store) open(before traces) (Recovered, error) {
-	if err := s.prepare(before); err != nil {
+func (s *Store) open(prior priorFiles) (Recovered, error) {
+	if err := s.prepare(prior); err != nil {
 		return Recovered{}, err
 	}
-	recovered := Recovered{EarlierIncarnation: before.earlierIncarnation()}
+	recovered := Recovered{EarlierIncarnation: prior.earlierIncarnation()}
 	state, err := s.load()
 	if errors.Is(err, ErrCorrupt) {
 		recovered.Corrupt = true
@@ -102,19 +102,19 @@
 }
 
 // prepare makes and locks the data folder. A folder without traces gets the mark of a first start.
-func (s *Store) prepare(before traces) (err error) {
-	if err := makeDir(s.disk, s.dir); err != nil {
+func (s *Store) prepare(prior priorFiles) (err error) {
+	if err := ensureDir(s.disk, s.dir); err != nil {
 		return err
 	}
 	if s.lock, err = s.disk.Lock(filepath.Join(s.dir, lockName)); err != nil {
 		return errors.Wrap(err, "lock the data folder")
 	}
-	if before == (traces{}) {
-		if err := makeMark(s.disk, s.dir, startingName); err != nil {
+	if prior == (priorFiles{}) {
+		if err := createMarker(s.disk, s.dir, startingName); err != nil {
 			return err
 		}
 	}
-	return makeDir(s.disk, registerDir(s.dir))
+	return ensureDir(s.disk, registerDir(s.dir))
 }
 
 // load reads the current generation, or the store of format 1, and goes on counting after it.
@@ -123,11 +123,11 @@
 	if err != nil {
 		return nil, err
 	}
-	found, err := listGenerations(s.disk, s.dir)
-	for _, number := range found.all {
-		s.newest = max(s.newest, number)
+	generations, err := listGenerations(s.disk, s.dir)
+	for _, number := range generations.all {
+		s.newestNumber = max(s.newestNumber, number)
 	}
-	s.current = contents.Generation
+	s.currentNumber = contents.Generation
 	s.sequence = contents.Sequence
 	return contents.State, err
 }
@@ -143,7 +143,7 @@
 			return err
 		}
 	}
-	return makeDir(s.disk, registerDir(s.dir))
+	return ensureDir(s.disk, registerDir(s.dir))
 }
 
 // Activate notes durably that a replica over this folder sends messages from now on. It is called before the first is
@@ -159,7 +159,7 @@
 }
 
 // MarkActive is Activate without a state.
-func (s *Store) MarkActive() error { return makeMark(s.disk, s.dir, activeName) }
+func (s *Store) MarkActive() error { return createMarker(s.disk, s.dir, activeName) }
 
 // Save returns once the state is durable, or the disk refused. After an error the state on disk is that of the last
 // save without one, of one that failed since, or this one; the next save begins a new generation, and may follow as
@@ -167,10 +167,10 @@
 func (s *Store) Save(state *register.State) error {
 	s.sequence++
 	g := s.generation
-	if g == nil || g.written >= s.rotateSize {
+	if g == nil || g.recordBytes >= s.rotationBytes {
 		return s.rotate(state)
 	}
-	if err := g.write(state, s.sequence, g.lacksValueOf(state)); err != nil {
+	if err := g.write(state, s.sequence, g.valueDiffersFrom(state)); err != nil {
 		s.abandon()
 		return errors.Wrap(err, "write the register")
 	}
@@ -185,15 +185,15 @@
 	if g == nil {
 		return
 	}
-	g.disk.fail(errAbandoned)
+	g.fs.fail(errAbandoned)
 	if g.db == nil {
 		return
 	}
-	s.abandoned.Add(1)
+	s.closingGenerations.Add(1)
 	closed := make(chan struct{})
 	go func() {
 		_ = callPebble(g.db.Close) // it may well fail: nothing of the generation is used any more
-		s.abandoned.Add(-1)
+		s.closingGenerations.Add(-1)
 		close(closed)
 	}()
 	if s.closeTimeout == 0 {
