--- a/mesh/codec/codec.go
+++ b/mesh/codec/codec.go
@@ -25,6 +25,6 @@
 }
 
 // timeBefore returns the time of an age.
-func timeBefore(now time.Duration, ageMs uint32) time.Duration {
+func timeFromAge(now time.Duration, ageMs uint32) time.Duration {
 	return now - time.Duration(ageMs)*time.Millisecond
 }
--- a/mesh/codec/compatibility_test.go
+++ b/mesh/codec/compatibility_test.go
@@ -15,7 +15,7 @@
 )
 
 // framesOf reads a file of frames: on each line a name and the bytes in hexadecimal.
-func framesOf(t *testing.T, file string) map[string][]byte {
+func readFrames(t *testing.T, file string) map[string][]byte {
 	t.Helper()
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -34,14 +34,14 @@
 // Frames that earlier releases wrote are read to the values that they were made of, and those are encoded to the same
 // bytes: both releases run side by side while one replaces the other.
 func TestFramesOfEarlierReleases(t *testing.T) {
-	written := framesOf(t, "testdata/5126712/frames.txt")
+	frames := readFrames(t, "testdata/5126712/frames.txt")
 	expected := fixtures()
-	if len(expected) != len(written) {
-		t.Errorf("%d frames are expected, the file holds %d", len(expected), len(written))
+	if len(expected) != len(frames) {
+		t.Errorf("%d frames are expected, the file holds %d", len(expected), len(frames))
 	}
 	for _, f := range expected {
 		t.Run(f.name, func(t *testing.T) {
-			frame := written[f.name]
+			frame := frames[f.name]
 			decoded, err := wire.ReadFrame(bytes.NewReader(frame))
 			if err != nil {
 				t.Fatal(err)
@@ -49,7 +49,7 @@
 			if encoded := wire.Encode(f.frame); !bytes.Equal(encoded, frame) {
 				t.Errorf("encoded to\n%x, earlier to\n%x", encoded, frame)
 			}
-			if same(f.frame, decoded); !reflect.DeepEqual(f.frame, decoded) {
+			if normalizeEmpty(f.frame, decoded); !reflect.DeepEqual(f.frame, decoded) {
 				t.Errorf("decoded to\n%+v, expected\n%+v", decoded, f.frame)
 			}
 		})
@@ -58,48 +58,48 @@
 
 // The messages of the decision packages are read from earlier releases' frames with all of their values.
 func TestMessagesOfEarlierReleases(t *testing.T) {
-	written := framesOf(t, "testdata/5126712/frames.txt")
+	frames := readFrames(t, "testdata/5126712/frames.txt")
 	read := func(name string) *wire.FrameT {
-		frame, err := wire.ReadFrame(bytes.NewReader(written[name]))
+		frame, err := wire.ReadFrame(bytes.NewReader(frames[name]))
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
 		return frame
 	}
-	for _, k := range registerKinds {
+	for _, k := range registerKindNames {
 		for name, want := range map[string]*register.Message{"full": fullMessage(k.kind), "zero": {Kind: k.kind}} {
 			want.To = "" // is not sent
 			got, ok := codec.RegisterFromFrame(read("register/" + name + "/" + k.name))
-			if same(want, &got); !ok || !reflect.DeepEqual(*want, got) {
+			if normalizeEmpty(want, &got); !ok || !reflect.DeepEqual(*want, got) {
 				t.Errorf("%s %s: %+v, expected %+v", name, k.name, got, *want)
 			}
 		}
 	}
-	news := read("news/full")
-	equal(t, "deltas", codec.DeltasFromFrame(news), fullNews().Deltas)
-	equal(t, "machines", codec.MachinesFromWire(news.Machines, fixtureClock), machines())
-	equal(t, "age", codec.AsOfFromFrame(news, fixtureClock), fullNews().AsOf)
+	update := read("news/full")
+	checkEqual(t, "deltas", codec.DeltasFromFrame(update), fullUpdate().Deltas)
+	checkEqual(t, "machines", codec.MachinesFromWire(update.Machines, fixtureNow), machines())
+	checkEqual(t, "age", codec.AsOfFromFrame(update, fixtureNow), fullUpdate().AsOf)
 	for _, name := range []string{"news/full", "join/full"} {
 		var got []directory.Entry
 		for _, e := range read(name).Entries {
-			entry, complete := codec.EntryFromWire(e, fixtureClock)
-			equal(t, "entry is complete", complete, true)
+			entry, complete := codec.EntryFromWire(e, fixtureNow)
+			checkEqual(t, "entry is complete", complete, true)
 			got = append(got, entry)
 		}
-		equal(t, name, got, entries())
+		checkEqual(t, name, got, entries())
 	}
-	keep := read("keep/alive")
-	alive, complete := codec.EntryFromWire(keep.Entries[0], fixtureClock)
-	equal(t, "entry is complete", complete, false)
-	equal(t, "node", alive.Node, entries()[0].Node)
-	equal(t, "time of the entry", alive.LastSeen, entries()[0].LastSeen)
-	equal(t, "report", codec.AckFromFrame(keep), fullReport)
-	condition, ok := codec.NodeStatusFromFrame(read("hello/full"))
-	equal(t, "condition is there", ok, true)
-	equal(t, "condition", condition, fullCondition)
+	report := read("keep/alive")
+	alive, complete := codec.EntryFromWire(report.Entries[0], fixtureNow)
+	checkEqual(t, "entry is complete", complete, false)
+	checkEqual(t, "node", alive.Node, entries()[0].Node)
+	checkEqual(t, "time of the entry", alive.LastSeen, entries()[0].LastSeen)
+	checkEqual(t, "report", codec.AckFromFrame(report), fullAck)
+	status, ok := codec.NodeStatusFromFrame(read("hello/full"))
+	checkEqual(t, "condition is there", ok, true)
+	checkEqual(t, "condition", status, fullStatus)
 }
 
-func equal(t *testing.T, what string, got, want any) {
+func checkEqual(t *testing.T, what string, got, want any) {
 	t.Helper()
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("%s: %+v, expected %+v", what, got, want)
@@ -107,21 +107,21 @@
 }
 
 // same makes empty lists and maps of values nil: frames don't distinguish them.
-func same(values ...any) {
+func normalizeEmpty(values ...any) {
 	for _, v := range values {
-		dropEmpty(reflect.ValueOf(v))
+		setEmptyToNil(reflect.ValueOf(v))
 	}
 }
 
-func dropEmpty(v reflect.Value) {
+func setEmptyToNil(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer:
 		if !v.IsNil() {
-			dropEmpty(v.Elem())
+			setEmptyToNil(v.Elem())
 		}
 	case reflect.Struct:
 		for i := range v.NumField() {
-			dropEmpty(v.Field(i))
+			setEmptyToNil(v.Field(i))
 		}
 	case reflect.Slice, reflect.Map:
 		if v.Len() == 0 && v.CanSet() {
@@ -129,7 +129,7 @@
 		}
 		if v.Kind() == reflect.Slice {
 			for i := range v.Len() {
-				dropEmpty(v.Index(i))
+				setEmptyToNil(v.Index(i))
 			}
 		}
 	}
--- a/mesh/codec/directory.go
+++ b/mesh/codec/directory.go
@@ -11,8 +11,8 @@
 // An entry's state is sent in one byte: directory.State, or livenessOnly for an entry that reports nothing but that its
 // machine is alive, and lostBit for one that counts as lost.
 const (
-	livenessOnly = 0x7f
-	lostBit      = 0x80
+	livenessOnlyState = 0x7f
+	lostBit           = 0x80
 )
 
 // EntryToWire returns a directory's entry as it is sent at now.
@@ -51,18 +51,18 @@
 	return &wire.EntryT{
 		Node:        e.Node,
 		Incarnation: e.Incarnation,
-		State:       livenessOnly,
+		State:       livenessOnlyState,
 		AgeMs:       milliseconds(now - e.LastSeen),
 	}
 }
 
 // EntriesToWire returns entries as they are sent at now; never nil.
 func EntriesToWire(entries []directory.Entry, now time.Duration) []*wire.EntryT {
-	sent := make([]*wire.EntryT, len(entries))
+	converted := make([]*wire.EntryT, len(entries))
 	for i := range entries {
-		sent[i] = EntryToWire(&entries[i], now)
+		converted[i] = EntryToWire(&entries[i], now)
 	}
-	return sent
+	return converted
 }
 
 // EntryFromWire returns an entry that was received at now. Complete is false for one of LivenessToWire, of which only
@@ -81,9 +81,9 @@
 		Lost:          e.State&lostBit != 0,
 		Slots:         int(e.Slots),
 		WarmUntil:     now + time.Duration(e.WarmUpMs)*time.Millisecond,
-		LastSeen:      timeBefore(now, e.AgeMs),
+		LastSeen:      timeFromAge(now, e.AgeMs),
 		Version:       string(e.Edition),
 		RolloutReport: evidenceFromWire(e),
 	}
-	return entry, e.State != livenessOnly
+	return entry, e.State != livenessOnlyState
 }
--- a/mesh/codec/dissemination.go
+++ b/mesh/codec/dissemination.go
@@ -37,15 +37,15 @@
 	if f.AgeMs == unknownAge {
 		return dissemination.TimeUnknown
 	}
-	return timeBefore(now, f.AgeMs)
+	return timeFromAge(now, f.AgeMs)
 }
 
 func deltasToWire(deltas []dissemination.Delta) []*wire.DeltaT {
-	var sent []*wire.DeltaT
+	var converted []*wire.DeltaT
 	for _, d := range deltas {
-		sent = append(sent, &wire.DeltaT{Base: d.Base, Version: d.Version, Bytes: d.Bytes})
+		converted = append(converted, &wire.DeltaT{Base: d.Base, Version: d.Version, Bytes: d.Bytes})
 	}
-	return sent
+	return converted
 }
 
 // DeltasFromFrame returns an update's deltas.
@@ -70,18 +70,18 @@
 
 // MachinesToWire returns control machines as they are sent at now.
 func MachinesToWire(machines []dissemination.ControlMachine, now time.Duration) []*wire.MachineT {
-	var sent []*wire.MachineT
+	var converted []*wire.MachineT
 	for _, m := range machines {
-		sent = append(sent, &wire.MachineT{Addr: m.Addr, Zone: m.Zone, AgeMs: milliseconds(now - m.LastSeen)})
+		converted = append(converted, &wire.MachineT{Addr: m.Addr, Zone: m.Zone, AgeMs: milliseconds(now - m.LastSeen)})
 	}
-	return sent
+	return converted
 }
 
 // MachinesFromWire returns the control machines that were received at now.
 func MachinesFromWire(received []*wire.MachineT, now time.Duration) []dissemination.ControlMachine {
 	var machines []dissemination.ControlMachine
 	for _, m := range received {
-		machines = append(machines, dissemination.ControlMachine{Addr: m.Addr, Zone: m.Zone, LastSeen: timeBefore(now, m.AgeMs)})
+		machines = append(machines, dissemination.ControlMachine{Addr: m.Addr, Zone: m.Zone, LastSeen: timeFromAge(now, m.AgeMs)})
 	}
 	return machines
 }
--- a/mesh/codec/fixtures_test.go
+++ b/mesh/codec/fixtures_test.go
@@ -13,7 +13,7 @@
 )
 
 // fixtureClock is the process's clock when the frames were encoded.
-const fixtureClock = 100 * time.Second
+const fixtureNow = 100 * time.Second
 
 // fullFrame has another value in each field.
 func fullFrame(kind byte) *wire.FrameT {
@@ -75,7 +75,7 @@
 	}
 }
 
-var kinds = []struct {
+var frameKindNames = []struct {
 	name string
 	kind byte
 }{
@@ -104,7 +104,7 @@
 	{"release", wire.LeaseRelease},
 }
 
-var registerKinds = []struct {
+var registerKindNames = []struct {
 	name string
 	kind register.Kind
 }{
@@ -163,18 +163,18 @@
 			Server:      "server-51",
 			State:       directory.Accepting,
 			Slots:       53,
-			WarmUntil:   fixtureClock + 54*time.Millisecond,
+			WarmUntil:   fixtureNow + 54*time.Millisecond,
 			Lost:        true,
-			LastSeen:    fixtureClock - 55*time.Millisecond,
+			LastSeen:    fixtureNow - 55*time.Millisecond,
 		},
-		{Node: "sidecar-2", Incarnation: 56, LastSeen: fixtureClock, WarmUntil: fixtureClock},
+		{Node: "sidecar-2", Incarnation: 56, LastSeen: fixtureNow, WarmUntil: fixtureNow},
 	}
 }
 
 func machines() []dissemination.ControlMachine {
 	return []dissemination.ControlMachine{
-		{Addr: "10.1.0.13:7620", Zone: "zone-1", LastSeen: fixtureClock - 57*time.Millisecond},
-		{Addr: "10.2.0.11:7620", LastSeen: fixtureClock},
+		{Addr: "10.1.0.13:7620", Zone: "zone-1", LastSeen: fixtureNow - 57*time.Millisecond},
+		{Addr: "10.2.0.11:7620", LastSeen: fixtureNow},
 	}
 }
 
@@ -186,36 +186,36 @@
 
 // fixtures are the frames in the order of the file.
 func fixtures() []fixture {
-	var all []fixture
-	for _, k := range kinds {
-		all = append(all, fixture{"frame/full/" + k.name, fullFrame(k.kind)})
-		all = append(all, fixture{"frame/zero/" + k.name, &wire.FrameT{Kind: k.kind}})
+	var frames []fixture
+	for _, k := range frameKindNames {
+		frames = append(frames, fixture{"frame/full/" + k.name, fullFrame(k.kind)})
+		frames = append(frames, fixture{"frame/zero/" + k.name, &wire.FrameT{Kind: k.kind}})
 	}
-	for _, k := range registerKinds {
-		all = append(all, fixture{"register/full/" + k.name, codec.RegisterToFrame(fullMessage(k.kind))})
-		all = append(all, fixture{"register/zero/" + k.name, codec.RegisterToFrame(&register.Message{Kind: k.kind})})
+	for _, k := range registerKindNames {
+		frames = append(frames, fixture{"register/full/" + k.name, codec.RegisterToFrame(fullMessage(k.kind))})
+		frames = append(frames, fixture{"register/zero/" + k.name, codec.RegisterToFrame(&register.Message{Kind: k.kind})})
 	}
 	for kind := membership.Ping; kind <= membership.Suspect; kind++ {
 		full := &wire.FrameT{Kind: wire.Probe, Incarnation: uint32(kind), From: "sidecar-1", Id: 61, Text: "sidecar-2"}
-		all = append(all, fixture{fmt.Sprint("membership/full/", uint8(kind)), full})
-		all = append(all, fixture{fmt.Sprint("membership/zero/", uint8(kind)), &wire.FrameT{Kind: wire.Probe, Incarnation: uint32(kind)}})
+		frames = append(frames, fixture{fmt.Sprint("membership/full/", uint8(kind)), full})
+		frames = append(frames, fixture{fmt.Sprint("membership/zero/", uint8(kind)), &wire.FrameT{Kind: wire.Probe, Incarnation: uint32(kind)}})
 	}
-	join := &wire.FrameT{Kind: wire.Subscribe, From: "sidecar-1", Entries: codec.EntriesToWire(entries(), fixtureClock)}
-	alive := []*wire.EntryT{codec.LivenessToWire(&entries()[0], fixtureClock)}
-	return append(all,
-		fixture{"news/full", codec.UpdateToFrame(fullNews(), []byte("packed"), fixtureClock)},
-		fixture{"news/zero", codec.UpdateToFrame(&dissemination.Update{AsOf: dissemination.TimeUnknown}, nil, fixtureClock)},
-		fixture{"join/full", codec.SetAck(join, fullReport)},
-		fixture{"keep/alive", codec.SetAck(&wire.FrameT{Kind: wire.Report, From: "sidecar-1", Entries: alive}, fullReport)},
+	subscribe := &wire.FrameT{Kind: wire.Subscribe, From: "sidecar-1", Entries: codec.EntriesToWire(entries(), fixtureNow)}
+	liveness := []*wire.EntryT{codec.LivenessToWire(&entries()[0], fixtureNow)}
+	return append(frames,
+		fixture{"news/full", codec.UpdateToFrame(fullUpdate(), []byte("packed"), fixtureNow)},
+		fixture{"news/zero", codec.UpdateToFrame(&dissemination.Update{AsOf: dissemination.TimeUnknown}, nil, fixtureNow)},
+		fixture{"join/full", codec.SetAck(subscribe, fullAck)},
+		fixture{"keep/alive", codec.SetAck(&wire.FrameT{Kind: wire.Report, From: "sidecar-1", Entries: liveness}, fullAck)},
 		fixture{"hello/full", fullHello()},
 	)
 }
 
-func fullNews() *dissemination.Update {
+func fullUpdate() *dissemination.Update {
 	return &dissemination.Update{
 		SubscriberID:    71,
 		Nonce:           72,
-		AsOf:            fixtureClock - 73*time.Millisecond,
+		AsOf:            fixtureNow - 73*time.Millisecond,
 		Version:         74,
 		Deltas:          []dissemination.Delta{{Base: 75, Version: 76, Bytes: []byte("delta")}},
 		FullText:        true,
@@ -224,9 +224,9 @@
 	}
 }
 
-var fullReport = dissemination.Ack{Nonce: 81, Version: 82, LowestInForce: 83}
+var fullAck = dissemination.Ack{Nonce: 81, Version: 82, LowestInForce: 83}
 
-var fullCondition = codec.NodeStatus{
+var fullStatus = codec.NodeStatus{
 	Voter:       true,
 	Draining:    true,
 	DiskFailing: true,
@@ -239,8 +239,8 @@
 		From:          "10.1.0.13:7620",
 		Text:          "zone-1",
 		LowestVersion: 91,
-		Machines:      codec.MachinesToWire(machines(), fixtureClock),
+		Machines:      codec.MachinesToWire(machines(), fixtureNow),
 	}
-	codec.SetNodeStatus(hello, fullCondition)
+	codec.SetNodeStatus(hello, fullStatus)
 	return hello
 }
--- a/mesh/codec/history_test.go
+++ b/mesh/codec/history_test.go
@@ -9,7 +9,7 @@
 
 // A history goes over the wire and to disk with all its records; a value that was written before there were histories
 // has one that knows nothing of its versions.
-func TestHistoryIsCarried(t *testing.T) {
+func TestHistoryRoundTrip(t *testing.T) {
 	var h register.History
 	for version := range uint32(register.MaxRecords + 5) {
 		h = h.With(register.Record{Version: version + 1, Content: register.ContentOf([]byte{byte(version)})})
--- a/mesh/codec/register.go
+++ b/mesh/codec/register.go
@@ -58,9 +58,9 @@
 	}, true
 }
 
-func registerKind(frame wire.Kind) (kind register.Kind, ok bool) {
-	for kind, carrier := range frameKinds {
-		if carrier == frame && carrier != 0 {
+func registerKind(wireKind wire.Kind) (kind register.Kind, ok bool) {
+	for kind, frameKind := range frameKinds {
+		if frameKind == wireKind && frameKind != 0 {
 			return register.Kind(kind), true
 		}
 	}
--- a/mesh/codec/rollout.go
+++ b/mesh/codec/rollout.go
@@ -14,10 +14,10 @@
 
 // rolloutsToWire returns the rollouts of a set.
 func rolloutsToWire(s rollout.Set) []*wire.RolloutT {
-	var sent []*wire.RolloutT
+	var converted []*wire.RolloutT
 	for i := range s.Rollouts {
 		r := &s.Rollouts[i]
-		sent = append(sent, &wire.RolloutT{
+		converted = append(converted, &wire.RolloutT{
 			Service:   r.Service,
 			Target:    r.Target,
 			Order:     r.Order,
@@ -27,7 +27,7 @@
 			DecidedBy: r.DecidedBy,
 		})
 	}
-	return sent
+	return converted
 }
 
 func rolloutsFromWire(revision uint32, received []*wire.RolloutT) rollout.Set {
@@ -53,23 +53,23 @@
 }
 
 // AddEvidence adds what an entry's sidecar reports of rollouts, which goes to the control machines only, and returns the sent entry.
-func AddEvidence(sent *wire.EntryT, e *directory.RolloutReport) *wire.EntryT {
-	sent.RolloutsConfirmed, sent.RolloutOrder, sent.OrderAgeMs = e.ConfirmedRevision, e.Order, milliseconds(e.OrderAge)
+func AddEvidence(entry *wire.EntryT, e *directory.RolloutReport) *wire.EntryT {
+	entry.RolloutsConfirmed, entry.RolloutOrder, entry.OrderAgeMs = e.ConfirmedRevision, e.Order, milliseconds(e.OrderAge)
 	for i := range e.Classes {
 		c := &e.Classes[i]
-		sent.Statistics = append(sent.Statistics, &wire.ClassStatisticsT{
+		entry.Statistics = append(entry.Statistics, &wire.ClassStatisticsT{
 			Class:     c.Class,
 			Requests:  c.Requests,
 			Failures:  c.Failures,
 			Latencies: latenciesToWire(&c.Latencies),
 		})
 	}
-	return sent
+	return entry
 }
 
 // latenciesToWire returns the first bucket that is not empty, and the counts from there to the last one that is not, as varints; nil: all
 // are empty.
-func latenciesToWire(l *rollout.Latencies) (sent []byte) {
+func latenciesToWire(l *rollout.Latencies) (packed []byte) {
 	first, last := -1, -1
 	for i, count := range l {
 		if count > 0 {
@@ -82,23 +82,23 @@
 	if first < 0 {
 		return nil
 	}
-	sent = binary.AppendUvarint(sent, uint64(first))
+	packed = binary.AppendUvarint(packed, uint64(first))
 	for _, count := range l[first : last+1] {
-		sent = binary.AppendUvarint(sent, uint64(count))
+		packed = binary.AppendUvarint(packed, uint64(count))
 	}
-	return sent
+	return packed
 }
 
 // latenciesFromWire returns a histogram as it was sent. What has no place in it is dropped.
-func latenciesFromWire(received []byte) (l rollout.Latencies) {
-	at, n := binary.Uvarint(received)
-	for received = received[max(0, n):]; n > 0 && at < uint64(len(l)); at++ {
+func latenciesFromWire(packed []byte) (l rollout.Latencies) {
+	bucket, n := binary.Uvarint(packed)
+	for packed = packed[max(0, n):]; n > 0 && bucket < uint64(len(l)); bucket++ {
 		var count uint64
-		if count, n = binary.Uvarint(received); n <= 0 {
+		if count, n = binary.Uvarint(packed); n <= 0 {
 			break
 		}
-		l[at] = uint32(min(count, math.MaxUint32))
-		received = received[n:]
+		l[bucket] = uint32(min(count, math.MaxUint32))
+		packed = packed[n:]
 	}
 	return l
 }
--- a/mesh/codec/rollout_test.go
+++ b/mesh/codec/rollout_test.go
@@ -9,7 +9,7 @@
 	"firplank/mesh/wire"
 )
 
-func TestEvidenceIsReadAsItWasSent(t *testing.T) {
+func TestEvidenceRoundTrip(t *testing.T) {
 	sent := directory.RolloutReport{ConfirmedRevision: 7, Order: 2, OrderAge: 1500 * time.Millisecond}
 	for class := range uint32(3) {
 		s := rollout.Statistics{Class: class}
--- a/mesh/storage/crash_test.go
+++ b/mesh/storage/crash_test.go
@@ -117,22 +117,22 @@
 // checkRecovered fails where a disk holds neither the state numbered so nor the next one.
 func checkRecovered(t *testing.T, disk *vfs.MemFS, lastSaved uint64) {
 	t.Helper()
-	store, found, err := OpenFS(disk, testFolder)
+	store, recovered, err := OpenFS(disk, testFolder)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer closeStore(t, store)
 	switch {
-	case found.State == nil && lastSaved == 0:
-		if !found.MayVoteWithoutRejoin(true) {
-			t.Errorf("power lost before the first state: %+v", found)
+	case recovered.State == nil && lastSaved == 0:
+		if !recovered.MayVoteWithoutRejoin(true) {
+			t.Errorf("power lost before the first state: %+v", recovered)
 		}
-	case found.State == nil:
-		t.Errorf("state %d was saved, and found is %+v", lastSaved, found)
+	case recovered.State == nil:
+		t.Errorf("state %d was saved, and found is %+v", lastSaved, recovered)
 	default:
-		n := found.State.Promised.Number
-		if n != lastSaved && n != lastSaved+1 || !reflect.DeepEqual(found.State.Value, largeState(uint32((n-1)/3)).Value) {
-			t.Errorf("state %d was saved, and %d is found with version %d", lastSaved, n, found.State.Value.Version)
+		n := recovered.State.Promised.Number
+		if n != lastSaved && n != lastSaved+1 || !reflect.DeepEqual(recovered.State.Value, largeState(uint32((n-1)/3)).Value) {
+			t.Errorf("state %d was saved, and %d is found with version %d", lastSaved, n, recovered.State.Value.Version)
 		}
 	}
 }
@@ -141,9 +141,9 @@
 // that may still vote without a rejoin.
 func TestPowerLossDuringActivationKeepsVoter(t *testing.T) {
 	injector := &powerLossInjector{disk: vfs.NewCrashableMem(), random: rand.New(rand.NewPCG(3, 4))}
-	store, found, err := OpenFS(errorfs.Wrap(injector.disk, injector), testFolder)
-	if err != nil || !found.MayVoteWithoutRejoin(true) {
-		t.Fatalf("%+v, %v", found, err)
+	store, recovered, err := OpenFS(errorfs.Wrap(injector.disk, injector), testFolder)
+	if err != nil || !recovered.MayVoteWithoutRejoin(true) {
+		t.Fatalf("%+v, %v", recovered, err)
 	}
 	if err := store.Activate(testState(0)); err != nil {
 		t.Fatal(err)
@@ -152,14 +152,14 @@
 	images := injector.takeImages()
 	withState := 0
 	for i, disk := range images {
-		reopened, found, err := OpenFS(disk, testFolder)
+		reopened, recovered, err := OpenFS(disk, testFolder)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if found.State != nil {
+		if recovered.State != nil {
 			withState++
-		} else if !found.MayVoteWithoutRejoin(true) {
-			t.Errorf("power loss %d of %d: %+v", i, len(images), found)
+		} else if !recovered.MayVoteWithoutRejoin(true) {
+			t.Errorf("power loss %d of %d: %+v", i, len(images), recovered)
 		}
 		closeStore(t, reopened)
 	}
--- a/mesh/storage/files.go
+++ b/mesh/storage/files.go
@@ -34,7 +34,7 @@
 )
 
 // dirMode is the mode of the folders that are made.
-const newDirMode = 0o755
+const dirMode = 0o755
 
 func registerDir(dir string) string { return filepath.Join(dir, registerName) }
 
@@ -122,7 +122,7 @@
 			return err
 		}
 	}
-	if err := disk.MkdirAll(dir, newDirMode); err != nil {
+	if err := disk.MkdirAll(dir, dirMode); err != nil {
 		return errors.Wrapf(err, "make %s", dir)
 	}
 	return syncDir(disk, parent)
--- a/mesh/storage/recovery_test.go
+++ b/mesh/storage/recovery_test.go
@@ -78,14 +78,14 @@
 			}
 		}
 		for start := range 2 {
-			v, found, err := OpenFS(fs, testFolder)
+			store, recovered, err := OpenFS(fs, testFolder)
 			if err != nil {
 				t.Fatalf("%s: %v", name, err)
 			}
-			if found.State != nil || found.MayVoteWithoutRejoin(true) {
-				t.Errorf("%s, start %d: %+v may vote without rejoining", name, start, found)
+			if recovered.State != nil || recovered.MayVoteWithoutRejoin(true) {
+				t.Errorf("%s, start %d: %+v may vote without rejoining", name, start, recovered)
 			}
-			closeStore(t, v)
+			closeStore(t, store)
 		}
 	}
 }
--- a/mesh/storage/store_test.go
+++ b/mesh/storage/store_test.go
@@ -56,9 +56,9 @@
 // What was saved is there after a power loss that takes all that was not synced.
 func TestSavedStateSurvivesPowerLoss(t *testing.T) {
 	fs := vfs.NewCrashableMem()
-	store, found, err := OpenFS(fs, testFolder)
-	if found.State != nil || err != nil {
-		t.Fatalf("an empty folder holds %v, %v", found, err)
+	store, recovered, err := OpenFS(fs, testFolder)
+	if recovered.State != nil || err != nil {
+		t.Fatalf("an empty folder holds %v, %v", recovered, err)
 	}
 	for version := uint32(1); version <= 40; version++ {
 		if err := store.Save(testState(version)); err != nil {
@@ -74,11 +74,11 @@
 		if version%8 != 0 {
 			continue
 		}
-		reopened, found, err := OpenFS(fs.CrashClone(vfs.CrashCloneCfg{}), testFolder)
+		reopened, recovered, err := OpenFS(fs.CrashClone(vfs.CrashCloneCfg{}), testFolder)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !reflect.DeepEqual(found.State, promised) {
+		if !reflect.DeepEqual(recovered.State, promised) {
 			t.Errorf("version %d is not found as it was saved", version)
 		}
 		closeStore(t, reopened)
@@ -242,7 +242,7 @@
 			if err := store.Save(recovered.State); err != nil {
 				t.Fatal(err)
 			}
-			if there, _ := exists(fs, filepath.Join(testFolder, format1Name)); there {
+			if exists, _ := exists(fs, filepath.Join(testFolder, format1Name)); exists {
 				t.Error("format 1 is still there")
 			}
 		}
