--- a/mesh/codec/compatibility_test.go
+++ b/mesh/codec/compatibility_test.go
@@ -14,7 +14,7 @@
 	"firplank/mesh/wire"
 )
 
-// framesOf reads a file of frames: on each line a name and the bytes in hexadecimal.
+// readFrames reads a file of frames. Each line has a name and the frame's bytes in hexadecimal.
 func readFrames(t *testing.T, file string) map[string][]byte {
 	t.Helper()
 	text, err := os.ReadFile(file)
@@ -31,8 +31,8 @@
 	return frames
 }
 
-// Frames that earlier releases wrote are read to the values that they were made of, and those are encoded to the same
-// bytes: both releases run side by side while one replaces the other.
+// Frames of earlier releases are decoded to the values that they were encoded from, and these values are encoded to the
+// same bytes. During an upgrade, both releases run side by side.
 func TestFramesOfEarlierReleases(t *testing.T) {
 	frames := readFrames(t, "testdata/5126712/frames.txt")
 	expected := fixtures()
@@ -47,7 +47,7 @@
 				t.Fatal(err)
 			}
 			if encoded := wire.Encode(f.frame); !bytes.Equal(encoded, frame) {
-				t.Errorf("encoded to\n%x, earlier to\n%x", encoded, frame)
+				t.Errorf("encoded to\n%x, by the earlier release to\n%x", encoded, frame)
 			}
 			if normalizeEmpty(f.frame, decoded); !reflect.DeepEqual(f.frame, decoded) {
 				t.Errorf("decoded to\n%+v, expected\n%+v", decoded, f.frame)
@@ -56,7 +56,7 @@
 	}
 }
 
-// The messages of the decision packages are read from earlier releases' frames with all of their values.
+// The messages of the mesh's packages are converted from frames of earlier releases with all their values.
 func TestMessagesOfEarlierReleases(t *testing.T) {
 	frames := readFrames(t, "testdata/5126712/frames.txt")
 	read := func(name string) *wire.FrameT {
@@ -68,7 +68,7 @@
 	}
 	for _, k := range registerKindNames {
 		for name, want := range map[string]*register.Message{"full": fullMessage(k.kind), "zero": {Kind: k.kind}} {
-			want.To = "" // is not sent
+			want.To = "" // not sent
 			got, ok := codec.RegisterFromFrame(read("register/" + name + "/" + k.name))
 			if normalizeEmpty(want, &got); !ok || !reflect.DeepEqual(*want, got) {
 				t.Errorf("%s %s: %+v, expected %+v", name, k.name, got, *want)
@@ -92,11 +92,11 @@
 	alive, complete := codec.EntryFromWire(report.Entries[0], fixtureNow)
 	checkEqual(t, "entry is complete", complete, false)
 	checkEqual(t, "node", alive.Node, entries()[0].Node)
-	checkEqual(t, "time of the entry", alive.LastSeen, entries()[0].LastSeen)
+	checkEqual(t, "last seen", alive.LastSeen, entries()[0].LastSeen)
 	checkEqual(t, "report", codec.AckFromFrame(report), fullAck)
 	status, ok := codec.NodeStatusFromFrame(read("hello/full"))
-	checkEqual(t, "condition is there", ok, true)
-	checkEqual(t, "condition", status, fullStatus)
+	checkEqual(t, "node status is present", ok, true)
+	checkEqual(t, "node status", status, fullStatus)
 }
 
 func checkEqual(t *testing.T, what string, got, want any) {
@@ -106,7 +106,7 @@
 	}
 }
 
-// same makes empty lists and maps of values nil: frames don't distinguish them.
+// normalizeEmpty replaces empty lists and maps in values by nil, which frames do not distinguish.
 func normalizeEmpty(values ...any) {
 	for _, v := range values {
 		setEmptyToNil(reflect.ValueOf(v))
--- a/mesh/codec/directory.go
+++ b/mesh/codec/directory.go
@@ -8,14 +8,14 @@
 	"firplank/mesh/wire"
 )
 
-// An entry's state is sent in one byte: directory.State, or livenessOnly for an entry that reports nothing but that its
-// machine is alive, and lostBit for one that counts as lost.
+// An entry's state is sent in one byte: the directory.State, with lostBit set if the entry's machine counts as lost, or
+// livenessOnlyState for an entry that only reports that its machine is alive.
 const (
 	livenessOnlyState = 0x7f
 	lostBit           = 0x80
 )
 
-// EntryToWire returns a directory's entry as it is sent at now.
+// EntryToWire converts a directory's entry that is sent at now.
 func EntryToWire(e *directory.Entry, now time.Duration) *wire.EntryT {
 	state := byte(e.State)
 	if e.Lost {
@@ -38,7 +38,7 @@
 	}
 }
 
-// versionToWire returns nil for an unknown version, which takes no bytes.
+// versionToWire returns nil for an unknown version, so that it takes no bytes.
 func versionToWire(version string) []byte {
 	if version == "" {
 		return nil
@@ -46,7 +46,7 @@
 	return []byte(version)
 }
 
-// LivenessToWire returns an entry that reports nothing but when its machine was last seen alive.
+// LivenessToWire returns an entry that only reports when its machine was last seen alive.
 func LivenessToWire(e *directory.Entry, now time.Duration) *wire.EntryT {
 	return &wire.EntryT{
 		Node:        e.Node,
@@ -56,7 +56,7 @@
 	}
 }
 
-// EntriesToWire returns entries as they are sent at now; never nil.
+// EntriesToWire converts entries that are sent at now. The result is never nil.
 func EntriesToWire(entries []directory.Entry, now time.Duration) []*wire.EntryT {
 	converted := make([]*wire.EntryT, len(entries))
 	for i := range entries {
@@ -65,8 +65,8 @@
 	return converted
 }
 
-// EntryFromWire returns an entry that was received at now. Complete is false for one of LivenessToWire, of which only
-// the node, its incarnation and LastSeen hold.
+// EntryFromWire converts an entry that was received at now. complete is false for an entry of LivenessToWire, in which
+// only Node, Incarnation and LastSeen are valid.
 func EntryFromWire(e *wire.EntryT, now time.Duration) (entry directory.Entry, complete bool) {
 	entry = directory.Entry{
 		Node:          e.Node,
--- a/mesh/codec/dissemination.go
+++ b/mesh/codec/dissemination.go
@@ -7,8 +7,8 @@
 	"firplank/mesh/wire"
 )
 
-// UpdateToFrame returns the frame of an update that is sent at now. Packed is the packed configuration of its version,
-// which is sent where the update has FullText set.
+// UpdateToFrame returns the frame of an update that is sent at now. packed is the packed configuration of the update's
+// version, which is sent if the update has FullText set.
 func UpdateToFrame(u *dissemination.Update, packed []byte, now time.Duration) *wire.FrameT {
 	f := &wire.FrameT{
 		Kind:     wire.Update,
@@ -20,7 +20,7 @@
 		Machines: MachinesToWire(u.ControlMachines, now),
 	}
 	if u.AsOf != dissemination.TimeUnknown {
-		f.AgeMs = max(1, milliseconds(now-u.AsOf)) // 0 would not be written, and could not be raised by wire.AddAge
+		f.AgeMs = max(1, milliseconds(now-u.AsOf)) // 0 would not be encoded, so that wire.AddAge could not add to it
 	}
 	if u.Rollouts != nil {
 		f.Rollouts, f.RolloutRevision = rolloutsToWire(*u.Rollouts), u.Rollouts.Revision
@@ -31,8 +31,8 @@
 	return f
 }
 
-// AsOfFromFrame returns, of an update received at now, when its version was known to be the newest. That may be before
-// this process began; it is dissemination.TimeUnknown where the update doesn't have it.
+// AsOfFromFrame returns the time at which the version of an update, received at now, was known to be the newest. It may be
+// before the start of this process. It is dissemination.TimeUnknown if the update does not contain it.
 func AsOfFromFrame(f *wire.FrameT, now time.Duration) time.Duration {
 	if f.AgeMs == unknownAge {
 		return dissemination.TimeUnknown
@@ -48,7 +48,7 @@
 	return converted
 }
 
-// DeltasFromFrame returns an update's deltas.
+// DeltasFromFrame returns the deltas in an update's frame.
 func DeltasFromFrame(f *wire.FrameT) []dissemination.Delta {
 	var deltas []dissemination.Delta
 	for _, d := range f.Deltas {
@@ -62,13 +62,13 @@
 	return dissemination.Ack{Nonce: f.Id, Version: f.Version, LowestInForce: f.LowestVersion}
 }
 
-// SetAck puts an acknowledgement into a frame of kind wire.Subscribe or wire.Report, and returns that.
+// SetAck sets the acknowledgement in a frame of kind wire.Subscribe or wire.Report, and returns the frame.
 func SetAck(f *wire.FrameT, a dissemination.Ack) *wire.FrameT {
 	f.Id, f.Version, f.LowestVersion = a.Nonce, a.Version, a.LowestInForce
 	return f
 }
 
-// MachinesToWire returns control machines as they are sent at now.
+// MachinesToWire converts control machines that are sent at now.
 func MachinesToWire(machines []dissemination.ControlMachine, now time.Duration) []*wire.MachineT {
 	var converted []*wire.MachineT
 	for _, m := range machines {
@@ -77,7 +77,7 @@
 	return converted
 }
 
-// MachinesFromWire returns the control machines that were received at now.
+// MachinesFromWire converts control machines that were received at now.
 func MachinesFromWire(received []*wire.MachineT, now time.Duration) []dissemination.ControlMachine {
 	var machines []dissemination.ControlMachine
 	for _, m := range received {
--- a/mesh/codec/fixtures_test.go
+++ b/mesh/codec/fixtures_test.go
@@ -12,10 +12,10 @@
 	"firplank/mesh/wire"
 )
 
-// fixtureClock is the process's clock when the frames were encoded.
+// fixtureNow is the time of the process's clock at which the frames were encoded.
 const fixtureNow = 100 * time.Second
 
-// fullFrame has another value in each field.
+// fullFrame returns a frame with a different value in each field.
 func fullFrame(kind byte) *wire.FrameT {
 	return &wire.FrameT{
 		Kind:     kind,
@@ -120,7 +120,8 @@
 	{"chosen", register.Commit},
 }
 
-// fullMessage has one life, as the order of more is not fixed.
+// fullMessage returns a message with a different value in each field. It has one incarnation, as the order of several is not
+// fixed.
 func fullMessage(kind register.Kind) *register.Message {
 	return &register.Message{
 		Kind:     kind,
@@ -178,13 +179,13 @@
 	}
 }
 
-// fixture is a frame of testdata/5126712/frames.txt as the present code names its values.
+// fixture is a frame of testdata/5126712/frames.txt, constructed with the present code.
 type fixture struct {
 	name  string
 	frame *wire.FrameT
 }
 
-// fixtures are the frames in the order of the file.
+// fixtures returns the frames in the order of the file.
 func fixtures() []fixture {
 	var frames []fixture
 	for _, k := range frameKindNames {
--- a/mesh/codec/history.go
+++ b/mesh/codec/history.go
@@ -7,11 +7,11 @@
 	"firplank/mesh/wire"
 )
 
-// versionSize is the size of a record's version, which precedes the hash of its content, in bytes.
+// versionSize is the size of a record's version in bytes. The hash of the content follows it.
 const versionSize = 4
 
-// recordsToWire packs a history's records: register.RecordSize bytes each, the version little endian, then the
-// content's hash.
+// recordsToWire packs a history's records. Each takes register.RecordSize bytes: the version, little endian, and the
+// hash of the content.
 func recordsToWire(records []register.Record) []byte {
 	if len(records) == 0 {
 		return nil
@@ -24,9 +24,9 @@
 	return packed
 }
 
-// historyFromWire returns a value's history, of register.MaxRecords records at most. A value without records was
-// written before there were any: the contents of its own version and those before it aren't known, so its version is
-// the floor.
+// historyFromWire returns a value's history, with at most register.MaxRecords records. A value without records was
+// written by a release without histories. The contents of its own version and of earlier ones are unknown, so that its
+// version is the floor.
 func historyFromWire(v *wire.ValueT) register.History {
 	if len(v.Records) == 0 {
 		return register.History{Floor: max(v.Floor, v.Version)}
--- a/mesh/codec/history_test.go
+++ b/mesh/codec/history_test.go
@@ -7,8 +7,8 @@
 	"firplank/mesh/wire"
 )
 
-// A history goes over the wire and to disk with all its records; a value that was written before there were histories
-// has one that knows nothing of its versions.
+// A history is encoded and decoded with all its records. A value of a release without histories is decoded with a history
+// whose floor is the value's version.
 func TestHistoryRoundTrip(t *testing.T) {
 	var h register.History
 	for version := range uint32(register.MaxRecords + 5) {
@@ -20,10 +20,10 @@
 		t.Fatal(err)
 	}
 	if got := StateFromWire(decoded).Value.History; !got.Equal(h) {
-		t.Errorf("%d records above %d come back of %d above %d", len(got.Records), got.Floor, len(h.Records), h.Floor)
+		t.Errorf("decoded %d records above floor %d, want %d above %d", len(got.Records), got.Floor, len(h.Records), h.Floor)
 	}
 	old := valueFromWire(&wire.ValueT{Version: 7})
 	if old.History.Floor != 7 {
-		t.Errorf("an old value of version 7 has a floor of %d", old.History.Floor)
+		t.Errorf("a value of version 7 without a history has floor %d, want 7", old.History.Floor)
 	}
 }
--- a/mesh/codec/register.go
+++ b/mesh/codec/register.go
@@ -5,7 +5,7 @@
 	"firplank/mesh/wire"
 )
 
-// frameKinds are the kinds of frames that carry the register's messages, by register.Kind; 0 carries none.
+// frameKinds are the kinds of frames that carry the register's messages, by register.Kind. 0 stands for no frame.
 var frameKinds = [...]wire.Kind{
 	register.Prepare:     wire.Prepare,
 	register.Promise:     wire.Promise,
@@ -19,8 +19,8 @@
 	register.Commit:      wire.Commit,
 }
 
-// RegisterToFrame returns the frame of a message of the register. Its recipient isn't in it: that is whom the
-// connection leads to.
+// RegisterToFrame returns the frame of a message of the register. The frame does not contain the message's recipient,
+// which is the peer of the connection.
 func RegisterToFrame(m *register.Message) *wire.FrameT {
 	return &wire.FrameT{
 		Kind:         frameKinds[m.Kind],
@@ -36,7 +36,8 @@
 	}
 }
 
-// RegisterFromFrame returns the message of the register that a frame carries; ok is false for frames of other kinds.
+// RegisterFromFrame returns the register's message in a frame, without its recipient. ok is false for other kinds of
+// frames.
 func RegisterFromFrame(f *wire.FrameT) (m register.Message, ok bool) {
 	kind, ok := registerKind(f.Kind)
 	if !ok {
@@ -67,7 +68,7 @@
 	return 0, false
 }
 
-// StateToWire returns a replica's state as it is stored.
+// StateToWire converts a replica's state for storage.
 func StateToWire(s *register.State) *wire.StateT {
 	return &wire.StateT{
 		Promised:     ballotToWire(s.Promised),
@@ -79,7 +80,7 @@
 	}
 }
 
-// StateFromWire returns the replica's state that was stored.
+// StateFromWire converts the stored state of a replica.
 func StateFromWire(s *wire.StateT) *register.State {
 	incarnations, floor := incarnationsFromWire(s.Incarnations)
 	state := &register.State{
@@ -96,7 +97,7 @@
 	return state
 }
 
-// ballotToWire returns nil for the zero ballot, which takes no bytes.
+// ballotToWire returns nil for the zero ballot, so that it takes no bytes.
 func ballotToWire(b register.Ballot) *wire.BallotT {
 	if b == (register.Ballot{}) {
 		return nil
@@ -142,8 +143,8 @@
 	}
 }
 
-// incarnationsToWire returns the list of incarnations, with the floor as that of the node without a name. Its order is
-// that of the map.
+// incarnationsToWire returns the incarnations as a list in random order. The floor is sent as the incarnation of a node
+// without a name.
 func incarnationsToWire(incarnations map[string]uint32, floor uint32) []*wire.IncarnationT {
 	var list []*wire.IncarnationT
 	for node, number := range incarnations {
--- a/mesh/codec/rollout.go
+++ b/mesh/codec/rollout.go
@@ -12,7 +12,7 @@
 	"firplank/mesh/wire"
 )
 
-// rolloutsToWire returns the rollouts of a set.
+// rolloutsToWire converts the rollouts of a set.
 func rolloutsToWire(s rollout.Set) []*wire.RolloutT {
 	var converted []*wire.RolloutT
 	for i := range s.Rollouts {
@@ -47,12 +47,12 @@
 	return set
 }
 
-// RolloutsFromFrame returns the rollouts of an update; ok is false where it has none.
+// RolloutsFromFrame returns the rollouts in an update's frame. ok is false if the update has none.
 func RolloutsFromFrame(f *wire.FrameT) (set rollout.Set, ok bool) {
 	return rolloutsFromWire(f.RolloutRevision, f.Rollouts), f.RolloutRevision > 0
 }
 
-// AddEvidence adds what an entry's sidecar reports of rollouts, which goes to the control machines only, and returns the sent entry.
+// AddEvidence adds the evidence for rollouts that an entry's sidecar reports, which is sent to control machines only. It returns the entry.
 func AddEvidence(entry *wire.EntryT, e *directory.RolloutReport) *wire.EntryT {
 	entry.RolloutsConfirmed, entry.RolloutOrder, entry.OrderAgeMs = e.ConfirmedRevision, e.Order, milliseconds(e.OrderAge)
 	for i := range e.Classes {
@@ -67,8 +67,8 @@
 	return entry
 }
 
-// latenciesToWire returns the first bucket that is not empty, and the counts from there to the last one that is not, as varints; nil: all
-// are empty.
+// latenciesToWire packs a histogram as varints: the index of the first bucket that is not empty, and the counts from there to the last
+// bucket that is not empty. It returns nil if all buckets are empty.
 func latenciesToWire(l *rollout.Latencies) (packed []byte) {
 	first, last := -1, -1
 	for i, count := range l {
@@ -89,7 +89,7 @@
 	return packed
 }
 
-// latenciesFromWire returns a histogram as it was sent. What has no place in it is dropped.
+// latenciesFromWire unpacks a histogram. Counts beyond its last bucket are dropped, and an invalid varint ends it.
 func latenciesFromWire(packed []byte) (l rollout.Latencies) {
 	bucket, n := binary.Uvarint(packed)
 	for packed = packed[max(0, n):]; n > 0 && bucket < uint64(len(l)); bucket++ {
@@ -103,7 +103,7 @@
 	return l
 }
 
-// evidenceFromWire returns what an entry's sidecar reports of rollouts.
+// evidenceFromWire returns the evidence for rollouts that an entry's sidecar reports.
 func evidenceFromWire(e *wire.EntryT) directory.RolloutReport {
 	evidence := directory.RolloutReport{
 		ConfirmedRevision: e.RolloutsConfirmed,
--- a/mesh/codec/rollout_test.go
+++ b/mesh/codec/rollout_test.go
@@ -36,7 +36,7 @@
 	f.Fuzz(func(t *testing.T, received []byte) {
 		l := latenciesFromWire(received)
 		if again := latenciesFromWire(latenciesToWire(&l)); again != l {
-			t.Errorf("%v is read as %v", l, again)
+			t.Errorf("%v is unpacked as %v", l, again)
 		}
 	})
 }
--- a/mesh/codec/status.go
+++ b/mesh/codec/status.go
@@ -5,15 +5,15 @@
 	"firplank/mesh/wire"
 )
 
-// NodeStatus is what a control machine reports of itself in a frame of kind wire.Hello.
+// NodeStatus is the status of a control machine, which it reports in a frame of kind wire.Hello.
 type NodeStatus struct {
 	Voter       bool            // its replica of the register may vote
 	Draining    bool            // it is shutting down
-	DiskFailing bool            // its disk refuses writes or stalls
+	DiskFailing bool            // writes to its disk fail or stall
 	Accepted    register.Ballot // of the value on its disk
 }
 
-// SetNodeStatus puts the sender's status into a hello, whose first machine is the sender.
+// SetNodeStatus sets the sender's status in a hello, whose first machine is the sender.
 func SetNodeStatus(f *wire.FrameT, s NodeStatus) {
 	sender := f.Machines[0]
 	sender.Voter = s.Voter
@@ -22,7 +22,7 @@
 	sender.Accepted = ballotToWire(s.Accepted)
 }
 
-// NodeStatusFromFrame returns the sender's status in a hello; ok is false where the first machine isn't the sender.
+// NodeStatusFromFrame returns the sender's status in a hello. ok is false if the first machine is not the sender.
 func NodeStatusFromFrame(f *wire.FrameT) (s NodeStatus, ok bool) {
 	if len(f.Machines) == 0 || f.Machines[0].Addr != f.From {
 		return NodeStatus{}, false
--- a/mesh/storage/bench_test.go
+++ b/mesh/storage/bench_test.go
@@ -14,7 +14,7 @@
 	"firplank/mesh/register"
 )
 
-// counting counts the bytes that are written to a file system's files.
+// countingFS counts the bytes that are written to files.
 type countingFS struct {
 	vfs.FS
 	bytesWritten int64
@@ -53,7 +53,7 @@
 	return countingFile{f, c}, err
 }
 
-// sizeOf is what a folder takes.
+// folderSize returns the total size of the files in a folder and its subfolders, in bytes.
 func folderSize(disk vfs.FS, folder string) (size int64) {
 	names, _ := disk.List(folder)
 	for _, name := range names {
@@ -75,23 +75,23 @@
 	routeCount  = 1700
 )
 
-// configuration is a packed one; a change alters the weights of some routes.
+// packedConfiguration returns a packed configuration. Versions differ in the weights of some routes.
 func packedConfiguration(version int) []byte {
 	rng := rand.New(rand.NewPCG(uint64(version), 1))
-	var routes []string
+	var list []string
 	for i := range routeCount {
-		weight := 90
+		share := 90
 		if rng.IntN(50) == 0 {
-			weight = 1 + rng.IntN(98)
+			share = 1 + rng.IntN(98)
 		}
-		routes = append(routes, fmt.Sprintf(`{"name":"route-%d","routeKind":"safe","targetS":0.%d,"precedence":%d,"sorting":{"lanePrefix":"/%x/"},`+
+		list = append(list, fmt.Sprintf(`{"name":"route-%d","routeKind":"safe","targetS":0.%d,"precedence":%d,"sorting":{"lanePrefix":"/%x/"},`+
 			`"dispatch":{"split":[{"line":"service-%d","share":%d},{"line":"service-%d","share":%d}],"deadlineS":%d,"attempts":2}}`,
-			i, 1+i%9, i%4, uint32(i)*2654435761, i%60, weight, (i+7)%60, 100-weight, 1+i%5))
+			i, 1+i%9, i%4, uint32(i)*2654435761, i%60, share, (i+7)%60, 100-share, 1+i%5))
 	}
-	return config.Pack([]byte(`{"gates":[{"depot":"a.example","regulations":[` + strings.Join(routes, ",") + `]}]}`))
+	return config.Pack([]byte(`{"gates":[{"depot":"a.example","regulations":[` + strings.Join(list, ",") + `]}]}`))
 }
 
-// change is a round of the register as an acceptor sees it: a promise, then a value.
+// applyChange saves the states of an acceptor in a round that changes the configuration: a promise, then a value.
 func applyChange(s *register.State, version int, body []byte, save func(*register.State) error) error {
 	ballot := register.Ballot{Number: uint64(version), Proposer: "10.1.0.13:7620"}
 	s.Promised = ballot
@@ -104,7 +104,7 @@
 	return save(s)
 }
 
-// BenchmarkChanges makes 2,000 changes of 1,700 routes each, by format 1 and format 2, on one disk and in one run.
+// BenchmarkChanges saves 2,000 changes of a configuration of 1,700 routes, in format 1 and in format 2, on one disk and in one run.
 func BenchmarkChanges(b *testing.B) {
 	bodies := make([][]byte, 40)
 	for i := range bodies {
@@ -144,7 +144,7 @@
 	})
 }
 
-// opener opens a store in a folder, and returns how to save to it and how to close it.
+// opener opens a store in a folder, and returns functions that save to it and close it.
 type opener func(b *testing.B, disk vfs.FS, folder string) (save func(*register.State) error, end func() error)
 
 func benchmark(b *testing.B, bodies [][]byte, open opener) {
--- a/mesh/storage/compatibility_test.go
+++ b/mesh/storage/compatibility_test.go
@@ -11,7 +11,7 @@
 	"firplank/mesh/register"
 )
 
-// midChange is what a replica holds in the middle of a change of members, with a promise above what it has accepted.
+// memberChangeState returns a replica's state during a change of members, with a promise above the accepted ballot.
 func memberChangeState(version uint32) *register.State {
 	return &register.State{
 		Promised: register.Ballot{Number: uint64(version) + 5, Proposer: "10.3.0.12:7620"},
@@ -36,21 +36,21 @@
 	}
 }
 
-// promised is midChange with a promise given after it.
+// memberChangeStateWithPromise is memberChangeState with another promised ballot.
 func memberChangeStateWithPromise(version uint32, number uint64) *register.State {
 	s := memberChangeState(version)
 	s.Promised.Number = number
 	return s
 }
 
-// format1 is midChange as format 1 had it: it knew no floor of incarnations.
+// format1State is memberChangeState as stored in format 1, which had no floor of incarnations.
 func format1State(version uint32) *register.State {
 	s := memberChangeState(version)
 	s.IncarnationFloor = 0
 	return s
 }
 
-// Data folders that earlier releases wrote are read with every value, opened, written to and read again.
+// Data folders of earlier releases are read with all their values, and can be opened, written to and read again.
 func TestStoresOfEarlierReleases(t *testing.T) {
 	for _, c := range []struct {
 		folder string
@@ -88,14 +88,14 @@
 				t.Fatal(err)
 			}
 			if dropEmpty(recovered.State); !reflect.DeepEqual(recovered, c.found) {
-				t.Errorf("found %+v, expected %+v", recovered, c.found)
+				t.Errorf("recovered %+v, expected %+v", recovered, c.found)
 			}
 			checkFurtherSaves(t, store, dir, c.want)
 		})
 	}
 }
 
-// goOn saves to a store that was opened, and reads that with the next start.
+// checkFurtherSaves saves states to an opened store, and checks that they are read and recovered.
 func checkFurtherSaves(t *testing.T, store *Store, dir string, before Contents) {
 	t.Helper()
 	for version := uint32(20); version < 23; version++ {
@@ -117,17 +117,17 @@
 	}
 	reopened, recovered, err := Open(dir)
 	if err != nil || !reflect.DeepEqual(recovered, Recovered{State: memberChangeState(22), EarlierIncarnation: true}) {
-		t.Errorf("found %+v after further saves, %v", recovered, err)
+		t.Errorf("recovered %+v after further saves, %v", recovered, err)
 	}
 	if err := reopened.Close(); err != nil {
 		t.Error(err)
 	}
 	if _, err := os.Stat(filepath.Join(dir, format1Name)); err == nil {
-		t.Error("format 1 is still there")
+		t.Error("the store of format 1 was not removed")
 	}
 }
 
-// dropEmpty makes empty lists and maps nil: they aren't distinguished on disk.
+// dropEmpty replaces empty lists and maps by nil, which are not distinguished on disk.
 func dropEmpty(s *register.State) {
 	if s == nil {
 		return
--- a/mesh/storage/crash_test.go
+++ b/mesh/storage/crash_test.go
@@ -13,8 +13,8 @@
 	"firplank/mesh/register"
 )
 
-// powerLoss takes what a power loss leaves before each operation of a disk that changes something: nothing that was
-// not synced, all of it, or each block and each name by chance.
+// powerLossInjector captures images of what a power loss may leave on disk before each operation that changes the disk:
+// none of the data that was not synced, all of it, or a random part of its blocks and names.
 type powerLossInjector struct {
 	mu     sync.Mutex // pebble flushes in the background
 	disk   *vfs.MemFS
@@ -22,7 +22,7 @@
 	random *rand.Rand
 }
 
-// MaybeError implements errorfs.Injector: it fails nothing.
+// MaybeError implements errorfs.Injector. It never returns an error.
 func (p *powerLossInjector) MaybeError(op errorfs.Op) error {
 	if op.Kind.ReadOrWrite() == errorfs.OpIsRead {
 		return nil
@@ -39,7 +39,7 @@
 	}
 }
 
-// taken returns what was left so far.
+// takeImages returns and removes the images captured so far.
 func (p *powerLossInjector) takeImages() []*vfs.MemFS {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -51,13 +51,13 @@
 // String implements errorfs.Injector.
 func (p *powerLossInjector) String() string { return "power loss" }
 
-// Power lost at any write, sync, rename or removal leaves the state that was saved last or the one that was being
-// saved, never an older one and never corruption; before the first, a folder that may still begin as a voter.
+// A power loss at any write, sync, rename or removal leaves the state that was saved last or the one that was being saved,
+// never an older or a corrupt one. Before the first save, it leaves a folder that may still vote without a rejoin.
 func TestPowerLossAtAnyWriteKeepsLastSave(t *testing.T) {
 	t.Run("new generations", func(t *testing.T) {
 		v := testPowerLoss(t, 15, 24_000, 5)
 		if v.newestNumber < 5 {
-			t.Errorf("%d generations in all: too little rotation was under test", v.newestNumber)
+			t.Errorf("%d generations in total: too few rotations were tested", v.newestNumber)
 		}
 	})
 	t.Run("flushes in one generation", func(t *testing.T) {
@@ -68,7 +68,8 @@
 	})
 }
 
-// losePower saves so many states, and abandons a generation beyond a size and after so many saves, as after an error.
+// testPowerLoss saves a number of states, and checks what power losses during each save leave. A generation is rotated
+// beyond a size, and abandoned after a number of saves, as after an error.
 func testPowerLoss(t *testing.T, saves uint32, rotateSize int64, abandonEvery uint32) *Store {
 	random := rand.New(rand.NewPCG(1, 2))
 	injector := &powerLossInjector{disk: vfs.NewCrashableMem(), random: random}
@@ -100,21 +101,21 @@
 	injector.captureImages()
 	for _, disk := range injector.takeImages() {
 		if prior, err := findPriorFiles(disk, testFolder); err != nil || !prior.earlierIncarnation() {
-			t.Errorf("the mark of an earlier incarnation is lost: %+v, %v", prior, err)
+			t.Errorf("the marker of an earlier incarnation is lost: %+v, %v", prior, err)
 		}
 	}
-	t.Logf("%d losses of power, %d generations", powerLosses, store.newestNumber)
+	t.Logf("%d power losses, %d generations", powerLosses, store.newestNumber)
 	return store
 }
 
-// large is a state over several blocks of the disk, so that one in the middle may be missing.
+// largeState returns a state that takes several blocks of the disk, so that one in the middle may be missing.
 func largeState(version uint32) *register.State {
 	s := testState(version)
 	s.Value.Body = bytes.Repeat(s.Value.Body, 4)
 	return s
 }
 
-// checkRecovered fails where a disk holds neither the state numbered so nor the next one.
+// checkRecovered checks that a disk holds the state with the number lastSaved or the next one.
 func checkRecovered(t *testing.T, disk *vfs.MemFS, lastSaved uint64) {
 	t.Helper()
 	store, recovered, err := OpenFS(disk, testFolder)
@@ -125,20 +126,20 @@
 	switch {
 	case recovered.State == nil && lastSaved == 0:
 		if !recovered.MayVoteWithoutRejoin(true) {
-			t.Errorf("power lost before the first state: %+v", recovered)
+			t.Errorf("power loss before the first save: %+v", recovered)
 		}
 	case recovered.State == nil:
-		t.Errorf("state %d was saved, and found is %+v", lastSaved, recovered)
+		t.Errorf("state %d was saved, recovered %+v", lastSaved, recovered)
 	default:
 		n := recovered.State.Promised.Number
 		if n != lastSaved && n != lastSaved+1 || !reflect.DeepEqual(recovered.State.Value, largeState(uint32((n-1)/3)).Value) {
-			t.Errorf("state %d was saved, and %d is found with version %d", lastSaved, n, recovered.State.Value.Version)
+			t.Errorf("state %d was saved, recovered state %d with version %d", lastSaved, n, recovered.State.Value.Version)
 		}
 	}
 }
 
-// Power lost at any write, sync or rename of a first start leaves a folder of a voter: one with its first state, or one
-// that may still vote without a rejoin.
+// A power loss at any write, sync or rename of a first start leaves the folder of a voter, which has its first state or
+// may still vote without a rejoin.
 func TestPowerLossDuringActivationKeepsVoter(t *testing.T) {
 	injector := &powerLossInjector{disk: vfs.NewCrashableMem(), random: rand.New(rand.NewPCG(3, 4))}
 	store, recovered, err := OpenFS(errorfs.Wrap(injector.disk, injector), testFolder)
@@ -165,6 +166,6 @@
 	}
 	closeStore(t, store)
 	if withState == 0 || withState == len(images) {
-		t.Errorf("%d of %d power losses leave a state", withState, len(images))
+		t.Errorf("%d of %d power losses left a state, want some but not all", withState, len(images))
 	}
 }
--- a/mesh/storage/failstop.go
+++ b/mesh/storage/failstop.go
@@ -8,17 +8,17 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 )
 
-// failStopFS is the disk as one generation's pebble sees it: as it is, up to the first change that it refuses. From
-// there on every change is accepted and discarded, so that pebble, which can undo none of its own steps, ends them all
-// and can be closed; the generation is abandoned for that error. Closing files and locks always reaches the disk. It is
-// safe for concurrent use, as pebble flushes in the background.
+// failStopFS is the file system that pebble uses for one generation. It passes changes on to the disk until the first
+// one fails. Afterwards it discards all changes and reports success, so that pebble, which cannot undo its own steps,
+// completes them and can be closed. The generation is then abandoned because of that error. Closing files and locks
+// always reaches the disk. It is safe for concurrent use, as pebble flushes in the background.
 type failStopFS struct {
 	vfs.FS
 	mu  sync.Mutex
 	err error
 }
 
-// fail ends all changes of the disk. The first error stays.
+// fail makes the file system discard all further changes. The first error is kept.
 func (fs *failStopFS) fail(err error) {
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
@@ -27,14 +27,14 @@
 	}
 }
 
-// failure returns what ended changes of the disk; nil: nothing has.
+// failure returns the error since which changes are discarded, or nil.
 func (fs *failStopFS) failure() error {
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
 	return fs.err
 }
 
-// change changes the disk, unless that was ended.
+// mutate performs an operation that changes the disk, unless changes are discarded.
 func (fs *failStopFS) mutate(operation func() error) {
 	if fs.failure() != nil {
 		return
@@ -44,7 +44,7 @@
 	}
 }
 
-// openFile opens a file to write to; after a failure, one that leads nowhere.
+// openFile opens a file for writing. After a failure, the file is in memory and its content is discarded.
 func (fs *failStopFS) openFile(open func() (vfs.File, error)) (vfs.File, error) {
 	var f vfs.File
 	fs.mutate(func() (err error) {
@@ -52,7 +52,7 @@
 		return err
 	})
 	if fs.failure() != nil && f == nil {
-		f, _ = vfs.NewMem().Create("nowhere", vfs.WriteCategoryUnspecified) // memory refuses nothing
+		f, _ = vfs.NewMem().Create("nowhere", vfs.WriteCategoryUnspecified) // never fails, as it is in memory
 	}
 	return &failStopFile{File: f, fs: fs}, nil
 }
@@ -146,7 +146,7 @@
 	return len(b), nil
 }
 
-// Preallocate implements vfs.File. It is a hint: where the disk refuses it, the writes will fail.
+// Preallocate implements vfs.File. Its errors are ignored, as it is only a hint: if there is no space, the writes will fail.
 func (f *failStopFile) Preallocate(offset, length int64) error {
 	f.fs.mutate(func() error {
 		_ = f.File.Preallocate(offset, length)
@@ -184,5 +184,5 @@
 	return nil
 }
 
-// Fd implements vfs.File: nothing goes past the failStopFS.
+// Fd implements vfs.File. It returns no descriptor, so that nothing bypasses the failStopFS.
 func (f *failStopFile) Fd() uintptr { return vfs.InvalidFd }
--- a/mesh/storage/failstop_test.go
+++ b/mesh/storage/failstop_test.go
@@ -14,11 +14,11 @@
 	"github.com/go-faster/errors"
 )
 
-// refuser refuses, while it is on, the changes whose path contains a word.
+// writeErrorInjector fails, while it is enabled, all changes to paths that contain pathPart.
 type writeErrorInjector struct {
 	enabled  atomic.Bool
 	pathPart string
-	hits     atomic.Int32
+	injected atomic.Int32
 }
 
 // MaybeError implements errorfs.Injector.
@@ -26,15 +26,15 @@
 	if !r.enabled.Load() || op.Kind.ReadOrWrite() != errorfs.OpIsWrite || !strings.Contains(op.Path, r.pathPart) {
 		return nil
 	}
-	r.hits.Add(1)
+	r.injected.Add(1)
 	return syscall.EIO
 }
 
 // String implements errorfs.Injector.
-func (r *writeErrorInjector) String() string { return "refuses " + r.pathPart }
+func (r *writeErrorInjector) String() string { return "write errors on " + r.pathPart }
 
-// Whichever of pebble's files the disk refuses, Save returns the error, the process goes on, all stores close, and the
-// state before is still there.
+// If changes to any of pebble's files fail, Save returns the error, the process continues, all stores are closed, and
+// saves succeed again once the disk accepts changes.
 func TestSaveSurvivesWriteErrorsInAnyPebbleFile(t *testing.T) {
 	pathParts := []string{"MANIFEST", ".log", ".sst", "marker", "dbtmp", "LOCK", generationPrefix, completePrefix}
 	for _, pathPart := range pathParts {
@@ -49,21 +49,21 @@
 			t.Fatal(err)
 		}
 		injector.enabled.Store(true)
-		refused := 0
+		failedSaves := 0
 		for i := uint32(2); i < 40; i++ {
 			if store.Save(largeState(i)) != nil {
-				refused++
+				failedSaves++
 			}
 		}
-		if refused == 0 || injector.hits.Load() == 0 {
-			t.Errorf("%s: %d saves refused, of %d hits", pathPart, refused, injector.hits.Load())
+		if failedSaves == 0 || injector.injected.Load() == 0 {
+			t.Errorf("%s: %d saves failed, %d errors injected", pathPart, failedSaves, injector.injected.Load())
 		}
 		injector.enabled.Store(false)
 		if err := store.Save(largeState(50)); err != nil {
-			t.Errorf("%s: %v once the disk takes all again", pathPart, err)
+			t.Errorf("%s: %v after the disk accepts all changes again", pathPart, err)
 		}
 		if n := store.closingGenerations.Load(); n != 0 {
-			t.Errorf("%s: %d stores are not closed", pathPart, n)
+			t.Errorf("%s: %d generations are not closed", pathPart, n)
 		}
 		closeStore(t, store)
 		if c, err := ReadFS(memory, testFolder); err != nil || c.State.Value.Version != 50 {
@@ -72,7 +72,7 @@
 	}
 }
 
-// Refused saves leave no goroutine and no folder behind.
+// Failed saves leave no goroutines and no folders behind.
 func TestFailedSavesLeakNoGoroutinesOrFolders(t *testing.T) {
 	for _, pathPart := range []string{"MANIFEST", ".log", completePrefix} {
 		injector := &writeErrorInjector{pathPart: pathPart}
@@ -85,27 +85,27 @@
 		before := runtime.NumGoroutine()
 		for i := range uint32(100) {
 			if store.Save(testState(i)) == nil {
-				t.Fatalf("%s: save %d is taken", pathPart, i)
+				t.Fatalf("%s: save %d succeeds", pathPart, i)
 			}
 		}
 		if after := runtime.NumGoroutine(); after > before+20 {
-			t.Errorf("%s: %d goroutines, and %d before", pathPart, after, before)
+			t.Errorf("%s: %d goroutines, %d before the saves", pathPart, after, before)
 		}
 		names, err := memory.List(filepath.Join(testFolder, registerName))
 		if err != nil || len(names) > 2 {
-			t.Errorf("%s: left are %v, %v", pathPart, names, err)
+			t.Errorf("%s: the folder has %v, %v", pathPart, names, err)
 		}
 		closeStore(t, store)
 	}
 }
 
-// staller does not return from closing logs until it is released.
+// stallingFS blocks when log files are closed.
 type stallingFS struct {
 	vfs.FS
-	release chan struct{} // closed: it returns
+	release chan struct{} // when closed, the calls return
 }
 
-type stalledFile struct {
+type stallingFile struct {
 	vfs.File
 	release chan struct{}
 }
@@ -116,16 +116,17 @@
 	if err != nil || !strings.HasSuffix(name, logExtension) {
 		return f, err
 	}
-	return &stalledFile{f, s.release}, nil
+	return &stallingFile{f, s.release}, nil
 }
 
 // Close implements vfs.File.
-func (f *stalledFile) Close() error {
+func (f *stallingFile) Close() error {
 	<-f.release
 	return f.File.Close()
 }
 
-// Stores that the disk does not let close are bounded, and saving goes on once it does.
+// The number of generations that cannot be closed because the disk stalls is limited, and saves succeed again once they
+// are closed.
 func TestStalledGenerationsAreBounded(t *testing.T) {
 	disk := &stallingFS{vfs.NewMem(), make(chan struct{})}
 	store, _, err := OpenFS(disk, testFolder)
@@ -141,7 +142,7 @@
 	}
 	for range 3 {
 		if err := store.Save(testState(40)); !errors.Is(err, ErrStalled) {
-			t.Fatalf("with %d stores stalled: %v", store.closingGenerations.Load(), err)
+			t.Fatalf("save with %d stalled generations: %v, want ErrStalled", store.closingGenerations.Load(), err)
 		}
 	}
 	close(disk.release)
@@ -155,7 +156,7 @@
 	closeStore(t, store)
 }
 
-// What a store that does not close still holds, its folder's lock above all, does not stop the next one.
+// What a generation that cannot be closed still holds, such as its folder's lock, does not block the next generation.
 func TestStalledGenerationDoesNotBlockTheNext(t *testing.T) {
 	injector := &writeErrorInjector{pathPart: completePrefix}
 	disk := &stallingFS{errorfs.Wrap(vfs.NewMem(), injector), make(chan struct{})}
@@ -166,11 +167,11 @@
 	store.closeTimeout = 0
 	injector.enabled.Store(true)
 	if store.Save(testState(1)) == nil {
-		t.Error("a generation without its mark is taken")
+		t.Error("a save succeeds without the marker of its generation")
 	}
 	injector.enabled.Store(false)
 	if err := store.Save(testState(2)); err != nil || store.closingGenerations.Load() != 1 {
-		t.Errorf("beside %d stalled stores: %v", store.closingGenerations.Load(), err)
+		t.Errorf("save with %d stalled generations: %v", store.closingGenerations.Load(), err)
 	}
 	if c, err := ReadFS(disk, testFolder); err != nil || c.State.Value.Version != 2 {
 		t.Errorf("%+v, %v", c, err)
--- a/mesh/storage/files.go
+++ b/mesh/storage/files.go
@@ -13,12 +13,14 @@
 // The names in a data folder:
 //
 //	lock                     locked while a process has the folder open
-//	starting, begun          empty: marks of a first start, and of a replica that sends messages
-//	register/store-NUMBER/   generation NUMBER, in 16 hexadecimal digits, as pebble names its files
-//	register/whole-NUMBER    empty: the mark that generation NUMBER holds a complete state
+//	starting                 empty: marks the folder of a first start
+//	begun                    empty: marks the folder of a replica that may have sent messages
+//	register/store-NUMBER/   the pebble store of generation NUMBER, in 16 hexadecimal digits
+//	register/whole-NUMBER    empty: marks generation NUMBER as complete, that is, as holding a whole state
 //	register/synced          the sequence number of the newest durable save (synced.go)
 //	book/                    a store of format 1 (format1.go)
-//	register.damaged/        a corrupt register that was set aside, and book.damaged/
+//	register.damaged/        a corrupt register that was set aside
+//	book.damaged/            a corrupt store of format 1 that was set aside
 const (
 	lockName         = "lock"
 	startingName     = "starting"
@@ -29,11 +31,11 @@
 	syncedName       = "synced"
 	format1Name      = "book"
 	damagedSuffix    = ".damaged"
-	// logExtension is that of pebble's write-ahead logs.
+	// logExtension is the extension of pebble's write-ahead logs.
 	logExtension = ".log"
 )
 
-// dirMode is the mode of the folders that are made.
+// dirMode is the mode of folders that are created.
 const dirMode = 0o755
 
 func registerDir(dir string) string { return filepath.Join(dir, registerName) }
@@ -56,12 +58,12 @@
 		return false, nil
 	}
 	if err != nil {
-		return false, errors.Wrapf(err, "look for %s", path)
+		return false, errors.Wrapf(err, "stat %s", path)
 	}
 	return true, nil
 }
 
-// list returns the names in a subfolder; none where there is no such folder.
+// listDir returns the names in a subfolder. There are none if the subfolder does not exist.
 func listDir(disk vfs.FS, dir, subfolder string) ([]string, error) {
 	path := filepath.Join(dir, subfolder)
 	names, err := disk.List(path)
@@ -91,7 +93,7 @@
 	return exists(disk, filepath.Join(dir, name))
 }
 
-// makeMark makes an empty file durably, where it isn't there.
+// createMarker durably creates an empty file, unless it exists.
 func createMarker(disk vfs.FS, dir, name string) error {
 	if found, err := markerExists(disk, dir, name); err != nil || found {
 		return err
@@ -111,7 +113,7 @@
 	return syncDir(disk, dir)
 }
 
-// makeDir makes a folder and those above it durably, where they aren't there.
+// ensureDir durably creates a folder and its parents, unless they exist.
 func ensureDir(disk vfs.FS, dir string) error {
 	if there, err := exists(disk, dir); err != nil || there {
 		return err
@@ -123,7 +125,7 @@
 		}
 	}
 	if err := disk.MkdirAll(dir, dirMode); err != nil {
-		return errors.Wrapf(err, "make %s", dir)
+		return errors.Wrapf(err, "create %s", dir)
 	}
 	return syncDir(disk, parent)
 }
@@ -134,14 +136,14 @@
 	if err != nil {
 		return errors.Wrapf(err, "open %s", dir)
 	}
-	defer func() { _ = d.Close() }() // what counts is the sync
+	defer func() { _ = d.Close() }() // only the sync matters
 	if err := d.Sync(); err != nil {
 		return errors.Wrapf(err, "sync %s", dir)
 	}
 	return nil
 }
 
-// setAside renames a folder durably, for an operator to look at; one that was set aside before is removed.
+// setAside durably renames a folder, so that an operator can examine it. A folder that was set aside before is removed.
 func setAside(disk vfs.FS, dir, name string) error {
 	path := filepath.Join(dir, name)
 	if there, err := exists(disk, path); err != nil || !there {
--- a/mesh/storage/format1.go
+++ b/mesh/storage/format1.go
@@ -11,13 +11,13 @@
 	"firplank/mesh/register"
 )
 
-// Format 1 was one pebble store, in the folder "book", with one key, "book". Its record, little endian:
+// Format 1 was one pebble store, in the folder "book", with a single key, "book". Its record, little endian:
 //
 //	1  version of the format, 1
 //	8  xxHash64 of all that follows
 //	   a State of wire.fbs
 //
-// It is only read: the first save begins a generation of format 2, after which the store of format 1 is removed.
+// It is only read. The first save creates a generation of format 2, after which the store of format 1 is removed.
 const (
 	format1Version    = 1
 	format1HeaderSize = 1 + 8
@@ -25,7 +25,7 @@
 
 var format1Key = []byte("book")
 
-// readFormat1 returns the state of a store of format 1; nil: there is none.
+// readFormat1 returns the state in a store of format 1, or nil if there is none.
 func readFormat1(disk vfs.FS, dir string) (*register.State, error) {
 	folder := format1Dir(dir)
 	if there, err := exists(disk, folder); err != nil || !there {
--- a/mesh/storage/format1_test.go
+++ b/mesh/storage/format1_test.go
@@ -10,7 +10,7 @@
 	"firplank/mesh/wire"
 )
 
-// encodeFormat1 is a state as format 1 wrote it, promise or not.
+// encodeFormat1 returns the record of a state in format 1.
 func encodeFormat1(s *register.State) []byte {
 	body := wire.EncodeState(codec.StateToWire(s))
 	b := binary.LittleEndian.AppendUint64([]byte{format1Version}, xxhash.Sum64(body))
--- a/mesh/storage/format2.go
+++ b/mesh/storage/format2.go
@@ -11,23 +11,23 @@
 	"firplank/mesh/wire"
 )
 
-// Format 2 has two keys, "value" and "ballots". Their records begin alike; numbers are little endian:
+// Format 2 has two keys, "value" and "ballots". Both records begin with the same header. Numbers are little endian:
 //
 //	1  version of the format, 2
 //	8  xxHash64 of all that follows
 //
-// The record of "value" goes on with a State of wire.fbs that has the accepted ballot and its value alone. That of
-// "ballots" goes on so:
+// The record of "value" continues with a State of wire.fbs that has only the accepted ballot and its value. The record
+// of "ballots" continues with:
 //
-//	20 stamp: "FPR2", sequence number of the save (8), xxHash64 of these twelve (8)
-//	8  the checksum in the record of the value that it belongs to
+//	20 stamp: "FPR2", sequence number of the save (8), xxHash64 of these twelve bytes (8)
+//	8  the checksum in the record of the value that the ballots belong to
 //	   a State without its value
 //	20 the stamp again
 //
-// Each save has the next sequence number, whatever became of the one before. Stamps are looked for in the bytes of
-// pebble's log: each save of a store is synced before the next begins, so that a stamp two above the state that pebble
-// reads proves a synced save that pebble lost. There are two, as the log is written in blocks, whose border may cut one
-// of them.
+// Each save has the next sequence number, even if the save before it failed. Reading searches the bytes of pebble's log
+// for stamps: each save is synced before the next one begins, so that a stamp two above the state that pebble reads
+// proves that pebble lost a synced save. There are two stamps because the log is written in blocks, and the border of a
+// block may split one of them.
 const (
 	format2Version    = 2
 	recordHeaderSize  = 1 + 8
@@ -47,7 +47,7 @@
 	return binary.LittleEndian.AppendUint64(b, xxhash.Sum64(b))
 }
 
-// readStamp reads the stamp that bytes begin with.
+// decodeStamp returns the sequence number of the stamp at the beginning of b. ok is false if there is no valid stamp.
 func decodeStamp(b []byte) (sequence uint64, ok bool) {
 	if len(b) < stampSize || !bytes.HasPrefix(b, stampMagic) {
 		return 0, false
@@ -56,7 +56,7 @@
 	return sequence, bytes.Equal(b[:stampSize], encodeStamp(sequence))
 }
 
-// highestStamp returns the highest sequence number of all stamps in a file's bytes; 0: there is none.
+// highestStamp returns the highest sequence number of all stamps in a file's bytes, or 0 if there is none.
 func highestStamp(file []byte) (highest uint64) {
 	for {
 		next := bytes.Index(file, stampMagic)
@@ -71,13 +71,13 @@
 	}
 }
 
-// sealRecord puts version and checksum ahead of a record's body.
+// encodeRecord returns a record: version and checksum, followed by the body.
 func encodeRecord(body []byte) []byte {
 	record := binary.LittleEndian.AppendUint64([]byte{format2Version}, xxhash.Sum64(body))
 	return append(record, body...)
 }
 
-// openRecord checks a record, and returns its body and checksum.
+// decodeRecord verifies a record, and returns its body and checksum.
 func decodeRecord(record []byte) (body []byte, checksum uint64, err error) {
 	if len(record) < recordHeaderSize || record[0] != format2Version {
 		return nil, 0, corruptError("record's version")
@@ -97,7 +97,7 @@
 	return encodeRecord(wire.EncodeState(codec.StateToWire(&valueOnly)))
 }
 
-// ballotsRecord has all of a state but its value, whose record has the given checksum.
+// encodeBallotsRecord returns the record of a state without its value, whose record has the given checksum.
 func encodeBallotsRecord(state *register.State, sequence, valueChecksum uint64) []byte {
 	withoutValue := codec.StateToWire(state)
 	withoutValue.Value = nil
@@ -107,8 +107,8 @@
 	return encodeRecord(append(body, stamp...))
 }
 
-// joinRecords returns the state of its two records, and its save's sequence number. The ballots have to belong to this
-// very value.
+// stateFromRecords returns the state in two records, and the sequence number of its save. The records are corrupt if the
+// ballots belong to another value.
 func stateFromRecords(ballots, value []byte) (state *register.State, sequence uint64, err error) {
 	ballotsBody, _, err := decodeRecord(ballots)
 	if err != nil {
@@ -139,7 +139,7 @@
 	return state, sequence, nil
 }
 
-// decodeState returns the state of a State of wire.fbs; it doesn't keep the bytes.
+// decodeState returns the state in a State of wire.fbs. The state does not share the table's bytes.
 func decodeState(table []byte) (*register.State, error) {
 	s, err := wire.DecodeState(bytes.Clone(table))
 	if err != nil {
--- a/mesh/storage/generation.go
+++ b/mesh/storage/generation.go
@@ -7,7 +7,7 @@
 	"firplank/mesh/register"
 )
 
-// generation is a pebble store that is open to be written. It isn't safe for concurrent use.
+// generation is a pebble store that is open for writing. It is not safe for concurrent use.
 type generation struct {
 	fs          *failStopFS
 	db          *pebble.DB // nil: it could not be opened
@@ -17,7 +17,7 @@
 	valueChecksum uint64          // of that value's record
 }
 
-// openGeneration makes a new store. One that is returned with an error has to be abandoned all the same.
+// openGeneration creates a new store. If it returns an error, the returned generation has to be abandoned nevertheless.
 func openGeneration(disk vfs.FS, folder string, memTableSize uint64) (*generation, error) {
 	g := &generation{fs: &failStopFS{FS: disk}}
 	err := callPebble(func() (err error) {
@@ -32,21 +32,21 @@
 	return g, g.diskErrorOr(err)
 }
 
-// errorOf returns what the disk refused, or else pebble's error.
+// diskErrorOr returns the disk's first error, or pebble's error if there is none.
 func (g *generation) diskErrorOr(err error) error {
-	if refused := g.fs.failure(); refused != nil {
-		return refused
+	if diskErr := g.fs.failure(); diskErr != nil {
+		return diskErr
 	}
 	return err
 }
 
-// lacksValueOf reports whether a state has another value than the one in the store. Ballots are unique to a value but
-// for the zero ballot, whose value may have changed.
+// valueDiffersFrom reports whether a state's value may differ from the one in the store. A ballot identifies its value,
+// except for the zero ballot, whose value may have changed.
 func (g *generation) valueDiffersFrom(state *register.State) bool {
 	return state.Accepted != g.accepted || state.Accepted == (register.Ballot{})
 }
 
-// write returns once a state is durable. Without withValue, its value has to be the one in the store.
+// write returns once a state is durable. If withValue is false, the state's value has to be the one in the store.
 func (g *generation) write(state *register.State, sequence uint64, withValue bool) error {
 	checksum := g.valueChecksum
 	var value []byte
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// commit writes the records in one synced batch; a nil value stays as it is.
+// commitRecords writes the records in one synced batch. If value is nil, the stored value is unchanged.
 func commitRecords(db *pebble.DB, ballots, value []byte) error {
 	batch := db.NewBatch()
 	if err := batch.Set(ballotsKey, ballots, nil); err != nil {
--- a/mesh/storage/main_test.go
+++ b/mesh/storage/main_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// garbagePercent spares half of the tests' time: they open some ten thousand stores, each of which is garbage at once.
+// garbagePercent makes garbage collections rare, which halves the time of the tests: they open about ten thousand
+// stores, each of which is garbage at once.
 const garbagePercent = 800
 
 func TestMain(m *testing.M) {
--- a/mesh/storage/pebble.go
+++ b/mesh/storage/pebble.go
@@ -11,17 +11,18 @@
 )
 
 const (
-	// memTableSize and cacheSize are what pebble may take of memory for a store, in bytes.
+	// memTableSize and cacheSize limit the memory of pebble for a store, in bytes.
 	memTableSize = 1 << 20
 	cacheSize    = 1 << 20
-	// maxOpenFiles bounds the files that pebble has open in a store.
+	// maxOpenFiles limits the files that pebble has open in a store.
 	maxOpenFiles = 32
-	// maxLevelZeroFiles is more than a generation can flush: nothing waits for a compaction, as none is made.
+	// maxLevelZeroFiles is more than the files that a generation can flush, so that writes never stop to wait for a
+	// compaction: compactions are disabled.
 	maxLevelZeroFiles = 1000
 )
 
-// errPebbleExited is returned where pebble ended a call for good (Logger.Fatalf).
-var errPebbleExited = errors.New("pebble ended the call")
+// errPebbleExited is returned if pebble ended a call with Logger.Fatalf.
+var errPebbleExited = errors.New("pebble ended the call after a fatal error")
 
 func pebbleOptions(disk vfs.FS, memTableSize uint64, log pebble.Logger) *pebble.Options {
 	return &pebble.Options{
@@ -36,9 +37,9 @@
 	}
 }
 
-// callPebble makes a call of pebble in a goroutine of its own, waits for it, and returns its error, also where the call
-// panics or its goroutine is ended. Pebble counts on Fatalf not to return; what it holds then is released by its
-// deferred calls or stays held, so that a store in which this happened is only ever abandoned.
+// callPebble calls pebble in a separate goroutine, waits for it, and returns its error. It also returns an error if the
+// call panics or its goroutine ends. Pebble relies on Fatalf not returning. Locks that it holds at that time are released
+// only if a deferred call does so. Therefore a store in which this has happened has to be abandoned.
 func callPebble(call func() error) error {
 	result := make(chan error, 1)
 	go func() {
@@ -54,10 +55,10 @@
 	return <-result
 }
 
-// pebbleLogger drops messages. Where pebble would end the process, it reports the error and ends the goroutine that
-// logs.
+// pebbleLogger discards messages. On an error for which pebble would end the process, it reports the error and ends the
+// calling goroutine.
 type pebbleLogger struct {
-	onFatal func(error) // nil: it isn't reported
+	onFatal func(error) // nil: errors are not reported
 }
 
 // Infof implements pebble.Logger.
@@ -74,8 +75,8 @@
 	runtime.Goexit()
 }
 
-// copyToMemory copies a store's folder into memory to be read there: an error of the disk comes from the copying, and
-// whatever pebble then finds wrong is corruption. Nothing in the folder changes, and no lock of it is taken.
+// copyToMemory copies a store's folder into memory, where pebble can read it. In this way, errors of the disk only occur
+// while copying, and an error that pebble returns afterwards is corruption. The folder is neither changed nor locked.
 func copyToMemory(disk vfs.FS, folder string) (*vfs.MemFS, error) {
 	memory := vfs.NewMem()
 	there, err := vfs.Clone(disk, memory, folder, folder)
@@ -88,7 +89,7 @@
 	return memory, nil
 }
 
-// getRecords reads records of a store in memory.
+// getRecords returns the records of some keys of a store in memory.
 func getRecords(memory *vfs.MemFS, folder string, keys ...[]byte) (records [][]byte, err error) {
 	err = callPebble(func() error {
 		cache := pebble.NewCache(cacheSize)
@@ -115,7 +116,7 @@
 			return nil, err
 		}
 		records = append(records, bytes.Clone(b))
-		_ = closer.Close() // releases the bytes that were copied
+		_ = closer.Close() // releases b, which was copied
 	}
 	return records, nil
 }
--- a/mesh/storage/pebble_test.go
+++ b/mesh/storage/pebble_test.go
@@ -10,7 +10,7 @@
 	"github.com/go-faster/errors"
 )
 
-// A call that returns, panics or is ended by the logger's Fatalf has a result, and none of them ends the process.
+// callPebble returns whether its call returns, panics or is ended by the logger's Fatalf, and the process continues.
 func TestCallPebbleAlwaysReturns(t *testing.T) {
 	if err := callPebble(func() error { return nil }); err != nil {
 		t.Error(err)
@@ -20,7 +20,7 @@
 		t.Error(err)
 	}
 	if err := callPebble(func() error { panic("a bug") }); err == nil {
-		t.Error("a panic is no error")
+		t.Error("a panic returns no error")
 	}
 	var reported error
 	returned := false
@@ -30,12 +30,12 @@
 		return nil
 	})
 	if !errors.Is(err, errPebbleExited) || reported == nil || reported.Error() != "MANIFEST 7" || returned {
-		t.Errorf("%v, %v noted, returned %v", err, reported, returned)
+		t.Errorf("error %v, reported %v, Fatalf returned %v", err, reported, returned)
 	}
 }
 
-// What pebble would end the process for ends its call alone, also with its locks held, where the disk's refusals do
-// reach pebble.
+// An error of the disk for which pebble would end the process only ends the call, even if pebble holds locks. Here the
+// errors reach pebble, because there is no failStopFS.
 func TestPebbleFatalErrorEndsOnlyTheCall(t *testing.T) {
 	injector := &writeErrorInjector{pathPart: "marker.manifest"}
 	disk := errorfs.Wrap(vfs.NewMem(), injector)
@@ -50,7 +50,7 @@
 	}
 	injector.enabled.Store(true)
 	if err := open("/one"); !errors.Is(err, errPebbleExited) || fatal.Load() != 1 {
-		t.Errorf("opened on a disk that refuses to name the MANIFEST: %v, %d fatal", err, fatal.Load())
+		t.Errorf("open with errors on the MANIFEST's marker: %v, %d fatal errors", err, fatal.Load())
 	}
 	injector.enabled.Store(false)
 	if err := open("/two"); err != nil {
@@ -60,9 +60,9 @@
 	injector.enabled.Store(true)
 	err := callPebble(func() error { return db.Set(valueKey, []byte("x"), pebble.Sync) })
 	if !errors.Is(err, errPebbleExited) || fatal.Load() != 2 {
-		t.Errorf("written to a disk that refuses the log: %v, %d fatal", err, fatal.Load())
+		t.Errorf("write with errors on the log: %v, %d fatal errors", err, fatal.Load())
 	}
 	if err := callPebble(db.Close); errors.Is(err, errPebbleExited) {
-		t.Error("a store whose log was refused does not close")
+		t.Error("a store with errors on its log cannot be closed")
 	}
 }
--- a/mesh/storage/read.go
+++ b/mesh/storage/read.go
@@ -9,18 +9,18 @@
 	"firplank/mesh/register"
 )
 
-// Contents is what a data folder holds.
+// Contents is the content of a data folder.
 type Contents struct {
 	State      *register.State // nil: there is none
 	Generation uint64          // number of the current generation; 0: the state is of format 1, or there is none
-	Sequence   uint64          // of the save of this state
+	Sequence   uint64          // sequence number of the save of State
 }
 
-// Read returns what a data folder holds and changes nothing in it. No process may have the folder open. The error is
-// ErrCorrupt or one of the disk.
+// Read returns the content of a data folder, without changing the folder. No process may have the folder open. The error
+// is ErrCorrupt or one of the disk.
 func Read(dir string) (Contents, error) { return ReadFS(vfs.Default, dir) }
 
-// ReadFS is Read on another file system, for tests of what disks do.
+// ReadFS is Read on another file system, for tests with failing disks.
 func ReadFS(disk vfs.FS, dir string) (Contents, error) {
 	c, err := readCurrent(disk, dir)
 	if err != nil || c.State != nil {
@@ -30,7 +30,7 @@
 	return c, err
 }
 
-// readCurrent reads the current generation, which is the highest that is complete.
+// readCurrent reads the current generation, which is the highest complete one.
 func readCurrent(disk vfs.FS, dir string) (c Contents, err error) {
 	generations, err := listGenerations(disk, dir)
 	if err != nil {
@@ -45,7 +45,7 @@
 	}
 	if c.Generation == 0 {
 		if syncedSequence > 0 {
-			return c, corruptError("saves were synced, and no generation is complete")
+			return c, corruptError("saves were synced, but no generation is complete")
 		}
 		return c, nil
 	}
@@ -53,7 +53,8 @@
 	return c, err
 }
 
-// readGeneration reads a store, in which the save numbered synced is known to have been synced.
+// readGeneration reads the store of a generation. The save with the number syncedSequence is known to have been synced,
+// so that an older state is corrupt.
 func readGeneration(disk vfs.FS, folder string, syncedSequence uint64) (*register.State, uint64, error) {
 	memory, err := copyToMemory(disk, folder)
 	if err != nil {
@@ -77,7 +78,7 @@
 	return state, sequence, nil
 }
 
-// highestStampIn returns the highest stamp in a store's logs.
+// highestStampIn returns the highest sequence number of all stamps in a store's logs, or 0 if there is none.
 func highestStampIn(disk vfs.FS, folder string) (highest uint64, err error) {
 	names, err := disk.List(folder)
 	if err != nil {
--- a/mesh/storage/recovery.go
+++ b/mesh/storage/recovery.go
@@ -6,33 +6,32 @@
 	"firplank/mesh/register"
 )
 
-// Recovered is what a data folder held when it was opened.
+// Recovered is the content of a data folder when it was opened.
 type Recovered struct {
-	// State is what was saved last; nil: there is none that is complete.
+	// State is the state that was saved last, or nil if there is no complete one.
 	State *register.State
-	// Corrupt reports that there was a state whose bytes aren't those that were written.
+	// Corrupt is set if there was a state and its bytes differ from those that were written.
 	Corrupt bool
-	// EarlierIncarnation reports that a replica over this folder may have sent messages before, whatever is left of what
-	// it saved.
+	// EarlierIncarnation is set if a replica with this folder may have sent messages before, even if its state is lost.
 	EarlierIncarnation bool
 }
 
-// MayVoteWithoutRejoin decides whether a replica over this folder may vote without a rejoin: only at the
-// first start of the whole system, and only where nothing in the folder shows that a replica was here before.
-// Corruption is no first start: what was lost may have held promises.
+// MayVoteWithoutRejoin reports whether a replica without a state may vote without a rejoin. It may only do so at the
+// first start of the whole system, and only if nothing in the folder shows that a replica used it before. A corrupt
+// folder does not count as a first start, because the lost state may have had promises.
 func (r *Recovered) MayVoteWithoutRejoin(firstStart bool) bool {
 	return firstStart && r.State == nil && !r.Corrupt && !r.EarlierIncarnation
 }
 
-// traces are what a data folder held before anything was made in it.
+// priorFiles tells which files a data folder had before it was opened.
 type priorFiles struct {
-	starting   bool // the mark of a first start that never came to send messages
-	active     bool // the mark of a replica that did
-	storeFiles bool // files of the store, whatever they hold
+	starting   bool // the marker of a first start; without that of an active replica, no message was sent
+	active     bool // the marker of a replica that may have sent messages
+	storeFiles bool // any file of a store, whatever its content
 }
 
-// earlierIncarnation reports whether a replica may have sent messages. Files without the mark of an unfinished start
-// are those of a replica whose marks were lost, or that knew none.
+// earlierIncarnation reports whether a replica may have sent messages. Store files without the marker of a first start
+// belong to a replica whose markers were lost, or to a release that had no markers.
 func (t priorFiles) earlierIncarnation() bool {
 	return t.active || t.storeFiles && !t.starting
 }
--- a/mesh/storage/recovery_test.go
+++ b/mesh/storage/recovery_test.go
@@ -9,8 +9,8 @@
 	"firplank/mesh/register"
 )
 
-// Only an untouched folder, or one whose first start never came to send messages, makes a voter without a
-// rejoin.
+// Only a folder that was not used before, or whose first start ended before it sent messages, lets a replica vote
+// without a rejoin.
 func TestOnlyUnusedFolderVotesWithoutRejoin(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -21,14 +21,14 @@
 	}{
 		{"an empty folder at the first start", priorFiles{}, Recovered{}, true, true},
 		{"an empty folder at a later start", priorFiles{}, Recovered{}, false, false},
-		{"the first start was cut off before it sent messages", priorFiles{starting: true, storeFiles: true}, Recovered{}, true, true},
-		{"it sent messages, and its store is empty", priorFiles{starting: true, active: true, storeFiles: true}, Recovered{}, true, false},
-		{"it sent messages, and its store is gone", priorFiles{starting: true, active: true}, Recovered{}, true, false},
-		{"it sent messages, and all but that mark is gone", priorFiles{active: true}, Recovered{}, true, false},
-		{"files without any mark", priorFiles{storeFiles: true}, Recovered{}, true, false},
+		{"the first start ended before it sent messages", priorFiles{starting: true, storeFiles: true}, Recovered{}, true, true},
+		{"messages were sent, and the store is empty", priorFiles{starting: true, active: true, storeFiles: true}, Recovered{}, true, false},
+		{"messages were sent, and the store is missing", priorFiles{starting: true, active: true}, Recovered{}, true, false},
+		{"messages were sent, and only that marker is left", priorFiles{active: true}, Recovered{}, true, false},
+		{"store files without any marker", priorFiles{storeFiles: true}, Recovered{}, true, false},
 		{"a damaged state", priorFiles{}, Recovered{Corrupt: true}, true, false},
-		{"a damaged state of a start that never sent messages", priorFiles{starting: true, storeFiles: true}, Recovered{Corrupt: true}, true, false},
-		{"a complete state is taken as it is", priorFiles{}, Recovered{State: &register.State{}}, true, false},
+		{"a damaged state before any message was sent", priorFiles{starting: true, storeFiles: true}, Recovered{Corrupt: true}, true, false},
+		{"a complete state", priorFiles{}, Recovered{State: &register.State{}}, true, false},
 	} {
 		c.found.EarlierIncarnation = c.before.earlierIncarnation()
 		if got := c.found.MayVoteWithoutRejoin(c.first); got != c.want {
@@ -57,8 +57,8 @@
 	return fs
 }
 
-// A store that lost its files or had bytes altered is reported as corrupt, opens empty, and reports it again at the
-// next start.
+// A store whose files were removed or altered opens without a state, and its replica may not vote without a rejoin, at
+// this start and at the next one.
 func TestDamagedStoreIsNotTakenForFirstStart(t *testing.T) {
 	for name, damage := range map[string]func(fs *vfs.MemFS, file string) error{
 		"all files removed":     func(fs *vfs.MemFS, file string) error { return fs.Remove(file) },
@@ -83,14 +83,14 @@
 				t.Fatalf("%s: %v", name, err)
 			}
 			if recovered.State != nil || recovered.MayVoteWithoutRejoin(true) {
-				t.Errorf("%s, start %d: %+v may vote without rejoining", name, start, recovered)
+				t.Errorf("%s, start %d: %+v may vote without a rejoin", name, start, recovered)
 			}
 			closeStore(t, store)
 		}
 	}
 }
 
-// filesIn are the files of a folder and of those in it.
+// listFiles returns the files in a folder and its subfolders.
 func listFiles(t *testing.T, fs vfs.FS, dir string) (files []string) {
 	t.Helper()
 	names, err := fs.List(dir)
--- a/mesh/storage/rotation.go
+++ b/mesh/storage/rotation.go
@@ -10,14 +10,14 @@
 	"firplank/mesh/register"
 )
 
-// memTablesPerState is the size of a generation's memtable in states of the size that it begins with, so that large
-// values make pebble flush seldom.
+// statesPerMemTable is the minimum size of a generation's memtable, in states of the size that the generation begins
+// with, so that pebble rarely flushes even if values are large.
 const statesPerMemTable = 4
 
-// generationList is the numbers of the generations in a folder, unordered.
+// generationList has the numbers of the generations in a folder, unordered.
 type generationList struct {
-	complete []uint64 // have the mark that they hold a complete state
-	all      []uint64 // have a store or a mark; twice where both
+	complete []uint64 // have the marker of a complete generation
+	all      []uint64 // have a store or a marker; listed twice if both
 }
 
 func listGenerations(disk vfs.FS, dir string) (generations generationList, err error) {
@@ -46,8 +46,8 @@
 	return generations, nil
 }
 
-// rotate begins a generation with a complete state, and removes those before it once the new one would be read after a
-// power loss.
+// rotate creates a generation with a complete state. It removes the earlier ones once the new one is durable, that is,
+// once it would be read after a power loss.
 func (s *Store) rotate(state *register.State) error {
 	s.abandon()
 	if s.closingGenerations.Load() >= maxClosingGenerations {
@@ -59,14 +59,14 @@
 	s.newestNumber++
 	if err := s.createGeneration(state); err != nil {
 		s.abandon()
-		return errors.Wrapf(err, "begin generation %d of the register", s.newestNumber)
+		return errors.Wrapf(err, "create generation %d of the register", s.newestNumber)
 	}
 	s.currentNumber = s.newestNumber
 	s.removeOlder()
 	return nil
 }
 
-// begin makes generation s.newest with a state in it, and marks it complete.
+// createGeneration creates generation s.newestNumber, writes a state to it and marks it complete.
 func (s *Store) createGeneration(state *register.State) (err error) {
 	folder := generationDir(s.dir, s.newestNumber)
 	table := max(s.memTableSize, statesPerMemTable*uint64(len(state.Value.Body)))
@@ -82,8 +82,8 @@
 	return createMarker(s.disk, registerDir(s.dir), numberedName(completePrefix, s.newestNumber))
 }
 
-// removeIncomplete removes what a failed begin has left. Its mark goes first, durably, so that no mark is ever without
-// its store; so at most one such store is there besides the current one.
+// removeIncomplete removes the files of a createGeneration that failed, so that there is at most one such store besides
+// the current one. The marker is durably removed first, so that a marker never exists without its store.
 func (s *Store) removeIncomplete() error {
 	generations, err := listGenerations(s.disk, s.dir)
 	if err != nil {
@@ -94,7 +94,7 @@
 			continue
 		}
 		if err := s.disk.Remove(completeMarkerPath(s.dir, number)); err != nil {
-			return errors.Wrapf(err, "remove the mark of generation %d", number)
+			return errors.Wrapf(err, "remove the marker of generation %d", number)
 		}
 	}
 	if err := syncDir(s.disk, registerDir(s.dir)); err != nil {
@@ -111,10 +111,10 @@
 	return nil
 }
 
-// removeOlder removes what was current before. What the disk refuses to remove takes space only, and goes with the next
-// generation.
+// removeOlder removes the generations before the current one, and the store of format 1. Errors are ignored: files that
+// cannot be removed only take space, and the next rotation tries again.
 func (s *Store) removeOlder() {
-	generations, _ := listGenerations(s.disk, s.dir) // none, where the disk refuses
+	generations, _ := listGenerations(s.disk, s.dir) // empty on an error
 	for _, number := range generations.all {
 		if number < s.currentNumber {
 			_ = s.disk.Remove(completeMarkerPath(s.dir, number))
--- a/mesh/storage/store.go
+++ b/mesh/storage/store.go
@@ -1,13 +1,13 @@
-// Package storage keeps a register replica's state on disk, and is the only code of the mesh that knows a disk.
-// Store.Save returns once a state is durable; Open returns what was saved last, or that it is corrupt.
+// Package storage stores the state of a register replica on disk. It is the only code of the mesh that accesses a disk.
+// Store.Save returns once a state is durable. Open returns the state that was saved last, or that it is corrupt.
 //
-// A data folder holds generations, each a pebble store in a folder of its own; the highest that has its mark is the
-// current one (generation.go, rotation.go). The configuration is written when it changes, the ballots and incarnations,
-// which change more often, without it (format2.go has the format to the byte, files.go the folder's names). No error is
-// final: as pebble takes no writes after one that the disk refused, the next save begins a new generation, and the old
-// one is closed in the background (failstop.go, pebble.go).
+// A data folder holds generations. Each is a pebble store in a separate folder. The current one is the highest that is
+// marked complete (generation.go, rotation.go). The configuration is only written when it changes, while the ballots and
+// incarnations, which change more often, are written without it (format2.go describes the format, files.go the names in
+// the folder). No error is permanent: because pebble accepts no writes after one that failed, the next save creates a new
+// generation, and the old one is closed in the background (failstop.go, pebble.go).
 //
-// Begin with Open and Store.Save. The design is in docs/design/register.md, section "On disk".
+// Start reading at Open and Store.Save. The design is in docs/design/register.md, section "On disk".
 package storage
 
 import (
@@ -23,56 +23,56 @@
 )
 
 const (
-	// rotateSize is how many bytes of records a generation takes before another begins, so that nothing needs a
-	// compaction. Pebble flushes what fills a memtable and drops its log; with a largest state of F bytes, a generation
-	// holds at most rotateSize + F bytes and what pebble adds to each record (under 200), and the folder two generations;
-	// as much once more where a corrupt register was set aside.
+	// rotationBytes is the number of bytes of records in a generation after which a new one is created, so that no
+	// compaction is needed. Pebble flushes a full memtable and deletes its log. With a largest state of F bytes, a
+	// generation takes at most rotationBytes + F bytes plus what pebble adds to each record (under 200 bytes). The folder
+	// has at most two generations, and as much again if a corrupt register was set aside.
 	rotationBytes = 16 << 20
-	// maxAbandoned bounds the generations that are abandoned and not closed yet. More there are only where the disk
-	// doesn't return from calls: each keeps its memory (memTableSize and cacheSize) and files for as long.
+	// maxClosingGenerations limits the abandoned generations that are not closed yet. Several only exist if the disk does
+	// not return from calls. Each keeps its memory (memTableSize and cacheSize) and its files until it is closed.
 	maxClosingGenerations = 16
-	// closeTimeout is how long an abandoned generation is waited for before it is left to close by itself.
+	// closeTimeout limits the wait for an abandoned generation to close. It is then closed in the background.
 	closeTimeout = 200 * time.Millisecond
 )
 
 var (
-	// ErrCorrupt is returned where what is on disk isn't what was written.
+	// ErrCorrupt is returned if the data on disk differs from what was written.
 	ErrCorrupt = errors.New("the register on disk is corrupt")
-	// ErrStalled is returned by Save while maxAbandoned generations can't be closed, as the disk neither does nor refuses
-	// its calls. Once one has closed, saves go on with a new generation.
+	// ErrStalled is returned by Save while maxClosingGenerations generations cannot be closed because the disk does not
+	// return from calls. Once one of them has closed, saves create a new generation.
 	ErrStalled = errors.New("the disk does not return from earlier writes of the register")
-	// errAbandoned is what pebble's calls on an abandoned generation find.
+	// errAbandoned is the error since which an abandoned generation discards changes.
 	errAbandoned = errors.New("the generation was abandoned")
 )
 
-// corrupt returns ErrCorrupt with what it was found in.
+// corruptError wraps ErrCorrupt with the name of the corrupt part.
 func corruptError(detail string) error { return errors.Wrap(ErrCorrupt, detail) }
 
-// Store is an open data folder, which it locks. It isn't safe for concurrent use.
+// Store is an open data folder, which it locks. It is not safe for concurrent use.
 type Store struct {
 	dir  string
 	disk vfs.FS
 	lock io.Closer
 
-	// Less in tests than the constants that they are set from.
+	// Initialized with the constants of the same names. Tests set lower values.
 	rotationBytes int64
 	memTableSize  uint64
 	closeTimeout  time.Duration
 
-	sequence           uint64      // of the save that was begun last
-	newestNumber       uint64      // number of the generation that was begun last
-	currentNumber      uint64      // number of the generation that would be read; 0: none
-	generation         *generation // that is written; nil: the next save begins one
-	syncedFile         vfs.File    // nil: not open
-	closingGenerations atomic.Int32
+	sequence           uint64       // number of the last save, successful or not
+	newestNumber       uint64       // number of the last generation whose creation was begun
+	currentNumber      uint64       // number of the generation that Read would return; 0: none
+	generation         *generation  // receives saves; nil: the next save creates one
+	syncedFile         vfs.File     // nil: not open
+	closingGenerations atomic.Int32 // abandoned and not closed yet
 }
 
-// Open opens the register in a data folder, which is made where there is none, and returns what was recovered from it.
-// A corrupt register is set aside and an empty one begun, and Recovered reports that. An error is one of the disk,
-// and may pass.
+// Open opens the register in a data folder, which is created if it does not exist, and returns what was recovered from
+// it. If the register is corrupt, it is set aside, Recovered.Corrupt is set, and an empty register is created. An error is
+// one of the disk, and may be temporary.
 func Open(dir string) (*Store, Recovered, error) { return OpenFS(vfs.Default, dir) }
 
-// OpenFS is Open on another file system, for tests of what disks do.
+// OpenFS is Open on another file system, for tests with failing disks.
 func OpenFS(disk vfs.FS, dir string) (*Store, Recovered, error) {
 	prior, err := findPriorFiles(disk, dir)
 	if err != nil {
@@ -81,7 +81,7 @@
 	s := &Store{dir: dir, disk: disk, rotationBytes: rotationBytes, memTableSize: memTableSize, closeTimeout: closeTimeout}
 	recovered, err := s.open(prior)
 	if err != nil {
-		_ = s.Close() // nothing was written; the error above is the one that matters
+		_ = s.Close() // nothing was written, so that only the error above matters
 		return nil, recovered, err
 	}
 	return s, recovered, nil
@@ -101,7 +101,7 @@
 	return recovered, err
 }
 
-// prepare makes and locks the data folder. A folder without traces gets the mark of a first start.
+// prepare creates and locks the data folder. A folder without prior files gets the marker of a first start.
 func (s *Store) prepare(prior priorFiles) (err error) {
 	if err := ensureDir(s.disk, s.dir); err != nil {
 		return err
@@ -117,7 +117,7 @@
 	return ensureDir(s.disk, registerDir(s.dir))
 }
 
-// load reads the current generation, or the store of format 1, and goes on counting after it.
+// load reads the current generation or the store of format 1, and initializes the numbers of saves and generations.
 func (s *Store) load() (*register.State, error) {
 	contents, err := ReadFS(s.disk, s.dir)
 	if err != nil {
@@ -132,8 +132,8 @@
 	return contents.State, err
 }
 
-// setAside marks the folder as one of an earlier incarnation, and then moves what is corrupt out of the way, for an
-// operator to look at.
+// setAside marks the folder as used by an earlier incarnation, and then renames the corrupt register, so that an operator
+// can examine it.
 func (s *Store) setAside() error {
 	if err := s.MarkActive(); err != nil {
 		return err
@@ -146,9 +146,9 @@
 	return ensureDir(s.disk, registerDir(s.dir))
 }
 
-// Activate notes durably that a replica over this folder sends messages from now on. It is called before the first is
-// sent, and may be called again after an error. A replica that votes without a rejoin passes its first state, which is
-// saved before, so that a power loss ahead of the first promise leaves the disk of a voter.
+// Activate durably records that the replica with this folder sends messages from now on. It is called before the first
+// message is sent, and may be called again after an error. A replica that votes without a rejoin passes its first state,
+// which is saved first, so that the replica is still a voter after a power loss before its first promise.
 func (s *Store) Activate(first *register.State) error {
 	if first != nil {
 		if err := s.Save(first); err != nil {
@@ -161,9 +161,9 @@
 // MarkActive is Activate without a state.
 func (s *Store) MarkActive() error { return createMarker(s.disk, s.dir, activeName) }
 
-// Save returns once the state is durable, or the disk refused. After an error the state on disk is that of the last
-// save without one, of one that failed since, or this one; the next save begins a new generation, and may follow as
-// soon as the caller likes.
+// Save returns once the state is durable, or with an error of the disk. After an error, the state on disk is that of the
+// last successful save, of a failed one since, or of this one. The next save then creates a new generation, and may be
+// tried at any time.
 func (s *Store) Save(state *register.State) error {
 	s.sequence++
 	g := s.generation
@@ -177,8 +177,9 @@
 	return nil
 }
 
-// abandon gives up the generation that is written: the next save begins another. Pebble closes it in the background, as
-// that may take as long as the disk does; the goroutine is counted in s.abandoned, which bounds them.
+// abandon stops using the present generation, so that the next save creates another one. Pebble closes the old one in
+// the background, as that may block for as long as the disk does. s.closingGenerations counts these goroutines, to limit
+// their number.
 func (s *Store) abandon() {
 	g := s.generation
 	s.generation = nil
@@ -192,7 +193,7 @@
 	s.closingGenerations.Add(1)
 	closed := make(chan struct{})
 	go func() {
-		_ = callPebble(g.db.Close) // it may well fail: nothing of the generation is used any more
+		_ = callPebble(g.db.Close) // an error does not matter, as the generation is no longer used
 		s.closingGenerations.Add(-1)
 		close(closed)
 	}()
@@ -205,7 +206,7 @@
 	}
 }
 
-// Close unlocks the folder. The state that was saved last stays on disk.
+// Close closes the store and unlocks the folder.
 func (s *Store) Close() error {
 	s.abandon()
 	s.closeSyncedFile()
--- a/mesh/storage/store_test.go
+++ b/mesh/storage/store_test.go
@@ -20,10 +20,10 @@
 	"firplank/mesh/register"
 )
 
-// folder is absolute: of a relative one, the file system of tests cannot sync the folder above.
+// testFolder is absolute, because the file system in memory cannot sync the parent of a relative folder.
 const testFolder = "/data"
 
-// bodySize is that of a state's configuration, in bytes.
+// bodySize is the size of a test state's configuration, in bytes.
 const bodySize = 3000
 
 func testState(version uint32) *register.State {
@@ -53,12 +53,12 @@
 	}
 }
 
-// What was saved is there after a power loss that takes all that was not synced.
+// Saved states survive a power loss in which all data that was not synced is lost.
 func TestSavedStateSurvivesPowerLoss(t *testing.T) {
 	fs := vfs.NewCrashableMem()
 	store, recovered, err := OpenFS(fs, testFolder)
 	if recovered.State != nil || err != nil {
-		t.Fatalf("an empty folder holds %v, %v", recovered, err)
+		t.Fatalf("recovered %v from an empty folder, %v", recovered, err)
 	}
 	for version := uint32(1); version <= 40; version++ {
 		if err := store.Save(testState(version)); err != nil {
@@ -79,14 +79,15 @@
 			t.Fatal(err)
 		}
 		if !reflect.DeepEqual(recovered.State, promised) {
-			t.Errorf("version %d is not found as it was saved", version)
+			t.Errorf("version %d is not recovered as it was saved", version)
 		}
 		closeStore(t, reopened)
 	}
 	closeStore(t, store)
 }
 
-// harmless reports whether a disk still has the last state, or that before where the file of synced saves is missing.
+// isExpectedState reports whether a state is that of the last save, or, without the file of synced saves, that of the
+// save before.
 func isExpectedState(s *register.State, lastSave uint64, hasSynced bool) bool {
 	n := s.Promised.Number
 	if n != lastSave && (hasSynced || n != lastSave-1) {
@@ -95,7 +96,7 @@
 	return reflect.DeepEqual(s, smallState(n))
 }
 
-// small is a state whose value changes with every second number.
+// smallState returns a state with a small value, which changes with every second number.
 func smallState(n uint64) *register.State {
 	s := testState(uint32(n / 2))
 	s.Value.Body = s.Value.Body[:10]
@@ -103,7 +104,7 @@
 	return s
 }
 
-// damage alters copies of a disk, reads them, and checks that what was done is found or harmless.
+// damageTest alters copies of a disk, reads them, and checks that the damage is detected or harmless.
 type damageTest struct {
 	t        *testing.T
 	disk     *vfs.MemFS
@@ -133,7 +134,7 @@
 	}
 }
 
-// checkFile removes a file, alters its bytes, and cuts it at each of them.
+// checkFile checks the removal of a file, changes of each of its bytes, and its truncation at each of them.
 func (d *damageTest) checkFile(file string) {
 	d.t.Helper()
 	content, err := readFile(d.disk, file)
@@ -142,10 +143,10 @@
 	}
 	name := filepath.Base(file)
 	step := 1
-	if strings.HasPrefix(name, "OPTIONS") { // text without a byte of the state
+	if strings.HasPrefix(name, "OPTIONS") { // text that contains nothing of the state
 		step = 29
 	}
-	d.check(name+" lost", true, func(fs *vfs.MemFS) error { return fs.Remove(file) })
+	d.check(name+" removed", true, func(fs *vfs.MemFS) error { return fs.Remove(file) })
 	for i := 0; i < len(content); i += step {
 		for _, bit := range []byte{1, 0x80} {
 			altered := bytes.Clone(content)
@@ -155,12 +156,12 @@
 				d.check(what, hasSynced, func(fs *vfs.MemFS) error { return writeFile(fs, file, altered) })
 			}
 		}
-		d.check(fmt.Sprintf("%s cut at %d", name, i), true, func(fs *vfs.MemFS) error { return writeFile(fs, file, content[:i]) })
+		d.check(fmt.Sprintf("%s truncated at %d", name, i), true, func(fs *vfs.MemFS) error { return writeFile(fs, file, content[:i]) })
 	}
 }
 
-// An altered byte anywhere, and a file cut anywhere or lost, is found or harmless; also without the file of synced
-// saves, but for the last save.
+// An altered byte, a truncated file and a missing file are detected or harmless. Without the file of synced saves, the
+// loss of the last save is not detected.
 func TestDamageIsDetectedOrHarmless(t *testing.T) {
 	fs := vfs.NewCrashableMem()
 	store, _, err := OpenFS(fs, testFolder)
@@ -180,25 +181,25 @@
 			d.checkFile(file)
 		}
 	}
-	t.Logf("%d damages found", d.detected)
+	t.Logf("%d damages detected", d.detected)
 }
 
-// Ballots that belong to another value than the one beside them are refused.
+// Records of ballots and value that do not belong together are rejected.
 func TestBallotsOfAnotherValueAreRejected(t *testing.T) {
 	value := encodeValueRecord(testState(3))
 	if _, _, err := stateFromRecords(encodeBallotsRecord(testState(3), 1, checksumOf(value)), value); err != nil {
 		t.Error(err)
 	}
 	if _, _, err := stateFromRecords(encodeBallotsRecord(testState(4), 1, checksumOf(value)), value); !errors.Is(err, ErrCorrupt) {
-		t.Error("ballots with another accepted ballot than their value's are accepted")
+		t.Error("records with different accepted ballots are not rejected")
 	}
 	if _, _, err := stateFromRecords(encodeBallotsRecord(testState(3), 1, checksumOf(value)+1), value); !errors.Is(err, ErrCorrupt) {
-		t.Error("ballots that belong to another record are accepted")
+		t.Error("ballots with the checksum of another value are not rejected")
 	}
 }
 
-// A disk that refuses writes for however long, and whenever, is written again once it takes them, and no more is open
-// than before.
+// Saves succeed again as soon as the disk accepts writes, however often and for however long it failed them before. Failed
+// saves leave no generations open that would stall later ones.
 func TestSaveSucceedsAfterWriteErrors(t *testing.T) {
 	var full atomic.Bool
 	refuse := errorfs.InjectorFunc(func(op errorfs.Op) error {
@@ -221,7 +222,7 @@
 	}
 }
 
-// A store of format 1 is read, and is gone once a state is in the new one.
+// A store of format 1 is read, and removed once a state is saved in format 2.
 func TestFormat1IsReadAndReplaced(t *testing.T) {
 	fs := vfs.NewCrashableMem()
 	options := &pebble.Options{FS: fs, FormatMajorVersion: pebble.FormatNewest, Logger: pebbleLogger{}}
@@ -243,14 +244,14 @@
 				t.Fatal(err)
 			}
 			if exists, _ := exists(fs, filepath.Join(testFolder, format1Name)); exists {
-				t.Error("format 1 is still there")
+				t.Error("the store of format 1 was not removed")
 			}
 		}
 		closeStore(t, store)
 	}
 }
 
-// A record with any byte altered, or cut anywhere, is refused: here no damage counts as harmless.
+// A record is rejected if any of its bytes is altered or if it is truncated anywhere. No damage counts as harmless here.
 func TestAlteredRecordIsRejected(t *testing.T) {
 	value := encodeValueRecord(smallState(4))
 	ballots := encodeBallotsRecord(smallState(4), 1, checksumOf(value))
--- a/mesh/storage/synced.go
+++ b/mesh/storage/synced.go
@@ -8,11 +8,11 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 )
 
-// The file "synced" beside the generations has the sequence number of the newest save that was synced, in 16 bytes,
-// little endian: the number (8), xxHash64 of it (8). It is written after a sync and never synced itself: after a power
-// loss it may be missing, torn or of an earlier save, and then proves less; what it does contain is true. It is there
-// because pebble drops the end of its log where that is incomplete, be it cut short in writing or altered later: a
-// state with a lower sequence number than in this file is corrupt.
+// The file "synced" next to the generations has the sequence number of the newest synced save, in 16 bytes, little
+// endian: the number (8) and its xxHash64 (8). It detects lost saves: pebble drops an incomplete end of its log, whether
+// that was cut short while writing or altered later, and a state with a lower sequence number than in this file is
+// therefore corrupt. The file is written after a save was synced, and is never synced itself. After a power loss, it may
+// be missing, torn or of an earlier save. It then detects less, but a valid number is always that of a synced save.
 const syncedSize = 8 + 8
 
 func encodeSynced(sequence uint64) []byte {
@@ -20,7 +20,7 @@
 	return binary.LittleEndian.AppendUint64(b, xxhash.Sum64(b))
 }
 
-// decodeSynced returns 0, which proves nothing, for what is incomplete.
+// decodeSynced returns 0, which no state is below, if b is incomplete or invalid.
 func decodeSynced(b []byte) (sequence uint64) {
 	if len(b) != syncedSize || binary.LittleEndian.Uint64(b[8:]) != xxhash.Sum64(b[:8]) {
 		return 0
@@ -30,7 +30,7 @@
 
 func syncedPath(dir string) string { return filepath.Join(registerDir(dir), syncedName) }
 
-// readSynced returns the sequence number of a save that is known to have been synced; 0: none is.
+// readSynced returns the sequence number of a save that is known to have been synced, or 0 if there is none.
 func readSynced(disk vfs.FS, dir string) (sequence uint64, err error) {
 	path := syncedPath(dir)
 	if there, err := exists(disk, path); err != nil || !there {
@@ -40,8 +40,8 @@
 	return decodeSynced(b), err
 }
 
-// RecordSynced notes that the last Save returned without an error. It may be called after use was made of that, and is
-// a hint that lets more corruption be found: its errors do no harm and aren't returned.
+// RecordSynced records that the last Save returned without an error. It only helps to detect more corruption. Therefore
+// it may be called after the caller has acted on the save, and its errors are ignored.
 func (s *Store) RecordSynced() {
 	if s.generation == nil {
 		return
@@ -60,7 +60,7 @@
 
 func (s *Store) closeSyncedFile() {
 	if s.syncedFile != nil {
-		_ = s.syncedFile.Close() // a hint, as above
+		_ = s.syncedFile.Close() // ignored, as the file only helps to detect corruption
 		s.syncedFile = nil
 	}
 }
