--- a/mesh/register/round_test.go
+++ b/mesh/register/round_test.go
@@ -139,8 +139,8 @@
 	policy := newRetryPolicy(rand.New(rand.NewPCG(1, 2)))
 	longestBackoff := func() (longest time.Duration) {
 		for range 200 {
-			policy := policy
-			longest = max(longest, policy.recordRejection(0))
+			policyCopy := policy
+			longest = max(longest, policyCopy.recordRejection(0))
 		}
 		return longest
 	}
--- a/mesh/storage/compatibility_test.go
+++ b/mesh/storage/compatibility_test.go
@@ -53,25 +53,25 @@
 // Data folders of earlier releases are read with all their values, and can be opened, written to and read again.
 func TestStoresOfEarlierReleases(t *testing.T) {
 	for _, c := range []struct {
-		folder string
-		want   Contents
-		found  Recovered
+		folder    string
+		want      Contents
+		recovered Recovered
 	}{
 		{
-			folder: "5126712/members",
-			want:   Contents{State: memberChangeStateWithPromise(12, 99), Generation: 2, Sequence: 4},
-			found:  Recovered{State: memberChangeStateWithPromise(12, 99), EarlierIncarnation: true},
+			folder:    "5126712/members",
+			want:      Contents{State: memberChangeStateWithPromise(12, 99), Generation: 2, Sequence: 4},
+			recovered: Recovered{State: memberChangeStateWithPromise(12, 99), EarlierIncarnation: true},
 		},
 		{
-			folder: "5126712/first",
-			want:   Contents{State: &register.State{Voter: true, Incarnation: 1}, Generation: 1, Sequence: 1},
-			found:  Recovered{State: &register.State{Voter: true, Incarnation: 1}},
+			folder:    "5126712/first",
+			want:      Contents{State: &register.State{Voter: true, Incarnation: 1}, Generation: 1, Sequence: 1},
+			recovered: Recovered{State: &register.State{Voter: true, Incarnation: 1}},
 		},
 		{folder: "5126712/started"},
 		{
-			folder: "704ec76/format1",
-			want:   Contents{State: format1State(11)},
-			found:  Recovered{State: format1State(11), EarlierIncarnation: true},
+			folder:    "704ec76/format1",
+			want:      Contents{State: format1State(11)},
+			recovered: Recovered{State: format1State(11), EarlierIncarnation: true},
 		},
 	} {
 		t.Run(c.folder, func(t *testing.T) {
@@ -87,8 +87,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if dropEmpty(recovered.State); !reflect.DeepEqual(recovered, c.found) {
-				t.Errorf("recovered %+v, expected %+v", recovered, c.found)
+			if dropEmpty(recovered.State); !reflect.DeepEqual(recovered, c.recovered) {
+				t.Errorf("recovered %+v, expected %+v", recovered, c.recovered)
 			}
 			checkFurtherSaves(t, store, dir, c.want)
 		})
--- a/mesh/storage/crash_test.go
+++ b/mesh/storage/crash_test.go
@@ -70,14 +70,14 @@
 
 // testPowerLoss saves a number of states, and checks what power losses during each save leave. A generation is rotated
 // beyond a size, and abandoned after a number of saves, as after an error.
-func testPowerLoss(t *testing.T, saves uint32, rotateSize int64, abandonEvery uint32) *Store {
+func testPowerLoss(t *testing.T, saves uint32, rotationBytes int64, abandonEvery uint32) *Store {
 	random := rand.New(rand.NewPCG(1, 2))
 	injector := &powerLossInjector{disk: vfs.NewCrashableMem(), random: random}
 	store, _, err := OpenFS(errorfs.Wrap(injector.disk, injector), testFolder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	store.rotationBytes, store.memTableSize = rotateSize, 40_000
+	store.rotationBytes, store.memTableSize = rotationBytes, 40_000
 	powerLosses := 0
 	for i := uint32(0); i < saves; i++ {
 		state := largeState(i / 3)
--- a/mesh/storage/failstop.go
+++ b/mesh/storage/failstop.go
@@ -54,7 +54,7 @@
 	if fs.failure() != nil && f == nil {
 		f, _ = vfs.NewMem().Create("nowhere", vfs.WriteCategoryUnspecified) // never fails, as it is in memory
 	}
-	return &failStopFile{File: f, fs: fs}, nil
+	return &failStopFile{File: f, disk: fs}, nil
 }
 
 // Create implements vfs.FS.
@@ -125,12 +125,12 @@
 // failStopFile is a file of a failStopFS.
 type failStopFile struct {
 	vfs.File
-	fs *failStopFS
+	disk *failStopFS
 }
 
 // Write implements vfs.File.
 func (f *failStopFile) Write(b []byte) (int, error) {
-	f.fs.mutate(func() error {
+	f.disk.mutate(func() error {
 		_, err := f.File.Write(b)
 		return err
 	})
@@ -139,7 +139,7 @@
 
 // WriteAt implements vfs.File.
 func (f *failStopFile) WriteAt(b []byte, at int64) (int, error) {
-	f.fs.mutate(func() error {
+	f.disk.mutate(func() error {
 		_, err := f.File.WriteAt(b, at)
 		return err
 	})
@@ -148,7 +148,7 @@
 
 // Preallocate implements vfs.File. Its errors are ignored, as it is only a hint: if there is no space, the writes will fail.
 func (f *failStopFile) Preallocate(offset, length int64) error {
-	f.fs.mutate(func() error {
+	f.disk.mutate(func() error {
 		_ = f.File.Preallocate(offset, length)
 		return nil
 	})
@@ -157,19 +157,19 @@
 
 // Sync implements vfs.File.
 func (f *failStopFile) Sync() error {
-	f.fs.mutate(f.File.Sync)
+	f.disk.mutate(f.File.Sync)
 	return nil
 }
 
 // SyncData implements vfs.File.
 func (f *failStopFile) SyncData() error {
-	f.fs.mutate(f.File.SyncData)
+	f.disk.mutate(f.File.SyncData)
 	return nil
 }
 
 // SyncTo implements vfs.File.
 func (f *failStopFile) SyncTo(length int64) (complete bool, err error) {
-	f.fs.mutate(func() (err error) {
+	f.disk.mutate(func() (err error) {
 		complete, err = f.File.SyncTo(length)
 		return err
 	})
@@ -179,7 +179,7 @@
 // Close implements vfs.File.
 func (f *failStopFile) Close() error {
 	if err := f.File.Close(); err != nil {
-		f.fs.fail(err)
+		f.disk.fail(err)
 	}
 	return nil
 }
--- a/mesh/storage/generation.go
+++ b/mesh/storage/generation.go
@@ -9,7 +9,7 @@
 
 // generation is a pebble store that is open for writing. It is not safe for concurrent use.
 type generation struct {
-	fs          *failStopFS
+	disk        *failStopFS
 	db          *pebble.DB // nil: it could not be opened
 	recordBytes int64      // bytes of records
 
@@ -19,11 +19,11 @@
 
 // openGeneration creates a new store. If it returns an error, the returned generation has to be abandoned nevertheless.
 func openGeneration(disk vfs.FS, folder string, memTableSize uint64) (*generation, error) {
-	g := &generation{fs: &failStopFS{FS: disk}}
+	g := &generation{disk: &failStopFS{FS: disk}}
 	err := callPebble(func() (err error) {
 		cache := pebble.NewCache(cacheSize)
 		defer cache.Unref()
-		options := pebbleOptions(g.fs, memTableSize, pebbleLogger{onFatal: g.fs.fail})
+		options := pebbleOptions(g.disk, memTableSize, pebbleLogger{onFatal: g.disk.fail})
 		options.Cache = cache
 		options.ErrorIfExists = true
 		g.db, err = pebble.Open(folder, options)
@@ -34,7 +34,7 @@
 
 // diskErrorOr returns the disk's first error, or pebble's error if there is none.
 func (g *generation) diskErrorOr(err error) error {
-	if diskErr := g.fs.failure(); diskErr != nil {
+	if diskErr := g.disk.failure(); diskErr != nil {
 		return diskErr
 	}
 	return err
--- a/mesh/storage/store.go
+++ b/mesh/storage/store.go
@@ -59,12 +59,12 @@
 	memTableSize  uint64
 	closeTimeout  time.Duration
 
-	sequence           uint64       // number of the last save, successful or not
-	newestNumber       uint64       // number of the last generation whose creation was begun
-	currentNumber      uint64       // number of the generation that Read would return; 0: none
-	generation         *generation  // receives saves; nil: the next save creates one
-	syncedFile         vfs.File     // nil: not open
-	closingGenerations atomic.Int32 // abandoned and not closed yet
+	sequence           uint64      // number of the last save, successful or not
+	newestNumber       uint64      // number of the last generation whose creation was begun
+	currentNumber      uint64      // number of the generation that Read would return; 0: none
+	generation         *generation // receives saves; nil: the next save creates one
+	syncedFile         vfs.File    // nil: not open
+	closingGenerations atomic.Int32
 }
 
 // Open opens the register in a data folder, which is created if it does not exist, and returns what was recovered from
@@ -186,7 +186,7 @@
 	if g == nil {
 		return
 	}
-	g.fs.fail(errAbandoned)
+	g.disk.fail(errAbandoned)
 	if g.db == nil {
 		return
 	}
--- a/mesh/storage/store_test.go
+++ b/mesh/storage/store_test.go
@@ -243,7 +243,7 @@
 			if err := store.Save(recovered.State); err != nil {
 				t.Fatal(err)
 			}
-			if exists, _ := exists(fs, filepath.Join(testFolder, format1Name)); exists {
+			if remains, _ := exists(fs, filepath.Join(testFolder, format1Name)); remains {
 				t.Error("the store of format 1 was not removed")
 			}
 		}
