--- a/mesh/register/rollouts_test.go
+++ b/mesh/register/rollouts_test.go
@@ -67,6 +67,6 @@
 	value, _, committed := c.replicas[2].Committed()
 	r, _ := value.Rollouts.Find("one")
 	if !committed || r.Stage != rollout.Recalled || r.Reason != "bad" || r.DecidedBy != "b" || r.Term != time.Second {
-		t.Errorf("known %v, %+v", committed, r)
+		t.Errorf("committed %v, %+v", committed, r)
 	}
 }
