--- a/mesh/codec/directory.go
+++ b/mesh/codec/directory.go
@@ -83,7 +83,7 @@
 		WarmUntil:     now + time.Duration(e.WarmUpMs)*time.Millisecond,
 		LastSeen:      timeFromAge(now, e.AgeMs),
 		Version:       string(e.Edition),
-		RolloutReport: evidenceFromWire(e),
+		RolloutReport: rolloutReportFromWire(e),
 	}
 	return entry, e.State != livenessOnlyState
 }
--- a/mesh/codec/rollout.go
+++ b/mesh/codec/rollout.go
@@ -52,11 +52,11 @@
 	return rolloutsFromWire(f.RolloutRevision, f.Rollouts), f.RolloutRevision > 0
 }
 
-// AddEvidence adds the evidence for rollouts that an entry's sidecar reports, which is sent to control machines only. It returns the entry.
-func AddEvidence(entry *wire.EntryT, e *directory.RolloutReport) *wire.EntryT {
-	entry.RolloutsConfirmed, entry.RolloutOrder, entry.OrderAgeMs = e.ConfirmedRevision, e.Order, milliseconds(e.OrderAge)
-	for i := range e.Classes {
-		c := &e.Classes[i]
+// AddRolloutReport adds the rollout report of an entry's sidecar, which is sent to control machines only. It returns the entry.
+func AddRolloutReport(entry *wire.EntryT, report *directory.RolloutReport) *wire.EntryT {
+	entry.RolloutsConfirmed, entry.RolloutOrder, entry.OrderAgeMs = report.ConfirmedRevision, report.Order, milliseconds(report.OrderAge)
+	for i := range report.Classes {
+		c := &report.Classes[i]
 		entry.Statistics = append(entry.Statistics, &wire.ClassStatisticsT{
 			Class:     c.Class,
 			Requests:  c.Requests,
@@ -103,20 +103,20 @@
 	return l
 }
 
-// evidenceFromWire returns the evidence for rollouts that an entry's sidecar reports.
-func evidenceFromWire(e *wire.EntryT) directory.RolloutReport {
-	evidence := directory.RolloutReport{
+// rolloutReportFromWire returns the rollout report of an entry's sidecar.
+func rolloutReportFromWire(e *wire.EntryT) directory.RolloutReport {
+	report := directory.RolloutReport{
 		ConfirmedRevision: e.RolloutsConfirmed,
 		Order:             e.RolloutOrder,
 		OrderAge:          time.Duration(e.OrderAgeMs) * time.Millisecond,
 	}
 	for _, c := range e.Statistics {
-		evidence.Classes = append(evidence.Classes, rollout.Statistics{
+		report.Classes = append(report.Classes, rollout.Statistics{
 			Class:     c.Class,
 			Requests:  c.Requests,
 			Failures:  c.Failures,
 			Latencies: latenciesFromWire(c.Latencies),
 		})
 	}
-	return evidence
+	return report
 }
--- a/mesh/codec/rollout_test.go
+++ b/mesh/codec/rollout_test.go
@@ -9,7 +9,7 @@
 	"firplank/mesh/wire"
 )
 
-func TestEvidenceRoundTrip(t *testing.T) {
+func TestRolloutReportRoundTrip(t *testing.T) {
 	sent := directory.RolloutReport{ConfirmedRevision: 7, Order: 2, OrderAge: 1500 * time.Millisecond}
 	for class := range uint32(3) {
 		s := rollout.Statistics{Class: class}
@@ -18,7 +18,7 @@
 		}
 		sent.Classes = append(sent.Classes, s)
 	}
-	received := evidenceFromWire(AddEvidence(&wire.EntryT{}, &sent))
+	received := rolloutReportFromWire(AddRolloutReport(&wire.EntryT{}, &sent))
 	if received.ConfirmedRevision != sent.ConfirmedRevision || received.Order != sent.Order || received.OrderAge != sent.OrderAge {
 		t.Errorf("%+v", received)
 	}
--- a/mesh/controlplane/peers.go
+++ b/mesh/controlplane/peers.go
@@ -71,10 +71,10 @@
 	codec.SetNodeStatus(f, s.reconciler.Status(now))
 	report := s.hub.Report(p.Revision)
 	for i := range report.Changed {
-		f.Entries = append(f.Entries, codec.AddEvidence(codec.EntryToWire(&report.Changed[i], now), &report.Changed[i].RolloutReport))
+		f.Entries = append(f.Entries, codec.AddRolloutReport(codec.EntryToWire(&report.Changed[i], now), &report.Changed[i].RolloutReport))
 	}
 	for i := range report.Alive {
-		f.Entries = append(f.Entries, codec.AddEvidence(codec.LivenessToWire(&report.Alive[i], now), &report.Alive[i].RolloutReport))
+		f.Entries = append(f.Entries, codec.AddRolloutReport(codec.LivenessToWire(&report.Alive[i], now), &report.Alive[i].RolloutReport))
 	}
 	p.Revision = report.Revision
 	p.Conn.Send(f)
--- a/mesh/dataplane/subscription/subscription.go
+++ b/mesh/dataplane/subscription/subscription.go
@@ -196,7 +196,7 @@
 	s.heartbeatAt = now + s.durations.ReportInterval
 	own := *s.self
 	own.LastSeen = now
-	return s.Report(now, []*wire.EntryT{codec.AddEvidence(codec.LivenessToWire(&own, now), &own.RolloutReport)})
+	return s.Report(now, []*wire.EntryT{codec.AddRolloutReport(codec.LivenessToWire(&own, now), &own.RolloutReport)})
 }
 
 // UpdateReceived reports that the parent has sent an update.
@@ -259,7 +259,7 @@
 func (s *Subscription) ownEntry(now time.Duration) *wire.EntryT {
 	own := *s.self
 	own.LastSeen = now
-	return codec.AddEvidence(codec.EntryToWire(&own, now), &own.RolloutReport)
+	return codec.AddRolloutReport(codec.EntryToWire(&own, now), &own.RolloutReport)
 }
 
 // chooseParent returns the parent to subscribe to. Before the sidecar is ready that is a control machine.
--- a/mesh/register/proposer.go
+++ b/mesh/register/proposer.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// stragglerWaitDivisor is the part of timing.Register.MinPhaseTimeout for which a read waits for more replies than those of a quorum: MinPhaseTimeout
-// divided by it.
+// stragglerWaitDivisor determines how long a read waits for more replies than those of a quorum: timing.Register.MinPhaseTimeout divided by
+// it.
 const stragglerWaitDivisor = 4
 
 // startRead begins a round by requesting the accepted values of the members.
--- a/mesh/register/retry.go
+++ b/mesh/register/retry.go
@@ -11,9 +11,9 @@
 var defaultTiming = timing.Default().Register
 
 // retryPolicy decides when a proposer resends requests, when it ends a phase, and how long it backs off before the next round. Messages and
-// disk writes may take any time up to timing.Register.MaxPhaseTimeout. Therefore a phase is not abandoned while replies may still arrive: its
-// request is resent to machines that have not replied, at intervals that double, and a reply to any of the requests counts. Proposers that
-// abort each other's rounds back off for random times that grow with each rejection, until one of them has enough time to finish.
+// disk writes may take any time up to timing.Register.MaxPhaseTimeout. Therefore a phase is not abandoned while replies may still arrive:
+// its request is resent to machines that have not replied, at intervals that double, and a reply to any of the requests counts. Proposers
+// that abort each other's rounds back off for random times that grow with each rejection, until one of them has enough time to finish.
 type retryPolicy struct {
 	durations      timing.Register
 	random         *rand.Rand
@@ -25,7 +25,7 @@
 	return retryPolicy{durations: defaultTiming, random: random}
 }
 
-// resendJitterDivisor is the part of a resend interval by which jitter may lengthen it: an interval divided by it.
+// resendJitterDivisor limits the jitter that is added to a resend interval: to the interval divided by it.
 const resendJitterDivisor = 4
 
 // startPhase returns when the requests of a phase that begins now are to be resent, and when the phase ends.
--- a/mesh/register/round_test.go
+++ b/mesh/register/round_test.go
@@ -134,7 +134,7 @@
 	}
 }
 
-// The backoff grows with consecutive rejections, up to MaxPhaseTimeout beyond MinBackoff, until a round completes.
+// The backoff grows with consecutive rejections, to at most MinBackoff + MaxPhaseTimeout, until a round completes.
 func TestBackoffGrowsWithRejections(t *testing.T) {
 	policy := newRetryPolicy(rand.New(rand.NewPCG(1, 2)))
 	longestBackoff := func() (longest time.Duration) {
