--- a/mesh/register/acceptor.go
+++ b/mesh/register/acceptor.go
@@ -88,7 +88,7 @@
 	r.send(m)
 }
 
-// reject refuses a Prepare or an Accept below the promised ballot.
+// reject rejects a Prepare or an Accept below the promised ballot.
 func (r *Replica) reject(request *Message) {
 	r.send(Message{Kind: Nack, To: request.From, Round: request.Round, Promised: r.state.Promised})
 }
--- a/mesh/register/history.go
+++ b/mesh/register/history.go
@@ -39,7 +39,7 @@
 	Records []Record // sorted by version, all above Floor, at most MaxRecords
 }
 
-// RecordState tells how a version and a content relate to the records of a History.
+// RecordState is the relation of a version and its content to the records of a History.
 type RecordState uint8
 
 // The states.
--- a/mesh/storage/recovery.go
+++ b/mesh/storage/recovery.go
@@ -23,7 +23,7 @@
 	return firstStart && r.State == nil && !r.Corrupt && !r.EarlierIncarnation
 }
 
-// priorFiles tells which files a data folder had before it was opened.
+// priorFiles states which files a data folder had before it was opened.
 type priorFiles struct {
 	starting   bool // the marker of a first start; without that of an active replica, no message was sent
 	active     bool // the marker of a replica that may have sent messages
