--- a/mesh/dataplane/earlyanswer_test.go
+++ b/mesh/dataplane/earlyanswer_test.go
@@ -16,7 +16,7 @@
 )
 
 // earlyServer is a server that answers a request of id x as soon as its head has come, and has not read its body.
-func earlyServer(t *testing.T, answer string) *core.Endpoint {
+func newEarlyResponseServer(t *testing.T, answer string) *core.Endpoint {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -40,7 +40,7 @@
 }
 
 // askEarly sends a server a request whose body it doesn't read, and returns the result and how many connections are kept.
-func askEarly(t *testing.T, server *core.Endpoint, streamed bool) (r core.Result, kept int) {
+func sendToEarlyServer(t *testing.T, server *core.Endpoint, streamed bool) (r core.Result, openConns int) {
 	t.Helper()
 	const bodyBytes = 16 << 20 // more than the kernel holds
 	b, err := httpback.NewPoll(t.Context(), httpback.Config{
@@ -73,7 +73,7 @@
 	return <-ended, b.Open()
 }
 
-func TestAnswerAheadOfTheBodyIsNoRefusal(t *testing.T) {
+func TestResponseBeforeRequestBodyIsUsed(t *testing.T) {
 	answerOf := func(status int, fields string) string {
 		return fmt.Sprintf("HTTP/1.1 %d Early\r\n%sContent-Length: 2\r\n\r\nok", status, fields)
 	}
@@ -92,12 +92,12 @@
 	} {
 		for _, streamed := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, streamed %v", c.name, streamed), func(t *testing.T) {
-				r, kept := askEarly(t, earlyServer(t, c.answer), streamed)
+				r, openConns := sendToEarlyServer(t, newEarlyResponseServer(t, c.answer), streamed)
 				if r.Outcome != c.want {
 					t.Errorf("%v, want %v", r.Outcome, c.want)
 				}
-				if kept != 0 {
-					t.Errorf("%d connections are kept", kept)
+				if openConns != 0 {
+					t.Errorf("%d connections are kept", openConns)
 				}
 			})
 		}
--- a/mesh/dataplane/headers.go
+++ b/mesh/dataplane/headers.go
@@ -103,11 +103,11 @@
 
 // parseAttemptID parses what formatAttemptID has written.
 func parseAttemptID(text string) (id attempts.ID, ok bool) {
-	rest, incarnation, ok := cutLast(text)
+	rest, incarnation, ok := cutAtLastDot(text)
 	if !ok {
 		return id, false
 	}
-	sender, number, ok := cutLast(rest)
+	sender, number, ok := cutAtLastDot(rest)
 	if !ok || sender == "" {
 		return id, false
 	}
@@ -128,12 +128,12 @@
 }
 
 // cutLast cuts a text at its last dot.
-func cutLast(text string) (before, after string, ok bool) {
-	at := strings.LastIndexByte(text, '.')
-	if at < 0 {
+func cutAtLastDot(text string) (before, after string, ok bool) {
+	lastDot := strings.LastIndexByte(text, '.')
+	if lastDot < 0 {
 		return "", "", false
 	}
-	return text[:at], text[at+1:], true
+	return text[:lastDot], text[lastDot+1:], true
 }
 
 // appendField appends a header's line to a request.
@@ -143,8 +143,8 @@
 }
 
 // appendDeadline appends the header with the time that is left, which is a millisecond at least.
-func appendDeadline(dst []byte, left time.Duration) []byte {
-	millis := max(1, float64(left)/float64(time.Millisecond))
+func appendDeadline(dst []byte, remaining time.Duration) []byte {
+	millis := max(1, float64(remaining)/float64(time.Millisecond))
 	return appendField(dst, deadlineHeader, strconv.FormatFloat(millis, 'f', 1, 64))
 }
 
@@ -174,7 +174,7 @@
 }
 
 // messageOf makes a message of a request, whose body may still be coming. The message takes over the request's headers.
-func messageOf(r *httpfront.Request, body []byte, coming *bodypipe.Pipe) core.Message {
+func messageOf(r *httpfront.Request, body []byte, bodyStream *bodypipe.Pipe) core.Message {
 	httpwire.RemoveHopByHop(r.Header)
 	return core.Message{
 		Trace:         r.Header.Get(requestIDHeader),
@@ -183,7 +183,7 @@
 		Authority:     r.Host,
 		Meta:          r.Header,
 		Body:          body,
-		Stream:        coming,
+		Stream:        bodyStream,
 		AcceptsStream: true,
 	}
 }
--- a/mesh/dataplane/headers_test.go
+++ b/mesh/dataplane/headers_test.go
@@ -6,7 +6,7 @@
 	"firplank/mesh/attempts"
 )
 
-func TestAttemptIDsSurviveFormatting(t *testing.T) {
+func TestAttemptIDRoundTrip(t *testing.T) {
 	for _, want := range []attempts.ID{{Sender: "branch-a.1.ff", Number: 17, Incarnation: 1 << 60}, {Sender: "n", Number: 1}} {
 		if got, ok := parseAttemptID(formatAttemptID(want)); !ok || got != want {
 			t.Errorf("%+v, %v: want %+v", got, ok, want)
--- a/mesh/dataplane/heartbeats.go
+++ b/mesh/dataplane/heartbeats.go
@@ -76,9 +76,9 @@
 
 // serverAPI serves the calls of the local server: its heartbeats and its leave.
 type serverAPI struct {
-	record  serverRecord
-	service *atomic.Pointer[string] // of the server, as its heartbeats say
-	changed func()                  // called after a change, by the goroutine of the call
+	record   serverRecord
+	service  *atomic.Pointer[string] // of the server, as its heartbeats say
+	onChange func()                  // called after a change, by the goroutine of the call
 	// confirm announces the server's state if it has changed, and reports whether the announcement has reached another process.
 	confirm func(changed bool) bool
 }
@@ -117,20 +117,20 @@
 	}
 	switch {
 	case r.Condition == conditionDraining:
-		return a.acknowledgeEnd(changed)
+		return a.acknowledgeLeave(changed)
 	case changed:
-		a.changed()
+		a.onChange()
 	}
 	return api.JSONResponse(http.StatusOK, struct{}{})
 }
 
 func (a *serverAPI) leave(c *api.Request) api.Response {
-	return a.acknowledgeEnd(a.record.serverLeft(c.Args[0]))
+	return a.acknowledgeLeave(a.record.serverLeft(c.Args[0]))
 }
 
 // acknowledgeEnd acknowledges that a server ends, or will, once another process knows it: the acknowledgement binds this sidecar's next
 // process too, which has it from there. Until then the server is asked to try again; it gets no requests either way.
-func (a *serverAPI) acknowledgeEnd(changed bool) api.Response {
+func (a *serverAPI) acknowledgeLeave(changed bool) api.Response {
 	if !a.confirm(changed) {
 		response := api.ErrorResponse(http.StatusServiceUnavailable, errNotAnnounced)
 		response.RetryAfter = confirmRetryAfter
--- a/mesh/dataplane/heartbeats_test.go
+++ b/mesh/dataplane/heartbeats_test.go
@@ -13,35 +13,35 @@
 )
 
 // recordedServer is a record that notes what it is given.
-type recordedServer struct {
-	heartbeats []admission.Heartbeat
-	left       []string
-	changes    bool
-	lonely     bool // no other process knows what is announced
+type fakeServerRecord struct {
+	heartbeats  []admission.Heartbeat
+	departed    []string
+	changed     bool
+	unconfirmed bool // no other process knows what is announced
 }
 
-func (r *recordedServer) handleHeartbeat(h admission.Heartbeat) bool {
+func (r *fakeServerRecord) handleHeartbeat(h admission.Heartbeat) bool {
 	r.heartbeats = append(r.heartbeats, h)
-	return r.changes
+	return r.changed
 }
 
-func (r *recordedServer) serverLeft(id string) bool {
-	r.left = append(r.left, id)
-	return r.changes
+func (r *fakeServerRecord) serverLeft(id string) bool {
+	r.departed = append(r.departed, id)
+	return r.changed
 }
 
-func newServerAPI(changes bool) (a *serverAPI, record *recordedServer, changed *int) {
+func newServerAPI(changes bool) (a *serverAPI, record *fakeServerRecord, changed *int) {
 	service, count := atomic.Pointer[string]{}, 0
 	before := "before"
 	service.Store(&before)
-	record = &recordedServer{changes: changes}
+	record = &fakeServerRecord{changed: changes}
 	confirm := func(changed bool) bool {
 		if changed {
 			count++
 		}
-		return !record.lonely
+		return !record.unconfirmed
 	}
-	return &serverAPI{record: record, service: &service, changed: func() { count++ }, confirm: confirm}, record, &count
+	return &serverAPI{record: record, service: &service, onChange: func() { count++ }, confirm: confirm}, record, &count
 }
 
 // heartbeatBody is a valid heartbeat but for one field's text.
@@ -50,13 +50,13 @@
 		"line": `"one"`, "berths": "5", "condition": `"accepting"`, "coldLeftS": "1.5", "sequence": "3",
 	}
 	fields[field] = value
-	var all []string
+	var members []string
 	for name, v := range fields {
 		if v != "" {
-			all = append(all, fmt.Sprintf("%q: %s", name, v))
+			members = append(members, fmt.Sprintf("%q: %s", name, v))
 		}
 	}
-	return []byte("{" + strings.Join(all, ",") + "}")
+	return []byte("{" + strings.Join(members, ",") + "}")
 }
 
 func TestHeartbeatIsRecorded(t *testing.T) {
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestHeartbeatThatIsNotValidChangesNothing(t *testing.T) {
+func TestInvalidHeartbeatIsRejected(t *testing.T) {
 	for _, c := range []struct{ name, id, field, value string }{
 		{"no service", "i-1", "line", ""},
 		{"an empty service", "i-1", "line", `""`},
@@ -105,17 +105,17 @@
 		if got := a.leave(&api.Request{Args: []string{"i-1"}}); got.Status != http.StatusOK {
 			t.Errorf("answered by %d", got.Status)
 		}
-		if fmt.Sprint(record.left) != "[i-1]" || (*changed == 1) != changes {
-			t.Errorf("recorded %v, told %d times", record.left, *changed)
+		if fmt.Sprint(record.departed) != "[i-1]" || (*changed == 1) != changes {
+			t.Errorf("recorded %v, told %d times", record.departed, *changed)
 		}
 	}
 }
 
 // The end of a server is acknowledged once another process knows it: until then the server is told to call again. A heartbeat of one that
 // goes on does not wait.
-func TestEndIsAcknowledgedOnceAnotherProcessKnowsIt(t *testing.T) {
+func TestLeaveIsAcknowledgedAfterConfirmation(t *testing.T) {
 	a, record, _ := newServerAPI(true)
-	record.lonely = true
+	record.unconfirmed = true
 	closing := &api.Request{Args: []string{"i-1"}, Body: heartbeatBody("condition", `"closing"`)}
 	accepting := &api.Request{Args: []string{"i-1"}, Body: heartbeatBody("condition", `"accepting"`)}
 	for _, got := range []api.Response{a.heartbeat(closing), a.leave(&api.Request{Args: []string{"i-1"}})} {
@@ -126,7 +126,7 @@
 	if got := a.heartbeat(accepting); got.Status != http.StatusOK {
 		t.Errorf("a heartbeat that changes nothing for others is answered by %d", got.Status)
 	}
-	record.lonely = false
+	record.unconfirmed = false
 	for _, got := range []api.Response{a.heartbeat(closing), a.leave(&api.Request{Args: []string{"i-1"}})} {
 		if got.Status != http.StatusOK {
 			t.Errorf("the end that is known is answered by %d", got.Status)
--- a/mesh/dataplane/host.go
+++ b/mesh/dataplane/host.go
@@ -44,7 +44,7 @@
 		}
 		return 0
 	}
-	p.checkAdopted(version, next)
+	p.checkAdoptedConfig(version, next)
 	names := make([]string, 0, len(next.Services))
 	for name := range next.Services {
 		names = append(names, name)
@@ -88,7 +88,7 @@
 }
 
 // checkAdopted checks the invariants of a configuration that is about to come in force.
-func (p *Proxy) checkAdopted(version uint32, next *config.Config) {
+func (p *Proxy) checkAdoptedConfig(version uint32, next *config.Config) {
 	if next.Version != version {
 		p.invariants.Violated(invariant.AdoptedVersionMatches, "sent", version, "text", next.Version)
 	}
--- a/mesh/dataplane/incoming.go
+++ b/mesh/dataplane/incoming.go
@@ -33,12 +33,12 @@
 	if r.Header.Get(queryHeader) == "" && d.routedByOutdatedConfig(r) {
 		return ownAnswer(http.StatusServiceUnavailable, attempts.NotReceived, "the configuration is a newer one", 0), nil
 	}
-	left := remainingMillis(r.Header)
-	if left <= 0 {
-		left = defaultRemainingMillis
+	remaining := remainingMillis(r.Header)
+	if remaining <= 0 {
+		remaining = defaultRemainingMillis
 	}
 	c.Received = time.Now()
-	c.Request = balance.Request{Remaining: left}
+	c.Request = balance.Request{Remaining: remaining}
 	serverID := r.Header.Get(serverIDHeader)
 	c.Message = messageOf(r, body, c.Message.Stream)
 	c.Message.Object = serverID
--- a/mesh/dataplane/invariants_test.go
+++ b/mesh/dataplane/invariants_test.go
@@ -17,21 +17,21 @@
 )
 
 // reported returns a reporter, and the invariants that it has been told of.
-func reported() (invariant.Reporter, *[]invariant.Name) {
+func newRecordingReporter() (invariant.Reporter, *[]invariant.Name) {
 	var got []invariant.Name
 	return invariant.Func(func(name invariant.Name, _ ...any) { got = append(got, name) }), &got
 }
 
 // A request that must not run twice is handed to the server once, also where the log of outcomes should miss it, and none after the
 // server's closing.
-func TestLastHopChecksWhatItHandsOver(t *testing.T) {
+func TestLastHopReportsDuplicateAndLateStarts(t *testing.T) {
 	begin := func(l *lastHop, now time.Duration, id string, idempotent bool) {
 		c := &core.Call{Message: core.Message{Trace: id}}
-		l.checkBegin(now, c, &lastHopAttempt{request: lasthop.Request{ServerID: "i1", Idempotent: idempotent}})
+		l.checkStartInvariants(now, c, &lastHopAttempt{request: lasthop.Request{ServerID: "i1", Idempotent: idempotent}})
 	}
 	for _, c := range []struct {
 		name string
-		play func(l *lastHop)
+		run  func(l *lastHop)
 		want []invariant.Name
 	}{
 		{"two requests", func(l *lastHop) { begin(l, 0, "x", false); begin(l, 0, "y", false) }, nil},
@@ -46,11 +46,11 @@
 			begin(l, 3*time.Second, "x", true)
 		}, []invariant.Name{invariant.ClosingServerNotSent}},
 	} {
-		l, _ := lastHopWith(&held{})
+		l, _ := newTestLastHop(&stubPool{})
 		var got *[]invariant.Name
-		l.invariants, got = reported()
+		l.invariants, got = newRecordingReporter()
 		l.guard = lasthop.NewGuard(2 * time.Second)
-		c.play(l)
+		c.run(l)
 		if !slices.Equal(*got, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, *got, c.want)
 		}
@@ -58,11 +58,11 @@
 }
 
 // What comes in force has the version that it was sent under, and follows no newer one.
-func TestAdoptedConfigurationsAreChecked(t *testing.T) {
+func TestAdoptedConfigurationFaultsAreReported(t *testing.T) {
 	for _, c := range []struct {
-		name           string
-		sent, in, next uint32
-		want           []invariant.Name
+		name                string
+		sent, inForce, next uint32
+		want                []invariant.Name
 	}{
 		{"the first", 7, 0, 7, nil},
 		{"a newer one", 8, 7, 8, nil},
@@ -71,11 +71,11 @@
 	} {
 		p := &Proxy{log: kitlog.NewNopLogger()}
 		var got *[]invariant.Name
-		p.invariants, got = reported()
-		if c.in > 0 {
-			p.cfg.Store(&config.Config{Version: c.in})
+		p.invariants, got = newRecordingReporter()
+		if c.inForce > 0 {
+			p.cfg.Store(&config.Config{Version: c.inForce})
 		}
-		p.checkAdopted(c.sent, &config.Config{Version: c.next})
+		p.checkAdoptedConfig(c.sent, &config.Config{Version: c.next})
 		if !slices.Equal(*got, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, *got, c.want)
 		}
@@ -83,24 +83,24 @@
 }
 
 // cancelling is a pool that counts what it is to cancel.
-type cancelling struct {
-	held
+type cancelCountingPool struct {
+	stubPool
 	cancelled int
 }
 
-func (c *cancelling) Cancel(*core.Attempt) { c.cancelled++ }
+func (c *cancelCountingPool) Cancel(*core.Attempt) { c.cancelled++ }
 
 // A check that times out, as with a queue of connections that is full, cancels nothing; one that is refused does.
-func TestCheckOfABusyServerCancelsNothing(t *testing.T) {
+func TestServerCheckCancelsOnlyOnRefusedConnection(t *testing.T) {
 	full, closed := fullListener(t), closedPort(t)
 	for _, c := range []struct {
 		name, addr string
 		cancelled  int
 	}{{"its queue is full", full, 0}, {"nobody listens", closed, 1}} {
-		l, _ := lastHopWith(&held{})
-		pool := &cancelling{}
+		l, _ := newTestLastHop(&stubPool{})
+		pool := &cancelCountingPool{}
 		l.pool, l.server = pool, core.NewEndpoint("server", c.addr)
-		l.Submit(&core.Call{Client: &asked{}, Received: time.Now(), Message: core.Message{Trace: "x", Object: "i1", Safe: true}})
+		l.Submit(&core.Call{Client: &recordingClient{}, Received: time.Now(), Message: core.Message{Trace: "x", Object: "i1", Safe: true}})
 		l.checkServer()
 		if len(pool.begun) != 1 || pool.cancelled != c.cancelled {
 			t.Errorf("%s: %d begun, %d cancelled, want %d", c.name, len(pool.begun), pool.cancelled, c.cancelled)
@@ -127,8 +127,8 @@
 		t.Fatal(err)
 	}
 	addr = net.JoinHostPort("127.0.0.1", strconv.Itoa(bound.(*syscall.SockaddrInet4).Port))
-	const more = 4 // connections than the queue holds
-	for range more {
+	const extraConns = 4 // connections than the queue holds
+	for range extraConns {
 		if c, err := net.DialTimeout("tcp", addr, checkConnectTimeout); err == nil {
 			t.Cleanup(func() { _ = c.Close() })
 		}
--- a/mesh/dataplane/lasthop.go
+++ b/mesh/dataplane/lasthop.go
@@ -31,24 +31,24 @@
 // admits it, and answers their queries about attempts whose connection broke. It implements core.Exchange, and is safe
 // for concurrent use.
 type lastHop struct {
-	ctx     context.Context
-	log     kitlog.Logger
-	now     func() time.Duration
-	changed func()         // notifies the loop of a change of the server's state
-	doubted func()         // called where a health check would confirm the server
-	pool    upstream       // of connections to the server
-	server  *core.Endpoint // the local server
+	ctx                 context.Context
+	log                 kitlog.Logger
+	now                 func() time.Duration
+	onServerChange      func()         // notifies the loop of a change of the server's state
+	onUnconfirmedServer func()         // called where a health check would confirm the server
+	pool                upstream       // of connections to the server
+	server              *core.Endpoint // the local server
 
-	lostResponses rate.Sometimes // bounds what is logged of requests without a response
-	figures       *figures       // nil: nothing is counted
-	invariants    invariant.Reporter
+	lostResponseLogLimit rate.Sometimes // bounds what is logged of requests without a response
+	metrics              *proxyMetrics  // nil: nothing is counted
+	invariants           invariant.Reporter
 
-	mu      sync.Mutex // guards what follows
-	gate    lasthop.Gate[*core.Call, *core.Answer]
-	running map[*lastHopAttempt]struct{} // begun at the server, and not ended
-	streams int                          // answers of the server that are still coming
-	guard   *lasthop.Guard
-	trial   trial
+	mu            sync.Mutex // guards what follows
+	gate          lasthop.Gate[*core.Call, *core.Answer]
+	running       map[*lastHopAttempt]struct{} // begun at the server, and not ended
+	openStreams   int                          // answers of the server that are still coming
+	guard         *lasthop.Guard
+	rolloutCounts rolloutCounts
 }
 
 // lastHopAttempt is a request that has begun at the local server.
@@ -62,17 +62,17 @@
 	ctx context.Context, log kitlog.Logger, now func() time.Duration, addr string, gate lasthop.Gate[*core.Call, *core.Answer],
 ) *lastHop {
 	return &lastHop{
-		ctx:           ctx,
-		log:           log,
-		now:           now,
-		changed:       func() {},
-		doubted:       func() {},
-		server:        core.NewEndpoint("server", addr),
-		lostResponses: rate.Sometimes{First: 2, Interval: time.Second},
-		gate:          gate,
-		running:       map[*lastHopAttempt]struct{}{},
-		invariants:    invariant.Ignored{},
-		guard:         lasthop.NewGuard(0),
+		ctx:                  ctx,
+		log:                  log,
+		now:                  now,
+		onServerChange:       func() {},
+		onUnconfirmedServer:  func() {},
+		server:               core.NewEndpoint("server", addr),
+		lostResponseLogLimit: rate.Sometimes{First: 2, Interval: time.Second},
+		gate:                 gate,
+		running:              map[*lastHopAttempt]struct{}{},
+		invariants:           invariant.Ignored{},
+		guard:                lasthop.NewGuard(0),
 	}
 }
 
@@ -109,18 +109,18 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
-	d := l.gate.Begin(now, t.request)
-	l.figures.lastHopDecided(d.Attempt, d.Admission)
-	if !d.Begins() {
-		return l.rejection(d)
+	decision := l.gate.Begin(now, t.request)
+	l.metrics.recordLastHopDecision(decision.Attempt, decision.Admission)
+	if !decision.Begins() {
+		return l.rejection(decision)
 	}
-	l.checkBegin(now, c, t)
+	l.checkStartInvariants(now, c, t)
 	remaining := time.Duration(c.Request.Remaining * float64(time.Millisecond))
-	cut := c.Received.Add(remaining)
+	deadline := c.Received.Add(remaining)
 	if c.Message.Stream != nil { // its time counts from its last byte
-		c.Message.Remaining, cut = remaining, c.Received.Add(core.MaxUpload)
+		c.Message.Remaining, deadline = remaining, c.Received.Add(core.MaxUpload)
 	}
-	t.attempt = core.NewAttempt(l.server, &c.Message, cut, func(r core.Result) { l.finish(c, t, r) })
+	t.attempt = core.NewAttempt(l.server, &c.Message, deadline, func(r core.Result) { l.finish(c, t, r) })
 	c.State.Store(t)
 	l.running[t] = struct{}{}
 	l.pool.Begin(t.attempt)
@@ -128,7 +128,7 @@
 }
 
 // checkBegin checks the invariants of a request that is handed to the server. The caller holds mu.
-func (l *lastHop) checkBegin(now time.Duration, c *core.Call, t *lastHopAttempt) {
+func (l *lastHop) checkStartInvariants(now time.Duration, c *core.Call, t *lastHopAttempt) {
 	if !t.request.Idempotent && l.guard.Start(c.Message.Trace) {
 		l.invariants.Violated(invariant.StartedOnce, "request", c.Message.Trace, "server", t.request.ServerID,
 			"attempt", formatAttemptID(t.request.Attempt))
@@ -172,11 +172,11 @@
 		l.guard.Withdraw(c.Message.Trace)
 	}
 	delete(l.running, t)
-	l.trial.record(uint32(c.Request.Key), r, time.Since(c.Received), l.gate.Admission.WarmingUp(l.now()))
+	l.rolloutCounts.record(uint32(c.Request.Key), r, time.Since(c.Received), l.gate.Admission.WarmingUp(l.now()))
 	l.mu.Unlock()
 	if done.ServerChanged {
 		l.logServerState("response or refused connection")
-		l.changed()
+		l.onServerChange()
 	}
 	if done.HealthChanged {
 		_ = level.Info(l.log).Log("msg", "server health changed", "server", t.request.ServerID, "unhealthy", done.Unhealthy)
@@ -190,13 +190,13 @@
 
 // trackStream counts an answer of the server's until its end.
 func (l *lastHop) trackStream(body *bodypipe.Pipe) {
-	count := func(n int) {
+	addStreams := func(n int) {
 		l.mu.Lock()
-		l.streams += n
+		l.openStreams += n
 		l.mu.Unlock()
 	}
-	count(1)
-	body.OnEnd(func(bool) { count(-1) })
+	addStreams(1)
+	body.OnEnd(func(bool) { addStreams(-1) })
 }
 
 // gateResult is what the gate records of a request that has ended with r, and whose sender gets answer.
@@ -205,7 +205,7 @@
 		NotStarted: neverStarted(r),
 		Refused:    r.Outcome == balance.ConnectFailed,
 		Responded:  r.Answer != nil,
-		Server:     serverResultOf(r.Outcome),
+		Server:     admissionResult(r.Outcome),
 	}
 	if answer.Stream == nil {
 		result.Response, result.CacheBytes = answer, answerSize(answer)
@@ -220,7 +220,7 @@
 }
 
 // serverResultOf is what an outcome means for the local server's health.
-func serverResultOf(r balance.Result) admission.Result {
+func admissionResult(r balance.Result) admission.Result {
 	switch r {
 	case balance.OK:
 		return admission.Success
@@ -237,7 +237,7 @@
 	if r.Answer != nil || r.Outcome != balance.Reset && r.Outcome != balance.TimedOut {
 		return
 	}
-	l.lostResponses.Do(func() {
+	l.lostResponseLogLimit.Do(func() {
 		reason := "the connection ended, or the response is not this server's"
 		if r.Outcome == balance.TimedOut {
 			reason = "deadline exceeded"
@@ -283,17 +283,17 @@
 	}
 	if changed {
 		l.logServerState("no connection is accepted")
-		l.changed()
+		l.onServerChange()
 	}
 }
 
 // logServerState logs the state of the local server after a change, and what it was changed by.
-func (l *lastHop) logServerState(by string) {
+func (l *lastHop) logServerState(cause string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var e directory.Entry
 	l.gate.Admission.FillEntry(&e)
-	_ = level.Info(l.log).Log("msg", "server state changed", "server", e.Server, "state", e.State, "by", by)
+	_ = level.Info(l.log).Log("msg", "server state changed", "server", e.Server, "state", e.State, "by", cause)
 }
 
 // handleHeartbeat handles a server's heartbeat. It reports whether that brought a change.
@@ -303,10 +303,10 @@
 		l.guard.Closing(l.now(), h.ServerID)
 	}
 	changed := l.gate.Admission.HandleHeartbeat(l.now(), h)
-	awaits := l.gate.Admission.AwaitsConfirmation()
+	awaitsConfirmation := l.gate.Admission.AwaitsConfirmation()
 	l.mu.Unlock()
-	if awaits {
-		l.doubted()
+	if awaitsConfirmation {
+		l.onUnconfirmedServer()
 	}
 	return changed
 }
--- a/mesh/dataplane/lasthop_test.go
+++ b/mesh/dataplane/lasthop_test.go
@@ -18,21 +18,21 @@
 )
 
 // held is a server that answers when it is told to.
-type held struct{ begun []*core.Attempt }
+type stubPool struct{ begun []*core.Attempt }
 
-func (h *held) Begin(a *core.Attempt)                   { h.begun = append(h.begun, a) }
-func (h *held) Cancel(*core.Attempt)                    {}
-func (h *held) Probe(*core.Endpoint, func(core.Result)) {}
-func (h *held) CloseIdle(*core.Endpoint)                {}
-func (h *held) Run(context.Context)                     {}
-func (h *held) Close()                                  {}
+func (h *stubPool) Begin(a *core.Attempt)                   { h.begun = append(h.begun, a) }
+func (h *stubPool) Cancel(*core.Attempt)                    {}
+func (h *stubPool) Probe(*core.Endpoint, func(core.Result)) {}
+func (h *stubPool) CloseIdle(*core.Endpoint)                {}
+func (h *stubPool) Run(context.Context)                     {}
+func (h *stubPool) Close()                                  {}
 
 // asked is a client of the last hop's: another sidecar.
-type asked struct{ got *core.Answer }
+type recordingClient struct{ answer *core.Answer }
 
-func (a *asked) Answer(_ *core.Call, got *core.Answer) { a.got = got }
+func (a *recordingClient) Answer(_ *core.Call, got *core.Answer) { a.answer = got }
 
-func lastHopWith(server *held) (*lastHop, func(field, text string) *asked) {
+func newTestLastHop(server *stubPool) (*lastHop, func(field, text string) *recordingClient) {
 	start := time.Now()
 	l := newLastHop(context.Background(), kitlog.NewNopLogger(), func() time.Duration { return time.Since(start) }, "h:1",
 		lasthop.Gate[*core.Call, *core.Answer]{
@@ -43,8 +43,8 @@
 	l.pool = server
 	l.gate.Admission.HandleHeartbeat(0, admission.Heartbeat{ServerID: "i1", Service: "one", Slots: 9, Sequence: 1})
 	l.gate.Admission.ResponseReceived(0)
-	return l, func(field, text string) *asked {
-		a := &asked{}
+	return l, func(field, text string) *recordingClient {
+		a := &recordingClient{}
 		l.Submit(&core.Call{Client: a, Received: time.Now(), Request: balance.Request{Remaining: 1000},
 			Message: core.Message{Trace: "x", Object: "i1", Meta: header(field, text, "Try-Id", "x")}})
 		return a
@@ -52,19 +52,19 @@
 }
 
 // What the last hop does with attempts whose connection breaks, and with queries about them.
-func TestTheLastHopAnswersQueries(t *testing.T) {
-	server := &held{}
-	_, arrive := lastHopWith(server)
-	said := func(a *asked) attempts.Outcome {
-		if a.got == nil {
+func TestLastHopAnswersQueries(t *testing.T) {
+	server := &stubPool{}
+	_, arrive := newTestLastHop(server)
+	outcomeOf := func(a *recordingClient) attempts.Outcome {
+		if a.answer == nil {
 			return "(waits)"
 		}
-		return attempts.Outcome(http.Header(a.got.Meta).Get("Firplank-Fate"))
+		return attempts.Outcome(http.Header(a.answer.Meta).Get("Firplank-Fate"))
 	}
-	step := func(name string, a *asked, want attempts.Outcome, begun int) {
+	step := func(name string, a *recordingClient, want attempts.Outcome, begun int) {
 		t.Helper()
-		if said(a) != want || len(server.begun) != begun {
-			t.Errorf("%s: %q with %d begun, want %q with %d", name, said(a), len(server.begun), want, begun)
+		if outcomeOf(a) != want || len(server.begun) != begun {
+			t.Errorf("%s: %q with %d begun, want %q with %d", name, outcomeOf(a), len(server.begun), want, begun)
 		}
 	}
 	step("asked before it comes", arrive(queryHeader, "s.1.7"), attempts.Barred, 0)
@@ -72,15 +72,15 @@
 	first := arrive(attemptHeader, "s.2.7")
 	step("one comes", first, "(waits)", 1)
 	step("and once more", arrive(attemptHeader, "s.2.7"), attempts.Indeterminate, 1)
-	question := arrive(queryHeader, "s.2.7")
-	step("asked while it is at work", question, "(waits)", 1)
+	query := arrive(queryHeader, "s.2.7")
+	step("asked while it is at work", query, "(waits)", 1)
 	server.begun[0].End(core.Result{Outcome: balance.OK, Answer: &core.Answer{Status: 200, Meta: header("Postmark", "p"), Body: []byte("b")}})
 	step("it ends", first, attempts.Executed, 1)
-	step("the question is told", question, attempts.Executed, 1)
+	step("the question is told", query, attempts.Executed, 1)
 	step("asked after its end", arrive(queryHeader, "s.2.7"), attempts.Executed, 1)
-	unreached := arrive(attemptHeader, "s.3.7")
+	notReached := arrive(attemptHeader, "s.3.7")
 	server.begun[1].End(core.Result{Outcome: balance.ConnectFailed})
-	step("its server is not reached", unreached, attempts.NotReceived, 2)
+	step("its server is not reached", notReached, attempts.NotReceived, 2)
 	step("asked of that", arrive(queryHeader, "s.3.7"), attempts.Barred, 2)
 	step("sent to another incarnation", arrive(attemptHeader, "s.4.6"), attempts.NotReceived, 2)
 	step("asked of that", arrive(queryHeader, "s.4.6"), attempts.Indeterminate, 2)
@@ -88,10 +88,10 @@
 }
 
 // A long body is handed on while it comes, and the time of its request counts from its last byte, at the last hop as at the first one.
-func TestLongBodyHasItsWholeTimeAtTheServer(t *testing.T) {
-	server := &held{}
-	l, _ := lastHopWith(server)
-	l.Submit(&core.Call{Client: &asked{}, Received: time.Now(), Request: balance.Request{Remaining: 1000},
+func TestStreamedBodyDeadlineStartsAtLastByte(t *testing.T) {
+	server := &stubPool{}
+	l, _ := newTestLastHop(server)
+	l.Submit(&core.Call{Client: &recordingClient{}, Received: time.Now(), Request: balance.Request{Remaining: 1000},
 		Message: core.Message{Trace: "x", Object: "i1", Meta: header("Try-Id", "x"), Stream: bodypipe.New(100 << 10)}})
 	if len(server.begun) != 1 {
 		t.Fatalf("%d begun", len(server.begun))
--- a/mesh/dataplane/lifecycle.go
+++ b/mesh/dataplane/lifecycle.go
@@ -24,7 +24,7 @@
 	controlReadTimeout = 10 * time.Second
 	// maxOccupancy is the share of a front's connections that may be idle; beyond it connections are closed after their
 	// answers.
-	maxOccupancy = 0.9
+	maxIdleConnFraction = 0.9
 	// reservedSockets is the number of file descriptors that fronts and upstreams leave to others, and minSockets the
 	// least number that they share.
 	reservedSockets = 400
@@ -46,7 +46,7 @@
 }
 
 // sockets is how many file descriptors the sides may use together.
-func sockets(settings *bootstrap.Settings) int {
+func socketBudget(settings *bootstrap.Settings) int {
 	return max(minSockets, settings.Resources.FileHandles-reservedSockets)
 }
 
@@ -55,18 +55,18 @@
 	p.sidecarPool = p.newUpstream(httpback.Config{
 		ConnectTimeout: hopConnectTimeout,
 		Idle:           hopIdleTimeout,
-		Silence:        hopSilenceTimeout,
+		Silence:        hopUnackedTimeout,
 		Sockets:        sockets / 3,
-		Dialect:        sidecarDialect{inFlight: p.inFlight, service: &p.serviceName, reachable: p.liveness.RecordReachable},
+		Dialect:        sidecarDialect{inFlight: p.inFlight, service: &p.serviceName, recordReachable: p.liveness.RecordReachable},
 		Ended:          p.queries.attemptEnded,
 	})
 	p.queries.pool = p.sidecarPool
 	p.lastHop.pool = p.newUpstream(httpback.Config{
 		ConnectTimeout: serverConnectTimeout,
 		Idle:           serverIdleTimeout,
-		Rest:           serverPoolRest,
-		Silence:        serverSilenceTimeout,
-		Fresh:          serverReuseLimit,
+		Rest:           serverReuseDelay,
+		Silence:        serverUnackedTimeout,
+		Fresh:          serverNonIdempotentMaxIdle,
 		Sockets:        sockets / 8,
 		Dialect:        serverDialect{},
 	})
@@ -93,7 +93,7 @@
 		Connections: connections,
 		LastCalls:   p.durations.Shutdown.StopAccepting,
 		Idle:        frontIdleTimeout,
-		Waiting:     maxOccupancy,
+		Waiting:     maxIdleConnFraction,
 		Evict:       func() bool { return false },
 		Dialect:     d,
 		Log:         p.slog,
@@ -146,13 +146,15 @@
 // serve serves until ctx ends or a front fails, and then drains.
 func (p *Proxy) serve(ctx context.Context, reloads <-chan os.Signal) error {
 	settings := p.settings.Load()
-	p.startUpstreams(sockets(settings))
-	clients := clientDialect{config: &p.cfg, services: &p.services, shutdown: &p.shutdown, refused: p.figures.lateAtShutdown, start: p.start}
-	out, err := p.newFront(clients, noExchange{p.ctx}, sockets(settings)/4)
+	p.startUpstreams(socketBudget(settings))
+	clients := clientDialect{
+		config: &p.cfg, services: &p.services, shutdown: &p.shutdown, refusedAtShutdown: p.metrics.refusedAtShutdown, start: p.start,
+	}
+	outgoingFront, err := p.newFront(clients, noExchange{p.ctx}, socketBudget(settings)/4)
 	if err != nil {
 		return err
 	}
-	in, err := p.newFront(incomingDialect{config: &p.cfg, service: &p.serviceName}, p.lastHop, sockets(settings)/4)
+	incomingFront, err := p.newFront(incomingDialect{config: &p.cfg, service: &p.serviceName}, p.lastHop, socketBudget(settings)/4)
 	if err != nil {
 		return err
 	}
@@ -162,21 +164,21 @@
 	}
 	defer listeners.close()
 	defer p.serveControl(listeners)()
-	defer p.serveFigures(settings.IP)()
-	out.Serve(listeners.outgoing)
-	in.Serve(listeners.incoming)
+	defer p.serveMetrics(settings.IP)()
+	outgoingFront.Serve(listeners.outgoing)
+	incomingFront.Serve(listeners.incoming)
 	p.startLoop(settings, reloads)
 	for _, c := range p.durations.Conflicts {
-		p.figures.registry.Flag("settings_conflict", "name", c.Name)
+		p.metrics.registry.Flag("settings_conflict", "name", c.Name)
 		_ = level.Warn(p.log).Log(c.LogLine()...)
 	}
 	_ = level.Info(p.log).Log("msg", "sidecar started", "node", settings.NodeName, "polled", p.epoll)
 	select {
 	case <-ctx.Done():
-		return p.shutDown(out, in)
-	case err := <-out.Failed():
+		return p.shutDown(outgoingFront, incomingFront)
+	case err := <-outgoingFront.Failed():
 		return fmt.Errorf("serve clients: %w", err)
-	case err := <-in.Failed():
+	case err := <-incomingFront.Failed():
 		return fmt.Errorf("serve sidecars: %w", err)
 	}
 }
@@ -197,7 +199,7 @@
 // serverAPI is what the local server may call.
 func (p *Proxy) serverAPI() *serverAPI {
 	return &serverAPI{
-		record: p.lastHop, service: &p.serviceName, changed: func() { p.post(serverChanged{}) }, confirm: p.confirmAnnouncement,
+		record: p.lastHop, service: &p.serviceName, onChange: func() { p.post(serverChanged{}) }, confirm: p.confirmAnnouncement,
 	}
 }
 
--- a/mesh/dataplane/lifecycle_test.go
+++ b/mesh/dataplane/lifecycle_test.go
@@ -30,7 +30,7 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // controlMachine is a control machine that sends each subscriber one configuration and notes what is announced to it.
-type controlMachine struct {
+type fakeControlMachine struct {
 	announced chan directory.Entry
 	closed    chan struct{} // one for each connection that has ended
 
@@ -38,7 +38,7 @@
 	conns []*transport.Conn
 }
 
-func (m *controlMachine) HandleFrame(c *transport.Conn, f *wire.FrameT) {
+func (m *fakeControlMachine) HandleFrame(c *transport.Conn, f *wire.FrameT) {
 	if f.Kind == wire.Subscribe {
 		m.mu.Lock()
 		m.conns = append(m.conns, c)
@@ -56,33 +56,33 @@
 	}
 }
 
-func (m *controlMachine) HandleClose(*transport.Conn) { m.closed <- struct{}{} }
+func (m *fakeControlMachine) HandleClose(*transport.Conn) { m.closed <- struct{}{} }
 
 // subscribed is how many connections there were.
-func (m *controlMachine) subscribed() int {
+func (m *fakeControlMachine) subscriptions() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.conns)
 }
 
 // await waits until an entry is announced.
-func (m *controlMachine) await(t *testing.T, wanted func(*directory.Entry) bool) {
+func (m *fakeControlMachine) awaitEntry(t *testing.T, matches func(*directory.Entry) bool) {
 	t.Helper()
-	late := time.After(10 * time.Second)
+	timeout := time.After(10 * time.Second)
 	for {
 		select {
 		case e := <-m.announced:
-			if wanted(&e) {
+			if matches(&e) {
 				return
 			}
-		case <-late:
+		case <-timeout:
 			t.Fatal("it was never announced")
 		}
 	}
 }
 
 // close ends the machine and waits for what it serves.
-func (m *controlMachine) close(ln net.Listener, serving *sync.WaitGroup) {
+func (m *fakeControlMachine) close(ln net.Listener, serving *sync.WaitGroup) {
 	_ = ln.Close()
 	m.mu.Lock()
 	for _, c := range m.conns {
@@ -134,7 +134,7 @@
 }
 
 // status is what an address answers to a request without a body; 0: nothing.
-func status(method, url, body string) int {
+func responseStatus(method, url, body string) int {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	r, err := http.NewRequest(method, url, strings.NewReader(body))
 	if err != nil {
@@ -149,10 +149,10 @@
 }
 
 // await polls until a status is had.
-func await(t *testing.T, want int, url string) {
+func awaitStatus(t *testing.T, want int, url string) {
 	t.Helper()
-	for until := time.Now().Add(10 * time.Second); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
-		if status(http.MethodGet, url, "") == want {
+	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
+		if responseStatus(http.MethodGet, url, "") == want {
 			return
 		}
 	}
@@ -161,13 +161,13 @@
 
 // A sidecar becomes ready with its first configuration, announces the local server, and at the end drains and leaves
 // nothing behind.
-func TestSidecarFromStartToEnd(t *testing.T) {
+func TestSidecarLifecycle(t *testing.T) {
 	port := freePort(t, controlIP)
 	ln, err := net.Listen("tcp", net.JoinHostPort(controlIP, strconv.Itoa(port)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	machine := &controlMachine{announced: make(chan directory.Entry, 64), closed: make(chan struct{}, 64)}
+	machine := &fakeControlMachine{announced: make(chan directory.Entry, 64), closed: make(chan struct{}, 64)}
 	var serving sync.WaitGroup
 	serving.Go(func() { _ = transport.Serve(ln, machine) })
 	defer machine.close(ln, &serving)
@@ -177,34 +177,34 @@
 	go func() {
 		ended <- Run(ctx, path, nil, kitlog.NewNopLogger(), slog.New(slog.DiscardHandler))
 	}()
-	await(t, http.StatusOK, "http://"+readiness+"/")
+	awaitStatus(t, http.StatusOK, "http://"+readiness+"/")
 	heartbeat := `{"line":"one","address":"a","zone":"za","edition":"1","berths":5,"condition":"accepting","sequence":1}`
-	if got := status(http.MethodPost, "http://"+control+"/Servers.Beat/i-7", heartbeat); got != http.StatusOK {
+	if got := responseStatus(http.MethodPost, "http://"+control+"/Servers.Beat/i-7", heartbeat); got != http.StatusOK {
 		t.Errorf("a heartbeat is answered by %d", got)
 	}
-	if got := status(http.MethodPost, "http://"+control+"/Servers.Beat/i-7", `{"line":"one"}`); got != http.StatusBadRequest {
+	if got := responseStatus(http.MethodPost, "http://"+control+"/Servers.Beat/i-7", `{"line":"one"}`); got != http.StatusBadRequest {
 		t.Errorf("half a heartbeat is answered by %d", got)
 	}
-	machine.await(t, func(e *directory.Entry) bool {
+	machine.awaitEntry(t, func(e *directory.Entry) bool {
 		return e.Server == "i-7" && e.Slots == 5 && e.Service == "one" && e.State == directory.Accepting
 	})
 	stop()
-	machine.await(t, func(e *directory.Entry) bool { return e.State == directory.Draining })
-	await(t, http.StatusServiceUnavailable, "http://"+readiness+"/")
+	machine.awaitEntry(t, func(e *directory.Entry) bool { return e.State == directory.Draining })
+	awaitStatus(t, http.StatusServiceUnavailable, "http://"+readiness+"/")
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
-	late := time.After(10 * time.Second)
-	for range machine.subscribed() {
+	timeout := time.After(10 * time.Second)
+	for range machine.subscriptions() {
 		select {
 		case <-machine.closed:
-		case <-late:
+		case <-timeout:
 			t.Fatal("the connection to its parent is left open")
 		}
 	}
 }
 
-func TestSidecarWithoutAnAddressDoesNotStart(t *testing.T) {
+func TestMissingAddressIsRejected(t *testing.T) {
 	path, _, control := writeSettings(t, 7000)
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/mesh/dataplane/loop.go
+++ b/mesh/dataplane/loop.go
@@ -42,7 +42,7 @@
 func (serverChanged) handle(p *Proxy, now time.Duration)   { p.node.Announce(now) }
 func (shutdownStarted) handle(p *Proxy, now time.Duration) { p.node.Drain(now) }
 func (e probeReceived) handle(p *Proxy, now time.Duration) {
-	p.applyLiveness(now, p.liveness.Handle(now, e.message))
+	p.applyLivenessResult(now, p.liveness.Handle(now, e.message))
 }
 func (e distributionEvent) handle(p *Proxy, now time.Duration) { p.links.Handle(now, e.Event) }
 
@@ -58,21 +58,21 @@
 
 // loop owns the desired state, and the parts that reconcile this sidecar with it, until the context ends.
 func (p *Proxy) loop(reloads <-chan os.Signal) {
-	var tickAt, settingsAt time.Duration
+	var nextTick, nextSettingsPoll time.Duration
 	timer := time.NewTimer(p.durations.Subscription.TickInterval)
 	defer timer.Stop()
 	for {
 		now := p.now()
-		if now >= tickAt {
-			tickAt = now + p.durations.Subscription.TickInterval
+		if now >= nextTick {
+			nextTick = now + p.durations.Subscription.TickInterval
 			p.tick(now)
-			if now >= settingsAt {
-				settingsAt = now + settingsPollInterval
+			if now >= nextSettingsPoll {
+				nextSettingsPoll = now + settingsPollInterval
 				p.reload()
 			}
 		}
-		next := min(tickAt, p.advance(now))
-		timer.Reset(max(0, next-p.now()))
+		wakeAt := min(nextTick, p.reconcile(now))
+		timer.Reset(max(0, wakeAt-p.now()))
 		select {
 		case <-timer.C:
 		case e := <-p.events:
@@ -91,7 +91,7 @@
 func (p *Proxy) handle(e event) {
 	e.handle(p, p.now())
 	p.links.Perform()
-	p.announcements.confirm(p.now(), p.node)
+	p.confirmations.closeConfirmed(p.now(), p.node)
 }
 
 // tick checks for what time alone changes.
@@ -106,24 +106,24 @@
 	}
 	p.node.CheckReady(now)
 	p.node.Reparent(now)
-	p.announcements.confirm(now, p.node)
+	p.confirmations.closeConfirmed(now, p.node)
 	p.checkRollouts(now)
-	p.updateFigures(now)
+	p.updateMetrics(now)
 	if p.ready.Load() && !p.shuttingDown.Load() {
-		p.applyLiveness(now, p.liveness.Tick(now, p.node.State().Directory))
+		p.applyLivenessResult(now, p.liveness.Tick(now, p.node.State().Directory))
 	}
 	p.links.Perform()
 }
 
 // advance reconciles the sidecar with the desired state. It returns when to be called again at the latest.
-func (p *Proxy) advance(now time.Duration) (next time.Duration) {
+func (p *Proxy) reconcile(now time.Duration) (wakeAt time.Duration) {
 	p.links.Maintain(now)
 	p.node.Adopt()
 	p.adoptRollouts(now)
 	p.reconcileExchanges(now)
-	next = min(p.node.Publish(now), p.reportRollouts(now))
+	wakeAt = min(p.node.Publish(now), p.reportRolloutEvidence(now))
 	p.links.Perform()
-	return next
+	return wakeAt
 }
 
 // reconcileExchanges updates the endpoints of the exchanges, if they have changed.
@@ -133,7 +133,7 @@
 }
 
 // applyLiveness performs a result of the failure detector.
-func (p *Proxy) applyLiveness(now time.Duration, r liveness.Result) {
+func (p *Proxy) applyLivenessResult(now time.Duration, r liveness.Result) {
 	d := p.node.State().Directory
 	p.sendProbes(r.Probes)
 	if r.EvidenceChanged {
@@ -142,14 +142,14 @@
 	if !r.ReportDue {
 		return
 	}
-	if lost := p.liveness.Unreachable(now, d); len(lost) > 0 {
-		_ = level.Info(p.log).Log("msg", "sidecars unreachable by own probes", "count", len(lost), "first", lost[0].Node)
-		p.node.SendEntries(now, lost)
+	if unreachable := p.liveness.Unreachable(now, d); len(unreachable) > 0 {
+		_ = level.Info(p.log).Log("msg", "sidecars unreachable by own probes", "count", len(unreachable), "first", unreachable[0].Node)
+		p.node.SendEntries(now, unreachable)
 	}
 }
 
 // observe logs the actions of the node that an operator should know of.
-func (p *Proxy) observe(a distribution.Action) {
+func (p *Proxy) logAction(a distribution.Action) {
 	switch a := a.(type) {
 	case distribution.Close:
 		p.logParentLeft(a)
@@ -160,7 +160,7 @@
 }
 
 func (p *Proxy) logParentLeft(a distribution.Close) {
-	p.figures.reasons[a.Reason].Inc()
+	p.metrics.parentLeftByReason[a.Reason].Inc()
 	if a.Reason == subscription.Stale {
 		_ = level.Info(p.log).Log("msg", "parent stale: switching to another", "parent", a.Addr, "age", ageText(p.now(), p.node.State().AsOf))
 	}
@@ -185,18 +185,18 @@
 
 // reload reads the settings again, if they have changed. Invalid ones leave the present ones in force.
 func (p *Proxy) reload() {
-	next, err := p.settingsFile.ReadIfChanged()
+	settings, err := p.settingsFile.ReadIfChanged()
 	if err != nil {
 		_ = level.Warn(p.log).Log("msg", "settings invalid: the present ones stay in force", "error", err)
 		return
 	}
-	if next == nil {
+	if settings == nil {
 		return
 	}
-	before := p.settings.Load()
-	p.settings.Store(next)
-	p.node.SetSeeds(next.SeedPeerAddrs())
-	if next.Service != before.Service {
-		p.serviceName.Store(&next.Service)
+	previous := p.settings.Load()
+	p.settings.Store(settings)
+	p.node.SetSeeds(settings.SeedPeerAddrs())
+	if settings.Service != previous.Service {
+		p.serviceName.Store(&settings.Service)
 	}
 }
--- a/mesh/dataplane/outcomes.go
+++ b/mesh/dataplane/outcomes.go
@@ -80,11 +80,11 @@
 }
 
 // answerOverhead is what an answer holds besides headers and body, in bytes, roughly.
-const answerOverhead = 256
+const answerOverheadBytes = 256
 
 // answerSize is how many bytes an answer holds, roughly.
 func answerSize(a *core.Answer) int {
-	size := answerOverhead + len(a.Body)
+	size := answerOverheadBytes + len(a.Body)
 	for name, values := range a.Meta {
 		for _, v := range values {
 			size += len(name) + len(v)
--- a/mesh/dataplane/outgoing.go
+++ b/mesh/dataplane/outgoing.go
@@ -23,11 +23,11 @@
 // clientDialect is the outgoing request path up to the exchange: it routes what the front for the machine's clients takes in. It implements
 // httpfront.Dialect, and is safe for concurrent use.
 type clientDialect struct {
-	config   *atomic.Pointer[config.Config]       // in force; nil while there is none
-	services *atomic.Pointer[map[string]*service] // by name
-	shutdown *atomic.Pointer[shutdownSchedule]    // nil: it has not begun
-	refused  *metrics.Counter                     // of requests that come too late for it
-	start    time.Time                            // of the process, from which its clock counts
+	config            *atomic.Pointer[config.Config]       // in force; nil while there is none
+	services          *atomic.Pointer[map[string]*service] // by name
+	shutdown          *atomic.Pointer[shutdownSchedule]    // nil: it has not begun
+	refusedAtShutdown *metrics.Counter                     // of requests that come too late for it
+	start             time.Time                            // of the process, from which its clock counts
 }
 
 // Fill implements httpfront.Dialect: it routes a request to a service's exchange, or returns the answer that rejects it.
@@ -47,13 +47,13 @@
 	if svc == nil {
 		return ownAnswer(http.StatusServiceUnavailable, "", "the service is not known yet", retryAfterNoService), nil
 	}
-	left := route.Action.TimeoutS * millisPerSecond
-	if byClient := remainingMillis(r.Header); byClient > 0 {
-		left = min(left, byClient)
+	remaining := route.Action.TimeoutS * millisPerSecond
+	if clientRemaining := remainingMillis(r.Header); clientRemaining > 0 {
+		remaining = min(remaining, clientRemaining)
 	}
 	c.Received = time.Now()
-	if !d.shutdown.Load().takes(c.Received, time.Duration(left*float64(time.Millisecond))) {
-		d.refused.Inc()
+	if !d.shutdown.Load().accepts(c.Received, time.Duration(remaining*float64(time.Millisecond))) {
+		d.refusedAtShutdown.Inc()
 		return ownAnswer(http.StatusServiceUnavailable, "", "the sidecar shuts down", retryAfterShutdown), nil
 	}
 	c.Message = messageOf(r, body, c.Message.Stream)
@@ -61,9 +61,9 @@
 	c.Message.ConfigVersion = uint64(cfg.Version)
 	c.Message.Priority = route.Rank
 	c.Request = balance.Request{
-		Class:       svc.class(route),
+		Class:       svc.classNumber(route),
 		Tenant:      -1,
-		Remaining:   left,
+		Remaining:   remaining,
 		Candidate:   svc.split.Next(c.Received.Sub(d.start)),
 		MaxAttempts: route.Action.MaxAttempts,
 	}
--- a/mesh/dataplane/proxy.go
+++ b/mesh/dataplane/proxy.go
@@ -54,17 +54,17 @@
 	frontIdleTimeout  = 45 * time.Second
 	// hopSilenceTimeout is how long another machine's kernel may leave data unacknowledged: beyond it the machine is
 	// down or partitioned, and idempotent requests are retried elsewhere.
-	hopSilenceTimeout = 2500 * time.Millisecond
+	hopUnackedTimeout = 2500 * time.Millisecond
 	// serverConnectTimeout and serverIdleTimeout are the same for the local server.
 	serverConnectTimeout = 300 * time.Millisecond
 	serverIdleTimeout    = 5 * time.Second
 	// serverReuseLimit is how long a connection to the server may have been idle to carry a request that is not
 	// idempotent: the server may be closing it.
-	serverReuseLimit = 800 * time.Millisecond
+	serverNonIdempotentMaxIdle = 800 * time.Millisecond
 	// serverSilenceTimeout is hopSilenceTimeout for the local server.
-	serverSilenceTimeout = 2500 * time.Millisecond
+	serverUnackedTimeout = 2500 * time.Millisecond
 	// serverPoolRest is the pause between two requests on a connection to the server.
-	serverPoolRest = 2 * time.Millisecond
+	serverReuseDelay = 2 * time.Millisecond
 )
 
 // Proxy is the sidecar of one machine. It puts the parts together; each has its own state and owner.
@@ -91,9 +91,9 @@
 	identifying  atomic.Bool                      // the local server is being identified by its health check
 	shutdown     atomic.Pointer[shutdownSchedule] // nil: it has not begun
 
-	figures    *figures
-	invariants invariant.Reporter
-	failures   *rate.Sometimes // bounds what is logged of requests that were not served
+	metrics         *proxyMetrics
+	invariants      invariant.Reporter
+	failureLogLimit *rate.Sometimes // bounds what is logged of requests that were not served
 
 	// The request path. Each part is safe for concurrent use.
 	lastHop     *lastHop
@@ -108,8 +108,8 @@
 	liveness      *liveness.Monitor // but RecordReachable is for any goroutine
 	probes        *probeSocket      // nil: there is no socket
 	streamPings   *streamPings
-	announcements announcements
-	rollouts      rollouts
+	confirmations pendingConfirmations
+	rollouts      rolloutTracker
 }
 
 // incarnationRandomBits is how many bits of an incarnation are random, so that no two processes share one, also where
@@ -125,7 +125,7 @@
 // Run runs a sidecar with the settings file at path until ctx ends, and then shuts it down in order: requests that were
 // accepted are answered first. Each signal on reloads has the settings read again, which are also polled. The error is
 // that of the settings, of a listener, or of a front that failed.
-func Run(ctx context.Context, path string, reloads <-chan os.Signal, log kitlog.Logger, shared *slog.Logger) error {
+func Run(ctx context.Context, path string, reloads <-chan os.Signal, log kitlog.Logger, slogger *slog.Logger) error {
 	file := bootstrap.File{Path: path}
 	settings, err := file.ReadIfChanged()
 	if err != nil {
@@ -134,8 +134,8 @@
 	if err := checkAddresses(path, settings); err != nil {
 		return err
 	}
-	inner, stop := context.WithCancel(context.Background())
-	p := newProxy(inner, file, settings, log, shared)
+	runCtx, stop := context.WithCancel(context.Background())
+	p := newProxy(runCtx, file, settings, log, slogger)
 	defer p.wait()
 	defer stop()
 	return p.serve(ctx, reloads)
@@ -152,37 +152,37 @@
 
 func checkAddresses(path string, settings *bootstrap.Settings) error {
 	a := &settings.Addresses
-	for _, needed := range []struct{ name, addr string }{
+	for _, required := range []struct{ name, addr string }{
 		{"outgoing", a.Outgoing},
 		{"incoming", a.Incoming},
 		{"readiness", a.Readiness},
 		{"control", a.Control},
 		{"appAddr", settings.AppAddr},
 	} {
-		if needed.addr == "" {
-			return errors.Wrapf(ErrAddressMissing, "%s: addresses: %s", path, needed.name)
+		if required.addr == "" {
+			return errors.Wrapf(ErrAddressMissing, "%s: addresses: %s", path, required.name)
 		}
 	}
 	return nil
 }
 
 // newProxy returns a sidecar that is not running yet.
-func newProxy(ctx context.Context, file bootstrap.File, settings *bootstrap.Settings, log kitlog.Logger, shared *slog.Logger) *Proxy {
+func newProxy(ctx context.Context, file bootstrap.File, settings *bootstrap.Settings, log kitlog.Logger, slogger *slog.Logger) *Proxy {
 	durations := timing.FromSettings(settings)
 	p := &Proxy{
 		durations:    durations,
 		settingsFile: file,
 		name:         settings.NodeName,
 		log:          log,
-		slog:         shared,
+		slog:         slogger,
 		start:        time.Now(),
 		ctx:          ctx,
 		events:       make(chan event, eventQueueSize),
 		epoll:        poller.Check() == nil,
 	}
-	p.figures = newFigures()
-	p.invariants = p.figures.registry.NewMonitor(log)
-	p.failures = &rate.Sometimes{First: failuresLoggedAtOnce, Interval: failureLogInterval}
+	p.metrics = newProxyMetrics()
+	p.invariants = p.metrics.registry.NewMonitor(log)
+	p.failureLogLimit = &rate.Sometimes{First: failureLogFirst, Interval: failureLogInterval}
 	p.settings.Store(settings)
 	p.serviceName.Store(&settings.Service)
 	p.services.Store(&map[string]*service{})
@@ -192,10 +192,10 @@
 		Link:      admission.NewLink(settings.Resources.LinkMbps),
 		Outcomes:  attempts.New[*core.Call, *core.Answer](own.Incarnation),
 	})
-	p.lastHop.figures, p.lastHop.invariants = p.figures, p.invariants
+	p.lastHop.metrics, p.lastHop.invariants = p.metrics, p.invariants
 	p.lastHop.guard = lasthop.NewGuard(settings.Bounds.DrainTime)
-	p.lastHop.changed = func() { p.post(serverChanged{}) }
-	p.lastHop.doubted = p.beginIdentifyingServer
+	p.lastHop.onServerChange = func() { p.post(serverChanged{}) }
+	p.lastHop.onUnconfirmedServer = p.beginIdentifyingServer
 	if !settings.FirstStart {
 		p.lastHop.gate.Admission.MarkRestarted()
 	}
@@ -205,10 +205,10 @@
 	policy.Seeds = settings.SeedPeerAddrs()
 	p.node = distribution.New(own, policy, &host{p: p}, durations)
 	post := func(e distribution.Event) bool { return p.post(distributionEvent{e}) }
-	p.links = links.New(ctx, p.node, post, p.observe)
+	p.links = links.New(ctx, p.node, post, p.logAction)
 	p.exchanges = exchanges.New(p.newService, p.setEndpoints)
 	p.rollouts = newRollouts(durations.Rollouts, &settings.Bounds)
-	p.streamPings = newStreamPings(ctx, settings.NodeName, func(node string) { p.post(contactMade{node}) })
+	p.streamPings = newStreamPings(ctx, settings.NodeName, func(node string) { p.post(streamPingAnswered{node}) })
 	p.liveness = liveness.New(settings.NodeName, hashSeed(settings.NodeName)^uint64(p.start.UnixNano()))
 	return p
 }
--- a/mesh/dataplane/proxy_test.go
+++ b/mesh/dataplane/proxy_test.go
@@ -34,15 +34,15 @@
 }
 
 // What the last hop makes of a server's answer, and the sending sidecar of that: from both it follows whether a request may go on.
-func TestFatesOnTheWayBack(t *testing.T) {
+func TestResponseOutcomesAcrossHops(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		status int
-		header http.Header
-		end    balance.Result // where no answer came
-		want   balance.Result
-		unmet  bool
-		own    bool // the answer is the server's own
+		name            string
+		status          int
+		header          http.Header
+		noAnswerOutcome balance.Result // where no answer came
+		want            balance.Result
+		notDelivered    bool
+		serverAnswer    bool // the answer is the server's own
 	}{
 		{"served", 200, header("Try-Id", "x", "Postmark", "p"), 0, balance.OK, false, true},
 		{"a success without its stamp", 200, header("Try-Id", "x"), 0, balance.Reset, false, false},
@@ -62,16 +62,16 @@
 		{"given up", 0, nil, balance.Cancelled, balance.Reset, false, false},
 	} {
 		a := core.NewAttempt(core.NewEndpoint("i-1", "h:1"), &core.Message{Trace: "x"}, time.Now(), func(core.Result) {})
-		r := core.Result{Outcome: c.end}
+		r := core.Result{Outcome: c.noAnswerOutcome}
 		if c.status != 0 {
 			r = serverDialect{}.Judge(a, c.status, c.header, []byte("body"))
 		}
-		told := lastHopAnswer(r)
-		got := newSidecarDialect().Judge(a, told.Status, http.Header(told.Meta), told.Body)
-		if got.Outcome != c.want || got.NotDelivered != c.unmet {
-			t.Errorf("%s: %v, unmet %v; want %v, %v", c.name, got.Outcome, got.NotDelivered, c.want, c.unmet)
+		lastHopResponse := lastHopAnswer(r)
+		got := newSidecarDialect().Judge(a, lastHopResponse.Status, http.Header(lastHopResponse.Meta), lastHopResponse.Body)
+		if got.Outcome != c.want || got.NotDelivered != c.notDelivered {
+			t.Errorf("%s: %v, unmet %v; want %v, %v", c.name, got.Outcome, got.NotDelivered, c.want, c.notDelivered)
 		}
-		if own := got.Answer != nil && got.Answer.Status == c.status; own != c.own {
+		if serverAnswer := got.Answer != nil && got.Answer.Status == c.status; serverAnswer != c.serverAnswer {
 			t.Errorf("%s: answered %+v", c.name, got.Answer)
 		}
 		if got.Answer != nil && got.Answer.Meta["Firplank-Fate"] != nil {
@@ -80,41 +80,41 @@
 	}
 }
 
-func cfg(t *testing.T, edition, line string) *config.Config {
+func parseTestConfig(t *testing.T, edition, service string) *config.Config {
 	t.Helper()
-	b, err := config.Parse(fmt.Appendf(nil, `{"edition":"%s","gates":[{"depot":"h","regulations":[
+	parsed, err := config.Parse(fmt.Appendf(nil, `{"edition":"%s","gates":[{"depot":"h","regulations":[
 {"name":"r","routeKind":"safe","targetS":1,"precedence":1,
 "sorting":{"lanePrefix":"/a/"},"dispatch":{"line":"%s","deadlineS":2,"attempts":2}}]}],
-"fleets":[{"name":"one"},{"name":"two"}]}`, edition, line))
+"fleets":[{"name":"one"},{"name":"two"}]}`, edition, service))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return b
+	return parsed
 }
 
 // A sender that does not know of a change is turned away by the last hop that does; one that knows more is not.
-func TestLastHopKnowsTheNewerConfiguration(t *testing.T) {
-	line := "one"
+func TestLastHopRejectsOutdatedRouting(t *testing.T) {
+	service := "one"
 	for _, c := range []struct {
-		name, by, path, leads string
-		want                  bool
+		name, senderVersion, path, routedTo string
+		want                                bool
 	}{
 		{"the same edition", "5", "/a/1", "two", false}, {"an older one, still allowed", "4", "/a/1", "one", false},
 		{"an older one, led elsewhere since", "4", "/a/1", "two", true}, {"an older one, the route is gone", "4", "/b/1", "one", true},
 		{"a newer one", "6", "/b/1", "two", false}, {"none is told", "", "/a/1", "two", false},
 	} {
-		s := &Proxy{}
-		s.serviceName.Store(&line)
-		s.cfg.Store(cfg(t, "00000005", c.leads))
-		r := &httpfront.Request{Host: "h", Path: c.path, Header: header("Firplank-Edition", c.by)}
-		if got := (incomingDialect{config: &s.cfg, service: &s.serviceName}).routedByOutdatedConfig(r); got != c.want {
+		p := &Proxy{}
+		p.serviceName.Store(&service)
+		p.cfg.Store(parseTestConfig(t, "00000005", c.routedTo))
+		r := &httpfront.Request{Host: "h", Path: c.path, Header: header("Firplank-Edition", c.senderVersion)}
+		if got := (incomingDialect{config: &p.cfg, service: &p.serviceName}).routedByOutdatedConfig(r); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
 }
 
 // A surplus answer that comes in the place of the next one is known by its id, and the answer behind it is taken.
-func TestSurplusAnswerIsPassedOver(t *testing.T) {
+func TestSurplusResponseIsSkipped(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -163,7 +163,7 @@
 	}
 }
 
-func TestRestartedSidecarAsksItsServer(t *testing.T) {
+func TestServerIDIsReadFromHealthCheck(t *testing.T) {
 	for _, c := range []struct{ answer, want string }{
 		{"HTTP/1.1 200 OK\r\nServed-By: i-9\r\nContent-Length: 0\r\n\r\n", "i-9"},
 		{"HTTP/1.1 503 Service Unavailable\r\nServed-By: i-9\r\nContent-Length: 0\r\n\r\n", ""},
@@ -190,39 +190,39 @@
 }
 
 // A sidecar that ends in order says so of itself, not of its server: what comes after it finds that as open as it was.
-func TestEndOfASidecarIsNotItsServers(t *testing.T) {
+func TestSidecarShutdownDoesNotCloseServer(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		closing bool
-		said    directory.State
-		then    admission.Verdict
+		name      string
+		closing   bool
+		announced directory.State
+		verdict   admission.Verdict
 	}{{"its server goes on", false, directory.Draining, admission.Admit}, {"its server closes", true, directory.Closing, admission.Closing}} {
-		line := "records"
-		life := func(number uint64) *Proxy {
+		service := "records"
+		newIncarnationProxy := func(incarnation uint64) *Proxy {
 			heartbeats := timing.Server{HeartbeatTimeout: time.Second, RestoredTimeout: time.Second}
 			gate := lasthop.Gate[*core.Call, *core.Answer]{Admission: admission.New(heartbeats)}
-			s := &Proxy{lastHop: &lastHop{gate: gate}}
-			s.serviceName.Store(&line)
+			p := &Proxy{lastHop: &lastHop{gate: gate}}
+			p.serviceName.Store(&service)
 			durations := timing.Default()
 			policy := dissemination.NewSubscriber("b1", "", durations.Dissemination, 0)
-			s.node = distribution.New(directory.Entry{Node: "b1", Incarnation: number}, policy, &host{p: s}, durations)
-			return s
+			p.node = distribution.New(directory.Entry{Node: "b1", Incarnation: incarnation}, policy, &host{p: p}, durations)
+			return p
 		}
-		first := life(1)
-		heartbeat := admission.Heartbeat{ServerID: "i1", Service: line, Slots: 4, Closing: c.closing, Sequence: 1}
+		first := newIncarnationProxy(1)
+		heartbeat := admission.Heartbeat{ServerID: "i1", Service: service, Slots: 4, Closing: c.closing, Sequence: 1}
 		first.lastHop.gate.Admission.HandleHeartbeat(0, heartbeat)
 		first.shuttingDown.Store(true)
 		first.node.Announce(0)
 		e, _ := first.node.State().Directory.Get("b1")
-		if e.State != c.said {
+		if e.State != c.announced {
 			t.Errorf("%s: told as %v", c.name, e.State)
 		}
-		second := life(2)
+		second := newIncarnationProxy(2)
 		parent := &transport.Conn{}
 		second.node.Handle(0, distribution.ParentDialed{Conn: parent})
 		update := &wire.FrameT{Kind: wire.Update, AgeMs: 1, Entries: []*wire.EntryT{codec.EntryToWire(&e, 0)}}
 		second.node.Handle(0, distribution.FrameReceived{Conn: parent, Frame: update})
-		if v := second.lastHop.gate.Admission.Admit("i1", 0, 0); v != c.then {
+		if v := second.lastHop.gate.Admission.Admit("i1", 0, 0); v != c.verdict {
 			t.Errorf("%s: the next sidecar's admission says %v", c.name, v)
 		}
 	}
--- a/mesh/dataplane/queries.go
+++ b/mesh/dataplane/queries.go
@@ -23,7 +23,7 @@
 	inFlight *inflight.Tracker[*core.Attempt]
 	pool     upstream       // of connections to other sidecars
 	logLimit rate.Sometimes // bounds what is logged of these attempts
-	asking   sync.WaitGroup
+	running  sync.WaitGroup
 }
 
 func newOutcomeQueries(ctx context.Context, log kitlog.Logger, inFlight *inflight.Tracker[*core.Attempt]) *outcomeQueries {
@@ -38,15 +38,15 @@
 	if !ok || r.Outcome != balance.Reset {
 		return false
 	}
-	q.asking.Go(func() { q.ask(a, unanswered) })
+	q.running.Go(func() { q.queryOutcome(a, unanswered) })
 	return true
 }
 
 // wait waits for all queries. The context has to have ended.
-func (q *outcomeQueries) wait() { q.asking.Wait() }
+func (q *outcomeQueries) wait() { q.running.Wait() }
 
 // ask queries the last hop of an attempt, a few times while it does not answer, and ends the attempt by its response.
-func (q *outcomeQueries) ask(a *core.Attempt, unanswered inflight.Attempt) {
+func (q *outcomeQueries) queryOutcome(a *core.Attempt, unanswered inflight.Attempt) {
 	queries := 0
 	for query := unanswered.FirstQuery(time.Until(a.Deadline)); query != nil; query = query.Next(time.Until(a.Deadline)) {
 		if q.ctx.Err() != nil {
--- a/mesh/dataplane/queries_test.go
+++ b/mesh/dataplane/queries_test.go
@@ -20,17 +20,17 @@
 	service := &atomic.Pointer[string]{}
 	name := "one"
 	service.Store(&name)
-	return sidecarDialect{inFlight: inflight.New[*core.Attempt]("me.1"), service: service, reachable: func(string) {}}
+	return sidecarDialect{inFlight: inflight.New[*core.Attempt]("me.1"), service: service, recordReachable: func(string) {}}
 }
 
 // A query's response counts as evidence about its attempt only where the last hop has understood it as a query.
-func TestARejectedQueryProvesNothing(t *testing.T) {
+func TestRejectedQueryIsNoEvidence(t *testing.T) {
 	for _, c := range []struct {
-		said     attempts.Outcome
-		status   int
-		want     balance.Result
-		unmet    bool
-		answered bool
+		outcome      attempts.Outcome
+		status       int
+		want         balance.Result
+		notDelivered bool
+		answered     bool
 	}{
 		{attempts.NotReceived, 503, balance.Reset, false, false}, {attempts.Barred, 503, balance.Rejected, true, true},
 		{attempts.Indeterminate, 502, balance.Reset, false, true}, {attempts.Rejected, 503, balance.Rejected, false, true},
@@ -40,42 +40,42 @@
 		a := core.NewAttempt(core.NewEndpoint("", "h:1"), &core.Message{Trace: "x"}, time.Now(), func(core.Result) {})
 		query := &inflight.Query{Number: 1}
 		dialect.inFlight.BeginQuery(a, query)
-		got := dialect.Judge(a, c.status, header("Firplank-Fate", string(c.said), "Try-Id", "x"), nil)
-		if got.Outcome != c.want || got.NotDelivered != c.unmet || query.Answered() != c.answered {
-			t.Errorf("%q: %v, unmet %v, answered %v", c.said, got.Outcome, got.NotDelivered, query.Answered())
+		got := dialect.Judge(a, c.status, header("Firplank-Fate", string(c.outcome), "Try-Id", "x"), nil)
+		if got.Outcome != c.want || got.NotDelivered != c.notDelivered || query.Answered() != c.answered {
+			t.Errorf("%q: %v, unmet %v, answered %v", c.outcome, got.Outcome, got.NotDelivered, query.Answered())
 		}
 	}
 }
 
 // queriedPool is a pool of connections to a last hop that answers queries in turn; a query without an answer breaks.
 type queriedPool struct {
-	held
-	dialect sidecarDialect
-	says    []attempts.Outcome // in turn; empty: the connection breaks
-	asked   []time.Time
+	stubPool
+	dialect   sidecarDialect
+	outcomes  []attempts.Outcome // in turn; empty: the connection breaks
+	queriedAt []time.Time
 }
 
 func (p *queriedPool) Begin(a *core.Attempt) {
 	p.dialect.Fields(nil, a, time.Until(a.Deadline))
-	at := len(p.asked)
-	p.asked = append(p.asked, time.Now())
-	if at >= len(p.says) || p.says[at] == "" {
+	index := len(p.queriedAt)
+	p.queriedAt = append(p.queriedAt, time.Now())
+	if index >= len(p.outcomes) || p.outcomes[index] == "" {
 		a.End(core.Result{Outcome: balance.Reset})
 		return
 	}
-	a.End(p.dialect.Judge(a, 503, header("Firplank-Fate", string(p.says[at]), "Try-Id", "x"), nil))
+	a.End(p.dialect.Judge(a, 503, header("Firplank-Fate", string(p.outcomes[index]), "Try-Id", "x"), nil))
 }
 
 // An attempt whose connection broke ends by what its last hop answers, or as unknown after all queries, 150 ms apart,
 // while its request has time.
-func TestBrokenAttemptsEndByWhatTheirLastHopAnswers(t *testing.T) {
+func TestBrokenAttemptsEndWithQueriedOutcome(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		left    time.Duration
-		says    []attempts.Outcome
-		want    balance.Result
-		unmet   bool
-		queries int
+		name         string
+		remaining    time.Duration
+		outcomes     []attempts.Outcome
+		want         balance.Result
+		notDelivered bool
+		queries      int
 	}{
 		{"it proves at once that nothing began", time.Second, []attempts.Outcome{attempts.Barred}, balance.Rejected, true, 1},
 		{"the first query breaks", time.Second, []attempts.Outcome{"", attempts.Barred}, balance.Rejected, true, 2},
@@ -87,21 +87,21 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			dialect := newSidecarDialect()
-			pool := &queriedPool{dialect: dialect, says: c.says}
+			pool := &queriedPool{dialect: dialect, outcomes: c.outcomes}
 			q := newOutcomeQueries(t.Context(), kitlog.NewNopLogger(), dialect.inFlight)
 			q.pool = pool
 			ended := make(chan core.Result, 1)
-			a := core.NewAttempt(core.NewEndpoint("i1", "h:1"), &core.Message{Trace: "x"}, time.Now().Add(c.left),
+			a := core.NewAttempt(core.NewEndpoint("i1", "h:1"), &core.Message{Trace: "x"}, time.Now().Add(c.remaining),
 				func(r core.Result) { ended <- r })
-			dialect.Fields(nil, a, c.left)
+			dialect.Fields(nil, a, c.remaining)
 			if !q.attemptEnded(a, core.Result{Outcome: balance.Reset}) {
 				t.Fatalf("%s: nothing is asked", c.name)
 			}
-			if r := <-ended; r.Outcome != c.want || r.NotDelivered != c.unmet || len(pool.asked) != c.queries {
-				t.Errorf("%s: %v, unmet %v, after %d queries", c.name, r.Outcome, r.NotDelivered, len(pool.asked))
+			if r := <-ended; r.Outcome != c.want || r.NotDelivered != c.notDelivered || len(pool.queriedAt) != c.queries {
+				t.Errorf("%s: %v, unmet %v, after %d queries", c.name, r.Outcome, r.NotDelivered, len(pool.queriedAt))
 			}
-			for i := 1; i < len(pool.asked); i++ {
-				if pause := pool.asked[i].Sub(pool.asked[i-1]); pause != inflight.QueryInterval {
+			for i := 1; i < len(pool.queriedAt); i++ {
+				if pause := pool.queriedAt[i].Sub(pool.queriedAt[i-1]); pause != inflight.QueryInterval {
 					t.Errorf("%s: queries %v apart", c.name, pause)
 				}
 			}
@@ -111,7 +111,7 @@
 }
 
 // What ends otherwise than by a broken connection, and what may run again, is not asked about.
-func TestOnlyBrokenConnectionsAreAskedAbout(t *testing.T) {
+func TestOnlyUnsafeResetAttemptsAreQueried(t *testing.T) {
 	dialect := newSidecarDialect()
 	q := newOutcomeQueries(t.Context(), kitlog.NewNopLogger(), dialect.inFlight)
 	for _, c := range []struct {
@@ -127,11 +127,11 @@
 }
 
 // As the process ends, attempts that are asked about end as unknown, and no goroutine is left.
-func TestQueriesEndWithTheProcess(t *testing.T) {
+func TestQueriesEndWithContext(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	dialect := newSidecarDialect()
 	q := newOutcomeQueries(ctx, kitlog.NewNopLogger(), dialect.inFlight)
-	q.pool = &held{} // a last hop that never answers
+	q.pool = &stubPool{} // a last hop that never answers
 	ended := make(chan core.Result, 1)
 	a := core.NewAttempt(core.NewEndpoint("i1", "h:1"), &core.Message{Trace: "x"}, time.Now().Add(time.Hour),
 		func(r core.Result) { ended <- r })
--- a/mesh/dataplane/replay_test.go
+++ b/mesh/dataplane/replay_test.go
@@ -46,16 +46,16 @@
 	// route fills a call as the front towards clients does; an answer means that it goes no further.
 	route func(*core.Call, *httpfront.Request) *core.Answer
 	// follow brings a directory to all services.
-	follow func([]directory.Entry, time.Duration)
+	setEndpoints func([]directory.Entry, time.Duration)
 	// end has all that is open answered by a time.
-	end func(by time.Time)
+	shutDown func(deadline time.Time)
 }
 
 // setUp makes the outgoing side of a sidecar in zone "za", with the services of a configuration, over the given pool.
-func setUp(ctx context.Context, t *testing.T, cfg *config.Config, entries []directory.Entry, pool upstream) sidecarUnderTest {
+func newSidecarUnderTest(ctx context.Context, t *testing.T, cfg *config.Config, entries []directory.Entry, pool upstream) sidecarUnderTest {
 	p := &Proxy{
 		start: time.Now(), ctx: ctx, slog: slog.New(slog.DiscardHandler), inFlight: inflight.New[*core.Attempt]("node-1.1"),
-		sidecarPool: pool, log: kitlog.NewNopLogger(), figures: newFigures(), failures: &rate.Sometimes{},
+		sidecarPool: pool, log: kitlog.NewNopLogger(), metrics: newProxyMetrics(), failureLogLimit: &rate.Sometimes{},
 		invariants: invariant.Func(func(name invariant.Name, explanation ...any) { t.Errorf("%s: %v", name, explanation) }),
 	}
 	p.settings.Store(&bootstrap.Settings{
@@ -82,14 +82,14 @@
 			}
 			return answer
 		},
-		follow: func(entries []directory.Entry, now time.Duration) {
+		setEndpoints: func(entries []directory.Entry, now time.Duration) {
 			for _, name := range []string{"one", "two"} {
 				services[name].setEndpoints(entries, func(string) rollout.Eligibility { return rollout.Eligible }, now)
 			}
 		},
-		end: func(by time.Time) {
+		shutDown: func(deadline time.Time) {
 			for _, name := range []string{"one", "two"} {
-				services[name].exchange.Shutdown(by)
+				services[name].exchange.Shutdown(deadline)
 			}
 		},
 	}
@@ -107,133 +107,133 @@
 "fleets":[{"name":"one"},{"name":"two"}]}`
 
 // replayedMachine is a server of the replay with what fails there.
-type replayedMachine struct {
-	entry                            directory.Entry
-	pace, errors, resets, full, mute float64
-	unreachable                      bool
+type replayedServer struct {
+	entry                                                     directory.Entry
+	latencyFactor, errorRate, resetRate, rejectRate, hangRate float64
+	unreachable                                               bool
 }
 
 // openAttempt is an attempt that the upstream has not ended.
 type openAttempt struct {
 	attempt *core.Attempt
-	at      time.Duration
+	endsAt  time.Duration
 	result  core.Result
 }
 
 // replayedDay is the world, and the upstream and the client of every call in it.
-type replayedDay struct {
-	t        *testing.T
-	start    time.Time
-	rnd      *rand.Rand // of the driver alone
-	machines []*replayedMachine
-
-	mu    sync.Mutex
-	lines []replayedLine
-	open  []openAttempt
-	calls []*core.Call // without an answer
+type replayRun struct {
+	t       *testing.T
+	start   time.Time
+	rnd     *rand.Rand // of the driver alone
+	servers []*replayedServer
+
+	mu         sync.Mutex
+	lines      []traceLine
+	open       []openAttempt
+	unanswered []*core.Call // without an answer
 }
 
-type replayedLine struct {
+type traceLine struct {
 	at   time.Duration
 	text string
 }
 
-func (d *replayedDay) now() time.Duration { return time.Since(d.start) }
+func (d *replayRun) now() time.Duration { return time.Since(d.start) }
 
 // note takes down a line; the caller holds mu.
-func (d *replayedDay) note(format string, args ...any) {
-	d.lines = append(d.lines, replayedLine{d.now(), fmt.Sprintf(format, args...)})
+func (d *replayRun) record(format string, args ...any) {
+	d.lines = append(d.lines, traceLine{d.now(), fmt.Sprintf(format, args...)})
 }
 
 // chance is a number from 0 to below 1 that hangs on the seed and on what it is drawn for alone.
-func chance(about string) float64 {
+func seededFraction(purpose string) float64 {
 	h := fnv.New64a()
-	_, _ = io.WriteString(h, "replay "+about) // a hash takes all
+	_, _ = io.WriteString(h, "replay "+purpose) // a hash takes all
 	return float64(h.Sum64()>>11) / (1 << 53)
 }
 
 // Begin implements core.Backend: it plans the attempt's end.
-func (d *replayedDay) Begin(a *core.Attempt) {
+func (d *replayRun) Begin(a *core.Attempt) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	name := fmt.Sprintf("%s/%d", a.Message.Trace, a.Number())
-	d.note("send %s to %s, cut at %v", name, a.Endpoint.Name(), a.Deadline.Sub(d.start))
-	i := slices.IndexFunc(d.machines, func(m *replayedMachine) bool { return m.entry.Server == a.Endpoint.Name() })
-	m := d.machines[i]
-	took := time.Duration(m.pace * (10 + 120*chance(name+" time")) * float64(time.Millisecond))
+	d.record("send %s to %s, cut at %v", name, a.Endpoint.Name(), a.Deadline.Sub(d.start))
+	i := slices.IndexFunc(d.servers, func(m *replayedServer) bool { return m.entry.Server == a.Endpoint.Name() })
+	m := d.servers[i]
+	duration := time.Duration(m.latencyFactor * (10 + 120*seededFraction(name+" time")) * float64(time.Millisecond))
 	result := core.Result{Outcome: balance.OK, Answer: &core.Answer{Kind: core.Served, Status: http.StatusOK}}
-	switch c := chance(name); {
+	switch draw := seededFraction(name); {
 	case m.unreachable:
-		result, took = core.Result{Outcome: balance.ConnectFailed}, 40*time.Millisecond
-	case c < m.full:
-		result, took = core.Result{Outcome: balance.Rejected, NotDelivered: chance(name+" unmet") < 0.7}, 2*time.Millisecond
-	case c < m.full+m.errors:
+		result, duration = core.Result{Outcome: balance.ConnectFailed}, 40*time.Millisecond
+	case draw < m.rejectRate:
+		result, duration = core.Result{Outcome: balance.Rejected, NotDelivered: seededFraction(name+" unmet") < 0.7}, 2*time.Millisecond
+	case draw < m.rejectRate+m.errorRate:
 		result = core.Result{Outcome: balance.Failed, Answer: &core.Answer{Kind: core.Served, Status: http.StatusInternalServerError}}
-	case c < m.full+m.errors+m.resets:
+	case draw < m.rejectRate+m.errorRate+m.resetRate:
 		result = core.Result{Outcome: balance.Reset}
-	case c < m.full+m.errors+m.resets+m.mute:
-		took = time.Hour
+	case draw < m.rejectRate+m.errorRate+m.resetRate+m.hangRate:
+		duration = time.Hour
 	}
-	if left := time.Until(a.Deadline); took > left {
-		result, took = core.Result{Outcome: balance.TimedOut}, left
+	if remaining := time.Until(a.Deadline); duration > remaining {
+		result, duration = core.Result{Outcome: balance.TimedOut}, remaining
 	}
-	d.open = append(d.open, openAttempt{a, d.now() + took, result})
+	d.open = append(d.open, openAttempt{a, d.now() + duration, result})
 }
 
 // Cancel implements core.Backend.
-func (d *replayedDay) Cancel(a *core.Attempt) {
+func (d *replayRun) Cancel(a *core.Attempt) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.note("cancel %s/%d", a.Message.Trace, a.Number())
+	d.record("cancel %s/%d", a.Message.Trace, a.Number())
 	for i := range d.open {
 		if d.open[i].attempt == a {
-			d.open[i].at, d.open[i].result = d.now()+time.Millisecond, core.Result{Outcome: balance.Cancelled}
+			d.open[i].endsAt, d.open[i].result = d.now()+time.Millisecond, core.Result{Outcome: balance.Cancelled}
 		}
 	}
 }
 
 // Probe implements core.Backend.
-func (d *replayedDay) Probe(e *core.Endpoint, _ func(core.Result)) {
+func (d *replayRun) Probe(e *core.Endpoint, _ func(core.Result)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.note("probe %s", e.Name())
+	d.record("probe %s", e.Name())
 }
 
 // CloseIdle implements core.Backend.
-func (d *replayedDay) CloseIdle(e *core.Endpoint) {
+func (d *replayRun) CloseIdle(e *core.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.note("close idle %s", e.Name())
+	d.record("close idle %s", e.Name())
 }
 
-func (d *replayedDay) Run(context.Context) {}
-func (d *replayedDay) Close()              {}
+func (d *replayRun) Run(context.Context) {}
+func (d *replayRun) Close()              {}
 
 // Answer implements core.Client. What an answer says to people is none of its decisions.
-func (d *replayedDay) Answer(c *core.Call, a *core.Answer) {
+func (d *replayRun) Answer(c *core.Call, a *core.Answer) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.note("answer %s: kind %d, reason %d, status %d, hold off %v", c.Message.Trace, a.Kind, a.Reason, a.Status, a.RetryAfter)
-	d.calls = slices.DeleteFunc(d.calls, func(o *core.Call) bool { return o == c })
+	d.record("answer %s: kind %d, reason %d, status %d, hold off %v", c.Message.Trace, a.Kind, a.Reason, a.Status, a.RetryAfter)
+	d.unanswered = slices.DeleteFunc(d.unanswered, func(o *core.Call) bool { return o == c })
 }
 
 // endDue ends the attempts that are due, in the order of their names.
-func (d *replayedDay) endDue() {
+func (d *replayRun) endDueAttempts() {
 	d.mu.Lock()
 	var due []openAttempt
 	d.open = slices.DeleteFunc(d.open, func(o openAttempt) bool {
-		over := o.at <= d.now()
-		if over {
+		isDue := o.endsAt <= d.now()
+		if isDue {
 			due = append(due, o)
 		}
-		return over
+		return isDue
 	})
 	d.mu.Unlock()
 	name := func(o openAttempt) string { return fmt.Sprintf("%s/%d", o.attempt.Message.Trace, o.attempt.Number()) }
 	slices.SortFunc(due, func(a, b openAttempt) int { return strings.Compare(name(a), name(b)) })
 	for _, o := range due {
 		d.mu.Lock()
-		d.note("end %s: %d, unmet %v", name(o), o.result.Outcome, o.result.NotDelivered)
+		d.record("end %s: %d, unmet %v", name(o), o.result.Outcome, o.result.NotDelivered)
 		d.mu.Unlock()
 		o.attempt.End(o.result)
 		synctest.Wait()
@@ -241,7 +241,7 @@
 }
 
 // arrive hands in a request.
-func (d *replayedDay) arrive(s sidecarUnderTest, number int) {
+func (d *replayRun) submitRequest(s sidecarUnderTest, number int) {
 	path := []string{"/quick/x", "/quick/y", "/slow/x", "/order/x", "/file/x"}[d.rnd.Intn(5)]
 	r := &httpfront.Request{Method: http.MethodGet, Target: path, Path: path, Host: "h", Header: http.Header{}}
 	trace := fmt.Sprintf("t%05d", number)
@@ -250,49 +250,49 @@
 		r.Header.Set("Deadline-Ms", fmt.Sprint(50+d.rnd.Intn(900)))
 	}
 	c := &core.Call{Client: d}
-	if refused := s.route(c, r); refused != nil {
-		d.t.Fatalf("%s was not routed: %+v", path, refused)
+	if rejection := s.route(c, r); rejection != nil {
+		d.t.Fatalf("%s was not routed: %+v", path, rejection)
 	}
 	d.mu.Lock()
-	d.note("ask %s: %s class %d, remaining %v, attempts %d, rank %d",
+	d.record("ask %s: %s class %d, remaining %v, attempts %d, rank %d",
 		trace, path, c.Request.Class, c.Request.Remaining, c.Request.MaxAttempts, c.Message.Priority)
-	d.calls = append(d.calls, c)
+	d.unanswered = append(d.unanswered, c)
 	d.mu.Unlock()
 	c.Exchange.Submit(c)
 	synctest.Wait()
 }
 
 // leave has a client go.
-func (d *replayedDay) leave() {
+func (d *replayRun) disconnectClient() {
 	d.mu.Lock()
-	if len(d.calls) == 0 {
+	if len(d.unanswered) == 0 {
 		d.mu.Unlock()
 		return
 	}
-	c := d.calls[d.rnd.Intn(len(d.calls))]
-	d.calls = slices.DeleteFunc(d.calls, func(o *core.Call) bool { return o == c })
-	d.note("leave %s", c.Message.Trace)
+	c := d.unanswered[d.rnd.Intn(len(d.unanswered))]
+	d.unanswered = slices.DeleteFunc(d.unanswered, func(o *core.Call) bool { return o == c })
+	d.record("leave %s", c.Message.Trace)
 	d.mu.Unlock()
 	c.Exchange.Disconnect(c)
 	synctest.Wait()
 }
 
 // change changes a machine, and mostly has the directory say so.
-func (d *replayedDay) change(s sidecarUnderTest) {
+func (d *replayRun) changeServer(s sidecarUnderTest) {
 	d.mu.Lock()
-	m := d.machines[d.rnd.Intn(len(d.machines))]
+	m := d.servers[d.rnd.Intn(len(d.servers))]
 	e := &m.entry
 	switch d.rnd.Intn(10) {
 	case 0:
-		m.pace = 0.3 + 8*d.rnd.Float64()
+		m.latencyFactor = 0.3 + 8*d.rnd.Float64()
 	case 1:
-		m.errors, m.full = 0.4*d.rnd.Float64(), 0.9*d.rnd.Float64()
+		m.errorRate, m.rejectRate = 0.4*d.rnd.Float64(), 0.9*d.rnd.Float64()
 	case 2:
-		m.resets, m.mute = 0.4*d.rnd.Float64(), 0.3*d.rnd.Float64()
+		m.resetRate, m.hangRate = 0.4*d.rnd.Float64(), 0.3*d.rnd.Float64()
 	case 3:
 		m.unreachable = true
 	case 4:
-		m.pace, m.errors, m.full, m.resets, m.mute, m.unreachable = 1, 0, 0, 0, 0, false
+		m.latencyFactor, m.errorRate, m.rejectRate, m.resetRate, m.hangRate, m.unreachable = 1, 0, 0, 0, 0, false
 		e.Incarnation++
 		e.State, e.Lost, e.WarmUntil = directory.Accepting, false, d.now()+3*time.Second
 	case 5:
@@ -303,18 +303,18 @@
 		e.State, e.Lost = directory.Accepting, false
 	}
 	var all []directory.Entry
-	for _, m := range d.machines {
+	for _, m := range d.servers {
 		all = append(all, m.entry)
 	}
-	d.note("%s: state %d, lost %v, cold until %v; pace %.3f", e.Node, e.State, e.Lost, e.WarmUntil, m.pace)
+	d.record("%s: state %d, lost %v, cold until %v; pace %.3f", e.Node, e.State, e.Lost, e.WarmUntil, m.latencyFactor)
 	d.mu.Unlock()
-	s.follow(all, d.now())
+	s.setEndpoints(all, d.now())
 	synctest.Wait()
 }
 
 // newDay returns a day with 14 machines of two services in three zones, whose servers turn a part of all requests away.
-func newDay(t *testing.T, seed int64, full float64) (d *replayedDay, entries []directory.Entry) {
-	d = &replayedDay{t: t, start: time.Now(), rnd: rand.New(rand.NewSource(seed))}
+func newReplay(t *testing.T, seed int64, rejectRate float64) (d *replayRun, entries []directory.Entry) {
+	d = &replayRun{t: t, start: time.Now(), rnd: rand.New(rand.NewSource(seed))}
 	for i := range 14 {
 		e := directory.Entry{
 			Node:        fmt.Sprintf("m%d", i),
@@ -328,43 +328,43 @@
 			Slots:       4 + i%7,
 		}
 		entries = append(entries, e)
-		d.machines = append(d.machines, &replayedMachine{entry: e, pace: 1, full: full})
+		d.servers = append(d.servers, &replayedServer{entry: e, latencyFactor: 1, rejectRate: rejectRate})
 	}
 	return d, entries
 }
 
 // play lets 6,000 steps of about a millisecond pass, in which a request comes about every mean steps; the last 1,000 are the sidecar's end.
-func (d *replayedDay) play(s sidecarUnderTest, mean int) {
+func (d *replayRun) run(s sidecarUnderTest, meanSteps int) {
 	for number := range 6000 {
 		// No whole milliseconds, so that the driver never runs at the instant of one of the exchange's timers.
 		time.Sleep(900*time.Microsecond + time.Duration(d.rnd.Intn(200_000)))
 		synctest.Wait()
-		d.endDue()
-		if number < 5000 && d.rnd.Intn(mean) == 0 {
-			d.arrive(s, number)
+		d.endDueAttempts()
+		if number < 5000 && d.rnd.Intn(meanSteps) == 0 {
+			d.submitRequest(s, number)
 		}
-		if d.rnd.Intn(60*mean) == 0 {
-			d.leave()
+		if d.rnd.Intn(60*meanSteps) == 0 {
+			d.disconnectClient()
 		}
 		if d.rnd.Intn(60) == 0 {
-			d.change(s)
+			d.changeServer(s)
 		}
 		if number == 5000 {
 			d.mu.Lock()
-			d.note("end")
+			d.record("end")
 			d.mu.Unlock()
-			s.end(time.Now().Add(300 * time.Millisecond))
+			s.shutDown(time.Now().Add(300 * time.Millisecond))
 			synctest.Wait()
 		}
 	}
-	if len(d.calls) > 0 {
-		d.t.Errorf("%d requests have no answer", len(d.calls))
+	if len(d.unanswered) > 0 {
+		d.t.Errorf("%d requests have no answer", len(d.unanswered))
 	}
 }
 
 // text returns what went in and what was decided: what happens at one instant in the order of the text.
-func (d *replayedDay) text() []byte {
-	slices.SortStableFunc(d.lines, func(a, b replayedLine) int {
+func (d *replayRun) text() []byte {
+	slices.SortStableFunc(d.lines, func(a, b traceLine) int {
 		return cmp.Or(cmp.Compare(a.at, b.at), strings.Compare(a.text, b.text))
 	})
 	var text bytes.Buffer
@@ -375,7 +375,7 @@
 }
 
 // playDay plays a day and returns its text.
-func playDay(t *testing.T, seed int64, mean int, full float64) (text []byte) {
+func runReplay(t *testing.T, seed int64, meanSteps int, rejectRate float64) (text []byte) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
@@ -383,24 +383,24 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d, entries := newDay(t, seed, full)
-		s := setUp(ctx, t, cfg, entries, d)
-		s.follow(entries, 0)
+		d, entries := newReplay(t, seed, rejectRate)
+		s := newSidecarUnderTest(ctx, t, cfg, entries, d)
+		s.setEndpoints(entries, 0)
 		synctest.Wait()
-		d.play(s, mean)
+		d.run(s, meanSteps)
 		text = d.text()
 	})
 	return text
 }
 
-func playDays(t *testing.T) []byte {
-	return slices.Concat(playDay(t, 1, 3, 0), playDay(t, 2, 2, 0.6), playDay(t, 3, 12, 0.2), playDay(t, 4, 3, 0.9))
+func runReplays(t *testing.T) []byte {
+	return slices.Concat(runReplay(t, 1, 3, 0), runReplay(t, 2, 2, 0.6), runReplay(t, 3, 12, 0.2), runReplay(t, 4, 3, 0.9))
 }
 
-const recordedDays = "testdata/outgoing-5126712.txt.gz"
+const recordedTrace = "testdata/outgoing-5126712.txt.gz"
 
-func TestOutgoingRequestsGoAsRecorded(t *testing.T) {
-	packed, err := os.ReadFile(recordedDays)
+func TestOutgoingRequestsMatchRecording(t *testing.T) {
+	packed, err := os.ReadFile(recordedTrace)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -412,7 +412,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want, got := strings.Split(string(recorded), "\n"), strings.Split(string(playDays(t)), "\n")
+	want, got := strings.Split(string(recorded), "\n"), strings.Split(string(runReplays(t)), "\n")
 	for i := range min(len(want), len(got)) {
 		if want[i] != got[i] {
 			t.Fatalf("line %d:\ngot  %s\nwant %s", i+1, got[i], want[i])
--- a/mesh/dataplane/rollouts.go
+++ b/mesh/dataplane/rollouts.go
@@ -16,61 +16,61 @@
 )
 
 // rollouts is how far this sidecar has followed the rollouts that it was notified of. It belongs to the loop.
-type rollouts struct {
+type rolloutTracker struct {
 	durations timing.Rollouts
 	bounds    *bootstrap.Bounds
 
-	set      rollout.Set          // by which endpoints are set
-	followed map[string]*followed // by service
-	stale    bool                 // what is known is so old that a rollout may have ended
-	counting bool                 // the last hop counts for a rollout
-	reportAt time.Duration
+	set           rollout.Set                 // by which endpoints are set
+	progress      map[string]*rolloutProgress // by service
+	stale         bool                        // what is known is so old that a rollout may have ended
+	lastHopCounts bool                        // the last hop counts for a rollout
+	nextReport    time.Duration
 
-	confirmed uint32 // the revision by which this sidecar sends, with nothing in flight that it forbids
-	check     *rolloutCheck
+	confirmedRevision uint32 // the revision by which this sidecar sends, with nothing in flight that it forbids
+	check             *rolloutCheck
 }
 
 // followed is how far a sidecar has followed the rollout of a service.
-type followed struct {
-	ordered time.Duration // when it learned of the order
-	since   time.Duration // when it learned of the present stage
-	retired bool          // the servers of the old version have had time to stop
+type rolloutProgress struct {
+	orderReceivedAt   time.Duration // when it learned of the order
+	stageReceivedAt   time.Duration // when it learned of the present stage
+	oldVersionRetired bool          // the servers of the old version have had time to stop
 }
 
-func newRollouts(t timing.Rollouts, b *bootstrap.Bounds) rollouts {
-	return rollouts{durations: t, bounds: b, followed: map[string]*followed{}}
+func newRollouts(t timing.Rollouts, b *bootstrap.Bounds) rolloutTracker {
+	return rolloutTracker{durations: t, bounds: b, progress: map[string]*rolloutProgress{}}
 }
 
 // rolloutCheck asks the exchanges of services with a rollout whether they have anything in flight that it forbids.
 type rolloutCheck struct {
-	revision uint32
-	awaited  int // exchanges that have not replied
-	held     heldWork
+	revision       uint32
+	pendingReplies int // exchanges that have not replied
+	draining       drainingWork
 }
 
 // heldWork is what servers have that get no new requests.
-type heldWork struct {
+type drainingWork struct {
 	requests int
 	streams  int // answers that are still coming
 }
 
-func (w *heldWork) add(o heldWork) {
-	w.requests += o.requests
-	w.streams += o.streams
+func (w *drainingWork) add(other drainingWork) {
+	w.requests += other.requests
+	w.streams += other.streams
 }
 
 // exchangeChecked is the reply of an exchange.
 type exchangeChecked struct {
-	check *rolloutCheck
-	held  heldWork
+	check    *rolloutCheck
+	draining drainingWork
 }
 
 // handle implements event.
 func (e exchangeChecked) handle(p *Proxy, now time.Duration) {
-	e.check.awaited--
-	e.check.held.add(e.held)
-	if e.check.awaited == 0 {
-		p.rolloutsChecked(now, e.check)
+	e.check.pendingReplies--
+	e.check.draining.add(e.draining)
+	if e.check.pendingReplies == 0 {
+		p.finishRolloutCheck(now, e.check)
 	}
 }
 
@@ -83,13 +83,13 @@
 	} else {
 		s.split.Stop()
 	}
-	anyServes := known && p.rollouts.anyServes(entries, &r)
+	hasEligibleServer := known && p.rollouts.hasEligibleServer(entries, &r)
 	s.setEndpoints(entries, func(version string) rollout.Eligibility {
 		if !known {
 			return rollout.Eligible
 		}
 		eligibility := p.rollouts.eligibility(&r, version)
-		if eligibility == rollout.CanaryOnly && !anyServes {
+		if eligibility == rollout.CanaryOnly && !hasEligibleServer {
 			return rollout.Eligible // there is no other version to send to
 		}
 		return eligibility
@@ -98,9 +98,9 @@
 
 // eligibility is what the servers of a version get. A sidecar that has received nothing for so long that a canary may have been delivered
 // or recalled sends to both versions: servers of the old one may have stopped.
-func (r *rollouts) eligibility(of *rollout.Rollout, version string) rollout.Eligibility {
-	f := r.followed[of.Service]
-	eligibility := of.Eligibility(version, f != nil && f.retired)
+func (r *rolloutTracker) eligibility(current *rollout.Rollout, version string) rollout.Eligibility {
+	f := r.progress[current.Service]
+	eligibility := current.Eligibility(version, f != nil && f.oldVersionRetired)
 	if eligibility == rollout.CanaryOnly && r.stale {
 		return rollout.Eligible
 	}
@@ -108,11 +108,11 @@
 }
 
 // anyServes reports whether a directory has a server that takes the requests which are not for the new version.
-func (r *rollouts) anyServes(entries []directory.Entry, of *rollout.Rollout) bool {
+func (r *rolloutTracker) hasEligibleServer(entries []directory.Entry, current *rollout.Rollout) bool {
 	for i := range entries {
 		e := &entries[i]
-		takes := e.Service == of.Service && !e.Lost && e.State == directory.Accepting
-		if takes && r.eligibility(of, e.Version) == rollout.Eligible {
+		accepting := e.Service == current.Service && !e.Lost && e.State == directory.Accepting
+		if accepting && r.eligibility(current, e.Version) == rollout.Eligible {
 			return true
 		}
 	}
@@ -128,29 +128,29 @@
 	p.rollouts.set, p.rollouts.check = next, nil
 	for i := range next.Rollouts {
 		r := &next.Rollouts[i]
-		before, ok := present.Find(r.Service)
-		if ok && before.Order == r.Order && before.Stage == r.Stage {
+		previous, ok := present.Find(r.Service)
+		if ok && previous.Order == r.Order && previous.Stage == r.Stage {
 			continue
 		}
-		next := &followed{ordered: now, since: now}
-		if ok && before.Order == r.Order {
-			next.ordered = p.rollouts.followed[r.Service].ordered
+		progress := &rolloutProgress{orderReceivedAt: now, stageReceivedAt: now}
+		if ok && previous.Order == r.Order {
+			progress.orderReceivedAt = p.rollouts.progress[r.Service].orderReceivedAt
 		}
-		p.rollouts.followed[r.Service] = next
+		p.rollouts.progress[r.Service] = progress
 		_ = level.Info(p.log).Log("msg", "rollout", "service", r.Service, "target", r.Target, "order", r.Order, "stage", r.Stage)
 	}
 	p.exchanges.Invalidate()
-	p.countForRollout()
+	p.updateRolloutCounting()
 }
 
 // countForRollout makes the last hop count for the rollout of the local server's service, if one is under way.
-func (p *Proxy) countForRollout() {
+func (p *Proxy) updateRolloutCounting() {
 	r, ok := p.rollouts.set.Find(*p.serviceName.Load())
 	if !ok || !r.Stage.Active() {
 		r.Order = 0
 	}
-	p.rollouts.counting = r.Order > 0
-	p.lastHop.setTrial(r.Order)
+	p.rollouts.lastHopCounts = r.Order > 0
+	p.lastHop.countForRollout(r.Order)
 }
 
 // checkRollouts looks, several times a second, at what time changes in rollouts, and asks whether the present ones can be confirmed.
@@ -159,24 +159,24 @@
 	if r.set.Revision == 0 {
 		return
 	}
-	p.countForRollout()
+	p.updateRolloutCounting()
 	asOf := p.node.State().AsOf
 	stale := asOf != dissemination.TimeUnknown && now-asOf > r.durations.LostSidecarWait
-	if retired := r.retire(now); retired || stale != r.stale {
+	if retired := r.markRetired(now); retired || stale != r.stale {
 		r.stale = stale
 		p.exchanges.Invalidate()
 	}
-	if r.confirmed < r.set.Revision && r.check == nil && p.ready.Load() {
+	if r.confirmedRevision < r.set.Revision && r.check == nil && p.ready.Load() {
 		p.beginRolloutCheck(now)
 	}
 }
 
 // retire marks the old versions whose time to stop has passed. It reports whether there is one more.
-func (r *rollouts) retire(now time.Duration) (changed bool) {
-	for service, f := range r.followed {
-		one, ok := r.set.Find(service)
-		if ok && one.Stage == rollout.Delivered && !f.retired && now-f.since > r.durations.RetirementPeriod {
-			f.retired, changed = true, true
+func (r *rolloutTracker) markRetired(now time.Duration) (changed bool) {
+	for service, f := range r.progress {
+		current, ok := r.set.Find(service)
+		if ok && current.Stage == rollout.Delivered && !f.oldVersionRetired && now-f.stageReceivedAt > r.durations.RetirementPeriod {
+			f.oldVersionRetired, changed = true, true
 		}
 	}
 	return changed
@@ -191,43 +191,43 @@
 		if !ok {
 			continue
 		}
-		check.awaited++
+		check.pendingReplies++
 		s.exchange.Inspect(func(time.Duration) {
-			held := heldWork{requests: s.exchange.InFlightAtClosed(), streams: s.exchange.StreamsAtClosed()}
+			draining := drainingWork{requests: s.exchange.InFlightAtClosed(), streams: s.exchange.StreamsAtClosed()}
 			// The exchange must not wait for the loop, which may wait for it.
-			p.background.Go(func() { p.post(exchangeChecked{check, held}) })
+			p.background.Go(func() { p.post(exchangeChecked{check, draining}) })
 		})
 	}
-	if check.awaited == 0 {
-		p.rolloutsChecked(now, check)
+	if check.pendingReplies == 0 {
+		p.finishRolloutCheck(now, check)
 	}
 }
 
 // rolloutsChecked confirms the rollouts where nothing is in flight that they forbid, here or at the local server.
-func (p *Proxy) rolloutsChecked(now time.Duration, check *rolloutCheck) {
+func (p *Proxy) finishRolloutCheck(now time.Duration, check *rolloutCheck) {
 	r := &p.rollouts
 	if check != r.check {
 		return // there are later rollouts
 	}
 	r.check = nil
-	if p.localServerRetires() {
-		running, streams := p.lastHop.work()
-		check.held.add(heldWork{requests: running, streams: streams})
+	if p.localServerRetiring() {
+		running, streams := p.lastHop.inFlightCounts()
+		check.draining.add(drainingWork{requests: running, streams: streams})
 	}
-	if check.held.requests > 0 || check.held.streams > 0 && r.streamsHoldUp(now) {
+	if check.draining.requests > 0 || check.draining.streams > 0 && r.streamsBlockDelivery(now) {
 		return
 	}
-	r.confirmed = check.revision
-	p.sendEvidence(now)
+	r.confirmedRevision = check.revision
+	p.sendRolloutEvidence(now)
 }
 
 // streamsHoldUp reports whether answers that still come from servers without new requests hold up a delivery: for as long after a promotion
 // as the platform gives a process to end.
-func (r *rollouts) streamsHoldUp(now time.Duration) bool {
+func (r *rolloutTracker) streamsBlockDelivery(now time.Duration) bool {
 	for i := range r.set.Rollouts {
-		one := &r.set.Rollouts[i]
-		f := r.followed[one.Service]
-		if one.Stage == rollout.Promoting && f != nil && now-f.since <= r.durations.OpenStreamWait {
+		current := &r.set.Rollouts[i]
+		f := r.progress[current.Service]
+		if current.Stage == rollout.Promoting && f != nil && now-f.stageReceivedAt <= r.durations.OpenStreamWait {
 			return true
 		}
 	}
@@ -235,7 +235,7 @@
 }
 
 // localServerRetires reports whether the local server is of a version that gets no more requests.
-func (p *Proxy) localServerRetires() bool {
+func (p *Proxy) localServerRetiring() bool {
 	var e directory.Entry
 	p.lastHop.fillEntry(&e)
 	r, ok := p.rollouts.set.Find(e.Service)
@@ -243,23 +243,23 @@
 }
 
 // reportRollouts reports what the last hop has counted, when that is due. It returns when to be called again at the latest.
-func (p *Proxy) reportRollouts(now time.Duration) (next time.Duration) {
+func (p *Proxy) reportRolloutEvidence(now time.Duration) (nextCall time.Duration) {
 	r := &p.rollouts
-	if !r.counting {
+	if !r.lastHopCounts {
 		return now + r.durations.LostSidecarWait
 	}
-	if now >= r.reportAt {
-		p.sendEvidence(now)
+	if now >= r.nextReport {
+		p.sendRolloutEvidence(now)
 	}
-	return r.reportAt
+	return r.nextReport
 }
 
-func (p *Proxy) sendEvidence(now time.Duration) {
-	p.rollouts.reportAt = now + p.rollouts.durations.ReportInterval
-	order, classes := p.lastHop.trialStatistics()
-	evidence := directory.RolloutReport{ConfirmedRevision: p.rollouts.confirmed, Order: order, Classes: classes}
-	if f := p.rollouts.followed[*p.serviceName.Load()]; f != nil && order > 0 {
-		evidence.OrderAge = now - f.ordered
+func (p *Proxy) sendRolloutEvidence(now time.Duration) {
+	p.rollouts.nextReport = now + p.rollouts.durations.ReportInterval
+	order, classes := p.lastHop.rolloutStatistics()
+	evidence := directory.RolloutReport{ConfirmedRevision: p.rollouts.confirmedRevision, Order: order, Classes: classes}
+	if f := p.rollouts.progress[*p.serviceName.Load()]; f != nil && order > 0 {
+		evidence.OrderAge = now - f.orderReceivedAt
 	}
 	p.node.ReportEvidence(now, evidence)
 }
--- a/mesh/dataplane/rollouts_test.go
+++ b/mesh/dataplane/rollouts_test.go
@@ -13,28 +13,28 @@
 )
 
 // What a sidecar sends to servers of each version, also when it has heard nothing for long or there is no other version.
-func TestSidecarFollowsRollouts(t *testing.T) {
+func TestEligibilityByRolloutStage(t *testing.T) {
 	bounds := bootstrap.DefaultBounds()
 	r := newRollouts(timing.Default().Rollouts, &bounds)
 	canary := rollout.Rollout{Service: "one", Target: "v2", Order: 1, Stage: rollout.Canary}
 	delivered := canary
 	delivered.Stage = rollout.Delivered
 	r.set = rollout.Set{Revision: 3, Rollouts: []rollout.Rollout{delivered}}
-	r.followed["one"] = &followed{since: time.Second}
+	r.progress["one"] = &rolloutProgress{stageReceivedAt: time.Second}
 	server := func(version string, state directory.State) directory.Entry {
 		return directory.Entry{Service: "one", Version: version, State: state}
 	}
 	if got := r.eligibility(&canary, "v2"); got != rollout.CanaryOnly {
 		t.Errorf("the new version in canary: %d", got)
 	}
-	if r.anyServes([]directory.Entry{server("v2", directory.Accepting), server("v1", directory.Closing)}, &canary) ||
-		!r.anyServes([]directory.Entry{server("v2", directory.Accepting), server("v1", directory.Accepting)}, &canary) {
+	if r.hasEligibleServer([]directory.Entry{server("v2", directory.Accepting), server("v1", directory.Closing)}, &canary) ||
+		!r.hasEligibleServer([]directory.Entry{server("v2", directory.Accepting), server("v1", directory.Accepting)}, &canary) {
 		t.Error("whether there is another version")
 	}
-	if r.retire(time.Second+r.durations.RetirementPeriod) || r.eligibility(&delivered, "v1") != rollout.NotEligible {
+	if r.markRetired(time.Second+r.durations.RetirementPeriod) || r.eligibility(&delivered, "v1") != rollout.NotEligible {
 		t.Error("the old version is used before it has retired")
 	}
-	if !r.retire(2*time.Second+r.durations.RetirementPeriod) || r.eligibility(&delivered, "v1") != rollout.Eligible {
+	if !r.markRetired(2*time.Second+r.durations.RetirementPeriod) || r.eligibility(&delivered, "v1") != rollout.Eligible {
 		t.Error("servers that come long after a delivery get nothing")
 	}
 	if r.stale = true; r.eligibility(&canary, "v2") != rollout.Eligible || r.eligibility(&canary, "v1") != rollout.Eligible {
@@ -43,31 +43,31 @@
 }
 
 // The last hop counts what says something of the version, and begins anew with another rollout.
-func TestTrialCountsWhatTellsOfTheVersion(t *testing.T) {
-	var counted trial
-	counted.record(1, core.Result{Outcome: balance.Failed}, time.Second, false)
-	if len(counted.classes) != 0 {
+func TestRolloutCountsOnlyVersionEvidence(t *testing.T) {
+	var counts rolloutCounts
+	counts.record(1, core.Result{Outcome: balance.Failed}, time.Second, false)
+	if len(counts.classes) != 0 {
 		t.Error("it counts without a rollout")
 	}
-	counted.order = 4
+	counts.order = 4
 	for outcome, warmingUp := range map[balance.Result]bool{
 		balance.OK: false, balance.Failed: true, balance.Reset: false, balance.TimedOut: false,
 		balance.Rejected: false, balance.ConnectFailed: false, balance.NotSent: false, balance.Cancelled: false,
 	} {
-		counted.record(1, core.Result{Outcome: outcome}, 100*time.Millisecond, warmingUp)
+		counts.record(1, core.Result{Outcome: outcome}, 100*time.Millisecond, warmingUp)
 	}
-	counted.record(1, core.Result{Outcome: balance.OK}, time.Second, true)
+	counts.record(1, core.Result{Outcome: balance.OK}, time.Second, true)
 	latencies := uint32(0)
-	for _, count := range counted.classes[0].Latencies {
+	for _, count := range counts.classes[0].Latencies {
 		latencies += count
 	}
-	if s := counted.classes[0]; len(counted.classes) != 1 || s.Requests != 5 || s.Failures != 2 || latencies != 2 {
-		t.Errorf("%+v", counted.classes)
+	if statistics := counts.classes[0]; len(counts.classes) != 1 || statistics.Requests != 5 || statistics.Failures != 2 || latencies != 2 {
+		t.Errorf("%+v", counts.classes)
 	}
-	for class := range uint32(2 * maxTrialClasses) {
-		counted.record(class, core.Result{Outcome: balance.OK}, time.Second, false)
+	for class := range uint32(2 * maxRolloutClasses) {
+		counts.record(class, core.Result{Outcome: balance.OK}, time.Second, false)
 	}
-	if len(counted.classes) != maxTrialClasses {
-		t.Errorf("%d classes", len(counted.classes))
+	if len(counts.classes) != maxRolloutClasses {
+		t.Errorf("%d classes", len(counts.classes))
 	}
 }
--- a/mesh/dataplane/routepath_test.go
+++ b/mesh/dataplane/routepath_test.go
@@ -9,7 +9,7 @@
 	"firplank/mesh/config"
 )
 
-func TestEncodedSlashChoosesNoOtherRoute(t *testing.T) {
+func TestEncodedSlashDoesNotChangeRoute(t *testing.T) {
 	route := func(name, kind, prefix string) string {
 		return fmt.Sprintf(`{"name":%q,"routeKind":%q,"targetS":1,"precedence":1,"sorting":{"lanePrefix":%q},
 			"dispatch":{"line":"one","deadlineS":2,"attempts":2}}`, name, kind, prefix)
@@ -25,7 +25,7 @@
 	service := "one"
 	p.serviceName.Store(&service)
 	p.cfg.Store(c)
-	for _, sent := range []struct {
+	for _, request := range []struct {
 		target, decoded string
 		safe            bool
 	}{
@@ -34,16 +34,16 @@
 		{"/transfers/1?of=/transfers/kushiro/", "/transfers/1", false},
 		{"/tax%20status/7", "/tax status/7", true},
 	} {
-		r := &httpfront.Request{Host: "h", Method: "POST", Target: sent.target, Path: sent.decoded, Header: header()}
+		r := &httpfront.Request{Host: "h", Method: "POST", Target: request.target, Path: request.decoded, Header: header()}
 		call := &core.Call{}
 		if answer, err := (incomingDialect{config: &p.cfg, service: &p.serviceName}).Fill(call, r, nil); answer != nil || err != nil {
-			t.Fatalf("%s: %v, %v", sent.target, answer, err)
+			t.Fatalf("%s: %v, %v", request.target, answer, err)
 		}
-		if call.Message.Safe != sent.safe {
-			t.Errorf("%s may run twice: %v", sent.target, call.Message.Safe)
+		if call.Message.Safe != request.safe {
+			t.Errorf("%s may run twice: %v", request.target, call.Message.Safe)
 		}
-		if route := c.Match("h", routePath(r)); route == nil || route.Idempotent() != sent.safe {
-			t.Errorf("%s is routed to %+v", sent.target, route)
+		if route := c.Match("h", routePath(r)); route == nil || route.Idempotent() != request.safe {
+			t.Errorf("%s is routed to %+v", request.target, route)
 		}
 	}
 }
--- a/mesh/dataplane/serverdialect.go
+++ b/mesh/dataplane/serverdialect.go
@@ -18,8 +18,8 @@
 }
 
 // Fields implements httpback.Dialect: the time that is left.
-func (serverDialect) Fields(dst []byte, _ *core.Attempt, left time.Duration) []byte {
-	return appendDeadline(dst, left)
+func (serverDialect) Fields(dst []byte, _ *core.Attempt, remaining time.Duration) []byte {
+	return appendDeadline(dst, remaining)
 }
 
 // Ours implements httpback.Dialect.
--- a/mesh/dataplane/service.go
+++ b/mesh/dataplane/service.go
@@ -21,30 +21,30 @@
 	// maxClasses bounds the classes of one service; beyond it a route shares a class of its kind.
 	maxClasses = 48
 	// maxWarmUpMillis bounds for how long a server counts as warming up after its start.
-	maxWarmUpMillis = 3000
+	slowStartMillis = 3000
 	// warmUpStepMillis is what starts of servers are rounded to, so that two computations of the same one agree.
-	warmUpStepMillis = 500
+	warmUpRoundingMillis = 500
 	// maxAttempts is how often a request is sent, counting attempts that were rejected ahead of a server.
 	maxAttempts = 8
 	// backlogShare is the part of its latency target for which a request waits for a free server, and urgentBacklogShare that of one of the
 	// first rank.
-	backlogShare       = 0.2
-	urgentBacklogShare = 0.9
+	maxWaitFraction        = 0.2
+	topRankMaxWaitFraction = 0.9
 	// lateWorth is the value of a response after its latency target, as a part of its full value.
-	lateWorth = 0.3
+	lateValueFraction = 0.3
 	// crossZonePrice is the cost of a request that crosses zones, as a part of its value: it gives a server of the own zone 2.5 times the
 	// weight of another. What the own zone has no room for is forwarded by its admission control.
-	crossZonePrice = 0.0144
+	crossZonePenalty = 0.0144
 	// retryAfterShare is the part of its latency target for which a rejected client is to stay away, and maxRetryAfterMillis bounds it.
-	retryAfterShare     = 0.5
+	retryAfterFraction  = 0.5
 	maxRetryAfterMillis = 1000
 	// retryBudgetShare is the part of the retry budget that is handed out: the rest is for requests that a retry causes further on.
-	retryBudgetShare = 0.5
+	retryBudgetFraction = 0.5
 	// coldShare is the capacity of a server at its start, as a part of its full capacity. One that warms up and gets more than fallMultiple of
 	// its capacity for fallMillis fails (balance.Config has the definitions).
-	coldShare    = 0.5
-	fallMultiple = 8
-	fallMillis   = 1000
+	slowStartInitialFraction = 0.5
+	coldOverloadFactor       = 8
+	coldOverloadMillis       = 1000
 	// millisPerSecond converts the configuration's seconds to the balancer's milliseconds.
 	millisPerSecond = 1000
 )
@@ -75,12 +75,12 @@
 // newService starts the exchange of a service, which runs until the process ends.
 func (p *Proxy) newService(name string) *service {
 	settings := p.settings.Load()
-	zones, own := numberZones(settings)
+	zones, ownZone := numberZones(settings)
 	s := &service{name: name, zone: settings.Zone, inFlight: p.inFlight, classes: map[classKey]int{}}
 	s.exchange = core.New(p.ctx, core.Config{
 		Balance: balance.Config{
 			Seed:                     hashSeed(settings.NodeName+name) ^ uint64(p.start.UnixNano()),
-			Zone:                     own,
+			Zone:                     ownZone,
 			MaxAttempts:              maxAttempts,
 			Cancel:                   true,
 			RetryAfter:               true,
@@ -88,13 +88,13 @@
 			ConnectTimeout:           float64(hopConnectTimeout / time.Millisecond),
 			ConnIdle:                 float64(hopIdleTimeout / time.Millisecond),
 			StreamsPerConn:           1,
-			SlowStartInitialFraction: coldShare,
-			SlowStartTime:            maxWarmUpMillis,
-			ColdOverloadFactor:       fallMultiple,
-			ColdOverloadTime:         fallMillis,
+			SlowStartInitialFraction: slowStartInitialFraction,
+			SlowStartTime:            slowStartMillis,
+			ColdOverloadFactor:       coldOverloadFactor,
+			ColdOverloadTime:         coldOverloadMillis,
 			Goal:                     balance.Goal{Total: 1},
-			Penalties:                balance.Penalties{CrossZone: crossZonePrice},
-			RetryAfterFraction:       retryAfterShare,
+			Penalties:                balance.Penalties{CrossZone: crossZonePenalty},
+			RetryAfterFraction:       retryAfterFraction,
 			LastHop:                  true,
 			RetryBudget:              newRetryBudget(&settings.Bounds, p.node.State().Directory.Len()),
 		},
@@ -105,36 +105,36 @@
 		Log:              p.slog,
 		CancelAtUnlisted: true,
 		Invariants:       p.invariants,
-		Observer:         &observer{service: name, log: p.log, figures: p.figures, limit: p.failures},
+		Observer:         &observer{service: name, log: p.log, metrics: p.metrics, logLimit: p.failureLogLimit},
 	})
 	go s.exchange.Run()                                 // the exchange ends with p.ctx; End waits for its requests
 	if schedule := p.shutdown.Load(); schedule != nil { // else shutDown tells the exchanges that there are
-		s.exchange.Shutdown(schedule.cut)
+		s.exchange.Shutdown(schedule.failOpenAt)
 	}
 	return s
 }
 
 // numberZones numbers the zones of the settings for the balancer, and returns the number of the own one.
-func numberZones(settings *bootstrap.Settings) (zones map[string]int, own int) {
+func numberZones(settings *bootstrap.Settings) (zones map[string]int, ownZone int) {
 	zones = map[string]int{}
 	for name := range settings.Zones {
 		zones[name] = len(zones)
 	}
-	own, ok := zones[settings.Zone]
+	ownZone, ok := zones[settings.Zone]
 	if !ok {
-		own = len(zones)
+		ownZone = len(zones)
 	}
-	return zones, own
+	return zones, ownZone
 }
 
 // newRetryBudget is this sidecar's part of a service's retry budget, where there are so many sidecars.
 func newRetryBudget(b *bootstrap.Bounds, sidecars int) *retrybudget.Budget {
-	slack := b.RetrySlack * retryBudgetShare / float64(max(1, sidecars))
-	return retrybudget.New(b.RetryRatio*retryBudgetShare, slack, float64(b.RetryWindow/time.Millisecond))
+	slack := b.RetrySlack * retryBudgetFraction / float64(max(1, sidecars))
+	return retrybudget.New(b.RetryRatio*retryBudgetFraction, slack, float64(b.RetryWindow/time.Millisecond))
 }
 
 // class is the number of a route's class, which may be new.
-func (s *service) class(r *config.Route) int {
+func (s *service) classNumber(r *config.Route) int {
 	key := classKey{r.Kind, r.LatencyTargetS, r.Action.TimeoutS, r.Precedence, r.Rank}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,23 +151,23 @@
 	number := s.classCount
 	s.classCount++
 	s.classes[key] = number
-	s.exchange.AddClass(classOf(r))
+	s.exchange.AddClass(balanceClass(r))
 	return number
 }
 
 // classOf is the balancer's class of a route.
-func classOf(r *config.Route) balance.Class {
+func balanceClass(r *config.Route) balance.Class {
 	c := balance.Class{
 		Effect:          balance.Safe,
 		LatencyTarget:   r.LatencyTargetS * millisPerSecond,
 		Deadline:        r.Action.TimeoutS * millisPerSecond,
 		Value:           1 / (1 + math.Max(0, float64(r.Precedence))),
-		LateValue:       lateWorth,
+		LateValue:       lateValueFraction,
 		DedupWindow:     math.Inf(1),
-		MaxWaitFraction: backlogShare,
+		MaxWaitFraction: maxWaitFraction,
 	}
 	if r.Rank == 0 {
-		c.MaxWaitFraction = urgentBacklogShare
+		c.MaxWaitFraction = topRankMaxWaitFraction
 	}
 	if !r.Idempotent() {
 		c.Effect = balance.Unsafe
@@ -180,7 +180,7 @@
 
 // setEndpoints brings the exchange to the servers of a directory, and the attempts in flight to their sidecars' incarnations.
 // Eligible tells what a rollout makes of a server of a version.
-func (s *service) setEndpoints(entries []directory.Entry, eligible func(version string) rollout.Eligibility, now time.Duration) {
+func (s *service) setEndpoints(entries []directory.Entry, eligibilityOf func(version string) rollout.Eligibility, now time.Duration) {
 	list := &roster.List{Complete: true, ZonePreference: s.localWeight(entries)}
 	clockMillis := float64(time.Now().UnixMicro()) / 1000
 	for i := range entries {
@@ -190,15 +190,15 @@
 			continue
 		}
 		m := roster.Member{ID: e.Server, HostPort: e.Addr, Locality: e.Zone, Phase: "ready", Size: 1, PathIncarnation: e.Incarnation}
-		switch eligibility := eligible(e.Version); {
+		switch eligibility := eligibilityOf(e.Version); {
 		case draining || eligibility == rollout.NotEligible:
 			m.Phase = "draining"
 		case eligibility == rollout.CanaryOnly:
 			m.Candidate = true
 		}
-		if left := float64(e.WarmUntil-now) / float64(time.Millisecond); left > 0 {
-			started := clockMillis + left - maxWarmUpMillis
-			m.UpSince = math.Max(1, math.Round(started/warmUpStepMillis)*warmUpStepMillis)
+		if remainingMillis := float64(e.WarmUntil-now) / float64(time.Millisecond); remainingMillis > 0 {
+			startedMillis := clockMillis + remainingMillis - slowStartMillis
+			m.UpSince = math.Max(1, math.Round(startedMillis/warmUpRoundingMillis)*warmUpRoundingMillis)
 		}
 		list.Members = append(list.Members, m)
 		s.inFlight.Announce(e.Addr, e.Incarnation)
@@ -208,7 +208,7 @@
 
 // localWeight is the factor for the weight of the own zone's servers, by what there is in it and everywhere.
 func (s *service) localWeight(entries []directory.Entry) float64 {
-	var own, all locality.Zone
+	var ownZone, allZones locality.Zone
 	for i := range entries {
 		e := &entries[i]
 		if e.Lost {
@@ -218,12 +218,12 @@
 		if e.Service == s.name && e.State == directory.Accepting {
 			slots = max(1, e.Slots)
 		}
-		all.Callers++
-		all.Slots += slots
+		allZones.Callers++
+		allZones.Slots += slots
 		if e.Zone == s.zone {
-			own.Callers++
-			own.Slots += slots
+			ownZone.Callers++
+			ownZone.Slots += slots
 		}
 	}
-	return locality.LocalWeight(own, all)
+	return locality.LocalWeight(ownZone, allZones)
 }
--- a/mesh/dataplane/shutdown.go
+++ b/mesh/dataplane/shutdown.go
@@ -16,37 +16,37 @@
 
 // shutdownSchedule is the times of a shutdown (timing.Shutdown).
 type shutdownSchedule struct {
-	late  time.Time // from when requests are taken only if they end in time
-	cut   time.Time // when open requests fail
-	ended time.Time // when the fronts have ended
+	rejectLongFrom time.Time // from when requests are taken only if they end in time
+	failOpenAt     time.Time // when open requests fail
+	frontsEndAt    time.Time // when the fronts have ended
 }
 
-func newShutdownSchedule(began time.Time, t timing.Shutdown) *shutdownSchedule {
-	return &shutdownSchedule{late: began.Add(t.CheckDeadlines), cut: began.Add(t.AbortRequests), ended: began.Add(t.FrontsEnded)}
+func newShutdownSchedule(startedAt time.Time, t timing.Shutdown) *shutdownSchedule {
+	return &shutdownSchedule{rejectLongFrom: startedAt.Add(t.CheckDeadlines), failOpenAt: startedAt.Add(t.AbortRequests), frontsEndAt: startedAt.Add(t.FrontsEnded)}
 }
 
 // takes reports whether a request that may last so long is taken at a time. Without a shutdown, s is nil.
-func (s *shutdownSchedule) takes(now time.Time, left time.Duration) bool {
-	return s == nil || now.Before(s.late) || now.Add(left).Before(s.cut)
+func (s *shutdownSchedule) accepts(now time.Time, remaining time.Duration) bool {
+	return s == nil || now.Before(s.rejectLongFrom) || now.Add(remaining).Before(s.failOpenAt)
 }
 
 // shutDown ends what was taken, in the time that the platform leaves.
 func (p *Proxy) shutDown(fronts ...front) error {
-	began := time.Now()
-	schedule := newShutdownSchedule(began, p.durations.Shutdown)
-	_ = level.Info(p.log).Log("msg", "sidecar shutdown begins", "within", schedule.ended.Sub(began))
+	startedAt := time.Now()
+	schedule := newShutdownSchedule(startedAt, p.durations.Shutdown)
+	_ = level.Info(p.log).Log("msg", "sidecar shutdown begins", "within", schedule.frontsEndAt.Sub(startedAt))
 	p.shutdown.Store(schedule)
 	p.shuttingDown.Store(true)
 	p.post(shutdownStarted{})
 	for _, svc := range *p.services.Load() {
-		svc.exchange.Shutdown(schedule.cut)
+		svc.exchange.Shutdown(schedule.failOpenAt)
 	}
-	var ends sync.WaitGroup
+	var frontsEnding sync.WaitGroup
 	errs := make([]error, len(fronts))
 	for i, f := range fronts {
-		ends.Go(func() { errs[i] = f.End(time.Until(schedule.ended)) })
+		frontsEnding.Go(func() { errs[i] = f.End(time.Until(schedule.frontsEndAt)) })
 	}
-	ends.Wait()
-	_ = level.Info(p.log).Log("msg", "sidecar shutdown completed", "after", time.Since(began).Round(time.Millisecond))
+	frontsEnding.Wait()
+	_ = level.Info(p.log).Log("msg", "sidecar shutdown completed", "after", time.Since(startedAt).Round(time.Millisecond))
 	return errors.Join(errs...)
 }
--- a/mesh/dataplane/sidecar_headers_test.go
+++ b/mesh/dataplane/sidecar_headers_test.go
@@ -48,7 +48,7 @@
 	name := "caller"
 	service.Store(&name)
 	return sendingHop{
-		dialect:  sidecarDialect{inFlight: inFlight, service: service, reachable: func(string) {}},
+		dialect:  sidecarDialect{inFlight: inFlight, service: service, recordReachable: func(string) {}},
 		announce: inFlight.Announce,
 		query: func(a *core.Attempt, sender string, number, incarnation uint64) {
 			id := attempts.ID{Sender: sender, Number: number, Incarnation: incarnation}
@@ -80,7 +80,7 @@
 	dialect := incomingDialect{config: &atomic.Pointer[config.Config]{}, service: &atomic.Pointer[string]{}}
 	name := "one"
 	dialect.service.Store(&name)
-	dialect.config.Store(cfg(t, "0000000a", "one"))
+	dialect.config.Store(parseTestConfig(t, "0000000a", "one"))
 	heartbeat := admission.Heartbeat{ServerID: "i1", Service: "one", Slots: 9, Sequence: 1}
 	switch state {
 	case "closing":
@@ -120,7 +120,7 @@
 }
 
 // What sidecars write to one another and to their servers, and what they read of it, is what commit 5126712 wrote and read.
-func TestHeadersBetweenSidecarsAreAsRecorded(t *testing.T) {
+func TestSidecarHeadersMatchRecording(t *testing.T) {
 	want, err := os.ReadFile("testdata/sidecar-headers-5126712.txt")
 	if err != nil {
 		t.Fatal(err)
@@ -154,7 +154,7 @@
 
 // canonical is a message as written, but with the lines of its head sorted, as headers that pass through come in the
 // order of a map, and with what tells the time replaced. The body follows.
-func canonical(raw []byte) string {
+func canonicalMessage(raw []byte) string {
 	head, body, _ := strings.Cut(string(raw), "\r\n\r\n")
 	lines := strings.Split(head, "\r\n")
 	for i, line := range lines {
@@ -167,17 +167,17 @@
 }
 
 // wireScript collects what the tests compare.
-type wireScript struct {
+type wireTranscript struct {
 	t    *testing.T
 	text strings.Builder
 }
 
-func (w *wireScript) add(title, format string, args ...any) {
+func (w *wireTranscript) add(title, format string, args ...any) {
 	fmt.Fprintf(&w.text, "== %s\n%s\n", title, strings.TrimRight(fmt.Sprintf(format, args...), "\n"))
 }
 
 // wireMessage is a request as clients send it, which also claims what only sidecars say.
-func wireMessage(safe bool) *core.Message {
+func clientMessage(safe bool) *core.Message {
 	return &core.Message{
 		Trace: "x", Verb: map[bool]string{true: "GET", false: "POST"}[safe], Target: "/a/1?q=1", Authority: "h", Safe: safe,
 		ConfigVersion: 0x1f, Priority: 2,
@@ -191,7 +191,7 @@
 }
 
 // written is what a pool with a dialect writes for an attempt, on a socket.
-func (w *wireScript) written(dialect httpback.Dialect, m *core.Message, prepare func(*core.Attempt)) string {
+func (w *wireTranscript) captureRequest(dialect httpback.Dialect, m *core.Message, prepare func(*core.Attempt)) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		w.t.Fatal(err)
@@ -224,7 +224,7 @@
 	pool.Begin(a)
 	select {
 	case raw := <-got:
-		return canonical([]byte(raw))
+		return canonicalMessage([]byte(raw))
 	case <-time.After(10 * time.Second):
 		w.t.Fatal("nothing was written")
 	}
@@ -232,39 +232,39 @@
 }
 
 // requests has what sidecars write, to one another and to their servers.
-func (w *wireScript) requests() {
+func (w *wireTranscript) addRequests() {
 	for _, c := range []struct {
 		name string
 		safe bool
 	}{{"may run again", true}, {"must not run twice", false}} {
 		h := newSendingHop()
-		w.add("request that "+c.name+", to a sidecar", "%s", w.written(h.dialect, wireMessage(c.safe), nil))
-		w.add("request that "+c.name+", to the server", "%s", w.written(newServerDialect(), wireMessage(c.safe), nil))
+		w.add("request that "+c.name+", to a sidecar", "%s", w.captureRequest(h.dialect, clientMessage(c.safe), nil))
+		w.add("request that "+c.name+", to the server", "%s", w.captureRequest(newServerDialect(), clientMessage(c.safe), nil))
 	}
 	h := newSendingHop()
-	w.add("query", "%s", w.written(h.dialect, &core.Message{
+	w.add("query", "%s", w.captureRequest(h.dialect, &core.Message{
 		Trace: "x", Verb: "GET", Target: "/", Authority: "h", Safe: true, Meta: http.Header{"Try-Id": {"x"}},
 	}, func(a *core.Attempt) { h.query(a, "branch-b.1.fe", 18, 1<<60) }))
 	h = newSendingHop()
 	h.announce("h:1", 0x18f0e0d0c0b0a090)
-	at := core.NewEndpoint("i1", "h:1")
-	for _, left := range []time.Duration{0, time.Millisecond, 1234560 * time.Microsecond, 59999999 * time.Microsecond, time.Hour} {
+	endpoint := core.NewEndpoint("i1", "h:1")
+	for _, remaining := range []time.Duration{0, time.Millisecond, 1234560 * time.Microsecond, 59999999 * time.Microsecond, time.Hour} {
 		for _, safe := range []bool{true, false} {
-			a := core.NewAttempt(at, wireMessage(safe), time.Now(), func(core.Result) {})
-			w.add(fmt.Sprintf("fields with %v left, safe %v", left, safe), "%q", h.dialect.Fields(nil, a, left))
+			a := core.NewAttempt(endpoint, clientMessage(safe), time.Now(), func(core.Result) {})
+			w.add(fmt.Sprintf("fields with %v left, safe %v", remaining, safe), "%q", h.dialect.Fields(nil, a, remaining))
 		}
-		a := core.NewAttempt(at, wireMessage(true), time.Now(), func(core.Result) {})
-		w.add(fmt.Sprintf("fields to the server with %v left", left), "%q", newServerDialect().Fields(nil, a, left))
+		a := core.NewAttempt(endpoint, clientMessage(true), time.Now(), func(core.Result) {})
+		w.add(fmt.Sprintf("fields to the server with %v left", remaining), "%q", newServerDialect().Fields(nil, a, remaining))
 	}
 	for range 20 {
-		h.dialect.Fields(nil, core.NewAttempt(at, wireMessage(false), time.Now(), func(core.Result) {}), time.Second)
+		h.dialect.Fields(nil, core.NewAttempt(endpoint, clientMessage(false), time.Now(), func(core.Result) {}), time.Second)
 	}
 	w.add("fields of the 26th attempt", "%q",
-		h.dialect.Fields(nil, core.NewAttempt(at, wireMessage(false), time.Now(), func(core.Result) {}), time.Second))
+		h.dialect.Fields(nil, core.NewAttempt(endpoint, clientMessage(false), time.Now(), func(core.Result) {}), time.Second))
 }
 
 // exchanged plays one request to a sidecar's incoming address, and returns what comes back. An end of nil leaves the attempt open.
-func (w *wireScript) exchanged(title string, r *receivingHop, request string, end *core.Result) (wait func()) {
+func (w *wireTranscript) exchange(title string, r *receivingHop, request string, end *core.Result) (wait func()) {
 	c, err := net.Dial("tcp", r.addr)
 	if err != nil {
 		w.t.Fatal(err)
@@ -295,18 +295,18 @@
 		if err != nil {
 			w.t.Fatalf("%s: %v", title, err)
 		}
-		w.add(title+": response", "%s", canonical(raw.Bytes()))
-		w.judged(title, response, body)
+		w.add(title+": response", "%s", canonicalMessage(raw.Bytes()))
+		w.addJudgements(title, response, body)
 	}
 }
 
 // judged is what a sender makes of a response, to an attempt and to a query.
-func (w *wireScript) judged(title string, response *http.Response, body []byte) {
+func (w *wireTranscript) addJudgements(title string, response *http.Response, body []byte) {
 	for _, kind := range []string{"idempotent", "attempt", "query"} {
 		h := newSendingHop()
 		h.announce("h:1", 5)
-		at := core.NewEndpoint("i1", "h:1")
-		a := core.NewAttempt(at, wireMessage(kind != "attempt"), time.Now(), func(core.Result) {})
+		endpoint := core.NewEndpoint("i1", "h:1")
+		a := core.NewAttempt(endpoint, clientMessage(kind != "attempt"), time.Now(), func(core.Result) {})
 		if kind == "query" {
 			h.query(a, "branch-b.1.fe", 18, 5)
 		}
@@ -323,9 +323,9 @@
 		if got := result.Answer; got != nil {
 			answer = fmt.Sprintf("%d %v %q", got.Status, got.Meta, got.Body)
 		}
-		next := h.dialect.Fields(nil, core.NewAttempt(at, wireMessage(false), time.Now(), func(core.Result) {}), time.Second)
+		nextFields := h.dialect.Fields(nil, core.NewAttempt(endpoint, clientMessage(false), time.Now(), func(core.Result) {}), time.Second)
 		w.add(title+": judged as "+kind, "outcome %d unmet %v passes %v answer %s\nnext %q",
-			result.Outcome, result.NotDelivered, passes, answer, next)
+			result.Outcome, result.NotDelivered, passes, answer, nextFields)
 	}
 }
 
@@ -342,7 +342,7 @@
 }
 
 // responses has what the last hop writes, and what a sender makes of it.
-func (w *wireScript) responses() {
+func (w *wireTranscript) addResponses() {
 	ok := &core.Result{Outcome: balance.OK, Answer: serverAnswer(200, "Try-Id", "x", "Postmark", "p", "Served-By", "i1")}
 	for _, c := range []struct {
 		name, state, fields string
@@ -385,40 +385,40 @@
 		if c.name == "older configuration" {
 			request = strings.Replace(request, "/a/1", "/gone/1", 1)
 		}
-		w.exchanged(c.name, r, request, c.end)()
+		w.exchange(c.name, r, request, c.end)()
 		r.close()
 	}
-	w.attemptsAndQueries(ok)
+	w.addAttemptsAndQueries(ok)
 }
 
 // attemptsAndQueries has attempts that come more than once, and queries about them.
-func (w *wireScript) attemptsAndQueries(ok *core.Result) {
+func (w *wireTranscript) addAttemptsAndQueries(ok *core.Result) {
 	r := newReceivingHop(w.t, "open")
 	defer r.close()
 	send, ask := wireRequest("Firplank-Send: branch-b.1.fe.3.7\n"), wireRequest("Firplank-Ask: branch-b.1.fe.3.7\n")
-	first := w.exchanged("first copy", r, send, nil)
+	first := w.exchange("first copy", r, send, nil)
 	var a *core.Attempt
 	select {
 	case a = <-r.server.begun:
 	case <-time.After(10 * time.Second):
 		w.t.Fatal("the first copy does not begin")
 	}
-	w.exchanged("second copy", r, send, nil)()
-	waiting := w.exchanged("query while it runs", r, ask, nil)
+	w.exchange("second copy", r, send, nil)()
+	waiting := w.exchange("query while it runs", r, ask, nil)
 	time.Sleep(100 * time.Millisecond) // for the query to arrive
 	a.End(*ok)
 	first()
 	waiting()
-	w.exchanged("query after its end", r, ask, nil)()
-	w.exchanged("third copy", r, send, nil)()
-	w.exchanged("query ahead of the attempt", r, wireRequest("Firplank-Ask: branch-b.1.fe.4.7\n"), nil)()
-	w.exchanged("the attempt after the query", r, wireRequest("Firplank-Send: branch-b.1.fe.4.7\n"), nil)()
+	w.exchange("query after its end", r, ask, nil)()
+	w.exchange("third copy", r, send, nil)()
+	w.exchange("query ahead of the attempt", r, wireRequest("Firplank-Ask: branch-b.1.fe.4.7\n"), nil)()
+	w.exchange("the attempt after the query", r, wireRequest("Firplank-Send: branch-b.1.fe.4.7\n"), nil)()
 }
 
 // wireText is all that sidecars of this code write and read.
 func wireText(t *testing.T) string {
-	w := &wireScript{t: t}
-	w.requests()
-	w.responses()
+	w := &wireTranscript{t: t}
+	w.addRequests()
+	w.addResponses()
 	return w.text.String()
 }
--- a/mesh/dataplane/sidecardialect.go
+++ b/mesh/dataplane/sidecardialect.go
@@ -14,9 +14,9 @@
 
 // sidecarDialect is the protocol with other sidecars, on the sending side. It implements httpback.Dialect, and is safe for concurrent use.
 type sidecarDialect struct {
-	inFlight  *inflight.Tracker[*core.Attempt]
-	service   *atomic.Pointer[string] // of the local server, which counts as the caller
-	reachable func(addr string)       // records that the sidecar at an address has responded
+	inFlight        *inflight.Tracker[*core.Attempt]
+	service         *atomic.Pointer[string] // of the local server, which counts as the caller
+	recordReachable func(addr string)       // records that the sidecar at an address has responded
 }
 
 // Keep implements httpback.Dialect: clients' headers are forwarded, but for those that sidecars set.
@@ -26,8 +26,8 @@
 const rejectedByServer = "by the server"
 
 // Fields implements httpback.Dialect: it writes the headers between sidecars, and numbers what must not run twice.
-func (d sidecarDialect) Fields(dst []byte, a *core.Attempt, left time.Duration) []byte {
-	dst = appendDeadline(dst, left)
+func (d sidecarDialect) Fields(dst []byte, a *core.Attempt, remaining time.Duration) []byte {
+	dst = appendDeadline(dst, remaining)
 	if query := d.inFlight.QueryOf(a); query != nil {
 		return appendField(dst, queryHeader, formatAttemptID(query.About.ID))
 	}
@@ -45,20 +45,20 @@
 
 // Passes implements httpback.Dialect: a server's success may be passed on while its body is still coming.
 func (d sidecarDialect) Passes(a *core.Attempt, status int, h http.Header) bool {
-	d.reachable(a.Endpoint.Addr())
+	d.recordReachable(a.Endpoint.Addr())
 	return isSuccess(status) && attempts.Outcome(h.Get(outcomeHeader)) == attempts.Executed && postmarked(h)
 }
 
 // Judge implements httpback.Dialect: it draws the evidence of a last hop's response.
 func (d sidecarDialect) Judge(a *core.Attempt, status int, h http.Header, body []byte) core.Result {
-	d.reachable(a.Endpoint.Addr())
+	d.recordReachable(a.Endpoint.Addr())
 	outcome := attempts.Outcome(h.Get(outcomeHeader))
 	delete(h, outcomeHeader)
 	evidence := d.inFlight.Respond(a, outcome, responseOf(a, status, h), parseIncarnation(h.Get(incarnationHeader)))
 	answer := &core.Answer{Kind: core.Served, Status: status, Meta: h, Body: body}
 	switch evidence {
 	case attempts.NeverExecuted:
-		return core.Result{Outcome: balance.Rejected, NotDelivered: true, Detail: detailOf(body)}
+		return core.Result{Outcome: balance.Rejected, NotDelivered: true, Detail: rejectionDetail(body)}
 	case attempts.RejectedByServer:
 		return core.Result{Outcome: balance.Rejected, Detail: rejectedByServer}
 	case attempts.TimedOut:
--- a/mesh/dataplane/streamping.go
+++ b/mesh/dataplane/streamping.go
@@ -19,14 +19,14 @@
 
 // streamPings pings sidecars over connections, where the failure detector asks for that. Start belongs to the loop.
 type streamPings struct {
-	ctx     context.Context
-	node    string
-	contact func(node string) // called from any goroutine: a sidecar has answered
-	slots   chan struct{}
+	ctx      context.Context
+	node     string
+	onAnswer func(node string) // called from any goroutine: a sidecar has answered
+	slots    chan struct{}
 }
 
-func newStreamPings(ctx context.Context, node string, contact func(node string)) *streamPings {
-	return &streamPings{ctx: ctx, node: node, contact: contact, slots: make(chan struct{}, maxStreamPings)}
+func newStreamPings(ctx context.Context, node string, onAnswer func(node string)) *streamPings {
+	return &streamPings{ctx: ctx, node: node, onAnswer: onAnswer, slots: make(chan struct{}, maxStreamPings)}
 }
 
 // start pings a sidecar at its address for peers, on a goroutine of its own. It reports false where too many are under way.
@@ -39,7 +39,7 @@
 	goFunc(func() {
 		defer func() { <-s.slots }()
 		if s.ping(addr) {
-			s.contact(node)
+			s.onAnswer(node)
 		}
 	})
 	return true
@@ -97,10 +97,10 @@
 }
 
 // contactMade reports that a sidecar has answered over a connection.
-type contactMade struct{ node string }
+type streamPingAnswered struct{ node string }
 
-func (e contactMade) handle(p *Proxy, now time.Duration) {
-	p.applyLiveness(now, p.liveness.RecordContact(now, e.node))
+func (e streamPingAnswered) handle(p *Proxy, now time.Duration) {
+	p.applyLivenessResult(now, p.liveness.RecordContact(now, e.node))
 }
 
 // sendProbes sends what the failure detector asks for.
