--- a/mesh/dataplane/confirmation.go
+++ b/mesh/dataplane/confirmation.go
@@ -30,14 +30,14 @@
 	done     chan struct{}
 }
 
-func (a *pendingConfirmations) add(now time.Duration, sequence uint64, done chan struct{}) {
-	a.pending = append(a.pending, pendingConfirmation{sequence: sequence, expires: now + confirmTimeout, done: done})
+func (c *pendingConfirmations) add(now time.Duration, sequence uint64, done chan struct{}) {
+	c.pending = append(c.pending, pendingConfirmation{sequence: sequence, expires: now + confirmTimeout, done: done})
 }
 
 // confirm ends the waiting of those that a node's parent has, and forgets those whose caller waits no more.
-func (a *pendingConfirmations) closeConfirmed(now time.Duration, n *distribution.Node) {
-	remaining := a.pending[:0]
-	for _, w := range a.pending {
+func (c *pendingConfirmations) closeConfirmed(now time.Duration, n *distribution.Node) {
+	remaining := c.pending[:0]
+	for _, w := range c.pending {
 		switch {
 		case w.sequence <= n.Confirmed():
 			close(w.done)
@@ -45,7 +45,7 @@
 			remaining = append(remaining, w)
 		}
 	}
-	a.pending = remaining
+	c.pending = remaining
 }
 
 // confirmAnnouncement has the loop announce the server's state, if it has changed, and waits for confirmTimeout at most until another
--- a/mesh/dataplane/earlyanswer_test.go
+++ b/mesh/dataplane/earlyanswer_test.go
@@ -43,7 +43,7 @@
 func sendToEarlyServer(t *testing.T, server *core.Endpoint, streamed bool) (r core.Result, openConns int) {
 	t.Helper()
 	const bodyBytes = 16 << 20 // more than the kernel holds
-	b, err := httpback.NewPoll(t.Context(), httpback.Config{
+	pool, err := httpback.NewPoll(t.Context(), httpback.Config{
 		ConnectTimeout: time.Second,
 		Idle:           time.Second,
 		Sockets:        4,
@@ -69,8 +69,8 @@
 		m.Body = make([]byte, bodyBytes)
 	}
 	ended := make(chan core.Result, 1)
-	b.Begin(core.NewAttempt(server, m, time.Now().Add(5*time.Second), func(r core.Result) { ended <- r }))
-	return <-ended, b.Open()
+	pool.Begin(core.NewAttempt(server, m, time.Now().Add(5*time.Second), func(r core.Result) { ended <- r }))
+	return <-ended, pool.Open()
 }
 
 func TestResponseBeforeRequestBodyIsUsed(t *testing.T) {
--- a/mesh/dataplane/lasthop_test.go
+++ b/mesh/dataplane/lasthop_test.go
@@ -20,7 +20,7 @@
 // held is a server that answers when it is told to.
 type stubPool struct{ begun []*core.Attempt }
 
-func (h *stubPool) Begin(a *core.Attempt)                   { h.begun = append(h.begun, a) }
+func (p *stubPool) Begin(a *core.Attempt)                   { p.begun = append(p.begun, a) }
 func (h *stubPool) Cancel(*core.Attempt)                    {}
 func (h *stubPool) Probe(*core.Endpoint, func(core.Result)) {}
 func (h *stubPool) CloseIdle(*core.Endpoint)                {}
@@ -30,7 +30,7 @@
 // asked is a client of the last hop's: another sidecar.
 type recordingClient struct{ answer *core.Answer }
 
-func (a *recordingClient) Answer(_ *core.Call, got *core.Answer) { a.answer = got }
+func (c *recordingClient) Answer(_ *core.Call, got *core.Answer) { c.answer = got }
 
 func newTestLastHop(server *stubPool) (*lastHop, func(field, text string) *recordingClient) {
 	start := time.Now()
--- a/mesh/dataplane/metrics.go
+++ b/mesh/dataplane/metrics.go
@@ -33,7 +33,7 @@
 	registry *telemetry.Registry
 
 	requestsByOutcome  [core.Failed + 1]*metrics.Counter // by the kind of the answer
-	clientLeft         *metrics.Counter                  // requests whose client left
+	requestsClientLeft *metrics.Counter                  // requests whose client left
 	unservedByCause    [balance.DeadlineExceeded + 1]*metrics.Counter
 	attemptsByOutcome  [balance.NotSent + 1]*metrics.Counter
 	admissionVerdicts  [admission.Unhealthy + 1]*metrics.Counter // of the last hop
@@ -63,66 +63,66 @@
 // newFigures returns the figures of a sidecar, all at 0.
 func newProxyMetrics() *proxyMetrics {
 	r := telemetry.NewRegistry()
-	f := &proxyMetrics{
-		registry:          r,
-		clientLeft:        r.LabelledCounter("requests_total", "outcome", "client_left"),
-		refusedAtShutdown: r.Counter("requests_refused_at_shutdown_total"),
-		attemptVerdicts:   map[attempts.Verdict]*metrics.Counter{},
+	m := &proxyMetrics{
+		registry:           r,
+		requestsClientLeft: r.LabelledCounter("requests_total", "outcome", "client_left"),
+		refusedAtShutdown:  r.Counter("requests_refused_at_shutdown_total"),
+		attemptVerdicts:    map[attempts.Verdict]*metrics.Counter{},
 	}
 	for kind, name := range requestOutcomeNames {
-		f.requestsByOutcome[kind] = r.LabelledCounter("requests_total", "outcome", name)
+		m.requestsByOutcome[kind] = r.LabelledCounter("requests_total", "outcome", name)
 	}
-	for cause := range f.unservedByCause {
-		f.unservedByCause[cause] = r.LabelledCounter("requests_unserved_total", "cause", balance.Cause(cause).String())
+	for cause := range m.unservedByCause {
+		m.unservedByCause[cause] = r.LabelledCounter("requests_unserved_total", "cause", balance.Cause(cause).String())
 	}
 	for outcome, name := range attemptOutcomeNames {
-		f.attemptsByOutcome[outcome] = r.LabelledCounter("attempts_total", "outcome", name)
+		m.attemptsByOutcome[outcome] = r.LabelledCounter("attempts_total", "outcome", name)
 	}
-	for verdict := range f.admissionVerdicts {
-		f.admissionVerdicts[verdict] = r.LabelledCounter("last_hop_total", "verdict", admission.Verdict(verdict).String())
+	for verdict := range m.admissionVerdicts {
+		m.admissionVerdicts[verdict] = r.LabelledCounter("last_hop_total", "verdict", admission.Verdict(verdict).String())
 	}
 	for verdict, name := range attemptVerdictNames {
-		f.attemptVerdicts[verdict] = r.LabelledCounter("last_hop_repeats_total", "verdict", name)
+		m.attemptVerdicts[verdict] = r.LabelledCounter("last_hop_repeats_total", "verdict", name)
 	}
 	for reason, name := range parentLeftReasonNames {
-		f.parentLeftByReason[reason] = r.LabelledCounter("parent_left_total", "reason", name)
+		m.parentLeftByReason[reason] = r.LabelledCounter("parent_left_total", "reason", name)
 	}
 	for name, value := range map[string]*atomic.Int64{
-		"config_version": &f.configVersion, "config_age_ms": &f.configAgeMillis, "directory_entries": &f.directoryEntries,
-		"subscribers": &f.subscribers, "ready": &f.ready,
+		"config_version": &m.configVersion, "config_age_ms": &m.configAgeMillis, "directory_entries": &m.directoryEntries,
+		"subscribers": &m.subscribers, "ready": &m.ready,
 	} {
 		r.Gauge(name, func() float64 { return float64(value.Load()) })
 	}
-	return f
+	return m
 }
 
 // lastHopDecided counts a decision of the last hop; f may be nil.
-func (f *proxyMetrics) recordLastHopDecision(outcome attempts.Verdict, verdict admission.Verdict) {
-	if f == nil {
+func (m *proxyMetrics) recordLastHopDecision(outcome attempts.Verdict, verdict admission.Verdict) {
+	if m == nil {
 		return
 	}
-	if c := f.attemptVerdicts[outcome]; c != nil {
+	if c := m.attemptVerdicts[outcome]; c != nil {
 		c.Inc()
 		return
 	}
-	f.admissionVerdicts[verdict].Inc()
+	m.admissionVerdicts[verdict].Inc()
 }
 
 // updateFigures brings the gauges up to date. It belongs to the loop.
 func (p *Proxy) updateMetrics(now time.Duration) {
-	f, state := p.metrics, p.node.State()
+	m, state := p.metrics, p.node.State()
 	if cfg := p.cfg.Load(); cfg != nil {
-		f.configVersion.Store(int64(cfg.Version))
+		m.configVersion.Store(int64(cfg.Version))
 	}
-	f.configAgeMillis.Store(-1)
+	m.configAgeMillis.Store(-1)
 	if state.AsOf != dissemination.TimeUnknown {
-		f.configAgeMillis.Store((now - state.AsOf).Milliseconds())
+		m.configAgeMillis.Store((now - state.AsOf).Milliseconds())
 	}
-	f.directoryEntries.Store(int64(state.Directory.Len()))
-	f.subscribers.Store(int64(p.node.Subscribers()))
-	f.ready.Store(0)
+	m.directoryEntries.Store(int64(state.Directory.Len()))
+	m.subscribers.Store(int64(p.node.Subscribers()))
+	m.ready.Store(0)
 	if p.ready.Load() && !p.shuttingDown.Load() {
-		f.ready.Store(1)
+		m.ready.Store(1)
 	}
 }
 
@@ -157,7 +157,7 @@
 // RequestEnded implements core.Observer.
 func (o *observer) RequestEnded(c *core.Call, a *core.Answer, tried []*core.Attempt, cause balance.Cause) {
 	if a == nil || a.Kind == core.Failed && a.Reason == core.ClientGone {
-		o.metrics.clientLeft.Inc()
+		o.metrics.requestsClientLeft.Inc()
 		return
 	}
 	o.metrics.requestsByOutcome[a.Kind].Inc()
--- a/mesh/dataplane/proxy.go
+++ b/mesh/dataplane/proxy.go
@@ -207,7 +207,7 @@
 	post := func(e distribution.Event) bool { return p.post(distributionEvent{e}) }
 	p.links = links.New(ctx, p.node, post, p.logAction)
 	p.exchanges = exchanges.New(p.newService, p.setEndpoints)
-	p.rollouts = newRollouts(durations.Rollouts, &settings.Bounds)
+	p.rollouts = newRolloutTracker(durations.Rollouts, &settings.Bounds)
 	p.streamPings = newStreamPings(ctx, settings.NodeName, func(node string) { p.post(streamPingAnswered{node}) })
 	p.liveness = liveness.New(settings.NodeName, hashSeed(settings.NodeName)^uint64(p.start.UnixNano()))
 	return p
--- a/mesh/dataplane/proxy_test.go
+++ b/mesh/dataplane/proxy_test.go
@@ -138,7 +138,7 @@
 		}
 		_, _ = bufio.NewReader(c).ReadByte() // until the other side closes
 	}()
-	b, err := httpback.NewPoll(t.Context(), httpback.Config{
+	pool, err := httpback.NewPoll(t.Context(), httpback.Config{
 		ConnectTimeout: time.Second,
 		Idle:           time.Second,
 		Sockets:        4,
@@ -156,7 +156,7 @@
 		Meta:      header("Try-Id", "x", "Deliver-To", "i-1", "Firplank-Rank", "1"),
 	}
 	server := core.NewEndpoint("server", ln.Addr().String())
-	b.Begin(core.NewAttempt(server, m, time.Now().Add(5*time.Second), func(r core.Result) { ended <- r }))
+	pool.Begin(core.NewAttempt(server, m, time.Now().Add(5*time.Second), func(r core.Result) { ended <- r }))
 	r := <-ended
 	if r.Outcome != balance.OK || r.Answer == nil || string(r.Answer.Body) != "for x" {
 		t.Errorf("%v: %+v", r.Outcome, r.Answer)
--- a/mesh/dataplane/queries_test.go
+++ b/mesh/dataplane/queries_test.go
@@ -57,13 +57,13 @@
 
 func (p *queriedPool) Begin(a *core.Attempt) {
 	p.dialect.Fields(nil, a, time.Until(a.Deadline))
-	index := len(p.queriedAt)
+	queryIndex := len(p.queriedAt)
 	p.queriedAt = append(p.queriedAt, time.Now())
-	if index >= len(p.outcomes) || p.outcomes[index] == "" {
+	if queryIndex >= len(p.outcomes) || p.outcomes[queryIndex] == "" {
 		a.End(core.Result{Outcome: balance.Reset})
 		return
 	}
-	a.End(p.dialect.Judge(a, 503, header("Firplank-Fate", string(p.outcomes[index]), "Try-Id", "x"), nil))
+	a.End(p.dialect.Judge(a, 503, header("Firplank-Fate", string(p.outcomes[queryIndex]), "Try-Id", "x"), nil))
 }
 
 // An attempt whose connection broke ends by what its last hop answers, or as unknown after all queries, 150 ms apart,
--- a/mesh/dataplane/replay_test.go
+++ b/mesh/dataplane/replay_test.go
@@ -121,7 +121,7 @@
 }
 
 // replayedDay is the world, and the upstream and the client of every call in it.
-type replayRun struct {
+type replayDriver struct {
 	t       *testing.T
 	start   time.Time
 	rnd     *rand.Rand // of the driver alone
@@ -138,10 +138,10 @@
 	text string
 }
 
-func (d *replayRun) now() time.Duration { return time.Since(d.start) }
+func (d *replayDriver) now() time.Duration { return time.Since(d.start) }
 
 // note takes down a line; the caller holds mu.
-func (d *replayRun) record(format string, args ...any) {
+func (d *replayDriver) record(format string, args ...any) {
 	d.lines = append(d.lines, traceLine{d.now(), fmt.Sprintf(format, args...)})
 }
 
@@ -153,7 +153,7 @@
 }
 
 // Begin implements core.Backend: it plans the attempt's end.
-func (d *replayRun) Begin(a *core.Attempt) {
+func (d *replayDriver) Begin(a *core.Attempt) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	name := fmt.Sprintf("%s/%d", a.Message.Trace, a.Number())
@@ -181,7 +181,7 @@
 }
 
 // Cancel implements core.Backend.
-func (d *replayRun) Cancel(a *core.Attempt) {
+func (d *replayDriver) Cancel(a *core.Attempt) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.record("cancel %s/%d", a.Message.Trace, a.Number())
@@ -193,24 +193,24 @@
 }
 
 // Probe implements core.Backend.
-func (d *replayRun) Probe(e *core.Endpoint, _ func(core.Result)) {
+func (d *replayDriver) Probe(e *core.Endpoint, _ func(core.Result)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.record("probe %s", e.Name())
 }
 
 // CloseIdle implements core.Backend.
-func (d *replayRun) CloseIdle(e *core.Endpoint) {
+func (d *replayDriver) CloseIdle(e *core.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.record("close idle %s", e.Name())
 }
 
-func (d *replayRun) Run(context.Context) {}
-func (d *replayRun) Close()              {}
+func (d *replayDriver) Run(context.Context) {}
+func (d *replayDriver) Close()              {}
 
 // Answer implements core.Client. What an answer says to people is none of its decisions.
-func (d *replayRun) Answer(c *core.Call, a *core.Answer) {
+func (d *replayDriver) Answer(c *core.Call, a *core.Answer) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.record("answer %s: kind %d, reason %d, status %d, hold off %v", c.Message.Trace, a.Kind, a.Reason, a.Status, a.RetryAfter)
@@ -218,7 +218,7 @@
 }
 
 // endDue ends the attempts that are due, in the order of their names.
-func (d *replayRun) endDueAttempts() {
+func (d *replayDriver) endDueAttempts() {
 	d.mu.Lock()
 	var due []openAttempt
 	d.open = slices.DeleteFunc(d.open, func(o openAttempt) bool {
@@ -241,7 +241,7 @@
 }
 
 // arrive hands in a request.
-func (d *replayRun) submitRequest(s sidecarUnderTest, number int) {
+func (d *replayDriver) submitRequest(s sidecarUnderTest, number int) {
 	path := []string{"/quick/x", "/quick/y", "/slow/x", "/order/x", "/file/x"}[d.rnd.Intn(5)]
 	r := &httpfront.Request{Method: http.MethodGet, Target: path, Path: path, Host: "h", Header: http.Header{}}
 	trace := fmt.Sprintf("t%05d", number)
@@ -263,7 +263,7 @@
 }
 
 // leave has a client go.
-func (d *replayRun) disconnectClient() {
+func (d *replayDriver) disconnectClient() {
 	d.mu.Lock()
 	if len(d.unanswered) == 0 {
 		d.mu.Unlock()
@@ -278,7 +278,7 @@
 }
 
 // change changes a machine, and mostly has the directory say so.
-func (d *replayRun) changeServer(s sidecarUnderTest) {
+func (d *replayDriver) changeServer(s sidecarUnderTest) {
 	d.mu.Lock()
 	m := d.servers[d.rnd.Intn(len(d.servers))]
 	e := &m.entry
@@ -313,8 +313,8 @@
 }
 
 // newDay returns a day with 14 machines of two services in three zones, whose servers turn a part of all requests away.
-func newReplay(t *testing.T, seed int64, rejectRate float64) (d *replayRun, entries []directory.Entry) {
-	d = &replayRun{t: t, start: time.Now(), rnd: rand.New(rand.NewSource(seed))}
+func newReplay(t *testing.T, seed int64, rejectRate float64) (d *replayDriver, entries []directory.Entry) {
+	d = &replayDriver{t: t, start: time.Now(), rnd: rand.New(rand.NewSource(seed))}
 	for i := range 14 {
 		e := directory.Entry{
 			Node:        fmt.Sprintf("m%d", i),
@@ -334,7 +334,7 @@
 }
 
 // play lets 6,000 steps of about a millisecond pass, in which a request comes about every mean steps; the last 1,000 are the sidecar's end.
-func (d *replayRun) run(s sidecarUnderTest, meanSteps int) {
+func (d *replayDriver) run(s sidecarUnderTest, meanSteps int) {
 	for number := range 6000 {
 		// No whole milliseconds, so that the driver never runs at the instant of one of the exchange's timers.
 		time.Sleep(900*time.Microsecond + time.Duration(d.rnd.Intn(200_000)))
@@ -363,7 +363,7 @@
 }
 
 // text returns what went in and what was decided: what happens at one instant in the order of the text.
-func (d *replayRun) text() []byte {
+func (d *replayDriver) text() []byte {
 	slices.SortStableFunc(d.lines, func(a, b traceLine) int {
 		return cmp.Or(cmp.Compare(a.at, b.at), strings.Compare(a.text, b.text))
 	})
--- a/mesh/dataplane/rollouts.go
+++ b/mesh/dataplane/rollouts.go
@@ -37,7 +37,7 @@
 	oldVersionRetired bool          // the servers of the old version have had time to stop
 }
 
-func newRollouts(t timing.Rollouts, b *bootstrap.Bounds) rolloutTracker {
+func newRolloutTracker(t timing.Rollouts, b *bootstrap.Bounds) rolloutTracker {
 	return rolloutTracker{durations: t, bounds: b, progress: map[string]*rolloutProgress{}}
 }
 
@@ -99,8 +99,8 @@
 // eligibility is what the servers of a version get. A sidecar that has received nothing for so long that a canary may have been delivered
 // or recalled sends to both versions: servers of the old one may have stopped.
 func (r *rolloutTracker) eligibility(current *rollout.Rollout, version string) rollout.Eligibility {
-	f := r.progress[current.Service]
-	eligibility := current.Eligibility(version, f != nil && f.oldVersionRetired)
+	progress := r.progress[current.Service]
+	eligibility := current.Eligibility(version, progress != nil && progress.oldVersionRetired)
 	if eligibility == rollout.CanaryOnly && r.stale {
 		return rollout.Eligible
 	}
@@ -173,10 +173,10 @@
 
 // retire marks the old versions whose time to stop has passed. It reports whether there is one more.
 func (r *rolloutTracker) markRetired(now time.Duration) (changed bool) {
-	for service, f := range r.progress {
+	for service, progress := range r.progress {
 		current, ok := r.set.Find(service)
-		if ok && current.Stage == rollout.Delivered && !f.oldVersionRetired && now-f.stageReceivedAt > r.durations.RetirementPeriod {
-			f.oldVersionRetired, changed = true, true
+		if ok && current.Stage == rollout.Delivered && !progress.oldVersionRetired && now-progress.stageReceivedAt > r.durations.RetirementPeriod {
+			progress.oldVersionRetired, changed = true, true
 		}
 	}
 	return changed
@@ -226,8 +226,8 @@
 func (r *rolloutTracker) streamsBlockDelivery(now time.Duration) bool {
 	for i := range r.set.Rollouts {
 		current := &r.set.Rollouts[i]
-		f := r.progress[current.Service]
-		if current.Stage == rollout.Promoting && f != nil && now-f.stageReceivedAt <= r.durations.OpenStreamWait {
+		progress := r.progress[current.Service]
+		if current.Stage == rollout.Promoting && progress != nil && now-progress.stageReceivedAt <= r.durations.OpenStreamWait {
 			return true
 		}
 	}
@@ -258,8 +258,8 @@
 	p.rollouts.nextReport = now + p.rollouts.durations.ReportInterval
 	order, classes := p.lastHop.rolloutStatistics()
 	evidence := directory.RolloutReport{ConfirmedRevision: p.rollouts.confirmedRevision, Order: order, Classes: classes}
-	if f := p.rollouts.progress[*p.serviceName.Load()]; f != nil && order > 0 {
-		evidence.OrderAge = now - f.orderReceivedAt
+	if progress := p.rollouts.progress[*p.serviceName.Load()]; progress != nil && order > 0 {
+		evidence.OrderAge = now - progress.orderReceivedAt
 	}
 	p.node.ReportEvidence(now, evidence)
 }
--- a/mesh/dataplane/rollouts_test.go
+++ b/mesh/dataplane/rollouts_test.go
@@ -15,7 +15,7 @@
 // What a sidecar sends to servers of each version, also when it has heard nothing for long or there is no other version.
 func TestEligibilityByRolloutStage(t *testing.T) {
 	bounds := bootstrap.DefaultBounds()
-	r := newRollouts(timing.Default().Rollouts, &bounds)
+	r := newRolloutTracker(timing.Default().Rollouts, &bounds)
 	canary := rollout.Rollout{Service: "one", Target: "v2", Order: 1, Stage: rollout.Canary}
 	delivered := canary
 	delivered.Stage = rollout.Delivered
--- a/mesh/dataplane/sidecar_headers_test.go
+++ b/mesh/dataplane/sidecar_headers_test.go
@@ -264,20 +264,20 @@
 }
 
 // exchanged plays one request to a sidecar's incoming address, and returns what comes back. An end of nil leaves the attempt open.
-func (w *wireTranscript) exchange(title string, r *receivingHop, request string, end *core.Result) (wait func()) {
+func (w *wireTranscript) exchange(title string, r *receivingHop, request string, result *core.Result) (wait func()) {
 	c, err := net.Dial("tcp", r.addr)
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	_, _ = fmt.Fprint(c, strings.ReplaceAll(request, "\n", "\r\n"))
-	if end != nil {
+	if result != nil {
 		select {
 		case a := <-r.server.begun:
 			m := a.Message
 			w.add(title+": read as", "object %q rank %d sent %d safe %v class %q target %q verb %q trace %q", m.Object, m.Priority,
 				m.ForwardCount, m.Safe, m.Class, m.Target,
 				m.Verb, m.Trace)
-			a.End(*end)
+			a.End(*result)
 		case <-time.After(10 * time.Second):
 			w.t.Fatalf("%s: does not begin", title)
 		}
