--- a/mesh/dataplane/confirmation.go
+++ b/mesh/dataplane/confirmation.go
@@ -6,10 +6,10 @@
 	"firplank/mesh/dataplane/distribution"
 )
 
-// announcement waits until another process has what this sidecar announces of its server.
+// confirmationRequest asks the loop to report when another process has received the announced state of the local server.
 type confirmationRequest struct {
-	announceFirst bool          // it has changed, and is to be announced first
-	done          chan struct{} // closed once it is confirmed
+	announceFirst bool          // the state has changed, and is announced first
+	done          chan struct{} // closed when the announcement is confirmed
 }
 
 // handle implements event.
@@ -20,8 +20,8 @@
 	p.confirmations.add(now, p.node.Announced(), e.done)
 }
 
-// announcements are those that wait, by the sequence of this sidecar's entry. It belongs to the loop. Its size is bounded by the calls of
-// the local server that wait, each for confirmTimeout.
+// pendingConfirmations has the requests that are not confirmed yet. It is owned by the loop. Its size is bounded by the concurrent calls of
+// the local server, each of which waits for at most confirmTimeout.
 type pendingConfirmations struct{ pending []pendingConfirmation }
 
 type pendingConfirmation struct {
@@ -34,7 +34,7 @@
 	c.pending = append(c.pending, pendingConfirmation{sequence: sequence, expires: now + confirmTimeout, done: done})
 }
 
-// confirm ends the waiting of those that a node's parent has, and forgets those whose caller waits no more.
+// closeConfirmed completes the requests whose sequence a parent of the node has confirmed, and drops expired ones.
 func (c *pendingConfirmations) closeConfirmed(now time.Duration, n *distribution.Node) {
 	remaining := c.pending[:0]
 	for _, w := range c.pending {
@@ -48,8 +48,8 @@
 	c.pending = remaining
 }
 
-// confirmAnnouncement has the loop announce the server's state, if it has changed, and waits for confirmTimeout at most until another
-// process has it. It is called by the goroutine of a call of the local server.
+// confirmAnnouncement lets the loop announce the server's state if changed is set, and waits for at most confirmTimeout until another
+// process has received the latest announcement. It returns false if none has. It runs on the goroutine of a call of the local server.
 func (p *Proxy) confirmAnnouncement(changed bool) bool {
 	e := confirmationRequest{announceFirst: changed, done: make(chan struct{})}
 	if !p.post(e) {
--- a/mesh/dataplane/headers.go
+++ b/mesh/dataplane/headers.go
@@ -14,40 +14,40 @@
 	"firplank/mesh/attempts"
 )
 
-// Headers of the platform, as the users' PROTOCOL.md has them. Sidecars set and read them; those of them that isSidecarHeader names are
-// never passed on from a client.
+// Headers of the platform, as defined by the users' PROTOCOL.md. Sidecars set and read them; those for which isSidecarHeader is true are
+// removed from requests of clients.
 var (
-	requestIDHeader       = textproto.CanonicalMIMEHeaderKey("Try-Id")        // of the request; its response carries it too
-	deadlineHeader        = textproto.CanonicalMIMEHeaderKey("Deadline-Ms")   // time left, in milliseconds
-	postmarkHeader        = textproto.CanonicalMIMEHeaderKey("Postmark")      // on each success of a server
-	serverIDHeader        = textproto.CanonicalMIMEHeaderKey("Deliver-To")    // of the server that is meant
+	requestIDHeader       = textproto.CanonicalMIMEHeaderKey("Try-Id")        // ID of the request, also in its response
+	deadlineHeader        = textproto.CanonicalMIMEHeaderKey("Deadline-Ms")   // time remaining, in milliseconds
+	postmarkHeader        = textproto.CanonicalMIMEHeaderKey("Postmark")      // on each successful response of a server
+	serverIDHeader        = textproto.CanonicalMIMEHeaderKey("Deliver-To")    // ID of the server that the request is for
 	notDeliveredHeader    = textproto.CanonicalMIMEHeaderKey("Not-Delivered") // the server has not run the request
-	callerServiceHeader   = textproto.CanonicalMIMEHeaderKey("Sender-Line")   // the service that sends
+	callerServiceHeader   = textproto.CanonicalMIMEHeaderKey("Sender-Line")   // service of the sender
 	retryAfterHeader      = textproto.CanonicalMIMEHeaderKey("Retry-After")
 	contentEncodingHeader = textproto.CanonicalMIMEHeaderKey("Content-Encoding")
 )
 
-// Headers between sidecars. Old and new sidecars read one another's while a release goes on: names and values stay as they are
-// (TestHeadersBetweenSidecarsAreAsRecorded).
+// Headers between sidecars. Names and values must not change, as sidecars of different releases exchange them during an upgrade
+// (TestSidecarHeadersMatchRecording).
 var (
-	// outcomeHeader is what became of a request at the last hop, an attempts.Outcome.
+	// outcomeHeader is the outcome of a request at the last hop, an attempts.Outcome.
 	outcomeHeader = textproto.CanonicalMIMEHeaderKey("Firplank-Fate")
-	// rankHeader is the rank of the request's route and how often it was forwarded before, parted by a dot.
+	// rankHeader is the rank of the request's route and the number of times it was forwarded before, separated by a dot.
 	rankHeader = textproto.CanonicalMIMEHeaderKey("Firplank-Rank")
-	// versionHeader is the version of the configuration by which the request was routed, hexadecimal.
+	// versionHeader is the version of the configuration by which the request was routed, in hexadecimal.
 	versionHeader = textproto.CanonicalMIMEHeaderKey("Firplank-Edition")
-	// attemptHeader is the id of an attempt that must not run twice (package attempts), as formatAttemptID writes it.
+	// attemptHeader is the ID of an attempt that must not run twice (package attempts), as formatted by formatAttemptID.
 	attemptHeader = textproto.CanonicalMIMEHeaderKey("Firplank-Send")
-	// queryHeader is the id of the attempt that a query is about, in place of all else.
+	// queryHeader is the ID of the attempt that a query is about. A query has it in place of the other headers between sidecars.
 	queryHeader = textproto.CanonicalMIMEHeaderKey("Firplank-Ask")
-	// incarnationHeader is the last hop's incarnation, in the rejection of an attempt that was sent to another one; hexadecimal.
+	// incarnationHeader is the last hop's incarnation in hexadecimal, in the rejection of an attempt that was sent to another one.
 	incarnationHeader = textproto.CanonicalMIMEHeaderKey("Firplank-Life")
 )
 
-// maxRemainingMillis bounds how long a client may wait, by its deadlineHeader.
+// maxRemainingMillis bounds the value that is read from deadlineHeader.
 const maxRemainingMillis = 1e7
 
-// isSidecarHeader reports whether a header is set by sidecars alone, and dropped from what clients send.
+// isSidecarHeader reports whether a header is set only by sidecars, and removed from requests of clients.
 func isSidecarHeader(name string) bool {
 	switch name {
 	case deadlineHeader, serverIDHeader, callerServiceHeader, outcomeHeader, versionHeader, rankHeader, attemptHeader, queryHeader,
@@ -57,8 +57,8 @@
 	return false
 }
 
-// ownAnswer is a response of the sidecar itself: with an outcome, if it goes to another sidecar, and with a time for the client to stay
-// away, if it is above 0. The texts go over the wire in the body.
+// ownAnswer returns a response that the sidecar itself generates, with text in its body. It has an outcome if it goes to another sidecar,
+// and a Retry-After header if retryAfter is above 0.
 func ownAnswer(status int, outcome attempts.Outcome, text string, retryAfter time.Duration) *core.Answer {
 	kind := core.Failed
 	meta := map[string][]string{"Content-Type": {"text/plain; charset=utf-8"}}
@@ -74,7 +74,7 @@
 	return &core.Answer{Kind: kind, Status: status, Meta: meta, Body: []byte(text + "\n")}
 }
 
-// remainingMillis is how long the client waits, in milliseconds; 0: it names no deadline.
+// remainingMillis returns how long the client still waits, in milliseconds, or 0 without a valid deadline header.
 func remainingMillis(h http.Header) float64 {
 	v, err := strconv.ParseFloat(h.Get(deadlineHeader), 64)
 	if err != nil || !(v > 0) {
@@ -83,10 +83,10 @@
 	return min(v, maxRemainingMillis)
 }
 
-// formatIncarnation is an incarnation as headers carry it, which is hexadecimal.
+// formatIncarnation formats an incarnation for a header, in hexadecimal.
 func formatIncarnation(n uint64) string { return strconv.FormatUint(n, 16) }
 
-// parseIncarnation parses an incarnation as headers carry it; 0: there is none.
+// parseIncarnation parses an incarnation from a header. It returns 0 if there is none.
 func parseIncarnation(text string) uint64 {
 	n, ok := parseHex(text)
 	if !ok {
@@ -95,13 +95,13 @@
 	return n
 }
 
-// formatAttemptID is an attempt's id as headers carry it: the sender, its number and the incarnation of the last hop, parted by dots. The
-// sender's name may have dots of its own.
+// formatAttemptID formats an attempt's ID for a header: the sender, its number and the incarnation of the last hop, separated by dots. The
+// sender's name may contain dots too.
 func formatAttemptID(id attempts.ID) string {
 	return id.Sender + "." + strconv.FormatUint(id.Number, 16) + "." + formatIncarnation(id.Incarnation)
 }
 
-// parseAttemptID parses what formatAttemptID has written.
+// parseAttemptID parses the result of formatAttemptID.
 func parseAttemptID(text string) (id attempts.ID, ok bool) {
 	rest, incarnation, ok := cutAtLastDot(text)
 	if !ok {
@@ -127,7 +127,7 @@
 	return n, err == nil
 }
 
-// cutLast cuts a text at its last dot.
+// cutAtLastDot cuts a text around its last dot.
 func cutAtLastDot(text string) (before, after string, ok bool) {
 	lastDot := strings.LastIndexByte(text, '.')
 	if lastDot < 0 {
@@ -136,25 +136,25 @@
 	return text[:lastDot], text[lastDot+1:], true
 }
 
-// appendField appends a header's line to a request.
+// appendField appends a header line to a request.
 func appendField(dst []byte, name, value string) []byte {
 	dst = append(append(dst, name...), ": "...)
 	return append(append(dst, value...), "\r\n"...)
 }
 
-// appendDeadline appends the header with the time that is left, which is a millisecond at least.
+// appendDeadline appends deadlineHeader with the time remaining, which is at least a millisecond.
 func appendDeadline(dst []byte, remaining time.Duration) []byte {
 	millis := max(1, float64(remaining)/float64(time.Millisecond))
 	return appendField(dst, deadlineHeader, strconv.FormatFloat(millis, 'f', 1, 64))
 }
 
-// belongsTo reports whether a response can be that to an attempt: it carries the id of its request, or none.
+// belongsTo reports whether a response can belong to an attempt: it has the ID of the attempt's request, or none.
 func belongsTo(a *core.Attempt, h http.Header) bool {
 	id := h.Get(requestIDHeader)
 	return id == "" || id == a.Message.Trace
 }
 
-// responseOf is what evidence is drawn from in a response to an attempt.
+// responseOf extracts those properties of a response that are evidence about its attempt.
 func responseOf(a *core.Attempt, status int, h http.Header) attempts.Response {
 	id := h.Get(requestIDHeader)
 	return attempts.Response{
@@ -165,15 +165,15 @@
 	}
 }
 
-// isSuccess reports whether a status is a success.
 func isSuccess(status int) bool { return status >= 200 && status < 300 }
 
-// postmarked reports whether a response of success can be a server's own: it has postmark and id, and no encoding that nobody asked for.
+// postmarked reports whether a successful response can come from a server itself: it has a postmark and an ID, and no content encoding, as
+// none was requested.
 func postmarked(h http.Header) bool {
 	return h.Get(postmarkHeader) != "" && h.Get(requestIDHeader) != "" && h.Get(contentEncodingHeader) == ""
 }
 
-// messageOf makes a message of a request, whose body may still be coming. The message takes over the request's headers.
+// messageOf converts a request to a message that shares the request's headers. A body that is still being received is in bodyStream.
 func messageOf(r *httpfront.Request, body []byte, bodyStream *bodypipe.Pipe) core.Message {
 	httpwire.RemoveHopByHop(r.Header)
 	return core.Message{
@@ -188,7 +188,8 @@
 	}
 }
 
-// routePath is the path by which a request is routed: as it was sent, as servers get it too. An encoded slash is no slash (RFC 3986, 2.2).
+// routePath returns the path by which a request is routed: the encoded one, which servers get too. An encoded slash is not a path separator
+// (RFC 3986, section 2.2).
 func routePath(r *httpfront.Request) string {
 	path, _, _ := strings.Cut(r.Target, "?")
 	if path == "" {
--- a/mesh/dataplane/heartbeats.go
+++ b/mesh/dataplane/heartbeats.go
@@ -13,24 +13,24 @@
 	"firplank/mesh/api"
 )
 
-// maxServerIDLength bounds the ID by which a server names itself.
+// maxServerIDLength bounds the ID of a server.
 const maxServerIDLength = 200
 
-// errNotAnnounced is the answer to a server's end that no other process knows yet.
+// errNotAnnounced is the response to a server's leave that no other process has received yet.
 var errNotAnnounced = errors.New("no other machine knows it yet")
 
 const (
-	// confirmTimeout is how long a call of the local server waits until the announcement of its end has reached another process: below the
-	// second after which the server takes the call as failed.
+	// confirmTimeout is how long a leave of the local server waits until its announcement has reached another process. It is below the
+	// second after which the server treats the call as failed.
 	confirmTimeout = 700 * time.Millisecond
-	// confirmRetryAfter is when it is to call again after that.
+	// confirmRetryAfter is the Retry-After of a leave that timed out.
 	confirmRetryAfter = 200 * time.Millisecond
 )
 
-// errServerIDTooLong is the answer to a longer one.
+// errServerIDTooLong is the response to an ID above maxServerIDLength.
 var errServerIDTooLong = errors.New("id: too long")
 
-// heartbeatRequest is the body of a server's heartbeat, in the users' names.
+// heartbeatRequest is the body of a server's heartbeat. The tags are the users' names.
 type heartbeatRequest struct {
 	Service     string  `json:"line"`
 	Address     string  `json:"address"`
@@ -42,13 +42,13 @@
 	Sequence    uint64  `json:"sequence"`
 }
 
-// The conditions of a server, in the users' terms.
+// Conditions in a heartbeat, in the users' terms.
 const (
 	conditionAccepting = "accepting"
 	conditionDraining  = "closing"
 )
 
-// Bounds of what a heartbeat may say.
+// Bounds of the fields of a heartbeat.
 const (
 	maxServiceLength = 200
 	maxVersionLength = 200
@@ -67,23 +67,23 @@
 	)
 }
 
-// serverRecord is what the sidecar knows of the local server. Its methods are safe for concurrent use and report
-// whether that has changed.
+// serverRecord has the sidecar's state of the local server. Its methods are safe for concurrent use, and report whether
+// the state has changed.
 type serverRecord interface {
 	handleHeartbeat(h admission.Heartbeat) (changed bool)
 	serverLeft(id string) (changed bool)
 }
 
-// serverAPI serves the calls of the local server: its heartbeats and its leave.
+// serverAPI serves the calls of the local server: heartbeats, and the leave by which it deregisters.
 type serverAPI struct {
 	record   serverRecord
-	service  *atomic.Pointer[string] // of the server, as its heartbeats say
-	onChange func()                  // called after a change, by the goroutine of the call
-	// confirm announces the server's state if it has changed, and reports whether the announcement has reached another process.
+	service  *atomic.Pointer[string] // of the server, from its heartbeats
+	onChange func()                  // called after a change, on the goroutine of the call
+	// confirm announces the server's state if changed is set, and reports whether the announcement has reached another process.
 	confirm func(changed bool) bool
 }
 
-// router returns the routes of the calls, in the users' names.
+// router returns the router of the calls, whose paths have the users' names.
 func (a *serverAPI) router() *api.Router {
 	r := &api.Router{}
 	r.Handle(http.MethodPost, "/Servers.Beat/*", a.heartbeat)
@@ -128,8 +128,9 @@
 	return a.acknowledgeLeave(a.record.serverLeft(c.Args[0]))
 }
 
-// acknowledgeEnd acknowledges that a server ends, or will, once another process knows it: the acknowledgement binds this sidecar's next
-// process too, which has it from there. Until then the server is asked to try again; it gets no requests either way.
+// acknowledgeLeave acknowledges that a server leaves, or is draining, once another process has received it. The acknowledgement has to hold
+// for this sidecar's next process too, which restores it from that other process. Until then the server is asked to retry. In either case
+// it gets no more requests.
 func (a *serverAPI) acknowledgeLeave(changed bool) api.Response {
 	if !a.confirm(changed) {
 		response := api.ErrorResponse(http.StatusServiceUnavailable, errNotAnnounced)
--- a/mesh/dataplane/host.go
+++ b/mesh/dataplane/host.go
@@ -14,14 +14,14 @@
 type host struct {
 	p *Proxy
 
-	packed        []byte // the compressed text of version packedVersion, for all subscribers that need it
+	packed        []byte // the compressed text of version packedVersion, shared by all subscribers
 	packedVersion uint32
 }
 
 // Unpack implements distribution.Host.
 func (*host) Unpack(_ uint32, packed []byte) ([]byte, error) { return config.Unpack(packed) }
 
-// Intern implements distribution.Host: a process has one sidecar, and so one text.
+// Intern implements distribution.Host. A process has one sidecar and so one copy of the text; nothing is shared.
 func (*host) Intern(_ uint32, text []byte) []byte { return text }
 
 // Pack implements distribution.Host.
@@ -32,8 +32,8 @@
 	return h.packed
 }
 
-// Adopt implements distribution.Host. A text that cannot be used leaves the configuration in force: the control
-// machines have checked it.
+// Adopt implements distribution.Host. A text that cannot be parsed leaves the present configuration in force. That is
+// unexpected, as the control machines check each text.
 func (h *host) Adopt(version uint32, text []byte) (inForce uint32) {
 	p := h.p
 	next, err := config.Parse(text)
@@ -87,7 +87,7 @@
 	p.beginIdentifyingServer()
 }
 
-// checkAdopted checks the invariants of a configuration that is about to come in force.
+// checkAdoptedConfig reports invariants that a configuration would violate, before it is put in force.
 func (p *Proxy) checkAdoptedConfig(version uint32, next *config.Config) {
 	if next.Version != version {
 		p.invariants.Violated(invariant.AdoptedVersionMatches, "sent", version, "text", next.Version)
--- a/mesh/dataplane/identify.go
+++ b/mesh/dataplane/identify.go
@@ -10,14 +10,14 @@
 
 const (
 	// identifyTimeout bounds one health check by which a restarted sidecar identifies the local server, and
-	// identifyAttempts their number: the server's next heartbeat has more.
+	// identifyAttempts bounds their number; the server's next heartbeat has the same information and more.
 	identifyTimeout  = 400 * time.Millisecond
 	identifyAttempts = 4
 	// assumedSlots is the capacity of an identified server until its first heartbeat.
 	assumedSlots = 8
 )
 
-// beginIdentifyingServer has the local server identified by its health check, unless that is under way.
+// beginIdentifyingServer starts a goroutine that identifies the local server by its health check, unless one is running.
 func (p *Proxy) beginIdentifyingServer() {
 	if p.settings.Load().FirstStart || !p.identifying.CompareAndSwap(false, true) {
 		return
@@ -28,9 +28,9 @@
 	})
 }
 
-// identifyServer identifies the local server by its health check, where nothing is known of it, or one heartbeat that may be late: what
-// an earlier process of this sidecar knew is lost, and the server's next heartbeat may be a second away. A sidecar that starts together
-// with its server waits for that.
+// identifyServer identifies the local server by its health check while no server is known, or only from one heartbeat that may have been
+// delayed. A restarted sidecar has lost the state of the previous process, and the server's next heartbeat may be a second away. A sidecar
+// that starts together with its server waits for that heartbeat instead.
 func (p *Proxy) identifyServer() {
 	cfg := p.cfg.Load()
 	settings := p.settings.Load()
@@ -61,7 +61,7 @@
 	}
 }
 
-// adoptServiceName takes over the service of the local server, which may be another one's successor.
+// adoptServiceName sets the service name to that of the local server, which may have replaced a server of another service.
 func (p *Proxy) adoptServiceName() {
 	var own directory.Entry
 	p.lastHop.fillEntry(&own)
@@ -70,7 +70,7 @@
 	}
 }
 
-// requestServerID returns the ID of a server that passes its health check, or an empty string.
+// requestServerID returns the ID of the server that passes the health check at url, or an empty string.
 func requestServerID(ctx context.Context, client *http.Client, url string) string {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -80,7 +80,7 @@
 	if err != nil {
 		return ""
 	}
-	_ = resp.Body.Close() // only the headers count
+	_ = resp.Body.Close() // only the headers are used
 	if id := resp.Header.Get("Served-By"); resp.StatusCode == http.StatusOK && len(id) <= maxServerIDLength {
 		return id
 	}
--- a/mesh/dataplane/incoming.go
+++ b/mesh/dataplane/incoming.go
@@ -15,20 +15,19 @@
 )
 
 const (
-	// bulkClass is the class of a message whose response is long, by its route.
+	// bulkClass is the class of a message whose route is a download, so that its response is long.
 	bulkClass = "bulk"
-	// defaultRemainingMillis is how long a sender waits that names no deadline.
+	// defaultRemainingMillis is the time remaining for a request without a deadline header.
 	defaultRemainingMillis = 60_000
 )
 
-// incomingDialect is the protocol with other sidecars, on the receiving side. It implements httpfront.Dialect, and is safe for concurrent
-// use.
+// incomingDialect is the receiving side of the protocol between sidecars. It implements httpfront.Dialect, and is safe for concurrent use.
 type incomingDialect struct {
-	config  *atomic.Pointer[config.Config] // in force; nil while there is none
+	config  *atomic.Pointer[config.Config] // in force; nil until the first one
 	service *atomic.Pointer[string]        // of the local server
 }
 
-// Fill implements httpfront.Dialect: it parses what the sending sidecar wrote, or returns the answer that rejects it.
+// Fill implements httpfront.Dialect: it parses a request of the sending sidecar, or returns the answer that rejects it.
 func (d incomingDialect) Fill(c *core.Call, r *httpfront.Request, body []byte) (*core.Answer, error) {
 	if r.Header.Get(queryHeader) == "" && d.routedByOutdatedConfig(r) {
 		return ownAnswer(http.StatusServiceUnavailable, attempts.NotReceived, "the configuration is a newer one", 0), nil
@@ -55,15 +54,16 @@
 	return nil, nil
 }
 
-// parseRank parses a rank and how often its request was forwarded; 0 where either is missing.
+// parseRank parses a rank and the number of times that its request was forwarded; either is 0 if it is missing.
 func parseRank(text string) (rank, forwarded int) {
 	first, second, _ := strings.Cut(text, ".")
-	rank, _ = strconv.Atoi(first)       // 0 without one
-	forwarded, _ = strconv.Atoi(second) // the same
+	rank, _ = strconv.Atoi(first)       // 0 if it is missing
+	forwarded, _ = strconv.Atoi(second) // 0 if it is missing
 	return rank, forwarded
 }
 
-// routedByOutdatedConfig reports whether a request was routed by a configuration older than this sidecar's, by which it may not come here.
+// routedByOutdatedConfig reports whether a request was routed by an older configuration than this sidecar's, and would not be routed to
+// this service by the present one.
 func (d incomingDialect) routedByOutdatedConfig(r *httpfront.Request) bool {
 	cfg := d.config.Load()
 	version, err := strconv.ParseUint(r.Header.Get(versionHeader), 16, 32)
@@ -74,7 +74,7 @@
 	return route == nil || !route.Allows(*d.service.Load())
 }
 
-// Verdict implements httpfront.Dialect: what the front rejects has not been received by the server.
+// Verdict implements httpfront.Dialect: a request that the front rejects has not reached the server.
 func (incomingDialect) Verdict(status int, text string) *core.Answer {
 	return ownAnswer(status, attempts.NotReceived, text, 0)
 }
--- a/mesh/dataplane/lasthop.go
+++ b/mesh/dataplane/lasthop.go
@@ -24,40 +24,40 @@
 	"firplank/mesh/directory"
 )
 
-// checkConnectTimeout bounds the wait for a connection to a server that is checked: it is on the same machine.
+// checkConnectTimeout bounds the wait for a connection in checkServer; the server is on the same machine.
 const checkConnectTimeout = 250 * time.Millisecond
 
-// lastHop is the incoming request path: it passes what other sidecars forward to the local server, as far as the gate
-// admits it, and answers their queries about attempts whose connection broke. It implements core.Exchange, and is safe
-// for concurrent use.
+// lastHop is the incoming request path: it delivers requests that other sidecars forward to the local server, if the
+// gate admits them, and answers queries about attempts whose connection broke. It implements core.Exchange, and is
+// safe for concurrent use.
 type lastHop struct {
 	ctx                 context.Context
 	log                 kitlog.Logger
 	now                 func() time.Duration
-	onServerChange      func()         // notifies the loop of a change of the server's state
-	onUnconfirmedServer func()         // called where a health check would confirm the server
+	onServerChange      func()         // notifies the loop that the server's state has changed
+	onUnconfirmedServer func()         // called when a health check is needed to confirm the server
 	pool                upstream       // of connections to the server
 	server              *core.Endpoint // the local server
 
-	lostResponseLogLimit rate.Sometimes // bounds what is logged of requests without a response
+	lostResponseLogLimit rate.Sometimes // limits the log of requests without a response
 	metrics              *proxyMetrics  // nil: nothing is counted
 	invariants           invariant.Reporter
 
 	mu            sync.Mutex // guards what follows
 	gate          lasthop.Gate[*core.Call, *core.Answer]
-	running       map[*lastHopAttempt]struct{} // begun at the server, and not ended
-	openStreams   int                          // answers of the server that are still coming
+	running       map[*lastHopAttempt]struct{} // started at the server and not yet ended
+	openStreams   int                          // responses of the server that are still being received
 	guard         *lasthop.Guard
 	rolloutCounts rolloutCounts
 }
 
-// lastHopAttempt is a request that has begun at the local server.
+// lastHopAttempt is a request at the last hop, and its attempt at the local server once it has started.
 type lastHopAttempt struct {
 	attempt *core.Attempt
 	request lasthop.Request
 }
 
-// newLastHop returns the last hop of the server at an address. Its pool has to be set before the first request.
+// newLastHop returns the last hop of the server at addr. The pool has to be set before the first request.
 func newLastHop(
 	ctx context.Context, log kitlog.Logger, now func() time.Duration, addr string, gate lasthop.Gate[*core.Call, *core.Answer],
 ) *lastHop {
@@ -89,7 +89,7 @@
 		l.answerQuery(c, text)
 		return
 	}
-	id, _ := parseAttemptID(header.Get(attemptHeader)) // without one nothing is logged
+	id, _ := parseAttemptID(header.Get(attemptHeader)) // without an ID the attempt's outcome is not logged
 	t := &lastHopAttempt{request: lasthop.Request{
 		ServerID:   c.Message.Object,
 		Attempt:    id,
@@ -103,8 +103,8 @@
 	}
 }
 
-// begin begins a request at the server, or returns the answer that rejects it. It enters running and the pool under one
-// lock: whatever is in running can be cancelled.
+// begin starts a request at the server, or returns the answer that rejects it. It adds the attempt to running and to
+// the pool under one lock, so that every attempt in running can be cancelled.
 func (l *lastHop) begin(c *core.Call, t *lastHopAttempt) *core.Answer {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -117,7 +117,7 @@
 	l.checkStartInvariants(now, c, t)
 	remaining := time.Duration(c.Request.Remaining * float64(time.Millisecond))
 	deadline := c.Received.Add(remaining)
-	if c.Message.Stream != nil { // its time counts from its last byte
+	if c.Message.Stream != nil { // the deadline of a streamed body counts from its last byte
 		c.Message.Remaining, deadline = remaining, c.Received.Add(core.MaxUpload)
 	}
 	t.attempt = core.NewAttempt(l.server, &c.Message, deadline, func(r core.Result) { l.finish(c, t, r) })
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// checkBegin checks the invariants of a request that is handed to the server. The caller holds mu.
+// checkStartInvariants reports invariants that a request would violate by starting at the server. The caller holds mu.
 func (l *lastHop) checkStartInvariants(now time.Duration, c *core.Call, t *lastHopAttempt) {
 	if !t.request.Idempotent && l.guard.Start(c.Message.Trace) {
 		l.invariants.Violated(invariant.StartedOnce, "request", c.Message.Trace, "server", t.request.ServerID,
@@ -138,7 +138,7 @@
 	}
 }
 
-// rejection is the answer to a request that does not begin. The caller holds mu.
+// rejection returns the answer to a request that the gate did not admit. The caller holds mu.
 func (l *lastHop) rejection(d lasthop.Decision) *core.Answer {
 	switch d.Attempt {
 	case attempts.Admitted:
@@ -153,14 +153,14 @@
 	return ownAnswer(http.StatusServiceUnavailable, attempts.NotReceived, "it is barred, or too old", 0)
 }
 
-// Disconnect implements core.Exchange: an idempotent request is cancelled as its client leaves.
+// Disconnect implements core.Exchange: an idempotent request is cancelled when its client disconnects.
 func (l *lastHop) Disconnect(c *core.Call) {
 	if t, ok := c.State.Load().(*lastHopAttempt); ok && c.Message.Safe {
 		l.pool.Cancel(t.attempt)
 	}
 }
 
-// finish answers the sending sidecar, and the queries that wait for the same answer.
+// finish answers the sending sidecar and the queries that wait for the outcome of the same attempt.
 func (l *lastHop) finish(c *core.Call, t *lastHopAttempt, r core.Result) {
 	answer := lastHopAnswer(r)
 	if answer.Stream != nil {
@@ -188,7 +188,7 @@
 	}
 }
 
-// trackStream counts an answer of the server's until its end.
+// trackStream counts a streamed response of the server in openStreams until it ends.
 func (l *lastHop) trackStream(body *bodypipe.Pipe) {
 	addStreams := func(n int) {
 		l.mu.Lock()
@@ -199,7 +199,7 @@
 	body.OnEnd(func(bool) { addStreams(-1) })
 }
 
-// gateResult is what the gate records of a request that has ended with r, and whose sender gets answer.
+// gateResult returns what the gate records for a request that ended with r and whose sender gets answer.
 func gateResult(r core.Result, answer *core.Answer) lasthop.Result[*core.Answer] {
 	result := lasthop.Result[*core.Answer]{
 		NotStarted: neverStarted(r),
@@ -219,7 +219,7 @@
 	return result
 }
 
-// serverResultOf is what an outcome means for the local server's health.
+// admissionResult maps an outcome to its effect on the local server's health.
 func admissionResult(r balance.Result) admission.Result {
 	switch r {
 	case balance.OK:
@@ -232,7 +232,8 @@
 	return admission.Neutral
 }
 
-// logLostResponse logs some of the requests that may have run and have no response. Those that must not run twice fail by that.
+// logLostResponse logs some of the requests that may have run and have no response. The non-idempotent ones among them fail, as they are
+// not retried.
 func (l *lastHop) logLostResponse(c *core.Call, t *lastHopAttempt, r core.Result) {
 	if r.Answer != nil || r.Outcome != balance.Reset && r.Outcome != balance.TimedOut {
 		return
@@ -247,7 +248,7 @@
 	})
 }
 
-// tick lets time pass. It reports whether the server's state has changed by it, and whether the server is to be checked.
+// tick applies timeouts. It reports whether they have changed the server's state, and whether checkServer is due.
 func (l *lastHop) tick(now time.Duration) (changed, checkDue bool) {
 	l.mu.Lock()
 	changed, checkDue = l.gate.Admission.Tick(now), l.gate.Admission.CheckDue(now)
@@ -259,9 +260,9 @@
 	return changed, checkDue
 }
 
-// checkServer finds out whether a server that holds requests and responds to none accepts connections. If it refuses them, its requests are
-// cancelled: senders retry the idempotent ones elsewhere while they have time. A check that times out shows no more than that its queue of
-// connections is full, as that of a busy server may be; its heartbeats tell whether it is up.
+// checkServer checks whether a server that has requests in flight and responds to none still accepts connections. If it refuses them, its
+// requests are cancelled, and the senders retry the idempotent ones elsewhere while time remains. A check that times out only shows that
+// the accept queue is full, which happens to a busy server too; whether that server is up is decided by its heartbeats.
 func (l *lastHop) checkServer() {
 	c, err := net.DialTimeout("tcp", l.server.Addr(), checkConnectTimeout)
 	if err == nil {
@@ -269,7 +270,7 @@
 		return
 	}
 	var failure net.Error
-	if errors.As(err, &failure) && failure.Timeout() { // whichever of the dialer's deadlines was first
+	if errors.As(err, &failure) && failure.Timeout() { // whichever of the dialer's deadlines came first
 		return
 	}
 	l.mu.Lock()
@@ -282,12 +283,12 @@
 		}
 	}
 	if changed {
-		l.logServerState("no connection is accepted")
+		l.logServerState("connection refused")
 		l.onServerChange()
 	}
 }
 
-// logServerState logs the state of the local server after a change, and what it was changed by.
+// logServerState logs the state of the local server after a change, and the cause of the change.
 func (l *lastHop) logServerState(cause string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -296,7 +297,7 @@
 	_ = level.Info(l.log).Log("msg", "server state changed", "server", e.Server, "state", e.State, "by", cause)
 }
 
-// handleHeartbeat handles a server's heartbeat. It reports whether that brought a change.
+// handleHeartbeat handles a server's heartbeat. It reports whether the server's state has changed.
 func (l *lastHop) handleHeartbeat(h admission.Heartbeat) bool {
 	l.mu.Lock()
 	if h.Closing {
@@ -311,7 +312,7 @@
 	return changed
 }
 
-// serverLeft records that a server has ended. It reports whether that brought a change.
+// serverLeft records that a server has deregistered. It reports whether the server's state has changed.
 func (l *lastHop) serverLeft(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -319,35 +320,35 @@
 	return l.gate.Admission.HandleDeregistration(id)
 }
 
-// serverConfirmed reports whether it is known which server is local, and a health check would show no more.
+// serverConfirmed reports whether the local server is known, so that a health check would add nothing.
 func (l *lastHop) serverConfirmed() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.gate.Admission.HasServer() && !l.gate.Admission.AwaitsConfirmation()
 }
 
-// restore takes over the entry that another process announced of the server, unless a server has sent a heartbeat since.
+// restore restores the server's state from the entry that an earlier process announced, unless a server has sent a heartbeat since.
 func (l *lastHop) restore(now time.Duration, e *directory.Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.gate.Admission.Restore(now, e)
 }
 
-// identify takes over a server that only its health check has shown, unless a server has sent a heartbeat since.
+// identify records a server that was identified by its health check, unless a server has sent a heartbeat since.
 func (l *lastHop) identify(now time.Duration, e *directory.Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.gate.Admission.Identify(now, e)
 }
 
-// fillEntry writes what the directory announces of the server into this sidecar's entry.
+// fillEntry writes the server's state into this sidecar's directory entry.
 func (l *lastHop) fillEntry(e *directory.Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.gate.Admission.FillEntry(e)
 }
 
-// setIncarnation gives this sidecar another incarnation: attempts sent to the one before do not start any more.
+// setIncarnation changes this sidecar's incarnation. Attempts that were sent to the previous incarnation do not start any more.
 func (l *lastHop) setIncarnation(incarnation uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/mesh/dataplane/lifecycle.go
+++ b/mesh/dataplane/lifecycle.go
@@ -20,37 +20,37 @@
 )
 
 const (
-	// controlReadTimeout bounds the reading of a request of the local server.
+	// controlReadTimeout bounds the reading of a request from the local server.
 	controlReadTimeout = 10 * time.Second
-	// maxOccupancy is the share of a front's connections that may be idle; beyond it connections are closed after their
-	// answers.
+	// maxIdleConnFraction is the fraction of a front's connections that may be idle; beyond it, connections are closed
+	// after their response.
 	maxIdleConnFraction = 0.9
-	// reservedSockets is the number of file descriptors that fronts and upstreams leave to others, and minSockets the
-	// least number that they share.
+	// reservedSockets is the number of file descriptors that fronts and upstreams leave for other uses, and minSockets
+	// the least number that they share.
 	reservedSockets = 400
 	minSockets      = 200
 )
 
-// upstream makes attempts over a pool of connections.
+// upstream sends attempts over a pool of connections.
 type upstream interface {
 	core.Backend
 	Run(context.Context)
 	Close()
 }
 
-// front serves clients, or other sidecars.
+// front accepts connections from clients or from other sidecars.
 type front interface {
 	Serve(net.Listener)
 	Failed() <-chan error
 	End(within time.Duration) error
 }
 
-// sockets is how many file descriptors the sides may use together.
+// socketBudget returns how many file descriptors the fronts and upstreams may use together.
 func socketBudget(settings *bootstrap.Settings) int {
 	return max(minSockets, settings.Resources.FileHandles-reservedSockets)
 }
 
-// startUpstreams begins with the sides towards other sidecars and the local server.
+// startUpstreams starts the connection pools to other sidecars and to the local server.
 func (p *Proxy) startUpstreams(sockets int) {
 	p.sidecarPool = p.newUpstream(httpback.Config{
 		ConnectTimeout: hopConnectTimeout,
@@ -104,10 +104,10 @@
 	return httpfront.New(cfg, x), nil
 }
 
-// listeners are the sockets on which a sidecar serves.
+// listeners are the listening sockets of a sidecar.
 type listeners struct{ outgoing, incoming, readiness, control, sidecars net.Listener }
 
-// listen opens the sockets; those that are open when one fails are closed.
+// listen opens all sockets, or none: after an error it closes those that it has opened.
 func listen(settings *bootstrap.Settings) (l *listeners, err error) {
 	l = &listeners{}
 	defer func() {
@@ -138,12 +138,12 @@
 func (l *listeners) close() {
 	for _, ln := range []net.Listener{l.outgoing, l.incoming, l.readiness, l.control, l.sidecars} {
 		if ln != nil {
-			_ = ln.Close() // closed before, or it has nothing to lose
+			_ = ln.Close() // it may be closed already; an error loses nothing
 		}
 	}
 }
 
-// serve serves until ctx ends or a front fails, and then drains.
+// serve runs the sidecar until ctx ends, and then drains it; it returns early if a front fails.
 func (p *Proxy) serve(ctx context.Context, reloads <-chan os.Signal) error {
 	settings := p.settings.Load()
 	p.startUpstreams(socketBudget(settings))
@@ -183,7 +183,7 @@
 	}
 }
 
-// serveControl serves other sidecars' connections, the readiness check and the local server, until close is called.
+// serveControl serves connections of other sidecars, readiness checks and calls of the local server until close is called.
 func (p *Proxy) serveControl(l *listeners) (close func()) {
 	ready := &http.Server{Handler: http.HandlerFunc(p.serveReadiness)}
 	control := &http.Server{Handler: p.serverAPI().router(), ReadTimeout: controlReadTimeout}
@@ -191,19 +191,19 @@
 	p.background.Go(func() { p.logServeError("readiness", ready.Serve(l.readiness)) })
 	p.background.Go(func() { p.logServeError("control", control.Serve(l.control)) })
 	return func() {
-		_ = ready.Close() // calls that are cut off get no answer
+		_ = ready.Close() // calls in flight get no response
 		_ = control.Close()
 	}
 }
 
-// serverAPI is what the local server may call.
+// serverAPI returns the handlers for calls of the local server.
 func (p *Proxy) serverAPI() *serverAPI {
 	return &serverAPI{
 		record: p.lastHop, service: &p.serviceName, onChange: func() { p.post(serverChanged{}) }, confirm: p.confirmAnnouncement,
 	}
 }
 
-// logServeError logs why a listener is served no longer, where that isn't the end of the sidecar.
+// logServeError logs why serving a listener failed. It ignores the errors of a normal shutdown.
 func (p *Proxy) logServeError(listener string, err error) {
 	if errors.Is(err, net.ErrClosed) || errors.Is(err, http.ErrServerClosed) {
 		return
@@ -211,10 +211,10 @@
 	_ = level.Error(p.log).Log("msg", "listener failed", "listener", listener, "error", err)
 }
 
-// startLoop begins with the control side.
+// startLoop starts the failure detector's socket and the loop.
 func (p *Proxy) startLoop(settings *bootstrap.Settings, reloads <-chan os.Signal) {
 	probes, err := listenProbes(settings.PeerListenAddr())
-	if err != nil { // the control machines detect failures, too
+	if err != nil { // the control machines detect failures too
 		_ = level.Warn(p.log).Log("msg", "failure detector sends no probes", "error", err)
 	} else {
 		p.probes = probes
@@ -226,7 +226,7 @@
 	})
 }
 
-// postProbe hands a probe to the loop, unless that is behind: a datagram more or less does no harm.
+// postProbe queues a probe for the loop and drops it if the queue is full, as a datagram may be lost anyway.
 func (p *Proxy) postProbe(m membership.Message) {
 	select {
 	case p.events <- probeReceived{m}:
@@ -234,20 +234,20 @@
 	}
 }
 
-// closeConns closes what the loop has open, after its end.
+// closeConns closes the connections and the probe socket of the loop after it has ended.
 func (p *Proxy) closeConns() {
 	p.probes.close()
 	p.links.Close()
 }
 
-// serveReadiness answers the platform's readiness check.
+// serveReadiness answers the platform's readiness check: 200 if the sidecar is ready and not shutting down, else 503.
 func (p *Proxy) serveReadiness(w http.ResponseWriter, _ *http.Request) {
 	if p.shuttingDown.Load() || !p.ready.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// noExchange is the exchange of a front whose calls all name their own.
+// noExchange is the default exchange of the front for clients. It rejects calls; clientDialect.Fill sets the exchange of each routed call.
 type noExchange struct{ ctx context.Context }
 
 // Submit implements core.Exchange.
--- a/mesh/dataplane/loop.go
+++ b/mesh/dataplane/loop.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	// settingsPollInterval is how often the settings file is checked for changes that come without a signal.
+	// settingsPollInterval is how often the settings file is checked for changes without a signal.
 	settingsPollInterval = 2 * time.Second
-	// eventQueueSize bounds the events that wait for the loop.
+	// eventQueueSize bounds the events that are queued for the loop.
 	eventQueueSize = 2048
 )
 
-// event is an input of the loop. Its method runs on the loop's goroutine.
+// event is an input of the loop. handle runs on the loop's goroutine.
 type event interface {
 	handle(p *Proxy, now time.Duration)
 }
@@ -33,9 +33,9 @@
 	serverChanged struct{}
 	// shutdownStarted reports that the sidecar has begun to shut down.
 	shutdownStarted struct{}
-	// probeReceived is a probe of another sidecar's failure detector, or its answer to one.
+	// probeReceived is a probe from another sidecar's failure detector, or its reply to a probe.
 	probeReceived struct{ message membership.Message }
-	// distributionEvent is for the node.
+	// distributionEvent is an event for the distribution.Node.
 	distributionEvent struct{ distribution.Event }
 )
 
@@ -46,7 +46,7 @@
 }
 func (e distributionEvent) handle(p *Proxy, now time.Duration) { p.links.Handle(now, e.Event) }
 
-// post hands an event to the loop, and waits where that is behind. It reports false where the loop has ended.
+// post queues an event for the loop, and blocks while the queue is full. It returns false if the context has ended.
 func (p *Proxy) post(e event) bool {
 	select {
 	case p.events <- e:
@@ -56,7 +56,7 @@
 	}
 }
 
-// loop owns the desired state, and the parts that reconcile this sidecar with it, until the context ends.
+// loop runs the control side until the context ends. It owns the desired state and the parts that reconcile this sidecar with it.
 func (p *Proxy) loop(reloads <-chan os.Signal) {
 	var nextTick, nextSettingsPoll time.Duration
 	timer := time.NewTimer(p.durations.Subscription.TickInterval)
@@ -94,7 +94,7 @@
 	p.confirmations.closeConfirmed(p.now(), p.node)
 }
 
-// tick checks for what time alone changes.
+// tick performs periodic work: changes that follow from time alone, and checks that are due.
 func (p *Proxy) tick(now time.Duration) {
 	changed, checkDue := p.lastHop.tick(now)
 	if checkDue {
@@ -115,7 +115,7 @@
 	p.links.Perform()
 }
 
-// advance reconciles the sidecar with the desired state. It returns when to be called again at the latest.
+// reconcile reconciles the sidecar with the desired state, and returns the time of the next call at the latest.
 func (p *Proxy) reconcile(now time.Duration) (wakeAt time.Duration) {
 	p.links.Maintain(now)
 	p.node.Adopt()
@@ -126,13 +126,13 @@
 	return wakeAt
 }
 
-// reconcileExchanges updates the endpoints of the exchanges, if they have changed.
+// reconcileExchanges updates the endpoints of the exchanges if they have changed.
 func (p *Proxy) reconcileExchanges(now time.Duration) {
 	d := p.node.State().Directory
 	p.exchanges.Reconcile(d.Revision(), func() []directory.Entry { return p.liveness.WithEvidence(d.All()) }, now)
 }
 
-// applyLiveness performs a result of the failure detector.
+// applyLivenessResult acts on a result of the failure detector.
 func (p *Proxy) applyLivenessResult(now time.Duration, r liveness.Result) {
 	d := p.node.State().Directory
 	p.sendProbes(r.Probes)
@@ -148,14 +148,14 @@
 	}
 }
 
-// observe logs the actions of the node that an operator should know of.
+// logAction logs those actions of the node that matter to an operator.
 func (p *Proxy) logAction(a distribution.Action) {
 	switch a := a.(type) {
 	case distribution.Close:
 		p.logParentLeft(a)
 	case distribution.UpdateRejected:
 		p.logUpdateRejected(a)
-	case distribution.Dial, distribution.Send: // too many
+	case distribution.Dial, distribution.Send: // too frequent to log
 	}
 }
 
@@ -166,7 +166,7 @@
 	}
 }
 
-// ageText is how old knowledge is that was the newest at a time, for logs.
+// ageText formats, for the log, the age of state that was up to date at asOf.
 func ageText(now, asOf time.Duration) string {
 	if asOf == dissemination.TimeUnknown {
 		return "unknown"
@@ -176,14 +176,14 @@
 
 func (p *Proxy) logUpdateRejected(a distribution.UpdateRejected) {
 	if errors.Is(a.Err, updates.ErrCorrupt) {
-		_ = level.Error(p.log).Log("msg", "decompression of a configuration failed: requesting it again", "edition", a.Version, "error", a.Err)
+		_ = level.Error(p.log).Log("msg", "decompress configuration failed: requesting it again", "edition", a.Version, "error", a.Err)
 		return
 	}
 	_ = level.Info(p.log).Log("msg", "configuration deltas do not apply: requesting the full text", "edition", a.Version,
 		"held", a.HeldVersion)
 }
 
-// reload reads the settings again, if they have changed. Invalid ones leave the present ones in force.
+// reload reads the settings file again if it has changed. Invalid settings leave the present ones in force.
 func (p *Proxy) reload() {
 	settings, err := p.settingsFile.ReadIfChanged()
 	if err != nil {
--- a/mesh/dataplane/metrics.go
+++ b/mesh/dataplane/metrics.go
@@ -20,27 +20,27 @@
 	"firplank/mesh/dissemination"
 )
 
-// Bounds of what is logged of requests that fail; all are counted.
+// Limits of the log of requests that fail; all of them are counted.
 const (
 	failureLogFirst    = 5
 	failureLogInterval = 500 * time.Millisecond
-	// maxDetailBytes bounds what a last hop's answer adds to the log.
+	// maxDetailBytes bounds the part of a last hop's answer that is logged.
 	maxDetailBytes = 60
 )
 
-// figures are the counters and gauges of a sidecar. They are safe for concurrent use.
+// proxyMetrics are the counters and gauges of a sidecar. They are safe for concurrent use.
 type proxyMetrics struct {
 	registry *telemetry.Registry
 
 	requestsByOutcome  [core.Failed + 1]*metrics.Counter // by the kind of the answer
-	requestsClientLeft *metrics.Counter                  // requests whose client left
+	requestsClientLeft *metrics.Counter                  // requests whose client disconnected
 	unservedByCause    [balance.DeadlineExceeded + 1]*metrics.Counter
 	attemptsByOutcome  [balance.NotSent + 1]*metrics.Counter
 	admissionVerdicts  [admission.Unhealthy + 1]*metrics.Counter // of the last hop
 	parentLeftByReason [subscription.RelayFound + 1]*metrics.Counter
 
-	attemptVerdicts   map[attempts.Verdict]*metrics.Counter // of the last hop's log, but for Admitted
-	refusedAtShutdown *metrics.Counter                      // requests refused as the sidecar shuts down
+	attemptVerdicts   map[attempts.Verdict]*metrics.Counter // of the last hop's log of outcomes, except Admitted
+	refusedAtShutdown *metrics.Counter                      // requests rejected because the sidecar shuts down
 
 	configVersion, configAgeMillis, directoryEntries, subscribers, ready atomic.Int64
 }
@@ -60,7 +60,7 @@
 	}
 )
 
-// newFigures returns the figures of a sidecar, all at 0.
+// newProxyMetrics registers the metrics of a sidecar.
 func newProxyMetrics() *proxyMetrics {
 	r := telemetry.NewRegistry()
 	m := &proxyMetrics{
@@ -96,7 +96,7 @@
 	return m
 }
 
-// lastHopDecided counts a decision of the last hop; f may be nil.
+// recordLastHopDecision counts a decision of the last hop; m may be nil.
 func (m *proxyMetrics) recordLastHopDecision(outcome attempts.Verdict, verdict admission.Verdict) {
 	if m == nil {
 		return
@@ -108,7 +108,7 @@
 	m.admissionVerdicts[verdict].Inc()
 }
 
-// updateFigures brings the gauges up to date. It belongs to the loop.
+// updateMetrics sets the gauges. It is called by the loop.
 func (p *Proxy) updateMetrics(now time.Duration) {
 	m, state := p.metrics, p.node.State()
 	if cfg := p.cfg.Load(); cfg != nil {
@@ -126,7 +126,7 @@
 	}
 }
 
-// serveFigures serves the figures until close is called, where the port is free.
+// serveMetrics serves the metrics on ip until close is called. An error, such as a port in use, is only logged.
 func (p *Proxy) serveMetrics(ip string) (close func()) {
 	if ip == "" {
 		return func() {}
@@ -139,13 +139,13 @@
 	return close
 }
 
-// observer implements core.Observer for the exchange of a service: it counts, and logs what explains a request that was
-// not served.
+// observer implements core.Observer for the exchange of a service: it counts requests and attempts, and logs those
+// requests that were not served.
 type observer struct {
 	service  string
 	log      kitlog.Logger
 	metrics  *proxyMetrics
-	logLimit *rate.Sometimes // of the sidecar
+	logLimit *rate.Sometimes // shared by the whole sidecar
 }
 
 // AttemptEnded implements core.Observer.
@@ -173,7 +173,7 @@
 	})
 }
 
-// describeAttempts describes attempts for the log, in order: "i-0007 rejected 12ms (full), i-0009 in flight".
+// describeAttempts formats attempts for the log, in order: "i-0007 rejected 12ms (full), i-0009 in flight".
 func describeAttempts(tried []*core.Attempt) string {
 	var text strings.Builder
 	for i, a := range tried {
@@ -196,7 +196,7 @@
 	return text.String()
 }
 
-// detailOf is the reason in a last hop's rejection, for the log.
+// rejectionDetail returns the reason in the body of a last hop's rejection, for the log.
 func rejectionDetail(body []byte) string {
 	return strings.TrimSpace(string(body[:min(len(body), maxDetailBytes)]))
 }
--- a/mesh/dataplane/outcomes.go
+++ b/mesh/dataplane/outcomes.go
@@ -8,12 +8,12 @@
 	"firplank/mesh/attempts"
 )
 
-// This file has the last hop's answers to forwarded requests, and to the queries of sending sidecars about attempts whose connection broke.
-// A query is a request of its own to the incoming address, with queryHeader in place of all else. Its response is the one that was lost, or
-// one that proves that nothing started. It goes over HTTP, as the request itself did: the response comes back through
-// the same pools, bounds and judgement as any other.
+// This file has the last hop's answers to forwarded requests, and to queries of sending sidecars about attempts whose connection broke.
+// A query is a separate HTTP request to the incoming address that carries queryHeader in place of the other headers between sidecars. Its
+// response is the one that was lost, or one that proves that the attempt did not start. As queries use HTTP, their responses pass through
+// the same pools, limits and evaluation as other responses.
 
-// answerQuery answers a query about an attempt, at once or when the attempt ends.
+// answerQuery answers a query about an attempt: at once, or when the attempt ends.
 func (l *lastHop) answerQuery(c *core.Call, text string) {
 	id, ok := parseAttemptID(text)
 	if !ok {
@@ -24,7 +24,7 @@
 	status, cached := l.gate.Query(l.now(), id, c)
 	l.mu.Unlock()
 	switch status {
-	case attempts.Running: // finish answers it
+	case attempts.Running: // finish answers the query
 	case attempts.NotStarted:
 		c.Client.Answer(c, notStartedAnswer())
 	case attempts.Finished:
@@ -34,17 +34,17 @@
 	}
 }
 
-// notStartedAnswer proves to a query that its attempt has not begun, and never will here.
+// notStartedAnswer is the answer to a query whose attempt has not started, and is barred from starting here.
 func notStartedAnswer() *core.Answer {
 	return ownAnswer(http.StatusServiceUnavailable, attempts.Barred, "it has not begun, and will not", 0)
 }
 
-// unknownOutcomeAnswer proves nothing to a query: its attempt may have run.
+// unknownOutcomeAnswer is the answer to a query whose attempt may have run.
 func unknownOutcomeAnswer() *core.Answer {
 	return ownAnswer(http.StatusBadGateway, attempts.Indeterminate, "it may have run", 0)
 }
 
-// lastHopAnswer is the answer to the sending sidecar of a request that has ended with r.
+// lastHopAnswer returns the answer to the sending sidecar for a request that ended with r.
 func lastHopAnswer(r core.Result) *core.Answer {
 	if a := r.Answer; a != nil {
 		if r.Outcome == balance.Rejected {
@@ -63,7 +63,7 @@
 	return ownAnswer(http.StatusBadGateway, attempts.Indeterminate, "the server broke off", 0)
 }
 
-// queryAnswer is the answer to a query that has waited for the end of its attempt, which ended with r and whose own answer is given.
+// queryAnswer returns the answer to a query that waited for its attempt to end. The attempt ended with r; its sender got answer.
 func queryAnswer(answer *core.Answer, r core.Result) *core.Answer {
 	switch {
 	case neverStarted(r):
@@ -74,15 +74,15 @@
 	return answer
 }
 
-// neverStarted reports whether a request has not reached the server.
+// neverStarted reports whether a request that ended with r has not reached the server.
 func neverStarted(r core.Result) bool {
 	return r.Answer == nil && (r.Outcome == balance.ConnectFailed || r.Outcome == balance.NotSent)
 }
 
-// answerOverhead is what an answer holds besides headers and body, in bytes, roughly.
+// answerOverheadBytes estimates the memory of an answer besides its headers and body.
 const answerOverheadBytes = 256
 
-// answerSize is how many bytes an answer holds, roughly.
+// answerSize estimates the memory of an answer, in bytes.
 func answerSize(a *core.Answer) int {
 	size := answerOverheadBytes + len(a.Body)
 	for name, values := range a.Meta {
--- a/mesh/dataplane/outgoing.go
+++ b/mesh/dataplane/outgoing.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	// What a client is to wait until it tries again, where this sidecar cannot route yet.
+	// Retry-After of requests that this sidecar cannot route yet.
 	retryAfterNoConfig  = 300 * time.Millisecond
 	retryAfterNoService = 200 * time.Millisecond
 )
 
-// clientDialect is the outgoing request path up to the exchange: it routes what the front for the machine's clients takes in. It implements
-// httpfront.Dialect, and is safe for concurrent use.
+// clientDialect is the outgoing request path up to the exchange: it routes the requests that the front for the machine's clients accepts.
+// It implements httpfront.Dialect, and is safe for concurrent use.
 type clientDialect struct {
-	config            *atomic.Pointer[config.Config]       // in force; nil while there is none
+	config            *atomic.Pointer[config.Config]       // in force; nil until the first one
 	services          *atomic.Pointer[map[string]*service] // by name
-	shutdown          *atomic.Pointer[shutdownSchedule]    // nil: it has not begun
-	refusedAtShutdown *metrics.Counter                     // of requests that come too late for it
-	start             time.Time                            // of the process, from which its clock counts
+	shutdown          *atomic.Pointer[shutdownSchedule]    // nil until the shutdown begins
+	refusedAtShutdown *metrics.Counter                     // counts requests rejected because of it
+	start             time.Time                            // of the process: the origin of its clock
 }
 
 // Fill implements httpfront.Dialect: it routes a request to a service's exchange, or returns the answer that rejects it.
@@ -76,9 +76,9 @@
 	return ownAnswer(status, "", text, 0)
 }
 
-// hashUnit maps a request's id to a number from 0 to below 1, always the same one.
+// hashUnit maps a request ID to a number in [0, 1). The same ID always has the same number.
 func hashUnit(id string) float64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(id)) // a hash never fails
+	_, _ = h.Write([]byte(id)) // never fails
 	return float64(h.Sum64()>>11) / (1 << 53)
 }
--- a/mesh/dataplane/probes.go
+++ b/mesh/dataplane/probes.go
@@ -14,11 +14,11 @@
 // maxProbeBytes bounds a datagram between sidecars.
 const maxProbeBytes = 1 << 10
 
-// probeSocket carries the probes of the failure detector as datagrams. Where there is no socket (nil), nothing is
-// sent, and failures are detected by the control machines alone.
+// probeSocket carries the probes of the failure detector as datagrams. A nil socket sends nothing; failures are then
+// detected by the control machines alone.
 type probeSocket struct{ conn *net.UDPConn }
 
-// listenProbes opens the socket at an address.
+// listenProbes opens the socket at addr.
 func listenProbes(addr string) (*probeSocket, error) {
 	udp, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
@@ -31,7 +31,7 @@
 	return &probeSocket{c}, nil
 }
 
-// receive hands on the probes that come for a node until the socket is closed.
+// receive calls handle for each received probe, with node as its receiver, until the socket is closed.
 func (s *probeSocket) receive(node string, handle func(membership.Message)) {
 	buf := make([]byte, maxProbeBytes)
 	for {
@@ -47,7 +47,7 @@
 	}
 }
 
-// send sends probes to the sidecars that the directory knows.
+// send sends those probes whose receivers are in the directory, except stream pings.
 func (s *probeSocket) send(probes []membership.Message, d *directory.Directory) {
 	if s == nil {
 		return
@@ -62,12 +62,12 @@
 			continue
 		}
 		f := &wire.FrameT{Kind: wire.Probe, Incarnation: uint32(m.Kind), From: m.From, Id: m.SeqNo, Text: m.Target}
-		_, _ = s.conn.WriteToUDPAddrPort(wire.EncodeDatagram(f), to) // a datagram that is lost is sent again, as the detector decides
+		_, _ = s.conn.WriteToUDPAddrPort(wire.EncodeDatagram(f), to) // the failure detector handles lost datagrams
 	}
 }
 
 func (s *probeSocket) close() {
 	if s != nil {
-		_ = s.conn.Close() // a datagram socket holds nothing that could be lost
+		_ = s.conn.Close() // a datagram socket has nothing to flush
 	}
 }
--- a/mesh/dataplane/proxy.go
+++ b/mesh/dataplane/proxy.go
@@ -1,15 +1,15 @@
-// Package dataplane is the library of the data plane's program: the sidecar of each server. It accepts requests of
-// its machine's clients and server, chooses a server for each, and forwards the request to the sidecar of that
-// server, the last hop, which delivers it. The desired state (configuration and directory of sidecars) comes from a
-// parent in the distribution tree; exchanges are reconciled with it.
+// Package dataplane implements the sidecar that runs beside each server. It accepts requests from the clients and the
+// server on its machine, chooses a server for each, and forwards the request to the sidecar of that server, the last
+// hop, which delivers it. The desired state (configuration and directory of sidecars) comes from a parent in the
+// distribution tree; the exchanges are reconciled with it.
 //
-// The request path: outgoing.go (requests of clients), service.go (a service's exchange), sidecardialect.go and
-// headers.go (between two sidecars), incoming.go and lasthop.go (the last hop), queries.go (outcomes of attempts
-// whose connection broke). The control side is owned by one goroutine, in loop.go: the parts that it drives are the
-// packages distribution (with subscription, updates and subscribers), links, exchanges and liveness; host.go is what
-// the program does for its distribution.Node, probes.go the socket of the failure detector. heartbeats.go and
-// identify.go are about the local server, lifecycle.go about start, readiness and shutdown. The exchange itself, the
-// fronts and the upstreams are internal/core, internal/front and internal/upstream. Start reading at Run.
+// The request path: outgoing.go (requests from clients), service.go (the exchange of a service), sidecardialect.go and
+// headers.go (the protocol between two sidecars), incoming.go and lasthop.go (the last hop), queries.go (outcomes of
+// attempts whose connection broke). One goroutine, in loop.go, owns the control side. It drives the packages
+// distribution (with subscription, updates and subscribers), links, exchanges and liveness; host.go has the callbacks
+// of distribution.Node, probes.go the socket of the failure detector. heartbeats.go and identify.go handle the local
+// server; lifecycle.go and shutdown.go handle start, readiness and graceful shutdown. The exchange itself, the fronts
+// and the upstreams are in internal/core, internal/front and internal/upstream. Start reading at Run.
 package dataplane
 
 import (
@@ -47,53 +47,53 @@
 )
 
 const (
-	// hopConnectTimeout bounds the wait for a connection to another sidecar, hopIdleTimeout the time that an unused
-	// one stays open; the front at the other side waits longer (frontIdleTimeout), so that this side closes first.
+	// hopConnectTimeout bounds the wait for a connection to another sidecar. hopIdleTimeout is how long an idle one
+	// stays open; the front at the other end waits longer (frontIdleTimeout), so that this end closes first.
 	hopConnectTimeout = 400 * time.Millisecond
 	hopIdleTimeout    = 20 * time.Second
 	frontIdleTimeout  = 45 * time.Second
-	// hopSilenceTimeout is how long another machine's kernel may leave data unacknowledged: beyond it the machine is
-	// down or partitioned, and idempotent requests are retried elsewhere.
+	// hopUnackedTimeout is how long another machine's kernel may leave data unacknowledged. After it the machine counts
+	// as down or partitioned, and idempotent requests are retried elsewhere.
 	hopUnackedTimeout = 2500 * time.Millisecond
-	// serverConnectTimeout and serverIdleTimeout are the same for the local server.
+	// serverConnectTimeout and serverIdleTimeout are hopConnectTimeout and hopIdleTimeout for the local server.
 	serverConnectTimeout = 300 * time.Millisecond
 	serverIdleTimeout    = 5 * time.Second
-	// serverReuseLimit is how long a connection to the server may have been idle to carry a request that is not
-	// idempotent: the server may be closing it.
+	// serverNonIdempotentMaxIdle is the longest idle time after which a connection to the server still carries a
+	// non-idempotent request: a server may be closing a connection that was idle for longer.
 	serverNonIdempotentMaxIdle = 800 * time.Millisecond
-	// serverSilenceTimeout is hopSilenceTimeout for the local server.
+	// serverUnackedTimeout is hopUnackedTimeout for the local server.
 	serverUnackedTimeout = 2500 * time.Millisecond
-	// serverPoolRest is the pause between two requests on a connection to the server.
+	// serverReuseDelay is the pause between two requests on a connection to the server.
 	serverReuseDelay = 2 * time.Millisecond
 )
 
-// Proxy is the sidecar of one machine. It puts the parts together; each has its own state and owner.
+// Proxy is the sidecar of one machine. It connects the parts; each part owns its state.
 type Proxy struct {
 	settingsFile bootstrap.File
 	settings     atomic.Pointer[bootstrap.Settings]
-	durations    timing.Durations // as derived from the settings at the start
-	name         string           // of this machine's node
+	durations    timing.Durations // derived from the settings at the start
+	name         string           // of this sidecar's node
 	log          kitlog.Logger
 	slog         *slog.Logger
 	start        time.Time
 	ctx          context.Context
 	events       chan event
 	background   sync.WaitGroup // the goroutines of this sidecar
-	epoll        bool           // fronts and upstreams use epoll
+	epoll        bool           // the fronts and upstreams use epoll
 
 	// Written by the loop, read by any goroutine.
-	cfg         atomic.Pointer[config.Config]       // in force; nil: none yet
+	cfg         atomic.Pointer[config.Config]       // in force; nil until the first one
 	services    atomic.Pointer[map[string]*service] // of cfg, by name
-	serviceName atomic.Pointer[string]              // of the local server; its heartbeats and the settings set it
+	serviceName atomic.Pointer[string]              // of the local server, from its heartbeats or the settings
 	ready       atomic.Bool
 
 	shuttingDown atomic.Bool
-	identifying  atomic.Bool                      // the local server is being identified by its health check
-	shutdown     atomic.Pointer[shutdownSchedule] // nil: it has not begun
+	identifying  atomic.Bool                      // a health check of the local server is under way to identify it
+	shutdown     atomic.Pointer[shutdownSchedule] // nil until the shutdown begins
 
 	metrics         *proxyMetrics
 	invariants      invariant.Reporter
-	failureLogLimit *rate.Sometimes // bounds what is logged of requests that were not served
+	failureLogLimit *rate.Sometimes // limits the log of requests that were not served
 
 	// The request path. Each part is safe for concurrent use.
 	lastHop     *lastHop
@@ -103,28 +103,28 @@
 
 	// The control side, owned by the loop.
 	node          *distribution.Node
-	links         *links.Links // of node; also the handler of connections that are accepted
+	links         *links.Links // of node; also handles accepted connections
 	exchanges     *exchanges.Set[*service]
-	liveness      *liveness.Monitor // but RecordReachable is for any goroutine
-	probes        *probeSocket      // nil: there is no socket
+	liveness      *liveness.Monitor // except RecordReachable, which any goroutine may call
+	probes        *probeSocket      // nil without a socket
 	streamPings   *streamPings
 	confirmations pendingConfirmations
 	rollouts      rolloutTracker
 }
 
-// incarnationRandomBits is how many bits of an incarnation are random, so that no two processes share one, also where
-// the time of day was set back.
+// incarnationRandomBits is the number of random low bits of an incarnation. They keep two processes from sharing one
+// when the clock was set back.
 const incarnationRandomBits = 16
 
-// newIncarnation returns the incarnation of this process: higher than that of earlier ones unless the time of day was
-// set back.
+// newIncarnation returns an incarnation for this process, which is higher than that of earlier processes unless the
+// clock was set back.
 func newIncarnation() uint64 {
 	return uint64(time.Now().UnixMilli())<<incarnationRandomBits | rand.Uint64N(1<<incarnationRandomBits)
 }
 
-// Run runs a sidecar with the settings file at path until ctx ends, and then shuts it down in order: requests that were
-// accepted are answered first. Each signal on reloads has the settings read again, which are also polled. The error is
-// that of the settings, of a listener, or of a front that failed.
+// Run runs a sidecar with the settings file at path until ctx ends, and then shuts it down gracefully: accepted requests
+// are answered first. The settings file is polled, and also read again after each signal on reloads. The error is that
+// of the settings, of a listener, or of a front that failed.
 func Run(ctx context.Context, path string, reloads <-chan os.Signal, log kitlog.Logger, slogger *slog.Logger) error {
 	file := bootstrap.File{Path: path}
 	settings, err := file.ReadIfChanged()
@@ -141,13 +141,13 @@
 	return p.serve(ctx, reloads)
 }
 
-// wait waits for the goroutines, after the context has ended.
+// wait waits for all goroutines to end. The context of p has to be cancelled first.
 func (p *Proxy) wait() {
 	p.queries.wait()
 	p.background.Wait()
 }
 
-// ErrAddressMissing is wrapped by the error of Run for settings that lack an address of the sidecar.
+// ErrAddressMissing is wrapped by the error that Run returns if the settings lack an address of the sidecar.
 var ErrAddressMissing = errors.New("is missing")
 
 func checkAddresses(path string, settings *bootstrap.Settings) error {
@@ -213,7 +213,7 @@
 	return p
 }
 
-// ownEntry returns the directory entry that a sidecar starts with.
+// ownEntry returns the initial directory entry of a sidecar.
 func ownEntry(settings *bootstrap.Settings) directory.Entry {
 	return directory.Entry{
 		Node:        settings.NodeName,
--- a/mesh/dataplane/queries.go
+++ b/mesh/dataplane/queries.go
@@ -15,14 +15,14 @@
 	"firplank/mesh/dataplane/inflight"
 )
 
-// outcomeQueries queries last hops for the outcome of attempts whose connection broke, and ends those attempts by the responses. It owns a
-// goroutine for each such attempt, which ends with the attempt, and is safe for concurrent use.
+// outcomeQueries queries last hops for the outcome of attempts whose connection broke, and ends those attempts with the outcome. It runs a
+// goroutine for each such attempt until the attempt ends. It is safe for concurrent use.
 type outcomeQueries struct {
-	ctx      context.Context // of the process: after its end nothing is queried
+	ctx      context.Context // of the process; no query is sent after its end
 	log      kitlog.Logger
 	inFlight *inflight.Tracker[*core.Attempt]
 	pool     upstream       // of connections to other sidecars
-	logLimit rate.Sometimes // bounds what is logged of these attempts
+	logLimit rate.Sometimes // limits the log of these attempts
 	running  sync.WaitGroup
 }
 
@@ -30,9 +30,9 @@
 	return &outcomeQueries{ctx: ctx, log: log, inFlight: inFlight, logLimit: rate.Sometimes{First: 2, Interval: time.Second}}
 }
 
-// attemptEnded records how each attempt at another sidecar ends; it is an httpback.Config.Ended. For an attempt that
-// must not run twice and whose connection broke without a response it queries the outcome, and ends the attempt itself
-// later.
+// attemptEnded is the httpback.Config.Ended of the pool to other sidecars, and is called for each attempt. If the attempt
+// must not run twice and its connection broke without a response, it starts to query the outcome and returns true: the
+// attempt is then ended later, by the queries.
 func (q *outcomeQueries) attemptEnded(a *core.Attempt, r core.Result) (later bool) {
 	unanswered, ok := q.inFlight.End(a)
 	if !ok || r.Outcome != balance.Reset {
@@ -42,10 +42,10 @@
 	return true
 }
 
-// wait waits for all queries. The context has to have ended.
+// wait waits for all queries. The context has to be cancelled first.
 func (q *outcomeQueries) wait() { q.running.Wait() }
 
-// ask queries the last hop of an attempt, a few times while it does not answer, and ends the attempt by its response.
+// queryOutcome queries the last hop of an attempt, retrying a few times without an answer, and ends the attempt with the result.
 func (q *outcomeQueries) queryOutcome(a *core.Attempt, unanswered inflight.Attempt) {
 	queries := 0
 	for query := unanswered.FirstQuery(time.Until(a.Deadline)); query != nil; query = query.Next(time.Until(a.Deadline)) {
@@ -69,7 +69,7 @@
 	q.finish(a, core.Result{Outcome: balance.Reset}, queries)
 }
 
-// send sends one query, and returns how it ended, or false as the process ends.
+// send sends one query and returns its result. It returns false if the context ended first.
 func (q *outcomeQueries) send(a *core.Attempt, query *inflight.Query) (r core.Result, ok bool) {
 	lastHop := core.NewEndpoint("", query.About.Addr)
 	m := &core.Message{
@@ -82,7 +82,7 @@
 	}
 	ended := make(chan core.Result, 1)
 	attempt := core.NewAttempt(lastHop, m, a.Deadline, func(r core.Result) {
-		q.pool.CloseIdle(lastHop) // a connection for queries is used once
+		q.pool.CloseIdle(lastHop) // a connection for a query is used once
 		ended <- r
 	})
 	q.inFlight.BeginQuery(attempt, query)
@@ -95,16 +95,16 @@
 	}
 }
 
-// finish ends an attempt whose last hop was queried.
+// finish ends an attempt with the result of its queries.
 func (q *outcomeQueries) finish(a *core.Attempt, r core.Result, queries int) {
 	q.logLimit.Do(func() {
-		_ = level.Info(q.log).Log("msg", "connection broke under a request that must not run twice", "request", a.Message.Trace,
+		_ = level.Info(q.log).Log("msg", "connection of a non-idempotent request broke", "request", a.Message.Trace,
 			"server", a.Endpoint.Name(), "queries", queries, "outcome", describeOutcome(r))
 	})
 	a.End(r)
 }
 
-// describeOutcome describes, for the log, what queries have found.
+// describeOutcome formats the result of queries for the log.
 func describeOutcome(r core.Result) string {
 	switch {
 	case r.NotDelivered:
--- a/mesh/dataplane/rolloutcounts.go
+++ b/mesh/dataplane/rolloutcounts.go
@@ -9,18 +9,18 @@
 	"firplank/mesh/rollout"
 )
 
-// maxTrialClasses bounds the classes of routes that a trial tells apart; requests of further ones count with the last.
+// maxRolloutClasses bounds the classes of routes with separate statistics; requests of further classes count with the last one.
 const maxRolloutClasses = 16
 
-// trial counts the requests of the local server while a rollout of its service is under way, be it of the old or of the new version. It
-// belongs to the last hop, whose lock guards it.
+// rolloutCounts has statistics of the local server's requests during a rollout of its service, whether the server has the old or the new
+// version. It is guarded by the lock of the last hop.
 type rolloutCounts struct {
-	order   uint32 // of the rollout; 0: none is under way
+	order   uint32 // of the rollout; 0 without one
 	classes []rollout.Statistics
 }
 
-// record counts a request that has ended. What is no evidence of the version is left out: a client that has left, a server that was not
-// reached or had no capacity, and how long requests take in a slow start.
+// record counts a request that has ended. It leaves out what is no evidence about the version: requests whose client disconnected or whose
+// server was not reached or had no capacity, and latencies during slow start.
 func (t *rolloutCounts) record(class uint32, r core.Result, latency time.Duration, warmingUp bool) {
 	if t.order == 0 {
 		return
@@ -32,7 +32,7 @@
 	t.statisticsOf(class).Record(failed, warmingUp, latency)
 }
 
-// of returns the statistics of a class.
+// statisticsOf returns the statistics of a class, or those of the last class if there are too many.
 func (t *rolloutCounts) statisticsOf(class uint32) *rollout.Statistics {
 	index := slices.IndexFunc(t.classes, func(s rollout.Statistics) bool { return s.Class == class })
 	switch {
@@ -46,7 +46,7 @@
 	return &t.classes[index]
 }
 
-// setTrial makes the last hop count for the rollout of an order, from then on; 0: for none.
+// countForRollout starts new statistics for the rollout of an order, unless they are being collected already. An order of 0 stops them.
 func (l *lastHop) countForRollout(order uint32) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -55,14 +55,14 @@
 	}
 }
 
-// trialStatistics returns what was counted, and the rollout's order.
+// rolloutStatistics returns the order of the rollout and a copy of its statistics.
 func (l *lastHop) rolloutStatistics() (order uint32, classes []rollout.Statistics) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rolloutCounts.order, slices.Clone(l.rolloutCounts.classes)
 }
 
-// work returns how many requests are at work at the local server, and how many of its answers are still coming.
+// inFlightCounts returns the number of requests in flight at the local server, and of its responses that are still being received.
 func (l *lastHop) inFlightCounts() (running, streams int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/mesh/dataplane/rollouts.go
+++ b/mesh/dataplane/rollouts.go
@@ -15,25 +15,25 @@
 	"firplank/mesh/timing"
 )
 
-// rollouts is how far this sidecar has followed the rollouts that it was notified of. It belongs to the loop.
+// rolloutTracker has this sidecar's progress in the rollouts that it was notified of. It is owned by the loop.
 type rolloutTracker struct {
 	durations timing.Rollouts
 	bounds    *bootstrap.Bounds
 
-	set           rollout.Set                 // by which endpoints are set
+	set           rollout.Set                 // according to which endpoints are set
 	progress      map[string]*rolloutProgress // by service
-	stale         bool                        // what is known is so old that a rollout may have ended
-	lastHopCounts bool                        // the last hop counts for a rollout
+	stale         bool                        // the state is so old that a rollout may have ended
+	lastHopCounts bool                        // the last hop collects statistics for a rollout
 	nextReport    time.Duration
 
-	confirmedRevision uint32 // the revision by which this sidecar sends, with nothing in flight that it forbids
+	confirmedRevision uint32 // the latest revision that this sidecar complies with: nothing that it forbids is in flight
 	check             *rolloutCheck
 }
 
-// followed is how far a sidecar has followed the rollout of a service.
+// rolloutProgress is a sidecar's progress in the rollout of a service.
 type rolloutProgress struct {
-	orderReceivedAt   time.Duration // when it learned of the order
-	stageReceivedAt   time.Duration // when it learned of the present stage
+	orderReceivedAt   time.Duration // when the order was received
+	stageReceivedAt   time.Duration // when the present stage was received
 	oldVersionRetired bool          // the servers of the old version have had time to stop
 }
 
@@ -41,17 +41,17 @@
 	return rolloutTracker{durations: t, bounds: b, progress: map[string]*rolloutProgress{}}
 }
 
-// rolloutCheck asks the exchanges of services with a rollout whether they have anything in flight that it forbids.
+// rolloutCheck collects, from the exchanges of all services with a rollout, the work in flight that the rollouts forbid.
 type rolloutCheck struct {
 	revision       uint32
 	pendingReplies int // exchanges that have not replied
 	draining       drainingWork
 }
 
-// heldWork is what servers have that get no new requests.
+// drainingWork is the work in flight at servers that get no new requests.
 type drainingWork struct {
 	requests int
-	streams  int // answers that are still coming
+	streams  int // responses that are still being received
 }
 
 func (w *drainingWork) add(other drainingWork) {
@@ -59,7 +59,7 @@
 	w.streams += other.streams
 }
 
-// exchangeChecked is the reply of an exchange.
+// exchangeChecked is the reply of an exchange to a rolloutCheck.
 type exchangeChecked struct {
 	check    *rolloutCheck
 	draining drainingWork
@@ -74,7 +74,7 @@
 	}
 }
 
-// setEndpoints brings a service's exchange to a directory and to the service's rollout.
+// setEndpoints updates a service's exchange to the directory and to the service's rollout.
 func (p *Proxy) setEndpoints(s *service, entries []directory.Entry, now time.Duration) {
 	r, known := p.rollouts.set.Find(s.name)
 	if known && r.Stage == rollout.Canary {
@@ -90,14 +90,14 @@
 		}
 		eligibility := p.rollouts.eligibility(&r, version)
 		if eligibility == rollout.CanaryOnly && !hasEligibleServer {
-			return rollout.Eligible // there is no other version to send to
+			return rollout.Eligible // no server of another version accepts requests
 		}
 		return eligibility
 	}, now)
 }
 
-// eligibility is what the servers of a version get. A sidecar that has received nothing for so long that a canary may have been delivered
-// or recalled sends to both versions: servers of the old one may have stopped.
+// eligibility returns which requests the servers of a version get. A sidecar whose state is so old that a canary may have been delivered or
+// recalled since sends to both versions, as the servers of the old one may have stopped.
 func (r *rolloutTracker) eligibility(current *rollout.Rollout, version string) rollout.Eligibility {
 	progress := r.progress[current.Service]
 	eligibility := current.Eligibility(version, progress != nil && progress.oldVersionRetired)
@@ -107,7 +107,7 @@
 	return eligibility
 }
 
-// anyServes reports whether a directory has a server that takes the requests which are not for the new version.
+// hasEligibleServer reports whether the directory has a server for the requests that are not part of the canary.
 func (r *rolloutTracker) hasEligibleServer(entries []directory.Entry, current *rollout.Rollout) bool {
 	for i := range entries {
 		e := &entries[i]
@@ -119,7 +119,7 @@
 	return false
 }
 
-// adoptRollouts takes over later rollouts than those that the exchanges have. The exchanges are reconciled with them next.
+// adoptRollouts adopts the rollouts of the desired state if their revision is newer. The exchanges are reconciled with them afterwards.
 func (p *Proxy) adoptRollouts(now time.Duration) {
 	next, present := p.node.State().Rollouts, p.rollouts.set
 	if next.Revision <= present.Revision {
@@ -137,13 +137,13 @@
 			progress.orderReceivedAt = p.rollouts.progress[r.Service].orderReceivedAt
 		}
 		p.rollouts.progress[r.Service] = progress
-		_ = level.Info(p.log).Log("msg", "rollout", "service", r.Service, "target", r.Target, "order", r.Order, "stage", r.Stage)
+		_ = level.Info(p.log).Log("msg", "rollout stage received", "service", r.Service, "target", r.Target, "order", r.Order, "stage", r.Stage)
 	}
 	p.exchanges.Invalidate()
 	p.updateRolloutCounting()
 }
 
-// countForRollout makes the last hop count for the rollout of the local server's service, if one is under way.
+// updateRolloutCounting lets the last hop collect statistics for the rollout of the local server's service, while one is active.
 func (p *Proxy) updateRolloutCounting() {
 	r, ok := p.rollouts.set.Find(*p.serviceName.Load())
 	if !ok || !r.Stage.Active() {
@@ -153,7 +153,8 @@
 	p.lastHop.countForRollout(r.Order)
 }
 
-// checkRollouts looks, several times a second, at what time changes in rollouts, and asks whether the present ones can be confirmed.
+// checkRollouts, called on each tick, applies the changes that follow from time alone, and begins a check that may confirm the present
+// rollouts.
 func (p *Proxy) checkRollouts(now time.Duration) {
 	r := &p.rollouts
 	if r.set.Revision == 0 {
@@ -171,7 +172,7 @@
 	}
 }
 
-// retire marks the old versions whose time to stop has passed. It reports whether there is one more.
+// markRetired marks the old versions whose time to stop has passed. It reports whether it marked any.
 func (r *rolloutTracker) markRetired(now time.Duration) (changed bool) {
 	for service, progress := range r.progress {
 		current, ok := r.set.Find(service)
@@ -182,7 +183,8 @@
 	return changed
 }
 
-// beginRolloutCheck asks the exchanges, which have the present endpoints by now, as their events keep their order.
+// beginRolloutCheck inspects the exchanges of all services with a rollout. They have the present endpoints by then, as an exchange handles
+// its events in order.
 func (p *Proxy) beginRolloutCheck(now time.Duration) {
 	check := &rolloutCheck{revision: p.rollouts.set.Revision}
 	p.rollouts.check = check
@@ -194,7 +196,7 @@
 		check.pendingReplies++
 		s.exchange.Inspect(func(time.Duration) {
 			draining := drainingWork{requests: s.exchange.InFlightAtClosed(), streams: s.exchange.StreamsAtClosed()}
-			// The exchange must not wait for the loop, which may wait for it.
+			// The exchange must not block on the loop, which may be blocked on the exchange.
 			p.background.Go(func() { p.post(exchangeChecked{check, draining}) })
 		})
 	}
@@ -203,11 +205,11 @@
 	}
 }
 
-// rolloutsChecked confirms the rollouts where nothing is in flight that they forbid, here or at the local server.
+// finishRolloutCheck confirms the rollouts if no work that they forbid is in flight, either from here or at the local server.
 func (p *Proxy) finishRolloutCheck(now time.Duration, check *rolloutCheck) {
 	r := &p.rollouts
 	if check != r.check {
-		return // there are later rollouts
+		return // newer rollouts have replaced these
 	}
 	r.check = nil
 	if p.localServerRetiring() {
@@ -221,8 +223,8 @@
 	p.sendRolloutEvidence(now)
 }
 
-// streamsHoldUp reports whether answers that still come from servers without new requests hold up a delivery: for as long after a promotion
-// as the platform gives a process to end.
+// streamsBlockDelivery reports whether responses that are still being received from draining servers delay a delivery. They do so after a
+// promotion for as long as the platform gives a process to end.
 func (r *rolloutTracker) streamsBlockDelivery(now time.Duration) bool {
 	for i := range r.set.Rollouts {
 		current := &r.set.Rollouts[i]
@@ -234,7 +236,7 @@
 	return false
 }
 
-// localServerRetires reports whether the local server is of a version that gets no more requests.
+// localServerRetiring reports whether the version of the local server gets no more requests.
 func (p *Proxy) localServerRetiring() bool {
 	var e directory.Entry
 	p.lastHop.fillEntry(&e)
@@ -242,7 +244,7 @@
 	return ok && r.Stage == rollout.Promoting && r.Eligibility(e.Version, false) == rollout.NotEligible
 }
 
-// reportRollouts reports what the last hop has counted, when that is due. It returns when to be called again at the latest.
+// reportRolloutEvidence sends the statistics of the last hop when a report is due, and returns the time of the next call at the latest.
 func (p *Proxy) reportRolloutEvidence(now time.Duration) (nextCall time.Duration) {
 	r := &p.rollouts
 	if !r.lastHopCounts {
@@ -264,10 +266,11 @@
 	p.node.ReportEvidence(now, evidence)
 }
 
-// classMultiplier is a large odd number by which routeClass spreads its parts.
+// classMultiplier is the odd multiplier of the hash in routeClass.
 const classMultiplier = 0x9e3779b97f4a7c15
 
-// routeClass numbers the classes of routes that a version is judged by: those of the same kind and bounds.
+// routeClass returns the class of a route by which the statistics of a rollout are grouped. Routes with the same kind, latency target,
+// timeout and precedence share a class.
 func routeClass(r *config.Route) uint32 {
 	class := uint64(len(r.Kind))
 	for _, part := range [...]float64{r.LatencyTargetS, r.Action.TimeoutS, float64(r.Precedence)} {
--- a/mesh/dataplane/serverdialect.go
+++ b/mesh/dataplane/serverdialect.go
@@ -12,12 +12,12 @@
 // serverDialect is the protocol with the local server. It implements httpback.Dialect, and is safe for concurrent use.
 type serverDialect struct{}
 
-// Keep implements httpback.Dialect: of the headers between sidecars the server gets those that the platform defines for it.
+// Keep implements httpback.Dialect: of the headers that sidecars set, the server gets those that the platform defines for it.
 func (serverDialect) Keep(name string) bool {
 	return name == serverIDHeader || name == callerServiceHeader || !isSidecarHeader(name)
 }
 
-// Fields implements httpback.Dialect: the time that is left.
+// Fields implements httpback.Dialect: it writes the time remaining.
 func (serverDialect) Fields(dst []byte, _ *core.Attempt, remaining time.Duration) []byte {
 	return appendDeadline(dst, remaining)
 }
@@ -25,12 +25,13 @@
 // Ours implements httpback.Dialect.
 func (serverDialect) Ours(a *core.Attempt, h http.Header) bool { return belongsTo(a, h) }
 
-// Passes implements httpback.Dialect: a success may be passed on while its body is still coming.
+// Passes implements httpback.Dialect: a successful response may be passed on before its whole body is received.
 func (serverDialect) Passes(_ *core.Attempt, status int, h http.Header) bool {
 	return isSuccess(status) && postmarked(h)
 }
 
-// Judge implements httpback.Dialect: it draws the evidence of a server's response, which may not claim to be a last hop's.
+// Judge implements httpback.Dialect: it determines an attempt's outcome from a server's response. Headers that only a last hop may set are
+// removed.
 func (serverDialect) Judge(a *core.Attempt, status int, h http.Header, body []byte) core.Result {
 	delete(h, outcomeHeader)
 	delete(h, incarnationHeader)
--- a/mesh/dataplane/service.go
+++ b/mesh/dataplane/service.go
@@ -18,52 +18,53 @@
 )
 
 const (
-	// maxClasses bounds the classes of one service; beyond it a route shares a class of its kind.
+	// maxClasses bounds the classes of one service; a further route shares an existing class that is as idempotent as itself.
 	maxClasses = 48
-	// maxWarmUpMillis bounds for how long a server counts as warming up after its start.
+	// slowStartMillis is how long after its start a server has its full capacity at the latest.
 	slowStartMillis = 3000
-	// warmUpStepMillis is what starts of servers are rounded to, so that two computations of the same one agree.
+	// warmUpRoundingMillis is the multiple to which start times of servers are rounded, so that two computations of the same one agree.
 	warmUpRoundingMillis = 500
-	// maxAttempts is how often a request is sent, counting attempts that were rejected ahead of a server.
+	// maxAttempts bounds the attempts of a request, including those that were rejected before they reached a server.
 	maxAttempts = 8
-	// backlogShare is the part of its latency target for which a request waits for a free server, and urgentBacklogShare that of one of the
-	// first rank.
+	// maxWaitFraction is the fraction of its latency target for which a request may wait for a free server, and topRankMaxWaitFraction that
+	// of a request of rank 0.
 	maxWaitFraction        = 0.2
 	topRankMaxWaitFraction = 0.9
-	// lateWorth is the value of a response after its latency target, as a part of its full value.
+	// lateValueFraction is the value of a response after its latency target, as a fraction of its full value.
 	lateValueFraction = 0.3
-	// crossZonePrice is the cost of a request that crosses zones, as a part of its value: it gives a server of the own zone 2.5 times the
-	// weight of another. What the own zone has no room for is forwarded by its admission control.
+	// crossZonePenalty is the cost of a request that crosses zones, as a fraction of its value. It gives a server of the sidecar's zone 2.5
+	// times the weight of another. Requests beyond that zone's capacity are rejected by admission control and forwarded to other zones.
 	crossZonePenalty = 0.0144
-	// retryAfterShare is the part of its latency target for which a rejected client is to stay away, and maxRetryAfterMillis bounds it.
+	// retryAfterFraction is the fraction of its latency target after which a rejected client may retry, and maxRetryAfterMillis bounds it.
 	retryAfterFraction  = 0.5
 	maxRetryAfterMillis = 1000
-	// retryBudgetShare is the part of the retry budget that is handed out: the rest is for requests that a retry causes further on.
+	// retryBudgetFraction is the fraction of the retry budget that is handed out. The rest covers the requests that a retry causes further
+	// downstream.
 	retryBudgetFraction = 0.5
-	// coldShare is the capacity of a server at its start, as a part of its full capacity. One that warms up and gets more than fallMultiple of
-	// its capacity for fallMillis fails (balance.Config has the definitions).
+	// slowStartInitialFraction is the capacity of a server at its start, as a fraction of its full capacity. A server in slow start fails if
+	// it is sent more than coldOverloadFactor times its capacity for coldOverloadMillis (see balance.Config).
 	slowStartInitialFraction = 0.5
 	coldOverloadFactor       = 8
 	coldOverloadMillis       = 1000
-	// millisPerSecond converts the configuration's seconds to the balancer's milliseconds.
+	// millisPerSecond converts seconds of the configuration to milliseconds of the balancer.
 	millisPerSecond = 1000
 )
 
-// service is one service as this sidecar sends to it: an exchange, with a balancer and a retry budget of its own. Its methods are safe for
-// concurrent use.
+// service is the sending side of this sidecar towards one service: an exchange with its own balancer and retry budget. Its methods are safe
+// for concurrent use.
 type service struct {
 	name     string
 	zone     string // of this sidecar
 	inFlight *inflight.Tracker[*core.Attempt]
 	exchange *core.Loop
-	split    rollout.Split // of requests between the versions
+	split    rollout.Split // of requests between the versions during a rollout
 
 	mu         sync.Mutex
 	classes    map[classKey]int
 	classCount int
 }
 
-// classKey is what routes of one class have in common.
+// classKey identifies a class: the properties that its routes share.
 type classKey struct {
 	kind       config.Kind
 	targetS    float64
@@ -72,7 +73,7 @@
 	rank       int
 }
 
-// newService starts the exchange of a service, which runs until the process ends.
+// newService starts the exchange of a service, which runs until p.ctx ends.
 func (p *Proxy) newService(name string) *service {
 	settings := p.settings.Load()
 	zones, ownZone := numberZones(settings)
@@ -107,14 +108,14 @@
 		Invariants:       p.invariants,
 		Observer:         &observer{service: name, log: p.log, metrics: p.metrics, logLimit: p.failureLogLimit},
 	})
-	go s.exchange.Run()                                 // the exchange ends with p.ctx; End waits for its requests
-	if schedule := p.shutdown.Load(); schedule != nil { // else shutDown tells the exchanges that there are
+	go s.exchange.Run()                                 // it ends with p.ctx; front.End waits for its requests
+	if schedule := p.shutdown.Load(); schedule != nil { // otherwise shutDown notifies the existing exchanges
 		s.exchange.Shutdown(schedule.failOpenAt)
 	}
 	return s
 }
 
-// numberZones numbers the zones of the settings for the balancer, and returns the number of the own one.
+// numberZones assigns the balancer's numbers to the zones of the settings, and returns that of this sidecar's zone.
 func numberZones(settings *bootstrap.Settings) (zones map[string]int, ownZone int) {
 	zones = map[string]int{}
 	for name := range settings.Zones {
@@ -127,13 +128,13 @@
 	return zones, ownZone
 }
 
-// newRetryBudget is this sidecar's part of a service's retry budget, where there are so many sidecars.
+// newRetryBudget returns this sidecar's share of a service's retry budget; sidecars is the number of sidecars that share it.
 func newRetryBudget(b *bootstrap.Bounds, sidecars int) *retrybudget.Budget {
 	slack := b.RetrySlack * retryBudgetFraction / float64(max(1, sidecars))
 	return retrybudget.New(b.RetryRatio*retryBudgetFraction, slack, float64(b.RetryWindow/time.Millisecond))
 }
 
-// class is the number of a route's class, which may be new.
+// classNumber returns the number of a route's class, and adds the class if it is new.
 func (s *service) classNumber(r *config.Route) int {
 	key := classKey{r.Kind, r.LatencyTargetS, r.Action.TimeoutS, r.Precedence, r.Rank}
 	s.mu.Lock()
@@ -155,7 +156,7 @@
 	return number
 }
 
-// classOf is the balancer's class of a route.
+// balanceClass returns the balancer's class for a route.
 func balanceClass(r *config.Route) balance.Class {
 	c := balance.Class{
 		Effect:          balance.Safe,
@@ -178,8 +179,8 @@
 	return c
 }
 
-// setEndpoints brings the exchange to the servers of a directory, and the attempts in flight to their sidecars' incarnations.
-// Eligible tells what a rollout makes of a server of a version.
+// setEndpoints updates the exchange to the servers of a directory, and the tracker of attempts in flight to the incarnations of their
+// sidecars. eligibilityOf returns which requests a rollout permits for servers of a version.
 func (s *service) setEndpoints(entries []directory.Entry, eligibilityOf func(version string) rollout.Eligibility, now time.Duration) {
 	list := &roster.List{Complete: true, ZonePreference: s.localWeight(entries)}
 	clockMillis := float64(time.Now().UnixMicro()) / 1000
@@ -206,7 +207,7 @@
 	s.exchange.Listed(list)
 }
 
-// localWeight is the factor for the weight of the own zone's servers, by what there is in it and everywhere.
+// localWeight returns the factor for the weight of servers in this sidecar's zone, from the callers and slots there and in all zones.
 func (s *service) localWeight(entries []directory.Entry) float64 {
 	var ownZone, allZones locality.Zone
 	for i := range entries {
--- a/mesh/dataplane/shutdown.go
+++ b/mesh/dataplane/shutdown.go
@@ -10,27 +10,27 @@
 	"firplank/mesh/timing"
 )
 
-// retryAfterShutdown is when a client that comes too late for a shutdown is to try again: at another machine, or at this one's next
-// process.
+// retryAfterShutdown is the Retry-After of requests that are rejected during a shutdown. The retry goes to another machine, or to the next
+// process on this one.
 const retryAfterShutdown = 100 * time.Millisecond
 
-// shutdownSchedule is the times of a shutdown (timing.Shutdown).
+// shutdownSchedule has the points in time of a shutdown (see timing.Shutdown).
 type shutdownSchedule struct {
-	rejectLongFrom time.Time // from when requests are taken only if they end in time
-	failOpenAt     time.Time // when open requests fail
-	frontsEndAt    time.Time // when the fronts have ended
+	rejectLongFrom time.Time // from then on, requests are accepted only if their deadline is before failOpenAt
+	failOpenAt     time.Time // when requests in flight are failed
+	frontsEndAt    time.Time // when the fronts have to have ended
 }
 
 func newShutdownSchedule(startedAt time.Time, t timing.Shutdown) *shutdownSchedule {
 	return &shutdownSchedule{rejectLongFrom: startedAt.Add(t.CheckDeadlines), failOpenAt: startedAt.Add(t.AbortRequests), frontsEndAt: startedAt.Add(t.FrontsEnded)}
 }
 
-// takes reports whether a request that may last so long is taken at a time. Without a shutdown, s is nil.
+// accepts reports whether a request that arrives at now with the given time remaining is accepted. s is nil without a shutdown.
 func (s *shutdownSchedule) accepts(now time.Time, remaining time.Duration) bool {
 	return s == nil || now.Before(s.rejectLongFrom) || now.Add(remaining).Before(s.failOpenAt)
 }
 
-// shutDown ends what was taken, in the time that the platform leaves.
+// shutDown drains the sidecar: it lets accepted requests finish within the time that the platform allows, and ends the fronts.
 func (p *Proxy) shutDown(fronts ...front) error {
 	startedAt := time.Now()
 	schedule := newShutdownSchedule(startedAt, p.durations.Shutdown)
--- a/mesh/dataplane/sidecardialect.go
+++ b/mesh/dataplane/sidecardialect.go
@@ -12,20 +12,20 @@
 	"firplank/mesh/dataplane/inflight"
 )
 
-// sidecarDialect is the protocol with other sidecars, on the sending side. It implements httpback.Dialect, and is safe for concurrent use.
+// sidecarDialect is the sending side of the protocol between sidecars. It implements httpback.Dialect, and is safe for concurrent use.
 type sidecarDialect struct {
 	inFlight        *inflight.Tracker[*core.Attempt]
-	service         *atomic.Pointer[string] // of the local server, which counts as the caller
-	recordReachable func(addr string)       // records that the sidecar at an address has responded
+	service         *atomic.Pointer[string] // of the local server, sent as the caller
+	recordReachable func(addr string)       // records that the sidecar at addr has responded
 }
 
-// Keep implements httpback.Dialect: clients' headers are forwarded, but for those that sidecars set.
+// Keep implements httpback.Dialect: it forwards the headers of clients, except those that only sidecars set.
 func (sidecarDialect) Keep(name string) bool { return !isSidecarHeader(name) }
 
-// rejectedByServer is the detail of a rejection by the server itself.
+// rejectedByServer is the detail of a result, for the log, if the server itself rejected the request.
 const rejectedByServer = "by the server"
 
-// Fields implements httpback.Dialect: it writes the headers between sidecars, and numbers what must not run twice.
+// Fields implements httpback.Dialect: it writes the headers between sidecars, and assigns an ID to an attempt that must not run twice.
 func (d sidecarDialect) Fields(dst []byte, a *core.Attempt, remaining time.Duration) []byte {
 	dst = appendDeadline(dst, remaining)
 	if query := d.inFlight.QueryOf(a); query != nil {
@@ -43,13 +43,13 @@
 // Ours implements httpback.Dialect.
 func (sidecarDialect) Ours(a *core.Attempt, h http.Header) bool { return belongsTo(a, h) }
 
-// Passes implements httpback.Dialect: a server's success may be passed on while its body is still coming.
+// Passes implements httpback.Dialect: a server's successful response may be passed on before its whole body is received.
 func (d sidecarDialect) Passes(a *core.Attempt, status int, h http.Header) bool {
 	d.recordReachable(a.Endpoint.Addr())
 	return isSuccess(status) && attempts.Outcome(h.Get(outcomeHeader)) == attempts.Executed && postmarked(h)
 }
 
-// Judge implements httpback.Dialect: it draws the evidence of a last hop's response.
+// Judge implements httpback.Dialect: it determines an attempt's outcome from a last hop's response.
 func (d sidecarDialect) Judge(a *core.Attempt, status int, h http.Header, body []byte) core.Result {
 	d.recordReachable(a.Endpoint.Addr())
 	outcome := attempts.Outcome(h.Get(outcomeHeader))
--- a/mesh/dataplane/streamping.go
+++ b/mesh/dataplane/streamping.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// streamPingTimeout bounds a ping of the failure detector over a connection. It is that of a suspicion: a later answer ends the loss,
-	// which the next probe does as well.
+	// streamPingTimeout bounds a ping of the failure detector over a connection. It is the time-out of a suspicion: an answer that comes
+	// later would only mark a lost sidecar as reachable again, which the next probe does as well.
 	streamPingTimeout = time.Second
-	// maxStreamPings bounds those that are under way.
+	// maxStreamPings bounds the pings in flight.
 	maxStreamPings = 8
 )
 
-// streamPings pings sidecars over connections, where the failure detector asks for that. Start belongs to the loop.
+// streamPings pings sidecars over connections on request of the failure detector. start is called by the loop.
 type streamPings struct {
 	ctx      context.Context
 	node     string
-	onAnswer func(node string) // called from any goroutine: a sidecar has answered
+	onAnswer func(node string) // called on any goroutine when a sidecar has answered
 	slots    chan struct{}
 }
 
@@ -29,7 +29,7 @@
 	return &streamPings{ctx: ctx, node: node, onAnswer: onAnswer, slots: make(chan struct{}, maxStreamPings)}
 }
 
-// start pings a sidecar at its address for peers, on a goroutine of its own. It reports false where too many are under way.
+// start pings the sidecar at a peer address, on a goroutine that goFunc starts. It returns false if too many pings are in flight.
 func (s *streamPings) start(node, addr string, goFunc func(func())) bool {
 	select {
 	case s.slots <- struct{}{}:
@@ -45,7 +45,7 @@
 	return true
 }
 
-// ping reports whether the sidecar at an address answers.
+// ping reports whether the sidecar at addr answers.
 func (s *streamPings) ping(addr string) bool {
 	ctx, cancel := context.WithTimeout(s.ctx, streamPingTimeout)
 	defer cancel()
@@ -65,7 +65,7 @@
 	return false
 }
 
-// streamPingAnswer handles the frames of a connection that a ping goes over: any frame is an answer.
+// streamPingAnswer handles the frames of a ping's connection. Any frame counts as an answer.
 type streamPingAnswer chan struct{}
 
 // HandleFrame implements transport.Handler.
@@ -79,7 +79,7 @@
 // HandleClose implements transport.Handler.
 func (streamPingAnswer) HandleClose(*transport.Conn) {}
 
-// peerHandler handles the connections of other sidecars: it answers pings, and passes all else on.
+// peerHandler handles the connections of other sidecars: it answers pings, and passes other frames to the embedded handler.
 type peerHandler struct {
 	transport.Handler
 	node string
@@ -96,14 +96,14 @@
 	}
 }
 
-// contactMade reports that a sidecar has answered over a connection.
+// streamPingAnswered reports that a sidecar has answered a ping over a connection.
 type streamPingAnswered struct{ node string }
 
 func (e streamPingAnswered) handle(p *Proxy, now time.Duration) {
 	p.applyLivenessResult(now, p.liveness.RecordContact(now, e.node))
 }
 
-// sendProbes sends what the failure detector asks for.
+// sendProbes sends the probes of the failure detector, as datagrams or over connections.
 func (p *Proxy) sendProbes(probes []membership.Message) {
 	d := p.node.State().Directory
 	p.probes.send(probes, d)
