--- a/mesh/dataplane/earlyanswer_test.go
+++ b/mesh/dataplane/earlyanswer_test.go
@@ -15,19 +15,19 @@
 	httpback "firplank/internal/upstream/http"
 )
 
-// earlyServer is a server that answers a request of id x as soon as its head has come, and has not read its body.
+// newEarlyResponseServer returns a server that responds to a request as soon as its headers are received, without reading the body.
 func newEarlyResponseServer(t *testing.T, answer string) *core.Endpoint {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = ln.Close() }) // it has nothing to lose
+	t.Cleanup(func() { _ = ln.Close() }) // an error loses nothing
 	go func() {
 		c, err := ln.Accept()
 		if err != nil {
 			return
 		}
-		defer func() { _ = c.Close() }() // it has nothing to lose
+		defer func() { _ = c.Close() }() // an error loses nothing
 		if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 			return
 		}
@@ -39,10 +39,10 @@
 	return core.NewEndpoint("server", ln.Addr().String())
 }
 
-// askEarly sends a server a request whose body it doesn't read, and returns the result and how many connections are kept.
+// sendToEarlyServer sends a request whose body the server does not read. It returns the result and the number of open connections.
 func sendToEarlyServer(t *testing.T, server *core.Endpoint, streamed bool) (r core.Result, openConns int) {
 	t.Helper()
-	const bodyBytes = 16 << 20 // more than the kernel holds
+	const bodyBytes = 16 << 20 // more than the kernel buffers
 	pool, err := httpback.NewPoll(t.Context(), httpback.Config{
 		ConnectTimeout: time.Second,
 		Idle:           time.Second,
@@ -63,7 +63,7 @@
 	if streamed {
 		m.Stream = bodypipe.New(bodyBytes)
 		go func() {
-			_ = m.Stream.WriteTimeout(make([]byte, bodyBytes/2), time.Second) // the rest never comes
+			_ = m.Stream.WriteTimeout(make([]byte, bodyBytes/2), time.Second) // the rest is never written
 		}()
 	} else {
 		m.Body = make([]byte, bodyBytes)
@@ -73,6 +73,8 @@
 	return <-ended, pool.Open()
 }
 
+// A server may respond before it has read the whole body. That response counts like any other, and is no refused connection; the
+// connection is not reused.
 func TestResponseBeforeRequestBodyIsUsed(t *testing.T) {
 	answerOf := func(status int, fields string) string {
 		return fmt.Sprintf("HTTP/1.1 %d Early\r\n%sContent-Length: 2\r\n\r\nok", status, fields)
@@ -83,12 +85,12 @@
 	}{
 		{"the server's failure", answerOf(500, "Try-Id: x\r\n"), balance.Failed},
 		{"a success", answerOf(200, "Try-Id: x\r\nPostmark: p\r\n"), balance.OK},
-		{"a success behind an interim answer", "HTTP/1.1 103 Hints\r\n\r\n" + answerOf(200, "Try-Id: x\r\nPostmark: p\r\n"), balance.OK},
-		{"a success without its stamp", answerOf(200, "Try-Id: x\r\n"), balance.Reset},
-		{"an answer to another request", answerOf(200, "Try-Id: y\r\nPostmark: p\r\nConnection: close\r\n"), balance.Reset},
+		{"a success after an interim response", "HTTP/1.1 103 Hints\r\n\r\n" + answerOf(200, "Try-Id: x\r\nPostmark: p\r\n"), balance.OK},
+		{"a success without postmark", answerOf(200, "Try-Id: x\r\n"), balance.Reset},
+		{"a response to another request", answerOf(200, "Try-Id: y\r\nPostmark: p\r\nConnection: close\r\n"), balance.Reset},
 		{"rejected", answerOf(503, "Try-Id: x\r\nNot-Delivered: 1\r\n"), balance.Rejected},
-		{"no answer of the protocol", "\x80\x8a\r\n\r\n", balance.Reset},
-		{"nothing, and the connection ends", "", balance.ConnectFailed},
+		{"not HTTP", "\x80\x8a\r\n\r\n", balance.Reset},
+		{"no response, and the connection ends", "", balance.ConnectFailed},
 	} {
 		for _, streamed := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, streamed %v", c.name, streamed), func(t *testing.T) {
@@ -97,7 +99,7 @@
 					t.Errorf("%v, want %v", r.Outcome, c.want)
 				}
 				if openConns != 0 {
-					t.Errorf("%d connections are kept", openConns)
+					t.Errorf("%d connections stay open", openConns)
 				}
 			})
 		}
--- a/mesh/dataplane/headers_test.go
+++ b/mesh/dataplane/headers_test.go
@@ -14,7 +14,7 @@
 	}
 	for _, text := range []string{"", "a", "a.1", ".1.2", "a.0.2", "a.x.2", "a.1.x", "a.1.", "a.10000000000000000.1"} {
 		if id, ok := parseAttemptID(text); ok {
-			t.Errorf("%q is read as %+v", text, id)
+			t.Errorf("%q is parsed as %+v", text, id)
 		}
 	}
 }
--- a/mesh/dataplane/heartbeats_test.go
+++ b/mesh/dataplane/heartbeats_test.go
@@ -12,12 +12,12 @@
 	"firplank/mesh/api"
 )
 
-// recordedServer is a record that notes what it is given.
+// fakeServerRecord is a serverRecord that records its calls.
 type fakeServerRecord struct {
 	heartbeats  []admission.Heartbeat
 	departed    []string
 	changed     bool
-	unconfirmed bool // no other process knows what is announced
+	unconfirmed bool // no other process has received the announcement
 }
 
 func (r *fakeServerRecord) handleHeartbeat(h admission.Heartbeat) bool {
@@ -44,7 +44,7 @@
 	return &serverAPI{record: record, service: &service, onChange: func() { count++ }, confirm: confirm}, record, &count
 }
 
-// heartbeatBody is a valid heartbeat but for one field's text.
+// heartbeatBody returns a valid heartbeat in which one field is replaced, or left out if value is empty.
 func heartbeatBody(field, value string) []byte {
 	fields := map[string]string{
 		"line": `"one"`, "berths": "5", "condition": `"accepting"`, "coldLeftS": "1.5", "sequence": "3",
@@ -70,7 +70,7 @@
 			t.Errorf("recorded %+v", record.heartbeats)
 		}
 		if (*changed == 1) != changes || (*a.service.Load() == "one") != changes {
-			t.Errorf("a change %v: told %d times, service %s", changes, *changed, *a.service.Load())
+			t.Errorf("changed %v: %d notifications, service %s", changes, *changed, *a.service.Load())
 		}
 	}
 }
@@ -80,13 +80,13 @@
 		{"no service", "i-1", "line", ""},
 		{"an empty service", "i-1", "line", `""`},
 		{"a long service", "i-1", "line", `"` + strings.Repeat("s", 201) + `"`},
-		{"slots below 0", "i-1", "berths", "-1"},
+		{"negative slots", "i-1", "berths", "-1"},
 		{"too many slots", "i-1", "berths", "60001"},
 		{"no condition", "i-1", "condition", ""},
 		{"an unknown condition", "i-1", "condition", `"sleeping"`},
-		{"a warm-up below 0", "i-1", "coldLeftS", "-1"},
+		{"a negative warm-up", "i-1", "coldLeftS", "-1"},
 		{"a long warm-up", "i-1", "coldLeftS", "3601"},
-		{"no JSON", "i-1", "sequence", "}"},
+		{"invalid JSON", "i-1", "sequence", "}"},
 		{"a long ID", strings.Repeat("i", 201), "berths", "5"},
 	} {
 		a, record, changed := newServerAPI(true)
@@ -106,13 +106,13 @@
 			t.Errorf("answered by %d", got.Status)
 		}
 		if fmt.Sprint(record.departed) != "[i-1]" || (*changed == 1) != changes {
-			t.Errorf("recorded %v, told %d times", record.departed, *changed)
+			t.Errorf("recorded %v, %d notifications", record.departed, *changed)
 		}
 	}
 }
 
-// The end of a server is acknowledged once another process knows it: until then the server is told to call again. A heartbeat of one that
-// goes on does not wait.
+// A leave that was acknowledged before another process has received it would be lost if the sidecar restarted. Until then the server is
+// asked to retry. Heartbeats of an accepting server do not wait.
 func TestLeaveIsAcknowledgedAfterConfirmation(t *testing.T) {
 	a, record, _ := newServerAPI(true)
 	record.unconfirmed = true
@@ -120,16 +120,16 @@
 	accepting := &api.Request{Args: []string{"i-1"}, Body: heartbeatBody("condition", `"accepting"`)}
 	for _, got := range []api.Response{a.heartbeat(closing), a.leave(&api.Request{Args: []string{"i-1"}})} {
 		if got.Status != http.StatusServiceUnavailable || got.RetryAfter == 0 {
-			t.Errorf("the end that nobody knows is answered by %d, to be repeated after %v", got.Status, got.RetryAfter)
+			t.Errorf("an unconfirmed leave is answered by %d, retry after %v", got.Status, got.RetryAfter)
 		}
 	}
 	if got := a.heartbeat(accepting); got.Status != http.StatusOK {
-		t.Errorf("a heartbeat that changes nothing for others is answered by %d", got.Status)
+		t.Errorf("a heartbeat of an accepting server is answered by %d", got.Status)
 	}
 	record.unconfirmed = false
 	for _, got := range []api.Response{a.heartbeat(closing), a.leave(&api.Request{Args: []string{"i-1"}})} {
 		if got.Status != http.StatusOK {
-			t.Errorf("the end that is known is answered by %d", got.Status)
+			t.Errorf("a confirmed leave is answered by %d", got.Status)
 		}
 	}
 }
--- a/mesh/dataplane/invariants_test.go
+++ b/mesh/dataplane/invariants_test.go
@@ -16,14 +16,14 @@
 	"firplank/mesh/dataplane/lasthop"
 )
 
-// reported returns a reporter, and the invariants that it has been told of.
+// newRecordingReporter returns a reporter, and the names of the invariants that are reported to it.
 func newRecordingReporter() (invariant.Reporter, *[]invariant.Name) {
 	var got []invariant.Name
 	return invariant.Func(func(name invariant.Name, _ ...any) { got = append(got, name) }), &got
 }
 
-// A request that must not run twice is handed to the server once, also where the log of outcomes should miss it, and none after the
-// server's closing.
+// A non-idempotent request that starts twice is reported, also if the log of outcomes misses it, and so is a request that starts too long
+// after the server began to close.
 func TestLastHopReportsDuplicateAndLateStarts(t *testing.T) {
 	begin := func(l *lastHop, now time.Duration, id string, idempotent bool) {
 		c := &core.Call{Message: core.Message{Trace: id}}
@@ -35,13 +35,13 @@
 		want []invariant.Name
 	}{
 		{"two requests", func(l *lastHop) { begin(l, 0, "x", false); begin(l, 0, "y", false) }, nil},
-		{"one twice", func(l *lastHop) { begin(l, 0, "x", false); begin(l, 0, "x", false) }, []invariant.Name{invariant.StartedOnce}},
-		{"an idempotent one twice", func(l *lastHop) { begin(l, 0, "x", true); begin(l, 0, "x", true) }, nil},
-		{"soon after the closing", func(l *lastHop) {
+		{"one request twice", func(l *lastHop) { begin(l, 0, "x", false); begin(l, 0, "x", false) }, []invariant.Name{invariant.StartedOnce}},
+		{"an idempotent request twice", func(l *lastHop) { begin(l, 0, "x", true); begin(l, 0, "x", true) }, nil},
+		{"soon after the server began to close", func(l *lastHop) {
 			l.guard.Closing(0, "i1")
 			begin(l, time.Second, "x", false)
 		}, nil},
-		{"late after the closing", func(l *lastHop) {
+		{"late after the server began to close", func(l *lastHop) {
 			l.guard.Closing(0, "i1")
 			begin(l, 3*time.Second, "x", true)
 		}, []invariant.Name{invariant.ClosingServerNotSent}},
@@ -57,17 +57,17 @@
 	}
 }
 
-// What comes in force has the version that it was sent under, and follows no newer one.
+// A configuration whose version differs from the one it was sent with, or is older than the present one, is reported.
 func TestAdoptedConfigurationFaultsAreReported(t *testing.T) {
 	for _, c := range []struct {
 		name                string
 		sent, inForce, next uint32
 		want                []invariant.Name
 	}{
-		{"the first", 7, 0, 7, nil},
+		{"the first one", 7, 0, 7, nil},
 		{"a newer one", 8, 7, 8, nil},
 		{"an older one", 6, 7, 6, []invariant.Name{invariant.InForceMonotonic}},
-		{"under another version", 8, 7, 9, []invariant.Name{invariant.AdoptedVersionMatches}},
+		{"sent with another version", 8, 7, 9, []invariant.Name{invariant.AdoptedVersionMatches}},
 	} {
 		p := &Proxy{log: kitlog.NewNopLogger()}
 		var got *[]invariant.Name
@@ -82,7 +82,7 @@
 	}
 }
 
-// cancelling is a pool that counts what it is to cancel.
+// cancelCountingPool is a pool that counts cancelled attempts.
 type cancelCountingPool struct {
 	stubPool
 	cancelled int
@@ -90,13 +90,13 @@
 
 func (c *cancelCountingPool) Cancel(*core.Attempt) { c.cancelled++ }
 
-// A check that times out, as with a queue of connections that is full, cancels nothing; one that is refused does.
+// A check that times out, as when the accept queue of a busy server is full, must not cancel its requests; a refused connection does.
 func TestServerCheckCancelsOnlyOnRefusedConnection(t *testing.T) {
 	full, closed := fullListener(t), closedPort(t)
 	for _, c := range []struct {
 		name, addr string
 		cancelled  int
-	}{{"its queue is full", full, 0}, {"nobody listens", closed, 1}} {
+	}{{"the accept queue is full", full, 0}, {"the port is closed", closed, 1}} {
 		l, _ := newTestLastHop(&stubPool{})
 		pool := &cancelCountingPool{}
 		l.pool, l.server = pool, core.NewEndpoint("server", c.addr)
@@ -108,7 +108,7 @@
 	}
 }
 
-// fullListener returns an address at which the kernel takes no further connections: the queue of its socket is full.
+// fullListener returns an address at which the kernel accepts no further connections, as the accept queue is full.
 func fullListener(t *testing.T) (addr string) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -127,7 +127,7 @@
 		t.Fatal(err)
 	}
 	addr = net.JoinHostPort("127.0.0.1", strconv.Itoa(bound.(*syscall.SockaddrInet4).Port))
-	const extraConns = 4 // connections than the queue holds
+	const extraConns = 4 // more connections than fit in the queue
 	for range extraConns {
 		if c, err := net.DialTimeout("tcp", addr, checkConnectTimeout); err == nil {
 			t.Cleanup(func() { _ = c.Close() })
@@ -136,7 +136,7 @@
 	return addr
 }
 
-// closedPort returns an address at which nobody listens.
+// closedPort returns an address without a listener.
 func closedPort(t *testing.T) (addr string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/mesh/dataplane/lasthop_test.go
+++ b/mesh/dataplane/lasthop_test.go
@@ -17,7 +17,7 @@
 	"firplank/mesh/timing"
 )
 
-// held is a server that answers when it is told to.
+// stubPool is a pool of connections to a server, whose attempts the test ends.
 type stubPool struct{ begun []*core.Attempt }
 
 func (p *stubPool) Begin(a *core.Attempt)                   { p.begun = append(p.begun, a) }
@@ -27,7 +27,7 @@
 func (h *stubPool) Run(context.Context)                     {}
 func (h *stubPool) Close()                                  {}
 
-// asked is a client of the last hop's: another sidecar.
+// recordingClient is a client of the last hop, that is another sidecar, and records the answer.
 type recordingClient struct{ answer *core.Answer }
 
 func (c *recordingClient) Answer(_ *core.Call, got *core.Answer) { c.answer = got }
@@ -51,7 +51,7 @@
 	}
 }
 
-// What the last hop does with attempts whose connection breaks, and with queries about them.
+// The last hop starts an attempt at most once, also after a query about it, and answers the queries by the outcome.
 func TestLastHopAnswersQueries(t *testing.T) {
 	server := &stubPool{}
 	_, arrive := newTestLastHop(server)
@@ -67,27 +67,27 @@
 			t.Errorf("%s: %q with %d begun, want %q with %d", name, outcomeOf(a), len(server.begun), want, begun)
 		}
 	}
-	step("asked before it comes", arrive(queryHeader, "s.1.7"), attempts.Barred, 0)
-	step("and comes then", arrive(attemptHeader, "s.1.7"), attempts.NotReceived, 0)
+	step("query before the attempt", arrive(queryHeader, "s.1.7"), attempts.Barred, 0)
+	step("attempt after the query", arrive(attemptHeader, "s.1.7"), attempts.NotReceived, 0)
 	first := arrive(attemptHeader, "s.2.7")
-	step("one comes", first, "(waits)", 1)
-	step("and once more", arrive(attemptHeader, "s.2.7"), attempts.Indeterminate, 1)
+	step("first copy", first, "(waits)", 1)
+	step("second copy", arrive(attemptHeader, "s.2.7"), attempts.Indeterminate, 1)
 	query := arrive(queryHeader, "s.2.7")
-	step("asked while it is at work", query, "(waits)", 1)
+	step("query while it runs", query, "(waits)", 1)
 	server.begun[0].End(core.Result{Outcome: balance.OK, Answer: &core.Answer{Status: 200, Meta: header("Postmark", "p"), Body: []byte("b")}})
-	step("it ends", first, attempts.Executed, 1)
-	step("the question is told", query, attempts.Executed, 1)
-	step("asked after its end", arrive(queryHeader, "s.2.7"), attempts.Executed, 1)
+	step("the attempt ends", first, attempts.Executed, 1)
+	step("the waiting query is answered", query, attempts.Executed, 1)
+	step("query after its end", arrive(queryHeader, "s.2.7"), attempts.Executed, 1)
 	notReached := arrive(attemptHeader, "s.3.7")
 	server.begun[1].End(core.Result{Outcome: balance.ConnectFailed})
-	step("its server is not reached", notReached, attempts.NotReceived, 2)
-	step("asked of that", arrive(queryHeader, "s.3.7"), attempts.Barred, 2)
-	step("sent to another incarnation", arrive(attemptHeader, "s.4.6"), attempts.NotReceived, 2)
-	step("asked of that", arrive(queryHeader, "s.4.6"), attempts.Indeterminate, 2)
-	step("a question about nothing", arrive(queryHeader, "nonsense"), attempts.Indeterminate, 2)
+	step("the server is not reached", notReached, attempts.NotReceived, 2)
+	step("query about an attempt that did not reach the server", arrive(queryHeader, "s.3.7"), attempts.Barred, 2)
+	step("attempt to another incarnation", arrive(attemptHeader, "s.4.6"), attempts.NotReceived, 2)
+	step("query to another incarnation", arrive(queryHeader, "s.4.6"), attempts.Indeterminate, 2)
+	step("query with an invalid ID", arrive(queryHeader, "nonsense"), attempts.Indeterminate, 2)
 }
 
-// A long body is handed on while it comes, and the time of its request counts from its last byte, at the last hop as at the first one.
+// A streamed body is forwarded while it is received. The deadline of its request counts from its last byte, also at the last hop.
 func TestStreamedBodyDeadlineStartsAtLastByte(t *testing.T) {
 	server := &stubPool{}
 	l, _ := newTestLastHop(server)
@@ -98,6 +98,6 @@
 	}
 	a := server.begun[0]
 	if a.Message.Remaining != time.Second || time.Until(a.Deadline) < 10*time.Second {
-		t.Errorf("%v from the last byte, all of it within %v", a.Message.Remaining, time.Until(a.Deadline))
+		t.Errorf("%v after the last byte, %v in total", a.Message.Remaining, time.Until(a.Deadline))
 	}
 }
--- a/mesh/dataplane/lifecycle_test.go
+++ b/mesh/dataplane/lifecycle_test.go
@@ -29,10 +29,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// controlMachine is a control machine that sends each subscriber one configuration and notes what is announced to it.
+// fakeControlMachine is a control machine that sends each subscriber one configuration and records the announced entries.
 type fakeControlMachine struct {
 	announced chan directory.Entry
-	closed    chan struct{} // one for each connection that has ended
+	closed    chan struct{} // receives a value for each closed connection
 
 	mu    sync.Mutex
 	conns []*transport.Conn
@@ -58,14 +58,14 @@
 
 func (m *fakeControlMachine) HandleClose(*transport.Conn) { m.closed <- struct{}{} }
 
-// subscribed is how many connections there were.
+// subscriptions returns the number of received subscriptions.
 func (m *fakeControlMachine) subscriptions() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.conns)
 }
 
-// await waits until an entry is announced.
+// awaitEntry waits until a matching entry is announced.
 func (m *fakeControlMachine) awaitEntry(t *testing.T, matches func(*directory.Entry) bool) {
 	t.Helper()
 	timeout := time.After(10 * time.Second)
@@ -76,12 +76,12 @@
 				return
 			}
 		case <-timeout:
-			t.Fatal("it was never announced")
+			t.Fatal("no matching entry was announced")
 		}
 	}
 }
 
-// close ends the machine and waits for what it serves.
+// close closes the listener and all connections, and waits for the serving goroutine.
 func (m *fakeControlMachine) close(ln net.Listener, serving *sync.WaitGroup) {
 	_ = ln.Close()
 	m.mu.Lock()
@@ -92,14 +92,14 @@
 	serving.Wait()
 }
 
-// freePort is a port that nobody listens on at an address just now.
+// freePort returns a port that is free at ip.
 func freePort(t *testing.T, ip string) int {
 	t.Helper()
 	ln, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = ln.Close() }() // it has nothing to lose
+	defer func() { _ = ln.Close() }() // an error loses nothing
 	return ln.Addr().(*net.TCPAddr).Port
 }
 
@@ -108,7 +108,7 @@
 	controlIP = "127.91.0.3"
 )
 
-// writeSettings writes the settings of a sidecar and returns their path and its readiness and control addresses.
+// writeSettings writes the settings of a sidecar. It returns the path of the file and the sidecar's readiness and control addresses.
 func writeSettings(t *testing.T, peerPort int) (path, readiness, control string) {
 	t.Helper()
 	addr := func() string { return net.JoinHostPort(sidecarIP, strconv.Itoa(freePort(t, sidecarIP))) }
@@ -133,7 +133,7 @@
 	return path, readiness, control
 }
 
-// status is what an address answers to a request without a body; 0: nothing.
+// responseStatus returns the status of the response to a request, or 0 without a response.
 func responseStatus(method, url, body string) int {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	r, err := http.NewRequest(method, url, strings.NewReader(body))
@@ -148,7 +148,7 @@
 	return resp.StatusCode
 }
 
-// await polls until a status is had.
+// awaitStatus polls url until the response has the wanted status.
 func awaitStatus(t *testing.T, want int, url string) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
@@ -159,8 +159,8 @@
 	t.Fatalf("%s never answered %d", url, want)
 }
 
-// A sidecar becomes ready with its first configuration, announces the local server, and at the end drains and leaves
-// nothing behind.
+// A sidecar becomes ready with its first configuration and announces the local server. At shutdown it announces that it
+// drains, and closes its connections and goroutines.
 func TestSidecarLifecycle(t *testing.T) {
 	port := freePort(t, controlIP)
 	ln, err := net.Listen("tcp", net.JoinHostPort(controlIP, strconv.Itoa(port)))
@@ -180,10 +180,10 @@
 	awaitStatus(t, http.StatusOK, "http://"+readiness+"/")
 	heartbeat := `{"line":"one","address":"a","zone":"za","edition":"1","berths":5,"condition":"accepting","sequence":1}`
 	if got := responseStatus(http.MethodPost, "http://"+control+"/Servers.Beat/i-7", heartbeat); got != http.StatusOK {
-		t.Errorf("a heartbeat is answered by %d", got)
+		t.Errorf("a valid heartbeat is answered by %d", got)
 	}
 	if got := responseStatus(http.MethodPost, "http://"+control+"/Servers.Beat/i-7", `{"line":"one"}`); got != http.StatusBadRequest {
-		t.Errorf("half a heartbeat is answered by %d", got)
+		t.Errorf("an incomplete heartbeat is answered by %d", got)
 	}
 	machine.awaitEntry(t, func(e *directory.Entry) bool {
 		return e.Server == "i-7" && e.Slots == 5 && e.Service == "one" && e.State == directory.Accepting
@@ -199,7 +199,7 @@
 		select {
 		case <-machine.closed:
 		case <-timeout:
-			t.Fatal("the connection to its parent is left open")
+			t.Fatal("a connection to the parent stays open")
 		}
 	}
 }
--- a/mesh/dataplane/proxy_test.go
+++ b/mesh/dataplane/proxy_test.go
@@ -33,33 +33,34 @@
 	return h
 }
 
-// What the last hop makes of a server's answer, and the sending sidecar of that: from both it follows whether a request may go on.
+// The sending sidecar must retry a non-idempotent request only if neither the last hop nor the server can have run it. Each case passes a
+// server's response through the last hop and the sending sidecar.
 func TestResponseOutcomesAcrossHops(t *testing.T) {
 	for _, c := range []struct {
 		name            string
 		status          int
 		header          http.Header
-		noAnswerOutcome balance.Result // where no answer came
+		noAnswerOutcome balance.Result // without a response
 		want            balance.Result
 		notDelivered    bool
-		serverAnswer    bool // the answer is the server's own
+		serverAnswer    bool // the server's response is forwarded
 	}{
 		{"served", 200, header("Try-Id", "x", "Postmark", "p"), 0, balance.OK, false, true},
-		{"a success without its stamp", 200, header("Try-Id", "x"), 0, balance.Reset, false, false},
-		{"a success in an encoding that nobody asked for", 200,
+		{"a success without postmark", 200, header("Try-Id", "x"), 0, balance.Reset, false, false},
+		{"a success with an encoding that was not requested", 200,
 			header("Try-Id", "x", "Postmark", "p", "Content-Encoding", "gzip"), 0, balance.Reset, false, false},
 		{"the server's failure", 500, header("Try-Id", "x"), 0, balance.Failed, false, true},
-		{"a failure of nobody's", 502, header(), 0, balance.Reset, false, false},
+		{"a failure without request ID", 502, header(), 0, balance.Reset, false, false},
 		{"the server is full", 503, header("Try-Id", "x", "Not-Delivered", "1"), 0, balance.Rejected, false, false},
 		{"another server has the address", 421, header("Try-Id", "x", "Served-By", "i-2"), 0, balance.Rejected, false, false},
-		{"another server has the address, and names no request", 421, header("Served-By", "i-2"), 0, balance.Reset, false, false},
-		{"turned away, which names no request", 503, header("Not-Delivered", "1"), 0, balance.Reset, false, false},
-		{"a server that claims our fate", 500, header("Try-Id", "x", "Firplank-Fate", "unmet"), 0, balance.Failed, false, true},
-		{"nobody listens", 0, nil, balance.ConnectFailed, balance.Rejected, true, false},
+		{"another server has the address, without request ID", 421, header("Served-By", "i-2"), 0, balance.Reset, false, false},
+		{"a rejection without request ID", 503, header("Not-Delivered", "1"), 0, balance.Reset, false, false},
+		{"a server that sets a sidecar header", 500, header("Try-Id", "x", "Firplank-Fate", "unmet"), 0, balance.Failed, false, true},
+		{"connection refused", 0, nil, balance.ConnectFailed, balance.Rejected, true, false},
 		{"never sent", 0, nil, balance.NotSent, balance.Rejected, true, false},
-		{"broken off", 0, nil, balance.Reset, balance.Reset, false, false},
-		{"out of time", 0, nil, balance.TimedOut, balance.TimedOut, false, false},
-		{"given up", 0, nil, balance.Cancelled, balance.Reset, false, false},
+		{"connection reset", 0, nil, balance.Reset, balance.Reset, false, false},
+		{"deadline exceeded", 0, nil, balance.TimedOut, balance.TimedOut, false, false},
+		{"cancelled", 0, nil, balance.Cancelled, balance.Reset, false, false},
 	} {
 		a := core.NewAttempt(core.NewEndpoint("i-1", "h:1"), &core.Message{Trace: "x"}, time.Now(), func(core.Result) {})
 		r := core.Result{Outcome: c.noAnswerOutcome}
@@ -69,13 +70,13 @@
 		lastHopResponse := lastHopAnswer(r)
 		got := newSidecarDialect().Judge(a, lastHopResponse.Status, http.Header(lastHopResponse.Meta), lastHopResponse.Body)
 		if got.Outcome != c.want || got.NotDelivered != c.notDelivered {
-			t.Errorf("%s: %v, unmet %v; want %v, %v", c.name, got.Outcome, got.NotDelivered, c.want, c.notDelivered)
+			t.Errorf("%s: %v, not delivered %v; want %v, %v", c.name, got.Outcome, got.NotDelivered, c.want, c.notDelivered)
 		}
 		if serverAnswer := got.Answer != nil && got.Answer.Status == c.status; serverAnswer != c.serverAnswer {
 			t.Errorf("%s: answered %+v", c.name, got.Answer)
 		}
 		if got.Answer != nil && got.Answer.Meta["Firplank-Fate"] != nil {
-			t.Errorf("%s: what sidecars tell one another goes further", c.name)
+			t.Errorf("%s: a header between sidecars is passed on to the client", c.name)
 		}
 	}
 }
@@ -92,16 +93,17 @@
 	return parsed
 }
 
-// A sender that does not know of a change is turned away by the last hop that does; one that knows more is not.
+// A last hop rejects a request that was routed by an older configuration and would go elsewhere by the present one. It accepts one that was
+// routed by a newer configuration.
 func TestLastHopRejectsOutdatedRouting(t *testing.T) {
 	service := "one"
 	for _, c := range []struct {
 		name, senderVersion, path, routedTo string
 		want                                bool
 	}{
-		{"the same edition", "5", "/a/1", "two", false}, {"an older one, still allowed", "4", "/a/1", "one", false},
-		{"an older one, led elsewhere since", "4", "/a/1", "two", true}, {"an older one, the route is gone", "4", "/b/1", "one", true},
-		{"a newer one", "6", "/b/1", "two", false}, {"none is told", "", "/a/1", "two", false},
+		{"the same version", "5", "/a/1", "two", false}, {"an older one with the same route", "4", "/a/1", "one", false},
+		{"an older one, now routed elsewhere", "4", "/a/1", "two", true}, {"an older one, now without a route", "4", "/b/1", "one", true},
+		{"a newer one", "6", "/b/1", "two", false}, {"without a version", "", "/a/1", "two", false},
 	} {
 		p := &Proxy{}
 		p.serviceName.Store(&service)
@@ -113,19 +115,20 @@
 	}
 }
 
-// A surplus answer that comes in the place of the next one is known by its id, and the answer behind it is taken.
+// A surplus response on a connection must not be taken for that of the next request: it is recognized by its ID, and the response after it
+// is used.
 func TestSurplusResponseIsSkipped(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = ln.Close() }() // it has nothing to lose
+	defer func() { _ = ln.Close() }() // an error loses nothing
 	go func() {
 		c, err := ln.Accept()
 		if err != nil {
 			return
 		}
-		defer func() { _ = c.Close() }() // all was read by then
+		defer func() { _ = c.Close() }() // the response was read by then
 		r, err := http.ReadRequest(bufio.NewReader(c))
 		if err != nil || r.Header.Get("Deliver-To") != "i-1" || r.Header.Get("Deadline-Ms") == "" {
 			return
@@ -136,7 +139,7 @@
 				return
 			}
 		}
-		_, _ = bufio.NewReader(c).ReadByte() // until the other side closes
+		_, _ = bufio.NewReader(c).ReadByte() // until the other end closes
 	}()
 	pool, err := httpback.NewPoll(t.Context(), httpback.Config{
 		ConnectTimeout: time.Second,
@@ -168,7 +171,7 @@
 		{"HTTP/1.1 200 OK\r\nServed-By: i-9\r\nContent-Length: 0\r\n\r\n", "i-9"},
 		{"HTTP/1.1 503 Service Unavailable\r\nServed-By: i-9\r\nContent-Length: 0\r\n\r\n", ""},
 		{"HTTP/1.1 200 OK\r\nServed-By: " + strings.Repeat("i", 300) + "\r\nContent-Length: 0\r\n\r\n", ""},
-		{"nothing of the kind", ""},
+		{"not HTTP", ""},
 	} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -185,18 +188,19 @@
 		if got := requestServerID(t.Context(), client, "http://"+ln.Addr().String()+"/health"); got != c.want {
 			t.Errorf("%.30q: %q", c.answer, got)
 		}
-		_ = ln.Close() // it has nothing to lose
+		_ = ln.Close() // an error loses nothing
 	}
 }
 
-// A sidecar that ends in order says so of itself, not of its server: what comes after it finds that as open as it was.
+// A sidecar that shuts down announces that it drains, not that its server closes. The next sidecar process must find the server in the same
+// state as before.
 func TestSidecarShutdownDoesNotCloseServer(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		closing   bool
 		announced directory.State
 		verdict   admission.Verdict
-	}{{"its server goes on", false, directory.Draining, admission.Admit}, {"its server closes", true, directory.Closing, admission.Closing}} {
+	}{{"the server stays", false, directory.Draining, admission.Admit}, {"the server closes", true, directory.Closing, admission.Closing}} {
 		service := "records"
 		newIncarnationProxy := func(incarnation uint64) *Proxy {
 			heartbeats := timing.Server{HeartbeatTimeout: time.Second, RestoredTimeout: time.Second}
@@ -215,7 +219,7 @@
 		first.node.Announce(0)
 		e, _ := first.node.State().Directory.Get("b1")
 		if e.State != c.announced {
-			t.Errorf("%s: told as %v", c.name, e.State)
+			t.Errorf("%s: announced as %v", c.name, e.State)
 		}
 		second := newIncarnationProxy(2)
 		parent := &transport.Conn{}
@@ -223,7 +227,7 @@
 		update := &wire.FrameT{Kind: wire.Update, AgeMs: 1, Entries: []*wire.EntryT{codec.EntryToWire(&e, 0)}}
 		second.node.Handle(0, distribution.FrameReceived{Conn: parent, Frame: update})
 		if v := second.lastHop.gate.Admission.Admit("i1", 0, 0); v != c.verdict {
-			t.Errorf("%s: the next sidecar's admission says %v", c.name, v)
+			t.Errorf("%s: the next sidecar's admission verdict is %v", c.name, v)
 		}
 	}
 }
--- a/mesh/dataplane/queries_test.go
+++ b/mesh/dataplane/queries_test.go
@@ -15,7 +15,7 @@
 	"firplank/mesh/dataplane/inflight"
 )
 
-// newSidecarDialect returns the dialect of a sidecar whose service is called one.
+// newSidecarDialect returns the dialect of a sidecar whose service is "one".
 func newSidecarDialect() sidecarDialect {
 	service := &atomic.Pointer[string]{}
 	name := "one"
@@ -23,7 +23,8 @@
 	return sidecarDialect{inFlight: inflight.New[*core.Attempt]("me.1"), service: service, recordReachable: func(string) {}}
 }
 
-// A query's response counts as evidence about its attempt only where the last hop has understood it as a query.
+// A response counts as evidence about the queried attempt only if the last hop handled the request as a query: a rejection of the query
+// itself says nothing about the attempt.
 func TestRejectedQueryIsNoEvidence(t *testing.T) {
 	for _, c := range []struct {
 		outcome      attempts.Outcome
@@ -42,12 +43,12 @@
 		dialect.inFlight.BeginQuery(a, query)
 		got := dialect.Judge(a, c.status, header("Firplank-Fate", string(c.outcome), "Try-Id", "x"), nil)
 		if got.Outcome != c.want || got.NotDelivered != c.notDelivered || query.Answered() != c.answered {
-			t.Errorf("%q: %v, unmet %v, answered %v", c.outcome, got.Outcome, got.NotDelivered, query.Answered())
+			t.Errorf("%q: %v, not delivered %v, answered %v", c.outcome, got.Outcome, got.NotDelivered, query.Answered())
 		}
 	}
 }
 
-// queriedPool is a pool of connections to a last hop that answers queries in turn; a query without an answer breaks.
+// queriedPool is a pool of connections to a last hop that answers queries with the given outcomes.
 type queriedPool struct {
 	stubPool
 	dialect   sidecarDialect
@@ -66,8 +67,8 @@
 	a.End(p.dialect.Judge(a, 503, header("Firplank-Fate", string(p.outcomes[queryIndex]), "Try-Id", "x"), nil))
 }
 
-// An attempt whose connection broke ends by what its last hop answers, or as unknown after all queries, 150 ms apart,
-// while its request has time.
+// An attempt whose connection broke ends with the outcome that its last hop returns, or as unknown after all queries,
+// which are 150 ms apart and end with the request's deadline.
 func TestBrokenAttemptsEndWithQueriedOutcome(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -77,13 +78,13 @@
 		notDelivered bool
 		queries      int
 	}{
-		{"it proves at once that nothing began", time.Second, []attempts.Outcome{attempts.Barred}, balance.Rejected, true, 1},
+		{"the last hop proves that it did not start", time.Second, []attempts.Outcome{attempts.Barred}, balance.Rejected, true, 1},
 		{"the first query breaks", time.Second, []attempts.Outcome{"", attempts.Barred}, balance.Rejected, true, 2},
 		{"the first query is rejected", time.Second, []attempts.Outcome{attempts.NotReceived, attempts.Rejected}, balance.Rejected, false, 2},
-		{"it does not know", time.Second, []attempts.Outcome{attempts.Indeterminate, attempts.Barred}, balance.Reset, false, 1},
+		{"the last hop does not know", time.Second, []attempts.Outcome{attempts.Indeterminate, attempts.Barred}, balance.Reset, false, 1},
 		{"no query is answered", time.Second, nil, balance.Reset, false, 3},
-		{"the time is over after one", 160 * time.Millisecond, nil, balance.Reset, false, 1},
-		{"there is no time", 10 * time.Millisecond, []attempts.Outcome{attempts.Barred}, balance.Reset, false, 0},
+		{"the deadline passes after one query", 160 * time.Millisecond, nil, balance.Reset, false, 1},
+		{"too little time for a query", 10 * time.Millisecond, []attempts.Outcome{attempts.Barred}, balance.Reset, false, 0},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			dialect := newSidecarDialect()
@@ -95,10 +96,10 @@
 				func(r core.Result) { ended <- r })
 			dialect.Fields(nil, a, c.remaining)
 			if !q.attemptEnded(a, core.Result{Outcome: balance.Reset}) {
-				t.Fatalf("%s: nothing is asked", c.name)
+				t.Fatalf("%s: no query is sent", c.name)
 			}
 			if r := <-ended; r.Outcome != c.want || r.NotDelivered != c.notDelivered || len(pool.queriedAt) != c.queries {
-				t.Errorf("%s: %v, unmet %v, after %d queries", c.name, r.Outcome, r.NotDelivered, len(pool.queriedAt))
+				t.Errorf("%s: %v, not delivered %v, after %d queries", c.name, r.Outcome, r.NotDelivered, len(pool.queriedAt))
 			}
 			for i := 1; i < len(pool.queriedAt); i++ {
 				if pause := pool.queriedAt[i].Sub(pool.queriedAt[i-1]); pause != inflight.QueryInterval {
@@ -110,7 +111,7 @@
 	}
 }
 
-// What ends otherwise than by a broken connection, and what may run again, is not asked about.
+// Attempts that end otherwise than by a broken connection, and those of idempotent requests, are not queried.
 func TestOnlyUnsafeResetAttemptsAreQueried(t *testing.T) {
 	dialect := newSidecarDialect()
 	q := newOutcomeQueries(t.Context(), kitlog.NewNopLogger(), dialect.inFlight)
@@ -121,12 +122,12 @@
 		a := core.NewAttempt(core.NewEndpoint("i1", "h:1"), &core.Message{Trace: "x", Safe: c.safe}, time.Now(), func(core.Result) {})
 		dialect.Fields(nil, a, time.Second)
 		if q.attemptEnded(a, core.Result{Outcome: c.outcome}) {
-			t.Errorf("asked about %+v", c)
+			t.Errorf("queried %+v", c)
 		}
 	}
 }
 
-// As the process ends, attempts that are asked about end as unknown, and no goroutine is left.
+// When the context ends, queried attempts end as unknown, and no goroutine is left.
 func TestQueriesEndWithContext(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	dialect := newSidecarDialect()
--- a/mesh/dataplane/replay_test.go
+++ b/mesh/dataplane/replay_test.go
@@ -36,22 +36,22 @@
 	"firplank/mesh/timing"
 )
 
-// This file replays a recorded day of one sidecar's outgoing requests: its real routing, classes, locality, retry budget, exchange and
-// balancer, in the virtual time of synctest, against upstreams that fail by a seed. What went in and what was decided, in lines of text,
-// must be what commit 5126712 made of the same seed. Only setUp knows how the parts are put together; it may follow them, the rest and the
-// recording may not change with a renaming.
+// This file guards against unintended changes of the decisions on outgoing requests. It runs the routing, classes, locality, retry budget,
+// exchange and balancer of one sidecar in the virtual time of synctest, with upstreams that fail pseudo-randomly by a seed. The trace of
+// inputs and decisions has to equal the one that commit 5126712 recorded with the same seed. Only newSidecarUnderTest depends on how the
+// parts are put together and may follow their changes; a renaming must not change the trace or the recording.
 
-// sidecarUnderTest is what the replay needs of the outgoing side.
+// sidecarUnderTest has the operations of the outgoing side that the replay uses.
 type sidecarUnderTest struct {
-	// route fills a call as the front towards clients does; an answer means that it goes no further.
+	// route fills a call as the front for clients does. An answer means that the call was rejected.
 	route func(*core.Call, *httpfront.Request) *core.Answer
-	// follow brings a directory to all services.
+	// setEndpoints updates all services to a directory.
 	setEndpoints func([]directory.Entry, time.Duration)
-	// end has all that is open answered by a time.
+	// shutDown makes the exchanges answer all open requests by a deadline.
 	shutDown func(deadline time.Time)
 }
 
-// setUp makes the outgoing side of a sidecar in zone "za", with the services of a configuration, over the given pool.
+// newSidecarUnderTest returns the outgoing side of a sidecar in zone "za", with the services of a configuration, over the given pool.
 func newSidecarUnderTest(ctx context.Context, t *testing.T, cfg *config.Config, entries []directory.Entry, pool upstream) sidecarUnderTest {
 	p := &Proxy{
 		start: time.Now(), ctx: ctx, slog: slog.New(slog.DiscardHandler), inFlight: inflight.New[*core.Attempt]("node-1.1"),
@@ -106,31 +106,31 @@
 "dispatch":{"split":[{"line":"one","share":0.7},{"line":"two","share":0.3}],"deadlineS":1.5,"attempts":2}}]}],
 "fleets":[{"name":"one"},{"name":"two"}]}`
 
-// replayedMachine is a server of the replay with what fails there.
+// replayedServer is a simulated server with its faults. The rates are fractions of all requests.
 type replayedServer struct {
 	entry                                                     directory.Entry
 	latencyFactor, errorRate, resetRate, rejectRate, hangRate float64
 	unreachable                                               bool
 }
 
-// openAttempt is an attempt that the upstream has not ended.
+// openAttempt is an attempt in flight, with the time and the result of its end.
 type openAttempt struct {
 	attempt *core.Attempt
 	endsAt  time.Duration
 	result  core.Result
 }
 
-// replayedDay is the world, and the upstream and the client of every call in it.
+// replayDriver simulates the servers, and is the upstream and the client of every call.
 type replayDriver struct {
 	t       *testing.T
 	start   time.Time
-	rnd     *rand.Rand // of the driver alone
+	rnd     *rand.Rand // used only by the driver
 	servers []*replayedServer
 
 	mu         sync.Mutex
 	lines      []traceLine
 	open       []openAttempt
-	unanswered []*core.Call // without an answer
+	unanswered []*core.Call // without an answer so far
 }
 
 type traceLine struct {
@@ -140,19 +140,19 @@
 
 func (d *replayDriver) now() time.Duration { return time.Since(d.start) }
 
-// note takes down a line; the caller holds mu.
+// record adds a line to the trace. The caller holds mu.
 func (d *replayDriver) record(format string, args ...any) {
 	d.lines = append(d.lines, traceLine{d.now(), fmt.Sprintf(format, args...)})
 }
 
-// chance is a number from 0 to below 1 that hangs on the seed and on what it is drawn for alone.
+// seededFraction returns a number in [0, 1) that depends only on purpose.
 func seededFraction(purpose string) float64 {
 	h := fnv.New64a()
-	_, _ = io.WriteString(h, "replay "+purpose) // a hash takes all
+	_, _ = io.WriteString(h, "replay "+purpose) // never fails
 	return float64(h.Sum64()>>11) / (1 << 53)
 }
 
-// Begin implements core.Backend: it plans the attempt's end.
+// Begin implements core.Backend: it decides when and how the attempt will end.
 func (d *replayDriver) Begin(a *core.Attempt) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -209,7 +209,7 @@
 func (d *replayDriver) Run(context.Context) {}
 func (d *replayDriver) Close()              {}
 
-// Answer implements core.Client. What an answer says to people is none of its decisions.
+// Answer implements core.Client. The trace leaves out the text of an answer, which is no decision.
 func (d *replayDriver) Answer(c *core.Call, a *core.Answer) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -217,7 +217,7 @@
 	d.unanswered = slices.DeleteFunc(d.unanswered, func(o *core.Call) bool { return o == c })
 }
 
-// endDue ends the attempts that are due, in the order of their names.
+// endDueAttempts ends the attempts that are due, in the order of their names.
 func (d *replayDriver) endDueAttempts() {
 	d.mu.Lock()
 	var due []openAttempt
@@ -240,7 +240,7 @@
 	}
 }
 
-// arrive hands in a request.
+// submitRequest submits a random request.
 func (d *replayDriver) submitRequest(s sidecarUnderTest, number int) {
 	path := []string{"/quick/x", "/quick/y", "/slow/x", "/order/x", "/file/x"}[d.rnd.Intn(5)]
 	r := &httpfront.Request{Method: http.MethodGet, Target: path, Path: path, Host: "h", Header: http.Header{}}
@@ -262,7 +262,7 @@
 	synctest.Wait()
 }
 
-// leave has a client go.
+// disconnectClient disconnects a random client.
 func (d *replayDriver) disconnectClient() {
 	d.mu.Lock()
 	if len(d.unanswered) == 0 {
@@ -277,7 +277,7 @@
 	synctest.Wait()
 }
 
-// change changes a machine, and mostly has the directory say so.
+// changeServer changes a random server's faults or its directory entry, and sets the endpoints again.
 func (d *replayDriver) changeServer(s sidecarUnderTest) {
 	d.mu.Lock()
 	m := d.servers[d.rnd.Intn(len(d.servers))]
@@ -312,7 +312,7 @@
 	synctest.Wait()
 }
 
-// newDay returns a day with 14 machines of two services in three zones, whose servers turn a part of all requests away.
+// newReplay returns a replay with 14 servers of two services in three zones, which reject a fraction of all requests.
 func newReplay(t *testing.T, seed int64, rejectRate float64) (d *replayDriver, entries []directory.Entry) {
 	d = &replayDriver{t: t, start: time.Now(), rnd: rand.New(rand.NewSource(seed))}
 	for i := range 14 {
@@ -333,7 +333,7 @@
 	return d, entries
 }
 
-// play lets 6,000 steps of about a millisecond pass, in which a request comes about every mean steps; the last 1,000 are the sidecar's end.
+// run runs 6,000 steps of about a millisecond, with a request about every meanSteps steps. The sidecar shuts down in the last 1,000 steps.
 func (d *replayDriver) run(s sidecarUnderTest, meanSteps int) {
 	for number := range 6000 {
 		// No whole milliseconds, so that the driver never runs at the instant of one of the exchange's timers.
@@ -362,7 +362,7 @@
 	}
 }
 
-// text returns what went in and what was decided: what happens at one instant in the order of the text.
+// text returns the trace of inputs and decisions. Lines of the same instant are sorted by their text.
 func (d *replayDriver) text() []byte {
 	slices.SortStableFunc(d.lines, func(a, b traceLine) int {
 		return cmp.Or(cmp.Compare(a.at, b.at), strings.Compare(a.text, b.text))
@@ -374,7 +374,7 @@
 	return text.Bytes()
 }
 
-// playDay plays a day and returns its text.
+// runReplay runs a replay and returns its trace.
 func runReplay(t *testing.T, seed int64, meanSteps int, rejectRate float64) (text []byte) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
--- a/mesh/dataplane/rollouts_test.go
+++ b/mesh/dataplane/rollouts_test.go
@@ -12,7 +12,8 @@
 	"firplank/mesh/timing"
 )
 
-// What a sidecar sends to servers of each version, also when it has heard nothing for long or there is no other version.
+// Each version's servers get the requests that the rollout's stage permits. With state too old to rule out that the canary has ended, a
+// sidecar must not keep to one version, whose servers may have stopped.
 func TestEligibilityByRolloutStage(t *testing.T) {
 	bounds := bootstrap.DefaultBounds()
 	r := newRolloutTracker(timing.Default().Rollouts, &bounds)
@@ -29,25 +30,25 @@
 	}
 	if r.hasEligibleServer([]directory.Entry{server("v2", directory.Accepting), server("v1", directory.Closing)}, &canary) ||
 		!r.hasEligibleServer([]directory.Entry{server("v2", directory.Accepting), server("v1", directory.Accepting)}, &canary) {
-		t.Error("whether there is another version")
+		t.Error("whether a server of another version accepts requests")
 	}
 	if r.markRetired(time.Second+r.durations.RetirementPeriod) || r.eligibility(&delivered, "v1") != rollout.NotEligible {
-		t.Error("the old version is used before it has retired")
+		t.Error("the old version is used before it is marked retired")
 	}
 	if !r.markRetired(2*time.Second+r.durations.RetirementPeriod) || r.eligibility(&delivered, "v1") != rollout.Eligible {
-		t.Error("servers that come long after a delivery get nothing")
+		t.Error("servers of the old version that start long after a delivery get no requests")
 	}
 	if r.stale = true; r.eligibility(&canary, "v2") != rollout.Eligible || r.eligibility(&canary, "v1") != rollout.Eligible {
 		t.Error("a sidecar that may have missed the end of a canary keeps to one version")
 	}
 }
 
-// The last hop counts what says something of the version, and begins anew with another rollout.
+// Only results and latencies that are evidence about the version may be counted; without a rollout nothing is.
 func TestRolloutCountsOnlyVersionEvidence(t *testing.T) {
 	var counts rolloutCounts
 	counts.record(1, core.Result{Outcome: balance.Failed}, time.Second, false)
 	if len(counts.classes) != 0 {
-		t.Error("it counts without a rollout")
+		t.Error("requests are counted without a rollout")
 	}
 	counts.order = 4
 	for outcome, warmingUp := range map[balance.Result]bool{
--- a/mesh/dataplane/routepath_test.go
+++ b/mesh/dataplane/routepath_test.go
@@ -9,6 +9,7 @@
 	"firplank/mesh/config"
 )
 
+// An encoded slash in the path must not select the route of another prefix, by which a request that is not idempotent might run twice.
 func TestEncodedSlashDoesNotChangeRoute(t *testing.T) {
 	route := func(name, kind, prefix string) string {
 		return fmt.Sprintf(`{"name":%q,"routeKind":%q,"targetS":1,"precedence":1,"sorting":{"lanePrefix":%q},
@@ -40,7 +41,7 @@
 			t.Fatalf("%s: %v, %v", request.target, answer, err)
 		}
 		if call.Message.Safe != request.safe {
-			t.Errorf("%s may run twice: %v", request.target, call.Message.Safe)
+			t.Errorf("%s is idempotent: %v", request.target, call.Message.Safe)
 		}
 		if route := c.Match("h", routePath(r)); route == nil || route.Idempotent() != request.safe {
 			t.Errorf("%s is routed to %+v", request.target, route)
--- a/mesh/dataplane/sidecar_headers_test.go
+++ b/mesh/dataplane/sidecar_headers_test.go
@@ -30,12 +30,13 @@
 	"firplank/mesh/timing"
 )
 
-// This file holds what sidecars write and read of one another against what commit 5126712 wrote and read: requests,
-// queries and responses of every kind, on sockets. Header lines are compared byte for byte; those that pass through
-// come in the order of a map and are sorted first. Only the functions above the line of dashes know how the parts are
-// put together; they may follow them, the rest and the recording may not change with a renaming.
+// This file guards against changes of the protocol between sidecars, which would break upgrades. It compares requests,
+// queries and responses of every kind, as written to and read from sockets, with a recording of commit 5126712. Header
+// lines are compared byte for byte; forwarded ones are sorted first, as their order is that of a map. Only the
+// functions above the line of dashes depend on how the parts are put together and may follow their changes; a
+// renaming must not change the transcript or the recording.
 
-// sendingHop is a sidecar as a sender.
+// sendingHop is the sending side of a sidecar.
 type sendingHop struct {
 	dialect  httpback.Dialect
 	announce func(addr string, incarnation uint64)
@@ -59,7 +60,7 @@
 
 func newServerDialect() httpback.Dialect { return serverDialect{} }
 
-// receivingHop is a sidecar as a last hop.
+// receivingHop is the last hop of a sidecar.
 type receivingHop struct {
 	addr   string
 	server *wireServer
@@ -119,7 +120,6 @@
 	return &receivingHop{addr: ln.Addr().String(), server: server, close: func() { _ = ln.Close(); _ = f.End(0); stop() }}
 }
 
-// What sidecars write to one another and to their servers, and what they read of it, is what commit 5126712 wrote and read.
 func TestSidecarHeadersMatchRecording(t *testing.T) {
 	want, err := os.ReadFile("testdata/sidecar-headers-5126712.txt")
 	if err != nil {
@@ -140,7 +140,7 @@
 
 // ------------------------------------------------------------
 
-// wireServer is a server whose attempts end as a scenario says.
+// wireServer is a pool of connections to a server, whose attempts the test ends.
 type wireServer struct {
 	begun chan *core.Attempt
 }
@@ -152,8 +152,8 @@
 func (s *wireServer) Run(context.Context)                     {}
 func (s *wireServer) Close()                                  {}
 
-// canonical is a message as written, but with the lines of its head sorted, as headers that pass through come in the
-// order of a map, and with what tells the time replaced. The body follows.
+// canonicalMessage returns a message with its header lines sorted, as the order of forwarded ones is that of a map, and
+// with times replaced.
 func canonicalMessage(raw []byte) string {
 	head, body, _ := strings.Cut(string(raw), "\r\n\r\n")
 	lines := strings.Split(head, "\r\n")
@@ -166,7 +166,7 @@
 	return strings.Join(lines, "\n") + "\n\n" + body
 }
 
-// wireScript collects what the tests compare.
+// wireTranscript collects the text that is compared with the recording.
 type wireTranscript struct {
 	t    *testing.T
 	text strings.Builder
@@ -176,7 +176,7 @@
 	fmt.Fprintf(&w.text, "== %s\n%s\n", title, strings.TrimRight(fmt.Sprintf(format, args...), "\n"))
 }
 
-// wireMessage is a request as clients send it, which also claims what only sidecars say.
+// clientMessage returns a client's request that also has forged values of the headers that only sidecars set.
 func clientMessage(safe bool) *core.Message {
 	return &core.Message{
 		Trace: "x", Verb: map[bool]string{true: "GET", false: "POST"}[safe], Target: "/a/1?q=1", Authority: "h", Safe: safe,
@@ -190,7 +190,7 @@
 	}
 }
 
-// written is what a pool with a dialect writes for an attempt, on a socket.
+// captureRequest returns what a pool with a dialect writes to a socket for an attempt.
 func (w *wireTranscript) captureRequest(dialect httpback.Dialect, m *core.Message, prepare func(*core.Attempt)) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -231,7 +231,7 @@
 	return ""
 }
 
-// requests has what sidecars write, to one another and to their servers.
+// addRequests adds what sidecars write to one another and to their servers.
 func (w *wireTranscript) addRequests() {
 	for _, c := range []struct {
 		name string
@@ -263,7 +263,8 @@
 		h.dialect.Fields(nil, core.NewAttempt(endpoint, clientMessage(false), time.Now(), func(core.Result) {}), time.Second))
 }
 
-// exchanged plays one request to a sidecar's incoming address, and returns what comes back. An end of nil leaves the attempt open.
+// exchange sends a request to a sidecar's incoming address and ends its attempt with a result; nil leaves the attempt open. The returned
+// function waits for the response and adds it.
 func (w *wireTranscript) exchange(title string, r *receivingHop, request string, result *core.Result) (wait func()) {
 	c, err := net.Dial("tcp", r.addr)
 	if err != nil {
@@ -300,7 +301,7 @@
 	}
 }
 
-// judged is what a sender makes of a response, to an attempt and to a query.
+// addJudgements adds how a sender evaluates a response, if it was to an idempotent request, to another attempt and to a query.
 func (w *wireTranscript) addJudgements(title string, response *http.Response, body []byte) {
 	for _, kind := range []string{"idempotent", "attempt", "query"} {
 		h := newSendingHop()
@@ -341,7 +342,7 @@
 	return &core.Answer{Kind: core.Served, Status: status, Meta: h, Body: []byte("body")}
 }
 
-// responses has what the last hop writes, and what a sender makes of it.
+// addResponses adds what the last hop writes, and how a sender evaluates it.
 func (w *wireTranscript) addResponses() {
 	ok := &core.Result{Outcome: balance.OK, Answer: serverAnswer(200, "Try-Id", "x", "Postmark", "p", "Served-By", "i1")}
 	for _, c := range []struct {
@@ -391,7 +392,7 @@
 	w.addAttemptsAndQueries(ok)
 }
 
-// attemptsAndQueries has attempts that come more than once, and queries about them.
+// addAttemptsAndQueries adds the responses to attempts that arrive more than once, and to queries about them.
 func (w *wireTranscript) addAttemptsAndQueries(ok *core.Result) {
 	r := newReceivingHop(w.t, "open")
 	defer r.close()
@@ -415,7 +416,7 @@
 	w.exchange("the attempt after the query", r, wireRequest("Firplank-Send: branch-b.1.fe.4.7\n"), nil)()
 }
 
-// wireText is all that sidecars of this code write and read.
+// wireText returns the transcript of the present code.
 func wireText(t *testing.T) string {
 	w := &wireTranscript{t: t}
 	w.addRequests()
