--- a/mesh/dataplane/lasthop_test.go
+++ b/mesh/dataplane/lasthop_test.go
@@ -21,11 +21,11 @@
 type stubPool struct{ begun []*core.Attempt }
 
 func (p *stubPool) Begin(a *core.Attempt)                   { p.begun = append(p.begun, a) }
-func (h *stubPool) Cancel(*core.Attempt)                    {}
-func (h *stubPool) Probe(*core.Endpoint, func(core.Result)) {}
-func (h *stubPool) CloseIdle(*core.Endpoint)                {}
-func (h *stubPool) Run(context.Context)                     {}
-func (h *stubPool) Close()                                  {}
+func (p *stubPool) Cancel(*core.Attempt)                    {}
+func (p *stubPool) Probe(*core.Endpoint, func(core.Result)) {}
+func (p *stubPool) CloseIdle(*core.Endpoint)                {}
+func (p *stubPool) Run(context.Context)                     {}
+func (p *stubPool) Close()                                  {}
 
 // recordingClient is a client of the last hop, that is another sidecar, and records the answer.
 type recordingClient struct{ answer *core.Answer }
--- a/mesh/dataplane/loop.go
+++ b/mesh/dataplane/loop.go
@@ -121,7 +121,7 @@
 	p.node.Adopt()
 	p.adoptRollouts(now)
 	p.reconcileExchanges(now)
-	wakeAt = min(p.node.Publish(now), p.reportRolloutEvidence(now))
+	wakeAt = min(p.node.Publish(now), p.sendDueRolloutReport(now))
 	p.links.Perform()
 	return wakeAt
 }
--- a/mesh/dataplane/rollouts.go
+++ b/mesh/dataplane/rollouts.go
@@ -176,7 +176,8 @@
 func (r *rolloutTracker) markRetired(now time.Duration) (changed bool) {
 	for service, progress := range r.progress {
 		current, ok := r.set.Find(service)
-		if ok && current.Stage == rollout.Delivered && !progress.oldVersionRetired && now-progress.stageReceivedAt > r.durations.RetirementPeriod {
+		if ok && current.Stage == rollout.Delivered && !progress.oldVersionRetired &&
+			now-progress.stageReceivedAt > r.durations.RetirementPeriod {
 			progress.oldVersionRetired, changed = true, true
 		}
 	}
@@ -220,7 +221,7 @@
 		return
 	}
 	r.confirmedRevision = check.revision
-	p.sendRolloutEvidence(now)
+	p.sendRolloutReport(now)
 }
 
 // streamsBlockDelivery reports whether responses that are still being received from draining servers delay a delivery. They do so after a
@@ -244,26 +245,26 @@
 	return ok && r.Stage == rollout.Promoting && r.Eligibility(e.Version, false) == rollout.NotEligible
 }
 
-// reportRolloutEvidence sends the statistics of the last hop when a report is due, and returns the time of the next call at the latest.
-func (p *Proxy) reportRolloutEvidence(now time.Duration) (nextCall time.Duration) {
+// sendDueRolloutReport sends the statistics of the last hop when a report is due, and returns the time of the next call at the latest.
+func (p *Proxy) sendDueRolloutReport(now time.Duration) (nextCall time.Duration) {
 	r := &p.rollouts
 	if !r.lastHopCounts {
 		return now + r.durations.LostSidecarWait
 	}
 	if now >= r.nextReport {
-		p.sendRolloutEvidence(now)
+		p.sendRolloutReport(now)
 	}
 	return r.nextReport
 }
 
-func (p *Proxy) sendRolloutEvidence(now time.Duration) {
+func (p *Proxy) sendRolloutReport(now time.Duration) {
 	p.rollouts.nextReport = now + p.rollouts.durations.ReportInterval
 	order, classes := p.lastHop.rolloutStatistics()
-	evidence := directory.RolloutReport{ConfirmedRevision: p.rollouts.confirmedRevision, Order: order, Classes: classes}
+	report := directory.RolloutReport{ConfirmedRevision: p.rollouts.confirmedRevision, Order: order, Classes: classes}
 	if progress := p.rollouts.progress[*p.serviceName.Load()]; progress != nil && order > 0 {
-		evidence.OrderAge = now - progress.orderReceivedAt
+		report.OrderAge = now - progress.orderReceivedAt
 	}
-	p.node.ReportEvidence(now, evidence)
+	p.node.ReportEvidence(now, report)
 }
 
 // classMultiplier is the odd multiplier of the hash in routeClass.
--- a/mesh/dataplane/service.go
+++ b/mesh/dataplane/service.go
@@ -110,7 +110,7 @@
 	})
 	go s.exchange.Run()                                 // it ends with p.ctx; front.End waits for its requests
 	if schedule := p.shutdown.Load(); schedule != nil { // otherwise shutDown notifies the existing exchanges
-		s.exchange.Shutdown(schedule.failOpenAt)
+		s.exchange.Shutdown(schedule.abortRequestsAt)
 	}
 	return s
 }
--- a/mesh/dataplane/shutdown.go
+++ b/mesh/dataplane/shutdown.go
@@ -16,18 +16,22 @@
 
 // shutdownSchedule has the points in time of a shutdown (see timing.Shutdown).
 type shutdownSchedule struct {
-	rejectLongFrom time.Time // from then on, requests are accepted only if their deadline is before failOpenAt
-	failOpenAt     time.Time // when requests in flight are failed
-	frontsEndAt    time.Time // when the fronts have to have ended
+	checkDeadlinesFrom time.Time // from then on, requests are accepted only if their deadline is before abortRequestsAt
+	abortRequestsAt    time.Time // when requests in flight are failed
+	frontsEndAt        time.Time // when the fronts have to have ended
 }
 
 func newShutdownSchedule(startedAt time.Time, t timing.Shutdown) *shutdownSchedule {
-	return &shutdownSchedule{rejectLongFrom: startedAt.Add(t.CheckDeadlines), failOpenAt: startedAt.Add(t.AbortRequests), frontsEndAt: startedAt.Add(t.FrontsEnded)}
+	return &shutdownSchedule{
+		checkDeadlinesFrom: startedAt.Add(t.CheckDeadlines),
+		abortRequestsAt:    startedAt.Add(t.AbortRequests),
+		frontsEndAt:        startedAt.Add(t.FrontsEnded),
+	}
 }
 
 // accepts reports whether a request that arrives at now with the given time remaining is accepted. s is nil without a shutdown.
 func (s *shutdownSchedule) accepts(now time.Time, remaining time.Duration) bool {
-	return s == nil || now.Before(s.rejectLongFrom) || now.Add(remaining).Before(s.failOpenAt)
+	return s == nil || now.Before(s.checkDeadlinesFrom) || now.Add(remaining).Before(s.abortRequestsAt)
 }
 
 // shutDown drains the sidecar: it lets accepted requests finish within the time that the platform allows, and ends the fronts.
@@ -39,7 +43,7 @@
 	p.shuttingDown.Store(true)
 	p.post(shutdownStarted{})
 	for _, svc := range *p.services.Load() {
-		svc.exchange.Shutdown(schedule.failOpenAt)
+		svc.exchange.Shutdown(schedule.abortRequestsAt)
 	}
 	var frontsEnding sync.WaitGroup
 	errs := make([]error, len(fronts))
