--- a/mesh/dataplane/proxy.go
+++ b/mesh/dataplane/proxy.go
@@ -1,15 +1,15 @@
-// Package dataplane is the library of the data plane's program: the sidecar of each server. It accepts requests of
-// its machine's clients and server, chooses a server for each, and forwards the request to the sidecar of that
-// server, the last hop, which delivers it. The desired state (configuration and directory of sidecars) comes from a
-// parent in the distribution tree; exchanges are reconciled with it.
+// Package dataplane implements the sidecar that runs beside each server. It accepts requests from the clients and the
+// server on its machine, chooses a server for each, and forwards the request to the sidecar of that server, the last
+// hop, which delivers it. The desired state (configuration and directory of sidecars) comes from a parent in the
+// distribution tree; the exchanges are reconciled with it.
 //
-// The request path: outgoing.go (requests of clients), service.go (a service's exchange), sidecardialect.go and
-// headers.go (between two sidecars), incoming.go and lasthop.go (the last hop), queries.go (outcomes of attempts
-// whose connection broke). The control side is owned by one goroutine, in loop.go: the parts that it drives are the
-// packages distribution (with subscription, updates and subscribers), links, exchanges and liveness; host.go is what
-// the program does for its distribution.Node, probes.go the socket of the failure detector. heartbeats.go and
-// identify.go are about the local server, lifecycle.go about start, readiness and shutdown. The exchange itself, the
-// fronts and the upstreams are internal/core, internal/front and internal/upstream. Start reading at Run.
+// The request path: outgoing.go (requests from clients), service.go (the exchange of a service), sidecardialect.go and
+// headers.go (the protocol between two sidecars), incoming.go and lasthop.go (the last hop), queries.go (outcomes of
+// attempts whose connection broke). One goroutine, in loop.go, owns the control side. It drives the packages
+// distribution (with subscription, updates and subscribers), links, exchanges and liveness; host.go has the callbacks
+// of distribution.Node, probes.go the socket of the failure detector. heartbeats.go and identify.go handle the local
+// server; lifecycle.go and shutdown.go handle start, readiness and graceful shutdown. The exchange itself, the fronts
+// and the upstreams are in internal/core, internal/front and internal/upstream. Start reading at Run.
 package dataplane
 
 import (
@@ -47,53 +47,53 @@
 )
 
 const (
-	// hopConnectTimeout bounds the wait for a connection to another sidecar, hopIdleTimeout the time that an unused
-	// one stays open; the front at the other side waits longer (frontIdleTimeout), so that this side closes first.
+	// hopConnectTimeout bounds the wait for a connection to another sidecar. hopIdleTimeout is how long an idle one
+	// stays open; the front at the other end waits longer (frontIdleTimeout), so that this end closes first.
 	hopConnectTimeout = 400 * time.Millisecond
 	hopIdleTimeout    = 20 * time.Second
 	frontIdleTimeout  = 45 * time.Second
-	// hopSilenceTimeout is how long another machine's kernel may leave data unacknowledged: beyond it the machine is
-	// down or partitioned, and idempotent requests are retried elsewhere.
-	hopSilenceTimeout = 2500 * time.Millisecond
-	// serverConnectTimeout and serverIdleTimeout are the same for the local server.
+	// hopUnackedTimeout is how long another machine's kernel may leave data unacknowledged. After it the machine counts
+	// as down or partitioned, and idempotent requests are retried elsewhere.
+	hopUnackedTimeout = 2500 * time.Millisecond
+	// serverConnectTimeout and serverIdleTimeout are hopConnectTimeout and hopIdleTimeout for the local server.
 	serverConnectTimeout = 300 * time.Millisecond
 	serverIdleTimeout    = 5 * time.Second
-	// serverReuseLimit is how long a connection to the server may have been idle to carry a request that is not
-	// idempotent: the server may be closing it.
-	serverReuseLimit = 800 * time.Millisecond
-	// serverSilenceTimeout is hopSilenceTimeout for the local server.
-	serverSilenceTimeout = 2500 * time.Millisecond
-	// serverPoolRest is the pause between two requests on a connection to the server.
-	serverPoolRest = 2 * time.Millisecond
+	// serverNonIdempotentMaxIdle is the longest idle time after which a connection to the server still carries a
+	// non-idempotent request: a server may be closing a connection that was idle for longer.
+	serverNonIdempotentMaxIdle = 800 * time.Millisecond
+	// serverUnackedTimeout is hopUnackedTimeout for the local server.
+	serverUnackedTimeout = 2500 * time.Millisecond
+	// serverReuseDelay is the pause between two requests on a connection to the server.
+	serverReuseDelay = 2 * time.Millisecond
 )
 
-// Proxy is the sidecar of one machine. It puts the parts together; each has its own state and owner.
+// Proxy is the sidecar of one machine. It connects the parts; each part owns its state.
 type Proxy struct {
 	settingsFile bootstrap.File
 	settings     atomic.Pointer[bootstrap.Settings]
-	durations    timing.Durations // as derived from the settings at the start
-	name         string           // of this machine's node
+	durations    timing.Durations // derived from the settings at the start
+	name         string           // of this sidecar's node
 	log          kitlog.Logger
 	slog         *slog.Logger
 	start        time.Time
 	ctx          context.Context
 	events       chan event
 	background   sync.WaitGroup // the goroutines of this sidecar
-	epoll        bool           // fronts and upstreams use epoll
+	epoll        bool           // the fronts and upstreams use epoll
 
 	// Written by the loop, read by any goroutine.
-	cfg         atomic.Pointer[config.Config]       // in force; nil: none yet
+	cfg         atomic.Pointer[config.Config]       // in force; nil until the first one
 	services    atomic.Pointer[map[string]*service] // of cfg, by name
-	serviceName atomic.Pointer[string]              // of the local server; its heartbeats and the settings set it
+	serviceName atomic.Pointer[string]              // of the local server, from its heartbeats or the settings
 	ready       atomic.Bool
 
 	shuttingDown atomic.Bool
-	identifying  atomic.Bool                      // the local server is being identified by its health check
-	shutdown     atomic.Pointer[shutdownSchedule] // nil: it has not begun
+	identifying  atomic.Bool                      // a health check of the local server is under way to identify it
+	shutdown     atomic.Pointer[shutdownSchedule] // nil until the shutdown begins
 
-	figures    *figures
-	invariants invariant.Reporter
-	failures   *rate.Sometimes // bounds what is logged of requests that were not served
+	metrics         *proxyMetrics
+	invariants      invariant.Reporter
+	failureLogLimit *rate.Sometimes // limits the log of requests that were not served
 
 	// The request path. Each part is safe for concurrent use.
 	lastHop     *lastHop
@@ -103,29 +103,29 @@
 
 	// The control side, owned by the loop.
 	node          *distribution.Node
-	links         *links.Links // of node; also the handler of connections that are accepted
+	links         *links.Links // of node; also handles accepted connections
 	exchanges     *exchanges.Set[*service]
-	liveness      *liveness.Monitor // but RecordReachable is for any goroutine
-	probes        *probeSocket      // nil: there is no socket
+	liveness      *liveness.Monitor // except RecordReachable, which any goroutine may call
+	probes        *probeSocket      // nil without a socket
 	streamPings   *streamPings
-	announcements announcements
-	rollouts      rollouts
+	confirmations pendingConfirmations
+	rollouts      rolloutTracker
 }
 
-// incarnationRandomBits is how many bits of an incarnation are random, so that no two processes share one, also where
-// the time of day was set back.
+// incarnationRandomBits is the number of random low bits of an incarnation. They keep two processes from sharing one
+// when the clock was set back.
 const incarnationRandomBits = 16
 
-// newIncarnation returns the incarnation of this process: higher than that of earlier ones unless the time of day was
-// set back.
+// newIncarnation returns an incarnation for this process, which is higher than that of earlier processes unless the
+// clock was set back.
 func newIncarnation() uint64 {
 	return uint64(time.Now().UnixMilli())<<incarnationRandomBits | rand.Uint64N(1<<incarnationRandomBits)
 }
 
-// Run runs a sidecar with the settings file at path until ctx ends, and then shuts it down in order: requests that were
-// accepted are answered first. Each signal on reloads has the settings read again, which are also polled. The error is
-// that of the settings, of a listener, or of a front that failed.
-func Run(ctx context.Context, path string, reloads <-chan os.Signal, log kitlog.Logger, shared *slog.Logger) error {
+// Run runs a sidecar with the settings file at path until ctx ends, and then shuts it down gracefully: accepted requests
+// are answered first. The settings file is polled, and also read again after each signal on reloads. The error is that
+// of the settings, of a listener, or of a front that failed.
+func Run(ctx context.Context, path string, reloads <-chan os.Signal, log kitlog.Logger, slogger *slog.Logger) error {
 	file := bootstrap.File{Path: path}
 	settings, err := file.ReadIfChanged()
 	if err != nil {
@@ -134,55 +134,55 @@
 	if err := checkAddresses(path, settings); err != nil {
 		return err
 	}
-	inner, stop := context.WithCancel(context.Background())
-	p := newProxy(inner, file, settings, log, shared)
+	runCtx, stop := context.WithCancel(context.Background())
+	p := newProxy(runCtx, file, settings, log, slogger)
 	defer p.wait()
 	defer stop()
 	return p.serve(ctx, reloads)
 }
 
-// wait waits for the goroutines, after the context has ended.
+// wait waits for all goroutines to end. The context of p has to be cancelled first.
 func (p *Proxy) wait() {
 	p.queries.wait()
 	p.background.Wait()
 }
 
-// ErrAddressMissing is wrapped by the error of Run for settings that lack an address of the sidecar.
+// ErrAddressMissing is wrapped by the error that Run returns if the settings lack an address of the sidecar.
 var ErrAddressMissing = errors.New("is missing")
 
 func checkAddresses(path string, settings *bootstrap.Settings) error {
 	a := &settings.Addresses
-	for _, needed := range []struct{ name, addr string }{
+	for _, required := range []struct{ name, addr string }{
 		{"outgoing", a.Outgoing},
 		{"incoming", a.Incoming},
 		{"readiness", a.Readiness},
 		{"control", a.Control},
 		{"appAddr", settings.AppAddr},
 	} {
-		if needed.addr == "" {
-			return errors.Wrapf(ErrAddressMissing, "%s: addresses: %s", path, needed.name)
+		if required.addr == "" {
+			return errors.Wrapf(ErrAddressMissing, "%s: addresses: %s", path, required.name)
 		}
 	}
 	return nil
 }
 
 // newProxy returns a sidecar that is not running yet.
-func newProxy(ctx context.Context, file bootstrap.File, settings *bootstrap.Settings, log kitlog.Logger, shared *slog.Logger) *Proxy {
+func newProxy(ctx context.Context, file bootstrap.File, settings *bootstrap.Settings, log kitlog.Logger, slogger *slog.Logger) *Proxy {
 	durations := timing.FromSettings(settings)
 	p := &Proxy{
 		durations:    durations,
 		settingsFile: file,
 		name:         settings.NodeName,
 		log:          log,
-		slog:         shared,
+		slog:         slogger,
 		start:        time.Now(),
 		ctx:          ctx,
 		events:       make(chan event, eventQueueSize),
 		epoll:        poller.Check() == nil,
 	}
-	p.figures = newFigures()
-	p.invariants = p.figures.registry.NewMonitor(log)
-	p.failures = &rate.Sometimes{First: failuresLoggedAtOnce, Interval: failureLogInterval}
+	p.metrics = newProxyMetrics()
+	p.invariants = p.metrics.registry.NewMonitor(log)
+	p.failureLogLimit = &rate.Sometimes{First: failureLogFirst, Interval: failureLogInterval}
 	p.settings.Store(settings)
 	p.serviceName.Store(&settings.Service)
 	p.services.Store(&map[string]*service{})
@@ -192,10 +192,10 @@
 		Link:      admission.NewLink(settings.Resources.LinkMbps),
 		Outcomes:  attempts.New[*core.Call, *core.Answer](own.Incarnation),
 	})
-	p.lastHop.figures, p.lastHop.invariants = p.figures, p.invariants
+	p.lastHop.metrics, p.lastHop.invariants = p.metrics, p.invariants
 	p.lastHop.guard = lasthop.NewGuard(settings.Bounds.DrainTime)
-	p.lastHop.changed = func() { p.post(serverChanged{}) }
-	p.lastHop.doubted = p.beginIdentifyingServer
+	p.lastHop.onServerChange = func() { p.post(serverChanged{}) }
+	p.lastHop.onUnconfirmedServer = p.beginIdentifyingServer
 	if !settings.FirstStart {
 		p.lastHop.gate.Admission.MarkRestarted()
 	}
@@ -205,15 +205,15 @@
 	policy.Seeds = settings.SeedPeerAddrs()
 	p.node = distribution.New(own, policy, &host{p: p}, durations)
 	post := func(e distribution.Event) bool { return p.post(distributionEvent{e}) }
-	p.links = links.New(ctx, p.node, post, p.observe)
+	p.links = links.New(ctx, p.node, post, p.logAction)
 	p.exchanges = exchanges.New(p.newService, p.setEndpoints)
-	p.rollouts = newRollouts(durations.Rollouts, &settings.Bounds)
-	p.streamPings = newStreamPings(ctx, settings.NodeName, func(node string) { p.post(contactMade{node}) })
+	p.rollouts = newRolloutTracker(durations.Rollouts, &settings.Bounds)
+	p.streamPings = newStreamPings(ctx, settings.NodeName, func(node string) { p.post(streamPingAnswered{node}) })
 	p.liveness = liveness.New(settings.NodeName, hashSeed(settings.NodeName)^uint64(p.start.UnixNano()))
 	return p
 }
 
-// ownEntry returns the directory entry that a sidecar starts with.
+// ownEntry returns the initial directory entry of a sidecar.
 func ownEntry(settings *bootstrap.Settings) directory.Entry {
 	return directory.Entry{
 		Node:        settings.NodeName,
--- a/mesh/dataplane/rollouts.go
+++ b/mesh/dataplane/rollouts.go
@@ -15,66 +15,66 @@
 	"firplank/mesh/timing"
 )
 
-// rollouts is how far this sidecar has followed the rollouts that it was notified of. It belongs to the loop.
-type rollouts struct {
+// rolloutTracker has this sidecar's progress in the rollouts that it was notified of. It is owned by the loop.
+type rolloutTracker struct {
 	durations timing.Rollouts
 	bounds    *bootstrap.Bounds
 
-	set      rollout.Set          // by which endpoints are set
-	followed map[string]*followed // by service
-	stale    bool                 // what is known is so old that a rollout may have ended
-	counting bool                 // the last hop counts for a rollout
-	reportAt time.Duration
+	set           rollout.Set                 // according to which endpoints are set
+	progress      map[string]*rolloutProgress // by service
+	stale         bool                        // the state is so old that a rollout may have ended
+	lastHopCounts bool                        // the last hop collects statistics for a rollout
+	nextReport    time.Duration
 
-	confirmed uint32 // the revision by which this sidecar sends, with nothing in flight that it forbids
-	check     *rolloutCheck
+	confirmedRevision uint32 // the latest revision that this sidecar complies with: nothing that it forbids is in flight
+	check             *rolloutCheck
 }
 
-// followed is how far a sidecar has followed the rollout of a service.
-type followed struct {
-	ordered time.Duration // when it learned of the order
-	since   time.Duration // when it learned of the present stage
-	retired bool          // the servers of the old version have had time to stop
+// rolloutProgress is a sidecar's progress in the rollout of a service.
+type rolloutProgress struct {
+	orderReceivedAt   time.Duration // when the order was received
+	stageReceivedAt   time.Duration // when the present stage was received
+	oldVersionRetired bool          // the servers of the old version have had time to stop
 }
 
-func newRollouts(t timing.Rollouts, b *bootstrap.Bounds) rollouts {
-	return rollouts{durations: t, bounds: b, followed: map[string]*followed{}}
+func newRolloutTracker(t timing.Rollouts, b *bootstrap.Bounds) rolloutTracker {
+	return rolloutTracker{durations: t, bounds: b, progress: map[string]*rolloutProgress{}}
 }
 
-// rolloutCheck asks the exchanges of services with a rollout whether they have anything in flight that it forbids.
+// rolloutCheck collects, from the exchanges of all services with a rollout, the work in flight that the rollouts forbid.
 type rolloutCheck struct {
-	revision uint32
-	awaited  int // exchanges that have not replied
-	held     heldWork
+	revision       uint32
+	pendingReplies int // exchanges that have not replied
+	draining       drainingWork
 }
 
-// heldWork is what servers have that get no new requests.
-type heldWork struct {
+// drainingWork is the work in flight at servers that get no new requests.
+type drainingWork struct {
 	requests int
-	streams  int // answers that are still coming
+	streams  int // responses that are still being received
 }
 
-func (w *heldWork) add(o heldWork) {
-	w.requests += o.requests
-	w.streams += o.streams
+func (w *drainingWork) add(other drainingWork) {
+	w.requests += other.requests
+	w.streams += other.streams
 }
 
-// exchangeChecked is the reply of an exchange.
+// exchangeChecked is the reply of an exchange to a rolloutCheck.
 type exchangeChecked struct {
-	check *rolloutCheck
-	held  heldWork
+	check    *rolloutCheck
+	draining drainingWork
 }
 
 // handle implements event.
 func (e exchangeChecked) handle(p *Proxy, now time.Duration) {
-	e.check.awaited--
-	e.check.held.add(e.held)
-	if e.check.awaited == 0 {
-		p.rolloutsChecked(now, e.check)
+	e.check.pendingReplies--
+	e.check.draining.add(e.draining)
+	if e.check.pendingReplies == 0 {
+		p.finishRolloutCheck(now, e.check)
 	}
 }
 
-// setEndpoints brings a service's exchange to a directory and to the service's rollout.
+// setEndpoints updates a service's exchange to the directory and to the service's rollout.
 func (p *Proxy) setEndpoints(s *service, entries []directory.Entry, now time.Duration) {
 	r, known := p.rollouts.set.Find(s.name)
 	if known && r.Stage == rollout.Canary {
@@ -83,43 +83,43 @@
 	} else {
 		s.split.Stop()
 	}
-	anyServes := known && p.rollouts.anyServes(entries, &r)
+	hasEligibleServer := known && p.rollouts.hasEligibleServer(entries, &r)
 	s.setEndpoints(entries, func(version string) rollout.Eligibility {
 		if !known {
 			return rollout.Eligible
 		}
 		eligibility := p.rollouts.eligibility(&r, version)
-		if eligibility == rollout.CanaryOnly && !anyServes {
-			return rollout.Eligible // there is no other version to send to
+		if eligibility == rollout.CanaryOnly && !hasEligibleServer {
+			return rollout.Eligible // no server of another version accepts requests
 		}
 		return eligibility
 	}, now)
 }
 
-// eligibility is what the servers of a version get. A sidecar that has received nothing for so long that a canary may have been delivered
-// or recalled sends to both versions: servers of the old one may have stopped.
-func (r *rollouts) eligibility(of *rollout.Rollout, version string) rollout.Eligibility {
-	f := r.followed[of.Service]
-	eligibility := of.Eligibility(version, f != nil && f.retired)
+// eligibility returns which requests the servers of a version get. A sidecar whose state is so old that a canary may have been delivered or
+// recalled since sends to both versions, as the servers of the old one may have stopped.
+func (r *rolloutTracker) eligibility(current *rollout.Rollout, version string) rollout.Eligibility {
+	progress := r.progress[current.Service]
+	eligibility := current.Eligibility(version, progress != nil && progress.oldVersionRetired)
 	if eligibility == rollout.CanaryOnly && r.stale {
 		return rollout.Eligible
 	}
 	return eligibility
 }
 
-// anyServes reports whether a directory has a server that takes the requests which are not for the new version.
-func (r *rollouts) anyServes(entries []directory.Entry, of *rollout.Rollout) bool {
+// hasEligibleServer reports whether the directory has a server for the requests that are not part of the canary.
+func (r *rolloutTracker) hasEligibleServer(entries []directory.Entry, current *rollout.Rollout) bool {
 	for i := range entries {
 		e := &entries[i]
-		takes := e.Service == of.Service && !e.Lost && e.State == directory.Accepting
-		if takes && r.eligibility(of, e.Version) == rollout.Eligible {
+		accepting := e.Service == current.Service && !e.Lost && e.State == directory.Accepting
+		if accepting && r.eligibility(current, e.Version) == rollout.Eligible {
 			return true
 		}
 	}
 	return false
 }
 
-// adoptRollouts takes over later rollouts than those that the exchanges have. The exchanges are reconciled with them next.
+// adoptRollouts adopts the rollouts of the desired state if their revision is newer. The exchanges are reconciled with them afterwards.
 func (p *Proxy) adoptRollouts(now time.Duration) {
 	next, present := p.node.State().Rollouts, p.rollouts.set
 	if next.Revision <= present.Revision {
@@ -128,61 +128,64 @@
 	p.rollouts.set, p.rollouts.check = next, nil
 	for i := range next.Rollouts {
 		r := &next.Rollouts[i]
-		before, ok := present.Find(r.Service)
-		if ok && before.Order == r.Order && before.Stage == r.Stage {
+		previous, ok := present.Find(r.Service)
+		if ok && previous.Order == r.Order && previous.Stage == r.Stage {
 			continue
 		}
-		next := &followed{ordered: now, since: now}
-		if ok && before.Order == r.Order {
-			next.ordered = p.rollouts.followed[r.Service].ordered
+		progress := &rolloutProgress{orderReceivedAt: now, stageReceivedAt: now}
+		if ok && previous.Order == r.Order {
+			progress.orderReceivedAt = p.rollouts.progress[r.Service].orderReceivedAt
 		}
-		p.rollouts.followed[r.Service] = next
-		_ = level.Info(p.log).Log("msg", "rollout", "service", r.Service, "target", r.Target, "order", r.Order, "stage", r.Stage)
+		p.rollouts.progress[r.Service] = progress
+		_ = level.Info(p.log).Log("msg", "rollout stage received", "service", r.Service, "target", r.Target, "order", r.Order, "stage", r.Stage)
 	}
 	p.exchanges.Invalidate()
-	p.countForRollout()
+	p.updateRolloutCounting()
 }
 
-// countForRollout makes the last hop count for the rollout of the local server's service, if one is under way.
-func (p *Proxy) countForRollout() {
+// updateRolloutCounting lets the last hop collect statistics for the rollout of the local server's service, while one is active.
+func (p *Proxy) updateRolloutCounting() {
 	r, ok := p.rollouts.set.Find(*p.serviceName.Load())
 	if !ok || !r.Stage.Active() {
 		r.Order = 0
 	}
-	p.rollouts.counting = r.Order > 0
-	p.lastHop.setTrial(r.Order)
+	p.rollouts.lastHopCounts = r.Order > 0
+	p.lastHop.countForRollout(r.Order)
 }
 
-// checkRollouts looks, several times a second, at what time changes in rollouts, and asks whether the present ones can be confirmed.
+// checkRollouts, called on each tick, applies the changes that follow from time alone, and begins a check that may confirm the present
+// rollouts.
 func (p *Proxy) checkRollouts(now time.Duration) {
 	r := &p.rollouts
 	if r.set.Revision == 0 {
 		return
 	}
-	p.countForRollout()
+	p.updateRolloutCounting()
 	asOf := p.node.State().AsOf
 	stale := asOf != dissemination.TimeUnknown && now-asOf > r.durations.LostSidecarWait
-	if retired := r.retire(now); retired || stale != r.stale {
+	if retired := r.markRetired(now); retired || stale != r.stale {
 		r.stale = stale
 		p.exchanges.Invalidate()
 	}
-	if r.confirmed < r.set.Revision && r.check == nil && p.ready.Load() {
+	if r.confirmedRevision < r.set.Revision && r.check == nil && p.ready.Load() {
 		p.beginRolloutCheck(now)
 	}
 }
 
-// retire marks the old versions whose time to stop has passed. It reports whether there is one more.
-func (r *rollouts) retire(now time.Duration) (changed bool) {
-	for service, f := range r.followed {
-		one, ok := r.set.Find(service)
-		if ok && one.Stage == rollout.Delivered && !f.retired && now-f.since > r.durations.RetirementPeriod {
-			f.retired, changed = true, true
+// markRetired marks the old versions whose time to stop has passed. It reports whether it marked any.
+func (r *rolloutTracker) markRetired(now time.Duration) (changed bool) {
+	for service, progress := range r.progress {
+		current, ok := r.set.Find(service)
+		if ok && current.Stage == rollout.Delivered && !progress.oldVersionRetired &&
+			now-progress.stageReceivedAt > r.durations.RetirementPeriod {
+			progress.oldVersionRetired, changed = true, true
 		}
 	}
 	return changed
 }
 
-// beginRolloutCheck asks the exchanges, which have the present endpoints by now, as their events keep their order.
+// beginRolloutCheck inspects the exchanges of all services with a rollout. They have the present endpoints by then, as an exchange handles
+// its events in order.
 func (p *Proxy) beginRolloutCheck(now time.Duration) {
 	check := &rolloutCheck{revision: p.rollouts.set.Revision}
 	p.rollouts.check = check
@@ -191,83 +194,84 @@
 		if !ok {
 			continue
 		}
-		check.awaited++
+		check.pendingReplies++
 		s.exchange.Inspect(func(time.Duration) {
-			held := heldWork{requests: s.exchange.InFlightAtClosed(), streams: s.exchange.StreamsAtClosed()}
-			// The exchange must not wait for the loop, which may wait for it.
-			p.background.Go(func() { p.post(exchangeChecked{check, held}) })
+			draining := drainingWork{requests: s.exchange.InFlightAtClosed(), streams: s.exchange.StreamsAtClosed()}
+			// The exchange must not block on the loop, which may be blocked on the exchange.
+			p.background.Go(func() { p.post(exchangeChecked{check, draining}) })
 		})
 	}
-	if check.awaited == 0 {
-		p.rolloutsChecked(now, check)
+	if check.pendingReplies == 0 {
+		p.finishRolloutCheck(now, check)
 	}
 }
 
-// rolloutsChecked confirms the rollouts where nothing is in flight that they forbid, here or at the local server.
-func (p *Proxy) rolloutsChecked(now time.Duration, check *rolloutCheck) {
+// finishRolloutCheck confirms the rollouts if no work that they forbid is in flight, either from here or at the local server.
+func (p *Proxy) finishRolloutCheck(now time.Duration, check *rolloutCheck) {
 	r := &p.rollouts
 	if check != r.check {
-		return // there are later rollouts
+		return // newer rollouts have replaced these
 	}
 	r.check = nil
-	if p.localServerRetires() {
-		running, streams := p.lastHop.work()
-		check.held.add(heldWork{requests: running, streams: streams})
+	if p.localServerRetiring() {
+		running, streams := p.lastHop.inFlightCounts()
+		check.draining.add(drainingWork{requests: running, streams: streams})
 	}
-	if check.held.requests > 0 || check.held.streams > 0 && r.streamsHoldUp(now) {
+	if check.draining.requests > 0 || check.draining.streams > 0 && r.streamsBlockDelivery(now) {
 		return
 	}
-	r.confirmed = check.revision
-	p.sendEvidence(now)
+	r.confirmedRevision = check.revision
+	p.sendRolloutReport(now)
 }
 
-// streamsHoldUp reports whether answers that still come from servers without new requests hold up a delivery: for as long after a promotion
-// as the platform gives a process to end.
-func (r *rollouts) streamsHoldUp(now time.Duration) bool {
+// streamsBlockDelivery reports whether responses that are still being received from draining servers delay a delivery. They do so after a
+// promotion for as long as the platform gives a process to end.
+func (r *rolloutTracker) streamsBlockDelivery(now time.Duration) bool {
 	for i := range r.set.Rollouts {
-		one := &r.set.Rollouts[i]
-		f := r.followed[one.Service]
-		if one.Stage == rollout.Promoting && f != nil && now-f.since <= r.durations.OpenStreamWait {
+		current := &r.set.Rollouts[i]
+		progress := r.progress[current.Service]
+		if current.Stage == rollout.Promoting && progress != nil && now-progress.stageReceivedAt <= r.durations.OpenStreamWait {
 			return true
 		}
 	}
 	return false
 }
 
-// localServerRetires reports whether the local server is of a version that gets no more requests.
-func (p *Proxy) localServerRetires() bool {
+// localServerRetiring reports whether the version of the local server gets no more requests.
+func (p *Proxy) localServerRetiring() bool {
 	var e directory.Entry
 	p.lastHop.fillEntry(&e)
 	r, ok := p.rollouts.set.Find(e.Service)
 	return ok && r.Stage == rollout.Promoting && r.Eligibility(e.Version, false) == rollout.NotEligible
 }
 
-// reportRollouts reports what the last hop has counted, when that is due. It returns when to be called again at the latest.
-func (p *Proxy) reportRollouts(now time.Duration) (next time.Duration) {
+// sendDueRolloutReport sends the statistics of the last hop when a report is due, and returns the time of the next call at the latest.
+func (p *Proxy) sendDueRolloutReport(now time.Duration) (nextCall time.Duration) {
 	r := &p.rollouts
-	if !r.counting {
+	if !r.lastHopCounts {
 		return now + r.durations.LostSidecarWait
 	}
-	if now >= r.reportAt {
-		p.sendEvidence(now)
+	if now >= r.nextReport {
+		p.sendRolloutReport(now)
 	}
-	return r.reportAt
+	return r.nextReport
 }
 
-func (p *Proxy) sendEvidence(now time.Duration) {
-	p.rollouts.reportAt = now + p.rollouts.durations.ReportInterval
-	order, classes := p.lastHop.trialStatistics()
-	evidence := directory.RolloutReport{ConfirmedRevision: p.rollouts.confirmed, Order: order, Classes: classes}
-	if f := p.rollouts.followed[*p.serviceName.Load()]; f != nil && order > 0 {
-		evidence.OrderAge = now - f.ordered
+func (p *Proxy) sendRolloutReport(now time.Duration) {
+	p.rollouts.nextReport = now + p.rollouts.durations.ReportInterval
+	order, classes := p.lastHop.rolloutStatistics()
+	report := directory.RolloutReport{ConfirmedRevision: p.rollouts.confirmedRevision, Order: order, Classes: classes}
+	if progress := p.rollouts.progress[*p.serviceName.Load()]; progress != nil && order > 0 {
+		report.OrderAge = now - progress.orderReceivedAt
 	}
-	p.node.ReportEvidence(now, evidence)
+	p.node.ReportEvidence(now, report)
 }
 
-// classMultiplier is a large odd number by which routeClass spreads its parts.
+// classMultiplier is the odd multiplier of the hash in routeClass.
 const classMultiplier = 0x9e3779b97f4a7c15
 
-// routeClass numbers the classes of routes that a version is judged by: those of the same kind and bounds.
+// routeClass returns the class of a route by which the statistics of a rollout are grouped. Routes with the same kind, latency target,
+// timeout and precedence share a class.
 func routeClass(r *config.Route) uint32 {
 	class := uint64(len(r.Kind))
 	for _, part := range [...]float64{r.LatencyTargetS, r.Action.TimeoutS, float64(r.Precedence)} {
--- a/mesh/dataplane/shutdown.go
+++ b/mesh/dataplane/shutdown.go
@@ -10,43 +10,47 @@
 	"firplank/mesh/timing"
 )
 
-// retryAfterShutdown is when a client that comes too late for a shutdown is to try again: at another machine, or at this one's next
-// process.
+// retryAfterShutdown is the Retry-After of requests that are rejected during a shutdown. The retry goes to another machine, or to the next
+// process on this one.
 const retryAfterShutdown = 100 * time.Millisecond
 
-// shutdownSchedule is the times of a shutdown (timing.Shutdown).
+// shutdownSchedule has the points in time of a shutdown (see timing.Shutdown).
 type shutdownSchedule struct {
-	late  time.Time // from when requests are taken only if they end in time
-	cut   time.Time // when open requests fail
-	ended time.Time // when the fronts have ended
+	checkDeadlinesFrom time.Time // from then on, requests are accepted only if their deadline is before abortRequestsAt
+	abortRequestsAt    time.Time // when requests in flight are failed
+	frontsEndAt        time.Time // when the fronts have to have ended
 }
 
-func newShutdownSchedule(began time.Time, t timing.Shutdown) *shutdownSchedule {
-	return &shutdownSchedule{late: began.Add(t.CheckDeadlines), cut: began.Add(t.AbortRequests), ended: began.Add(t.FrontsEnded)}
+func newShutdownSchedule(startedAt time.Time, t timing.Shutdown) *shutdownSchedule {
+	return &shutdownSchedule{
+		checkDeadlinesFrom: startedAt.Add(t.CheckDeadlines),
+		abortRequestsAt:    startedAt.Add(t.AbortRequests),
+		frontsEndAt:        startedAt.Add(t.FrontsEnded),
+	}
 }
 
-// takes reports whether a request that may last so long is taken at a time. Without a shutdown, s is nil.
-func (s *shutdownSchedule) takes(now time.Time, left time.Duration) bool {
-	return s == nil || now.Before(s.late) || now.Add(left).Before(s.cut)
+// accepts reports whether a request that arrives at now with the given time remaining is accepted. s is nil without a shutdown.
+func (s *shutdownSchedule) accepts(now time.Time, remaining time.Duration) bool {
+	return s == nil || now.Before(s.checkDeadlinesFrom) || now.Add(remaining).Before(s.abortRequestsAt)
 }
 
-// shutDown ends what was taken, in the time that the platform leaves.
+// shutDown drains the sidecar: it lets accepted requests finish within the time that the platform allows, and ends the fronts.
 func (p *Proxy) shutDown(fronts ...front) error {
-	began := time.Now()
-	schedule := newShutdownSchedule(began, p.durations.Shutdown)
-	_ = level.Info(p.log).Log("msg", "sidecar shutdown begins", "within", schedule.ended.Sub(began))
+	startedAt := time.Now()
+	schedule := newShutdownSchedule(startedAt, p.durations.Shutdown)
+	_ = level.Info(p.log).Log("msg", "sidecar shutdown begins", "within", schedule.frontsEndAt.Sub(startedAt))
 	p.shutdown.Store(schedule)
 	p.shuttingDown.Store(true)
 	p.post(shutdownStarted{})
 	for _, svc := range *p.services.Load() {
-		svc.exchange.Shutdown(schedule.cut)
+		svc.exchange.Shutdown(schedule.abortRequestsAt)
 	}
-	var ends sync.WaitGroup
+	var frontsEnding sync.WaitGroup
 	errs := make([]error, len(fronts))
 	for i, f := range fronts {
-		ends.Go(func() { errs[i] = f.End(time.Until(schedule.ended)) })
+		frontsEnding.Go(func() { errs[i] = f.End(time.Until(schedule.frontsEndAt)) })
 	}
-	ends.Wait()
-	_ = level.Info(p.log).Log("msg", "sidecar shutdown completed", "after", time.Since(began).Round(time.Millisecond))
+	frontsEnding.Wait()
+	_ = level.Info(p.log).Log("msg", "sidecar shutdown completed", "after", time.Since(startedAt).Round(time.Millisecond))
 	return errors.Join(errs...)
 }
