--- a/mesh/dataplane/confirmation.go
+++ b/mesh/dataplane/confirmation.go
@@ -17,7 +17,7 @@
 	if e.announceFirst {
 		p.node.Announce(now)
 	}
-	p.confirmations.add(now, p.node.Announced(), e.done)
+	p.confirmations.add(now, p.node.AnnouncedSequence(), e.done)
 }
 
 // pendingConfirmations has the requests that are not confirmed yet. It is owned by the loop. Its size is bounded by the concurrent calls of
@@ -39,7 +39,7 @@
 	remaining := c.pending[:0]
 	for _, w := range c.pending {
 		switch {
-		case w.sequence <= n.Confirmed():
+		case w.sequence <= n.ConfirmedSequence():
 			close(w.done)
 		case now < w.expires:
 			remaining = append(remaining, w)
--- a/mesh/dataplane/distribution/node.go
+++ b/mesh/dataplane/distribution/node.go
@@ -24,12 +24,12 @@
 
 // reparentDelay is the shortest time from ready until a sidecar looks for a relay, and half the longest: by then the
 // sidecars that started together know of each other.
-const reparentDelay = 1200 * time.Millisecond
+const minReparentDelay = 1200 * time.Millisecond
 
 // Host is the program around a Node. The Node calls it synchronously from its own methods, so a Host must not call
 // back into the Node, but for State.
 type Host interface {
-	updates.Texts
+	updates.ConfigTexts
 	subscribers.Packer
 	// Adopt puts a version of the configuration in force if it is valid, and returns the version that is in force
 	// afterwards; 0: none.
@@ -37,7 +37,7 @@
 	// DescribeServer updates the fields of the sidecar's own entry that describe the local server.
 	DescribeServer(own *directory.Entry)
 	// RecallServer restores what another incarnation of this sidecar has announced about the local server.
-	RecallServer(now time.Duration, earlier *directory.Entry)
+	RestoreServer(now time.Duration, earlier *directory.Entry)
 	// IncarnationChanged reports the new incarnation of this sidecar, chosen because a later one than its own was
 	// found.
 	IncarnationChanged(incarnation uint64)
@@ -93,7 +93,7 @@
 }
 
 // Relayed reports whether the present parent, or the last one, is a sidecar.
-func (n *Node) Relayed() bool { return n.subscription.Relayed() }
+func (n *Node) ParentIsRelay() bool { return n.subscription.ParentIsRelay() }
 
 // Subscribers returns the number of sidecars below this one.
 func (n *Node) Subscribers() int { return n.subscribers.Len() }
@@ -140,7 +140,7 @@
 	n.subscribers.Remove(c)
 	if n.parent != nil && c == n.parent {
 		n.parent = nil
-		n.subscription.Lost(now)
+		n.subscription.ConnectionLost(now)
 	}
 }
 
@@ -151,7 +151,7 @@
 	case fromParent && f.Kind == wire.Update:
 		n.applyUpdate(now, f)
 	case fromParent && f.Kind == wire.GoAway:
-		n.perform(n.subscription.Dismiss(now))
+		n.perform(n.subscription.GoAwayReceived(now))
 	case f.Kind == wire.Subscribe:
 		n.subscribe(now, c, f)
 	case f.Kind == wire.Report:
@@ -163,7 +163,7 @@
 // subscribe handles a subscription request. Only a sidecar that is ready and subscribes to a control machine relays,
 // so that the tree has two levels and no cycle.
 func (n *Node) subscribe(now time.Duration, c Conn, f *wire.FrameT) {
-	relays := n.ready && !n.draining && n.parent != nil && !n.subscription.Relayed()
+	relays := n.ready && !n.draining && n.parent != nil && !n.subscription.ParentIsRelay()
 	added, sends := n.subscribers.Add(c, f, relays, now)
 	n.publish(sends)
 	if added {
@@ -188,16 +188,16 @@
 // applyUpdate applies an update of the parent to the wanted state.
 func (n *Node) applyUpdate(now time.Duration, f *wire.FrameT) {
 	n.subscription.UpdateReceived()
-	updates.Rollouts(n.state, f)
-	updates.Entries(n.state.Directory, n.own.Node, f.Entries, func(e *directory.Entry) { n.reconcileOwnEntry(now, e) }, now)
-	updates.ControlMachines(n.state, f, now)
+	updates.ApplyRollouts(n.state, f)
+	updates.ApplyEntries(n.state.Directory, n.own.Node, f.Entries, func(e *directory.Entry) { n.reconcileOwnEntry(now, e) }, now)
+	updates.ApplyControlMachines(n.state, f, now)
 	held := n.state.Version
-	newer, err := updates.Config(n.state, n.host, f, now)
+	newer, err := updates.ApplyConfig(n.state, n.host, f, now)
 	if newer {
 		n.subscription.SetNeedsFullState(err != nil)
 	}
 	if err != nil {
-		n.actions = append(n.actions, UpdateRejected{Version: f.Version, HeldVersion: held, Err: err})
+		n.actions = append(n.actions, UpdateRejected{Version: f.Version, PresentVersion: held, Err: err})
 	}
 	n.subscription.UpdateApplied(f.Id)
 	n.CheckReady(now)
@@ -210,11 +210,11 @@
 	case e.Incarnation == n.own.Incarnation:
 		n.confirmed = max(n.confirmed, e.Sequence)
 	case e.Incarnation < n.own.Incarnation:
-		n.host.RecallServer(now, e)
+		n.host.RestoreServer(now, e)
 	case e.Incarnation > n.own.Incarnation:
 		n.own.Incarnation, n.confirmed = e.Incarnation+1, 0
 		n.host.IncarnationChanged(n.own.Incarnation)
-		n.host.RecallServer(now, e)
+		n.host.RestoreServer(now, e)
 		n.Announce(now)
 	}
 }
@@ -229,8 +229,8 @@
 		return
 	}
 	n.ready = true
-	spread := time.Duration(hash(n.own.Node) % uint64(reparentDelay))
-	n.subscription.SetReady(now + reparentDelay + spread)
+	spread := time.Duration(hash(n.own.Node) % uint64(minReparentDelay))
+	n.subscription.SetReady(now + minReparentDelay + spread)
 	n.host.BecameReady(now)
 	n.Announce(now)
 }
@@ -260,10 +260,10 @@
 
 // Announced returns the sequence of the own entry as it was announced last, and Confirmed up to which a parent has sent it back. What a
 // parent has outlives this process: its next one is notified.
-func (n *Node) Announced() uint64 { return n.own.Sequence }
+func (n *Node) AnnouncedSequence() uint64 { return n.own.Sequence }
 
 // Confirmed returns the highest sequence of the own entry that a parent has sent back.
-func (n *Node) Confirmed() uint64 { return n.confirmed }
+func (n *Node) ConfirmedSequence() uint64 { return n.confirmed }
 
 // Drain starts the shutdown: the sidecar announces that it is draining and accepts no further subscribers.
 func (n *Node) Drain(now time.Duration) {
@@ -277,7 +277,7 @@
 }
 
 // ReportEvidence sends the parent what this sidecar has to say of rollouts, and keeps it for later reports.
-func (n *Node) ReportEvidence(now time.Duration, e directory.RolloutReport) {
+func (n *Node) SetRolloutReport(now time.Duration, e directory.RolloutReport) {
 	n.own.RolloutReport = e
 	n.perform(n.subscription.ReportLiveness(now))
 }
@@ -307,7 +307,7 @@
 		switch a := a.(type) {
 		case subscription.Dial:
 			if a.Relay {
-				n.publish(n.subscribers.Dismiss())
+				n.publish(n.subscribers.GoAwayAll())
 			}
 			n.actions = append(n.actions, Dial{Addr: a.Addr, Relay: a.Relay, Timeout: a.Timeout})
 		case subscription.Send:
--- a/mesh/dataplane/distribution/node_test.go
+++ b/mesh/dataplane/distribution/node_test.go
@@ -51,7 +51,7 @@
 
 func (h *fakeHost) DescribeServer(own *directory.Entry) { own.State = h.state }
 
-func (h *fakeHost) RecallServer(_ time.Duration, e *directory.Entry) {
+func (h *fakeHost) RestoreServer(_ time.Duration, e *directory.Entry) {
 	h.recalled = append(h.recalled, *e)
 }
 
@@ -142,7 +142,7 @@
 	other := append(textOf("00000001"), ' ')
 	n.Handle(time.Second, FrameReceived{parent, updateFor(t, 1, other, textOf("00000002"))})
 	rejected, ok := last(n.TakeActions()).(UpdateRejected)
-	if !ok || !errors.Is(rejected.Err, updates.ErrDeltaMismatch) || rejected.Version != 2 || rejected.HeldVersion != 1 {
+	if !ok || !errors.Is(rejected.Err, updates.ErrDeltaMismatch) || rejected.Version != 2 || rejected.PresentVersion != 1 {
 		t.Errorf("logged %+v", rejected)
 	}
 	n.Adopt()
@@ -405,15 +405,15 @@
 	earlier := own
 	earlier.Incarnation, earlier.Sequence = own.Incarnation-1, own.Sequence+5
 	n.Handle(0, FrameReceived{Conn: c, Frame: update(earlier)})
-	if n.Confirmed() >= n.Announced() {
+	if n.ConfirmedSequence() >= n.AnnouncedSequence() {
 		t.Error("the entry of an earlier process confirms")
 	}
 	n.Handle(0, FrameReceived{Conn: c, Frame: update(own)})
-	if n.Confirmed() != n.Announced() {
-		t.Errorf("confirmed %d, announced %d", n.Confirmed(), n.Announced())
+	if n.ConfirmedSequence() != n.AnnouncedSequence() {
+		t.Errorf("confirmed %d, announced %d", n.ConfirmedSequence(), n.AnnouncedSequence())
 	}
 	n.Announce(time.Second)
-	if n.Confirmed() >= n.Announced() {
+	if n.ConfirmedSequence() >= n.AnnouncedSequence() {
 		t.Error("a later announcement counts as confirmed")
 	}
 }
--- a/mesh/dataplane/exchanges/exchanges.go
+++ b/mesh/dataplane/exchanges/exchanges.go
@@ -26,7 +26,7 @@
 
 // For returns the exchanges of services, by name. It creates those that are missing, whose endpoints the next
 // Reconcile sets.
-func (s *Set[E]) For(services []string) map[string]E {
+func (s *Set[E]) GetOrCreate(services []string) map[string]E {
 	out := make(map[string]E, len(services))
 	for _, name := range services {
 		e, ok := s.all[name]
--- a/mesh/dataplane/exchanges/exchanges_test.go
+++ b/mesh/dataplane/exchanges/exchanges_test.go
@@ -62,7 +62,7 @@
 // adopt asks for the exchanges of services, each of which has to be the one that was made first for it.
 func (w *world) adopt(t *rapid.T, wanted []string) {
 	before := maps.Clone(w.made)
-	got := w.set.For(wanted)
+	got := w.set.GetOrCreate(wanted)
 	if len(got) != len(wanted) {
 		t.Fatalf("for %v: %v", wanted, got)
 	}
@@ -122,9 +122,9 @@
 // requests in flight.
 func TestExchangeOfAFormerServiceFollowsTheDirectory(t *testing.T) {
 	w := newWorld()
-	w.set.For([]string{"a", "b"})
+	w.set.GetOrCreate([]string{"a", "b"})
 	w.reconcile()
-	if got := w.set.For([]string{"b"}); len(got) != 1 {
+	if got := w.set.GetOrCreate([]string{"b"}); len(got) != 1 {
 		t.Errorf("%v", got)
 	}
 	w.revision, w.entries = 1, []directory.Entry{{Node: "n1"}}
--- a/mesh/dataplane/inflight/tracker.go
+++ b/mesh/dataplane/inflight/tracker.go
@@ -31,8 +31,8 @@
 
 // Query asks the last hop of an attempt for its outcome.
 type Query struct {
-	About  Attempt
-	Number int // 1 for the first query about an attempt
+	Attempt Attempt
+	Number  int // 1 for the first query about an attempt
 
 	answered bool
 }
@@ -44,13 +44,13 @@
 func (a Attempt) FirstQuery(left time.Duration) *Query { return query(a, 1, left) }
 
 // Next returns the query to send, QueryInterval later, after q was not answered, or nil where none is due any more.
-func (q *Query) Next(left time.Duration) *Query { return query(q.About, q.Number+1, left) }
+func (q *Query) Next(left time.Duration) *Query { return query(q.Attempt, q.Number+1, left) }
 
 func query(about Attempt, number int, left time.Duration) *Query {
 	if number > MaxQueries || left < MinQueryTime {
 		return nil
 	}
-	return &Query{About: about, Number: number}
+	return &Query{Attempt: about, Number: number}
 }
 
 // entry is an attempt that is out, or a query about one.
@@ -95,11 +95,11 @@
 func (t *Tracker[K]) BeginQuery(key K, q *Query) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.entries[key] = entry{attempt: q.About, query: q}
+	t.entries[key] = entry{attempt: q.Attempt, query: q}
 }
 
 // QueryOf returns the query that a key stands for; nil: it stands for none.
-func (t *Tracker[K]) QueryOf(key K) *Query {
+func (t *Tracker[K]) QueryFor(key K) *Query {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.entries[key].query
@@ -108,7 +108,7 @@
 // Respond handles a complete response to an attempt or a query, and returns its evidence about the attempt. The entry is removed: what its
 // connection does from then on means nothing. Idempotent attempts, which are never begun here, get the evidence alike. The incarnation is
 // the one that the last hop has named as its own; 0: none.
-func (t *Tracker[K]) Respond(key K, outcome attempts.Outcome, r attempts.Response, incarnation uint64) attempts.Evidence {
+func (t *Tracker[K]) HandleResponse(key K, outcome attempts.Outcome, r attempts.Response, incarnation uint64) attempts.Evidence {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e, ok := t.entries[key]
@@ -126,7 +126,7 @@
 
 // End removes an attempt or a query whose connection has ended. It returns the attempt whose outcome is unknown by that: one that had no
 // response. Of a query it returns none.
-func (t *Tracker[K]) End(key K) (unanswered Attempt, ok bool) {
+func (t *Tracker[K]) HandleClose(key K) (unanswered Attempt, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e, ok := t.entries[key]
@@ -136,7 +136,7 @@
 
 // Announce records which incarnation the directory has of the last hop at an address. One that the last hop itself has named since
 // prevails until the directory announces another one.
-func (t *Tracker[K]) Announce(addr string, announced uint64) {
+func (t *Tracker[K]) SetAnnouncedIncarnation(addr string, announced uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.incarnations[addr].announced == announced {
--- a/mesh/dataplane/lasthop/gate_test.go
+++ b/mesh/dataplane/lasthop/gate_test.go
@@ -70,7 +70,7 @@
 	} {
 		g := newGate(0)
 		c.before(g)
-		if got := g.Begin(0, c.r); got != c.want || got.Begins() != (c.want == Decision{}) {
+		if got := g.Begin(0, c.r); got != c.want || got.Admitted() != (c.want == Decision{}) {
 			t.Errorf("%s: %+v, want %+v", c.name, got, c.want)
 		}
 	}
@@ -85,7 +85,7 @@
 	if n := g.Outcomes.Len(); n != 0 {
 		t.Errorf("%d attempts are logged", n)
 	}
-	if d := g.Begin(0, request(1)); !d.Begins() {
+	if d := g.Begin(0, request(1)); !d.Admitted() {
 		t.Errorf("%+v", d)
 	}
 }
@@ -99,23 +99,23 @@
 		response string
 		changed  bool
 	}{
-		{"responded", Result[string]{Response: "r", CacheBytes: 1, Responded: true, Server: admission.Success}, attempts.Finished, "r", false},
-		{"responded, not cached", Result[string]{Responded: true, Server: admission.Success}, attempts.Discarded, "", false},
-		{"broke", Result[string]{Response: "broke", CacheBytes: 5, Server: admission.Failure}, attempts.Finished, "broke", false},
+		{"responded", Result[string]{Response: "r", CacheBytes: 1, Responded: true, Health: admission.Success}, attempts.Finished, "r", false},
+		{"responded, not cached", Result[string]{Responded: true, Health: admission.Success}, attempts.Discarded, "", false},
+		{"broke", Result[string]{Response: "broke", CacheBytes: 5, Health: admission.Failure}, attempts.Finished, "broke", false},
 		{"refused", Result[string]{Response: "r", CacheBytes: 1, NotStarted: true, Refused: true}, attempts.NotStarted, "", true},
 		{"not written", Result[string]{Response: "r", CacheBytes: 1, NotStarted: true}, attempts.NotStarted, "", false},
 	} {
 		g := newGate(0)
 		for n := range uint64(4 * slots) { // more than fit at once
 			r := request(n + 1)
-			if d := g.Begin(0, r); !d.Begins() {
+			if d := g.Begin(0, r); !d.Admitted() {
 				t.Fatalf("%s: request %d: %+v", c.name, n, d)
 			}
 			if status, _ := g.Query(0, r.Attempt, "q"); status != attempts.Running {
 				t.Fatalf("%s: %v", c.name, status)
 			}
 			done := g.Finish(0, r, c.result)
-			if len(done.Waiting) != 1 || done.Waiting[0] != "q" || done.ServerChanged != c.changed {
+			if len(done.WaitingQueries) != 1 || done.WaitingQueries[0] != "q" || done.ServerChanged != c.changed {
 				t.Errorf("%s: %+v", c.name, done)
 			}
 			if status, response := g.Query(0, r.Attempt, "q"); status != c.want || response != c.response {
@@ -136,7 +136,7 @@
 		r := request(n + 1)
 		r.Forwarded = 9 // is not diverted
 		g.Begin(0, r)
-		if done := g.Finish(0, r, Result[string]{Server: admission.Failure}); done.HealthChanged {
+		if done := g.Finish(0, r, Result[string]{Health: admission.Failure}); done.HealthChanged {
 			changes++
 			if !done.Unhealthy {
 				t.Error("it is reported healthy")
@@ -158,14 +158,14 @@
 			t.Fatalf("%+v", d)
 		}
 	}
-	if d := g.Begin(0, bulk); !d.Begins() {
+	if d := g.Begin(0, bulk); !d.Admitted() {
 		t.Fatalf("%+v", d)
 	}
 	if d := g.Begin(0, bulk); d.Admission != admission.AtCapacity {
 		t.Errorf("%+v", d)
 	}
 	g.Finish(0, bulk, Result[string]{})
-	if d := g.Begin(0, bulk); !d.Begins() {
+	if d := g.Begin(0, bulk); !d.Admitted() {
 		t.Errorf("after its end %+v", d)
 	}
 }
--- a/mesh/dataplane/lasthop/started.go
+++ b/mesh/dataplane/lasthop/started.go
@@ -12,7 +12,7 @@
 // is handed to the local server twice, and none is handed to a server some time after its closing was acknowledged. It
 // shares nothing with the Gate that it watches over, is bounded by the constants above, and is not safe for concurrent
 // use.
-type Guard struct {
+type InvariantChecker struct {
 	lastPost time.Duration
 	started  map[string]struct{}
 	order    []string // of started, the oldest first; of a request that was withdrawn, a name without an entry
@@ -20,12 +20,12 @@
 }
 
 // NewGuard returns a guard for servers that serve on for a time after their closing was acknowledged.
-func NewGuard(lastPost time.Duration) *Guard {
-	return &Guard{lastPost: lastPost, started: map[string]struct{}{}, closings: map[string]time.Duration{}}
+func NewInvariantChecker(lastPost time.Duration) *InvariantChecker {
+	return &InvariantChecker{lastPost: lastPost, started: map[string]struct{}{}, closings: map[string]time.Duration{}}
 }
 
 // Start records that a request that must not run twice is handed to the server. It reports whether it was before.
-func (g *Guard) Start(requestID string) (again bool) {
+func (g *InvariantChecker) RecordStart(requestID string) (again bool) {
 	if requestID == "" {
 		return false
 	}
@@ -42,10 +42,10 @@
 }
 
 // Withdraw records that a request has not reached the server after all, or that the server has rejected it.
-func (g *Guard) Withdraw(requestID string) { delete(g.started, requestID) }
+func (g *InvariantChecker) RecordNotStarted(requestID string) { delete(g.started, requestID) }
 
 // Closing records that the closing of a server, or its end, is acknowledged now.
-func (g *Guard) Closing(now time.Duration, serverID string) {
+func (g *InvariantChecker) RecordClosing(now time.Duration, serverID string) {
 	if _, known := g.closings[serverID]; known {
 		return
 	}
@@ -55,7 +55,7 @@
 	g.closings[serverID] = now
 }
 
-func (g *Guard) forgetOldestClosing() {
+func (g *InvariantChecker) forgetOldestClosing() {
 	oldest, first := "", time.Duration(0)
 	for id, at := range g.closings {
 		if oldest == "" || at < first {
@@ -66,7 +66,7 @@
 }
 
 // ClosedFor returns for how long a server may not be sent anything; 0: it may be.
-func (g *Guard) ClosedFor(now time.Duration, serverID string) time.Duration {
+func (g *InvariantChecker) TimePastDrain(now time.Duration, serverID string) time.Duration {
 	at, closing := g.closings[serverID]
 	if !closing {
 		return 0
--- a/mesh/dataplane/links/links_test.go
+++ b/mesh/dataplane/links/links_test.go
@@ -28,7 +28,7 @@
 func (host) Pack(_ uint32, text []byte) []byte              { return config.Pack(text) }
 func (host) Adopt(version uint32, _ []byte) uint32          { return version }
 func (host) DescribeServer(*directory.Entry)                {}
-func (host) RecallServer(time.Duration, *directory.Entry)   {}
+func (host) RestoreServer(time.Duration, *directory.Entry)  {}
 func (host) IncarnationChanged(uint64)                      {}
 func (host) BecameReady(time.Duration)                      {}
 
--- a/mesh/dataplane/liveness/liveness.go
+++ b/mesh/dataplane/liveness/liveness.go
@@ -109,7 +109,7 @@
 // WithEvidence returns the entries with those marked as lost that the detector has lost, except where that is more
 // than half of a service: then this sidecar is more likely to be at fault than they are. It does not change its
 // argument.
-func (m *Monitor) WithEvidence(all []directory.Entry) []directory.Entry {
+func (m *Monitor) MarkLost(all []directory.Entry) []directory.Entry {
 	lost, members := map[string]int{}, map[string]int{}
 	for i := range all {
 		members[all[i].Service]++
--- a/mesh/dataplane/liveness/liveness_test.go
+++ b/mesh/dataplane/liveness/liveness_test.go
@@ -30,7 +30,7 @@
 			}
 		}
 		got := 0
-		for _, e := range m.WithEvidence(entries) {
+		for _, e := range m.MarkLost(entries) {
 			if e.Lost {
 				got++
 			}
--- a/mesh/dataplane/metrics.go
+++ b/mesh/dataplane/metrics.go
@@ -56,7 +56,7 @@
 		attempts.TooOld: "too_old", attempts.LogFull: "log_full",
 	}
 	parentLeftReasonNames = [...]string{
-		0: "none", subscription.Stale: "stale", subscription.Dismissed: "dismissed", subscription.RelayFound: "relay",
+		0: "none", subscription.Stale: "stale", subscription.GoAway: "dismissed", subscription.RelayFound: "relay",
 	}
 )
 
--- a/mesh/dataplane/queries.go
+++ b/mesh/dataplane/queries.go
@@ -34,7 +34,7 @@
 // must not run twice and its connection broke without a response, it starts to query the outcome and returns true: the
 // attempt is then ended later, by the queries.
 func (q *outcomeQueries) attemptEnded(a *core.Attempt, r core.Result) (later bool) {
-	unanswered, ok := q.inFlight.End(a)
+	unanswered, ok := q.inFlight.HandleClose(a)
 	if !ok || r.Outcome != balance.Reset {
 		return false
 	}
@@ -71,7 +71,7 @@
 
 // send sends one query and returns its result. It returns false if the context ended first.
 func (q *outcomeQueries) send(a *core.Attempt, query *inflight.Query) (r core.Result, ok bool) {
-	lastHop := core.NewEndpoint("", query.About.Addr)
+	lastHop := core.NewEndpoint("", query.Attempt.Addr)
 	m := &core.Message{
 		Trace:     a.Message.Trace,
 		Verb:      http.MethodGet,
--- a/mesh/dataplane/rollouts.go
+++ b/mesh/dataplane/rollouts.go
@@ -264,7 +264,7 @@
 	if progress := p.rollouts.progress[*p.serviceName.Load()]; progress != nil && order > 0 {
 		report.OrderAge = now - progress.orderReceivedAt
 	}
-	p.node.ReportEvidence(now, report)
+	p.node.SetRolloutReport(now, report)
 }
 
 // classMultiplier is the odd multiplier of the hash in routeClass.
--- a/mesh/dataplane/service.go
+++ b/mesh/dataplane/service.go
@@ -202,7 +202,7 @@
 			m.UpSince = math.Max(1, math.Round(startedMillis/warmUpRoundingMillis)*warmUpRoundingMillis)
 		}
 		list.Members = append(list.Members, m)
-		s.inFlight.Announce(e.Addr, e.Incarnation)
+		s.inFlight.SetAnnouncedIncarnation(e.Addr, e.Incarnation)
 	}
 	s.exchange.Listed(list)
 }
--- a/mesh/dataplane/subscribers/subscribers.go
+++ b/mesh/dataplane/subscribers/subscribers.go
@@ -113,7 +113,7 @@
 }
 
 // Dismiss tells all subscribers to look for another parent. They remain subscribers until their connections end.
-func (s *Subscribers) Dismiss() (sends []Send) {
+func (s *Subscribers) GoAwayAll() (sends []Send) {
 	for c := range s.ids {
 		sends = append(sends, Send{c, &wire.FrameT{Kind: wire.GoAway}})
 	}
--- a/mesh/dataplane/subscribers/subscribers_test.go
+++ b/mesh/dataplane/subscribers/subscribers_test.go
@@ -153,7 +153,7 @@
 func TestDismissedSubscribersStayUntilTheyAreGone(t *testing.T) {
 	s, _, _ := newSet()
 	all := map[Conn]bool{subscribe(t, s, 5): true, subscribe(t, s, 5): true}
-	for _, send := range s.Dismiss() {
+	for _, send := range s.GoAwayAll() {
 		if send.Frame.Kind != wire.GoAway || !all[send.To] {
 			t.Errorf("sends %+v", send)
 		}
--- a/mesh/dataplane/subscription/subscription_test.go
+++ b/mesh/dataplane/subscription/subscription_test.go
@@ -114,7 +114,7 @@
 		if received {
 			f.UpdateReceived()
 		}
-		f.Lost(time.Second)
+		f.ConnectionLost(time.Second)
 		if f.Connected() {
 			t.Error("is still connected")
 		}
@@ -131,8 +131,8 @@
 	f := newFixture(first, second)
 	a := f.connect(t, 0)
 	f.UpdateReceived()
-	actions := f.Dismiss(time.Second)
-	if d, ok := actions[0].(Disconnect); len(actions) != 1 || !ok || d != (Disconnect{Addr: a, Reason: Dismissed}) {
+	actions := f.GoAwayReceived(time.Second)
+	if d, ok := actions[0].(Disconnect); len(actions) != 1 || !ok || d != (Disconnect{Addr: a, Reason: GoAway}) {
 		t.Errorf("does %+v", actions)
 	}
 	if b := f.dial(time.Second); b == "" || b == a {
@@ -211,7 +211,7 @@
 	if got.Kind != wire.Subscribe || got.From != "n1" || len(got.Entries) != 0 || got.Version != 0 {
 		t.Errorf("a new sidecar subscribes by %+v", got)
 	}
-	f.Lost(0)
+	f.ConnectionLost(0)
 	f.ready(t, 3, 0, time.Hour)
 	f.self.Sequence = 2
 	f.dial(redial)
@@ -256,7 +256,7 @@
 	if got := frame(t, f.Acknowledge(0)); got == nil || got.Version != 0 || got.LowestVersion != 4 || got.Id != 9 {
 		t.Errorf("acknowledges %+v", got)
 	}
-	f.Lost(0)
+	f.ConnectionLost(0)
 	f.dial(redial)
 	if got := frame(t, f.Dialed(redial)); got.Version != 4 || got.Id != 0 {
 		t.Errorf("subscribes to the next by %+v", got)
@@ -292,7 +292,7 @@
 		t.Fatalf("does %+v", actions)
 	}
 	f.Dialed(9 * time.Second)
-	if got = f.Reparent(time.Hour); got != nil || !f.Relayed() {
+	if got = f.Reparent(time.Hour); got != nil || !f.ParentIsRelay() {
 		t.Errorf("looks for a relay below a relay: %+v", got)
 	}
 }
--- a/mesh/dataplane/updates/updates_test.go
+++ b/mesh/dataplane/updates/updates_test.go
@@ -74,7 +74,7 @@
 	} {
 		state, shared := stateWith(c.held...), &texts{}
 		c.frame.AgeMs = 1000
-		newer, err := Config(state, shared, c.frame, 5*time.Second)
+		newer, err := ApplyConfig(state, shared, c.frame, 5*time.Second)
 		if newer != c.newer || !errors.Is(err, c.err) || err != nil && c.err == nil {
 			t.Errorf("%s: newer %v, %v", c.name, newer, err)
 		}
@@ -92,7 +92,7 @@
 	}
 	alive := codec.LivenessToWire(&directory.Entry{Node: "n4", Incarnation: 1}, 0)
 	var own []string
-	Entries(d, "n1", []*wire.EntryT{entry("n2", false), entry("n1", false), alive, entry("n3", true)}, func(e *directory.Entry) {
+	ApplyEntries(d, "n1", []*wire.EntryT{entry("n2", false), entry("n1", false), alive, entry("n3", true)}, func(e *directory.Entry) {
 		own = append(own, fmt.Sprint(e.Node, " after ", d.Len()))
 	}, time.Second)
 	if fmt.Sprint(own) != "[n1 after 2]" {
@@ -114,12 +114,12 @@
 
 func TestControlMachinesStayWhereAnUpdateHasNone(t *testing.T) {
 	state := stateWith()
-	ControlMachines(state, &wire.FrameT{Machines: []*wire.MachineT{{Addr: "c1:1"}, {Addr: "c2:1"}}}, time.Second)
-	ControlMachines(state, &wire.FrameT{}, time.Second)
+	ApplyControlMachines(state, &wire.FrameT{Machines: []*wire.MachineT{{Addr: "c1:1"}, {Addr: "c2:1"}}}, time.Second)
+	ApplyControlMachines(state, &wire.FrameT{}, time.Second)
 	if len(state.ControlMachines) != 2 {
 		t.Errorf("%+v", state.ControlMachines)
 	}
-	ControlMachines(state, &wire.FrameT{Machines: []*wire.MachineT{{Addr: "c3:1"}}}, time.Second)
+	ApplyControlMachines(state, &wire.FrameT{Machines: []*wire.MachineT{{Addr: "c3:1"}}}, time.Second)
 	if len(state.ControlMachines) != 1 || state.ControlMachines[0].Addr != "c3:1" {
 		t.Errorf("%+v", state.ControlMachines)
 	}
--- a/mesh/explain/explain.go
+++ b/mesh/explain/explain.go
@@ -81,7 +81,7 @@
 		a.add(l, l.Node, DiskFailed, l.text("error"))
 	case stateUnusable:
 		if l.text("corrupt", "damaged") != "false" {
-			a.add(l, l.Node, StoreDamaged, causeDamaged)
+			a.add(l, l.Node, StateCorrupt, causeDamaged)
 		}
 	case settingsNotUsed:
 		a.add(l, l.Node, SettingsRejected, l.text("error"))
@@ -122,7 +122,7 @@
 	again := a.started[l.Node]
 	a.started[l.Node] = true
 	if l.text("voter") == "false" {
-		a.add(l, l.Node, VotelessStart, causeNoVote)
+		a.add(l, l.Node, StartedAsNonVoter, causeNoVote)
 	}
 	if !again {
 		return
--- a/mesh/explain/line.go
+++ b/mesh/explain/line.go
@@ -88,7 +88,7 @@
 }
 
 // About returns the lines that a node has written, and those that name it, or an attempt or a server of that name, in any field.
-func About(lines []Line, name string) (about []Line) {
+func FilterByName(lines []Line, name string) (about []Line) {
 	for i := range lines {
 		if l := &lines[i]; l.Node == name || l.mentions(name) {
 			about = append(about, *l)
