--- a/cmd/firplankctl/review.go
+++ b/cmd/firplankctl/review.go
@@ -31,7 +31,7 @@
 	}
 	explain.Sort(lines)
 	if c.About != "" {
-		return printLines(out, explain.About(lines, c.About))
+		return printLines(out, explain.FilterByName(lines, c.About))
 	}
 	printer := output.New(out)
 	findings := explain.Find(lines)
--- a/lab/explore/calls/lasthop.go
+++ b/lab/explore/calls/lasthop.go
@@ -105,9 +105,9 @@
 	}
 	d := h.gate.Begin(h.w.now, h.requestOf(l))
 	switch {
-	case d.Begins() && reached:
+	case d.Admitted() && reached:
 		h.pass(l)
-	case d.Begins():
+	case d.Admitted():
 		h.finish(l, lasthop.Result[response]{NotStarted: true, Refused: true}, notReceived)
 	case d.Attempt == attempts.Duplicate:
 		l.reply(indeterminate)
@@ -170,7 +170,7 @@
 
 // ended takes in what the server's connection brought for an attempt; nil: it broke.
 func (h *lastHop) ended(l *link, p *httpback.Paired) {
-	got, result := indeterminate, lasthop.Result[response]{Server: admission.Failure}
+	got, result := indeterminate, lasthop.Result[response]{Health: admission.Failure}
 	if p != nil {
 		seen := responseOf(l.request.id, p)
 		if named := p.Header.Get("Try-Id") != ""; h.w.defect.anyRejection && !named || h.w.defect.byPosition && named {
@@ -178,7 +178,7 @@
 		}
 		evidence := attempts.FromServer(seen)
 		if outcome, ok := outcomeOf(evidence); ok {
-			result.Responded, result.Server = true, serverResultOf(evidence)
+			result.Responded, result.Health = true, serverResultOf(evidence)
 			got = response{
 				outcome:    outcome,
 				status:     p.Status,
@@ -199,7 +199,7 @@
 	if result.NotStarted {
 		toQueries = barred
 	}
-	for _, query := range done.Waiting {
+	for _, query := range done.WaitingQueries {
 		query.reply(toQueries)
 	}
 	l.reply(got)
--- a/lab/explore/calls/sender.go
+++ b/lab/explore/calls/sender.go
@@ -41,7 +41,7 @@
 
 func (s *sender) announce(hop int, incarnation uint64) {
 	s.announced[hop] = incarnation
-	s.inFlight.Announce(addr(hop), incarnation)
+	s.inFlight.SetAnnouncedIncarnation(addr(hop), incarnation)
 }
 
 func (s *sender) choices() {
@@ -83,7 +83,7 @@
 		s.conclude(l, attempts.NeverExecuted, "")
 		return
 	}
-	unanswered, ok := s.inFlight.End(l)
+	unanswered, ok := s.inFlight.HandleClose(l)
 	switch {
 	case ok:
 		s.query(l, unanswered.FirstQuery(timeLeft))
@@ -103,9 +103,9 @@
 	to := l.to
 	if s.w.defect.queriesAnother {
 		to = 1 - to
-		q.About.ID.Incarnation = s.announced[to]
+		q.Attempt.ID.Incarnation = s.announced[to]
 	}
-	asking := &link{w: s.w, request: l.request, to: to, id: q.About.ID, query: q, coming: 1}
+	asking := &link{w: s.w, request: l.request, to: to, id: q.Attempt.ID, query: q, coming: 1}
 	s.inFlight.BeginQuery(asking, q)
 	s.w.links = append(s.w.links, asking)
 }
@@ -116,7 +116,7 @@
 	if n, err := strconv.ParseUint(p.Header.Get("Firplank-Life"), 16, 64); err == nil {
 		incarnation = n
 	}
-	evidence := s.inFlight.Respond(l, outcome, responseOf(l.request.id, p), incarnation)
+	evidence := s.inFlight.HandleResponse(l, outcome, responseOf(l.request.id, p), incarnation)
 	if l.query != nil && !l.query.Answered() {
 		if !s.w.defect.rejectedQueryIsProof {
 			s.broke(l)
--- a/lab/explore/cutoff/sidecar.go
+++ b/lab/explore/cutoff/sidecar.go
@@ -289,8 +289,8 @@
 // DescribeServer implements distribution.Host.
 func (host) DescribeServer(*directory.Entry) {}
 
-// RecallServer implements distribution.Host.
-func (host) RecallServer(time.Duration, *directory.Entry) {}
+// RestoreServer implements distribution.Host.
+func (host) RestoreServer(time.Duration, *directory.Entry) {}
 
 // IncarnationChanged implements distribution.Host.
 func (host) IncarnationChanged(uint64) {}
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -138,14 +138,14 @@
 	}
 	h.links.Handle(h.now(), e)
 	if d, ok := e.(distribution.ParentDialed); ok && d.Err == nil {
-		h.relayed.Store(h.node.Relayed())
+		h.relayed.Store(h.node.ParentIsRelay())
 	}
 	h.subscribers.Store(int32(h.node.Subscribers()))
 }
 
 // link is which of two links there is to the parent.
 func (h *Hollow) link(control, relay Link) Link {
-	if h.node.Relayed() {
+	if h.node.ParentIsRelay() {
 		return relay
 	}
 	return control
@@ -197,8 +197,8 @@
 // DescribeServer implements distribution.Host: the server beside never changes.
 func (host) DescribeServer(*directory.Entry) {}
 
-// RecallServer implements distribution.Host.
-func (host) RecallServer(time.Duration, *directory.Entry) {}
+// RestoreServer implements distribution.Host.
+func (host) RestoreServer(time.Duration, *directory.Entry) {}
 
 // IncarnationChanged implements distribution.Host.
 func (host) IncarnationChanged(uint64) {}
--- a/mesh/dataplane/announcement.go
+++ b/mesh/dataplane/announcement.go
@@ -17,7 +17,7 @@
 	if e.announce {
 		p.node.Announce(now)
 	}
-	p.announcements.await(now, p.node.Announced(), e.done)
+	p.announcements.await(now, p.node.AnnouncedSequence(), e.done)
 }
 
 // announcements are those that wait, by the sequence of this sidecar's entry. It belongs to the loop. Its size is bounded by the calls of
@@ -39,7 +39,7 @@
 	remaining := a.waiting[:0]
 	for _, w := range a.waiting {
 		switch {
-		case w.sequence <= n.Confirmed():
+		case w.sequence <= n.ConfirmedSequence():
 			close(w.done)
 		case now < w.expires:
 			remaining = append(remaining, w)
--- a/mesh/dataplane/distribution/event.go
+++ b/mesh/dataplane/distribution/event.go
@@ -61,9 +61,9 @@
 // UpdateRejected reports, for the log, that the configuration of an update could not be applied; the Node asks its
 // parent for the full text.
 type UpdateRejected struct {
-	Version     uint32 // of the update
-	HeldVersion uint32 // that the sidecar has
-	Err         error  // wraps updates.ErrCorrupt or updates.ErrDeltaMismatch
+	Version        uint32 // of the update
+	PresentVersion uint32 // that the sidecar has
+	Err            error  // wraps updates.ErrCorrupt or updates.ErrDeltaMismatch
 }
 
 func (Dial) action()           {}
--- a/mesh/dataplane/distribution/node.go
+++ b/mesh/dataplane/distribution/node.go
@@ -24,12 +24,12 @@
 
 // reparentDelay is the shortest time from ready until a sidecar looks for a relay, and half the longest: by then the
 // sidecars that started together know of each other.
-const reparentDelay = 1200 * time.Millisecond
+const minReparentDelay = 1200 * time.Millisecond
 
 // Host is the program around a Node. The Node calls it synchronously from its own methods, so a Host must not call
 // back into the Node, but for State.
 type Host interface {
-	updates.Texts
+	updates.ConfigTexts
 	subscribers.Packer
 	// Adopt puts a version of the configuration in force if it is valid, and returns the version that is in force
 	// afterwards; 0: none.
@@ -37,7 +37,7 @@
 	// DescribeServer updates the fields of the sidecar's own entry that describe the local server.
 	DescribeServer(own *directory.Entry)
 	// RecallServer restores what another incarnation of this sidecar has announced about the local server.
-	RecallServer(now time.Duration, earlier *directory.Entry)
+	RestoreServer(now time.Duration, earlier *directory.Entry)
 	// IncarnationChanged reports the new incarnation of this sidecar, chosen because a later one than its own was
 	// found.
 	IncarnationChanged(incarnation uint64)
@@ -52,7 +52,7 @@
 	state  *dissemination.Publisher
 	own    directory.Entry
 	// confirmed is the highest sequence of the own entry in this incarnation that a parent has sent back: it has the entry.
-	confirmed uint64
+	confirmedSequence uint64
 
 	subscription *subscription.Subscription
 	subscribers  *subscribers.Subscribers
@@ -65,14 +65,14 @@
 }
 
 // New returns a node that knows only its own entry. The policy chooses its parents.
-func New(own directory.Entry, policy *dissemination.Subscriber, host Host, t timing.Durations) *Node {
+func New(own directory.Entry, policy *dissemination.Subscriber, host Host, durations timing.Durations) *Node {
 	n := &Node{
 		host:   host,
 		policy: policy,
-		state:  dissemination.NewPublisher(t.Dissemination),
+		state:  dissemination.NewPublisher(durations.Dissemination),
 		own:    own,
 	}
-	n.subscription = subscription.New(policy, n.state, &n.own, t.Subscription)
+	n.subscription = subscription.New(policy, n.state, &n.own, durations.Subscription)
 	n.subscribers = subscribers.New(n.state, host)
 	return n
 }
@@ -85,15 +85,15 @@
 
 // Conns returns the connections to the parent and of the subscribers, to be closed at shutdown.
 func (n *Node) Conns() []Conn {
-	all := n.subscribers.Conns()
+	conns := n.subscribers.Conns()
 	if n.parent != nil {
-		all = append(all, n.parent)
+		conns = append(conns, n.parent)
 	}
-	return all
+	return conns
 }
 
 // Relayed reports whether the present parent, or the last one, is a sidecar.
-func (n *Node) Relayed() bool { return n.subscription.Relayed() }
+func (n *Node) ParentIsRelay() bool { return n.subscription.ParentIsRelay() }
 
 // Subscribers returns the number of sidecars below this one.
 func (n *Node) Subscribers() int { return n.subscribers.Len() }
@@ -106,9 +106,9 @@
 
 // TakeActions returns the queued actions, to be performed in order, and empties the queue.
 func (n *Node) TakeActions() []Action {
-	all := n.actions
+	actions := n.actions
 	n.actions = nil
-	return all
+	return actions
 }
 
 // Handle applies an event.
@@ -129,10 +129,10 @@
 		return
 	}
 	n.parent = e.Conn
-	n.perform(n.subscription.Dialed(now))
+	n.queueActions(n.subscription.Dialed(now))
 	// The parent may have started anew. The sidecars below this one announce themselves to it by nobody else: to them nothing has changed.
-	if below := n.subscribers.Entries(); len(below) > 0 {
-		n.SendEntries(now, codec.EntriesToWire(below, now))
+	if entries := n.subscribers.Entries(); len(entries) > 0 {
+		n.SendEntries(now, codec.EntriesToWire(entries, now))
 	}
 }
 
@@ -140,7 +140,7 @@
 	n.subscribers.Remove(c)
 	if n.parent != nil && c == n.parent {
 		n.parent = nil
-		n.subscription.Lost(now)
+		n.subscription.ConnectionLost(now)
 	}
 }
 
@@ -151,7 +151,7 @@
 	case fromParent && f.Kind == wire.Update:
 		n.applyUpdate(now, f)
 	case fromParent && f.Kind == wire.GoAway:
-		n.perform(n.subscription.Dismiss(now))
+		n.queueActions(n.subscription.GoAwayReceived(now))
 	case f.Kind == wire.Subscribe:
 		n.subscribe(now, c, f)
 	case f.Kind == wire.Report:
@@ -163,9 +163,9 @@
 // subscribe handles a subscription request. Only a sidecar that is ready and subscribes to a control machine relays,
 // so that the tree has two levels and no cycle.
 func (n *Node) subscribe(now time.Duration, c Conn, f *wire.FrameT) {
-	relays := n.ready && !n.draining && n.parent != nil && !n.subscription.Relayed()
-	added, sends := n.subscribers.Add(c, f, relays, now)
-	n.publish(sends)
+	relaying := n.ready && !n.draining && n.parent != nil && !n.subscription.ParentIsRelay()
+	added, sends := n.subscribers.Add(c, f, relaying, now)
+	n.queueSends(sends)
 	if added {
 		n.forward(now, f.Entries)
 	}
@@ -188,16 +188,16 @@
 // applyUpdate applies an update of the parent to the wanted state.
 func (n *Node) applyUpdate(now time.Duration, f *wire.FrameT) {
 	n.subscription.UpdateReceived()
-	updates.Rollouts(n.state, f)
-	updates.Entries(n.state.Directory, n.own.Node, f.Entries, func(e *directory.Entry) { n.reconcileOwnEntry(now, e) }, now)
-	updates.ControlMachines(n.state, f, now)
-	held := n.state.Version
-	newer, err := updates.Config(n.state, n.host, f, now)
+	updates.ApplyRollouts(n.state, f)
+	updates.ApplyEntries(n.state.Directory, n.own.Node, f.Entries, func(e *directory.Entry) { n.reconcileOwnEntry(now, e) }, now)
+	updates.ApplyControlMachines(n.state, f, now)
+	presentVersion := n.state.Version
+	newer, err := updates.ApplyConfig(n.state, n.host, f, now)
 	if newer {
 		n.subscription.SetNeedsFullState(err != nil)
 	}
 	if err != nil {
-		n.actions = append(n.actions, UpdateRejected{Version: f.Version, HeldVersion: held, Err: err})
+		n.actions = append(n.actions, UpdateRejected{Version: f.Version, PresentVersion: presentVersion, Err: err})
 	}
 	n.subscription.UpdateApplied(f.Id)
 	n.CheckReady(now)
@@ -208,13 +208,13 @@
 func (n *Node) reconcileOwnEntry(now time.Duration, e *directory.Entry) {
 	switch {
 	case e.Incarnation == n.own.Incarnation:
-		n.confirmed = max(n.confirmed, e.Sequence)
+		n.confirmedSequence = max(n.confirmedSequence, e.Sequence)
 	case e.Incarnation < n.own.Incarnation:
-		n.host.RecallServer(now, e)
+		n.host.RestoreServer(now, e)
 	case e.Incarnation > n.own.Incarnation:
-		n.own.Incarnation, n.confirmed = e.Incarnation+1, 0
+		n.own.Incarnation, n.confirmedSequence = e.Incarnation+1, 0
 		n.host.IncarnationChanged(n.own.Incarnation)
-		n.host.RecallServer(now, e)
+		n.host.RestoreServer(now, e)
 		n.Announce(now)
 	}
 }
@@ -229,8 +229,8 @@
 		return
 	}
 	n.ready = true
-	spread := time.Duration(hash(n.own.Node) % uint64(reparentDelay))
-	n.subscription.SetReady(now + reparentDelay + spread)
+	jitter := time.Duration(hash(n.own.Node) % uint64(minReparentDelay))
+	n.subscription.SetReady(now + minReparentDelay + jitter)
 	n.host.BecameReady(now)
 	n.Announce(now)
 }
@@ -255,15 +255,15 @@
 	n.host.DescribeServer(&n.own)
 	n.own.LastSeen = now
 	n.state.Directory.Merge(n.own, now)
-	n.perform(n.subscription.Announce(now))
+	n.queueActions(n.subscription.Announce(now))
 }
 
 // Announced returns the sequence of the own entry as it was announced last, and Confirmed up to which a parent has sent it back. What a
 // parent has outlives this process: its next one is notified.
-func (n *Node) Announced() uint64 { return n.own.Sequence }
+func (n *Node) AnnouncedSequence() uint64 { return n.own.Sequence }
 
 // Confirmed returns the highest sequence of the own entry that a parent has sent back.
-func (n *Node) Confirmed() uint64 { return n.confirmed }
+func (n *Node) ConfirmedSequence() uint64 { return n.confirmedSequence }
 
 // Drain starts the shutdown: the sidecar announces that it is draining and accepts no further subscribers.
 func (n *Node) Drain(now time.Duration) {
@@ -273,41 +273,41 @@
 
 // SendEntries sends the parent, if there is one, evidence about other sidecars.
 func (n *Node) SendEntries(now time.Duration, entries []*wire.EntryT) {
-	n.perform(n.subscription.Report(now, entries))
+	n.queueActions(n.subscription.Report(now, entries))
 }
 
 // ReportEvidence sends the parent what this sidecar has to say of rollouts, and keeps it for later reports.
 func (n *Node) ReportEvidence(now time.Duration, e directory.RolloutReport) {
 	n.own.RolloutReport = e
-	n.perform(n.subscription.ReportLiveness(now))
+	n.queueActions(n.subscription.ReportLiveness(now))
 }
 
 // Reparent switches to a relay where the distribution tree has one for this sidecar. The caller calls it several
 // times a second.
-func (n *Node) Reparent(now time.Duration) { n.perform(n.subscription.Reparent(now)) }
+func (n *Node) Reparent(now time.Duration) { n.queueActions(n.subscription.Reparent(now)) }
 
 // Maintain keeps the subscription up: it switches from a stale parent, dials, and sends heartbeats. partialBytes is
 // how many bytes of an incomplete frame have arrived from the parent.
 func (n *Node) Maintain(now time.Duration, partialBytes int64) {
-	n.perform(n.subscription.Maintain(now, partialBytes))
+	n.queueActions(n.subscription.Maintain(now, partialBytes))
 }
 
 // Publish acknowledges to the parent what is in force and sends subscribers the updates that are due. It returns when
 // to call it again at the latest.
 func (n *Node) Publish(now time.Duration) (next time.Duration) {
-	n.perform(n.subscription.Acknowledge(now))
+	n.queueActions(n.subscription.Acknowledge(now))
 	sends, next := n.subscribers.Publish(now)
-	n.publish(sends)
+	n.queueSends(sends)
 	return next
 }
 
 // perform queues the actions of the subscription.
-func (n *Node) perform(all []subscription.Action) {
-	for _, a := range all {
+func (n *Node) queueActions(actions []subscription.Action) {
+	for _, a := range actions {
 		switch a := a.(type) {
 		case subscription.Dial:
 			if a.Relay {
-				n.publish(n.subscribers.Dismiss())
+				n.queueSends(n.subscribers.GoAwayAll())
 			}
 			n.actions = append(n.actions, Dial{Addr: a.Addr, Relay: a.Relay, Timeout: a.Timeout})
 		case subscription.Send:
@@ -319,15 +319,15 @@
 	}
 }
 
-func (n *Node) publish(sends []subscribers.Send) {
+func (n *Node) queueSends(sends []subscribers.Send) {
 	for _, s := range sends {
 		n.actions = append(n.actions, Send{To: s.To, Frame: s.Frame})
 	}
 }
 
 // hash returns the FNV-1a hash of a name, by which sidecars are spread over time.
-func hash(text string) uint64 {
+func hash(name string) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(text)) // never fails
+	_, _ = h.Write([]byte(name)) // never fails
 	return h.Sum64()
 }
--- a/mesh/dataplane/distribution/node_test.go
+++ b/mesh/dataplane/distribution/node_test.go
@@ -24,26 +24,26 @@
 
 // fakeHost is a program that takes up each configuration but those that it refuses.
 type fakeHost struct {
-	refuses     map[uint32]bool
+	invalid     map[uint32]bool
 	inForce     uint32
 	text        string
 	state       directory.State
-	recalled    []directory.Entry
+	restored    []directory.Entry
 	incarnation uint64
-	ready       int
-	packs       int
+	readyCount  int
+	packCount   int
 }
 
 func (*fakeHost) Unpack(_ uint32, packed []byte) ([]byte, error) { return config.Unpack(packed) }
 func (*fakeHost) Intern(_ uint32, text []byte) []byte            { return text }
 
 func (h *fakeHost) Pack(_ uint32, text []byte) []byte {
-	h.packs++
+	h.packCount++
 	return config.Pack(text)
 }
 
 func (h *fakeHost) Adopt(version uint32, text []byte) uint32 {
-	if !h.refuses[version] {
+	if !h.invalid[version] {
 		h.inForce, h.text = version, string(text)
 	}
 	return h.inForce
@@ -51,12 +51,12 @@
 
 func (h *fakeHost) DescribeServer(own *directory.Entry) { own.State = h.state }
 
-func (h *fakeHost) RecallServer(_ time.Duration, e *directory.Entry) {
-	h.recalled = append(h.recalled, *e)
+func (h *fakeHost) RestoreServer(_ time.Duration, e *directory.Entry) {
+	h.restored = append(h.restored, *e)
 }
 
 func (h *fakeHost) IncarnationChanged(n uint64) { h.incarnation = n }
-func (h *fakeHost) BecameReady(_ time.Duration) { h.ready++ }
+func (h *fakeHost) BecameReady(_ time.Duration) { h.readyCount++ }
 
 const self = "n1"
 
@@ -74,51 +74,51 @@
 func connect(t *testing.T, n *Node, now time.Duration) (*fakeConn, *wire.FrameT) {
 	t.Helper()
 	n.Maintain(now, 0)
-	d, ok := last(n.TakeActions()).(Dial)
+	d, ok := lastAction(n.TakeActions()).(Dial)
 	if !ok {
 		t.Fatal("no parent was dialed")
 	}
 	c := &fakeConn{d.Addr}
 	n.Handle(now, ParentDialed{Conn: c})
-	s, ok := last(n.TakeActions()).(Send)
+	s, ok := lastAction(n.TakeActions()).(Send)
 	if !ok || s.To != c || s.Frame.Kind != wire.Subscribe {
 		t.Fatalf("began with %+v", s)
 	}
 	return c, s.Frame
 }
 
-func last(all []Action) Action {
-	if len(all) == 0 {
+func lastAction(actions []Action) Action {
+	if len(actions) == 0 {
 		return nil
 	}
-	return all[len(all)-1]
+	return actions[len(actions)-1]
 }
 
 // textOf is a configuration of a version.
-func textOf(version string) []byte {
+func configText(version string) []byte {
 	return []byte(`{"edition":"` + version + `","caps":{},"gates":[],"fleets":[]}`)
 }
 
 // updateFor is what a publisher with versions sends a subscriber that has one of them.
-func updateFor(t *testing.T, has uint32, versions ...[]byte) *wire.FrameT {
+func updateFor(t *testing.T, presentVersion uint32, texts ...[]byte) *wire.FrameT {
 	t.Helper()
-	p := dissemination.NewPublisher(durations.Dissemination)
-	for i, text := range versions {
-		p.SetConfig(uint32(i+1), text, nil, 0)
+	publisher := dissemination.NewPublisher(durations.Dissemination)
+	for i, text := range texts {
+		publisher.SetConfig(uint32(i+1), text, nil, 0)
 	}
-	p.Subscribe(1, has, 0)
-	news, _ := p.Tick(0)
-	return codec.UpdateToFrame(&news[0], config.Pack(p.Text), 0)
+	publisher.Subscribe(1, presentVersion, 0)
+	due, _ := publisher.Tick(0)
+	return codec.UpdateToFrame(&due[0], config.Pack(publisher.Text), 0)
 }
 
 // frames returns the frames for a connection among actions.
-func frames(all []Action, to Conn) (out []*wire.FrameT) {
-	for _, a := range all {
+func frames(actions []Action, to Conn) (sent []*wire.FrameT) {
+	for _, a := range actions {
 		if s, ok := a.(Send); ok && s.To == to {
-			out = append(out, s.Frame)
+			sent = append(sent, s.Frame)
 		}
 	}
-	return out
+	return sent
 }
 
 // readyNode returns a node that is ready with version 1 under a control machine.
@@ -126,9 +126,9 @@
 	t.Helper()
 	n, h := newNode("c1:1")
 	parent, _ := connect(t, n, 0)
-	n.Handle(0, FrameReceived{parent, updateFor(t, 0, textOf("00000001"))})
-	if !n.Ready() || h.ready != 1 || h.inForce != 1 {
-		t.Fatalf("ready %v, %d times, with version %d", n.Ready(), h.ready, h.inForce)
+	n.Handle(0, FrameReceived{parent, updateFor(t, 0, configText("00000001"))})
+	if !n.Ready() || h.readyCount != 1 || h.inForce != 1 {
+		t.Fatalf("ready %v, %d times, with version %d", n.Ready(), h.readyCount, h.inForce)
 	}
 	n.Publish(0)
 	n.TakeActions()
@@ -137,12 +137,12 @@
 
 // A sidecar whose text is another than its parent believes asks for the whole, and says meanwhile what is in force;
 // it never takes up a mixture.
-func TestSidecarAsksForTheWholeWhenDifferencesDoNotFit(t *testing.T) {
+func TestSidecarRequestsFullTextAfterDeltaMismatch(t *testing.T) {
 	n, h, parent := readyNode(t)
-	other := append(textOf("00000001"), ' ')
-	n.Handle(time.Second, FrameReceived{parent, updateFor(t, 1, other, textOf("00000002"))})
-	rejected, ok := last(n.TakeActions()).(UpdateRejected)
-	if !ok || !errors.Is(rejected.Err, updates.ErrDeltaMismatch) || rejected.Version != 2 || rejected.HeldVersion != 1 {
+	mismatched := append(configText("00000001"), ' ')
+	n.Handle(time.Second, FrameReceived{parent, updateFor(t, 1, mismatched, configText("00000002"))})
+	rejected, ok := lastAction(n.TakeActions()).(UpdateRejected)
+	if !ok || !errors.Is(rejected.Err, updates.ErrDeltaMismatch) || rejected.Version != 2 || rejected.PresentVersion != 1 {
 		t.Errorf("logged %+v", rejected)
 	}
 	n.Adopt()
@@ -154,21 +154,21 @@
 	if n.State().Version != 1 {
 		t.Errorf("has version %d", n.State().Version)
 	}
-	n.Handle(time.Second, FrameReceived{parent, updateFor(t, 0, other, textOf("00000002"))})
+	n.Handle(time.Second, FrameReceived{parent, updateFor(t, 0, mismatched, configText("00000002"))})
 	n.Adopt()
 	n.Publish(time.Second)
 	sent = frames(n.TakeActions(), parent)
-	if len(sent) != 1 || sent[0].Version != 2 || sent[0].LowestVersion != 2 || h.text != string(textOf("00000002")) {
+	if len(sent) != 1 || sent[0].Version != 2 || sent[0].LowestVersion != 2 || h.text != string(configText("00000002")) {
 		t.Errorf("reports %+v with %s", sent, h.text)
 	}
 }
 
 // News that say how old their version is leave a sidecar that has just started with that age, which is more than its
 // own.
-func TestAgeReachesBehindTheStart(t *testing.T) {
+func TestUpdateOlderThanTheProcessKeepsItsAge(t *testing.T) {
 	n, _ := newNode("c1:1")
 	parent, _ := connect(t, n, 0)
-	f := updateFor(t, 0, textOf("00000001"))
+	f := updateFor(t, 0, configText("00000001"))
 	f.AgeMs = 8000
 	n.Handle(100*time.Millisecond, FrameReceived{parent, f})
 	if age := 100*time.Millisecond - n.State().AsOf; age != 8*time.Second {
@@ -181,10 +181,10 @@
 
 // A configuration that can't be used leaves the old one in force, which is what the parent hears, and the sidecar
 // that has none isn't ready.
-func TestUnusableConfigurationIsNotInForce(t *testing.T) {
+func TestInvalidConfigurationIsNotInForce(t *testing.T) {
 	n, h, parent := readyNode(t)
-	h.refuses = map[uint32]bool{2: true}
-	n.Handle(time.Second, FrameReceived{parent, updateFor(t, 0, textOf("00000001"), textOf("00000002"))})
+	h.invalid = map[uint32]bool{2: true}
+	n.Handle(time.Second, FrameReceived{parent, updateFor(t, 0, configText("00000001"), configText("00000002"))})
 	n.Adopt()
 	n.Publish(time.Second)
 	sent := frames(n.TakeActions(), parent)
@@ -192,30 +192,30 @@
 		t.Errorf("reports %+v with version %d", sent, h.inForce)
 	}
 	n, h = newNode("c1:1")
-	h.refuses = map[uint32]bool{1: true}
+	h.invalid = map[uint32]bool{1: true}
 	parent, _ = connect(t, n, 0)
-	n.Handle(0, FrameReceived{parent, updateFor(t, 0, textOf("00000001"))})
-	if n.Ready() || h.ready != 0 {
+	n.Handle(0, FrameReceived{parent, updateFor(t, 0, configText("00000001"))})
+	if n.Ready() || h.readyCount != 0 {
 		t.Error("is ready without a configuration")
 	}
 }
 
 // Who subscribes is taken in by a sidecar that is ready and hears a control machine, and by no other.
-func TestWhoMaySubscribe(t *testing.T) {
-	join := func(n *Node, name string) (*fakeConn, []*wire.FrameT) {
+func TestOnlyReadyNodesBelowControlMachinesAcceptSubscribers(t *testing.T) {
+	subscribe := func(n *Node, name string) (*fakeConn, []*wire.FrameT) {
 		c := &fakeConn{name}
 		n.Handle(time.Second, FrameReceived{c, &wire.FrameT{Kind: wire.Subscribe, From: name}})
 		return c, frames(n.TakeActions(), c)
 	}
-	dismissed := func(sent []*wire.FrameT) bool { return len(sent) == 1 && sent[0].Kind == wire.GoAway }
+	isGoAway := func(sent []*wire.FrameT) bool { return len(sent) == 1 && sent[0].Kind == wire.GoAway }
 
-	early, _ := newNode("c1:1")
-	connect(t, early, 0)
-	if _, sent := join(early, "n2"); !dismissed(sent) || early.Subscribers() != 0 {
+	notReady, _ := newNode("c1:1")
+	connect(t, notReady, 0)
+	if _, sent := subscribe(notReady, "n2"); !isGoAway(sent) || notReady.Subscribers() != 0 {
 		t.Errorf("one that isn't ready sent %+v", sent)
 	}
 	n, _, parent := readyNode(t)
-	c, sent := join(n, "n2")
+	c, sent := subscribe(n, "n2")
 	if len(sent) != 0 || n.Subscribers() != 1 {
 		t.Fatalf("a ready one sent %+v", sent)
 	}
@@ -224,20 +224,20 @@
 		t.Errorf("a new subscriber was sent %+v", sent)
 	}
 	n.Handle(time.Second, ConnClosed{parent})
-	if _, sent = join(n, "n3"); !dismissed(sent) {
+	if _, sent = subscribe(n, "n3"); !isGoAway(sent) {
 		t.Errorf("one without a parent sent %+v", sent)
 	}
 	n, _, _ = readyNode(t)
 	n.Drain(time.Second)
 	n.TakeActions()
-	if _, sent = join(n, "n4"); !dismissed(sent) || n.Subscribers() != 0 {
+	if _, sent = subscribe(n, "n4"); !isGoAway(sent) || n.Subscribers() != 0 {
 		t.Errorf("one that drains sent %+v", sent)
 	}
 }
 
 // What comes from below goes into the directory and on to the parent, but for what one below says is lost, which goes
 // only on.
-func TestEntriesFromBelowGoToTheParent(t *testing.T) {
+func TestEntriesOfSubscribersAreForwardedToTheParent(t *testing.T) {
 	n, _, parent := readyNode(t)
 	c := &fakeConn{"n2"}
 	n.Handle(time.Second, FrameReceived{c, &wire.FrameT{Kind: wire.Subscribe, From: "n2"}})
@@ -259,30 +259,30 @@
 	}
 }
 
-func TestParentThatStartedAnewLearnsOfTheSidecarsBelow(t *testing.T) {
+func TestNewParentIsSentTheEntriesOfSubscribers(t *testing.T) {
 	n, _, parent := readyNode(t)
 	c := &fakeConn{"n2"}
 	n.Handle(time.Second, FrameReceived{c, &wire.FrameT{Kind: wire.Subscribe, From: "n2"}})
-	below := directory.Entry{Node: "n2", Incarnation: 1, Sequence: 7, Server: "i-2", LastSeen: time.Second}
-	announced := codec.EntryToWire(&below, time.Second)
+	entry := directory.Entry{Node: "n2", Incarnation: 1, Sequence: 7, Server: "i-2", LastSeen: time.Second}
+	announced := codec.EntryToWire(&entry, time.Second)
 	n.Handle(time.Second, FrameReceived{c, &wire.FrameT{Kind: wire.Report, From: "n2", Entries: []*wire.EntryT{announced}}})
-	const heard, redialed = 50 * time.Second, 51 * time.Second
-	alive := codec.LivenessToWire(&directory.Entry{Node: "n2", Incarnation: 1, LastSeen: heard}, heard)
-	n.Handle(heard, FrameReceived{c, &wire.FrameT{Kind: wire.Report, From: "n2", Entries: []*wire.EntryT{alive}}})
+	const lastSeen, redialed = 50 * time.Second, 51 * time.Second
+	alive := codec.LivenessToWire(&directory.Entry{Node: "n2", Incarnation: 1, LastSeen: lastSeen}, lastSeen)
+	n.Handle(lastSeen, FrameReceived{c, &wire.FrameT{Kind: wire.Report, From: "n2", Entries: []*wire.EntryT{alive}}})
 	n.Handle(redialed-time.Second, ConnClosed{parent})
 	n.TakeActions()
 	n.Maintain(redialed, 0)
-	if _, ok := last(n.TakeActions()).(Dial); !ok {
+	if _, ok := lastAction(n.TakeActions()).(Dial); !ok {
 		t.Fatal("no parent was dialed")
 	}
-	next := &fakeConn{"next"}
-	n.Handle(redialed, ParentDialed{Conn: next})
-	sent := frames(n.TakeActions(), next)
+	newParent := &fakeConn{"next"}
+	n.Handle(redialed, ParentDialed{Conn: newParent})
+	sent := frames(n.TakeActions(), newParent)
 	if len(sent) != 2 || sent[0].Kind != wire.Subscribe || len(sent[1].Entries) != 1 {
 		t.Fatalf("the new parent was sent %+v", sent)
 	}
 	e, complete := codec.EntryFromWire(sent[1].Entries[0], redialed)
-	if !complete || e.Node != "n2" || e.Sequence != 7 || e.Server != "i-2" || e.LastSeen != heard {
+	if !complete || e.Node != "n2" || e.Sequence != 7 || e.Server != "i-2" || e.LastSeen != lastSeen {
 		t.Errorf("of the one below it was sent %+v", e)
 	}
 }
@@ -292,7 +292,7 @@
 	n, _, parent := readyNode(t)
 	c := &fakeConn{"n2"}
 	n.Handle(time.Second, FrameReceived{c, &wire.FrameT{Kind: wire.Subscribe, From: "n2", Version: 1, LowestVersion: 1}})
-	n.Handle(time.Second, FrameReceived{parent, updateFor(t, 1, textOf("00000001"), textOf("00000002"))})
+	n.Handle(time.Second, FrameReceived{parent, updateFor(t, 1, configText("00000001"), configText("00000002"))})
 	n.Adopt()
 	n.Publish(time.Second)
 	sent := frames(n.TakeActions(), parent)
@@ -316,37 +316,37 @@
 // this one later still.
 func TestOwnEntryOfAnotherIncarnation(t *testing.T) {
 	for _, c := range []struct {
-		name          string
-		life          uint64
-		recalled      int
-		incarnation   uint64
-		announcedAnew bool
+		name             string
+		entryIncarnation uint64
+		restored         int
+		newIncarnation   uint64
+		announcedAnew    bool
 	}{
 		{"an earlier one", 9, 1, 0, false},
 		{"its own", 10, 0, 0, false},
 		{"a later one", 30, 1, 31, true},
 	} {
 		n, h, parent := readyNode(t)
-		e := codec.EntryToWire(&directory.Entry{Node: self, Incarnation: c.life, Sequence: 50}, 0)
+		e := codec.EntryToWire(&directory.Entry{Node: self, Incarnation: c.entryIncarnation, Sequence: 50}, 0)
 		n.Handle(time.Second, FrameReceived{parent, &wire.FrameT{Kind: wire.Update, AgeMs: 1, Entries: []*wire.EntryT{e}}})
 		sent := frames(n.TakeActions(), parent)
-		if len(h.recalled) != c.recalled || h.incarnation != c.incarnation || len(sent) > 0 != c.announcedAnew {
-			t.Errorf("%s: recalled %d, now %d, sent %+v", c.name, len(h.recalled), h.incarnation, sent)
+		if len(h.restored) != c.restored || h.incarnation != c.newIncarnation || len(sent) > 0 != c.announcedAnew {
+			t.Errorf("%s: recalled %d, now %d, sent %+v", c.name, len(h.restored), h.incarnation, sent)
 		}
-		if c.announcedAnew && (len(sent) != 1 || sent[0].Entries[0].Incarnation != c.incarnation) {
+		if c.announcedAnew && (len(sent) != 1 || sent[0].Entries[0].Incarnation != c.newIncarnation) {
 			t.Errorf("%s: announced %+v", c.name, sent)
 		}
 	}
 }
 
 // A sidecar that goes under a relay may be none itself: it sends its subscribers away before it dials.
-func TestSubscribersAreDismissedAheadOfARelay(t *testing.T) {
+func TestSubscribersAreSentGoAwayBeforeARelayIsDialed(t *testing.T) {
 	n, _, parent := readyNode(t)
-	below := &fakeConn{"n2"}
-	n.Handle(time.Second, FrameReceived{below, &wire.FrameT{Kind: wire.Subscribe, From: "n2"}})
+	subscriber := &fakeConn{"n2"}
+	n.Handle(time.Second, FrameReceived{subscriber, &wire.FrameT{Kind: wire.Subscribe, From: "n2"}})
 	var entries []*wire.EntryT
 	relay := ""
-	for _, e := range zone(30) {
+	for _, e := range relayCandidates(30) {
 		entries = append(entries, codec.EntryToWire(&e, 0))
 	}
 	entries = append(entries, codec.EntryToWire(&directory.Entry{Node: self, Incarnation: 10}, 0))
@@ -355,34 +355,34 @@
 	n.Handle(10*time.Second, FrameReceived{parent, &wire.FrameT{Kind: wire.Update, Version: version, AgeMs: 1}})
 	n.TakeActions()
 	n.Reparent(10 * time.Second)
-	if c, ok := last(n.TakeActions()).(Close); !ok || c.Conn != parent || c.Reason != subscription.RelayFound {
+	if c, ok := lastAction(n.TakeActions()).(Close); !ok || c.Conn != parent || c.Reason != subscription.RelayFound {
 		t.Fatal("found no relay: is this one of the relays, by its name?")
 	}
 	n.Maintain(10*time.Second, 0)
-	all := n.TakeActions()
-	if len(all) != 2 {
-		t.Fatalf("%+v", all)
+	actions := n.TakeActions()
+	if len(actions) != 2 {
+		t.Fatalf("%+v", actions)
 	}
-	bye, _ := all[0].(Send)
-	dial, _ := all[1].(Dial)
-	if relay = dial.Addr; bye.To != below || bye.Frame.Kind != wire.GoAway || !dial.Relay || relay == "c1:1" {
-		t.Errorf("%+v, then %+v", bye, dial)
+	goAway, _ := actions[0].(Send)
+	dial, _ := actions[1].(Dial)
+	if relay = dial.Addr; goAway.To != subscriber || goAway.Frame.Kind != wire.GoAway || !dial.Relay || relay == "c1:1" {
+		t.Errorf("%+v, then %+v", goAway, dial)
 	}
 }
 
 // zone returns sidecars of this one's zone.
-func zone(count int) (all []directory.Entry) {
+func relayCandidates(count int) (entries []directory.Entry) {
 	for i := range count {
 		name := "m" + string(rune('a'+i))
-		all = append(all, directory.Entry{Node: name, Incarnation: 1, Sequence: 1, Zone: "x", PeerAddr: name + ":1"})
+		entries = append(entries, directory.Entry{Node: name, Incarnation: 1, Sequence: 1, Zone: "x", PeerAddr: name + ":1"})
 	}
-	return all
+	return entries
 }
 
 // Frames of a parent that was left, or of nobody's, change nothing.
-func TestOnlyTheParentIsHeard(t *testing.T) {
+func TestFramesOfOtherConnectionsAreIgnored(t *testing.T) {
 	n, h, _ := readyNode(t)
-	n.Handle(time.Second, FrameReceived{&fakeConn{"other"}, updateFor(t, 0, textOf("00000001"), textOf("00000002"))})
+	n.Handle(time.Second, FrameReceived{&fakeConn{"other"}, updateFor(t, 0, configText("00000001"), configText("00000002"))})
 	n.Adopt()
 	if n.State().Version != 1 || h.inForce != 1 {
 		t.Errorf("has version %d", n.State().Version)
@@ -405,15 +405,15 @@
 	earlier := own
 	earlier.Incarnation, earlier.Sequence = own.Incarnation-1, own.Sequence+5
 	n.Handle(0, FrameReceived{Conn: c, Frame: update(earlier)})
-	if n.Confirmed() >= n.Announced() {
+	if n.ConfirmedSequence() >= n.AnnouncedSequence() {
 		t.Error("the entry of an earlier process confirms")
 	}
 	n.Handle(0, FrameReceived{Conn: c, Frame: update(own)})
-	if n.Confirmed() != n.Announced() {
-		t.Errorf("confirmed %d, announced %d", n.Confirmed(), n.Announced())
+	if n.ConfirmedSequence() != n.AnnouncedSequence() {
+		t.Errorf("confirmed %d, announced %d", n.ConfirmedSequence(), n.AnnouncedSequence())
 	}
 	n.Announce(time.Second)
-	if n.Confirmed() >= n.Announced() {
+	if n.ConfirmedSequence() >= n.AnnouncedSequence() {
 		t.Error("a later announcement counts as confirmed")
 	}
 }
--- a/mesh/dataplane/exchanges/exchanges.go
+++ b/mesh/dataplane/exchanges/exchanges.go
@@ -14,49 +14,49 @@
 	create func(service string) E
 	update func(exchange E, entries []directory.Entry, now time.Duration)
 
-	all      map[string]E // by service; those the configuration has no more remain, as they may have requests in flight
-	revision uint64       // of the directory, as the exchanges have it
-	stale    bool         // an update is needed though the directory is the same
+	exchanges   map[string]E // by service; those the configuration has no more remain, as they may have requests in flight
+	revision    uint64       // of the directory, as the exchanges have it
+	invalidated bool         // an update is needed though the directory is the same
 }
 
 // New returns an empty set. Create returns a new exchange for a service; update replaces the endpoints of an exchange.
 func New[E any](create func(service string) E, update func(exchange E, entries []directory.Entry, now time.Duration)) *Set[E] {
-	return &Set[E]{create: create, update: update, all: map[string]E{}}
+	return &Set[E]{create: create, update: update, exchanges: map[string]E{}}
 }
 
 // For returns the exchanges of services, by name. It creates those that are missing, whose endpoints the next
 // Reconcile sets.
-func (s *Set[E]) For(services []string) map[string]E {
-	out := make(map[string]E, len(services))
+func (s *Set[E]) GetOrCreate(services []string) map[string]E {
+	exchanges := make(map[string]E, len(services))
 	for _, name := range services {
-		e, ok := s.all[name]
+		e, ok := s.exchanges[name]
 		if !ok {
 			e = s.create(name)
-			s.all[name], s.stale = e, true
+			s.exchanges[name], s.invalidated = e, true
 		}
-		out[name] = e
+		exchanges[name] = e
 	}
-	return out
+	return exchanges
 }
 
 // Get returns the exchange of a service; ok is false where there is none.
 func (s *Set[E]) Get(service string) (exchange E, ok bool) {
-	exchange, ok = s.all[service]
+	exchange, ok = s.exchanges[service]
 	return exchange, ok
 }
 
 // Invalidate makes the next Reconcile update all exchanges, because evidence other than the directory has changed.
-func (s *Set[E]) Invalidate() { s.stale = true }
+func (s *Set[E]) Invalidate() { s.invalidated = true }
 
 // Reconcile updates all exchanges with entries, which it calls at most once, if the revision of the directory is
 // another than last time or the set was invalidated. Otherwise it does nothing.
 func (s *Set[E]) Reconcile(revision uint64, entries func() []directory.Entry, now time.Duration) {
-	if revision == s.revision && !s.stale {
+	if revision == s.revision && !s.invalidated {
 		return
 	}
-	s.revision, s.stale = revision, false
-	seen := entries()
-	for _, e := range s.all {
-		s.update(e, seen, now)
+	s.revision, s.invalidated = revision, false
+	allEntries := entries()
+	for _, e := range s.exchanges {
+		s.update(e, allEntries, now)
 	}
 }
--- a/mesh/dataplane/figures.go
+++ b/mesh/dataplane/figures.go
@@ -55,7 +55,7 @@
 		attempts.Duplicate: "duplicate", attempts.AlreadyBarred: "barred", attempts.WrongIncarnation: "wrong_incarnation",
 		attempts.TooOld: "too_old", attempts.LogFull: "log_full",
 	}
-	reasonNames = [...]string{0: "none", subscription.Stale: "stale", subscription.Dismissed: "dismissed", subscription.RelayFound: "relay"}
+	reasonNames = [...]string{0: "none", subscription.Stale: "stale", subscription.GoAway: "dismissed", subscription.RelayFound: "relay"}
 )
 
 // newFigures returns the figures of a sidecar, all at 0.
--- a/mesh/dataplane/host.go
+++ b/mesh/dataplane/host.go
@@ -49,7 +49,7 @@
 	for name := range next.Services {
 		names = append(names, name)
 	}
-	services := p.exchanges.For(names)
+	services := p.exchanges.GetOrCreate(names)
 	p.services.Store(&services)
 	p.cfg.Store(next)
 	return next.Version
@@ -67,8 +67,8 @@
 	}
 }
 
-// RecallServer implements distribution.Host.
-func (h *host) RecallServer(now time.Duration, earlier *directory.Entry) {
+// RestoreServer implements distribution.Host.
+func (h *host) RestoreServer(now time.Duration, earlier *directory.Entry) {
 	h.p.lastHop.restore(now, earlier)
 }
 
--- a/mesh/dataplane/inflight/tracker.go
+++ b/mesh/dataplane/inflight/tracker.go
@@ -31,8 +31,8 @@
 
 // Query asks the last hop of an attempt for its outcome.
 type Query struct {
-	About  Attempt
-	Number int // 1 for the first query about an attempt
+	Attempt Attempt
+	Number  int // 1 for the first query about an attempt
 
 	answered bool
 }
@@ -41,16 +41,18 @@
 func (q *Query) Answered() bool { return q.answered }
 
 // FirstQuery returns the query that a broken connection calls for, or nil where the request has too little time left for one.
-func (a Attempt) FirstQuery(left time.Duration) *Query { return query(a, 1, left) }
+func (a Attempt) FirstQuery(remaining time.Duration) *Query { return newQuery(a, 1, remaining) }
 
 // Next returns the query to send, QueryInterval later, after q was not answered, or nil where none is due any more.
-func (q *Query) Next(left time.Duration) *Query { return query(q.About, q.Number+1, left) }
+func (q *Query) Next(remaining time.Duration) *Query {
+	return newQuery(q.Attempt, q.Number+1, remaining)
+}
 
-func query(about Attempt, number int, left time.Duration) *Query {
-	if number > MaxQueries || left < MinQueryTime {
+func newQuery(attempt Attempt, number int, remaining time.Duration) *Query {
+	if number > MaxQueries || remaining < MinQueryTime {
 		return nil
 	}
-	return &Query{About: about, Number: number}
+	return &Query{Attempt: attempt, Number: number}
 }
 
 // entry is an attempt that is out, or a query about one.
@@ -60,7 +62,7 @@
 }
 
 // incarnation is which process stands at a last hop's address, as far as this sidecar knows.
-type incarnation struct {
+type lastHopIncarnation struct {
 	announced uint64 // by the directory
 	effective uint64 // the announced one, or the one that the last hop itself has named since
 }
@@ -73,12 +75,12 @@
 	mu           sync.Mutex
 	lastNumber   uint64
 	entries      map[K]entry
-	incarnations map[string]incarnation // by the last hop's address
+	incarnations map[string]lastHopIncarnation // by the last hop's address
 }
 
 // New returns the tracker of a sender, which is named by its node and its own incarnation.
 func New[K comparable](sender string) *Tracker[K] {
-	return &Tracker[K]{sender: sender, entries: map[K]entry{}, incarnations: map[string]incarnation{}}
+	return &Tracker[K]{sender: sender, entries: map[K]entry{}, incarnations: map[string]lastHopIncarnation{}}
 }
 
 // Begin numbers an attempt that is about to be written to the last hop at an address. Numbers rise with each attempt.
@@ -95,11 +97,11 @@
 func (t *Tracker[K]) BeginQuery(key K, q *Query) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.entries[key] = entry{attempt: q.About, query: q}
+	t.entries[key] = entry{attempt: q.Attempt, query: q}
 }
 
 // QueryOf returns the query that a key stands for; nil: it stands for none.
-func (t *Tracker[K]) QueryOf(key K) *Query {
+func (t *Tracker[K]) QueryFor(key K) *Query {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.entries[key].query
@@ -108,7 +110,7 @@
 // Respond handles a complete response to an attempt or a query, and returns its evidence about the attempt. The entry is removed: what its
 // connection does from then on means nothing. Idempotent attempts, which are never begun here, get the evidence alike. The incarnation is
 // the one that the last hop has named as its own; 0: none.
-func (t *Tracker[K]) Respond(key K, outcome attempts.Outcome, r attempts.Response, incarnation uint64) attempts.Evidence {
+func (t *Tracker[K]) HandleResponse(key K, outcome attempts.Outcome, r attempts.Response, incarnation uint64) attempts.Evidence {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e, ok := t.entries[key]
@@ -126,7 +128,7 @@
 
 // End removes an attempt or a query whose connection has ended. It returns the attempt whose outcome is unknown by that: one that had no
 // response. Of a query it returns none.
-func (t *Tracker[K]) End(key K) (unanswered Attempt, ok bool) {
+func (t *Tracker[K]) HandleClose(key K) (unanswered Attempt, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e, ok := t.entries[key]
@@ -136,7 +138,7 @@
 
 // Announce records which incarnation the directory has of the last hop at an address. One that the last hop itself has named since
 // prevails until the directory announces another one.
-func (t *Tracker[K]) Announce(addr string, announced uint64) {
+func (t *Tracker[K]) SetAnnouncedIncarnation(addr string, announced uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.incarnations[addr].announced == announced {
@@ -145,7 +147,7 @@
 	if len(t.incarnations) >= MaxIncarnations {
 		clear(t.incarnations)
 	}
-	t.incarnations[addr] = incarnation{announced: announced, effective: announced}
+	t.incarnations[addr] = lastHopIncarnation{announced: announced, effective: announced}
 }
 
 // correctIncarnation records the incarnation that a last hop names as its own, if the directory has announced one at its address.
--- a/mesh/dataplane/inflight/tracker_test.go
+++ b/mesh/dataplane/inflight/tracker_test.go
@@ -12,7 +12,7 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // A sidecar to which the directory has announced one incarnation, and which learns another from the last hop itself, sends to that.
-func TestTheIncarnationIsCorrected(t *testing.T) {
+func TestIncarnationNamedByTheLastHopIsUsed(t *testing.T) {
 	tracker := New[int]("me.1")
 	key := 0
 	sent := func() uint64 {
@@ -22,15 +22,15 @@
 	correct := func(incarnation uint64) {
 		key++
 		tracker.Begin(key, "h:1")
-		tracker.Respond(key, attempts.NotReceived, attempts.Response{}, incarnation)
+		tracker.HandleResponse(key, attempts.NotReceived, attempts.Response{}, incarnation)
 	}
 	if got := sent(); got != 0 {
 		t.Errorf("to nobody known: %d", got)
 	}
 	correct(5) // of whom the directory has announced nothing
-	tracker.Announce("h:1", 1)
+	tracker.SetAnnouncedIncarnation("h:1", 1)
 	correct(2)
-	tracker.Announce("h:1", 1) // the directory has not heard of it yet
+	tracker.SetAnnouncedIncarnation("h:1", 1) // the directory has not heard of it yet
 	if got := sent(); got != 2 {
 		t.Errorf("after it was corrected: %d", got)
 	}
@@ -38,18 +38,18 @@
 	if got := sent(); got != 2 {
 		t.Errorf("after a response without an incarnation: %d", got)
 	}
-	tracker.Announce("h:1", 3)
+	tracker.SetAnnouncedIncarnation("h:1", 3)
 	if got := sent(); got != 3 {
 		t.Errorf("after the directory announced another: %d", got)
 	}
 }
 
 // Only a response that says that the attempt was not received names an incarnation worth taking.
-func TestOnlyARejectionCorrectsTheIncarnation(t *testing.T) {
+func TestOnlyNotReceivedCorrectsTheIncarnation(t *testing.T) {
 	tracker := New[string]("me.1")
-	tracker.Announce("h:1", 1)
+	tracker.SetAnnouncedIncarnation("h:1", 1)
 	tracker.Begin("a", "h:1")
-	tracker.Respond("a", attempts.Executed, attempts.Response{Success: true, Postmarked: true}, 9)
+	tracker.HandleResponse("a", attempts.Executed, attempts.Response{Success: true, Postmarked: true}, 9)
 	if id := tracker.Begin("b", "h:1"); id.Incarnation != 1 || id.Number != 2 || id.Sender != "me.1" {
 		t.Errorf("%+v", id)
 	}
@@ -60,13 +60,13 @@
 	tracker := New[string]("me.1")
 	tracker.Begin("broken", "h:1")
 	tracker.Begin("answered", "h:1")
-	tracker.Respond("answered", attempts.Indeterminate, attempts.Response{}, 0)
-	tracker.BeginQuery("query", &Query{About: Attempt{Addr: "h:1"}, Number: 1})
+	tracker.HandleResponse("answered", attempts.Indeterminate, attempts.Response{}, 0)
+	tracker.BeginQuery("query", &Query{Attempt: Attempt{Addr: "h:1"}, Number: 1})
 	for _, c := range []struct {
 		key  string
 		want bool
 	}{{"broken", true}, {"broken", false}, {"answered", false}, {"query", false}, {"never begun", false}} {
-		if _, got := tracker.End(c.key); got != c.want {
+		if _, got := tracker.HandleClose(c.key); got != c.want {
 			t.Errorf("%s: %v, want %v", c.key, got, c.want)
 		}
 	}
@@ -76,7 +76,7 @@
 }
 
 // A last hop is queried MaxQueries times, and only while the request has time for that.
-func TestQueriesEnd(t *testing.T) {
+func TestQueriesAreBoundedInNumberAndTime(t *testing.T) {
 	n := 0
 	for q := (Attempt{}).FirstQuery(time.Second); q != nil; q = q.Next(time.Second) {
 		if n++; q.Number != n {
@@ -95,7 +95,7 @@
 func TestIncarnationsAreBounded(t *testing.T) {
 	tracker := New[string]("me.1")
 	for i := range MaxIncarnations + 10 {
-		tracker.Announce(time.Duration(i).String(), 1)
+		tracker.SetAnnouncedIncarnation(time.Duration(i).String(), 1)
 		if len(tracker.incarnations) > MaxIncarnations {
 			t.Fatalf("%d incarnations", len(tracker.incarnations))
 		}
--- a/mesh/dataplane/invariants_test.go
+++ b/mesh/dataplane/invariants_test.go
@@ -38,18 +38,18 @@
 		{"one twice", func(l *lastHop) { begin(l, 0, "x", false); begin(l, 0, "x", false) }, []invariant.Name{invariant.StartedOnce}},
 		{"an idempotent one twice", func(l *lastHop) { begin(l, 0, "x", true); begin(l, 0, "x", true) }, nil},
 		{"soon after the closing", func(l *lastHop) {
-			l.guard.Closing(0, "i1")
+			l.guard.RecordClosing(0, "i1")
 			begin(l, time.Second, "x", false)
 		}, nil},
 		{"late after the closing", func(l *lastHop) {
-			l.guard.Closing(0, "i1")
+			l.guard.RecordClosing(0, "i1")
 			begin(l, 3*time.Second, "x", true)
 		}, []invariant.Name{invariant.ClosingServerNotSent}},
 	} {
 		l, _ := lastHopWith(&held{})
 		var got *[]invariant.Name
 		l.invariants, got = reported()
-		l.guard = lasthop.NewGuard(2 * time.Second)
+		l.guard = lasthop.NewInvariantChecker(2 * time.Second)
 		c.play(l)
 		if !slices.Equal(*got, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, *got, c.want)
--- a/mesh/dataplane/lasthop.go
+++ b/mesh/dataplane/lasthop.go
@@ -47,7 +47,7 @@
 	gate    lasthop.Gate[*core.Call, *core.Answer]
 	running map[*lastHopAttempt]struct{} // begun at the server, and not ended
 	streams int                          // answers of the server that are still coming
-	guard   *lasthop.Guard
+	guard   *lasthop.InvariantChecker
 	trial   trial
 }
 
@@ -72,7 +72,7 @@
 		gate:          gate,
 		running:       map[*lastHopAttempt]struct{}{},
 		invariants:    invariant.Ignored{},
-		guard:         lasthop.NewGuard(0),
+		guard:         lasthop.NewInvariantChecker(0),
 	}
 }
 
@@ -111,7 +111,7 @@
 	now := l.now()
 	d := l.gate.Begin(now, t.request)
 	l.figures.lastHopDecided(d.Attempt, d.Admission)
-	if !d.Begins() {
+	if !d.Admitted() {
 		return l.rejection(d)
 	}
 	l.checkBegin(now, c, t)
@@ -129,11 +129,11 @@
 
 // checkBegin checks the invariants of a request that is handed to the server. The caller holds mu.
 func (l *lastHop) checkBegin(now time.Duration, c *core.Call, t *lastHopAttempt) {
-	if !t.request.Idempotent && l.guard.Start(c.Message.Trace) {
+	if !t.request.Idempotent && l.guard.RecordStart(c.Message.Trace) {
 		l.invariants.Violated(invariant.StartedOnce, "request", c.Message.Trace, "server", t.request.ServerID,
 			"attempt", formatAttemptID(t.request.Attempt))
 	}
-	if closedFor := l.guard.ClosedFor(now, t.request.ServerID); closedFor > 0 {
+	if closedFor := l.guard.TimePastGrace(now, t.request.ServerID); closedFor > 0 {
 		l.invariants.Violated(invariant.ClosingServerNotSent, "request", c.Message.Trace, "server", t.request.ServerID, "late", closedFor)
 	}
 }
@@ -169,7 +169,7 @@
 	l.mu.Lock()
 	done := l.gate.Finish(l.now(), t.request, gateResult(r, answer))
 	if neverStarted(r) || r.Outcome == balance.Rejected {
-		l.guard.Withdraw(c.Message.Trace)
+		l.guard.RecordNotStarted(c.Message.Trace)
 	}
 	delete(l.running, t)
 	l.trial.record(uint32(c.Request.Key), r, time.Since(c.Received), l.gate.Admission.WarmingUp(l.now()))
@@ -183,7 +183,7 @@
 	}
 	l.logLostResponse(c, t, r)
 	c.Client.Answer(c, answer)
-	for _, query := range done.Waiting {
+	for _, query := range done.WaitingQueries {
 		query.Client.Answer(query, queryAnswer(answer, r))
 	}
 }
@@ -205,15 +205,15 @@
 		NotStarted: neverStarted(r),
 		Refused:    r.Outcome == balance.ConnectFailed,
 		Responded:  r.Answer != nil,
-		Server:     serverResultOf(r.Outcome),
+		Health:     serverResultOf(r.Outcome),
 	}
 	if answer.Stream == nil {
 		result.Response, result.CacheBytes = answer, answerSize(answer)
 	}
 	if a := r.Answer; a != nil {
-		result.Bytes = len(a.Body)
+		result.BodyBytes = len(a.Body)
 		if a.Stream != nil {
-			result.Bytes += int(max(0, a.Stream.Length()))
+			result.BodyBytes += int(max(0, a.Stream.Length()))
 		}
 	}
 	return result
@@ -300,7 +300,7 @@
 func (l *lastHop) handleHeartbeat(h admission.Heartbeat) bool {
 	l.mu.Lock()
 	if h.Closing {
-		l.guard.Closing(l.now(), h.ServerID)
+		l.guard.RecordClosing(l.now(), h.ServerID)
 	}
 	changed := l.gate.Admission.HandleHeartbeat(l.now(), h)
 	awaits := l.gate.Admission.AwaitsConfirmation()
@@ -315,7 +315,7 @@
 func (l *lastHop) serverLeft(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.guard.Closing(l.now(), id)
+	l.guard.RecordClosing(l.now(), id)
 	return l.gate.Admission.HandleDeregistration(id)
 }
 
--- a/mesh/dataplane/lasthop/gate.go
+++ b/mesh/dataplane/lasthop/gate.go
@@ -31,7 +31,7 @@
 }
 
 // Begins reports whether the request may be handed to the server.
-func (d Decision) Begins() bool {
+func (d Decision) Admitted() bool {
 	return d.Attempt == attempts.Admitted && d.Admission == admission.Admit
 }
 
@@ -42,16 +42,16 @@
 	NotStarted bool             // it has not reached the server
 	Refused    bool             // the server's address refused the connection
 	Responded  bool             // the server has responded, with whatever status
-	Server     admission.Result // for the server's health
-	Bytes      int              // of the response's body, which now goes out on the link
+	Health     admission.Result // for the server's health
+	BodyBytes  int              // of the response's body, which now goes out on the link
 }
 
 // Completion is what follows from a result.
 type Completion[Q any] struct {
-	Waiting       []Q  // queries that wait for the attempt's end
-	ServerChanged bool // the server's state has changed, and is to be announced
-	HealthChanged bool // the server has become healthy or unhealthy
-	Unhealthy     bool // the server counts as unhealthy
+	WaitingQueries []Q  // queries that wait for the attempt's end
+	ServerChanged  bool // the server's state has changed, and is to be announced
+	HealthChanged  bool // the server has become healthy or unhealthy
+	Unhealthy      bool // the server counts as unhealthy
 }
 
 // Gate guards one local server. Queries of other sidecars are of type Q, responses that are cached for them of type R. Its size is
@@ -64,8 +64,8 @@
 
 // Begin decides on a request that arrives. If it begins, Finish has to be called once.
 func (g *Gate[Q, R]) Begin(now time.Duration, r Request) Decision {
-	logged := r.Attempt.Sender != ""
-	if logged {
+	isLogged := r.Attempt.Sender != ""
+	if isLogged {
 		if v := g.Outcomes.Check(r.Attempt); v != attempts.Admitted {
 			return Decision{Attempt: v}
 		}
@@ -73,7 +73,7 @@
 	if v := g.admit(now, r); v != admission.Admit {
 		return Decision{Admission: v}
 	}
-	if logged {
+	if isLogged {
 		if v := g.Outcomes.Begin(now, r.Attempt); v != attempts.Admitted {
 			g.Admission.Release(r.ServerID)
 			return Decision{Attempt: v}
@@ -99,22 +99,22 @@
 
 // Finish records how a request that began has ended.
 func (g *Gate[Q, R]) Finish(now time.Duration, r Request, result Result[R]) Completion[Q] {
-	done := Completion[Q]{Waiting: g.recordOutcome(now, r.Attempt, result)}
+	completion := Completion[Q]{WaitingQueries: g.recordOutcome(now, r.Attempt, result)}
 	g.Admission.Release(r.ServerID)
-	done.HealthChanged = g.Admission.RecordResult(now, r.ServerID, result.Server)
-	done.Unhealthy = g.Admission.Unhealthy()
+	completion.HealthChanged = g.Admission.RecordResult(now, r.ServerID, result.Health)
+	completion.Unhealthy = g.Admission.Unhealthy()
 	if r.Bulk {
-		g.Link.Finish(now, result.Bytes)
+		g.Link.Finish(now, result.BodyBytes)
 	} else {
-		g.Link.RecordSent(now, result.Bytes)
+		g.Link.RecordSent(now, result.BodyBytes)
 	}
 	switch {
 	case result.Refused:
-		done.ServerChanged = g.Admission.ConnectionRefused()
+		completion.ServerChanged = g.Admission.ConnectionRefused()
 	case result.Responded:
-		done.ServerChanged = g.Admission.ResponseReceived(now)
+		completion.ServerChanged = g.Admission.ResponseReceived(now)
 	}
-	return done
+	return completion
 }
 
 // recordOutcome logs how an attempt has ended, and returns the queries that wait for that.
--- a/mesh/dataplane/lasthop/gate_test.go
+++ b/mesh/dataplane/lasthop/gate_test.go
@@ -35,12 +35,12 @@
 }
 
 // What decides on a request, and in which order: the log of outcomes first, then admission control.
-func TestDecisions(t *testing.T) {
+func TestOutcomeLogDecidesBeforeAdmission(t *testing.T) {
 	rejected := func(v attempts.Verdict) Decision { return Decision{Attempt: v} }
-	elsewhere, idempotent := request(1), Request{ServerID: "i1", Idempotent: true}
-	elsewhere.ServerID = "i2"
-	older := request(1)
-	older.Attempt.Incarnation--
+	otherServer, idempotent := request(1), Request{ServerID: "i1", Idempotent: true}
+	otherServer.ServerID = "i2"
+	olderIncarnation := request(1)
+	olderIncarnation.Attempt.Incarnation--
 	for _, c := range []struct {
 		name   string
 		before func(*Gate[string, string])
@@ -49,8 +49,8 @@
 	}{
 		{"begins", func(*Gate[string, string]) {}, request(1), Decision{}},
 		{"idempotent, and without an id", func(*Gate[string, string]) {}, idempotent, Decision{}},
-		{"for another server", func(*Gate[string, string]) {}, elsewhere, Decision{Admission: admission.WrongServer}},
-		{"to another incarnation", func(*Gate[string, string]) {}, older, rejected(attempts.WrongIncarnation)},
+		{"for another server", func(*Gate[string, string]) {}, otherServer, Decision{Admission: admission.WrongServer}},
+		{"to another incarnation", func(*Gate[string, string]) {}, olderIncarnation, rejected(attempts.WrongIncarnation)},
 		{"twice", func(g *Gate[string, string]) { g.Begin(0, request(1)) }, request(1), rejected(attempts.Duplicate)},
 		{"after its query", func(g *Gate[string, string]) { g.Query(0, request(1).Attempt, "q") }, request(1), rejected(attempts.AlreadyBarred)},
 		{"twice, as the server closes", func(g *Gate[string, string]) {
@@ -70,28 +70,28 @@
 	} {
 		g := newGate(0)
 		c.before(g)
-		if got := g.Begin(0, c.r); got != c.want || got.Begins() != (c.want == Decision{}) {
+		if got := g.Begin(0, c.r); got != c.want || got.Admitted() != (c.want == Decision{}) {
 			t.Errorf("%s: %+v, want %+v", c.name, got, c.want)
 		}
 	}
 }
 
 // A request that admission control rejects is not logged: should it come again, it may begin; and a query proves that it has not.
-func TestRejectionsLeaveNoTrace(t *testing.T) {
+func TestRejectedRequestsAreNotLogged(t *testing.T) {
 	g := newGate(0)
-	elsewhere := request(1)
-	elsewhere.ServerID = "i2"
-	g.Begin(0, elsewhere)
+	otherServer := request(1)
+	otherServer.ServerID = "i2"
+	g.Begin(0, otherServer)
 	if n := g.Outcomes.Len(); n != 0 {
 		t.Errorf("%d attempts are logged", n)
 	}
-	if d := g.Begin(0, request(1)); !d.Begins() {
+	if d := g.Begin(0, request(1)); !d.Admitted() {
 		t.Errorf("%+v", d)
 	}
 }
 
 // Every end of a request frees its slot, and answers the queries that wait for it; what they get later follows from the end.
-func TestEndsOfRequests(t *testing.T) {
+func TestFinishReleasesTheSlotAndReturnsWaitingQueries(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		result   Result[string]
@@ -99,23 +99,23 @@
 		response string
 		changed  bool
 	}{
-		{"responded", Result[string]{Response: "r", CacheBytes: 1, Responded: true, Server: admission.Success}, attempts.Finished, "r", false},
-		{"responded, not cached", Result[string]{Responded: true, Server: admission.Success}, attempts.Discarded, "", false},
-		{"broke", Result[string]{Response: "broke", CacheBytes: 5, Server: admission.Failure}, attempts.Finished, "broke", false},
+		{"responded", Result[string]{Response: "r", CacheBytes: 1, Responded: true, Health: admission.Success}, attempts.Finished, "r", false},
+		{"responded, not cached", Result[string]{Responded: true, Health: admission.Success}, attempts.Discarded, "", false},
+		{"broke", Result[string]{Response: "broke", CacheBytes: 5, Health: admission.Failure}, attempts.Finished, "broke", false},
 		{"refused", Result[string]{Response: "r", CacheBytes: 1, NotStarted: true, Refused: true}, attempts.NotStarted, "", true},
 		{"not written", Result[string]{Response: "r", CacheBytes: 1, NotStarted: true}, attempts.NotStarted, "", false},
 	} {
 		g := newGate(0)
 		for n := range uint64(4 * slots) { // more than fit at once
 			r := request(n + 1)
-			if d := g.Begin(0, r); !d.Begins() {
+			if d := g.Begin(0, r); !d.Admitted() {
 				t.Fatalf("%s: request %d: %+v", c.name, n, d)
 			}
 			if status, _ := g.Query(0, r.Attempt, "q"); status != attempts.Running {
 				t.Fatalf("%s: %v", c.name, status)
 			}
 			done := g.Finish(0, r, c.result)
-			if len(done.Waiting) != 1 || done.Waiting[0] != "q" || done.ServerChanged != c.changed {
+			if len(done.WaitingQueries) != 1 || done.WaitingQueries[0] != "q" || done.ServerChanged != c.changed {
 				t.Errorf("%s: %+v", c.name, done)
 			}
 			if status, response := g.Query(0, r.Attempt, "q"); status != c.want || response != c.response {
@@ -136,7 +136,7 @@
 		r := request(n + 1)
 		r.Forwarded = 9 // is not diverted
 		g.Begin(0, r)
-		if done := g.Finish(0, r, Result[string]{Server: admission.Failure}); done.HealthChanged {
+		if done := g.Finish(0, r, Result[string]{Health: admission.Failure}); done.HealthChanged {
 			changes++
 			if !done.Unhealthy {
 				t.Error("it is reported healthy")
@@ -149,23 +149,23 @@
 }
 
 // Long responses take room on the link until they have ended, also where admission control rejects their request.
-func TestBulkRequestsTakeTheLink(t *testing.T) {
+func TestBulkRequestsAreLimitedByTheLink(t *testing.T) {
 	g := newGate(1) // 125 kB a second: one long response at a time
 	bulk := Request{ServerID: "i1", Bulk: true}
-	elsewhere := Request{ServerID: "i2", Bulk: true}
+	otherServer := Request{ServerID: "i2", Bulk: true}
 	for range 5 {
-		if d := g.Begin(0, elsewhere); d.Admission != admission.WrongServer {
+		if d := g.Begin(0, otherServer); d.Admission != admission.WrongServer {
 			t.Fatalf("%+v", d)
 		}
 	}
-	if d := g.Begin(0, bulk); !d.Begins() {
+	if d := g.Begin(0, bulk); !d.Admitted() {
 		t.Fatalf("%+v", d)
 	}
 	if d := g.Begin(0, bulk); d.Admission != admission.AtCapacity {
 		t.Errorf("%+v", d)
 	}
 	g.Finish(0, bulk, Result[string]{})
-	if d := g.Begin(0, bulk); !d.Begins() {
+	if d := g.Begin(0, bulk); !d.Admitted() {
 		t.Errorf("after its end %+v", d)
 	}
 }
--- a/mesh/dataplane/links/links.go
+++ b/mesh/dataplane/links/links.go
@@ -21,8 +21,8 @@
 	post    func(distribution.Event) bool
 	observe func(distribution.Action)
 
-	dials       sync.WaitGroup
-	undelivered atomic.Pointer[transport.Conn] // dialed, and its event is not handled yet; a Node has one dial at a time
+	dials         sync.WaitGroup
+	unhandledDial atomic.Pointer[transport.Conn] // dialed, and its event is not handled yet; a Node has one dial at a time
 }
 
 // New returns the links of a node until ctx ends. Post hands an event to the loop, which passes it to Handle, and
@@ -42,7 +42,7 @@
 // Handle applies an event to the node and performs what follows from it.
 func (l *Links) Handle(now time.Duration, e distribution.Event) {
 	if _, ok := e.(distribution.ParentDialed); ok {
-		l.undelivered.Store(nil)
+		l.unhandledDial.Store(nil)
 	}
 	l.node.Handle(now, e)
 	l.Perform()
@@ -80,7 +80,7 @@
 		l.post(distribution.ParentDialed{Err: err})
 		return
 	}
-	l.undelivered.Store(c)
+	l.unhandledDial.Store(c)
 	l.post(distribution.ParentDialed{Conn: c})
 }
 
@@ -88,7 +88,7 @@
 // loop handles no more events.
 func (l *Links) Close() {
 	l.dials.Wait()
-	if c := l.undelivered.Load(); c != nil {
+	if c := l.unhandledDial.Load(); c != nil {
 		c.Close()
 	}
 	for _, c := range l.node.Conns() {
--- a/mesh/dataplane/links/links_test.go
+++ b/mesh/dataplane/links/links_test.go
@@ -28,31 +28,31 @@
 func (host) Pack(_ uint32, text []byte) []byte              { return config.Pack(text) }
 func (host) Adopt(version uint32, _ []byte) uint32          { return version }
 func (host) DescribeServer(*directory.Entry)                {}
-func (host) RecallServer(time.Duration, *directory.Entry)   {}
+func (host) RestoreServer(time.Duration, *directory.Entry)  {}
 func (host) IncarnationChanged(uint64)                      {}
 func (host) BecameReady(time.Duration)                      {}
 
 // peer is a control machine that notes the frames that come and the connections that end.
-type peer struct {
+type fakeControlMachine struct {
 	frames chan *wire.FrameT
 	closed chan struct{}
 	conns  chan *transport.Conn
 }
 
-func (p *peer) HandleFrame(c *transport.Conn, f *wire.FrameT) {
-	p.conns <- c
-	p.frames <- f
+func (m *fakeControlMachine) HandleFrame(c *transport.Conn, f *wire.FrameT) {
+	m.conns <- c
+	m.frames <- f
 }
 
-func (p *peer) HandleClose(*transport.Conn) { p.closed <- struct{}{} }
+func (m *fakeControlMachine) HandleClose(*transport.Conn) { m.closed <- struct{}{} }
 
 // fixture is the links of a node with a peer as its only control machine.
 type fixture struct {
 	*Links
-	peer    *peer
-	events  chan distribution.Event
-	actions []distribution.Action
-	stop    func()
+	controlMachine *fakeControlMachine
+	events         chan distribution.Event
+	actions        []distribution.Action
+	stop           func()
 }
 
 func newFixture(t *testing.T) *fixture {
@@ -62,11 +62,11 @@
 		t.Fatal(err)
 	}
 	f := &fixture{
-		peer:   &peer{make(chan *wire.FrameT, 8), make(chan struct{}, 8), make(chan *transport.Conn, 8)},
-		events: make(chan distribution.Event, 8),
+		controlMachine: &fakeControlMachine{make(chan *wire.FrameT, 8), make(chan struct{}, 8), make(chan *transport.Conn, 8)},
+		events:         make(chan distribution.Event, 8),
 	}
 	var serving sync.WaitGroup
-	serving.Go(func() { _ = transport.Serve(ln, f.peer) }) // until the listener is closed
+	serving.Go(func() { _ = transport.Serve(ln, f.controlMachine) }) // until the listener is closed
 	ctx, stop := context.WithCancel(t.Context())
 	f.stop = stop
 	t.Cleanup(func() {
@@ -90,27 +90,27 @@
 }
 
 // wait fails a test where nothing comes.
-func wait[T any](t *testing.T, from <-chan T, what string) (got T) {
+func receive[T any](t *testing.T, ch <-chan T, expected string) (got T) {
 	t.Helper()
 	select {
-	case got = <-from:
+	case got = <-ch:
 	case <-time.After(10 * time.Second):
-		t.Fatalf("%s: nothing came", what)
+		t.Fatalf("%s: nothing came", expected)
 	}
 	return got
 }
 
-func TestNodeTalksOverItsLinks(t *testing.T) {
+func TestNodeExchangesFramesWithItsParent(t *testing.T) {
 	f := newFixture(t)
 	f.Maintain(0)
-	f.Handle(0, wait(t, f.events, "the dialed parent"))
-	if got := wait(t, f.peer.frames, "the subscription"); got.Kind != wire.Subscribe || got.From != "n1" {
+	f.Handle(0, receive(t, f.events, "the dialed parent"))
+	if got := receive(t, f.controlMachine.frames, "the subscription"); got.Kind != wire.Subscribe || got.From != "n1" {
 		t.Errorf("sent %+v", got)
 	}
-	c := wait(t, f.peer.conns, "its connection")
+	c := receive(t, f.controlMachine.conns, "its connection")
 	c.Send(&wire.FrameT{Kind: wire.GoAway})
-	f.Handle(time.Millisecond, wait(t, f.events, "the dismissal"))
-	wait(t, f.peer.closed, "the end of the connection")
+	f.Handle(time.Millisecond, receive(t, f.events, "the dismissal"))
+	receive(t, f.controlMachine.closed, "the end of the connection")
 	if len(f.actions) != 3 {
 		t.Errorf("observed %+v", f.actions)
 	}
@@ -122,7 +122,7 @@
 	f := newFixture(t)
 	f.node.SetSeeds([]string{"127.0.0.1:1"})
 	f.Maintain(0)
-	if e, ok := wait(t, f.events, "the failure").(distribution.ParentDialed); !ok || e.Err == nil || e.Conn != nil {
+	if e, ok := receive(t, f.events, "the failure").(distribution.ParentDialed); !ok || e.Err == nil || e.Conn != nil {
 		t.Errorf("reported %+v", e)
 	}
 	f.stop()
@@ -134,12 +134,12 @@
 	for _, delivered := range []bool{true, false} {
 		f := newFixture(t)
 		f.Maintain(0)
-		if e := wait(t, f.events, "the dialed parent"); delivered {
+		if e := receive(t, f.events, "the dialed parent"); delivered {
 			f.Handle(0, e)
-			wait(t, f.peer.frames, "the subscription")
+			receive(t, f.controlMachine.frames, "the subscription")
 		}
 		f.stop()
 		f.Close()
-		wait(t, f.peer.closed, "the end of the connection")
+		receive(t, f.controlMachine.closed, "the end of the connection")
 	}
 }
--- a/mesh/dataplane/liveness/liveness.go
+++ b/mesh/dataplane/liveness/liveness.go
@@ -109,23 +109,23 @@
 // WithEvidence returns the entries with those marked as lost that the detector has lost, except where that is more
 // than half of a service: then this sidecar is more likely to be at fault than they are. It does not change its
 // argument.
-func (m *Monitor) WithEvidence(all []directory.Entry) []directory.Entry {
+func (m *Monitor) MarkLost(entries []directory.Entry) []directory.Entry {
 	lost, members := map[string]int{}, map[string]int{}
-	for i := range all {
-		members[all[i].Service]++
-		if m.detector.Lost(all[i].Node) {
-			lost[all[i].Service]++
+	for i := range entries {
+		members[entries[i].Service]++
+		if m.detector.Lost(entries[i].Node) {
+			lost[entries[i].Service]++
 		}
 	}
 	if len(lost) == 0 {
-		return all
+		return entries
 	}
-	out := make([]directory.Entry, len(all))
-	copy(out, all)
-	for i := range out {
-		if service := out[i].Service; 2*lost[service] <= members[service] && m.detector.Lost(out[i].Node) {
-			out[i].Lost = true
+	marked := make([]directory.Entry, len(entries))
+	copy(marked, entries)
+	for i := range marked {
+		if service := marked[i].Service; 2*lost[service] <= members[service] && m.detector.Lost(marked[i].Node) {
+			marked[i].Lost = true
 		}
 	}
-	return out
+	return marked
 }
--- a/mesh/dataplane/liveness/liveness_test.go
+++ b/mesh/dataplane/liveness/liveness_test.go
@@ -11,7 +11,7 @@
 )
 
 // What a sidecar has found out itself leaves out at most half of a service.
-func TestOwnEvidenceLeavesOutAtMostHalf(t *testing.T) {
+func TestOwnEvidenceMarksAtMostHalfOfAServiceLost(t *testing.T) {
 	for _, c := range []struct{ lost, want int }{{0, 0}, {1, 1}, {2, 2}, {3, 0}, {4, 0}} {
 		m := New("self", 1)
 		var names []string
@@ -22,15 +22,15 @@
 		}
 		m.detector.SetMembers(0, append(names, "witness"))
 		for now := time.Duration(0); now < 60*time.Second; now += 50 * time.Millisecond {
-			words, _ := m.detector.Tick(now)
-			for _, w := range words {
-				if w.Kind == membership.Ping && (w.To == "witness" || w.To >= fmt.Sprint("n", c.lost)) {
-					m.detector.Handle(now, membership.Message{Kind: membership.Ack, From: w.To, To: "self", SeqNo: w.SeqNo})
+			probes, _ := m.detector.Tick(now)
+			for _, probe := range probes {
+				if probe.Kind == membership.Ping && (probe.To == "witness" || probe.To >= fmt.Sprint("n", c.lost)) {
+					m.detector.Handle(now, membership.Message{Kind: membership.Ack, From: probe.To, To: "self", SeqNo: probe.SeqNo})
 				}
 			}
 		}
 		got := 0
-		for _, e := range m.WithEvidence(entries) {
+		for _, e := range m.MarkLost(entries) {
 			if e.Lost {
 				got++
 			}
@@ -44,14 +44,14 @@
 // fixture is a monitor over a directory of itself, a peer and a witness, where only the witness answers probes.
 type fixture struct {
 	*Monitor
-	directory *directory.Directory
-	answers   map[string]bool
-	reports   int
-	changes   int
+	directory     *directory.Directory
+	answersProbes map[string]bool
+	reports       int
+	changes       int
 }
 
 func newFixture() *fixture {
-	f := &fixture{Monitor: New("self", 1), directory: directory.New(), answers: map[string]bool{"witness": true}}
+	f := &fixture{Monitor: New("self", 1), directory: directory.New(), answersProbes: map[string]bool{"witness": true}}
 	for _, node := range []string{"self", "peer", "witness"} {
 		f.directory.Merge(directory.Entry{Node: node, Incarnation: 1, Sequence: 1, Addr: node + ":1", Service: node}, 0)
 	}
@@ -63,7 +63,7 @@
 	for now := from; now < to; now += 50 * time.Millisecond {
 		r := f.Tick(now, f.directory)
 		for _, m := range r.Probes {
-			if m.Kind == membership.Ping && f.answers[m.To] {
+			if m.Kind == membership.Ping && f.answersProbes[m.To] {
 				answer := f.Handle(now, membership.Message{Kind: membership.Ack, From: m.To, To: "self", SeqNo: m.SeqNo})
 				r.EvidenceChanged = r.EvidenceChanged || answer.EvidenceChanged
 			}
--- a/mesh/dataplane/loop.go
+++ b/mesh/dataplane/loop.go
@@ -129,7 +129,7 @@
 // reconcileExchanges updates the endpoints of the exchanges, if they have changed.
 func (p *Proxy) reconcileExchanges(now time.Duration) {
 	d := p.node.State().Directory
-	p.exchanges.Reconcile(d.Revision(), func() []directory.Entry { return p.liveness.WithEvidence(d.All()) }, now)
+	p.exchanges.Reconcile(d.Revision(), func() []directory.Entry { return p.liveness.MarkLost(d.All()) }, now)
 }
 
 // applyLiveness performs a result of the failure detector.
@@ -180,7 +180,7 @@
 		return
 	}
 	_ = level.Info(p.log).Log("msg", "configuration deltas do not apply: requesting the full text", "edition", a.Version,
-		"held", a.HeldVersion)
+		"held", a.PresentVersion)
 }
 
 // reload reads the settings again, if they have changed. Invalid ones leave the present ones in force.
--- a/mesh/dataplane/proxy.go
+++ b/mesh/dataplane/proxy.go
@@ -193,7 +193,7 @@
 		Outcomes:  attempts.New[*core.Call, *core.Answer](own.Incarnation),
 	})
 	p.lastHop.figures, p.lastHop.invariants = p.figures, p.invariants
-	p.lastHop.guard = lasthop.NewGuard(settings.Bounds.DrainTime)
+	p.lastHop.guard = lasthop.NewInvariantChecker(settings.Bounds.DrainTime)
 	p.lastHop.changed = func() { p.post(serverChanged{}) }
 	p.lastHop.doubted = p.beginIdentifyingServer
 	if !settings.FirstStart {
--- a/mesh/dataplane/queries.go
+++ b/mesh/dataplane/queries.go
@@ -34,7 +34,7 @@
 // must not run twice and whose connection broke without a response it queries the outcome, and ends the attempt itself
 // later.
 func (q *outcomeQueries) attemptEnded(a *core.Attempt, r core.Result) (later bool) {
-	unanswered, ok := q.inFlight.End(a)
+	unanswered, ok := q.inFlight.HandleClose(a)
 	if !ok || r.Outcome != balance.Reset {
 		return false
 	}
@@ -71,7 +71,7 @@
 
 // send sends one query, and returns how it ended, or false as the process ends.
 func (q *outcomeQueries) send(a *core.Attempt, query *inflight.Query) (r core.Result, ok bool) {
-	lastHop := core.NewEndpoint("", query.About.Addr)
+	lastHop := core.NewEndpoint("", query.Attempt.Addr)
 	m := &core.Message{
 		Trace:     a.Message.Trace,
 		Verb:      http.MethodGet,
--- a/mesh/dataplane/service.go
+++ b/mesh/dataplane/service.go
@@ -201,7 +201,7 @@
 			m.UpSince = math.Max(1, math.Round(started/warmUpStepMillis)*warmUpStepMillis)
 		}
 		list.Members = append(list.Members, m)
-		s.inFlight.Announce(e.Addr, e.Incarnation)
+		s.inFlight.SetAnnouncedIncarnation(e.Addr, e.Incarnation)
 	}
 	s.exchange.Listed(list)
 }
--- a/mesh/dataplane/sidecar_headers_test.go
+++ b/mesh/dataplane/sidecar_headers_test.go
@@ -49,10 +49,10 @@
 	service.Store(&name)
 	return sendingHop{
 		dialect:  sidecarDialect{inFlight: inFlight, service: service, reachable: func(string) {}},
-		announce: inFlight.Announce,
+		announce: inFlight.SetAnnouncedIncarnation,
 		query: func(a *core.Attempt, sender string, number, incarnation uint64) {
 			id := attempts.ID{Sender: sender, Number: number, Incarnation: incarnation}
-			inFlight.BeginQuery(a, &inflight.Query{About: inflight.Attempt{ID: id, Addr: a.Endpoint.Addr()}, Number: 1})
+			inFlight.BeginQuery(a, &inflight.Query{Attempt: inflight.Attempt{ID: id, Addr: a.Endpoint.Addr()}, Number: 1})
 		},
 	}
 }
--- a/mesh/dataplane/sidecardialect.go
+++ b/mesh/dataplane/sidecardialect.go
@@ -28,8 +28,8 @@
 // Fields implements httpback.Dialect: it writes the headers between sidecars, and numbers what must not run twice.
 func (d sidecarDialect) Fields(dst []byte, a *core.Attempt, left time.Duration) []byte {
 	dst = appendDeadline(dst, left)
-	if query := d.inFlight.QueryOf(a); query != nil {
-		return appendField(dst, queryHeader, formatAttemptID(query.About.ID))
+	if query := d.inFlight.QueryFor(a); query != nil {
+		return appendField(dst, queryHeader, formatAttemptID(query.Attempt.ID))
 	}
 	if !a.Message.Safe {
 		dst = appendField(dst, attemptHeader, formatAttemptID(d.inFlight.Begin(a, a.Endpoint.Addr())))
@@ -54,7 +54,7 @@
 	d.reachable(a.Endpoint.Addr())
 	outcome := attempts.Outcome(h.Get(outcomeHeader))
 	delete(h, outcomeHeader)
-	evidence := d.inFlight.Respond(a, outcome, responseOf(a, status, h), parseIncarnation(h.Get(incarnationHeader)))
+	evidence := d.inFlight.HandleResponse(a, outcome, responseOf(a, status, h), parseIncarnation(h.Get(incarnationHeader)))
 	answer := &core.Answer{Kind: core.Served, Status: status, Meta: h, Body: body}
 	switch evidence {
 	case attempts.NeverExecuted:
--- a/mesh/dataplane/subscribers/subscribers.go
+++ b/mesh/dataplane/subscribers/subscribers.go
@@ -40,23 +40,23 @@
 // Subscribers is the set of sidecars below this one, at most dissemination.MaxSubscribers. It is not safe for
 // concurrent use.
 type Subscribers struct {
-	state  *dissemination.Publisher
-	packer Packer
-	ids    map[Conn]uint64 // as the publisher knows them
-	conns  map[uint64]Conn // the inverse of ids
-	lastID uint64          // IDs are not reused
-	heard  map[Conn]contact
+	state    *dissemination.Publisher
+	packer   Packer
+	ids      map[Conn]uint64 // as the publisher knows them
+	conns    map[uint64]Conn // the inverse of ids
+	lastID   uint64          // IDs are not reused
+	contacts map[Conn]contact
 }
 
 // contact is the last frame of a subscriber.
 type contact struct {
-	node string
-	at   time.Duration
+	node       string
+	receivedAt time.Duration
 }
 
 // New returns an empty set. Subscribers are sent updates of state, which keeps their versions.
 func New(state *dissemination.Publisher, packer Packer) *Subscribers {
-	return &Subscribers{state: state, packer: packer, ids: map[Conn]uint64{}, conns: map[uint64]Conn{}, heard: map[Conn]contact{}}
+	return &Subscribers{state: state, packer: packer, ids: map[Conn]uint64{}, conns: map[uint64]Conn{}, contacts: map[Conn]contact{}}
 }
 
 // Len returns the number of subscribers.
@@ -68,16 +68,16 @@
 // Add handles the subscription request f. It accepts the sidecar if this one relays and is below its limit, and
 // dismisses it otherwise. It reports whether there is a new subscriber; a second request on the same connection is
 // ignored.
-func (s *Subscribers) Add(c Conn, f *wire.FrameT, relays bool, now time.Duration) (added bool, sends []Send) {
+func (s *Subscribers) Add(c Conn, f *wire.FrameT, relaying bool, now time.Duration) (added bool, sends []Send) {
 	if _, known := s.ids[c]; known {
 		return false, nil
 	}
 	s.lastID++
-	if !relays || !s.state.Subscribe(s.lastID, f.Version, now) {
+	if !relaying || !s.state.Subscribe(s.lastID, f.Version, now) {
 		return false, []Send{{c, &wire.FrameT{Kind: wire.GoAway}}}
 	}
 	s.ids[c], s.conns[s.lastID] = s.lastID, c
-	s.heard[c] = contact{node: f.From, at: now}
+	s.contacts[c] = contact{node: f.From, receivedAt: now}
 	s.state.HandleAck(s.lastID, codec.AckFromFrame(f), now)
 	return true, nil
 }
@@ -86,15 +86,15 @@
 func (s *Subscribers) Acknowledge(c Conn, f *wire.FrameT, now time.Duration) {
 	if id, ok := s.ids[c]; ok {
 		s.state.HandleAck(id, codec.AckFromFrame(f), now)
-		s.heard[c] = contact{node: s.heard[c].node, at: now}
+		s.contacts[c] = contact{node: s.contacts[c].node, receivedAt: now}
 	}
 }
 
 // Entries returns the directory's entries of the subscribers, as of their last frames, in the order of their names.
 func (s *Subscribers) Entries() (entries []directory.Entry) {
-	for _, from := range s.heard {
-		if e, ok := s.state.Directory.Get(from.node); ok {
-			e.LastSeen, e.Lost = from.at, false
+	for _, last := range s.contacts {
+		if e, ok := s.state.Directory.Get(last.node); ok {
+			e.LastSeen, e.Lost = last.receivedAt, false
 			entries = append(entries, e)
 		}
 	}
@@ -107,13 +107,13 @@
 	if id, ok := s.ids[c]; ok {
 		delete(s.ids, c)
 		delete(s.conns, id)
-		delete(s.heard, c)
+		delete(s.contacts, c)
 		s.state.Unsubscribe(id)
 	}
 }
 
 // Dismiss tells all subscribers to look for another parent. They remain subscribers until their connections end.
-func (s *Subscribers) Dismiss() (sends []Send) {
+func (s *Subscribers) GoAwayAll() (sends []Send) {
 	for c := range s.ids {
 		sends = append(sends, Send{c, &wire.FrameT{Kind: wire.GoAway}})
 	}
--- a/mesh/dataplane/subscribers/subscribers_test.go
+++ b/mesh/dataplane/subscribers/subscribers_test.go
@@ -11,29 +11,29 @@
 )
 
 // conn is a connection of which only the identity counts.
-type conn struct{ _ int }
+type fakeConn struct{ _ int }
 
-func (*conn) Send(*wire.FrameT) bool { panic("subscribers are sent nothing here") }
-func (*conn) Close()                 { panic("connections are not closed here") }
+func (*fakeConn) Send(*wire.FrameT) bool { panic("subscribers are sent nothing here") }
+func (*fakeConn) Close()                 { panic("connections are not closed here") }
 
 // packer notes what it packs.
-type packer struct{ packed []string }
+type recordingPacker struct{ packed []string }
 
-func (p *packer) Pack(version uint32, text []byte) []byte {
+func (p *recordingPacker) Pack(version uint32, text []byte) []byte {
 	p.packed = append(p.packed, fmt.Sprintf("%d:%s", version, text))
 	return append([]byte("packed "), text...)
 }
 
-func newSet() (*Subscribers, *dissemination.Publisher, *packer) {
-	state, p := dissemination.NewPublisher(timing.Default().Dissemination), &packer{}
+func newSet() (*Subscribers, *dissemination.Publisher, *recordingPacker) {
+	state, packer := dissemination.NewPublisher(timing.Default().Dissemination), &recordingPacker{}
 	state.SetConfig(5, []byte("five"), nil, 0)
-	return New(state, p), state, p
+	return New(state, packer), state, packer
 }
 
 // subscribe has a sidecar subscribe that has a version.
-func subscribe(t *testing.T, s *Subscribers, version uint32) *conn {
+func subscribe(t *testing.T, s *Subscribers, version uint32) *fakeConn {
 	t.Helper()
-	c := &conn{}
+	c := &fakeConn{}
 	f := &wire.FrameT{Kind: wire.Subscribe, Version: version, LowestVersion: version}
 	if added, sends := s.Add(c, f, true, 0); !added || len(sends) != 0 {
 		t.Fatalf("added %v, sends %+v", added, sends)
@@ -45,9 +45,9 @@
 	return len(sends) == 1 && sends[0].To == to && sends[0].Frame.Kind == wire.GoAway
 }
 
-func TestSidecarThatRelaysNothingRefuses(t *testing.T) {
+func TestSubscriptionIsRefusedWhenNotRelaying(t *testing.T) {
 	s, state, _ := newSet()
-	c := &conn{}
+	c := &fakeConn{}
 	if added, sends := s.Add(c, &wire.FrameT{Kind: wire.Subscribe}, false, 0); added || !isGoAway(sends, c) {
 		t.Errorf("added %v, sends %+v", added, sends)
 	}
@@ -61,7 +61,7 @@
 	for range dissemination.MaxSubscribers {
 		subscribe(t, s, 5)
 	}
-	c := &conn{}
+	c := &fakeConn{}
 	if added, sends := s.Add(c, &wire.FrameT{Kind: wire.Subscribe}, true, 0); added || !isGoAway(sends, c) {
 		t.Errorf("added %v, sends %+v", added, sends)
 	}
@@ -79,9 +79,9 @@
 }
 
 // Each subscriber is sent the full text or deltas, by what it has; packing is the packer's.
-func TestUpdatesGoToTheirSubscribers(t *testing.T) {
+func TestSubscribersAreSentFullTextOrDeltas(t *testing.T) {
 	s, state, p := newSet()
-	none, old := subscribe(t, s, 0), subscribe(t, s, 5)
+	newSubscriber, oldSubscriber := subscribe(t, s, 0), subscribe(t, s, 5)
 	state.SetConfig(6, []byte("six"), nil, 0)
 	sends, next := s.Publish(time.Second)
 	if len(sends) != 2 || next != time.Second+timing.Default().Dissemination.HeartbeatInterval {
@@ -90,11 +90,11 @@
 	for _, send := range sends {
 		f := send.Frame
 		switch send.To {
-		case none:
+		case newSubscriber:
 			if f.Value == nil || string(f.Value.Body) != "packed six" || f.Version != 6 {
 				t.Errorf("a new one is sent %+v", f)
 			}
-		case old:
+		case oldSubscriber:
 			if f.Value != nil || len(f.Deltas) != 1 || f.Deltas[0].Base != 5 || f.Version != 6 {
 				t.Errorf("one with the version before is sent %+v", f)
 			}
@@ -115,7 +115,7 @@
 	if lowest := state.LowestInForce(0); lowest != 4 {
 		t.Errorf("after one has 5 in force: lowest %d", lowest)
 	}
-	s.Acknowledge(&conn{1}, &wire.FrameT{Kind: wire.Report, Version: 1, LowestVersion: 1}, 0)
+	s.Acknowledge(&fakeConn{1}, &wire.FrameT{Kind: wire.Report, Version: 1, LowestVersion: 1}, 0)
 	if lowest := state.LowestInForce(0); lowest != 4 {
 		t.Errorf("after a stranger's: lowest %d", lowest)
 	}
@@ -130,7 +130,7 @@
 func TestFirstRequestIsAnAcknowledgementToo(t *testing.T) {
 	s, state, _ := newSet()
 	f := &wire.FrameT{Kind: wire.Subscribe, Version: 5, LowestVersion: 2}
-	if added, _ := s.Add(&conn{}, f, true, 0); !added || state.LowestInForce(0) != 2 {
+	if added, _ := s.Add(&fakeConn{}, f, true, 0); !added || state.LowestInForce(0) != 2 {
 		t.Errorf("added %v, lowest %d", added, state.LowestInForce(0))
 	}
 }
@@ -150,16 +150,16 @@
 	}
 }
 
-func TestDismissedSubscribersStayUntilTheyAreGone(t *testing.T) {
+func TestSubscribersRemainUntilTheirConnectionsEnd(t *testing.T) {
 	s, _, _ := newSet()
-	all := map[Conn]bool{subscribe(t, s, 5): true, subscribe(t, s, 5): true}
-	for _, send := range s.Dismiss() {
-		if send.Frame.Kind != wire.GoAway || !all[send.To] {
+	pending := map[Conn]bool{subscribe(t, s, 5): true, subscribe(t, s, 5): true}
+	for _, send := range s.GoAwayAll() {
+		if send.Frame.Kind != wire.GoAway || !pending[send.To] {
 			t.Errorf("sends %+v", send)
 		}
-		delete(all, send.To)
+		delete(pending, send.To)
 	}
-	if len(all) != 0 || s.Len() != 2 || len(s.Conns()) != 2 {
-		t.Errorf("%d were not dismissed, %d are left", len(all), s.Len())
+	if len(pending) != 0 || s.Len() != 2 || len(s.Conns()) != 2 {
+		t.Errorf("%d were not dismissed, %d are left", len(pending), s.Len())
 	}
 }
--- a/mesh/dataplane/subscription/subscription.go
+++ b/mesh/dataplane/subscription/subscription.go
@@ -50,7 +50,7 @@
 // The reasons.
 const (
 	Stale      Reason = iota + 1 // the parent has sent nothing fresh for too long
-	Dismissed                    // the parent is at capacity or does not relay
+	GoAway                       // the parent is at capacity or does not relay
 	RelayFound                   // the distribution tree has a relay for this sidecar
 )
 
@@ -98,7 +98,7 @@
 func (s *Subscription) Connected() bool { return s.phase == connected }
 
 // Relayed reports whether the present parent, or the last one, is a sidecar.
-func (s *Subscription) Relayed() bool { return s.relay }
+func (s *Subscription) ParentIsRelay() bool { return s.relay }
 
 // SetInForce sets the version of the configuration that is in force on this sidecar, which acknowledgements carry.
 func (s *Subscription) SetInForce(version uint32) { s.inForce = version }
@@ -125,7 +125,7 @@
 }
 
 // Lost reports that the connection to the parent has ended. A parent that never sent an update counts as failed.
-func (s *Subscription) Lost(now time.Duration) {
+func (s *Subscription) ConnectionLost(now time.Duration) {
 	s.phase, s.redialAt = idle, now+s.durations.RedialDelay
 	if !s.link.Received {
 		s.policy.RecordFailure(s.addr, now)
@@ -133,17 +133,19 @@
 }
 
 // Dismiss reports that the parent refuses this sidecar, or no longer relays.
-func (s *Subscription) Dismiss(now time.Duration) []Action { return s.leave(now, Dismissed) }
+func (s *Subscription) GoAwayReceived(now time.Duration) []Action {
+	return s.disconnectFailed(now, GoAway)
+}
 
 // leave disconnects from the parent, which counts as failed: others are tried first for a while.
-func (s *Subscription) leave(now time.Duration, why Reason) []Action {
+func (s *Subscription) disconnectFailed(now time.Duration, reason Reason) []Action {
 	s.policy.RecordFailure(s.addr, now)
-	return s.disconnect(now, why)
+	return s.disconnect(now, reason)
 }
 
-func (s *Subscription) disconnect(now time.Duration, why Reason) []Action {
+func (s *Subscription) disconnect(now time.Duration, reason Reason) []Action {
 	s.phase, s.redialAt = idle, now
-	return []Action{Disconnect{Addr: s.addr, Reason: why}}
+	return []Action{Disconnect{Addr: s.addr, Reason: reason}}
 }
 
 // Reparent disconnects from a control machine where the distribution tree has a relay for this sidecar; the next
@@ -180,7 +182,7 @@
 		s.link.PartialBytes, s.link.LastByteAt = partialBytes, now
 	}
 	if s.policy.ShouldSwitch(now, s.state.AsOf, s.link) {
-		return s.leave(now, Stale)
+		return s.disconnectFailed(now, Stale)
 	}
 	if now < s.heartbeatAt {
 		return nil
--- a/mesh/dataplane/subscription/subscription_test.go
+++ b/mesh/dataplane/subscription/subscription_test.go
@@ -19,7 +19,7 @@
 var (
 	durations      = timing.DefaultInForce(2 * time.Second)
 	reportInterval = durations.Subscription.ReportInterval
-	redial         = durations.Subscription.RedialDelay
+	redialDelay    = durations.Subscription.RedialDelay
 )
 
 // fixture is a subscription with what it reads.
@@ -41,7 +41,7 @@
 }
 
 // dial returns what Maintain dials at a time; empty: nothing.
-func (f fixture) dial(now time.Duration) string {
+func (f fixture) dialedAddr(now time.Duration) string {
 	for _, a := range f.Maintain(now, 0) {
 		if d, ok := a.(Dial); ok {
 			return d.Addr
@@ -53,7 +53,7 @@
 // connect has the subscription dial and connect, and returns the address of its parent.
 func (f fixture) connect(t *testing.T, now time.Duration) string {
 	t.Helper()
-	addr := f.dial(now)
+	addr := f.dialedAddr(now)
 	if addr == "" {
 		t.Fatalf("%v: nothing is dialed", now)
 	}
@@ -73,7 +73,7 @@
 }
 
 // frame is the one frame among actions; nil: there is none.
-func frame(t *testing.T, actions []Action) *wire.FrameT {
+func onlyFrame(t *testing.T, actions []Action) *wire.FrameT {
 	t.Helper()
 	var found *wire.FrameT
 	for _, a := range actions {
@@ -89,53 +89,53 @@
 
 func TestUnreachableParentIsRedialedAfterADelayAndOthersFirst(t *testing.T) {
 	f := newFixture(first, second)
-	a := f.dial(0)
-	if again := f.dial(time.Second); again != "" {
+	a := f.dialedAddr(0)
+	if again := f.dialedAddr(time.Second); again != "" {
 		t.Errorf("dials %s while it dials %s", again, a)
 	}
 	f.DialFailed(time.Second)
-	if early := f.dial(time.Second + redial - 1); early != "" {
+	if early := f.dialedAddr(time.Second + redialDelay - 1); early != "" {
 		t.Errorf("dials %s without a delay", early)
 	}
-	b := f.dial(time.Second + redial)
+	b := f.dialedAddr(time.Second + redialDelay)
 	if b == "" || b == a {
 		t.Errorf("dials %q after %q failed", b, a)
 	}
 	f.DialFailed(2 * time.Second)
-	if c := f.dial(2*time.Second + redial); c != a {
+	if c := f.dialedAddr(2*time.Second + redialDelay); c != a {
 		t.Errorf("dials %q, not %q which failed longest ago", c, a)
 	}
 }
 
-func TestLostParentCountsAsFailedOnlyWhereNothingCame(t *testing.T) {
+func TestLostParentCountsAsFailedUnlessItSentAnUpdate(t *testing.T) {
 	for _, received := range []bool{true, false} {
 		f := newFixture(first, second)
 		a := f.connect(t, 0)
 		if received {
 			f.UpdateReceived()
 		}
-		f.Lost(time.Second)
+		f.ConnectionLost(time.Second)
 		if f.Connected() {
 			t.Error("is still connected")
 		}
-		if early := f.dial(time.Second + redial - 1); early != "" {
+		if early := f.dialedAddr(time.Second + redialDelay - 1); early != "" {
 			t.Errorf("dials %s without a delay", early)
 		}
-		if b := f.dial(time.Second + redial); (b == a) != received {
+		if b := f.dialedAddr(time.Second + redialDelay); (b == a) != received {
 			t.Errorf("received %v: dials %q after %q", received, b, a)
 		}
 	}
 }
 
-func TestDismissedSidecarDialsAnotherAtOnce(t *testing.T) {
+func TestAnotherParentIsDialedAtOnceAfterGoAway(t *testing.T) {
 	f := newFixture(first, second)
 	a := f.connect(t, 0)
 	f.UpdateReceived()
-	actions := f.Dismiss(time.Second)
-	if d, ok := actions[0].(Disconnect); len(actions) != 1 || !ok || d != (Disconnect{Addr: a, Reason: Dismissed}) {
+	actions := f.GoAwayReceived(time.Second)
+	if d, ok := actions[0].(Disconnect); len(actions) != 1 || !ok || d != (Disconnect{Addr: a, Reason: GoAway}) {
 		t.Errorf("does %+v", actions)
 	}
-	if b := f.dial(time.Second); b == "" || b == a {
+	if b := f.dialedAddr(time.Second); b == "" || b == a {
 		t.Errorf("dials %q after %q", b, a)
 	}
 }
@@ -181,41 +181,41 @@
 	f := newFixture(first)
 	f.connect(t, 0)
 	f.state.SetConfig(1, []byte("text"), nil, 0)
-	if got := frame(t, f.Maintain(reportInterval, 0)); got != nil {
+	if got := onlyFrame(t, f.Maintain(reportInterval, 0)); got != nil {
 		t.Errorf("not ready, and sends %+v", got)
 	}
 	f.ready(t, 1, reportInterval, time.Hour)
-	got := frame(t, f.Maintain(reportInterval, 0))
+	got := onlyFrame(t, f.Maintain(reportInterval, 0))
 	if got == nil || got.Kind != wire.Report || len(got.Entries) != 1 || got.Entries[0].Incarnation != 7 || got.Entries[0].Addr != "" {
 		t.Fatalf("sends %+v", got)
 	}
-	if got = frame(t, f.Maintain(2*reportInterval-1, 0)); got != nil {
+	if got = onlyFrame(t, f.Maintain(2*reportInterval-1, 0)); got != nil {
 		t.Errorf("sends %+v before the next is due", got)
 	}
-	if got = frame(t, f.Announce(2*reportInterval-1)); got == nil || got.Entries[0].PeerAddr != "n1:1" {
+	if got = onlyFrame(t, f.Announce(2*reportInterval-1)); got == nil || got.Entries[0].PeerAddr != "n1:1" {
 		t.Errorf("announces %+v", got)
 	}
 	f.state.SetConfig(1, nil, nil, 2*reportInterval)
-	if got = frame(t, f.Maintain(3*reportInterval-2, 0)); got != nil {
+	if got = onlyFrame(t, f.Maintain(3*reportInterval-2, 0)); got != nil {
 		t.Errorf("sends %+v though it has announced itself", got)
 	}
-	if got = frame(t, f.Maintain(3*reportInterval-1, 0)); got == nil {
+	if got = onlyFrame(t, f.Maintain(3*reportInterval-1, 0)); got == nil {
 		t.Error("sends no heartbeat")
 	}
 }
 
 func TestSubscriptionCarriesWhatWasAnnounced(t *testing.T) {
 	f := newFixture(first)
-	f.dial(0)
-	got := frame(t, f.Dialed(0))
+	f.dialedAddr(0)
+	got := onlyFrame(t, f.Dialed(0))
 	if got.Kind != wire.Subscribe || got.From != "n1" || len(got.Entries) != 0 || got.Version != 0 {
 		t.Errorf("a new sidecar subscribes by %+v", got)
 	}
-	f.Lost(0)
+	f.ConnectionLost(0)
 	f.ready(t, 3, 0, time.Hour)
 	f.self.Sequence = 2
-	f.dial(redial)
-	got = frame(t, f.Dialed(redial))
+	f.dialedAddr(redialDelay)
+	got = onlyFrame(t, f.Dialed(redialDelay))
 	if len(got.Entries) != 1 || got.Entries[0].Sequence != 2 || got.Version != 3 || got.LowestVersion != 3 {
 		t.Errorf("a known one subscribes by %+v", got)
 	}
@@ -225,45 +225,45 @@
 	f := newFixture(first)
 	f.connect(t, 0)
 	f.ready(t, 4, 0, time.Hour)
-	if got := frame(t, f.Acknowledge(0)); got != nil {
+	if got := onlyFrame(t, f.Acknowledge(0)); got != nil {
 		t.Errorf("acknowledges %+v before anything came", got)
 	}
 	f.UpdateReceived()
 	f.UpdateApplied(9)
-	got := frame(t, f.Acknowledge(0))
+	got := onlyFrame(t, f.Acknowledge(0))
 	if got == nil || got.Id != 9 || got.Version != 4 || got.LowestVersion != 4 || len(got.Entries) != 0 {
 		t.Fatalf("acknowledges %+v", got)
 	}
-	if got = frame(t, f.Acknowledge(0)); got != nil {
+	if got = onlyFrame(t, f.Acknowledge(0)); got != nil {
 		t.Errorf("acknowledges the same again: %+v", got)
 	}
-	if f.UpdateApplied(0); frame(t, f.Acknowledge(0)) != nil {
+	if f.UpdateApplied(0); onlyFrame(t, f.Acknowledge(0)) != nil {
 		t.Error("acknowledges an update that needs none")
 	}
 	f.state.Subscribe(1, 2, 0)
-	if got = frame(t, f.Acknowledge(0)); got == nil || got.LowestVersion != 2 {
+	if got = onlyFrame(t, f.Acknowledge(0)); got == nil || got.LowestVersion != 2 {
 		t.Errorf("with an old version below it: %+v", got)
 	}
 }
 
-func TestFullStateIsAskedForUntilTheNextParent(t *testing.T) {
+func TestFullStateIsRequestedUntilTheNextParent(t *testing.T) {
 	f := newFixture(first)
 	f.connect(t, 0)
 	f.ready(t, 4, 0, time.Hour)
 	f.UpdateReceived()
 	f.UpdateApplied(9)
 	f.SetNeedsFullState(true)
-	if got := frame(t, f.Acknowledge(0)); got == nil || got.Version != 0 || got.LowestVersion != 4 || got.Id != 9 {
+	if got := onlyFrame(t, f.Acknowledge(0)); got == nil || got.Version != 0 || got.LowestVersion != 4 || got.Id != 9 {
 		t.Errorf("acknowledges %+v", got)
 	}
-	f.Lost(0)
-	f.dial(redial)
-	if got := frame(t, f.Dialed(redial)); got.Version != 4 || got.Id != 0 {
+	f.ConnectionLost(0)
+	f.dialedAddr(redialDelay)
+	if got := onlyFrame(t, f.Dialed(redialDelay)); got.Version != 4 || got.Id != 0 {
 		t.Errorf("subscribes to the next by %+v", got)
 	}
 }
 
-func TestRelayIsLookedForFromItsTimeOn(t *testing.T) {
+func TestRelayIsSoughtFromReparentTimeOn(t *testing.T) {
 	f := newFixture(first)
 	f.connect(t, 0)
 	f.ready(t, 1, 0, 3*time.Second)
@@ -292,7 +292,7 @@
 		t.Fatalf("does %+v", actions)
 	}
 	f.Dialed(9 * time.Second)
-	if got = f.Reparent(time.Hour); got != nil || !f.Relayed() {
+	if got = f.Reparent(time.Hour); got != nil || !f.ParentIsRelay() {
 		t.Errorf("looks for a relay below a relay: %+v", got)
 	}
 }
--- a/mesh/dataplane/updates/updates.go
+++ b/mesh/dataplane/updates/updates.go
@@ -26,7 +26,7 @@
 
 // Texts decompresses and interns the texts of configurations, so that many sidecars in one process (lab/scale) can
 // share them.
-type Texts interface {
+type ConfigTexts interface {
 	// Unpack decompresses the text of a version.
 	Unpack(version uint32, packed []byte) ([]byte, error)
 	// Intern returns the text of a version, or an equal one that is shared.
@@ -35,13 +35,13 @@
 
 // Entries applies the entries of an update to the directory. Entries of the sidecar itself are passed to own instead,
 // in order with the others; entries that are only signs of life are ignored.
-func Entries(d *directory.Directory, self string, entries []*wire.EntryT, own func(*directory.Entry), now time.Duration) {
+func ApplyEntries(d *directory.Directory, self string, entries []*wire.EntryT, handleOwn func(*directory.Entry), now time.Duration) {
 	for _, t := range entries {
 		e, complete := codec.EntryFromWire(t, now)
 		switch {
 		case !complete:
 		case e.Node == self:
-			own(&e)
+			handleOwn(&e)
 		default:
 			d.ApplyUpdate(e, now)
 		}
@@ -50,14 +50,14 @@
 
 // Rollouts replaces the rollouts by those of an update, if it has later ones. It is applied before Entries: servers of a new version are
 // not known without their rollout.
-func Rollouts(state *dissemination.Publisher, f *wire.FrameT) {
+func ApplyRollouts(state *dissemination.Publisher, f *wire.FrameT) {
 	if set, ok := codec.RolloutsFromFrame(f); ok {
 		state.SetRollouts(set)
 	}
 }
 
 // ControlMachines replaces the list of control machines by that of an update, if it has one.
-func ControlMachines(state *dissemination.Publisher, f *wire.FrameT, now time.Duration) {
+func ApplyControlMachines(state *dissemination.Publisher, f *wire.FrameT, now time.Duration) {
 	if len(f.Machines) > 0 {
 		state.ControlMachines = codec.MachinesFromWire(f.Machines, now)
 	}
@@ -66,7 +66,7 @@
 // Config applies the configuration of an update: the full text, deltas from the present text, or only a confirmation
 // that the present version is the newest. It reports whether the update carries a newer version; if that is rejected,
 // the error wraps ErrCorrupt or ErrDeltaMismatch and the present text remains.
-func Config(state *dissemination.Publisher, texts Texts, f *wire.FrameT, now time.Duration) (newer bool, err error) {
+func ApplyConfig(state *dissemination.Publisher, texts ConfigTexts, f *wire.FrameT, now time.Duration) (newer bool, err error) {
 	asOf := codec.AsOfFromFrame(f, now)
 	if f.Value == nil && len(f.Deltas) == 0 || f.Version <= state.Version {
 		state.SetConfig(f.Version, nil, nil, asOf)
--- a/mesh/dataplane/updates/updates_test.go
+++ b/mesh/dataplane/updates/updates_test.go
@@ -16,33 +16,33 @@
 )
 
 // texts interns nothing, and notes what it is asked to.
-type texts struct{ interned []uint32 }
+type recordingTexts struct{ interned []uint32 }
 
-func (*texts) Unpack(_ uint32, packed []byte) ([]byte, error) { return config.Unpack(packed) }
+func (*recordingTexts) Unpack(_ uint32, packed []byte) ([]byte, error) { return config.Unpack(packed) }
 
-func (t *texts) Intern(version uint32, text []byte) []byte {
+func (t *recordingTexts) Intern(version uint32, text []byte) []byte {
 	t.interned = append(t.interned, version)
 	return text
 }
 
 // stateWith is a state whose versions up to the last have these texts.
-func stateWith(all ...string) *dissemination.Publisher {
+func stateWith(texts ...string) *dissemination.Publisher {
 	p := dissemination.NewPublisher(timing.Default().Dissemination)
-	for i, text := range all {
+	for i, text := range texts {
 		p.SetConfig(uint32(i+1), []byte(text), nil, time.Second)
 	}
 	return p
 }
 
 // updateFor is what a state sends to one that has a version.
-func updateFor(p *dissemination.Publisher, version uint32) *wire.FrameT {
-	p.Subscribe(99, version, time.Second)
+func updateFor(p *dissemination.Publisher, presentVersion uint32) *wire.FrameT {
+	p.Subscribe(99, presentVersion, time.Second)
 	defer p.Unsubscribe(99)
-	all, _ := p.Tick(time.Second)
-	return codec.UpdateToFrame(&all[0], config.Pack(p.Text), time.Second)
+	updates, _ := p.Tick(time.Second)
+	return codec.UpdateToFrame(&updates[0], config.Pack(p.Text), time.Second)
 }
 
-func TestConfigurationOfAnUpdate(t *testing.T) {
+func TestApplyConfig(t *testing.T) {
 	two, three := stateWith("one", "two"), stateWith("one", "two", "three")
 	corrupt := updateFor(two, 0)
 	corrupt.Value.Body = []byte("nothing that was packed")
@@ -72,9 +72,9 @@
 		{"a delta from another version", []string{"one"}, updateFor(three, 2), true, ErrDeltaMismatch, 1, "one", "[]", time.Second},
 		{"a delta that is cut short", []string{"one"}, broken, true, ErrDeltaMismatch, 1, "one", "[]", time.Second},
 	} {
-		state, shared := stateWith(c.held...), &texts{}
+		state, shared := stateWith(c.held...), &recordingTexts{}
 		c.frame.AgeMs = 1000
-		newer, err := Config(state, shared, c.frame, 5*time.Second)
+		newer, err := ApplyConfig(state, shared, c.frame, 5*time.Second)
 		if newer != c.newer || !errors.Is(err, c.err) || err != nil && c.err == nil {
 			t.Errorf("%s: newer %v, %v", c.name, newer, err)
 		}
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestEntriesOfAnUpdate(t *testing.T) {
+func TestApplyEntries(t *testing.T) {
 	d := directory.New()
 	d.Merge(directory.Entry{Node: "n3", Incarnation: 1, Sequence: 1}, 0)
 	entry := func(node string, lost bool) *wire.EntryT {
@@ -92,7 +92,7 @@
 	}
 	alive := codec.LivenessToWire(&directory.Entry{Node: "n4", Incarnation: 1}, 0)
 	var own []string
-	Entries(d, "n1", []*wire.EntryT{entry("n2", false), entry("n1", false), alive, entry("n3", true)}, func(e *directory.Entry) {
+	ApplyEntries(d, "n1", []*wire.EntryT{entry("n2", false), entry("n1", false), alive, entry("n3", true)}, func(e *directory.Entry) {
 		own = append(own, fmt.Sprint(e.Node, " after ", d.Len()))
 	}, time.Second)
 	if fmt.Sprint(own) != "[n1 after 2]" {
@@ -112,14 +112,14 @@
 	}
 }
 
-func TestControlMachinesStayWhereAnUpdateHasNone(t *testing.T) {
+func TestUpdateWithoutControlMachinesKeepsTheList(t *testing.T) {
 	state := stateWith()
-	ControlMachines(state, &wire.FrameT{Machines: []*wire.MachineT{{Addr: "c1:1"}, {Addr: "c2:1"}}}, time.Second)
-	ControlMachines(state, &wire.FrameT{}, time.Second)
+	ApplyControlMachines(state, &wire.FrameT{Machines: []*wire.MachineT{{Addr: "c1:1"}, {Addr: "c2:1"}}}, time.Second)
+	ApplyControlMachines(state, &wire.FrameT{}, time.Second)
 	if len(state.ControlMachines) != 2 {
 		t.Errorf("%+v", state.ControlMachines)
 	}
-	ControlMachines(state, &wire.FrameT{Machines: []*wire.MachineT{{Addr: "c3:1"}}}, time.Second)
+	ApplyControlMachines(state, &wire.FrameT{Machines: []*wire.MachineT{{Addr: "c3:1"}}}, time.Second)
 	if len(state.ControlMachines) != 1 || state.ControlMachines[0].Addr != "c3:1" {
 		t.Errorf("%+v", state.ControlMachines)
 	}
--- a/mesh/explain/event.go
+++ b/mesh/explain/event.go
@@ -1,13 +1,13 @@
 package explain
 
 // event is what a log line that matters reports.
-type event int
+type logEvent int
 
 // The events.
 const (
-	sidecarStarted event = iota + 1
+	sidecarStarted logEvent = iota + 1
 	controlMachineStarted
-	sidecarStopping
+	sidecarShutdown
 	serverHealthChanged
 	requestFailed
 	sidecarLost
@@ -15,20 +15,20 @@
 	membersReplaced
 	stateWriteFailed
 	stateUnusable
-	settingsNotUsed
-	configNotUsed
-	configInForce
+	settingsRejected
+	configRejected
+	configCommitted
 )
 
 // events holds the event of each message. While a release goes on, logs hold the wording of two releases: a message is added with its new
 // wording, and the old one stays. TestEventsAreLogged checks that today's programs log each event.
-var events = map[string]event{
+var eventsByMessage = map[string]logEvent{
 	"sidecar started":                                                   sidecarStarted,
 	"the sidecar is up":                                                 sidecarStarted, // until 5126712
 	"control machine started":                                           controlMachineStarted,
 	"the core machine is up":                                            controlMachineStarted, // until 5126712
-	"sidecar shutdown begins":                                           sidecarStopping,
-	"the sidecar ends":                                                  sidecarStopping, // until 5126712
+	"sidecar shutdown begins":                                           sidecarShutdown,
+	"the sidecar ends":                                                  sidecarShutdown, // until 5126712
 	"server health changed":                                             serverHealthChanged,
 	"the server is judged by its requests":                              serverHealthChanged, // until 5126712
 	"request failed without response":                                   requestFailed,
@@ -44,10 +44,10 @@
 	"no usable state on disk: the replica rejoins":                      stateUnusable,
 	"the register is read from the others":                              stateUnusable, // until 5126712
 	"the register on disk is damaged, and is read anew from the others": stateUnusable, // of earlier releases, without fields
-	"settings invalid: the present ones stay in force":                  settingsNotUsed,
-	"the settings cannot be used, and the old ones hold":                settingsNotUsed, // until 5126712
-	"configuration invalid: the present one stays in force":             configNotUsed,
-	"a configuration cannot be used":                                    configNotUsed, // until 5126712
-	"configuration committed":                                           configInForce,
-	"a configuration is in force":                                       configInForce, // until 5126712
+	"settings invalid: the present ones stay in force":                  settingsRejected,
+	"the settings cannot be used, and the old ones hold":                settingsRejected, // until 5126712
+	"configuration invalid: the present one stays in force":             configRejected,
+	"a configuration cannot be used":                                    configRejected, // until 5126712
+	"configuration committed":                                           configCommitted,
+	"a configuration is in force":                                       configCommitted, // until 5126712
 }
--- a/mesh/explain/explain.go
+++ b/mesh/explain/explain.go
@@ -19,12 +19,12 @@
 	causePowerLostSidecar = "its process or its machine's power was lost: what its server ran then could not be answered"
 	causePowerLostControl = "its process or its machine's power was lost: " +
 		"the register went on without it where more than half of its members were there"
-	causeNoVote     = "its disk came back empty, or it is new: it votes once it has read from enough others"
-	causeUnanswered = "neither its answers to probes nor those that others asked for came, and the core had not heard of it for 1.2 s"
-	causeStale      = "no majority of the core has confirmed the configuration on that way for 1.35 s: " +
+	causeStateMissing     = "its disk came back empty, or it is new: it votes once it has read from enough others"
+	causeProbesUnanswered = "neither its answers to probes nor those that others asked for came, and the core had not heard of it for 1.2 s"
+	causeStale            = "no majority of the core has confirmed the configuration on that way for 1.35 s: " +
 		"the parent, its link, or the core's majority was gone"
-	causeMemberLost = "a member was not heard of for 4 s, and a machine stood by"
-	causeDamaged    = "its checksum does not hold; it counts as emptied"
+	causeMemberLost   = "a member was not heard of for 4 s, and a machine stood by"
+	causeStateCorrupt = "its checksum does not hold; it counts as emptied"
 )
 
 // Find returns what happened by lines that are in order, the earliest first.
@@ -40,60 +40,60 @@
 
 // analysis is the state after some of the lines. Findings are referred to by their position, as they move in memory.
 type analysis struct {
-	findings       []Finding
-	started        map[string]bool      // nodes whose start was seen
-	stopped        map[string]time.Time // when nodes began to end in order, until they start again
-	unhealthy      map[string]int       // the open finding of a node whose server is unhealthy
-	failedRequests map[string]int       // requests without response, by node
-	versions       map[string]int       // the finding of a version that came into force
+	findings        []Finding
+	started         map[string]bool      // nodes whose start was seen
+	shutdownAt      map[string]time.Time // when nodes began to end in order, until they start again
+	openUnhealthy   map[string]int       // the open finding of a node whose server is unhealthy
+	failedRequests  map[string]int       // requests without response, by node
+	versionFindings map[string]int       // the finding of a version that came into force
 }
 
 func newAnalysis() *analysis {
 	return &analysis{
-		started:        map[string]bool{},
-		stopped:        map[string]time.Time{},
-		unhealthy:      map[string]int{},
-		failedRequests: map[string]int{},
-		versions:       map[string]int{},
+		started:         map[string]bool{},
+		shutdownAt:      map[string]time.Time{},
+		openUnhealthy:   map[string]int{},
+		failedRequests:  map[string]int{},
+		versionFindings: map[string]int{},
 	}
 }
 
 // observe handles the next line.
 func (a *analysis) observe(l *Line) {
-	switch events[l.Msg] {
+	switch eventsByMessage[l.Msg] {
 	case sidecarStarted:
 		a.observeStart(l, causePowerLostSidecar)
 	case controlMachineStarted:
 		a.observeStart(l, causePowerLostControl)
-	case sidecarStopping:
-		a.stopped[l.Node] = l.At
+	case sidecarShutdown:
+		a.shutdownAt[l.Node] = l.At
 	case serverHealthChanged:
 		a.observeHealth(l)
 	case requestFailed:
 		a.failedRequests[l.Node]++
 	case sidecarLost:
-		a.add(l, l.text("node"), Lost, causeUnanswered)
+		a.addFinding(l, l.field("node"), Lost, causeProbesUnanswered)
 	case parentStale:
-		a.add(l, l.Node, StaleParent, causeStale)
+		a.addFinding(l, l.Node, StaleParent, causeStale)
 	case membersReplaced:
-		a.add(l, l.Node, MembersChanged, causeMemberLost)
+		a.addFinding(l, l.Node, MembersChanged, causeMemberLost)
 	case stateWriteFailed:
-		a.add(l, l.Node, DiskFailed, l.text("error"))
+		a.addFinding(l, l.Node, DiskFailed, l.field("error"))
 	case stateUnusable:
-		if l.text("corrupt", "damaged") != "false" {
-			a.add(l, l.Node, StoreDamaged, causeDamaged)
+		if l.field("corrupt", "damaged") != "false" {
+			a.addFinding(l, l.Node, StateCorrupt, causeStateCorrupt)
 		}
-	case settingsNotUsed:
-		a.add(l, l.Node, SettingsRejected, l.text("error"))
-	case configNotUsed:
-		a.add(l, l.Node, ConfigRejected, l.text("error"))
-	case configInForce:
-		a.observeInForce(l)
+	case settingsRejected:
+		a.addFinding(l, l.Node, SettingsRejected, l.field("error"))
+	case configRejected:
+		a.addFinding(l, l.Node, ConfigRejected, l.field("error"))
+	case configCommitted:
+		a.observeCommit(l)
 	}
 }
 
 // add records a finding for a node, which joins one of the same kind and cause elsewhere that was just now.
-func (a *analysis) add(l *Line, node string, kind Kind, cause string) *Finding {
+func (a *analysis) addFinding(l *Line, node string, kind Kind, cause string) *Finding {
 	for i := len(a.findings) - 1; i >= 0; i-- {
 		f := &a.findings[i]
 		if f.Kind != kind || f.Cause != cause || l.At.Sub(f.To) > mergeWindow {
@@ -119,53 +119,53 @@
 
 // observeStart records that a program has started; its first start is no finding.
 func (a *analysis) observeStart(l *Line, crashCause string) {
-	again := a.started[l.Node]
+	restarted := a.started[l.Node]
 	a.started[l.Node] = true
-	if l.text("voter") == "false" {
-		a.add(l, l.Node, VotelessStart, causeNoVote)
+	if l.field("voter") == "false" {
+		a.addFinding(l, l.Node, StartedAsNonVoter, causeStateMissing)
 	}
-	if !again {
+	if !restarted {
 		return
 	}
-	stoppedAt, inOrder := a.stopped[l.Node]
-	if !inOrder {
-		a.add(l, l.Node, Crashed, crashCause)
+	shutdownAt, graceful := a.shutdownAt[l.Node]
+	if !graceful {
+		a.addFinding(l, l.Node, Crashed, crashCause)
 		return
 	}
-	delete(a.stopped, l.Node)
-	if f := a.add(l, l.Node, Restarted, ""); stoppedAt.Before(f.From) {
-		f.From = stoppedAt
+	delete(a.shutdownAt, l.Node)
+	if f := a.addFinding(l, l.Node, Restarted, ""); shutdownAt.Before(f.From) {
+		f.From = shutdownAt
 	}
 }
 
 // observeHealth records that a sidecar's verdict on its server's health has changed. Each server is a finding of its own.
 func (a *analysis) observeHealth(l *Line) {
-	if i, open := a.unhealthy[l.Node]; open {
+	if i, open := a.openUnhealthy[l.Node]; open {
 		a.findings[i].To = l.At
 		a.findings[i].Lines++
-		delete(a.unhealthy, l.Node)
+		delete(a.openUnhealthy, l.Node)
 	}
-	if l.text("unhealthy", "ill") != "true" {
+	if l.field("unhealthy", "ill") != "true" {
 		return
 	}
-	a.unhealthy[l.Node] = len(a.findings)
+	a.openUnhealthy[l.Node] = len(a.findings)
 	a.findings = append(a.findings, Finding{
 		From:  l.At,
 		To:    l.At,
 		Nodes: []string{l.Node},
 		Kind:  Unhealthy,
-		Cause: "server " + l.text("server") + " failed more than a fifth of the requests that its sidecar let in, whatever it says of itself",
+		Cause: "server " + l.field("server") + " failed more than a fifth of the requests that its sidecar let in, whatever it says of itself",
 		Lines: 1,
 	})
 }
 
 // observeInForce records that a control machine has learned of a version: from the first to the last is one finding.
-func (a *analysis) observeInForce(l *Line) {
-	version := l.text("edition", "version")
-	i, seen := a.versions[version]
+func (a *analysis) observeCommit(l *Line) {
+	version := l.field("edition", "version")
+	i, seen := a.versionFindings[version]
 	if !seen {
 		i = len(a.findings)
-		a.versions[version] = i
+		a.versionFindings[version] = i
 		a.findings = append(a.findings, Finding{From: l.At, Kind: ConfigInForce, Detail: "edition " + version})
 	}
 	f := &a.findings[i]
--- a/mesh/explain/explain_test.go
+++ b/mesh/explain/explain_test.go
@@ -14,7 +14,7 @@
 
 // Logs as programs write them, shortened: a line is the seconds, the node and the JSON object without its time. Those of an older wording
 // stay as they are, as logs of two releases are read together.
-func TestReviews(t *testing.T) {
+func TestFindingsOfRecordedLogs(t *testing.T) {
 	datadriven.RunTest(t, "testdata/reviews", func(t *testing.T, d *datadriven.TestData) string {
 		var log strings.Builder
 		for line := range strings.Lines(d.Input) {
@@ -61,7 +61,7 @@
 
 // Who changes the wording of a log line that is looked for here adds the new wording, and leaves the old one.
 func TestEventsAreLogged(t *testing.T) {
-	logged := map[event]bool{}
+	logged := map[logEvent]bool{}
 	literal := regexp.MustCompile(`"msg", "([^"]*)"`)
 	for _, root := range []string{"../controlplane", "../dataplane"} {
 		err := filepath.WalkDir(root, func(path string, _ fs.DirEntry, err error) error {
@@ -70,7 +70,7 @@
 			}
 			text, err := os.ReadFile(path)
 			for _, match := range literal.FindAllStringSubmatch(string(text), -1) {
-				logged[events[match[1]]] = true
+				logged[eventsByMessage[match[1]]] = true
 			}
 			return err
 		})
@@ -78,7 +78,7 @@
 			t.Fatal(err)
 		}
 	}
-	for message, e := range events {
+	for message, e := range eventsByMessage {
 		if !logged[e] {
 			t.Errorf("no program logs %q, or another wording of the same that is known here", message)
 		}
--- a/mesh/explain/finding.go
+++ b/mesh/explain/finding.go
@@ -16,7 +16,7 @@
 	// Restarted: a program ended in order and started again.
 	Restarted
 	// VotelessStart: a control machine started without its disk's vote.
-	VotelessStart
+	StartedAsNonVoter
 	// Unhealthy: a sidecar judged its server unhealthy by the outcomes of requests.
 	Unhealthy
 	// Lost: a machine gave no sign of life to the others.
@@ -28,7 +28,7 @@
 	// DiskFailed: a disk refused the register's state.
 	DiskFailed
 	// StoreDamaged: the state on a disk was damaged.
-	StoreDamaged
+	StateCorrupt
 	// SettingsRejected: a settings file could not be used.
 	SettingsRejected
 	// ConfigInForce: a version of the configuration came into force.
@@ -38,26 +38,26 @@
 )
 
 // kindTexts are how a kind is shown: in a line, and in a cell of a drawing (empty: it is not drawn).
-var kindTexts = map[Kind]struct{ text, cell string }{
-	Crashed:          {"started again without having ended", "killed"},
-	Restarted:        {"ended in order and started again", "restart"},
-	VotelessStart:    {"a core machine is up without its disk's vote", "no-vote"},
-	Unhealthy:        {"a server counts as ill", "ill"},
-	Lost:             {"counted as lost by the others", "lost"},
-	StaleParent:      {"turned away from a parent that had nothing fresh", "stale"},
-	MembersChanged:   {"the core's members change", "members"},
-	DiskFailed:       {"a disk refuses the register", "disk"},
-	StoreDamaged:     {"a register was damaged", "damaged"},
-	SettingsRejected: {"settings cannot be used", "settings"},
-	ConfigInForce:    {"a configuration comes into force", ""},
-	ConfigRejected:   {"a configuration cannot be used", "refused"},
+var kindLabels = map[Kind]struct{ text, cell string }{
+	Crashed:           {"started again without having ended", "killed"},
+	Restarted:         {"ended in order and started again", "restart"},
+	StartedAsNonVoter: {"a core machine is up without its disk's vote", "no-vote"},
+	Unhealthy:         {"a server counts as ill", "ill"},
+	Lost:              {"counted as lost by the others", "lost"},
+	StaleParent:       {"turned away from a parent that had nothing fresh", "stale"},
+	MembersChanged:    {"the core's members change", "members"},
+	DiskFailed:        {"a disk refuses the register", "disk"},
+	StateCorrupt:      {"a register was damaged", "damaged"},
+	SettingsRejected:  {"settings cannot be used", "settings"},
+	ConfigInForce:     {"a configuration comes into force", ""},
+	ConfigRejected:    {"a configuration cannot be used", "refused"},
 }
 
 // recovered is the cell of the end of an Unhealthy finding.
-const recovered = "well"
+const recoveredCell = "well"
 
 // cell returns how a drawing shows the kind; empty: it doesn't.
-func (k Kind) cell() string { return kindTexts[k].cell }
+func (k Kind) cell() string { return kindLabels[k].cell }
 
 // Finding is something that happened.
 type Finding struct {
@@ -78,7 +78,7 @@
 	if d := f.To.Sub(f.From); d >= time.Millisecond {
 		text += fmt.Sprintf(" for %v", d.Round(time.Millisecond))
 	}
-	text += "  " + kindTexts[f.Kind].text
+	text += "  " + kindLabels[f.Kind].text
 	if f.Detail != "" {
 		text += " (" + f.Detail + ")"
 	}
--- a/mesh/explain/line.go
+++ b/mesh/explain/line.go
@@ -31,7 +31,7 @@
 }
 
 // text returns the first of some fields that the line has, as text; empty: it has none of them.
-func (l *Line) text(names ...string) string {
+func (l *Line) field(names ...string) string {
 	for _, name := range names {
 		if v, ok := l.Fields[name]; ok {
 			return fmt.Sprint(v)
@@ -77,8 +77,8 @@
 	if !found || json.Unmarshal([]byte("{"+object), &l.Fields) != nil {
 		return l, false
 	}
-	at, err := time.Parse(time.RFC3339Nano, l.text("ts"))
-	l.At, l.Msg = at, l.text("msg")
+	at, err := time.Parse(time.RFC3339Nano, l.field("ts"))
+	l.At, l.Msg = at, l.field("msg")
 	return l, err == nil && l.Msg != ""
 }
 
@@ -88,13 +88,13 @@
 }
 
 // About returns the lines that a node has written, and those that name it, or an attempt or a server of that name, in any field.
-func About(lines []Line, name string) (about []Line) {
+func FilterByName(lines []Line, name string) (matching []Line) {
 	for i := range lines {
 		if l := &lines[i]; l.Node == name || l.mentions(name) {
-			about = append(about, *l)
+			matching = append(matching, *l)
 		}
 	}
-	return about
+	return matching
 }
 
 func (l *Line) mentions(name string) bool {
--- a/mesh/transport/conn.go
+++ b/mesh/transport/conn.go
@@ -37,44 +37,44 @@
 
 // queuedFrame is an encoded frame that waits to be written, since a time.
 type queuedFrame struct {
-	encoded []byte
-	since   time.Time
+	encoded  []byte
+	queuedAt time.Time
 }
 
 // bytes returns the frame as it is written now: the ages in it count from when it is sent.
-func (q queuedFrame) bytes() []byte {
-	wire.AddAge(q.encoded, time.Since(q.since))
+func (q queuedFrame) bytesWithAge() []byte {
+	wire.AddAge(q.encoded, time.Since(q.queuedAt))
 	return q.encoded
 }
 
 // Conn is a connection. It has a goroutine for each direction; both end when it is closed, by either side. It is safe for concurrent use.
 type Conn struct {
-	net       net.Conn
-	sendQueue chan queuedFrame
-	done      chan struct{} // closed by Close
-	closeOnce sync.Once
-	written   chan struct{} // closed when the writing goroutine has ended
+	conn          net.Conn
+	sendQueue     chan queuedFrame
+	closed        chan struct{} // closed by Close
+	closeOnce     sync.Once
+	writeLoopDone chan struct{} // closed when the writing goroutine has ended
 
 	bytesReceived atomic.Int64
 	bytesConsumed atomic.Int64 // the part of them that complete frames make up
 }
 
 // newConn starts writing on a connection; the caller reads.
-func newConn(n net.Conn) *Conn {
-	setUserTimeout(n)
+func newConn(conn net.Conn) *Conn {
+	setUserTimeout(conn)
 	c := &Conn{
-		net:       n,
-		sendQueue: make(chan queuedFrame, sendQueueFrames),
-		done:      make(chan struct{}),
-		written:   make(chan struct{}),
+		conn:          conn,
+		sendQueue:     make(chan queuedFrame, sendQueueFrames),
+		closed:        make(chan struct{}),
+		writeLoopDone: make(chan struct{}),
 	}
-	go c.write()
+	go c.writeLoop()
 	return c
 }
 
 // setUserTimeout sets the time-out of unacknowledged bytes. Without it a dead peer is noticed by the kernel's much longer default.
-func setUserTimeout(n net.Conn) {
-	tcp, ok := n.(*net.TCPConn)
+func setUserTimeout(conn net.Conn) {
+	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
 		return
 	}
@@ -92,7 +92,7 @@
 	select {
 	case c.sendQueue <- queuedFrame{wire.Encode(f), time.Now()}:
 		return true
-	case <-c.done:
+	case <-c.closed:
 		return false
 	default:
 		c.Close()
@@ -103,29 +103,29 @@
 // Close ends the connection without sending what is queued. It may be called more than once.
 func (c *Conn) Close() {
 	c.closeOnce.Do(func() {
-		close(c.done)
-		_ = c.net.Close() // what was not sent is given up
+		close(c.closed)
+		_ = c.conn.Close() // what was not sent is given up
 	})
 }
 
 // Done returns a channel that is closed when the connection has ended.
-func (c *Conn) Done() <-chan struct{} { return c.done }
+func (c *Conn) Done() <-chan struct{} { return c.closed }
 
 // PartialBytes returns how many bytes have arrived of a frame that is not complete: 0 between two frames.
 func (c *Conn) PartialBytes() int64 { return c.bytesReceived.Load() - c.bytesConsumed.Load() }
 
 // write sends queued frames until the connection ends, those that have queued up in one write.
-func (c *Conn) write() {
-	defer close(c.written)
+func (c *Conn) writeLoop() {
+	defer close(c.writeLoopDone)
 	defer c.Close()
-	w := bufio.NewWriterSize(c.net, bufferBytes)
+	w := bufio.NewWriterSize(c.conn, bufferBytes)
 	for {
 		select {
 		case frame := <-c.sendQueue:
-			if _, err := w.Write(frame.bytes()); err != nil {
+			if _, err := w.Write(frame.bytesWithAge()); err != nil {
 				return
 			}
-		case <-c.done:
+		case <-c.closed:
 			return
 		}
 		if c.writeQueued(w) != nil || w.Flush() != nil {
@@ -139,7 +139,7 @@
 	for {
 		select {
 		case frame := <-c.sendQueue:
-			if _, err := w.Write(frame.bytes()); err != nil {
+			if _, err := w.Write(frame.bytesWithAge()); err != nil {
 				return err
 			}
 		default:
@@ -149,9 +149,9 @@
 }
 
 // read hands over frames until the connection ends, by whatever side or error.
-func (c *Conn) read(h Handler) {
+func (c *Conn) readLoop(h Handler) {
 	defer h.HandleClose(c)
-	defer func() { <-c.written }() // at once, as the connection is closed
+	defer func() { <-c.writeLoopDone }() // at once, as the connection is closed
 	defer c.Close()
 	r := bufio.NewReaderSize(countingReader{c}, bufferBytes)
 	for {
@@ -168,7 +168,7 @@
 type countingReader struct{ c *Conn }
 
 func (r countingReader) Read(b []byte) (int, error) {
-	n, err := r.c.net.Read(b)
+	n, err := r.c.conn.Read(b)
 	r.c.bytesReceived.Add(int64(n))
 	return n, err
 }
--- a/mesh/transport/serve.go
+++ b/mesh/transport/serve.go
@@ -20,12 +20,12 @@
 // Dial connects to an address (host and port) within a timeout. Its frames go to h, whose HandleClose is called if there is no error.
 func Dial(ctx context.Context, addr string, timeout time.Duration, h Handler) (*Conn, error) {
 	d := net.Dialer{Timeout: timeout, KeepAlive: -1}
-	n, err := d.DialContext(ctx, "tcp", addr)
+	conn, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, errors.Wrap(err, "connect to peer")
 	}
-	c := newConn(n)
-	go c.read(h) // ends with the connection, which the caller closes; then calls HandleClose
+	c := newConn(conn)
+	go c.readLoop(h) // ends with the connection, which the caller closes; then calls HandleClose
 	return c, nil
 }
 
@@ -34,7 +34,7 @@
 func Serve(ln net.Listener, h Handler) error {
 	var open atomic.Int64
 	for {
-		n, err := ln.Accept()
+		conn, err := ln.Accept()
 		if err != nil {
 			if errors.Is(err, syscall.EMFILE) {
 				time.Sleep(acceptBackoff)
@@ -43,14 +43,14 @@
 			return errors.Wrap(err, "accept peer")
 		}
 		if open.Load() >= maxConns {
-			_ = n.Close()
+			_ = conn.Close()
 			continue
 		}
 		open.Add(1)
-		c := newConn(n)
+		c := newConn(conn)
 		go func() { // ends with the connection, then calls HandleClose
 			defer open.Add(-1)
-			c.read(h)
+			c.readLoop(h)
 		}()
 	}
 }
--- a/mesh/transport/transport_test.go
+++ b/mesh/transport/transport_test.go
@@ -21,29 +21,29 @@
 
 // recorder is a handler that passes on what it gets.
 type recorder struct {
-	frames chan received
+	frames chan receivedFrame
 	closed chan *Conn
 }
 
-type received struct {
+type receivedFrame struct {
 	conn  *Conn
 	frame *wire.FrameT
 }
 
 func newRecorder() *recorder {
-	return &recorder{frames: make(chan received, 16), closed: make(chan *Conn, 16)}
+	return &recorder{frames: make(chan receivedFrame, 16), closed: make(chan *Conn, 16)}
 }
 
-func (r *recorder) HandleFrame(c *Conn, f *wire.FrameT) { r.frames <- received{c, f} }
+func (r *recorder) HandleFrame(c *Conn, f *wire.FrameT) { r.frames <- receivedFrame{c, f} }
 func (r *recorder) HandleClose(c *Conn)                 { r.closed <- c }
 
 // next returns what comes next on a channel, or fails the test.
-func next[T any](t *testing.T, from <-chan T, what string) (v T) {
+func receive[T any](t *testing.T, ch <-chan T, expected string) (v T) {
 	t.Helper()
 	select {
-	case v = <-from:
+	case v = <-ch:
 	case <-time.After(testTimeout):
-		t.Fatalf("no %s within %v", what, testTimeout)
+		t.Fatalf("no %s within %v", expected, testTimeout)
 	}
 	return v
 }
@@ -60,7 +60,7 @@
 	go func() { ended <- Serve(ln, r) }()
 	t.Cleanup(func() {
 		_ = ln.Close()
-		if next(t, ended, "end of Serve") == nil {
+		if receive(t, ended, "end of Serve") == nil {
 			t.Error("Serve returned no error")
 		}
 	})
@@ -87,19 +87,19 @@
 	}
 	var accepted *Conn
 	for id := range uint64(3) {
-		got := next(t, server.frames, "frame")
+		got := receive(t, server.frames, "frame")
 		if got.frame.Id != id || got.frame.From != "client" {
 			t.Errorf("frame %d of %s, want %d", got.frame.Id, got.frame.From, id)
 		}
 		accepted = got.conn
 	}
 	accepted.Send(&wire.FrameT{Kind: wire.Hello, Id: 7})
-	if got := next(t, client.frames, "answer"); got.frame.Id != 7 || got.conn != c || c.PartialBytes() != 0 {
+	if got := receive(t, client.frames, "answer"); got.frame.Id != 7 || got.conn != c || c.PartialBytes() != 0 {
 		t.Errorf("frame %d, %d bytes beyond it", got.frame.Id, c.PartialBytes())
 	}
 	c.Close()
 	c.Close()
-	if next(t, client.closed, "HandleClose") != c || next(t, server.closed, "HandleClose of the peer") != accepted {
+	if receive(t, client.closed, "HandleClose") != c || receive(t, server.closed, "HandleClose of the peer") != accepted {
 		t.Error("another connection was closed")
 	}
 }
@@ -124,7 +124,7 @@
 	default:
 		t.Error("the connection is open although a frame was refused")
 	}
-	next(t, client.closed, "HandleClose")
+	receive(t, client.closed, "HandleClose")
 	if sent < sendQueueFrames {
 		t.Errorf("closed after %d frames, and %d have room", sent, sendQueueFrames)
 	}
@@ -138,7 +138,7 @@
 			_ = p.Close()
 		}
 		for range maxConns {
-			next(t, server.closed, "HandleClose")
+			receive(t, server.closed, "HandleClose")
 		}
 	}()
 	for range maxConns + 1 {
@@ -182,11 +182,11 @@
 	if _, err := peer.Write(frame[len(frame)-1:]); err != nil {
 		t.Fatal(err)
 	}
-	if got := next(t, client.frames, "frame"); got.frame.From != "peer" || c.PartialBytes() != 0 {
+	if got := receive(t, client.frames, "frame"); got.frame.From != "peer" || c.PartialBytes() != 0 {
 		t.Errorf("frame of %s, %d bytes beyond it", got.frame.From, c.PartialBytes())
 	}
 	c.Close()
-	next(t, client.closed, "HandleClose")
+	receive(t, client.closed, "HandleClose")
 }
 
 func TestMalformedFrameClosesTheConnection(t *testing.T) {
@@ -199,10 +199,10 @@
 	if _, err := peer.Write([]byte{0xff, 0xff, 0xff, 0xff, 0}); err != nil {
 		t.Fatal(err)
 	}
-	next(t, server.closed, "HandleClose")
+	receive(t, server.closed, "HandleClose")
 }
 
-func TestDialReportsWhatFailed(t *testing.T) {
+func TestDialWithCanceledContextFails(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if _, err := Dial(ctx, "127.0.0.1:1", testTimeout, newRecorder()); err == nil {
@@ -212,11 +212,11 @@
 
 // An update whose connection stalls is as old as it is when it is sent, not as when it was queued: what comes behind a frame that the peer
 // does not read carries the time of the stall.
-func TestUpdatesAgeWhileTheirConnectionStalls(t *testing.T) {
+func TestQueuedUpdatesAgeWhileTheConnectionStalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe() // takes nothing that is not read
 		c := newConn(near)
-		defer func() { <-c.written }()
+		defer func() { <-c.writeLoopDone }()
 		defer c.Close()
 		const stall, ageMs = 200 * time.Millisecond, 40
 		large := &wire.FrameT{Kind: wire.Update, AgeMs: ageMs, Text: string(make([]byte, 2*bufferBytes))}
