--- a/mesh/dataplane/distribution/event.go
+++ b/mesh/dataplane/distribution/event.go
@@ -8,8 +8,8 @@
 	"firplank/mesh/wire"
 )
 
-// Conn is a connection to the parent or of a subscriber. A Node only compares connections; its caller sends on them
-// and closes them.
+// Conn is a connection to the parent or to a subscriber. A Node only compares connections. Its caller sends frames on
+// them and closes them.
 type Conn = subscribers.Conn
 
 // Event is an input of a Node: ParentDialed, ConnClosed or FrameReceived.
@@ -21,10 +21,11 @@
 	Err  error
 }
 
-// ConnClosed reports that a connection has ended, dialed or accepted. For one that a Close has ended it has no effect.
+// ConnClosed reports that a dialed or accepted connection has ended. It has no effect if the Node has requested this
+// by a Close.
 type ConnClosed struct{ Conn Conn }
 
-// FrameReceived is a frame from a connection. The Node owns the frame from now on.
+// FrameReceived reports a frame from a connection. The Node becomes the owner of the frame.
 type FrameReceived struct {
 	Conn  Conn
 	Frame *wire.FrameT
@@ -37,32 +38,31 @@
 // Action is an output of a Node: Dial, Send, Close or UpdateRejected.
 type Action interface{ action() }
 
-// Dial asks for a connection to a parent. The caller reports the outcome by ParentDialed, within
-// Timeout.
+// Dial requests a connection to a parent. The caller reports the outcome by ParentDialed within Timeout.
 type Dial struct {
 	Addr    string
 	Relay   bool // the parent is a sidecar
 	Timeout time.Duration
 }
 
-// Send is a frame for a connection. A failure ends the connection, which ConnClosed reports.
+// Send requests that a frame is sent. If this fails, the caller closes the connection and reports ConnClosed.
 type Send struct {
 	To    Conn
 	Frame *wire.FrameT
 }
 
-// Close closes the connection to the parent at an address.
+// Close requests that the connection to the parent at Addr is closed.
 type Close struct {
 	Conn   Conn
 	Addr   string
 	Reason subscription.Reason
 }
 
-// UpdateRejected reports, for the log, that the configuration of an update could not be applied; the Node asks its
-// parent for the full text.
+// UpdateRejected reports, for the log, that the configuration of an update could not be applied. The Node requests the
+// full text from its parent.
 type UpdateRejected struct {
-	Version        uint32 // of the update
-	PresentVersion uint32 // that the sidecar has
+	Version        uint32 // carried by the update
+	PresentVersion uint32 // held by the sidecar
 	Err            error  // wraps updates.ErrCorrupt or updates.ErrDeltaMismatch
 }
 
--- a/mesh/dataplane/distribution/node.go
+++ b/mesh/dataplane/distribution/node.go
@@ -4,8 +4,8 @@
 // and subscribers.
 //
 // A Node is a state machine without sockets, clock or goroutines, like those of etcd's raft: methods take the time
-// since the process started and an event, and queue actions, which the caller takes with TakeActions after each call
-// and performs in order. Start reading at Node.Handle.
+// since the process started and an event, and queue actions. After each call the caller gets them from TakeActions and
+// performs them in order. Start reading at Node.Handle.
 package distribution
 
 import (
@@ -22,24 +22,24 @@
 	"firplank/mesh/wire"
 )
 
-// reparentDelay is the shortest time from ready until a sidecar looks for a relay, and half the longest: by then the
-// sidecars that started together know of each other.
+// minReparentDelay is the shortest time between becoming ready and the first search for a relay. Jitter of up to the
+// same duration, derived from the node's name, is added. By then, sidecars that started together know each other.
 const minReparentDelay = 1200 * time.Millisecond
 
 // Host is the program around a Node. The Node calls it synchronously from its own methods, so a Host must not call
-// back into the Node, but for State.
+// any method of the Node except State.
 type Host interface {
 	updates.ConfigTexts
 	subscribers.Packer
-	// Adopt puts a version of the configuration in force if it is valid, and returns the version that is in force
-	// afterwards; 0: none.
+	// Adopt puts a version of the configuration in force if it is valid. It returns the version that is in force
+	// afterwards, or 0 if there is none.
 	Adopt(version uint32, text []byte) (inForce uint32)
 	// DescribeServer updates the fields of the sidecar's own entry that describe the local server.
 	DescribeServer(own *directory.Entry)
-	// RecallServer restores what another incarnation of this sidecar has announced about the local server.
+	// RestoreServer restores what another incarnation of this sidecar has announced about the local server.
 	RestoreServer(now time.Duration, earlier *directory.Entry)
-	// IncarnationChanged reports the new incarnation of this sidecar, chosen because a later one than its own was
-	// found.
+	// IncarnationChanged reports the new incarnation of this sidecar. It changes when the directory has a later
+	// incarnation than the present one.
 	IncarnationChanged(incarnation uint64)
 	// BecameReady reports, once, that the sidecar is ready.
 	BecameReady(now time.Duration)
@@ -51,12 +51,13 @@
 	policy *dissemination.Subscriber
 	state  *dissemination.Publisher
 	own    directory.Entry
-	// confirmed is the highest sequence of the own entry in this incarnation that a parent has sent back: it has the entry.
+	// confirmedSequence is the highest sequence of the own entry, in this incarnation, that a parent has sent back and
+	// therefore received.
 	confirmedSequence uint64
 
 	subscription *subscription.Subscription
 	subscribers  *subscribers.Subscribers
-	parent       Conn // nil: none
+	parent       Conn // nil if there is none
 
 	inForce  uint32
 	ready    bool
@@ -77,13 +78,13 @@
 	return n
 }
 
-// State returns the wanted state, which subscribers are sent. The caller must not change it.
+// State returns the wanted state, which is sent to subscribers. The caller must not change it.
 func (n *Node) State() *dissemination.Publisher { return n.state }
 
 // Parent returns the connection to the parent, or nil.
 func (n *Node) Parent() Conn { return n.parent }
 
-// Conns returns the connections to the parent and of the subscribers, to be closed at shutdown.
+// Conns returns the connections to the subscribers and the parent. The caller closes them at shutdown.
 func (n *Node) Conns() []Conn {
 	conns := n.subscribers.Conns()
 	if n.parent != nil {
@@ -92,10 +93,10 @@
 	return conns
 }
 
-// Relayed reports whether the present parent, or the last one, is a sidecar.
+// ParentIsRelay reports whether the present parent, or the last one if there is none, is a sidecar.
 func (n *Node) ParentIsRelay() bool { return n.subscription.ParentIsRelay() }
 
-// Subscribers returns the number of sidecars below this one.
+// Subscribers returns the number of sidecars that subscribe to this one.
 func (n *Node) Subscribers() int { return n.subscribers.Len() }
 
 // Ready reports whether the sidecar is ready. Once ready it remains so.
@@ -130,7 +131,8 @@
 	}
 	n.parent = e.Conn
 	n.queueActions(n.subscription.Dialed(now))
-	// The parent may have started anew. The sidecars below this one announce themselves to it by nobody else: to them nothing has changed.
+	// The parent may have restarted and lost its directory. The subscribers of this sidecar do not announce themselves again, as their own
+	// connections have not changed, so this sidecar sends their entries.
 	if entries := n.subscribers.Entries(); len(entries) > 0 {
 		n.SendEntries(now, codec.EntriesToWire(entries, now))
 	}
@@ -144,7 +146,7 @@
 	}
 }
 
-// frameReceived handles a frame of the parent or of a sidecar below.
+// frameReceived handles a frame from the parent or from a subscriber.
 func (n *Node) frameReceived(now time.Duration, c Conn, f *wire.FrameT) {
 	fromParent := n.parent != nil && c == n.parent
 	switch {
@@ -160,8 +162,8 @@
 	}
 }
 
-// subscribe handles a subscription request. Only a sidecar that is ready and subscribes to a control machine relays,
-// so that the tree has two levels and no cycle.
+// subscribe handles a subscription request. A sidecar relays only while it is ready and its parent is a control
+// machine, so that the tree has at most two levels of sidecars and no cycle.
 func (n *Node) subscribe(now time.Duration, c Conn, f *wire.FrameT) {
 	relaying := n.ready && !n.draining && n.parent != nil && !n.subscription.ParentIsRelay()
 	added, sends := n.subscribers.Add(c, f, relaying, now)
@@ -171,8 +173,8 @@
 	}
 }
 
-// forward merges entries from below into the directory and forwards them to the parent. That a sidecar is lost is
-// forwarded only: it is for the control machines to decide.
+// forward merges entries from subscribers into the directory and forwards them to the parent. Reports that a sidecar
+// is lost are forwarded only, because the control machines decide this.
 func (n *Node) forward(now time.Duration, entries []*wire.EntryT) {
 	if len(entries) == 0 {
 		return
@@ -185,7 +187,7 @@
 	n.SendEntries(now, entries)
 }
 
-// applyUpdate applies an update of the parent to the wanted state.
+// applyUpdate applies an update from the parent to the wanted state.
 func (n *Node) applyUpdate(now time.Duration, f *wire.FrameT) {
 	n.subscription.UpdateReceived()
 	updates.ApplyRollouts(n.state, f)
@@ -203,8 +205,9 @@
 	n.CheckReady(now)
 }
 
-// reconcileOwnEntry handles an entry of this sidecar. One of the present incarnation shows what the parent has. A later incarnation
-// than the present one is of a process that ran before the time of day was set back; the sidecar then continues as a still later one.
+// reconcileOwnEntry handles an entry of this sidecar that the parent has sent. An entry of the present incarnation confirms announcements.
+// A later incarnation belongs to a process that ran before the machine's clock was set back. The sidecar then switches to an incarnation
+// that is later still.
 func (n *Node) reconcileOwnEntry(now time.Duration, e *directory.Entry) {
 	switch {
 	case e.Incarnation == n.own.Incarnation:
@@ -219,8 +222,8 @@
 	}
 }
 
-// CheckReady adopts the first configuration once the sidecar may be ready with it. The caller calls it several times
-// a second, as time alone can make a sidecar ready.
+// CheckReady puts the first configuration in force and marks the sidecar as ready, as soon as the policy allows it. The
+// caller calls it several times a second, because the result also depends on the time.
 func (n *Node) CheckReady(now time.Duration) {
 	if n.ready || !n.policy.Ready(now, n.state.Version, n.state.AsOf, n.state.ControlMachines) {
 		return
@@ -235,7 +238,7 @@
 	n.Announce(now)
 }
 
-// Adopt puts the wanted configuration in force, if the sidecar is ready and it is a later one.
+// Adopt puts the wanted configuration in force if the sidecar is ready and the version is later than the present one.
 func (n *Node) Adopt() {
 	if n.ready {
 		n.adopt()
@@ -249,7 +252,7 @@
 	}
 }
 
-// Announce publishes the sidecar's own entry, after a change of the local server.
+// Announce publishes the sidecar's own entry. The caller calls it when the local server's state has changed.
 func (n *Node) Announce(now time.Duration) {
 	n.own.Sequence++
 	n.host.DescribeServer(&n.own)
@@ -258,11 +261,11 @@
 	n.queueActions(n.subscription.Announce(now))
 }
 
-// Announced returns the sequence of the own entry as it was announced last, and Confirmed up to which a parent has sent it back. What a
-// parent has outlives this process: its next one is notified.
+// AnnouncedSequence returns the sequence of the last announcement of the own entry. The announcement is confirmed once ConfirmedSequence
+// has reached it. A parent keeps a confirmed entry when this process ends and sends it to the sidecar's next process.
 func (n *Node) AnnouncedSequence() uint64 { return n.own.Sequence }
 
-// Confirmed returns the highest sequence of the own entry that a parent has sent back.
+// ConfirmedSequence returns the highest sequence of the own entry that a parent has sent back.
 func (n *Node) ConfirmedSequence() uint64 { return n.confirmedSequence }
 
 // Drain starts the shutdown: the sidecar announces that it is draining and accepts no further subscribers.
@@ -271,29 +274,29 @@
 	n.Announce(now)
 }
 
-// SendEntries sends the parent, if there is one, evidence about other sidecars.
+// SendEntries sends entries of other sidecars to the parent, if there is one.
 func (n *Node) SendEntries(now time.Duration, entries []*wire.EntryT) {
 	n.queueActions(n.subscription.Report(now, entries))
 }
 
-// ReportEvidence sends the parent what this sidecar has to say of rollouts, and keeps it for later reports.
+// ReportEvidence sends this sidecar's report about rollouts to the parent, and repeats it in later reports.
 func (n *Node) ReportEvidence(now time.Duration, e directory.RolloutReport) {
 	n.own.RolloutReport = e
 	n.queueActions(n.subscription.ReportLiveness(now))
 }
 
-// Reparent switches to a relay where the distribution tree has one for this sidecar. The caller calls it several
-// times a second.
+// Reparent switches to a relay if the distribution tree has one for this sidecar. The caller calls it several times a
+// second.
 func (n *Node) Reparent(now time.Duration) { n.queueActions(n.subscription.Reparent(now)) }
 
-// Maintain keeps the subscription up: it switches from a stale parent, dials, and sends heartbeats. partialBytes is
-// how many bytes of an incomplete frame have arrived from the parent.
+// Maintain maintains the subscription: it leaves a stale parent, dials the next one, and sends heartbeats. partialBytes
+// is the number of bytes received of an incomplete frame from the parent.
 func (n *Node) Maintain(now time.Duration, partialBytes int64) {
 	n.queueActions(n.subscription.Maintain(now, partialBytes))
 }
 
-// Publish acknowledges to the parent what is in force and sends subscribers the updates that are due. It returns when
-// to call it again at the latest.
+// Publish sends the parent an acknowledgement if it has changed, and the subscribers the updates that are due. The
+// caller calls it again at next at the latest.
 func (n *Node) Publish(now time.Duration) (next time.Duration) {
 	n.queueActions(n.subscription.Acknowledge(now))
 	sends, next := n.subscribers.Publish(now)
@@ -301,7 +304,8 @@
 	return next
 }
 
-// perform queues the actions of the subscription.
+// queueActions queues the actions of the subscription. Before the sidecar subscribes to a relay, its own subscribers
+// are told to go away, because a sidecar below a relay must not relay itself.
 func (n *Node) queueActions(actions []subscription.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -325,7 +329,7 @@
 	}
 }
 
-// hash returns the FNV-1a hash of a name, by which sidecars are spread over time.
+// hash returns the FNV-1a hash of a node's name, from which its jitter is derived.
 func hash(name string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name)) // never fails
--- a/mesh/dataplane/distribution/node_test.go
+++ b/mesh/dataplane/distribution/node_test.go
@@ -16,13 +16,13 @@
 	"firplank/mesh/wire"
 )
 
-// fakeConn is a connection of which only the identity counts.
+// fakeConn is a connection that is only compared.
 type fakeConn struct{ name string }
 
-func (*fakeConn) Send(*wire.FrameT) bool { panic("a node sends nothing itself") }
-func (*fakeConn) Close()                 { panic("a node closes nothing itself") }
+func (*fakeConn) Send(*wire.FrameT) bool { panic("a node must not send on connections") }
+func (*fakeConn) Close()                 { panic("a node must not close connections") }
 
-// fakeHost is a program that takes up each configuration but those that it refuses.
+// fakeHost adopts every configuration except the versions in invalid.
 type fakeHost struct {
 	invalid     map[uint32]bool
 	inForce     uint32
@@ -70,7 +70,7 @@
 	return New(directory.Entry{Node: self, Incarnation: 10, Sequence: 1, Zone: "x", PeerAddr: "n1:1"}, policy, h, durations), h
 }
 
-// connect has a node dial its parent at a time and returns the connection and what was sent first.
+// connect makes a node dial its parent and returns the connection and the subscription request.
 func connect(t *testing.T, n *Node, now time.Duration) (*fakeConn, *wire.FrameT) {
 	t.Helper()
 	n.Maintain(now, 0)
@@ -82,7 +82,7 @@
 	n.Handle(now, ParentDialed{Conn: c})
 	s, ok := lastAction(n.TakeActions()).(Send)
 	if !ok || s.To != c || s.Frame.Kind != wire.Subscribe {
-		t.Fatalf("began with %+v", s)
+		t.Fatalf("first sent %+v, want a subscription request", s)
 	}
 	return c, s.Frame
 }
@@ -94,12 +94,12 @@
 	return actions[len(actions)-1]
 }
 
-// textOf is a configuration of a version.
+// configText returns the text of a configuration.
 func configText(version string) []byte {
 	return []byte(`{"edition":"` + version + `","caps":{},"gates":[],"fleets":[]}`)
 }
 
-// updateFor is what a publisher with versions sends a subscriber that has one of them.
+// updateFor returns the update that a publisher with versions 1 to len(texts) sends to a subscriber with presentVersion.
 func updateFor(t *testing.T, presentVersion uint32, texts ...[]byte) *wire.FrameT {
 	t.Helper()
 	publisher := dissemination.NewPublisher(durations.Dissemination)
@@ -111,7 +111,7 @@
 	return codec.UpdateToFrame(&due[0], config.Pack(publisher.Text), 0)
 }
 
-// frames returns the frames for a connection among actions.
+// frames returns the frames that the actions send on a connection.
 func frames(actions []Action, to Conn) (sent []*wire.FrameT) {
 	for _, a := range actions {
 		if s, ok := a.(Send); ok && s.To == to {
@@ -121,7 +121,7 @@
 	return sent
 }
 
-// readyNode returns a node that is ready with version 1 under a control machine.
+// readyNode returns a node that is ready with version 1 and whose parent is a control machine.
 func readyNode(t *testing.T) (*Node, *fakeHost, *fakeConn) {
 	t.Helper()
 	n, h := newNode("c1:1")
@@ -135,8 +135,8 @@
 	return n, h, parent
 }
 
-// A sidecar whose text is another than its parent believes asks for the whole, and says meanwhile what is in force;
-// it never takes up a mixture.
+// A sidecar whose text differs from the base of a delta must request the full text, and must report and keep the
+// version in force until it arrives. A delta that is applied to a different base would yield a corrupt configuration.
 func TestSidecarRequestsFullTextAfterDeltaMismatch(t *testing.T) {
 	n, h, parent := readyNode(t)
 	mismatched := append(configText("00000001"), ' ')
@@ -163,8 +163,8 @@
 	}
 }
 
-// News that say how old their version is leave a sidecar that has just started with that age, which is more than its
-// own.
+// The age of an update may exceed the time since the process started. A sidecar that limits the age to its own would
+// become ready with an outdated configuration.
 func TestUpdateOlderThanTheProcessKeepsItsAge(t *testing.T) {
 	n, _ := newNode("c1:1")
 	parent, _ := connect(t, n, 0)
@@ -172,15 +172,15 @@
 	f.AgeMs = 8000
 	n.Handle(100*time.Millisecond, FrameReceived{parent, f})
 	if age := 100*time.Millisecond - n.State().AsOf; age != 8*time.Second {
-		t.Errorf("its age is %v", age)
+		t.Errorf("age of the configuration is %v", age)
 	}
 	if n.Ready() {
-		t.Error("is ready with it")
+		t.Error("is ready with an outdated configuration")
 	}
 }
 
-// A configuration that can't be used leaves the old one in force, which is what the parent hears, and the sidecar
-// that has none isn't ready.
+// An invalid configuration must leave the present one in force, and the sidecar must report that version to its parent.
+// A sidecar without a present one must not become ready.
 func TestInvalidConfigurationIsNotInForce(t *testing.T) {
 	n, h, parent := readyNode(t)
 	h.invalid = map[uint32]bool{2: true}
@@ -200,7 +200,8 @@
 	}
 }
 
-// Who subscribes is taken in by a sidecar that is ready and hears a control machine, and by no other.
+// A sidecar accepts subscribers only while it is ready, connected to a control machine and not draining. Otherwise the
+// subscribers would depend on a parent without fresh updates.
 func TestOnlyReadyNodesBelowControlMachinesAcceptSubscribers(t *testing.T) {
 	subscribe := func(n *Node, name string) (*fakeConn, []*wire.FrameT) {
 		c := &fakeConn{name}
@@ -212,12 +213,12 @@
 	notReady, _ := newNode("c1:1")
 	connect(t, notReady, 0)
 	if _, sent := subscribe(notReady, "n2"); !isGoAway(sent) || notReady.Subscribers() != 0 {
-		t.Errorf("one that isn't ready sent %+v", sent)
+		t.Errorf("a node that is not ready sent %+v", sent)
 	}
 	n, _, parent := readyNode(t)
 	c, sent := subscribe(n, "n2")
 	if len(sent) != 0 || n.Subscribers() != 1 {
-		t.Fatalf("a ready one sent %+v", sent)
+		t.Fatalf("a ready node sent %+v", sent)
 	}
 	n.Publish(time.Second)
 	if sent = frames(n.TakeActions(), c); len(sent) != 1 || sent[0].Kind != wire.Update || sent[0].Value == nil {
@@ -225,18 +226,18 @@
 	}
 	n.Handle(time.Second, ConnClosed{parent})
 	if _, sent = subscribe(n, "n3"); !isGoAway(sent) {
-		t.Errorf("one without a parent sent %+v", sent)
+		t.Errorf("a node without a parent sent %+v", sent)
 	}
 	n, _, _ = readyNode(t)
 	n.Drain(time.Second)
 	n.TakeActions()
 	if _, sent = subscribe(n, "n4"); !isGoAway(sent) || n.Subscribers() != 0 {
-		t.Errorf("one that drains sent %+v", sent)
+		t.Errorf("a draining node sent %+v", sent)
 	}
 }
 
-// What comes from below goes into the directory and on to the parent, but for what one below says is lost, which goes
-// only on.
+// Entries from subscribers are merged into the directory and forwarded to the parent. Entries marked as lost are
+// forwarded only: the control machines decide whether a sidecar is lost.
 func TestEntriesOfSubscribersAreForwardedToTheParent(t *testing.T) {
 	n, _, parent := readyNode(t)
 	c := &fakeConn{"n2"}
@@ -252,10 +253,10 @@
 		t.Errorf("the parent was sent %+v", sent)
 	}
 	if _, ok := n.State().Directory.Get("n2"); !ok {
-		t.Error("the directory lacks the one below")
+		t.Error("the directory lacks the subscriber")
 	}
 	if _, ok := n.State().Directory.Get("n3"); ok {
-		t.Error("the directory has one that is only said to be lost")
+		t.Error("the directory has an entry that a subscriber reported as lost")
 	}
 }
 
@@ -283,11 +284,12 @@
 	}
 	e, complete := codec.EntryFromWire(sent[1].Entries[0], redialed)
 	if !complete || e.Node != "n2" || e.Sequence != 7 || e.Server != "i-2" || e.LastSeen != lastSeen {
-		t.Errorf("of the one below it was sent %+v", e)
+		t.Errorf("the subscriber's entry was sent as %+v", e)
 	}
 }
 
-// The lowest version in force below a relay is what its parent hears.
+// A relay must report the lowest version in force on itself and its subscribers, so that the control machines do not
+// count a version as in force everywhere too early.
 func TestRelayReportsTheLowestVersion(t *testing.T) {
 	n, _, parent := readyNode(t)
 	c := &fakeConn{"n2"}
@@ -308,12 +310,12 @@
 	n.Handle(time.Second, ConnClosed{c})
 	n.Publish(time.Second)
 	if sent = frames(n.TakeActions(), parent); len(sent) != 0 || n.Subscribers() != 0 {
-		t.Errorf("one that is gone still counts: %+v", sent)
+		t.Errorf("a disconnected subscriber still counts: %+v", sent)
 	}
 }
 
-// Another incarnation's entry of this sidecar is not one to be merged: an earlier one is recalled, a later one makes
-// this one later still.
+// An entry of another incarnation of this sidecar must not be merged. The server is restored from it, and if the
+// incarnation is later, the sidecar must switch to one that is later still and announce itself again.
 func TestOwnEntryOfAnotherIncarnation(t *testing.T) {
 	for _, c := range []struct {
 		name             string
@@ -322,16 +324,16 @@
 		newIncarnation   uint64
 		announcedAnew    bool
 	}{
-		{"an earlier one", 9, 1, 0, false},
-		{"its own", 10, 0, 0, false},
-		{"a later one", 30, 1, 31, true},
+		{"an earlier incarnation", 9, 1, 0, false},
+		{"the present incarnation", 10, 0, 0, false},
+		{"a later incarnation", 30, 1, 31, true},
 	} {
 		n, h, parent := readyNode(t)
 		e := codec.EntryToWire(&directory.Entry{Node: self, Incarnation: c.entryIncarnation, Sequence: 50}, 0)
 		n.Handle(time.Second, FrameReceived{parent, &wire.FrameT{Kind: wire.Update, AgeMs: 1, Entries: []*wire.EntryT{e}}})
 		sent := frames(n.TakeActions(), parent)
 		if len(h.restored) != c.restored || h.incarnation != c.newIncarnation || len(sent) > 0 != c.announcedAnew {
-			t.Errorf("%s: recalled %d, now %d, sent %+v", c.name, len(h.restored), h.incarnation, sent)
+			t.Errorf("%s: restored %d, incarnation %d, sent %+v", c.name, len(h.restored), h.incarnation, sent)
 		}
 		if c.announcedAnew && (len(sent) != 1 || sent[0].Entries[0].Incarnation != c.newIncarnation) {
 			t.Errorf("%s: announced %+v", c.name, sent)
@@ -339,7 +341,8 @@
 	}
 }
 
-// A sidecar that goes under a relay may be none itself: it sends its subscribers away before it dials.
+// A sidecar below a relay must not relay itself, so it tells its subscribers to go away before it dials the relay.
+// Otherwise the tree could contain a cycle.
 func TestSubscribersAreSentGoAwayBeforeARelayIsDialed(t *testing.T) {
 	n, _, parent := readyNode(t)
 	subscriber := &fakeConn{"n2"}
@@ -356,7 +359,7 @@
 	n.TakeActions()
 	n.Reparent(10 * time.Second)
 	if c, ok := lastAction(n.TakeActions()).(Close); !ok || c.Conn != parent || c.Reason != subscription.RelayFound {
-		t.Fatal("found no relay: is this one of the relays, by its name?")
+		t.Fatal("found no relay: the name of this node may make it a relay itself")
 	}
 	n.Maintain(10*time.Second, 0)
 	actions := n.TakeActions()
@@ -370,7 +373,7 @@
 	}
 }
 
-// zone returns sidecars of this one's zone.
+// relayCandidates returns entries of sidecars in the zone of the tested node.
 func relayCandidates(count int) (entries []directory.Entry) {
 	for i := range count {
 		name := "m" + string(rune('a'+i))
@@ -379,7 +382,7 @@
 	return entries
 }
 
-// Frames of a parent that was left, or of nobody's, change nothing.
+// Frames of a former parent, or of a connection that was never the parent, must be ignored.
 func TestFramesOfOtherConnectionsAreIgnored(t *testing.T) {
 	n, h, _ := readyNode(t)
 	n.Handle(time.Second, FrameReceived{&fakeConn{"other"}, updateFor(t, 0, configText("00000001"), configText("00000002"))})
@@ -393,7 +396,8 @@
 	}
 }
 
-// What a sidecar has announced of its server counts as confirmed once its parent sends it back, and not by an entry of an earlier process.
+// An announcement counts as confirmed once the parent sends it back. An entry of an earlier incarnation must not confirm it, whatever its
+// sequence.
 func TestAnnouncementIsConfirmedByTheParent(t *testing.T) {
 	n, _ := newNode("c1")
 	c, _ := connect(t, n, 0)
@@ -406,7 +410,7 @@
 	earlier.Incarnation, earlier.Sequence = own.Incarnation-1, own.Sequence+5
 	n.Handle(0, FrameReceived{Conn: c, Frame: update(earlier)})
 	if n.ConfirmedSequence() >= n.AnnouncedSequence() {
-		t.Error("the entry of an earlier process confirms")
+		t.Error("the entry of an earlier incarnation confirms the announcement")
 	}
 	n.Handle(0, FrameReceived{Conn: c, Frame: update(own)})
 	if n.ConfirmedSequence() != n.AnnouncedSequence() {
--- a/mesh/dataplane/exchanges/exchanges.go
+++ b/mesh/dataplane/exchanges/exchanges.go
@@ -1,6 +1,6 @@
-// Package exchanges reconciles a sidecar's exchanges, one for each service, with the wanted configuration and
-// directory. It is generic over the exchange, so that a test can run it between any pair of actual and wanted states.
-// Start reading at Set.Reconcile.
+// Package exchanges reconciles a sidecar's exchanges with the wanted configuration and directory. An exchange balances
+// the requests to one service over the service's endpoints. The package is generic over the type of the exchange, so
+// that tests can run it with a simple one. Start reading at Set.Reconcile.
 package exchanges
 
 import (
@@ -14,18 +14,18 @@
 	create func(service string) E
 	update func(exchange E, entries []directory.Entry, now time.Duration)
 
-	exchanges   map[string]E // by service; those the configuration has no more remain, as they may have requests in flight
-	revision    uint64       // of the directory, as the exchanges have it
-	invalidated bool         // an update is needed though the directory is the same
+	exchanges   map[string]E // by service; those of removed services remain, as they may have requests in flight
+	revision    uint64       // of the directory that was applied last
+	invalidated bool         // an update is needed even if the directory is unchanged
 }
 
-// New returns an empty set. Create returns a new exchange for a service; update replaces the endpoints of an exchange.
+// New returns an empty set. create returns a new exchange for a service. update replaces the endpoints of an exchange.
 func New[E any](create func(service string) E, update func(exchange E, entries []directory.Entry, now time.Duration)) *Set[E] {
 	return &Set[E]{create: create, update: update, exchanges: map[string]E{}}
 }
 
-// For returns the exchanges of services, by name. It creates those that are missing, whose endpoints the next
-// Reconcile sets.
+// GetOrCreate returns the exchanges of services, by name. It creates those that are missing. The next Reconcile sets
+// their endpoints.
 func (s *Set[E]) GetOrCreate(services []string) map[string]E {
 	exchanges := make(map[string]E, len(services))
 	for _, name := range services {
@@ -39,17 +39,18 @@
 	return exchanges
 }
 
-// Get returns the exchange of a service; ok is false where there is none.
+// Get returns the exchange of a service. ok is false if there is none.
 func (s *Set[E]) Get(service string) (exchange E, ok bool) {
 	exchange, ok = s.exchanges[service]
 	return exchange, ok
 }
 
-// Invalidate makes the next Reconcile update all exchanges, because evidence other than the directory has changed.
+// Invalidate makes the next Reconcile update all exchanges. The caller calls it when the endpoints have changed for
+// another reason than a new directory revision.
 func (s *Set[E]) Invalidate() { s.invalidated = true }
 
-// Reconcile updates all exchanges with entries, which it calls at most once, if the revision of the directory is
-// another than last time or the set was invalidated. Otherwise it does nothing.
+// Reconcile updates all exchanges if the revision of the directory has changed since the last call or the set was
+// invalidated. Otherwise it does nothing. It calls entries at most once.
 func (s *Set[E]) Reconcile(revision uint64, entries func() []directory.Entry, now time.Duration) {
 	if revision == s.revision && !s.invalidated {
 		return
--- a/mesh/dataplane/exchanges/exchanges_test.go
+++ b/mesh/dataplane/exchanges/exchanges_test.go
@@ -12,14 +12,14 @@
 	"firplank/mesh/directory"
 )
 
-// exchange notes what it is told.
+// fakeExchange records the updates to it.
 type fakeExchange struct {
 	service string
 	entries string
 	updates int
 }
 
-// world is a set with what it has made and what is wanted.
+// fixture is a set with the exchanges that it has created and the wanted entries.
 type fixture struct {
 	set          *Set[*fakeExchange]
 	created      map[string]*fakeExchange
@@ -32,7 +32,7 @@
 	f := &fixture{created: map[string]*fakeExchange{}}
 	f.set = New(func(service string) *fakeExchange {
 		if f.created[service] != nil {
-			panic("made twice: " + service)
+			panic("exchange created twice: " + service)
 		}
 		f.created[service] = &fakeExchange{service: service}
 		return f.created[service]
@@ -50,7 +50,7 @@
 	}, 0)
 }
 
-// changeEvidence has the first sidecar lost, or found again, by evidence beside the directory.
+// changeEvidence toggles whether the first sidecar is lost, without a new directory revision.
 func (f *fixture) changeEvidence() {
 	f.entries = slices.Clone(f.entries)
 	if len(f.entries) > 0 {
@@ -59,7 +59,7 @@
 	f.set.Invalidate()
 }
 
-// adopt asks for the exchanges of services, each of which has to be the one that was made first for it.
+// getOrCreate requests the exchanges of services and checks that existing exchanges are not replaced.
 func (f *fixture) getOrCreate(t *rapid.T, wanted []string) {
 	createdBefore := maps.Clone(f.created)
 	got := f.set.GetOrCreate(wanted)
@@ -73,8 +73,8 @@
 	}
 }
 
-// From any state to any other: each exchange has the entries that are wanted, is made once and stays, and nothing is
-// done without a reason.
+// From any state, Reconcile must give every exchange the wanted entries, without creating an exchange twice. An
+// unchanged state must cause no updates.
 func TestExchangesConvergeToTheWantedState(t *testing.T) {
 	names := []string{"a", "b", "c", "d"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -118,8 +118,8 @@
 	})
 }
 
-// A service that the configuration has no more keeps its exchange, which goes on to follow the directory for the
-// requests in flight.
+// The exchange of a service that was removed from the configuration must still be updated from the directory, because
+// it may have requests in flight.
 func TestExchangeOfARemovedServiceIsStillUpdated(t *testing.T) {
 	f := newFixture()
 	f.set.GetOrCreate([]string{"a", "b"})
--- a/mesh/dataplane/inflight/tracker.go
+++ b/mesh/dataplane/inflight/tracker.go
@@ -1,6 +1,6 @@
-// Package inflight tracks, at the sending sidecar, the attempts that must not run twice: it numbers them for the log of outcomes at their
-// last hop (package attempts), remembers each until it has a response, decides when a broken connection calls for a query, and draws the
-// evidence of responses. It has no clock, no goroutine and no socket, and is explored as it is (lab/explore/calls).
+// Package inflight tracks, at the sending sidecar, the attempts of requests that are not idempotent. It numbers them for the outcome log at
+// their last hop (package attempts), stores each until it has a response, decides when to query the last hop after a broken connection, and
+// derives the evidence of responses. It has no clock, goroutines or sockets. The model checker lab/explore/calls runs it unchanged.
 //
 // Start reading at Tracker.
 package inflight
@@ -14,22 +14,23 @@
 
 // Bounds of queries and of a Tracker.
 const (
-	// MaxQueries is how often the last hop is queried about one attempt, and QueryInterval the pause before the next query.
+	// MaxQueries bounds the queries about one attempt, and QueryInterval is the pause between them.
 	MaxQueries    = 3
 	QueryInterval = 150 * time.Millisecond
-	// MinQueryTime is how much time its request must have left for a query to be worth sending.
+	// MinQueryTime is the shortest time before the request's deadline at which a query is still sent.
 	MinQueryTime = 20 * time.Millisecond
-	// MaxIncarnations bounds the last hops whose incarnation is remembered; beyond it all are forgotten, and learned anew.
+	// MaxIncarnations bounds the last hops whose incarnations are stored. When it is exceeded, all are removed; the directory and the last
+	// hops' responses supply them again.
 	MaxIncarnations = 16384
 )
 
-// Attempt is an attempt that must not run twice, as it was sent.
+// Attempt identifies an attempt that must not run twice and the last hop that it was sent to.
 type Attempt struct {
 	ID   attempts.ID
-	Addr string // of the last hop that it was sent to
+	Addr string // of the last hop
 }
 
-// Query asks the last hop of an attempt for its outcome.
+// Query is a query to the last hop of an attempt about the attempt's outcome.
 type Query struct {
 	Attempt Attempt
 	Number  int // 1 for the first query about an attempt
@@ -37,13 +38,14 @@
 	answered bool
 }
 
-// Answered reports whether the last hop has understood the query, so that the evidence of its response is about the attempt.
+// Answered reports whether the last hop has answered the query. If not, its response is no evidence about the attempt.
 func (q *Query) Answered() bool { return q.answered }
 
-// FirstQuery returns the query that a broken connection calls for, or nil where the request has too little time left for one.
+// FirstQuery returns the first query about an attempt whose connection broke. It returns nil if too little time remains until the request's
+// deadline.
 func (a Attempt) FirstQuery(remaining time.Duration) *Query { return newQuery(a, 1, remaining) }
 
-// Next returns the query to send, QueryInterval later, after q was not answered, or nil where none is due any more.
+// Next returns the query to send QueryInterval after q was not answered. It returns nil after MaxQueries, or if too little time remains.
 func (q *Query) Next(remaining time.Duration) *Query {
 	return newQuery(q.Attempt, q.Number+1, remaining)
 }
@@ -55,20 +57,20 @@
 	return &Query{Attempt: attempt, Number: number}
 }
 
-// entry is an attempt that is out, or a query about one.
+// entry is an attempt in flight, or a query about one.
 type entry struct {
 	attempt Attempt
-	query   *Query // nil: it is the attempt itself
+	query   *Query // nil if the entry is the attempt itself
 }
 
-// incarnation is which process stands at a last hop's address, as far as this sidecar knows.
+// lastHopIncarnation is the last known incarnation of the process at a last hop's address.
 type lastHopIncarnation struct {
-	announced uint64 // by the directory
-	effective uint64 // the announced one, or the one that the last hop itself has named since
+	announced uint64 // in the directory
+	effective uint64 // the announced one, or a different one that the last hop has named in a response since
 }
 
-// Tracker holds the attempts that are out, and the queries about them, by keys of the caller's. It holds one entry for each that is out,
-// and the incarnations of MaxIncarnations last hops at most. It is safe for concurrent use.
+// Tracker holds the attempts in flight and the queries about them, by keys that the caller chooses. It has one entry for each, and the
+// incarnations of at most MaxIncarnations last hops. It is safe for concurrent use.
 type Tracker[K comparable] struct {
 	sender string
 
@@ -78,12 +80,13 @@
 	incarnations map[string]lastHopIncarnation // by the last hop's address
 }
 
-// New returns the tracker of a sender, which is named by its node and its own incarnation.
+// New returns the tracker of a sender. The sender's name contains its node and its incarnation.
 func New[K comparable](sender string) *Tracker[K] {
 	return &Tracker[K]{sender: sender, entries: map[K]entry{}, incarnations: map[string]lastHopIncarnation{}}
 }
 
-// Begin numbers an attempt that is about to be written to the last hop at an address. Numbers rise with each attempt.
+// Begin adds an attempt that is about to be sent to the last hop at addr, and returns its ID. Each attempt has a higher number than the one
+// before.
 func (t *Tracker[K]) Begin(key K, addr string) attempts.ID {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -93,23 +96,23 @@
 	return id
 }
 
-// BeginQuery notes a query that is about to be sent.
+// BeginQuery adds a query that is about to be sent.
 func (t *Tracker[K]) BeginQuery(key K, q *Query) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.entries[key] = entry{attempt: q.Attempt, query: q}
 }
 
-// QueryOf returns the query that a key stands for; nil: it stands for none.
+// QueryFor returns the query with a key, or nil if there is none.
 func (t *Tracker[K]) QueryFor(key K) *Query {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.entries[key].query
 }
 
-// Respond handles a complete response to an attempt or a query, and returns its evidence about the attempt. The entry is removed: what its
-// connection does from then on means nothing. Idempotent attempts, which are never begun here, get the evidence alike. The incarnation is
-// the one that the last hop has named as its own; 0: none.
+// HandleResponse handles a complete response to an attempt or a query, and returns its evidence about the attempt. It removes the entry, so
+// that a later end of the connection has no effect. It also accepts responses to idempotent attempts, which are never added. incarnation
+// is the incarnation that the last hop has named as its own in the response, or 0.
 func (t *Tracker[K]) HandleResponse(key K, outcome attempts.Outcome, r attempts.Response, incarnation uint64) attempts.Evidence {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -126,8 +129,8 @@
 	return evidence
 }
 
-// End removes an attempt or a query whose connection has ended. It returns the attempt whose outcome is unknown by that: one that had no
-// response. Of a query it returns none.
+// HandleClose removes an attempt or a query whose connection has ended. If the entry is an attempt without a response, it is returned, as
+// its outcome is now unknown. ok is false otherwise.
 func (t *Tracker[K]) HandleClose(key K) (unanswered Attempt, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -136,8 +139,8 @@
 	return e.attempt, ok && e.query == nil
 }
 
-// Announce records which incarnation the directory has of the last hop at an address. One that the last hop itself has named since
-// prevails until the directory announces another one.
+// SetAnnouncedIncarnation records the incarnation that the directory has for the last hop at an address. An incarnation that the last hop
+// itself has named since takes precedence until the directory has a different one.
 func (t *Tracker[K]) SetAnnouncedIncarnation(addr string, announced uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -150,7 +153,7 @@
 	t.incarnations[addr] = lastHopIncarnation{announced: announced, effective: announced}
 }
 
-// correctIncarnation records the incarnation that a last hop names as its own, if the directory has announced one at its address.
+// correctIncarnation records the incarnation that a last hop has named as its own, if the directory has one for its address.
 func (t *Tracker[K]) correctIncarnation(addr string, effective uint64) {
 	if known, ok := t.incarnations[addr]; ok && effective != 0 {
 		known.effective = effective
--- a/mesh/dataplane/inflight/tracker_test.go
+++ b/mesh/dataplane/inflight/tracker_test.go
@@ -11,7 +11,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// A sidecar to which the directory has announced one incarnation, and which learns another from the last hop itself, sends to that.
+// A last hop that has restarted names its new incarnation when it rejects an attempt. The tracker must use it even though the directory
+// still has the earlier one. Otherwise all attempts are rejected until the directory is updated.
 func TestIncarnationNamedByTheLastHopIsUsed(t *testing.T) {
 	tracker := New[int]("me.1")
 	key := 0
@@ -25,26 +26,26 @@
 		tracker.HandleResponse(key, attempts.NotReceived, attempts.Response{}, incarnation)
 	}
 	if got := sent(); got != 0 {
-		t.Errorf("to nobody known: %d", got)
+		t.Errorf("for an unknown last hop: incarnation %d", got)
 	}
-	correct(5) // of whom the directory has announced nothing
+	correct(5) // ignored, as the directory has not announced the last hop
 	tracker.SetAnnouncedIncarnation("h:1", 1)
 	correct(2)
-	tracker.SetAnnouncedIncarnation("h:1", 1) // the directory has not heard of it yet
+	tracker.SetAnnouncedIncarnation("h:1", 1) // the directory does not yet have the new incarnation
 	if got := sent(); got != 2 {
-		t.Errorf("after it was corrected: %d", got)
+		t.Errorf("after a correction by the last hop: incarnation %d", got)
 	}
-	correct(0) // a last hop that does not name itself
+	correct(0) // a response without an incarnation
 	if got := sent(); got != 2 {
-		t.Errorf("after a response without an incarnation: %d", got)
+		t.Errorf("after a response without an incarnation: incarnation %d", got)
 	}
 	tracker.SetAnnouncedIncarnation("h:1", 3)
 	if got := sent(); got != 3 {
-		t.Errorf("after the directory announced another: %d", got)
+		t.Errorf("after the directory announced another: incarnation %d", got)
 	}
 }
 
-// Only a response that says that the attempt was not received names an incarnation worth taking.
+// An incarnation must be taken only from a response with the outcome NotReceived.
 func TestOnlyNotReceivedCorrectsTheIncarnation(t *testing.T) {
 	tracker := New[string]("me.1")
 	tracker.SetAnnouncedIncarnation("h:1", 1)
@@ -55,7 +56,8 @@
 	}
 }
 
-// A broken connection calls for a query unless its attempt has been answered, and a query's own connection never does.
+// Only an attempt without a response must be queried when its connection ends. The end of a query's own connection must not cause another
+// query here.
 func TestOnlyUnansweredAttemptsAreQueried(t *testing.T) {
 	tracker := New[string]("me.1")
 	tracker.Begin("broken", "h:1")
@@ -71,11 +73,11 @@
 		}
 	}
 	if n := len(tracker.entries); n != 0 {
-		t.Errorf("%d entries are left", n)
+		t.Errorf("%d entries remain", n)
 	}
 }
 
-// A last hop is queried MaxQueries times, and only while the request has time for that.
+// At most MaxQueries queries are sent about an attempt, and none with less than MinQueryTime before the request's deadline.
 func TestQueriesAreBoundedInNumberAndTime(t *testing.T) {
 	n := 0
 	for q := (Attempt{}).FirstQuery(time.Second); q != nil; q = q.Next(time.Second) {
@@ -87,11 +89,11 @@
 		t.Errorf("%d queries, want %d", n, MaxQueries)
 	}
 	if (Attempt{}).FirstQuery(MinQueryTime-1) != nil || (&Query{Number: 1}).Next(MinQueryTime-1) != nil {
-		t.Error("queried with no time left")
+		t.Error("query sent with less than MinQueryTime remaining")
 	}
 }
 
-// However often the directory changes, the last hops that are remembered stay within their bound.
+// The stored incarnations must not exceed MaxIncarnations, however often the directory changes.
 func TestIncarnationsAreBounded(t *testing.T) {
 	tracker := New[string]("me.1")
 	for i := range MaxIncarnations + 10 {
--- a/mesh/dataplane/lasthop/gate.go
+++ b/mesh/dataplane/lasthop/gate.go
@@ -1,7 +1,7 @@
-// Package lasthop decides, at the last hop, which requests of other sidecars begin at the local server, and tracks those that
-// did: the slot of each, the room on the machine's link, and the outcome of each attempt that must not run twice. It joins the decisions of
-// packages admission and attempts, so that their order stands in one place, and is explored with them (lab/explore/calls). It has no clock,
-// no goroutine and no socket.
+// Package lasthop decides, at the last hop, which requests from other sidecars begin at the local server. For those that begin it tracks
+// the occupied slot, the load on the machine's link, and the outcome of each attempt that must not run twice. It combines the decisions of
+// packages admission and attempts and defines their order. The model checker lab/explore/calls runs all three. The package has no clock,
+// goroutines or sockets.
 //
 // Start reading at Gate.
 package lasthop
@@ -15,54 +15,54 @@
 
 // Request is a request that another sidecar forwards.
 type Request struct {
-	ServerID   string      // of the server that it is meant for
-	Attempt    attempts.ID // of a request that must not run twice; without a sender its outcome is not logged
-	Idempotent bool        // it may run again
-	Bulk       bool        // its response is long, and is admitted by the link too
-	Rank       int         // of its route; 0 goes first
-	Forwarded  int         // how often it was rejected ahead of a server before
+	ServerID   string      // of the intended server
+	Attempt    attempts.ID // of a request that must not run twice; if Sender is empty, the outcome is not logged
+	Idempotent bool        // it may run more than once
+	Bulk       bool        // its response is long, so the link must admit it too
+	Rank       int         // of its route; 0 is the most urgent
+	Forwarded  int         // number of times it was rejected by a last hop and forwarded to another
 }
 
-// Decision is whether a request begins. A rejection proves that this attempt has not started and never will, except for the verdict
-// attempts.Duplicate, whose first copy has.
+// Decision states whether a request begins. A rejection proves that the attempt has not started and never will. The exception is
+// attempts.Duplicate: an earlier copy of the attempt has started.
 type Decision struct {
-	Attempt   attempts.Verdict  // of the log of outcomes
-	Admission admission.Verdict // of admission control, where the log admits the attempt
+	Attempt   attempts.Verdict  // of the outcome log
+	Admission admission.Verdict // of admission control, if the outcome log admits the attempt
 }
 
-// Begins reports whether the request may be handed to the server.
+// Admitted reports whether the request may be sent to the server.
 func (d Decision) Admitted() bool {
 	return d.Attempt == attempts.Admitted && d.Admission == admission.Admit
 }
 
-// Result is how a request that began has ended.
+// Result is the result of a request that has begun.
 type Result[R any] struct {
 	Response   R
-	CacheBytes int              // size of Response as it is to be cached for queries; 0: it is not cached
-	NotStarted bool             // it has not reached the server
+	CacheBytes int              // size of Response in the cache for queries; 0 if it is not to be cached
+	NotStarted bool             // the request has not reached the server
 	Refused    bool             // the server's address refused the connection
-	Responded  bool             // the server has responded, with whatever status
-	Health     admission.Result // for the server's health
-	BodyBytes  int              // of the response's body, which now goes out on the link
+	Responded  bool             // the server has responded, with any status
+	Health     admission.Result // evidence of the server's health
+	BodyBytes  int              // size of the response body, which is now sent on the link
 }
 
-// Completion is what follows from a result.
+// Completion is what the caller must do after a result.
 type Completion[Q any] struct {
-	WaitingQueries []Q  // queries that wait for the attempt's end
-	ServerChanged  bool // the server's state has changed, and is to be announced
+	WaitingQueries []Q  // queries to answer, which waited for the attempt's outcome
+	ServerChanged  bool // the server's state has changed and must be announced
 	HealthChanged  bool // the server has become healthy or unhealthy
-	Unhealthy      bool // the server counts as unhealthy
+	Unhealthy      bool // the server is unhealthy
 }
 
-// Gate guards one local server. Queries of other sidecars are of type Q, responses that are cached for them of type R. Its size is
-// bounded by that of its log. It is not safe for concurrent use.
+// Gate decides which requests begin at one local server. Q is the type of queries from other sidecars, and R is the type of responses
+// that are cached for them. The size of a Gate is bounded by that of its outcome log. It is not safe for concurrent use.
 type Gate[Q, R any] struct {
 	Admission *admission.Controller
 	Link      *admission.Link
 	Outcomes  *attempts.Log[Q, R]
 }
 
-// Begin decides on a request that arrives. If it begins, Finish has to be called once.
+// Begin decides on a received request. If it is admitted, the caller must call Finish once.
 func (g *Gate[Q, R]) Begin(now time.Duration, r Request) Decision {
 	isLogged := r.Attempt.Sender != ""
 	if isLogged {
@@ -82,7 +82,7 @@
 	return Decision{}
 }
 
-// admit asks for a slot at the server, and for room on the link.
+// admit asks admission control for a slot at the server and, for a bulk request, for capacity on the link.
 func (g *Gate[Q, R]) admit(now time.Duration, r Request) admission.Verdict {
 	if g.Admission.ShouldDivert(now, r.Idempotent, r.Forwarded) {
 		return admission.Unhealthy
@@ -97,7 +97,7 @@
 	return verdict
 }
 
-// Finish records how a request that began has ended.
+// Finish records the result of a request that was admitted.
 func (g *Gate[Q, R]) Finish(now time.Duration, r Request, result Result[R]) Completion[Q] {
 	completion := Completion[Q]{WaitingQueries: g.recordOutcome(now, r.Attempt, result)}
 	g.Admission.Release(r.ServerID)
@@ -117,7 +117,7 @@
 	return completion
 }
 
-// recordOutcome logs how an attempt has ended, and returns the queries that wait for that.
+// recordOutcome logs the outcome of an attempt. It returns the queries that waited for the outcome.
 func (g *Gate[Q, R]) recordOutcome(now time.Duration, id attempts.ID, result Result[R]) (waiting []Q) {
 	switch {
 	case id.Sender == "":
@@ -128,14 +128,14 @@
 	return g.Outcomes.Finish(now, id, result.Response, result.CacheBytes)
 }
 
-// Query answers a query about an attempt's outcome. With the status attempts.Running it waits for the attempt's Finish, or is returned by
-// Expire.
+// Query answers a query about an attempt's outcome. If the status is attempts.Running, the query waits and is returned later by the
+// attempt's Finish or by Expire.
 func (g *Gate[Q, R]) Query(now time.Duration, id attempts.ID, query Q) (status attempts.Status, response R) {
 	return g.Outcomes.Query(now, id, query)
 }
 
-// Expire lets time pass for the log of outcomes. It returns the queries that waited for attempts which the log has evicted since the last
-// call: their status is attempts.Unknown. The caller calls it several times a second.
+// Expire evicts expired attempts from the outcome log. It returns the queries that waited for attempts that were evicted since the last
+// call; their status is attempts.Unknown. The caller calls it several times a second.
 func (g *Gate[Q, R]) Expire(now time.Duration) (evicted []Q) {
 	g.Outcomes.Tick(now)
 	return g.Outcomes.TakeEvicted()
--- a/mesh/dataplane/lasthop/gate_test.go
+++ b/mesh/dataplane/lasthop/gate_test.go
@@ -19,7 +19,7 @@
 	slots       = 2
 )
 
-// newGate returns the gate of the server "i1", with a link of so many megabits a second.
+// newGate returns the gate of the server "i1", with a link of the given capacity; 0: unlimited.
 func newGate(mbps float64) *Gate[string, string] {
 	g := &Gate[string, string]{
 		Admission: admission.New(timing.Server{HeartbeatTimeout: time.Hour, RestoredTimeout: time.Hour}),
@@ -34,7 +34,8 @@
 	return Request{ServerID: "i1", Attempt: attempts.ID{Sender: "s.1", Number: number, Incarnation: incarnation}}
 }
 
-// What decides on a request, and in which order: the log of outcomes first, then admission control.
+// The outcome log must decide before admission control. Otherwise a duplicate of a running attempt could be rejected by admission control,
+// which the sender would take as proof that the attempt has not started.
 func TestOutcomeLogDecidesBeforeAdmission(t *testing.T) {
 	rejected := func(v attempts.Verdict) Decision { return Decision{Attempt: v} }
 	otherServer, idempotent := request(1), Request{ServerID: "i1", Idempotent: true}
@@ -47,13 +48,13 @@
 		r      Request
 		want   Decision
 	}{
-		{"begins", func(*Gate[string, string]) {}, request(1), Decision{}},
-		{"idempotent, and without an id", func(*Gate[string, string]) {}, idempotent, Decision{}},
+		{"admitted", func(*Gate[string, string]) {}, request(1), Decision{}},
+		{"idempotent, without an attempt ID", func(*Gate[string, string]) {}, idempotent, Decision{}},
 		{"for another server", func(*Gate[string, string]) {}, otherServer, Decision{Admission: admission.WrongServer}},
 		{"to another incarnation", func(*Gate[string, string]) {}, olderIncarnation, rejected(attempts.WrongIncarnation)},
-		{"twice", func(g *Gate[string, string]) { g.Begin(0, request(1)) }, request(1), rejected(attempts.Duplicate)},
-		{"after its query", func(g *Gate[string, string]) { g.Query(0, request(1).Attempt, "q") }, request(1), rejected(attempts.AlreadyBarred)},
-		{"twice, as the server closes", func(g *Gate[string, string]) {
+		{"duplicate", func(g *Gate[string, string]) { g.Begin(0, request(1)) }, request(1), rejected(attempts.Duplicate)},
+		{"after a query", func(g *Gate[string, string]) { g.Query(0, request(1).Attempt, "q") }, request(1), rejected(attempts.AlreadyBarred)},
+		{"duplicate while the server is closing", func(g *Gate[string, string]) {
 			g.Begin(0, request(1))
 			g.Admission.HandleHeartbeat(0, admission.Heartbeat{ServerID: "i1", Closing: true, Sequence: 2})
 		}, request(1), rejected(attempts.Duplicate)},
@@ -76,7 +77,7 @@
 	}
 }
 
-// A request that admission control rejects is not logged: should it come again, it may begin; and a query proves that it has not.
+// A request that admission control rejects must not be logged, so that the same attempt may still begin later.
 func TestRejectedRequestsAreNotLogged(t *testing.T) {
 	g := newGate(0)
 	otherServer := request(1)
@@ -90,7 +91,8 @@
 	}
 }
 
-// Every end of a request frees its slot, and answers the queries that wait for it; what they get later follows from the end.
+// Every result of a request must release its slot and return the waiting queries. Later queries must get the status that belongs to the
+// result.
 func TestFinishReleasesTheSlotAndReturnsWaitingQueries(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -101,12 +103,12 @@
 	}{
 		{"responded", Result[string]{Response: "r", CacheBytes: 1, Responded: true, Health: admission.Success}, attempts.Finished, "r", false},
 		{"responded, not cached", Result[string]{Responded: true, Health: admission.Success}, attempts.Discarded, "", false},
-		{"broke", Result[string]{Response: "broke", CacheBytes: 5, Health: admission.Failure}, attempts.Finished, "broke", false},
+		{"connection broke", Result[string]{Response: "broke", CacheBytes: 5, Health: admission.Failure}, attempts.Finished, "broke", false},
 		{"refused", Result[string]{Response: "r", CacheBytes: 1, NotStarted: true, Refused: true}, attempts.NotStarted, "", true},
 		{"not written", Result[string]{Response: "r", CacheBytes: 1, NotStarted: true}, attempts.NotStarted, "", false},
 	} {
 		g := newGate(0)
-		for n := range uint64(4 * slots) { // more than fit at once
+		for n := range uint64(4 * slots) { // more than the slots at once
 			r := request(n + 1)
 			if d := g.Begin(0, r); !d.Admitted() {
 				t.Fatalf("%s: request %d: %+v", c.name, n, d)
@@ -121,25 +123,25 @@
 			if status, response := g.Query(0, r.Attempt, "q"); status != c.want || response != c.response {
 				t.Errorf("%s: %v %q, want %v %q", c.name, status, response, c.want, c.response)
 			}
-			if c.changed { // the server has to be heard again
+			if c.changed { // the server counts as unresponsive until its next heartbeat
 				g.Admission.HandleHeartbeat(0, admission.Heartbeat{ServerID: "i1", Slots: slots, Sequence: n + 2})
 			}
 		}
 	}
 }
 
-// A server that fails its requests becomes unhealthy by their ends, once.
+// A server that fails its requests becomes unhealthy, and the change must be reported exactly once.
 func TestHealthChangesAreReported(t *testing.T) {
 	g := newGate(0)
 	changes := 0
 	for n := range uint64(20) {
 		r := request(n + 1)
-		r.Forwarded = 9 // is not diverted
+		r.Forwarded = 9 // often enough not to be diverted
 		g.Begin(0, r)
 		if done := g.Finish(0, r, Result[string]{Health: admission.Failure}); done.HealthChanged {
 			changes++
 			if !done.Unhealthy {
-				t.Error("it is reported healthy")
+				t.Error("the change is reported as to healthy")
 			}
 		}
 	}
@@ -148,7 +150,8 @@
 	}
 }
 
-// Long responses take room on the link until they have ended, also where admission control rejects their request.
+// A bulk request occupies capacity on the link until Finish. One that admission control rejects must release it at once; otherwise the
+// capacity leaks.
 func TestBulkRequestsAreLimitedByTheLink(t *testing.T) {
 	g := newGate(1) // 125 kB a second: one long response at a time
 	bulk := Request{ServerID: "i1", Bulk: true}
@@ -166,11 +169,12 @@
 	}
 	g.Finish(0, bulk, Result[string]{})
 	if d := g.Begin(0, bulk); !d.Admitted() {
-		t.Errorf("after its end %+v", d)
+		t.Errorf("after Finish %+v", d)
 	}
 }
 
-// A query that waits for an attempt which the log evicts is answered once time has passed, whether or not another query comes.
+// A query that waits for an attempt must be returned when the outcome log evicts the attempt, without another call. Otherwise the query is
+// never answered.
 func TestQueriesForEvictedAttemptsAreReturned(t *testing.T) {
 	g := newGate(0)
 	r := request(1)
@@ -179,7 +183,7 @@
 		t.Fatal(status)
 	}
 	if evicted := g.Expire(attempts.Retention - 1); len(evicted) > 0 {
-		t.Errorf("%v before its time", evicted)
+		t.Errorf("%v before the retention has ended", evicted)
 	}
 	if evicted := g.Expire(attempts.Retention); !slices.Equal(evicted, []string{"q"}) {
 		t.Errorf("%v, want the query", evicted)
--- a/mesh/dataplane/lasthop/invariantchecker.go
+++ b/mesh/dataplane/lasthop/invariantchecker.go
@@ -2,29 +2,31 @@
 
 import "time"
 
-// Bounds of a Guard: beyond them it forgets the oldest.
+// Bounds of an InvariantChecker. When one is exceeded, the oldest record is removed.
 const (
 	maxTrackedRequests = 4096
 	maxTrackedServers  = 64
 )
 
-// Guard checks, from what it has seen itself, that a last hop keeps its promises: no request that must not run twice
-// is handed to the local server twice, and none is handed to a server some time after its closing was acknowledged. It
-// shares nothing with the Gate that it watches over, is bounded by the constants above, and is not safe for concurrent
+// InvariantChecker checks two invariants of a last hop: a request that must not run twice is sent to the local server
+// at most once, and no request is sent to a server later than the closing grace after its closing was acknowledged.
+// It shares no state with the Gate, so that a fault of the Gate cannot hide a violation. It is not safe for concurrent
 // use.
 type InvariantChecker struct {
 	closingGrace time.Duration
 	started      map[string]struct{}
-	startOrder   []string // of started, the oldest first; of a request that was withdrawn, a name without an entry
-	closingSince map[string]time.Duration
+	startOrder   []string                 // request IDs, the oldest first; those passed to RecordNotStarted have no entry in started
+	closingSince map[string]time.Duration // by server ID
 }
 
-// NewGuard returns a guard for servers that serve on for a time after their closing was acknowledged.
+// NewInvariantChecker returns a checker. closingGrace is how long a server may still be sent requests after its closing
+// was acknowledged.
 func NewInvariantChecker(closingGrace time.Duration) *InvariantChecker {
 	return &InvariantChecker{closingGrace: closingGrace, started: map[string]struct{}{}, closingSince: map[string]time.Duration{}}
 }
 
-// Start records that a request that must not run twice is handed to the server. It reports whether it was before.
+// RecordStart records that a request that must not run twice is sent to the server. It reports whether it was sent
+// before.
 func (ic *InvariantChecker) RecordStart(requestID string) (again bool) {
 	if requestID == "" {
 		return false
@@ -41,10 +43,11 @@
 	return false
 }
 
-// Withdraw records that a request has not reached the server after all, or that the server has rejected it.
+// RecordNotStarted records that a request has not reached the server after RecordStart, or that the server has
+// rejected it. It may be sent again.
 func (ic *InvariantChecker) RecordNotStarted(requestID string) { delete(ic.started, requestID) }
 
-// Closing records that the closing of a server, or its end, is acknowledged now.
+// RecordClosing records that the closing or the end of a server is acknowledged now.
 func (ic *InvariantChecker) RecordClosing(now time.Duration, serverID string) {
 	if _, known := ic.closingSince[serverID]; known {
 		return
@@ -65,7 +68,8 @@
 	delete(ic.closingSince, oldestID)
 }
 
-// ClosedFor returns for how long a server may not be sent anything; 0: it may be.
+// TimePastGrace returns the time since the closing grace of a server has ended. It returns 0 if the server may be sent
+// requests.
 func (ic *InvariantChecker) TimePastGrace(now time.Duration, serverID string) time.Duration {
 	since, closing := ic.closingSince[serverID]
 	if !closing {
--- a/mesh/dataplane/lasthop/invariantchecker_test.go
+++ b/mesh/dataplane/lasthop/invariantchecker_test.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// The guard finds a request that is handed over twice, and one for a server whose end was acknowledged, and nothing else.
+// The checker must report a request that is started twice and one that is sent after the closing grace, and nothing else.
 func TestInvariantCheckerDetectsViolations(t *testing.T) {
 	ic := NewInvariantChecker(2 * time.Second)
 	if ic.RecordStart("a") || ic.RecordStart("b") || !ic.RecordStart("a") {
-		t.Error("what is handed over twice is not told from what is once")
+		t.Error("RecordStart does not report exactly the repeated start")
 	}
 	if ic.RecordNotStarted("b"); ic.RecordStart("b") {
-		t.Error("what was withdrawn counts as handed over")
+		t.Error("a request that was not started counts as started")
 	}
 	ic.RecordClosing(time.Second, "i-1")
-	if ic.TimePastGrace(3*time.Second, "i-1") != 0 || ic.TimePastGrace(9*time.Second, "i-2") != 0 || ic.TimePastGrace(4*time.Second, "i-1") != time.Second {
-		t.Error("a closing server is not told from one that may be sent something")
+	if ic.TimePastGrace(3*time.Second, "i-1") != 0 || ic.TimePastGrace(9*time.Second, "i-2") != 0 ||
+		ic.TimePastGrace(4*time.Second, "i-1") != time.Second {
+		t.Error("wrong time past the closing grace")
 	}
 }
--- a/mesh/dataplane/links/links.go
+++ b/mesh/dataplane/links/links.go
@@ -1,5 +1,6 @@
-// Package links performs the actions of a distribution.Node over transport connections, and turns what happens on those
-// into its events. The Node stays the property of one loop, to which events are posted. Start reading at Links.Perform.
+// Package links performs the actions of a distribution.Node on transport connections, and converts what happens on
+// these connections to events of the Node. The Node is owned by one loop, to which events are posted. Start reading at
+// Links.Perform.
 package links
 
 import (
@@ -13,8 +14,8 @@
 	"firplank/mesh/wire"
 )
 
-// Links are the connections of a Node: to its parent, and of its subscribers. Its methods are the loop's, but for
-// HandleFrame and HandleClose, which any goroutine may call.
+// Links manages the connections of a Node to its parent and its subscribers. Only the loop may call its methods, except
+// for HandleFrame and HandleClose, which are safe for concurrent use.
 type Links struct {
 	ctx     context.Context
 	node    *distribution.Node
@@ -22,11 +23,11 @@
 	observe func(distribution.Action)
 
 	dials         sync.WaitGroup
-	unhandledDial atomic.Pointer[transport.Conn] // dialed, and its event is not handled yet; a Node has one dial at a time
+	unhandledDial atomic.Pointer[transport.Conn] // its ParentDialed event is not yet handled; a Node has one dial at a time
 }
 
-// New returns the links of a node until ctx ends. Post hands an event to the loop, which passes it to Handle, and
-// reports false where the loop has ended. Observe is called before each action is performed.
+// New returns the links of a node. They dial until ctx ends. post sends an event to the loop, which passes it to
+// Handle; post returns false if the loop has ended. observe is called before each action is performed.
 func New(ctx context.Context, node *distribution.Node, post func(distribution.Event) bool, observe func(distribution.Action)) *Links {
 	return &Links{ctx: ctx, node: node, post: post, observe: observe}
 }
@@ -39,7 +40,7 @@
 // HandleClose implements transport.Handler.
 func (l *Links) HandleClose(c *transport.Conn) { l.post(distribution.ConnClosed{Conn: c}) }
 
-// Handle applies an event to the node and performs what follows from it.
+// Handle applies an event to the node and performs the resulting actions.
 func (l *Links) Handle(now time.Duration, e distribution.Event) {
 	if _, ok := e.(distribution.ParentDialed); ok {
 		l.unhandledDial.Store(nil)
@@ -48,7 +49,7 @@
 	l.Perform()
 }
 
-// Maintain has the node keep up its subscription, and performs what follows from it.
+// Maintain calls the node's Maintain and performs the resulting actions.
 func (l *Links) Maintain(now time.Duration) {
 	var partialBytes int64
 	if c, ok := l.node.Parent().(*transport.Conn); ok {
@@ -69,7 +70,7 @@
 			a.To.Send(a.Frame) // a failure closes the connection
 		case distribution.Close:
 			a.Conn.Close()
-		case distribution.UpdateRejected: // for observe alone
+		case distribution.UpdateRejected: // handled by observe
 		}
 	}
 }
@@ -84,8 +85,8 @@
 	l.post(distribution.ParentDialed{Conn: c})
 }
 
-// Close waits for dials and closes the connections of the node. It is called once, after the context has ended and the
-// loop handles no more events.
+// Close waits for pending dials and closes all connections of the node. The caller calls it once, after the context and
+// the loop have ended.
 func (l *Links) Close() {
 	l.dials.Wait()
 	if c := l.unhandledDial.Load(); c != nil {
--- a/mesh/dataplane/links/links_test.go
+++ b/mesh/dataplane/links/links_test.go
@@ -20,7 +20,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// host takes up every configuration.
+// host adopts every configuration.
 type host struct{}
 
 func (host) Unpack(_ uint32, packed []byte) ([]byte, error) { return config.Unpack(packed) }
@@ -32,7 +32,7 @@
 func (host) IncarnationChanged(uint64)                      {}
 func (host) BecameReady(time.Duration)                      {}
 
-// peer is a control machine that notes the frames that come and the connections that end.
+// fakeControlMachine records received frames and ended connections.
 type fakeControlMachine struct {
 	frames chan *wire.FrameT
 	closed chan struct{}
@@ -46,7 +46,7 @@
 
 func (m *fakeControlMachine) HandleClose(*transport.Conn) { m.closed <- struct{}{} }
 
-// fixture is the links of a node with a peer as its only control machine.
+// fixture is a Links whose node has a fakeControlMachine as its only seed.
 type fixture struct {
 	*Links
 	controlMachine *fakeControlMachine
@@ -89,13 +89,13 @@
 	return f
 }
 
-// wait fails a test where nothing comes.
+// receive returns the next value of a channel. It fails the test if there is none within 10 s.
 func receive[T any](t *testing.T, ch <-chan T, expected string) (got T) {
 	t.Helper()
 	select {
 	case got = <-ch:
 	case <-time.After(10 * time.Second):
-		t.Fatalf("%s: nothing came", expected)
+		t.Fatalf("%s: not received within 10 s", expected)
 	}
 	return got
 }
@@ -129,7 +129,8 @@
 	f.Close()
 }
 
-// What is open at the end is closed: a parent's connection, and one that was dialed last.
+// Close must close the parent's connection, and also a connection whose ParentDialed event was not handled any more.
+// Otherwise it leaks.
 func TestCloseLeavesNoConnection(t *testing.T) {
 	for _, delivered := range []bool{true, false} {
 		f := newFixture(t)
--- a/mesh/dataplane/liveness/liveness.go
+++ b/mesh/dataplane/liveness/liveness.go
@@ -1,6 +1,7 @@
-// Package liveness is a sidecar's own evidence about other sidecars: from the probes of its failure detector (package
-// membership, after SWIM) and from responses to requests. The evidence is reported to the control machines, and
-// unreachable sidecars are not sent requests. Sockets and the clock are the caller's. Start reading at Monitor.Tick.
+// Package liveness collects a sidecar's own evidence about other sidecars, from the probes of its failure detector
+// (package membership, a variant of SWIM) and from responses to requests. The evidence is reported to the control
+// machines, and unreachable sidecars are not sent requests. The caller provides the sockets and the clock. Start
+// reading at Monitor.Tick.
 package liveness
 
 import (
@@ -13,22 +14,22 @@
 	"firplank/mesh/wire"
 )
 
-// Monitor watches the sidecars of a directory. Only RecordReachable is safe for concurrent use.
+// Monitor monitors the sidecars of a directory. Only RecordReachable is safe for concurrent use.
 type Monitor struct {
 	detector *membership.Detector
-	revision uint64 // of the directory, as the detector has it
+	revision uint64 // of the directory from which the detector's members were set
 
 	mu        sync.Mutex
 	reachable map[string]struct{} // addresses of sidecars that responded since the last Tick; bounded by the endpoints in use
 }
 
-// Result is what the caller of a Monitor must do.
+// Result tells the caller of a Monitor what to do.
 type Result struct {
 	// Probes are messages to send.
 	Probes []membership.Message
-	// EvidenceChanged reports that WithEvidence may return something else than before.
+	// EvidenceChanged reports that the result of MarkLost may have changed.
 	EvidenceChanged bool
-	// ReportDue reports that the parent must be sent Unreachable.
+	// ReportDue reports that the result of Unreachable must be sent to the parent.
 	ReportDue bool
 }
 
@@ -56,7 +57,7 @@
 	return Result{Probes: probes, EvidenceChanged: confirmed || changed, ReportDue: changed}
 }
 
-// setMembers makes the members of the directory those that the detector probes, but for those it has as lost.
+// setMembers makes the detector probe the sidecars of the directory, except those that the directory has as lost.
 func (m *Monitor) setMembers(now time.Duration, d *directory.Directory) {
 	var names []string
 	for _, e := range d.All() {
@@ -67,7 +68,7 @@
 	m.detector.SetMembers(now, names)
 }
 
-// confirmReachable passes the recorded responses to the detector, if it suspects anybody.
+// confirmReachable passes the recorded responses to the detector if it has any suspects.
 func (m *Monitor) confirmReachable(now time.Duration, d *directory.Directory) (changed bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -83,19 +84,19 @@
 	return changed
 }
 
-// RecordContact records that a sidecar has answered over a connection.
+// RecordContact records that a sidecar has responded on a connection.
 func (m *Monitor) RecordContact(now time.Duration, node string) Result {
 	return Result{EvidenceChanged: m.detector.RecordContact(now, node)}
 }
 
-// Handle applies a message of another sidecar's detector.
+// Handle applies a message from another sidecar's detector.
 func (m *Monitor) Handle(now time.Duration, message membership.Message) Result {
 	probes, changed := m.detector.Handle(now, message)
 	return Result{Probes: probes, EvidenceChanged: changed}
 }
 
-// Unreachable returns the entries, marked as lost, of sidecars that the detector has lost and the directory has not.
-// For the control machines that is evidence, which they weigh against their own.
+// Unreachable returns the entries of the sidecars that the detector considers lost and the directory does not, marked
+// as lost. The control machines combine them with evidence of other sidecars and their own.
 func (m *Monitor) Unreachable(now time.Duration, d *directory.Directory) (entries []*wire.EntryT) {
 	for _, e := range d.All() {
 		if m.detector.Lost(e.Node) && !e.Lost {
@@ -106,9 +107,9 @@
 	return entries
 }
 
-// WithEvidence returns the entries with those marked as lost that the detector has lost, except where that is more
-// than half of a service: then this sidecar is more likely to be at fault than they are. It does not change its
-// argument.
+// MarkLost returns the entries, with those marked as lost that the detector considers lost. If these are more than half
+// of a service, none of that service is marked, because then a fault of this sidecar or its network is more likely. It
+// does not change its argument.
 func (m *Monitor) MarkLost(entries []directory.Entry) []directory.Entry {
 	lost, members := map[string]int{}, map[string]int{}
 	for i := range entries {
--- a/mesh/dataplane/liveness/liveness_test.go
+++ b/mesh/dataplane/liveness/liveness_test.go
@@ -10,7 +10,8 @@
 	"firplank/mesh/membership"
 )
 
-// What a sidecar has found out itself leaves out at most half of a service.
+// A sidecar's own evidence must mark at most half of a service as lost. Otherwise a fault of the sidecar's own network
+// would leave it without servers.
 func TestOwnEvidenceMarksAtMostHalfOfAServiceLost(t *testing.T) {
 	for _, c := range []struct{ lost, want int }{{0, 0}, {1, 1}, {2, 2}, {3, 0}, {4, 0}} {
 		m := New("self", 1)
@@ -36,12 +37,12 @@
 			}
 		}
 		if got != c.want {
-			t.Errorf("%d of 4 lost: %d left out, want %d", c.lost, got, c.want)
+			t.Errorf("%d of 4 lost: %d marked, want %d", c.lost, got, c.want)
 		}
 	}
 }
 
-// fixture is a monitor over a directory of itself, a peer and a witness, where only the witness answers probes.
+// fixture is a monitor with a directory of itself, a peer and a witness. Only the witness answers probes.
 type fixture struct {
 	*Monitor
 	directory     *directory.Directory
@@ -58,7 +59,7 @@
 	return f
 }
 
-// run lets time pass from one time to another.
+// run calls Tick every 50 ms and answers probes.
 func (f *fixture) run(from, to time.Duration) {
 	for now := from; now < to; now += 50 * time.Millisecond {
 		r := f.Tick(now, f.directory)
@@ -84,7 +85,7 @@
 	return nodes
 }
 
-// Whom the detector loses is reported, as long as the directory has it as there, and left out here.
+// A sidecar that the detector considers lost must be reported as lost until the directory has it as lost too.
 func TestLostSidecarIsReported(t *testing.T) {
 	f := newFixture()
 	f.run(0, 30*time.Second)
@@ -93,7 +94,7 @@
 	}
 	for _, e := range f.Unreachable(0, f.directory) {
 		if d, _ := codec.EntryFromWire(e, 0); !d.Lost {
-			t.Error("is reported as there")
+			t.Error("a lost sidecar is reported as alive")
 		}
 	}
 	e, _ := f.directory.Get("peer")
@@ -104,7 +105,7 @@
 	}
 }
 
-// Who answers requests is there, whatever becomes of its probes.
+// A sidecar that responds to requests must not be considered lost, even if all probes of it are lost.
 func TestSidecarThatAnswersRequestsIsNotLost(t *testing.T) {
 	f := newFixture()
 	for now := time.Duration(0); now < 30*time.Second; now += 200 * time.Millisecond {
@@ -122,11 +123,11 @@
 	f.RecordReachable("peer:1")
 	f.run(60*time.Second, 60*time.Second+50*time.Millisecond)
 	if got := f.unreachable(60 * time.Second); len(got) != 0 || f.changes == before {
-		t.Errorf("a response does not bring it back: %v", got)
+		t.Errorf("still unreachable after a response: %v", got)
 	}
 }
 
-// Whom the directory has as lost is probed no more.
+// A sidecar that the directory has as lost must not be probed.
 func TestLostSidecarIsNotProbed(t *testing.T) {
 	f := newFixture()
 	e, _ := f.directory.Get("peer")
--- a/mesh/dataplane/subscribers/subscribers.go
+++ b/mesh/dataplane/subscribers/subscribers.go
@@ -1,5 +1,5 @@
-// Package subscribers serves the sidecars that subscribe to this one as their relay: it accepts them, sends each the
-// updates that are due to it, records their acknowledgements, and dismisses them when this sidecar relays no longer.
+// Package subscribers serves the sidecars that subscribe to this one as their relay. It accepts subscribers, sends each
+// the updates that are due, records their acknowledgements, and tells them to go away when this sidecar stops relaying.
 //
 // It is a state machine without sockets, clock or goroutines: methods take the time since the process started and
 // return the frames to send, in order. Which update a subscriber is sent and when is decided by
@@ -18,14 +18,14 @@
 	"firplank/mesh/wire"
 )
 
-// Conn is a connection to another sidecar or a control machine. This package only compares connections; the caller
-// sends on them and closes them. Values must be comparable.
+// Conn is a connection to another sidecar or a control machine. This package only compares connections, so values must
+// be comparable. The caller sends on them and closes them.
 type Conn interface {
 	Send(*wire.FrameT) bool
 	Close()
 }
 
-// Send is a frame for a connection: of a subscriber, or of a sidecar whose subscription was refused.
+// Send is a frame to be sent to a subscriber, or to a sidecar whose subscription was refused.
 type Send struct {
 	To    Conn
 	Frame *wire.FrameT
@@ -37,24 +37,24 @@
 	Pack(version uint32, text []byte) []byte
 }
 
-// Subscribers is the set of sidecars below this one, at most dissemination.MaxSubscribers. It is not safe for
-// concurrent use.
+// Subscribers is the set of sidecars that subscribe to this one, at most dissemination.MaxSubscribers. It is not safe
+// for concurrent use.
 type Subscribers struct {
 	state    *dissemination.Publisher
 	packer   Packer
-	ids      map[Conn]uint64 // as the publisher knows them
+	ids      map[Conn]uint64 // subscriber IDs of the publisher
 	conns    map[uint64]Conn // the inverse of ids
 	lastID   uint64          // IDs are not reused
 	contacts map[Conn]contact
 }
 
-// contact is the last frame of a subscriber.
+// contact records the last frame from a subscriber.
 type contact struct {
 	node       string
 	receivedAt time.Duration
 }
 
-// New returns an empty set. Subscribers are sent updates of state, which keeps their versions.
+// New returns an empty set. Subscribers are sent updates of state, which also stores their acknowledged versions.
 func New(state *dissemination.Publisher, packer Packer) *Subscribers {
 	return &Subscribers{state: state, packer: packer, ids: map[Conn]uint64{}, conns: map[uint64]Conn{}, contacts: map[Conn]contact{}}
 }
@@ -65,9 +65,9 @@
 // Conns returns the connections of the subscribers.
 func (s *Subscribers) Conns() []Conn { return slices.Collect(maps.Keys(s.ids)) }
 
-// Add handles the subscription request f. It accepts the sidecar if this one relays and is below its limit, and
-// dismisses it otherwise. It reports whether there is a new subscriber; a second request on the same connection is
-// ignored.
+// Add handles the subscription request f. It accepts the subscriber if this sidecar is relaying and below its limit, and
+// otherwise refuses it with a GoAway frame. It reports whether a subscriber was added. A second request on the same
+// connection is ignored.
 func (s *Subscribers) Add(c Conn, f *wire.FrameT, relaying bool, now time.Duration) (added bool, sends []Send) {
 	if _, known := s.ids[c]; known {
 		return false, nil
@@ -82,7 +82,8 @@
 	return true, nil
 }
 
-// Acknowledge records what a subscriber reports of itself and those below it. Reports of others are ignored.
+// Acknowledge records an acknowledgement from a subscriber, for itself and its own subscribers. Reports on other
+// connections are ignored.
 func (s *Subscribers) Acknowledge(c Conn, f *wire.FrameT, now time.Duration) {
 	if id, ok := s.ids[c]; ok {
 		s.state.HandleAck(id, codec.AckFromFrame(f), now)
@@ -90,7 +91,8 @@
 	}
 }
 
-// Entries returns the directory's entries of the subscribers, as of their last frames, in the order of their names.
+// Entries returns the directory's entries of the subscribers, sorted by node. LastSeen is the time of the subscriber's
+// last frame.
 func (s *Subscribers) Entries() (entries []directory.Entry) {
 	for _, last := range s.contacts {
 		if e, ok := s.state.Directory.Get(last.node); ok {
@@ -102,7 +104,7 @@
 	return entries
 }
 
-// Remove removes the subscriber whose connection has ended, if it is one.
+// Remove removes the subscriber whose connection has ended, if there is one.
 func (s *Subscribers) Remove(c Conn) {
 	if id, ok := s.ids[c]; ok {
 		delete(s.ids, c)
@@ -112,7 +114,8 @@
 	}
 }
 
-// Dismiss tells all subscribers to look for another parent. They remain subscribers until their connections end.
+// GoAwayAll returns frames that tell all subscribers to choose another parent. They remain subscribers until their
+// connections end.
 func (s *Subscribers) GoAwayAll() (sends []Send) {
 	for c := range s.ids {
 		sends = append(sends, Send{c, &wire.FrameT{Kind: wire.GoAway}})
@@ -120,7 +123,7 @@
 	return sends
 }
 
-// Publish returns the updates that are due, and when to call it again at the latest.
+// Publish returns the updates that are due. The caller calls it again at next at the latest.
 func (s *Subscribers) Publish(now time.Duration) (sends []Send, next time.Duration) {
 	updates, next := s.state.Tick(now)
 	for i := range updates {
--- a/mesh/dataplane/subscribers/subscribers_test.go
+++ b/mesh/dataplane/subscribers/subscribers_test.go
@@ -10,13 +10,13 @@
 	"firplank/mesh/wire"
 )
 
-// conn is a connection of which only the identity counts.
+// fakeConn is a connection that is only compared. It has a field so that pointers to different connections differ.
 type fakeConn struct{ _ int }
 
-func (*fakeConn) Send(*wire.FrameT) bool { panic("subscribers are sent nothing here") }
-func (*fakeConn) Close()                 { panic("connections are not closed here") }
+func (*fakeConn) Send(*wire.FrameT) bool { panic("the package must not send on connections") }
+func (*fakeConn) Close()                 { panic("the package must not close connections") }
 
-// packer notes what it packs.
+// recordingPacker records the texts that it packs.
 type recordingPacker struct{ packed []string }
 
 func (p *recordingPacker) Pack(version uint32, text []byte) []byte {
@@ -30,7 +30,7 @@
 	return New(state, packer), state, packer
 }
 
-// subscribe has a sidecar subscribe that has a version.
+// subscribe adds a subscriber that has a version.
 func subscribe(t *testing.T, s *Subscribers, version uint32) *fakeConn {
 	t.Helper()
 	c := &fakeConn{}
@@ -52,7 +52,7 @@
 		t.Errorf("added %v, sends %+v", added, sends)
 	}
 	if s.Len() != 0 || state.LowestInForce(0) != dissemination.Unconstrained {
-		t.Error("counts it")
+		t.Error("a refused subscriber is counted")
 	}
 }
 
@@ -78,7 +78,7 @@
 	}
 }
 
-// Each subscriber is sent the full text or deltas, by what it has; packing is the packer's.
+// A subscriber without a version must be sent the packed full text, and one with an earlier version the deltas.
 func TestSubscribersAreSentFullTextOrDeltas(t *testing.T) {
 	s, state, p := newSet()
 	newSubscriber, oldSubscriber := subscribe(t, s, 0), subscribe(t, s, 5)
@@ -92,11 +92,11 @@
 		switch send.To {
 		case newSubscriber:
 			if f.Value == nil || string(f.Value.Body) != "packed six" || f.Version != 6 {
-				t.Errorf("a new one is sent %+v", f)
+				t.Errorf("a new subscriber is sent %+v", f)
 			}
 		case oldSubscriber:
 			if f.Value != nil || len(f.Deltas) != 1 || f.Deltas[0].Base != 5 || f.Version != 6 {
-				t.Errorf("one with the version before is sent %+v", f)
+				t.Errorf("a subscriber with the previous version is sent %+v", f)
 			}
 		}
 	}
@@ -113,20 +113,21 @@
 	}
 	s.Acknowledge(a, &wire.FrameT{Kind: wire.Report, Version: 5, LowestVersion: 5}, 0)
 	if lowest := state.LowestInForce(0); lowest != 4 {
-		t.Errorf("after one has 5 in force: lowest %d", lowest)
+		t.Errorf("after the first subscriber has 5 in force: lowest %d", lowest)
 	}
 	s.Acknowledge(&fakeConn{1}, &wire.FrameT{Kind: wire.Report, Version: 1, LowestVersion: 1}, 0)
 	if lowest := state.LowestInForce(0); lowest != 4 {
-		t.Errorf("after a stranger's: lowest %d", lowest)
+		t.Errorf("after a report on an unknown connection: lowest %d", lowest)
 	}
 	s.Remove(b)
 	s.Remove(b)
 	if lowest := state.LowestInForce(0); lowest != 5 || s.Len() != 1 {
-		t.Errorf("after the other is gone: lowest %d of %d", lowest, s.Len())
+		t.Errorf("after the other subscriber was removed: lowest %d, %d subscribers", lowest, s.Len())
 	}
 }
 
-// A relay that subscribes has an old version below it from the first.
+// A subscription request must count as an acknowledgement. A relay that reconnects may already have subscribers with an
+// earlier version.
 func TestFirstRequestIsAnAcknowledgementToo(t *testing.T) {
 	s, state, _ := newSet()
 	f := &wire.FrameT{Kind: wire.Subscribe, Version: 5, LowestVersion: 2}
@@ -143,10 +144,10 @@
 		t.Errorf("sends %+v", sends)
 	}
 	if added, _ := s.Add(c, &wire.FrameT{Kind: wire.Subscribe}, true, time.Second); !added {
-		t.Error("may not subscribe anew")
+		t.Error("cannot subscribe again")
 	}
 	if sends, _ := s.Publish(2 * time.Second); len(sends) != 1 || sends[0].Frame.Value == nil {
-		t.Errorf("after it has subscribed anew, sends %+v", sends)
+		t.Errorf("after it has subscribed again, sends %+v", sends)
 	}
 }
 
@@ -160,6 +161,6 @@
 		delete(pending, send.To)
 	}
 	if len(pending) != 0 || s.Len() != 2 || len(s.Conns()) != 2 {
-		t.Errorf("%d were not dismissed, %d are left", len(pending), s.Len())
+		t.Errorf("%d were not told to go away, %d subscribers", len(pending), s.Len())
 	}
 }
--- a/mesh/dataplane/subscription/subscription.go
+++ b/mesh/dataplane/subscription/subscription.go
@@ -1,10 +1,10 @@
-// Package subscription keeps a sidecar subscribed to one parent in the distribution tree: a control machine, or a
-// sidecar that relays. It chooses the parent, connects, switches parents when the present one has nothing fresh,
-// acknowledges updates, and sends heartbeats.
+// Package subscription keeps a sidecar subscribed to one parent in the distribution tree: a control machine or a relay.
+// It chooses the parent, connects, switches to another parent when the present one is stale, acknowledges updates, and
+// sends heartbeats.
 //
 // It is a state machine without sockets, clock or goroutines: each method takes the time since the process started
-// and what has happened, and returns the actions that the owner of the connection must perform, in order. Which
-// parent to choose and when to give it up is decided by dissemination.Subscriber. Start reading at
+// and what has happened, and returns the actions that the owner of the connection must perform, in order. Package
+// dissemination (Subscriber) decides which parent to choose and when to leave it. Start reading at
 // Subscription.Maintain.
 package subscription
 
@@ -24,17 +24,18 @@
 // Action is what the owner of the connection must do: Dial, Send or Disconnect.
 type Action interface{ action() }
 
-// Dial asks for a connection to a parent. The owner reports the outcome by Dialed or DialFailed.
+// Dial requests a connection to a parent. The owner reports the outcome by Dialed or DialFailed.
 type Dial struct {
 	Addr    string
 	Relay   bool // the parent is a sidecar; a sidecar below a relay must not relay itself
 	Timeout time.Duration
 }
 
-// Send is a frame for the parent.
+// Send requests that a frame is sent to the parent.
 type Send struct{ Frame *wire.FrameT }
 
-// Disconnect closes the connection to the parent. The owner does not report the end of that connection.
+// Disconnect requests that the connection to the parent is closed. The owner does not report the end of that
+// connection.
 type Disconnect struct {
 	Addr   string
 	Reason Reason
@@ -44,12 +45,12 @@
 func (Send) action()       {}
 func (Disconnect) action() {}
 
-// Reason states why a parent was left.
+// Reason is the reason for a Disconnect.
 type Reason int
 
 // The reasons.
 const (
-	Stale      Reason = iota + 1 // the parent has sent nothing fresh for too long
+	Stale      Reason = iota + 1 // the parent has confirmed no fresh configuration for too long
 	GoAway                       // the parent is at capacity or does not relay
 	RelayFound                   // the distribution tree has a relay for this sidecar
 )
@@ -72,24 +73,24 @@
 	self   *directory.Entry         // the sidecar's own entry; read only
 
 	ready   bool
-	inForce uint32 // version of the configuration in force; 0: none
+	inForce uint32 // version of the configuration in force, or 0
 
 	phase phase
 	addr  string // of the present parent, or the last one
-	relay bool   // it is a sidecar
+	relay bool   // the parent is a sidecar
 	link  dissemination.ParentLink
-	nonce uint64 // of the last update that was applied; 0: none on this connection
+	nonce uint64 // of the last update that was applied on this connection, or 0
 
-	needsFullState bool              // deltas could not be applied: ask for the full text
-	lastAck        dissemination.Ack // as sent
+	needsFullState bool              // the last configuration could not be applied: request the full text
+	lastAck        dissemination.Ack // as last sent
 
-	redialAt    time.Duration // no dial before
+	redialAt    time.Duration // earliest time of the next dial
 	heartbeatAt time.Duration
-	reparentAt  time.Duration // 0: the sidecar is not ready
+	reparentAt  time.Duration // 0 until the sidecar is ready
 }
 
-// New returns a subscription without a parent. The policy chooses parents. State and self are read on each call and
-// never written.
+// New returns a subscription without a parent. policy chooses parents. state and self are read on each call and never
+// written.
 func New(policy *dissemination.Subscriber, state *dissemination.Publisher, self *directory.Entry, t timing.Subscription) *Subscription {
 	return &Subscription{durations: t, policy: policy, state: state, self: self}
 }
@@ -97,13 +98,14 @@
 // Connected reports whether there is a connection to a parent.
 func (s *Subscription) Connected() bool { return s.phase == connected }
 
-// Relayed reports whether the present parent, or the last one, is a sidecar.
+// ParentIsRelay reports whether the present parent, or the last one if there is none, is a sidecar.
 func (s *Subscription) ParentIsRelay() bool { return s.relay }
 
-// SetInForce sets the version of the configuration that is in force on this sidecar, which acknowledgements carry.
+// SetInForce sets the version of the configuration that is in force on this sidecar. Acknowledgements contain it.
 func (s *Subscription) SetInForce(version uint32) { s.inForce = version }
 
-// SetReady marks the sidecar as ready: it may subscribe to relays, and from reparentAt on looks for one.
+// SetReady marks the sidecar as ready. It may subscribe to relays from then on, and searches for one from reparentAt
+// on.
 func (s *Subscription) SetReady(reparentAt time.Duration) { s.ready, s.reparentAt = true, reparentAt }
 
 // Dialed reports that the connection to the parent is established. It returns the subscription request.
@@ -111,7 +113,7 @@
 	s.phase, s.heartbeatAt, s.nonce, s.needsFullState = connected, now+s.durations.ReportInterval, 0, false
 	s.link = dissemination.ParentLink{ConnectedAt: now, LastByteAt: now}
 	f := &wire.FrameT{Kind: wire.Subscribe, From: s.self.Node}
-	if s.self.Sequence > 1 { // else nothing was announced yet
+	if s.self.Sequence > 1 { // otherwise nothing has been announced
 		f.Entries = []*wire.EntryT{s.ownEntry(now)}
 	}
 	s.lastAck = s.ack(now)
@@ -132,12 +134,13 @@
 	}
 }
 
-// Dismiss reports that the parent refuses this sidecar, or no longer relays.
+// GoAwayReceived reports that the parent has refused this sidecar or stopped relaying.
 func (s *Subscription) GoAwayReceived(now time.Duration) []Action {
 	return s.disconnectFailed(now, GoAway)
 }
 
-// leave disconnects from the parent, which counts as failed: others are tried first for a while.
+// disconnectFailed disconnects from the parent and records it as failed, so that other parents are tried first for a
+// while.
 func (s *Subscription) disconnectFailed(now time.Duration, reason Reason) []Action {
 	s.policy.RecordFailure(s.addr, now)
 	return s.disconnect(now, reason)
@@ -148,8 +151,8 @@
 	return []Action{Disconnect{Addr: s.addr, Reason: reason}}
 }
 
-// Reparent disconnects from a control machine where the distribution tree has a relay for this sidecar; the next
-// Maintain dials that.
+// Reparent disconnects from a control machine if the distribution tree has a relay for this sidecar. The next Maintain
+// dials the relay.
 func (s *Subscription) Reparent(now time.Duration) []Action {
 	if s.reparentAt == 0 || now < s.reparentAt || s.phase != connected || s.relay {
 		return nil
@@ -161,9 +164,9 @@
 	return s.disconnect(now, RelayFound)
 }
 
-// Maintain keeps the subscription up: it leaves a stale parent, dials where there is no connection, and sends a
-// heartbeat when one is due. partialBytes is how many bytes of an incomplete frame have arrived from the parent. The
-// owner calls it after each event and each tick.
+// Maintain leaves a stale parent, dials if there is no connection, and sends a heartbeat when one is due. partialBytes
+// is the number of bytes received of an incomplete frame from the parent: a parent counts as stale later while a frame
+// is arriving. The owner calls it after each event and each tick.
 func (s *Subscription) Maintain(now time.Duration, partialBytes int64) (actions []Action) {
 	if s.phase == connected {
 		actions = s.checkParent(now, partialBytes)
@@ -176,7 +179,7 @@
 	return append(actions, Dial{Addr: s.addr, Relay: s.relay, Timeout: s.durations.DialTimeout})
 }
 
-// checkParent leaves a stale parent, or sends it a heartbeat when one is due.
+// checkParent disconnects from a stale parent. Otherwise it sends a heartbeat when one is due.
 func (s *Subscription) checkParent(now time.Duration, partialBytes int64) []Action {
 	if partialBytes != s.link.PartialBytes {
 		s.link.PartialBytes, s.link.LastByteAt = partialBytes, now
@@ -190,7 +193,7 @@
 	return s.ReportLiveness(now)
 }
 
-// ReportLiveness sends the parent a heartbeat with what this sidecar reports of rollouts, once the sidecar is ready.
+// ReportLiveness sends the parent a heartbeat with this sidecar's evidence about rollouts, once the sidecar is ready.
 func (s *Subscription) ReportLiveness(now time.Duration) []Action {
 	if s.phase != connected || !s.ready {
 		return nil
@@ -204,7 +207,7 @@
 // UpdateReceived reports that the parent has sent an update.
 func (s *Subscription) UpdateReceived() { s.link.Received = true }
 
-// UpdateApplied reports that an update was applied. The next report acknowledges its nonce; 0: the update needs no
+// UpdateApplied reports that an update was applied. The next report acknowledges its nonce. A nonce of 0 needs no
 // acknowledgement.
 func (s *Subscription) UpdateApplied(nonce uint64) {
 	if nonce > 0 {
@@ -212,11 +215,11 @@
 	}
 }
 
-// SetNeedsFullState sets whether the configuration of the last update could not be applied: acknowledgements then ask
-// for the full text.
+// SetNeedsFullState sets whether the configuration of the last update could not be applied. While it is set,
+// acknowledgements request the full text.
 func (s *Subscription) SetNeedsFullState(needed bool) { s.needsFullState = needed }
 
-// Acknowledge sends the parent what was applied and is in force, if it has changed since it was last sent.
+// Acknowledge sends the parent an acknowledgement if it differs from the last one sent.
 func (s *Subscription) Acknowledge(now time.Duration) []Action {
 	if s.phase != connected || !s.link.Received || s.lastAck == s.ack(now) {
 		return nil
@@ -224,7 +227,7 @@
 	return s.Report(now, nil)
 }
 
-// Announce sends the parent the sidecar's own entry, after it has changed.
+// Announce sends the parent the sidecar's own entry. The owner calls it when the entry has changed.
 func (s *Subscription) Announce(now time.Duration) []Action {
 	if s.phase != connected || !s.ready {
 		return nil
@@ -233,7 +236,7 @@
 	return s.Report(now, []*wire.EntryT{s.ownEntry(now)})
 }
 
-// Report sends the parent entries with an acknowledgement, which serves as a heartbeat. Without a parent it does
+// Report sends the parent entries and an acknowledgement, which also serves as a heartbeat. Without a parent it does
 // nothing.
 func (s *Subscription) Report(now time.Duration, entries []*wire.EntryT) []Action {
 	if s.phase != connected {
@@ -244,7 +247,8 @@
 	return []Action{Send{codec.SetAck(f, s.lastAck)}}
 }
 
-// ack returns what this sidecar and those below it have applied and in force.
+// ack returns the acknowledgement for this sidecar and its subscribers: the last update applied and the lowest version
+// in force. Version 0 requests the full text.
 func (s *Subscription) ack(now time.Duration) dissemination.Ack {
 	a := dissemination.Ack{
 		Nonce:         s.nonce,
@@ -257,14 +261,14 @@
 	return a
 }
 
-// ownEntry returns the sidecar's own entry, as seen now.
+// ownEntry returns the sidecar's own entry, last seen now.
 func (s *Subscription) ownEntry(now time.Duration) *wire.EntryT {
 	own := *s.self
 	own.LastSeen = now
 	return codec.AddRolloutReport(codec.EntryToWire(&own, now), &own.RolloutReport)
 }
 
-// chooseParent returns the parent to subscribe to. Before the sidecar is ready that is a control machine.
+// chooseParent returns the parent to subscribe to. It is a control machine until the sidecar is ready.
 func (s *Subscription) chooseParent(now time.Duration) (addr string, relay bool) {
 	var candidates []dissemination.Member
 	if s.ready {
--- a/mesh/dataplane/subscription/subscription_test.go
+++ b/mesh/dataplane/subscription/subscription_test.go
@@ -22,7 +22,7 @@
 	redialDelay    = durations.Subscription.RedialDelay
 )
 
-// fixture is a subscription with what it reads.
+// fixture is a subscription with the state and the own entry that it reads.
 type fixture struct {
 	*Subscription
 	state *dissemination.Publisher
@@ -40,7 +40,7 @@
 	return f
 }
 
-// dial returns what Maintain dials at a time; empty: nothing.
+// dialedAddr calls Maintain and returns the address that it dials, or "" if it does not dial.
 func (f fixture) dialedAddr(now time.Duration) string {
 	for _, a := range f.Maintain(now, 0) {
 		if d, ok := a.(Dial); ok {
@@ -50,29 +50,29 @@
 	return ""
 }
 
-// connect has the subscription dial and connect, and returns the address of its parent.
+// connect makes the subscription dial and connect, and returns the address of its parent.
 func (f fixture) connect(t *testing.T, now time.Duration) string {
 	t.Helper()
 	addr := f.dialedAddr(now)
 	if addr == "" {
-		t.Fatalf("%v: nothing is dialed", now)
+		t.Fatalf("%v: no parent is dialed", now)
 	}
 	f.Dialed(now)
 	return addr
 }
 
-// ready makes the sidecar ready with a version that was the newest at a time, by the policy, too.
+// ready makes the sidecar and its policy ready with a version that is confirmed as the newest at now.
 func (f fixture) ready(t *testing.T, version uint32, now, reparentAt time.Duration) {
 	t.Helper()
 	f.state.SetConfig(version, []byte("text"), nil, now)
 	if !f.policy.Ready(now, version, now, nil) {
-		t.Fatal("the policy does not make it ready")
+		t.Fatal("the policy is not ready")
 	}
 	f.SetInForce(version)
 	f.SetReady(reparentAt)
 }
 
-// frame is the one frame among actions; nil: there is none.
+// onlyFrame returns the frame that the actions send, or nil if there is none. It fails the test if there are several.
 func onlyFrame(t *testing.T, actions []Action) *wire.FrameT {
 	t.Helper()
 	var found *wire.FrameT
@@ -91,7 +91,7 @@
 	f := newFixture(first, second)
 	a := f.dialedAddr(0)
 	if again := f.dialedAddr(time.Second); again != "" {
-		t.Errorf("dials %s while it dials %s", again, a)
+		t.Errorf("dials %s while the dial of %s is pending", again, a)
 	}
 	f.DialFailed(time.Second)
 	if early := f.dialedAddr(time.Second + redialDelay - 1); early != "" {
@@ -116,7 +116,7 @@
 		}
 		f.ConnectionLost(time.Second)
 		if f.Connected() {
-			t.Error("is still connected")
+			t.Error("still connected")
 		}
 		if early := f.dialedAddr(time.Second + redialDelay - 1); early != "" {
 			t.Errorf("dials %s without a delay", early)
@@ -133,7 +133,7 @@
 	f.UpdateReceived()
 	actions := f.GoAwayReceived(time.Second)
 	if d, ok := actions[0].(Disconnect); len(actions) != 1 || !ok || d != (Disconnect{Addr: a, Reason: GoAway}) {
-		t.Errorf("does %+v", actions)
+		t.Errorf("actions %+v", actions)
 	}
 	if b := f.dialedAddr(time.Second); b == "" || b == a {
 		t.Errorf("dials %q after %q", b, a)
@@ -154,13 +154,13 @@
 				}
 			case Dial:
 				if action.Addr == a {
-					t.Fatalf("%v: dials the parent that it left", now)
+					t.Fatalf("%v: dials the stale parent again", now)
 				}
 				return
 			}
 		}
 	}
-	t.Error("stays with a parent that has nothing fresh")
+	t.Error("does not leave a stale parent")
 }
 
 func TestArrivingFrameKeepsTheParent(t *testing.T) {
@@ -182,7 +182,7 @@
 	f.connect(t, 0)
 	f.state.SetConfig(1, []byte("text"), nil, 0)
 	if got := onlyFrame(t, f.Maintain(reportInterval, 0)); got != nil {
-		t.Errorf("not ready, and sends %+v", got)
+		t.Errorf("sends %+v before it is ready", got)
 	}
 	f.ready(t, 1, reportInterval, time.Hour)
 	got := onlyFrame(t, f.Maintain(reportInterval, 0))
@@ -197,7 +197,7 @@
 	}
 	f.state.SetConfig(1, nil, nil, 2*reportInterval)
 	if got = onlyFrame(t, f.Maintain(3*reportInterval-2, 0)); got != nil {
-		t.Errorf("sends %+v though it has announced itself", got)
+		t.Errorf("sends %+v although an announcement has served as a heartbeat", got)
 	}
 	if got = onlyFrame(t, f.Maintain(3*reportInterval-1, 0)); got == nil {
 		t.Error("sends no heartbeat")
@@ -209,7 +209,7 @@
 	f.dialedAddr(0)
 	got := onlyFrame(t, f.Dialed(0))
 	if got.Kind != wire.Subscribe || got.From != "n1" || len(got.Entries) != 0 || got.Version != 0 {
-		t.Errorf("a new sidecar subscribes by %+v", got)
+		t.Errorf("a new sidecar subscribes with %+v", got)
 	}
 	f.ConnectionLost(0)
 	f.ready(t, 3, 0, time.Hour)
@@ -217,7 +217,7 @@
 	f.dialedAddr(redialDelay)
 	got = onlyFrame(t, f.Dialed(redialDelay))
 	if len(got.Entries) != 1 || got.Entries[0].Sequence != 2 || got.Version != 3 || got.LowestVersion != 3 {
-		t.Errorf("a known one subscribes by %+v", got)
+		t.Errorf("an announced sidecar subscribes with %+v", got)
 	}
 }
 
@@ -226,7 +226,7 @@
 	f.connect(t, 0)
 	f.ready(t, 4, 0, time.Hour)
 	if got := onlyFrame(t, f.Acknowledge(0)); got != nil {
-		t.Errorf("acknowledges %+v before anything came", got)
+		t.Errorf("acknowledges %+v before an update was received", got)
 	}
 	f.UpdateReceived()
 	f.UpdateApplied(9)
@@ -242,7 +242,7 @@
 	}
 	f.state.Subscribe(1, 2, 0)
 	if got = onlyFrame(t, f.Acknowledge(0)); got == nil || got.LowestVersion != 2 {
-		t.Errorf("with an old version below it: %+v", got)
+		t.Errorf("with a subscriber at an earlier version: %+v", got)
 	}
 }
 
@@ -259,7 +259,7 @@
 	f.ConnectionLost(0)
 	f.dialedAddr(redialDelay)
 	if got := onlyFrame(t, f.Dialed(redialDelay)); got.Version != 4 || got.Id != 0 {
-		t.Errorf("subscribes to the next by %+v", got)
+		t.Errorf("subscribes to the next parent with %+v", got)
 	}
 }
 
@@ -269,31 +269,31 @@
 	f.ready(t, 1, 0, 3*time.Second)
 	f.state.Directory.Merge(*f.self, 0)
 	if got := f.Reparent(3*time.Second - 1); got != nil {
-		t.Errorf("too early: %+v", got)
+		t.Errorf("searches before reparentAt: %+v", got)
 	}
 	if got := f.Reparent(3 * time.Second); got != nil {
-		t.Errorf("alone in its zone: %+v", got)
+		t.Errorf("without candidates in its zone: %+v", got)
 	}
 	for i := range 30 {
 		name := "m" + string(rune('a'+i))
 		f.state.Directory.Merge(directory.Entry{Node: name, Incarnation: 1, Sequence: 1, Zone: "x", PeerAddr: name + ":1"}, 0)
 	}
 	if got := f.Reparent(3*time.Second + reparentInterval - 1); got != nil {
-		t.Errorf("looks again too early: %+v", got)
+		t.Errorf("searches again too early: %+v", got)
 	}
 	f.state.SetConfig(1, nil, nil, 3*time.Second+reparentInterval)
 	got := f.Reparent(3*time.Second + reparentInterval)
 	if len(got) != 1 || got[0] != (Disconnect{Addr: first, Reason: RelayFound}) {
-		t.Fatalf("does %+v", got)
+		t.Fatalf("actions %+v", got)
 	}
 	actions := f.Maintain(3*time.Second+reparentInterval, 0)
 	d, ok := actions[0].(Dial)
 	if len(actions) != 1 || !ok || !d.Relay || d.Addr == first {
-		t.Fatalf("does %+v", actions)
+		t.Fatalf("actions %+v", actions)
 	}
 	f.Dialed(9 * time.Second)
 	if got = f.Reparent(time.Hour); got != nil || !f.ParentIsRelay() {
-		t.Errorf("looks for a relay below a relay: %+v", got)
+		t.Errorf("searches for a relay below a relay: %+v", got)
 	}
 }
 
--- a/mesh/dataplane/updates/updates_test.go
+++ b/mesh/dataplane/updates/updates_test.go
@@ -15,7 +15,7 @@
 	"firplank/mesh/wire"
 )
 
-// texts interns nothing, and notes what it is asked to.
+// recordingTexts records the versions to be interned, without sharing them.
 type recordingTexts struct{ interned []uint32 }
 
 func (*recordingTexts) Unpack(_ uint32, packed []byte) ([]byte, error) { return config.Unpack(packed) }
@@ -25,7 +25,7 @@
 	return text
 }
 
-// stateWith is a state whose versions up to the last have these texts.
+// stateWith returns a state whose versions 1 to len(texts) have these texts.
 func stateWith(texts ...string) *dissemination.Publisher {
 	p := dissemination.NewPublisher(timing.Default().Dissemination)
 	for i, text := range texts {
@@ -34,7 +34,7 @@
 	return p
 }
 
-// updateFor is what a state sends to one that has a version.
+// updateFor returns the update that p sends to a subscriber with presentVersion.
 func updateFor(p *dissemination.Publisher, presentVersion uint32) *wire.FrameT {
 	p.Subscribe(99, presentVersion, time.Second)
 	defer p.Unsubscribe(99)
@@ -59,18 +59,18 @@
 		intern  string
 		asOf    time.Duration
 	}{
-		{"the first", nil, updateFor(stateWith("one"), 0), true, nil, 1, "one", "[]", 4 * time.Second},
+		{"the first version", nil, updateFor(stateWith("one"), 0), true, nil, 1, "one", "[]", 4 * time.Second},
 		{"a full text", []string{"one"}, updateFor(two, 0), true, nil, 2, "two", "[]", 4 * time.Second},
 		{"a delta", []string{"one"}, updateFor(two, 1), true, nil, 2, "two", "[2]", 4 * time.Second},
 		{"deltas over two versions", []string{"one"}, updateFor(three, 1), true, nil, 3, "three", "[3]", 4 * time.Second},
-		{"deltas that begin earlier", []string{"one", "two"}, updateFor(three, 1), true, nil, 3, "three", "[3]", 4 * time.Second},
+		{"deltas with an earlier base", []string{"one", "two"}, updateFor(three, 1), true, nil, 3, "three", "[3]", 4 * time.Second},
 		{"a confirmation", []string{"one"}, updateFor(stateWith("one"), 1), false, nil, 1, "one", "[]", 4 * time.Second},
 		{"the same text again", []string{"one"}, updateFor(stateWith("one"), 0), false, nil, 1, "one", "[]", 4 * time.Second},
 		{"an older version", []string{"one", "two"}, updateFor(stateWith("one"), 0), false, nil, 2, "two", "[]", time.Second},
 		{"a corrupt text", []string{"one"}, corrupt, true, ErrCorrupt, 1, "one", "[]", time.Second},
-		{"a delta from another text", []string{"uno"}, updateFor(two, 1), true, ErrDeltaMismatch, 1, "uno", "[]", time.Second},
-		{"a delta from another version", []string{"one"}, updateFor(three, 2), true, ErrDeltaMismatch, 1, "one", "[]", time.Second},
-		{"a delta that is cut short", []string{"one"}, broken, true, ErrDeltaMismatch, 1, "one", "[]", time.Second},
+		{"a delta with a different base text", []string{"uno"}, updateFor(two, 1), true, ErrDeltaMismatch, 1, "uno", "[]", time.Second},
+		{"a delta with a later base version", []string{"one"}, updateFor(three, 2), true, ErrDeltaMismatch, 1, "one", "[]", time.Second},
+		{"a truncated delta", []string{"one"}, broken, true, ErrDeltaMismatch, 1, "one", "[]", time.Second},
 	} {
 		state, shared := stateWith(c.held...), &recordingTexts{}
 		c.frame.AgeMs = 1000
@@ -99,13 +99,13 @@
 		t.Errorf("own entries: %v", own)
 	}
 	if _, ok := d.Get("n1"); ok {
-		t.Error("the directory has the sidecar's own entry of the parent")
+		t.Error("the sidecar's own entry was applied to the directory")
 	}
 	if _, ok := d.Get("n4"); ok {
-		t.Error("a sign of life is an entry")
+		t.Error("a heartbeat was applied as an entry")
 	}
 	if e, _ := d.Get("n3"); !e.Lost {
-		t.Error("that a sidecar is lost was not applied")
+		t.Error("the loss of a sidecar was not applied")
 	}
 	if _, ok := d.Get("n2"); !ok {
 		t.Error("a new sidecar is missing")
--- a/mesh/explain/draw.go
+++ b/mesh/explain/draw.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// MaxColumns bounds the nodes of a drawing.
+	// MaxColumns bounds the nodes in a timeline.
 	MaxColumns = 8
-	// minColumnWidth is in characters.
+	// minColumnWidth is the smallest width of a column, in characters.
 	minColumnWidth = 8
 )
 
-// Draw returns the findings as a timeline of text: a row for each moment, a column for each node to which something happened, the first
-// MaxColumns of them. Times are in seconds from the first finding that is drawn; empty: there is none.
+// Draw returns the findings as a timeline in text, with a row for each start or end of a finding and a column for each of the first
+// MaxColumns nodes. Times are in seconds since the first finding that is drawn. Draw returns "" if there is none.
 func Draw(findings []Finding) string {
 	rows := timelineFindings(findings)
 	if len(rows) == 0 {
@@ -23,7 +23,7 @@
 	}
 	d := &timeline{from: rows[0].From, nodes: nodeColumns(rows)}
 	d.writeRow("at", func(node string) string { return node })
-	var open []Finding // that end later, the earliest first
+	var open []Finding // unhealthy servers whose recovery is not yet drawn, by time of recovery
 	for _, f := range rows {
 		for len(open) > 0 && open[0].To.Before(f.From) {
 			d.writeFinding(open[0].To, open[0], recoveredCell)
@@ -41,7 +41,7 @@
 	return d.text.String()
 }
 
-// drawn returns the findings that a drawing shows.
+// timelineFindings returns the findings that a timeline shows.
 func timelineFindings(findings []Finding) []Finding {
 	var rows []Finding
 	for _, f := range findings {
@@ -52,7 +52,7 @@
 	return rows
 }
 
-// columns returns the first nodes to which something happened.
+// nodeColumns returns the first MaxColumns nodes of the findings.
 func nodeColumns(rows []Finding) []string {
 	var nodes []string
 	for _, f := range rows {
@@ -65,14 +65,14 @@
 	return nodes
 }
 
-// drawing is the text of a timeline as it is written.
+// timeline is a timeline that is being written.
 type timeline struct {
 	from  time.Time
 	nodes []string
 	text  strings.Builder
 }
 
-// row writes a cell in the columns of a finding's nodes.
+// writeFinding writes a row with the given cell in the columns of the finding's nodes.
 func (d *timeline) writeFinding(at time.Time, f Finding, cell string) {
 	d.writeRow(fmt.Sprintf("%.2f", at.Sub(d.from).Seconds()), func(node string) string {
 		if slices.Contains(f.Nodes, node) {
--- a/mesh/explain/event.go
+++ b/mesh/explain/event.go
@@ -1,6 +1,6 @@
 package explain
 
-// event is what a log line that matters reports.
+// logEvent is the event that a log line reports.
 type logEvent int
 
 // The events.
@@ -20,8 +20,8 @@
 	configCommitted
 )
 
-// events holds the event of each message. While a release goes on, logs hold the wording of two releases: a message is added with its new
-// wording, and the old one stays. TestEventsAreLogged checks that today's programs log each event.
+// eventsByMessage maps log messages to events. During an upgrade, logs contain the messages of two releases. When a message is reworded,
+// its new wording is therefore added here and the old one remains. TestEventsAreLogged checks that the programs still log each event.
 var eventsByMessage = map[string]logEvent{
 	"sidecar started":                                                   sidecarStarted,
 	"the sidecar is up":                                                 sidecarStarted, // until 5126712
--- a/mesh/explain/explain.go
+++ b/mesh/explain/explain.go
@@ -1,6 +1,6 @@
-// Package explain reads the log lines of many programs of a mesh and reports what happened, in which order and why, with the lines that
-// show it. It knows only the log lines that the programs write, of this release and the one before: it uses no process, socket or clock.
-// Where the logs show no cause it names none.
+// Package explain reads the logs of many programs of a mesh and reports what happened, in which order and why. It uses only the log lines
+// that the programs write, in the wording of this release and of earlier ones, and no processes, sockets or clock. It names a cause only
+// where the logs show one.
 //
 // Start reading at Read, then Find.
 package explain
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// mergeWindow is how far apart the same may happen to several machines to count as one finding.
+// mergeWindow is the longest time between equal events on several nodes that are merged to one finding.
 const mergeWindow = 2 * time.Second
 
 // The causes that findings name.
@@ -27,7 +27,7 @@
 	causeStateCorrupt = "its checksum does not hold; it counts as emptied"
 )
 
-// Find returns what happened by lines that are in order, the earliest first.
+// Find returns the findings of sorted lines, the earliest first.
 func Find(lines []Line) []Finding {
 	a := newAnalysis()
 	for i := range lines {
@@ -38,14 +38,14 @@
 	return a.findings
 }
 
-// analysis is the state after some of the lines. Findings are referred to by their position, as they move in memory.
+// analysis is the state of Find. It refers to findings by index, as appending moves them in memory.
 type analysis struct {
 	findings        []Finding
-	started         map[string]bool      // nodes whose start was seen
-	shutdownAt      map[string]time.Time // when nodes began to end in order, until they start again
-	openUnhealthy   map[string]int       // the open finding of a node whose server is unhealthy
+	started         map[string]bool      // nodes with a start in the logs
+	shutdownAt      map[string]time.Time // start of a graceful shutdown, by node; removed by the next start
+	openUnhealthy   map[string]int       // index of the last Unhealthy finding, by node, until its server recovers
 	failedRequests  map[string]int       // requests without response, by node
-	versionFindings map[string]int       // the finding of a version that came into force
+	versionFindings map[string]int       // index of the ConfigInForce finding, by version
 }
 
 func newAnalysis() *analysis {
@@ -58,7 +58,7 @@
 	}
 }
 
-// observe handles the next line.
+// observe processes the next line.
 func (a *analysis) observe(l *Line) {
 	switch eventsByMessage[l.Msg] {
 	case sidecarStarted:
@@ -92,7 +92,7 @@
 	}
 }
 
-// add records a finding for a node, which joins one of the same kind and cause elsewhere that was just now.
+// addFinding adds a finding for a node. It is merged with a finding of the same kind and cause that ended at most mergeWindow before.
 func (a *analysis) addFinding(l *Line, node string, kind Kind, cause string) *Finding {
 	for i := len(a.findings) - 1; i >= 0; i-- {
 		f := &a.findings[i]
@@ -108,7 +108,7 @@
 	return &a.findings[len(a.findings)-1]
 }
 
-// addNode reports whether the node is a new one.
+// addNode adds a node to the finding, unless it has the node already. It reports whether the node was added.
 func (f *Finding) addNode(node string) bool {
 	if slices.Contains(f.Nodes, node) {
 		return false
@@ -117,7 +117,7 @@
 	return true
 }
 
-// observeStart records that a program has started; its first start is no finding.
+// observeStart processes the start of a program. The first start in the logs is not a finding.
 func (a *analysis) observeStart(l *Line, crashCause string) {
 	restarted := a.started[l.Node]
 	a.started[l.Node] = true
@@ -138,7 +138,7 @@
 	}
 }
 
-// observeHealth records that a sidecar's verdict on its server's health has changed. Each server is a finding of its own.
+// observeHealth processes a change of a server's health. Findings of several servers are not merged.
 func (a *analysis) observeHealth(l *Line) {
 	if i, open := a.openUnhealthy[l.Node]; open {
 		a.findings[i].To = l.At
@@ -159,7 +159,7 @@
 	})
 }
 
-// observeInForce records that a control machine has learned of a version: from the first to the last is one finding.
+// observeCommit processes the commit of a version on a control machine. The commits of one version on all control machines are one finding.
 func (a *analysis) observeCommit(l *Line) {
 	version := l.field("edition", "version")
 	i, seen := a.versionFindings[version]
@@ -169,13 +169,13 @@
 		a.findings = append(a.findings, Finding{From: l.At, Kind: ConfigInForce, Detail: "edition " + version})
 	}
 	f := &a.findings[i]
-	if f.addNode(l.Node) { // who learns of it again has started anew
+	if f.addNode(l.Node) { // a repeated commit on one node follows a restart
 		f.To = l.At
 	}
 	f.Lines++
 }
 
-// countFailedRequests adds to each server that was unhealthy how many of its requests had no response.
+// countFailedRequests adds the number of requests without a response to the cause of each Unhealthy finding.
 func (a *analysis) countFailedRequests() {
 	for i := range a.findings {
 		f := &a.findings[i]
--- a/mesh/explain/explain_test.go
+++ b/mesh/explain/explain_test.go
@@ -12,8 +12,8 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// Logs as programs write them, shortened: a line is the seconds, the node and the JSON object without its time. Those of an older wording
-// stay as they are, as logs of two releases are read together.
+// The test data are shortened logs. A line has the seconds of its time, the node, and the JSON object without the time. Logs with the
+// wording of earlier releases remain in the test data, as logs of two releases are read together during an upgrade.
 func TestFindingsOfRecordedLogs(t *testing.T) {
 	datadriven.RunTest(t, "testdata/reviews", func(t *testing.T, d *datadriven.TestData) string {
 		var log strings.Builder
@@ -45,7 +45,7 @@
 
 func TestTooLongLineIsAnError(t *testing.T) {
 	if _, _, err := Read(strings.NewReader(`{"msg":"`+strings.Repeat("x", 2*maxLineBytes)+`"}`), "n"); err == nil {
-		t.Error("a line of 128 KB is read")
+		t.Error("a line of 128 KB is accepted")
 	}
 }
 
@@ -55,11 +55,12 @@
 		t.Errorf("%d lines, %v", len(lines), err)
 	}
 	if _, _, err := read(strings.NewReader(line+line+line), "n", 2); err == nil {
-		t.Error("a log beyond the bound is read")
+		t.Error("a log with too many lines is accepted")
 	}
 }
 
-// Who changes the wording of a log line that is looked for here adds the new wording, and leaves the old one.
+// Every event must still be logged by the programs in a wording that eventsByMessage has. The test fails if a message is reworded without
+// adding the new wording there.
 func TestEventsAreLogged(t *testing.T) {
 	logged := map[logEvent]bool{}
 	literal := regexp.MustCompile(`"msg", "([^"]*)"`)
@@ -80,7 +81,7 @@
 	}
 	for message, e := range eventsByMessage {
 		if !logged[e] {
-			t.Errorf("no program logs %q, or another wording of the same that is known here", message)
+			t.Errorf("no program logs the event of %q in a known wording", message)
 		}
 	}
 }
--- a/mesh/explain/finding.go
+++ b/mesh/explain/finding.go
@@ -11,33 +11,33 @@
 
 // The kinds of findings.
 const (
-	// Crashed: a program started again without having ended.
+	// Crashed: a program started again without a graceful shutdown.
 	Crashed Kind = iota + 1
-	// Restarted: a program ended in order and started again.
+	// Restarted: a program shut down gracefully and started again.
 	Restarted
-	// VotelessStart: a control machine started without its disk's vote.
+	// StartedAsNonVoter: a control machine started without usable state on disk, so it may not vote yet.
 	StartedAsNonVoter
-	// Unhealthy: a sidecar judged its server unhealthy by the outcomes of requests.
+	// Unhealthy: a sidecar considered its server unhealthy because of the results of requests.
 	Unhealthy
-	// Lost: a machine gave no sign of life to the others.
+	// Lost: the control machines considered a sidecar lost.
 	Lost
-	// StaleParent: a sidecar left a parent whose updates were not fresh.
+	// StaleParent: a sidecar left a stale parent.
 	StaleParent
 	// MembersChanged: the members of the register changed.
 	MembersChanged
-	// DiskFailed: a disk refused the register's state.
+	// DiskFailed: the register's state could not be written to a disk.
 	DiskFailed
-	// StoreDamaged: the state on a disk was damaged.
+	// StateCorrupt: the register's state on a disk was corrupt.
 	StateCorrupt
-	// SettingsRejected: a settings file could not be used.
+	// SettingsRejected: a settings file was invalid.
 	SettingsRejected
-	// ConfigInForce: a version of the configuration came into force.
+	// ConfigInForce: a version of the configuration was committed.
 	ConfigInForce
-	// ConfigRejected: a sidecar could not use a configuration.
+	// ConfigRejected: a configuration was invalid for a sidecar.
 	ConfigRejected
 )
 
-// kindTexts are how a kind is shown: in a line, and in a cell of a drawing (empty: it is not drawn).
+// kindLabels holds the label of each kind in a line of text, and in a cell of a timeline. Kinds with an empty cell are not drawn.
 var kindLabels = map[Kind]struct{ text, cell string }{
 	Crashed:           {"started again without having ended", "killed"},
 	Restarted:         {"ended in order and started again", "restart"},
@@ -53,26 +53,26 @@
 	ConfigRejected:    {"a configuration cannot be used", "refused"},
 }
 
-// recovered is the cell of the end of an Unhealthy finding.
+// recoveredCell marks the end of an Unhealthy finding in a timeline.
 const recoveredCell = "well"
 
-// cell returns how a drawing shows the kind; empty: it doesn't.
+// cell returns the kind's label in a timeline, or "" if the kind is not drawn.
 func (k Kind) cell() string { return kindLabels[k].cell }
 
-// Finding is something that happened.
+// Finding is an event that happened to one or several nodes, found from log lines.
 type Finding struct {
 	From, To time.Time
 	Kind     Kind
-	Detail   string   // distinguishes it from others of its kind; may be empty
-	Nodes    []string // that it happened to, in order
-	Cause    string   // empty: the logs do not show it
-	Lines    int      // how many lines show it
+	Detail   string   // distinguishes it from other findings of its kind; may be empty
+	Nodes    []string // the nodes that it happened to, in order of time
+	Cause    string   // empty if the logs do not show it
+	Lines    int      // number of lines that show it
 }
 
-// maxNamedNodes is how many nodes the text of a finding names.
+// maxNamedNodes bounds the nodes that the text of a finding names.
 const maxNamedNodes = 4
 
-// String returns one line of text, and a second one with the cause, if there is one.
+// String returns a line of text, followed by a second line with the cause if there is one.
 func (f *Finding) String() string {
 	text := f.From.UTC().Format("15:04:05.000")
 	if d := f.To.Sub(f.From); d >= time.Millisecond {
@@ -89,7 +89,7 @@
 	return text
 }
 
-// abbreviate names the first of many.
+// abbreviate joins the first maxNamedNodes names and counts the others.
 func abbreviate(names []string) string {
 	if len(names) <= maxNamedNodes {
 		return strings.Join(names, ", ")
--- a/mesh/explain/line.go
+++ b/mesh/explain/line.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	// maxLineBytes bounds a line; a longer one is an error.
+	// maxLineBytes bounds a line. A longer one is an error.
 	maxLineBytes = 64 << 10
-	// maxLines bounds the lines of one log; more are an error.
+	// maxLines bounds the lines of one log. More are an error.
 	maxLines = 1 << 20
-	// initialBuffer is the size of the buffer for a line before it grows.
+	// initialBuffer is the initial size of the line buffer, in bytes.
 	initialBuffer = 4 << 10
 )
 
 // Line is one line of a program's log.
 type Line struct {
-	At     time.Time
-	Node   string         // that wrote it
+	At     time.Time      // by the clock of the node's machine
+	Node   string         // the node that wrote the line
 	Msg    string         // the message
 	Fields map[string]any // all fields of the JSON object, msg and ts among them
 }
 
-// text returns the first of some fields that the line has, as text; empty: it has none of them.
+// field returns the first of the named fields that the line has, as text. It returns "" if the line has none of them.
 func (l *Line) field(names ...string) string {
 	for _, name := range names {
 		if v, ok := l.Fields[name]; ok {
@@ -40,9 +40,9 @@
 	return ""
 }
 
-// Read reads the lines of one log. What precedes the JSON object in a line ends with the name of its node; where nothing does, the line is
-// of the node that is given. Lines that are not log lines are skipped, and counted. The error is the reader's, or that of a log or a line
-// that is too long.
+// Read reads the lines of one log. If text precedes the JSON object of a line, its last word is the name of the line's node; otherwise the
+// node is the given one. Lines that are not log lines are skipped and counted. Read returns an error if reading fails, or if the log or a
+// line is too long.
 func Read(r io.Reader, node string) (lines []Line, skipped int, err error) {
 	return read(r, node, maxLines)
 }
@@ -67,7 +67,7 @@
 	return lines, skipped, nil
 }
 
-// parseLine returns ok false where a text is no log line.
+// parseLine parses a log line. It returns ok false if text is not one.
 func parseLine(text, node string) (l Line, ok bool) {
 	prefix, object, found := strings.Cut(text, "{")
 	l.Node = node
@@ -82,12 +82,13 @@
 	return l, err == nil && l.Msg != ""
 }
 
-// Sort orders lines of several logs by the time at which they were written, by the clocks of their machines.
+// Sort sorts the lines of several logs by time and then by node. The clocks of different machines may differ.
 func Sort(lines []Line) {
 	slices.SortStableFunc(lines, func(a, b Line) int { return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Node, b.Node)) })
 }
 
-// About returns the lines that a node has written, and those that name it, or an attempt or a server of that name, in any field.
+// FilterByName returns the lines that the named node has written, and those with a field whose value is the name. It may also be the name
+// of an attempt or a server.
 func FilterByName(lines []Line, name string) (matching []Line) {
 	for i := range lines {
 		if l := &lines[i]; l.Node == name || l.mentions(name) {
--- a/mesh/transport/conn.go
+++ b/mesh/transport/conn.go
@@ -1,5 +1,5 @@
-// Package transport carries frames between the processes of the mesh over TCP. It owns the connections, bounds what waits to be sent on
-// each, and does not interpret frames.
+// Package transport sends and receives frames between the processes of the mesh over TCP. It owns the connections and bounds the send queue
+// of each. It does not interpret frames.
 //
 // Start reading at Dial and Serve.
 package transport
@@ -17,49 +17,50 @@
 )
 
 const (
-	// sendQueueFrames bounds the frames that wait to be written on a connection. One whose queue is full is closed, as its peer does not
-	// read.
+	// sendQueueFrames bounds the send queue of a connection. A connection whose queue is full is closed, as its peer does not read.
 	sendQueueFrames = 512
-	// userTimeout is how long written bytes may go unacknowledged before the kernel ends the connection (TCP_USER_TIMEOUT, RFC 5482).
+	// userTimeout is how long sent bytes may remain unacknowledged before the kernel closes the connection (TCP_USER_TIMEOUT, RFC 5482).
 	userTimeout = 2500 * time.Millisecond
 	// bufferBytes is the size of a connection's buffer in each direction.
 	bufferBytes = 16 << 10
 )
 
-// Handler receives what arrives on connections. Its methods are called on the goroutine of the connection, so for several connections at
-// once, and for one connection one after the other. A slow handler stops reading, and with it the peer.
+// Handler handles the frames and the ends of connections. Its methods are called on the connection's reading goroutine: sequentially for
+// one connection, and concurrently for several. A slow handler delays reading, so that the peer's send queue fills up.
 type Handler interface {
-	// HandleFrame takes a frame, which belongs to the handler from now on.
+	// HandleFrame handles a received frame. The handler becomes its owner.
 	HandleFrame(c *Conn, f *wire.FrameT)
-	// HandleClose is called once, after the last frame, when both goroutines of the connection have ended or are about to.
+	// HandleClose is called once, after the last frame, when both goroutines of the connection have ended or are about to end.
 	HandleClose(c *Conn)
 }
 
-// queuedFrame is an encoded frame that waits to be written, since a time.
+// queuedFrame is an encoded frame in a send queue.
 type queuedFrame struct {
 	encoded  []byte
 	queuedAt time.Time
 }
 
-// bytes returns the frame as it is written now: the ages in it count from when it is sent.
+// bytesWithAge returns the encoded frame, to be written now. The time in the queue is added to the ages in the frame, because the receiver
+// takes them as of the time at which it was sent.
 func (q queuedFrame) bytesWithAge() []byte {
 	wire.AddAge(q.encoded, time.Since(q.queuedAt))
 	return q.encoded
 }
 
-// Conn is a connection. It has a goroutine for each direction; both end when it is closed, by either side. It is safe for concurrent use.
+// Conn is a connection. It has a goroutine for each direction. Both end when either side closes the connection. It is safe for concurrent
+// use.
 type Conn struct {
 	conn          net.Conn
 	sendQueue     chan queuedFrame
 	closed        chan struct{} // closed by Close
 	closeOnce     sync.Once
-	writeLoopDone chan struct{} // closed when the writing goroutine has ended
+	writeLoopDone chan struct{} // closed when writeLoop has ended
 
 	bytesReceived atomic.Int64
-	bytesConsumed atomic.Int64 // the part of them that complete frames make up
+	bytesConsumed atomic.Int64 // those that belong to complete frames
 }
 
-// newConn starts writing on a connection; the caller reads.
+// newConn starts the writing goroutine of a connection. The caller starts readLoop.
 func newConn(conn net.Conn) *Conn {
 	setUserTimeout(conn)
 	c := &Conn{
@@ -72,7 +73,8 @@
 	return c
 }
 
-// setUserTimeout sets the time-out of unacknowledged bytes. Without it a dead peer is noticed by the kernel's much longer default.
+// setUserTimeout sets the time-out for unacknowledged bytes. Without it, a dead peer is detected only after the kernel's much longer
+// default.
 func setUserTimeout(conn net.Conn) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
@@ -80,14 +82,14 @@
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
-		return // closed already, which the first read reports
+		return // already closed, which the first read reports
 	}
 	_ = raw.Control(func(fd uintptr) {
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 }
 
-// Send queues a frame. It reports false where the connection has ended, and where its queue is full, which closes it.
+// Send queues a frame. It returns false if the connection has ended, or if the queue is full; a full queue closes the connection.
 func (c *Conn) Send(f *wire.FrameT) bool {
 	select {
 	case c.sendQueue <- queuedFrame{wire.Encode(f), time.Now()}:
@@ -100,21 +102,21 @@
 	}
 }
 
-// Close ends the connection without sending what is queued. It may be called more than once.
+// Close closes the connection without sending queued frames. It may be called more than once.
 func (c *Conn) Close() {
 	c.closeOnce.Do(func() {
 		close(c.closed)
-		_ = c.conn.Close() // what was not sent is given up
+		_ = c.conn.Close() // unsent frames are dropped
 	})
 }
 
 // Done returns a channel that is closed when the connection has ended.
 func (c *Conn) Done() <-chan struct{} { return c.closed }
 
-// PartialBytes returns how many bytes have arrived of a frame that is not complete: 0 between two frames.
+// PartialBytes returns the number of bytes received of an incomplete frame. It is 0 between two frames.
 func (c *Conn) PartialBytes() int64 { return c.bytesReceived.Load() - c.bytesConsumed.Load() }
 
-// write sends queued frames until the connection ends, those that have queued up in one write.
+// writeLoop sends queued frames until the connection ends. Frames that are queued at the same time are sent in one write.
 func (c *Conn) writeLoop() {
 	defer close(c.writeLoopDone)
 	defer c.Close()
@@ -134,7 +136,7 @@
 	}
 }
 
-// writeQueued writes the frames that wait at present.
+// writeQueued writes the frames that are queued now.
 func (c *Conn) writeQueued(w *bufio.Writer) error {
 	for {
 		select {
@@ -148,10 +150,10 @@
 	}
 }
 
-// read hands over frames until the connection ends, by whatever side or error.
+// readLoop passes frames to the handler until either side or an error ends the connection.
 func (c *Conn) readLoop(h Handler) {
 	defer h.HandleClose(c)
-	defer func() { <-c.writeLoopDone }() // at once, as the connection is closed
+	defer func() { <-c.writeLoopDone }() // does not block long, as the connection is closed
 	defer c.Close()
 	r := bufio.NewReaderSize(countingReader{c}, bufferBytes)
 	for {
@@ -164,7 +166,7 @@
 	}
 }
 
-// countingReader counts the bytes that are read from a connection.
+// countingReader reads from a connection and counts the bytes.
 type countingReader struct{ c *Conn }
 
 func (r countingReader) Read(b []byte) (int, error) {
--- a/mesh/transport/serve.go
+++ b/mesh/transport/serve.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	// maxConns bounds the connections that a listener has open; more are closed as they come.
+	// maxConns bounds the open connections of a listener. Further ones are closed when they are accepted.
 	maxConns = 1024
-	// acceptBackoff is the pause before the next connection is accepted while the process has no file descriptors left.
+	// acceptBackoff is the pause before the next accept when the process has run out of file descriptors.
 	acceptBackoff = 10 * time.Millisecond
 )
 
-// Dial connects to an address (host and port) within a timeout. Its frames go to h, whose HandleClose is called if there is no error.
+// Dial connects to an address (host and port) within a timeout. The frames received are passed to h. If Dial returns no error, HandleClose
+// will be called.
 func Dial(ctx context.Context, addr string, timeout time.Duration, h Handler) (*Conn, error) {
 	d := net.Dialer{Timeout: timeout, KeepAlive: -1}
 	conn, err := d.DialContext(ctx, "tcp", addr)
@@ -25,12 +26,12 @@
 		return nil, errors.Wrap(err, "connect to peer")
 	}
 	c := newConn(conn)
-	go c.readLoop(h) // ends with the connection, which the caller closes; then calls HandleClose
+	go c.readLoop(h) // ends when the connection ends, which the caller closes
 	return c, nil
 }
 
-// Serve accepts connections until the listener is closed, and returns the listener's error. Connections outlive it: each ends by its peer,
-// or when the handler closes it.
+// Serve accepts connections until the listener is closed, and returns the listener's error. Connections remain open after it returns, until
+// the peer or the handler closes them.
 func Serve(ln net.Listener, h Handler) error {
 	var open atomic.Int64
 	for {
@@ -48,7 +49,7 @@
 		}
 		open.Add(1)
 		c := newConn(conn)
-		go func() { // ends with the connection, then calls HandleClose
+		go func() { // ends when the connection ends
 			defer open.Add(-1)
 			c.readLoop(h)
 		}()
--- a/mesh/transport/transport_test.go
+++ b/mesh/transport/transport_test.go
@@ -19,7 +19,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// recorder is a handler that passes on what it gets.
+// recorder is a handler that sends its arguments to channels.
 type recorder struct {
 	frames chan receivedFrame
 	closed chan *Conn
@@ -37,7 +37,7 @@
 func (r *recorder) HandleFrame(c *Conn, f *wire.FrameT) { r.frames <- receivedFrame{c, f} }
 func (r *recorder) HandleClose(c *Conn)                 { r.closed <- c }
 
-// next returns what comes next on a channel, or fails the test.
+// receive returns the next value of a channel. It fails the test after testTimeout.
 func receive[T any](t *testing.T, ch <-chan T, expected string) (v T) {
 	t.Helper()
 	select {
@@ -95,16 +95,17 @@
 	}
 	accepted.Send(&wire.FrameT{Kind: wire.Hello, Id: 7})
 	if got := receive(t, client.frames, "answer"); got.frame.Id != 7 || got.conn != c || c.PartialBytes() != 0 {
-		t.Errorf("frame %d, %d bytes beyond it", got.frame.Id, c.PartialBytes())
+		t.Errorf("frame %d, %d bytes of a partial frame", got.frame.Id, c.PartialBytes())
 	}
 	c.Close()
 	c.Close()
 	if receive(t, client.closed, "HandleClose") != c || receive(t, server.closed, "HandleClose of the peer") != accepted {
-		t.Error("another connection was closed")
+		t.Error("HandleClose was called for a different connection")
 	}
 }
 
-// A peer that doesn't read gets neither memory nor time: its queue is bounded, and a full one closes the connection.
+// A peer that does not read must not consume unbounded memory or block the sender: the queue is bounded, and a full queue closes the
+// connection.
 func TestFullQueueClosesTheConnection(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -116,7 +117,7 @@
 	sent := 0
 	for c.Send(frame) {
 		if sent++; sent > 2*sendQueueFrames {
-			t.Fatal("takes frames without end")
+			t.Fatal("the send queue is not bounded")
 		}
 	}
 	select {
@@ -126,7 +127,7 @@
 	}
 	receive(t, client.closed, "HandleClose")
 	if sent < sendQueueFrames {
-		t.Errorf("closed after %d frames, and %d have room", sent, sendQueueFrames)
+		t.Errorf("closed after %d frames, below the bound of %d", sent, sendQueueFrames)
 	}
 }
 
@@ -183,7 +184,7 @@
 		t.Fatal(err)
 	}
 	if got := receive(t, client.frames, "frame"); got.frame.From != "peer" || c.PartialBytes() != 0 {
-		t.Errorf("frame of %s, %d bytes beyond it", got.frame.From, c.PartialBytes())
+		t.Errorf("frame from %s, %d bytes of a partial frame", got.frame.From, c.PartialBytes())
 	}
 	c.Close()
 	receive(t, client.closed, "HandleClose")
@@ -210,22 +211,22 @@
 	}
 }
 
-// An update whose connection stalls is as old as it is when it is sent, not as when it was queued: what comes behind a frame that the peer
-// does not read carries the time of the stall.
+// The time that an update waits in the send queue must be added to its age. Otherwise an update behind a frame that the peer reads late
+// would be taken for fresher than it is.
 func TestQueuedUpdatesAgeWhileTheConnectionStalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		near, far := net.Pipe() // takes nothing that is not read
+		near, far := net.Pipe() // unbuffered: a write blocks until it is read
 		c := newConn(near)
 		defer func() { <-c.writeLoopDone }()
 		defer c.Close()
 		const stall, ageMs = 200 * time.Millisecond, 40
 		large := &wire.FrameT{Kind: wire.Update, AgeMs: ageMs, Text: string(make([]byte, 2*bufferBytes))}
 		if !c.Send(large) {
-			t.Fatal("the large frame is not taken")
+			t.Fatal("the large frame is not queued")
 		}
-		time.Sleep(stall / 4) // the writer has the large frame, and nobody reads
+		time.Sleep(stall / 4) // writeLoop blocks on the large frame, as the peer does not read
 		if !c.Send(&wire.FrameT{Kind: wire.Update, AgeMs: ageMs, Version: 7}) {
-			t.Fatal("the update is not taken")
+			t.Fatal("the update is not queued")
 		}
 		time.Sleep(stall)
 		for _, want := range []struct {
@@ -234,7 +235,7 @@
 		}{{0, 0}, {7, stall}} {
 			f, err := wire.ReadFrame(far)
 			if err != nil || f.Version != want.version || time.Duration(f.AgeMs)*time.Millisecond < want.age {
-				t.Errorf("%v: version %d with an age of %d ms, want version %d of %v at least", err, f.Version, f.AgeMs, want.version, want.age)
+				t.Errorf("%v: version %d with an age of %d ms, want version %d with at least %v", err, f.Version, f.AgeMs, want.version, want.age)
 			}
 		}
 	})
