--- a/mesh/dataplane/distribution/node.go
+++ b/mesh/dataplane/distribution/node.go
@@ -279,9 +279,9 @@
 	n.queueActions(n.subscription.Report(now, entries))
 }
 
-// ReportEvidence sends this sidecar's report about rollouts to the parent, and repeats it in later reports.
-func (n *Node) ReportEvidence(now time.Duration, e directory.RolloutReport) {
-	n.own.RolloutReport = e
+// SetRolloutReport sends the parent a heartbeat with this sidecar's report about rollouts, which later heartbeats and announcements repeat.
+func (n *Node) SetRolloutReport(now time.Duration, report directory.RolloutReport) {
+	n.own.RolloutReport = report
 	n.queueActions(n.subscription.ReportLiveness(now))
 }
 
--- a/mesh/dataplane/rollouts.go
+++ b/mesh/dataplane/rollouts.go
@@ -261,7 +261,7 @@
 	if f := p.rollouts.followed[*p.serviceName.Load()]; f != nil && order > 0 {
 		evidence.OrderAge = now - f.ordered
 	}
-	p.node.ReportEvidence(now, evidence)
+	p.node.SetRolloutReport(now, evidence)
 }
 
 // classMultiplier is a large odd number by which routeClass spreads its parts.
--- a/mesh/dataplane/subscription/subscription.go
+++ b/mesh/dataplane/subscription/subscription.go
@@ -193,7 +193,7 @@
 	return s.ReportLiveness(now)
 }
 
-// ReportLiveness sends the parent a heartbeat with this sidecar's evidence about rollouts, once the sidecar is ready.
+// ReportLiveness sends the parent a heartbeat with this sidecar's report about rollouts, once the sidecar is ready.
 func (s *Subscription) ReportLiveness(now time.Duration) []Action {
 	if s.phase != connected || !s.ready {
 		return nil
