--- a/mesh/dataplane/subscription/subscription.go
+++ b/mesh/dataplane/subscription/subscription.go
@@ -126,7 +126,7 @@
 	s.policy.RecordFailure(s.addr, now)
 }
 
-// Lost reports that the connection to the parent has ended. A parent that never sent an update counts as failed.
+// ConnectionLost reports that the connection to the parent has ended. A parent that never sent an update counts as failed.
 func (s *Subscription) ConnectionLost(now time.Duration) {
 	s.phase, s.redialAt = idle, now+s.durations.RedialDelay
 	if !s.link.Received {
