--- a/mesh/dataplane/distribution/node.go
+++ b/mesh/dataplane/distribution/node.go
@@ -1,5 +1,5 @@
 // Package distribution is a sidecar's side of the distribution tree, by which the configuration and the directory
-// reach every sidecar. A Node subscribes to a parent, applies its updates, relays them to the sidecars below,
+// reach every sidecar. A Node subscribes to a parent, applies its updates, relays them to its subscribers,
 // announces the local server, and decides when the sidecar is ready. It combines the packages subscription, updates
 // and subscribers.
 //
@@ -23,7 +23,7 @@
 )
 
 // minReparentDelay is the shortest time between becoming ready and the first search for a relay. Jitter of up to the
-// same duration, derived from the node's name, is added. By then, sidecars that started together know each other.
+// same duration, derived from the node's name, is added. By then, the directory has the sidecars that started together.
 const minReparentDelay = 1200 * time.Millisecond
 
 // Host is the program around a Node. The Node calls it synchronously from its own methods, so a Host must not call
--- a/mesh/dataplane/lasthop/gate_test.go
+++ b/mesh/dataplane/lasthop/gate_test.go
@@ -141,7 +141,7 @@
 		if done := g.Finish(0, r, Result[string]{Health: admission.Failure}); done.HealthChanged {
 			changes++
 			if !done.Unhealthy {
-				t.Error("the change is reported as to healthy")
+				t.Error("the server is reported as healthy")
 			}
 		}
 	}
--- a/mesh/dataplane/links/links_test.go
+++ b/mesh/dataplane/links/links_test.go
@@ -109,7 +109,7 @@
 	}
 	c := receive(t, f.controlMachine.conns, "its connection")
 	c.Send(&wire.FrameT{Kind: wire.GoAway})
-	f.Handle(time.Millisecond, receive(t, f.events, "the dismissal"))
+	f.Handle(time.Millisecond, receive(t, f.events, "the GoAway frame"))
 	receive(t, f.controlMachine.closed, "the end of the connection")
 	if len(f.actions) != 3 {
 		t.Errorf("observed %+v", f.actions)
--- a/mesh/explain/explain.go
+++ b/mesh/explain/explain.go
@@ -18,7 +18,7 @@
 const (
 	causePowerLostSidecar = "its process or its machine's power was lost: what its server ran then could not be answered"
 	causePowerLostControl = "its process or its machine's power was lost: " +
-		"the register went on without it where more than half of its members were there"
+		"the register remained available if more than half of its members were running"
 	causeStateMissing     = "its disk came back empty, or it is new: it votes once it has read from enough others"
 	causeProbesUnanswered = "neither its answers to probes nor those that others asked for came, and the core had not heard of it for 1.2 s"
 	causeStale            = "no majority of the core has confirmed the configuration on that way for 1.35 s: " +
--- a/mesh/explain/finding.go
+++ b/mesh/explain/finding.go
@@ -48,9 +48,9 @@
 	MembersChanged:    {"the core's members change", "members"},
 	DiskFailed:        {"a disk refuses the register", "disk"},
 	StateCorrupt:      {"a register was damaged", "damaged"},
-	SettingsRejected:  {"settings cannot be used", "settings"},
+	SettingsRejected:  {"settings are invalid", "settings"},
 	ConfigInForce:     {"a configuration comes into force", ""},
-	ConfigRejected:    {"a configuration cannot be used", "refused"},
+	ConfigRejected:    {"a configuration is invalid", "refused"},
 }
 
 // recoveredCell marks the end of an Unhealthy finding in a timeline.
