--- a/mesh/dataplane/lasthop.go
+++ b/mesh/dataplane/lasthop.go
@@ -133,7 +133,7 @@
 		l.invariants.Violated(invariant.StartedOnce, "request", c.Message.Trace, "server", t.request.ServerID,
 			"attempt", formatAttemptID(t.request.Attempt))
 	}
-	if closedFor := l.guard.TimePastGrace(now, t.request.ServerID); closedFor > 0 {
+	if closedFor := l.guard.TimePastDrain(now, t.request.ServerID); closedFor > 0 {
 		l.invariants.Violated(invariant.ClosingServerNotSent, "request", c.Message.Trace, "server", t.request.ServerID, "late", closedFor)
 	}
 }
--- a/mesh/dataplane/lasthop/invariantchecker.go
+++ b/mesh/dataplane/lasthop/invariantchecker.go
@@ -9,20 +9,20 @@
 )
 
 // InvariantChecker checks two invariants of a last hop: a request that must not run twice is sent to the local server
-// at most once, and no request is sent to a server later than the closing grace after its closing was acknowledged.
+// at most once, and no request is sent to a server later than the drain time after its closing was acknowledged.
 // It shares no state with the Gate, so that a fault of the Gate cannot hide a violation. It is not safe for concurrent
 // use.
 type InvariantChecker struct {
-	closingGrace time.Duration
+	drainTime    time.Duration
 	started      map[string]struct{}
 	startOrder   []string                 // request IDs, the oldest first; those passed to RecordNotStarted have no entry in started
 	closingSince map[string]time.Duration // by server ID
 }
 
-// NewInvariantChecker returns a checker. closingGrace is how long a server may still be sent requests after its closing
-// was acknowledged.
-func NewInvariantChecker(closingGrace time.Duration) *InvariantChecker {
-	return &InvariantChecker{closingGrace: closingGrace, started: map[string]struct{}{}, closingSince: map[string]time.Duration{}}
+// NewInvariantChecker returns a checker. drainTime is how long a server may still be sent requests after its closing was
+// acknowledged.
+func NewInvariantChecker(drainTime time.Duration) *InvariantChecker {
+	return &InvariantChecker{drainTime: drainTime, started: map[string]struct{}{}, closingSince: map[string]time.Duration{}}
 }
 
 // RecordStart records that a request that must not run twice is sent to the server. It reports whether it was sent
@@ -68,12 +68,12 @@
 	delete(ic.closingSince, oldestID)
 }
 
-// TimePastGrace returns the time since the closing grace of a server has ended. It returns 0 if the server may be sent
+// TimePastDrain returns the time since the drain time of a server has ended. It returns 0 if the server may be sent
 // requests.
-func (ic *InvariantChecker) TimePastGrace(now time.Duration, serverID string) time.Duration {
+func (ic *InvariantChecker) TimePastDrain(now time.Duration, serverID string) time.Duration {
 	since, closing := ic.closingSince[serverID]
 	if !closing {
 		return 0
 	}
-	return max(0, now-since-ic.closingGrace)
+	return max(0, now-since-ic.drainTime)
 }
--- a/mesh/dataplane/lasthop/invariantchecker_test.go
+++ b/mesh/dataplane/lasthop/invariantchecker_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The checker must report a request that is started twice and one that is sent after the closing grace, and nothing else.
+// The checker must report a request that is started twice and one that is sent after the drain time, and nothing else.
 func TestInvariantCheckerDetectsViolations(t *testing.T) {
 	ic := NewInvariantChecker(2 * time.Second)
 	if ic.RecordStart("a") || ic.RecordStart("b") || !ic.RecordStart("a") {
@@ -15,8 +15,8 @@
 		t.Error("a request that was not started counts as started")
 	}
 	ic.RecordClosing(time.Second, "i-1")
-	if ic.TimePastGrace(3*time.Second, "i-1") != 0 || ic.TimePastGrace(9*time.Second, "i-2") != 0 ||
-		ic.TimePastGrace(4*time.Second, "i-1") != time.Second {
-		t.Error("wrong time past the closing grace")
+	if ic.TimePastDrain(3*time.Second, "i-1") != 0 || ic.TimePastDrain(9*time.Second, "i-2") != 0 ||
+		ic.TimePastDrain(4*time.Second, "i-1") != time.Second {
+		t.Error("wrong time past the drain time")
 	}
 }
