--- a/mesh/dataplane/subscribers/subscribers_test.go
+++ b/mesh/dataplane/subscribers/subscribers_test.go
@@ -10,30 +10,30 @@
 	"firplank/mesh/wire"
 )
 
-// conn is a connection of which only the identity counts.
-type conn struct{ _ int }
+// fakeConn is a connection that is only compared. It has a field so that pointers to different connections differ.
+type fakeConn struct{ _ int }
 
-func (*conn) Send(*wire.FrameT) bool { panic("subscribers are sent nothing here") }
-func (*conn) Close()                 { panic("connections are not closed here") }
+func (*fakeConn) Send(*wire.FrameT) bool { panic("the package must not send on connections") }
+func (*fakeConn) Close()                 { panic("the package must not close connections") }
 
-// packer notes what it packs.
-type packer struct{ packed []string }
+// recordingPacker records the texts that it packs.
+type recordingPacker struct{ packed []string }
 
-func (p *packer) Pack(version uint32, text []byte) []byte {
+func (p *recordingPacker) Pack(version uint32, text []byte) []byte {
 	p.packed = append(p.packed, fmt.Sprintf("%d:%s", version, text))
 	return append([]byte("packed "), text...)
 }
 
-func newSet() (*Subscribers, *dissemination.Publisher, *packer) {
-	state, p := dissemination.NewPublisher(timing.Default().Dissemination), &packer{}
+func newSet() (*Subscribers, *dissemination.Publisher, *recordingPacker) {
+	state, packer := dissemination.NewPublisher(timing.Default().Dissemination), &recordingPacker{}
 	state.SetConfig(5, []byte("five"), nil, 0)
-	return New(state, p), state, p
+	return New(state, packer), state, packer
 }
 
-// subscribe has a sidecar subscribe that has a version.
-func subscribe(t *testing.T, s *Subscribers, version uint32) *conn {
+// subscribe adds a subscriber that has a version.
+func subscribe(t *testing.T, s *Subscribers, version uint32) *fakeConn {
 	t.Helper()
-	c := &conn{}
+	c := &fakeConn{}
 	f := &wire.FrameT{Kind: wire.Subscribe, Version: version, LowestVersion: version}
 	if added, sends := s.Add(c, f, true, 0); !added || len(sends) != 0 {
 		t.Fatalf("added %v, sends %+v", added, sends)
@@ -45,14 +45,14 @@
 	return len(sends) == 1 && sends[0].To == to && sends[0].Frame.Kind == wire.GoAway
 }
 
-func TestSidecarThatRelaysNothingRefuses(t *testing.T) {
+func TestSubscriptionIsRefusedWhenNotRelaying(t *testing.T) {
 	s, state, _ := newSet()
-	c := &conn{}
+	c := &fakeConn{}
 	if added, sends := s.Add(c, &wire.FrameT{Kind: wire.Subscribe}, false, 0); added || !isGoAway(sends, c) {
 		t.Errorf("added %v, sends %+v", added, sends)
 	}
 	if s.Len() != 0 || state.LowestInForce(0) != dissemination.Unconstrained {
-		t.Error("counts it")
+		t.Error("a refused subscriber is counted")
 	}
 }
 
@@ -61,7 +61,7 @@
 	for range dissemination.MaxSubscribers {
 		subscribe(t, s, 5)
 	}
-	c := &conn{}
+	c := &fakeConn{}
 	if added, sends := s.Add(c, &wire.FrameT{Kind: wire.Subscribe}, true, 0); added || !isGoAway(sends, c) {
 		t.Errorf("added %v, sends %+v", added, sends)
 	}
@@ -78,10 +78,10 @@
 	}
 }
 
-// Each subscriber is sent the full text or deltas, by what it has; packing is the packer's.
-func TestUpdatesGoToTheirSubscribers(t *testing.T) {
+// A subscriber without a version must be sent the packed full text, and one with an earlier version the deltas.
+func TestSubscribersAreSentFullTextOrDeltas(t *testing.T) {
 	s, state, p := newSet()
-	none, old := subscribe(t, s, 0), subscribe(t, s, 5)
+	newSubscriber, oldSubscriber := subscribe(t, s, 0), subscribe(t, s, 5)
 	state.SetConfig(6, []byte("six"), nil, 0)
 	sends, next := s.Publish(time.Second)
 	if len(sends) != 2 || next != time.Second+timing.Default().Dissemination.HeartbeatInterval {
@@ -90,13 +90,13 @@
 	for _, send := range sends {
 		f := send.Frame
 		switch send.To {
-		case none:
+		case newSubscriber:
 			if f.Value == nil || string(f.Value.Body) != "packed six" || f.Version != 6 {
-				t.Errorf("a new one is sent %+v", f)
+				t.Errorf("a new subscriber is sent %+v", f)
 			}
-		case old:
+		case oldSubscriber:
 			if f.Value != nil || len(f.Deltas) != 1 || f.Deltas[0].Base != 5 || f.Version != 6 {
-				t.Errorf("one with the version before is sent %+v", f)
+				t.Errorf("a subscriber with the previous version is sent %+v", f)
 			}
 		}
 	}
@@ -113,24 +113,25 @@
 	}
 	s.Acknowledge(a, &wire.FrameT{Kind: wire.Report, Version: 5, LowestVersion: 5}, 0)
 	if lowest := state.LowestInForce(0); lowest != 4 {
-		t.Errorf("after one has 5 in force: lowest %d", lowest)
+		t.Errorf("after the first subscriber has 5 in force: lowest %d", lowest)
 	}
-	s.Acknowledge(&conn{1}, &wire.FrameT{Kind: wire.Report, Version: 1, LowestVersion: 1}, 0)
+	s.Acknowledge(&fakeConn{1}, &wire.FrameT{Kind: wire.Report, Version: 1, LowestVersion: 1}, 0)
 	if lowest := state.LowestInForce(0); lowest != 4 {
-		t.Errorf("after a stranger's: lowest %d", lowest)
+		t.Errorf("after a report on an unknown connection: lowest %d", lowest)
 	}
 	s.Remove(b)
 	s.Remove(b)
 	if lowest := state.LowestInForce(0); lowest != 5 || s.Len() != 1 {
-		t.Errorf("after the other is gone: lowest %d of %d", lowest, s.Len())
+		t.Errorf("after the other subscriber was removed: lowest %d, %d subscribers", lowest, s.Len())
 	}
 }
 
-// A relay that subscribes has an old version below it from the first.
+// A subscription request must count as an acknowledgement. A relay that reconnects may already have subscribers with an
+// earlier version.
 func TestFirstRequestIsAnAcknowledgementToo(t *testing.T) {
 	s, state, _ := newSet()
 	f := &wire.FrameT{Kind: wire.Subscribe, Version: 5, LowestVersion: 2}
-	if added, _ := s.Add(&conn{}, f, true, 0); !added || state.LowestInForce(0) != 2 {
+	if added, _ := s.Add(&fakeConn{}, f, true, 0); !added || state.LowestInForce(0) != 2 {
 		t.Errorf("added %v, lowest %d", added, state.LowestInForce(0))
 	}
 }
@@ -143,23 +144,23 @@
 		t.Errorf("sends %+v", sends)
 	}
 	if added, _ := s.Add(c, &wire.FrameT{Kind: wire.Subscribe}, true, time.Second); !added {
-		t.Error("may not subscribe anew")
+		t.Error("cannot subscribe again")
 	}
 	if sends, _ := s.Publish(2 * time.Second); len(sends) != 1 || sends[0].Frame.Value == nil {
-		t.Errorf("after it has subscribed anew, sends %+v", sends)
+		t.Errorf("after it has subscribed again, sends %+v", sends)
 	}
 }
 
-func TestDismissedSubscribersStayUntilTheyAreGone(t *testing.T) {
+func TestSubscribersRemainUntilTheirConnectionsEnd(t *testing.T) {
 	s, _, _ := newSet()
-	all := map[Conn]bool{subscribe(t, s, 5): true, subscribe(t, s, 5): true}
+	pending := map[Conn]bool{subscribe(t, s, 5): true, subscribe(t, s, 5): true}
 	for _, send := range s.GoAwayAll() {
-		if send.Frame.Kind != wire.GoAway || !all[send.To] {
+		if send.Frame.Kind != wire.GoAway || !pending[send.To] {
 			t.Errorf("sends %+v", send)
 		}
-		delete(all, send.To)
+		delete(pending, send.To)
 	}
-	if len(all) != 0 || s.Len() != 2 || len(s.Conns()) != 2 {
-		t.Errorf("%d were not dismissed, %d are left", len(all), s.Len())
+	if len(pending) != 0 || s.Len() != 2 || len(s.Conns()) != 2 {
+		t.Errorf("%d were not told to go away, %d subscribers", len(pending), s.Len())
 	}
 }
--- a/mesh/dataplane/updates/updates_test.go
+++ b/mesh/dataplane/updates/updates_test.go
@@ -15,34 +15,34 @@
 	"firplank/mesh/wire"
 )
 
-// texts interns nothing, and notes what it is asked to.
-type texts struct{ interned []uint32 }
+// recordingTexts records the versions to be interned, without sharing them.
+type recordingTexts struct{ interned []uint32 }
 
-func (*texts) Unpack(_ uint32, packed []byte) ([]byte, error) { return config.Unpack(packed) }
+func (*recordingTexts) Unpack(_ uint32, packed []byte) ([]byte, error) { return config.Unpack(packed) }
 
-func (t *texts) Intern(version uint32, text []byte) []byte {
+func (t *recordingTexts) Intern(version uint32, text []byte) []byte {
 	t.interned = append(t.interned, version)
 	return text
 }
 
-// stateWith is a state whose versions up to the last have these texts.
-func stateWith(all ...string) *dissemination.Publisher {
+// stateWith returns a state whose versions 1 to len(texts) have these texts.
+func stateWith(texts ...string) *dissemination.Publisher {
 	p := dissemination.NewPublisher(timing.Default().Dissemination)
-	for i, text := range all {
+	for i, text := range texts {
 		p.SetConfig(uint32(i+1), []byte(text), nil, time.Second)
 	}
 	return p
 }
 
-// updateFor is what a state sends to one that has a version.
-func updateFor(p *dissemination.Publisher, version uint32) *wire.FrameT {
-	p.Subscribe(99, version, time.Second)
+// updateFor returns the update that p sends to a subscriber with presentVersion.
+func updateFor(p *dissemination.Publisher, presentVersion uint32) *wire.FrameT {
+	p.Subscribe(99, presentVersion, time.Second)
 	defer p.Unsubscribe(99)
-	all, _ := p.Tick(time.Second)
-	return codec.UpdateToFrame(&all[0], config.Pack(p.Text), time.Second)
+	updates, _ := p.Tick(time.Second)
+	return codec.UpdateToFrame(&updates[0], config.Pack(p.Text), time.Second)
 }
 
-func TestConfigurationOfAnUpdate(t *testing.T) {
+func TestApplyConfig(t *testing.T) {
 	two, three := stateWith("one", "two"), stateWith("one", "two", "three")
 	corrupt := updateFor(two, 0)
 	corrupt.Value.Body = []byte("nothing that was packed")
@@ -59,20 +59,20 @@
 		intern  string
 		asOf    time.Duration
 	}{
-		{"the first", nil, updateFor(stateWith("one"), 0), true, nil, 1, "one", "[]", 4 * time.Second},
+		{"the first version", nil, updateFor(stateWith("one"), 0), true, nil, 1, "one", "[]", 4 * time.Second},
 		{"a full text", []string{"one"}, updateFor(two, 0), true, nil, 2, "two", "[]", 4 * time.Second},
 		{"a delta", []string{"one"}, updateFor(two, 1), true, nil, 2, "two", "[2]", 4 * time.Second},
 		{"deltas over two versions", []string{"one"}, updateFor(three, 1), true, nil, 3, "three", "[3]", 4 * time.Second},
-		{"deltas that begin earlier", []string{"one", "two"}, updateFor(three, 1), true, nil, 3, "three", "[3]", 4 * time.Second},
+		{"deltas with an earlier base", []string{"one", "two"}, updateFor(three, 1), true, nil, 3, "three", "[3]", 4 * time.Second},
 		{"a confirmation", []string{"one"}, updateFor(stateWith("one"), 1), false, nil, 1, "one", "[]", 4 * time.Second},
 		{"the same text again", []string{"one"}, updateFor(stateWith("one"), 0), false, nil, 1, "one", "[]", 4 * time.Second},
 		{"an older version", []string{"one", "two"}, updateFor(stateWith("one"), 0), false, nil, 2, "two", "[]", time.Second},
 		{"a corrupt text", []string{"one"}, corrupt, true, ErrCorrupt, 1, "one", "[]", time.Second},
-		{"a delta from another text", []string{"uno"}, updateFor(two, 1), true, ErrDeltaMismatch, 1, "uno", "[]", time.Second},
-		{"a delta from another version", []string{"one"}, updateFor(three, 2), true, ErrDeltaMismatch, 1, "one", "[]", time.Second},
-		{"a delta that is cut short", []string{"one"}, broken, true, ErrDeltaMismatch, 1, "one", "[]", time.Second},
+		{"a delta with a different base text", []string{"uno"}, updateFor(two, 1), true, ErrDeltaMismatch, 1, "uno", "[]", time.Second},
+		{"a delta with a later base version", []string{"one"}, updateFor(three, 2), true, ErrDeltaMismatch, 1, "one", "[]", time.Second},
+		{"a truncated delta", []string{"one"}, broken, true, ErrDeltaMismatch, 1, "one", "[]", time.Second},
 	} {
-		state, shared := stateWith(c.held...), &texts{}
+		state, shared := stateWith(c.held...), &recordingTexts{}
 		c.frame.AgeMs = 1000
 		newer, err := ApplyConfig(state, shared, c.frame, 5*time.Second)
 		if newer != c.newer || !errors.Is(err, c.err) || err != nil && c.err == nil {
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestEntriesOfAnUpdate(t *testing.T) {
+func TestApplyEntries(t *testing.T) {
 	d := directory.New()
 	d.Merge(directory.Entry{Node: "n3", Incarnation: 1, Sequence: 1}, 0)
 	entry := func(node string, lost bool) *wire.EntryT {
@@ -99,20 +99,20 @@
 		t.Errorf("own entries: %v", own)
 	}
 	if _, ok := d.Get("n1"); ok {
-		t.Error("the directory has the sidecar's own entry of the parent")
+		t.Error("the sidecar's own entry was applied to the directory")
 	}
 	if _, ok := d.Get("n4"); ok {
-		t.Error("a sign of life is an entry")
+		t.Error("a heartbeat was applied as an entry")
 	}
 	if e, _ := d.Get("n3"); !e.Lost {
-		t.Error("that a sidecar is lost was not applied")
+		t.Error("the loss of a sidecar was not applied")
 	}
 	if _, ok := d.Get("n2"); !ok {
 		t.Error("a new sidecar is missing")
 	}
 }
 
-func TestControlMachinesStayWhereAnUpdateHasNone(t *testing.T) {
+func TestUpdateWithoutControlMachinesKeepsTheList(t *testing.T) {
 	state := stateWith()
 	ApplyControlMachines(state, &wire.FrameT{Machines: []*wire.MachineT{{Addr: "c1:1"}, {Addr: "c2:1"}}}, time.Second)
 	ApplyControlMachines(state, &wire.FrameT{}, time.Second)
--- a/mesh/explain/explain.go
+++ b/mesh/explain/explain.go
@@ -1,6 +1,6 @@
-// Package explain reads the log lines of many programs of a mesh and reports what happened, in which order and why, with the lines that
-// show it. It knows only the log lines that the programs write, of this release and the one before: it uses no process, socket or clock.
-// Where the logs show no cause it names none.
+// Package explain reads the logs of many programs of a mesh and reports what happened, in which order and why. It uses only the log lines
+// that the programs write, in the wording of this release and of earlier ones, and no processes, sockets or clock. It names a cause only
+// where the logs show one.
 //
 // Start reading at Read, then Find.
 package explain
@@ -11,23 +11,23 @@
 	"time"
 )
 
-// mergeWindow is how far apart the same may happen to several machines to count as one finding.
+// mergeWindow is the longest time between equal events on several nodes that are merged to one finding.
 const mergeWindow = 2 * time.Second
 
 // The causes that findings name.
 const (
 	causePowerLostSidecar = "its process or its machine's power was lost: what its server ran then could not be answered"
 	causePowerLostControl = "its process or its machine's power was lost: " +
-		"the register went on without it where more than half of its members were there"
-	causeNoVote     = "its disk came back empty, or it is new: it votes once it has read from enough others"
-	causeUnanswered = "neither its answers to probes nor those that others asked for came, and the core had not heard of it for 1.2 s"
-	causeStale      = "no majority of the core has confirmed the configuration on that way for 1.35 s: " +
+		"the register remained available if more than half of its members were running"
+	causeStateMissing     = "its disk came back empty, or it is new: it votes once it has read from enough others"
+	causeProbesUnanswered = "neither its answers to probes nor those that others asked for came, and the core had not heard of it for 1.2 s"
+	causeStale            = "no majority of the core has confirmed the configuration on that way for 1.35 s: " +
 		"the parent, its link, or the core's majority was gone"
-	causeMemberLost = "a member was not heard of for 4 s, and a machine stood by"
-	causeDamaged    = "its checksum does not hold; it counts as emptied"
+	causeMemberLost   = "a member was not heard of for 4 s, and a machine stood by"
+	causeStateCorrupt = "its checksum does not hold; it counts as emptied"
 )
 
-// Find returns what happened by lines that are in order, the earliest first.
+// Find returns the findings of sorted lines, the earliest first.
 func Find(lines []Line) []Finding {
 	a := newAnalysis()
 	for i := range lines {
@@ -38,62 +38,62 @@
 	return a.findings
 }
 
-// analysis is the state after some of the lines. Findings are referred to by their position, as they move in memory.
+// analysis is the state of Find. It refers to findings by index, as appending moves them in memory.
 type analysis struct {
-	findings       []Finding
-	started        map[string]bool      // nodes whose start was seen
-	stopped        map[string]time.Time // when nodes began to end in order, until they start again
-	unhealthy      map[string]int       // the open finding of a node whose server is unhealthy
-	failedRequests map[string]int       // requests without response, by node
-	versions       map[string]int       // the finding of a version that came into force
+	findings        []Finding
+	started         map[string]bool      // nodes with a start in the logs
+	shutdownAt      map[string]time.Time // start of a graceful shutdown, by node; removed by the next start
+	openUnhealthy   map[string]int       // index of the last Unhealthy finding, by node, until its server recovers
+	failedRequests  map[string]int       // requests without response, by node
+	versionFindings map[string]int       // index of the ConfigInForce finding, by version
 }
 
 func newAnalysis() *analysis {
 	return &analysis{
-		started:        map[string]bool{},
-		stopped:        map[string]time.Time{},
-		unhealthy:      map[string]int{},
-		failedRequests: map[string]int{},
-		versions:       map[string]int{},
+		started:         map[string]bool{},
+		shutdownAt:      map[string]time.Time{},
+		openUnhealthy:   map[string]int{},
+		failedRequests:  map[string]int{},
+		versionFindings: map[string]int{},
 	}
 }
 
-// observe handles the next line.
+// observe processes the next line.
 func (a *analysis) observe(l *Line) {
-	switch events[l.Msg] {
+	switch eventsByMessage[l.Msg] {
 	case sidecarStarted:
 		a.observeStart(l, causePowerLostSidecar)
 	case controlMachineStarted:
 		a.observeStart(l, causePowerLostControl)
-	case sidecarStopping:
-		a.stopped[l.Node] = l.At
+	case sidecarShutdown:
+		a.shutdownAt[l.Node] = l.At
 	case serverHealthChanged:
 		a.observeHealth(l)
 	case requestFailed:
 		a.failedRequests[l.Node]++
 	case sidecarLost:
-		a.add(l, l.text("node"), Lost, causeUnanswered)
+		a.addFinding(l, l.field("node"), Lost, causeProbesUnanswered)
 	case parentStale:
-		a.add(l, l.Node, StaleParent, causeStale)
+		a.addFinding(l, l.Node, StaleParent, causeStale)
 	case membersReplaced:
-		a.add(l, l.Node, MembersChanged, causeMemberLost)
+		a.addFinding(l, l.Node, MembersChanged, causeMemberLost)
 	case stateWriteFailed:
-		a.add(l, l.Node, DiskFailed, l.text("error"))
+		a.addFinding(l, l.Node, DiskFailed, l.field("error"))
 	case stateUnusable:
-		if l.text("corrupt", "damaged") != "false" {
-			a.add(l, l.Node, StateCorrupt, causeDamaged)
+		if l.field("corrupt", "damaged") != "false" {
+			a.addFinding(l, l.Node, StateCorrupt, causeStateCorrupt)
 		}
-	case settingsNotUsed:
-		a.add(l, l.Node, SettingsRejected, l.text("error"))
-	case configNotUsed:
-		a.add(l, l.Node, ConfigRejected, l.text("error"))
-	case configInForce:
-		a.observeInForce(l)
+	case settingsRejected:
+		a.addFinding(l, l.Node, SettingsRejected, l.field("error"))
+	case configRejected:
+		a.addFinding(l, l.Node, ConfigRejected, l.field("error"))
+	case configCommitted:
+		a.observeCommit(l)
 	}
 }
 
-// add records a finding for a node, which joins one of the same kind and cause elsewhere that was just now.
-func (a *analysis) add(l *Line, node string, kind Kind, cause string) *Finding {
+// addFinding adds a finding for a node. It is merged with a finding of the same kind and cause that ended at most mergeWindow before.
+func (a *analysis) addFinding(l *Line, node string, kind Kind, cause string) *Finding {
 	for i := len(a.findings) - 1; i >= 0; i-- {
 		f := &a.findings[i]
 		if f.Kind != kind || f.Cause != cause || l.At.Sub(f.To) > mergeWindow {
@@ -108,7 +108,7 @@
 	return &a.findings[len(a.findings)-1]
 }
 
-// addNode reports whether the node is a new one.
+// addNode adds a node to the finding, unless it has the node already. It reports whether the node was added.
 func (f *Finding) addNode(node string) bool {
 	if slices.Contains(f.Nodes, node) {
 		return false
@@ -117,65 +117,65 @@
 	return true
 }
 
-// observeStart records that a program has started; its first start is no finding.
+// observeStart processes the start of a program. The first start in the logs is not a finding.
 func (a *analysis) observeStart(l *Line, crashCause string) {
-	again := a.started[l.Node]
+	restarted := a.started[l.Node]
 	a.started[l.Node] = true
-	if l.text("voter") == "false" {
-		a.add(l, l.Node, StartedAsNonVoter, causeNoVote)
+	if l.field("voter") == "false" {
+		a.addFinding(l, l.Node, StartedAsNonVoter, causeStateMissing)
 	}
-	if !again {
+	if !restarted {
 		return
 	}
-	stoppedAt, inOrder := a.stopped[l.Node]
-	if !inOrder {
-		a.add(l, l.Node, Crashed, crashCause)
+	shutdownAt, graceful := a.shutdownAt[l.Node]
+	if !graceful {
+		a.addFinding(l, l.Node, Crashed, crashCause)
 		return
 	}
-	delete(a.stopped, l.Node)
-	if f := a.add(l, l.Node, Restarted, ""); stoppedAt.Before(f.From) {
-		f.From = stoppedAt
+	delete(a.shutdownAt, l.Node)
+	if f := a.addFinding(l, l.Node, Restarted, ""); shutdownAt.Before(f.From) {
+		f.From = shutdownAt
 	}
 }
 
-// observeHealth records that a sidecar's verdict on its server's health has changed. Each server is a finding of its own.
+// observeHealth processes a change of a server's health. Findings of several servers are not merged.
 func (a *analysis) observeHealth(l *Line) {
-	if i, open := a.unhealthy[l.Node]; open {
+	if i, open := a.openUnhealthy[l.Node]; open {
 		a.findings[i].To = l.At
 		a.findings[i].Lines++
-		delete(a.unhealthy, l.Node)
+		delete(a.openUnhealthy, l.Node)
 	}
-	if l.text("unhealthy", "ill") != "true" {
+	if l.field("unhealthy", "ill") != "true" {
 		return
 	}
-	a.unhealthy[l.Node] = len(a.findings)
+	a.openUnhealthy[l.Node] = len(a.findings)
 	a.findings = append(a.findings, Finding{
 		From:  l.At,
 		To:    l.At,
 		Nodes: []string{l.Node},
 		Kind:  Unhealthy,
-		Cause: "server " + l.text("server") + " failed more than a fifth of the requests that its sidecar let in, whatever it says of itself",
+		Cause: "server " + l.field("server") + " failed more than a fifth of the requests that its sidecar let in, whatever it says of itself",
 		Lines: 1,
 	})
 }
 
-// observeInForce records that a control machine has learned of a version: from the first to the last is one finding.
-func (a *analysis) observeInForce(l *Line) {
-	version := l.text("edition", "version")
-	i, seen := a.versions[version]
+// observeCommit processes the commit of a version on a control machine. The commits of one version on all control machines are one finding.
+func (a *analysis) observeCommit(l *Line) {
+	version := l.field("edition", "version")
+	i, seen := a.versionFindings[version]
 	if !seen {
 		i = len(a.findings)
-		a.versions[version] = i
+		a.versionFindings[version] = i
 		a.findings = append(a.findings, Finding{From: l.At, Kind: ConfigInForce, Detail: "edition " + version})
 	}
 	f := &a.findings[i]
-	if f.addNode(l.Node) { // who learns of it again has started anew
+	if f.addNode(l.Node) { // a repeated commit on one node follows a restart
 		f.To = l.At
 	}
 	f.Lines++
 }
 
-// countFailedRequests adds to each server that was unhealthy how many of its requests had no response.
+// countFailedRequests adds the number of requests without a response to the cause of each Unhealthy finding.
 func (a *analysis) countFailedRequests() {
 	for i := range a.findings {
 		f := &a.findings[i]
