--- a/internal/front/http/clients.go
+++ b/internal/front/http/clients.go
@@ -14,57 +14,57 @@
 const (
 	// mayClose is how long a connection has to be without a request before it is closed in favour of a new one
 	// while there are others that never asked.
-	mayClose = 2 * time.Second
+	minIdleBeforeEviction = 2 * time.Second
 	// onItsWay is how long a connection is spared from when a request on it began: a request comes in one piece,
 	// but its serving goroutine may have to wait for the processor.
-	onItsWay = time.Second
+	partialRequestGrace = time.Second
 	// keptShare is the part of the connections that are kept for a next request beside those with an open one.
-	keptShare = 4
+	defaultIdleDivisor = 4
 	// triedAtOnce bounds the system calls in a search for one to close.
-	triedAtOnce = 32
+	maxEvictionCandidates = 32
 )
 
 // clients holds the connections of the application to a number of descriptors. Without it, connections that
 // stay and say nothing take every descriptor, and nobody is served any more.
-type clients struct {
-	most     int
-	waiting  float64             // see Config.Waiting
-	stranger func(peer net.Addr) // told of who speaks something else; nil: nobody is
+type connTracker struct {
+	maxConns           int
+	maxIdleFraction    float64             // see Config.Waiting
+	onProtocolMismatch func(peer net.Addr) // told of who speaks something else; nil: nobody is
 
 	mu     sync.Mutex
 	open   int
-	silent queues.List // connections that never asked, the oldest first
+	unused queues.List // connections that never asked, the oldest first
 	idle   queues.List // connections between two requests, the longest idle first
 	active queues.List // connections of which a head has come
 }
 
 // client is one connection of the application.
-type client struct {
+type clientConn struct {
 	*net.TCPConn
-	owner   *clients
-	framing framing
-	served  atomic.Int64 // requests that reached the handler
+	tracker *connTracker
+	scanner requestScanner
+	handled atomic.Int64 // requests that reached the handler
 
 	// Guarded by owner.mu.
-	queue  *queues.List // nil once it is to be closed
-	place  *queues.Element
-	since  time.Time // when it joined the queue
-	closed bool
+	queue    *queues.List // nil once it is to be closed
+	element  *queues.Element
+	queuedAt time.Time // when it joined the queue
+	closed   bool
 }
 
 // add takes in a new connection, for which others may have to go. Where all have open requests, it is the new
 // one that is closed.
-func (cs *clients) add(c *net.TCPConn) *client {
-	cl := &client{TCPConn: c, owner: cs}
+func (cs *connTracker) add(c *net.TCPConn) *clientConn {
+	cl := &clientConn{TCPConn: c, tracker: cs}
 	cs.mu.Lock()
 	cs.open++
-	full := cs.open > cs.most
-	var victim *client
+	full := cs.open > cs.maxConns
+	var victim *clientConn
 	if full {
 		victim = cs.victim(time.Now())
 	}
 	if !full || victim != nil {
-		cs.enqueue(cl, &cs.silent)
+		cs.enqueue(cl, &cs.unused)
 	}
 	cs.mu.Unlock()
 	switch {
@@ -79,14 +79,14 @@
 
 // crowded reports whether so many connections wait for a request that no more are kept. The application has a
 // number of descriptors too: clients that ask once and keep their connections use them up, and others cannot connect.
-func (cs *clients) crowded() bool {
+func (cs *connTracker) tooManyIdle() bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	return cs.silent.Len()+cs.idle.Len() >= waiting(cs.most, cs.waiting)
+	return cs.unused.Len()+cs.idle.Len() >= maxIdleConns(cs.maxConns, cs.maxIdleFraction)
 }
 
 // evict closes the connection that is missed least, and reports whether there was one.
-func (cs *clients) evict() bool {
+func (cs *connTracker) evict() bool {
 	cs.mu.Lock()
 	victim := cs.victim(time.Now())
 	cs.mu.Unlock()
@@ -101,25 +101,25 @@
 // than one that has been idle for a short while. Where none is silent it is the one whose request has been on its
 // way for longest without being whole, or clients that send a little now and then would hold every place. It leaves
 // its queue. The caller holds mu.
-func (cs *clients) victim(now time.Time) *client {
-	first, second := &cs.silent, &cs.idle
-	if c := oldest(second); c != nil && now.Sub(c.since) >= mayClose {
-		if s := oldest(first); s == nil || c.since.Before(s.since) {
+func (cs *connTracker) victim(now time.Time) *clientConn {
+	first, second := &cs.unused, &cs.idle
+	if c := oldest(second); c != nil && now.Sub(c.queuedAt) >= minIdleBeforeEviction {
+		if s := oldest(first); s == nil || c.queuedAt.Before(s.queuedAt) {
 			first, second = second, first
 		}
 	}
 	for _, queue := range []*queues.List{first, second} {
-		tries := triedAtOnce
-		for at := queue.Front(); at != nil && tries > 0; at = at.Next() {
-			c := at.Value.(*client)
-			if began, partial := c.framing.partial(); partial && now.Sub(began) < onItsWay {
+		triesLeft := maxEvictionCandidates
+		for element := queue.Front(); element != nil && triesLeft > 0; element = element.Next() {
+			c := element.Value.(*clientConn)
+			if began, partial := c.scanner.partial(); partial && now.Sub(began) < partialRequestGrace {
 				continue
 			}
 			// A whole request that waits for the processor is taken, though its handler has not begun.
-			if c.framing.whole.Load() > c.served.Load() {
+			if c.scanner.completed.Load() > c.handled.Load() {
 				continue
 			}
-			tries--
+			triesLeft--
 			if socket.Peek(c.TCPConn) == socket.Idle {
 				cs.dequeue(c)
 				return c
@@ -134,12 +134,12 @@
 }
 
 // slowest returns the connection with the request that began first of those that are not whole. The caller holds mu.
-func (cs *clients) slowest() (slowest *client) {
+func (cs *connTracker) slowest() (slowest *clientConn) {
 	first := time.Time{}
-	for _, queue := range []*queues.List{&cs.silent, &cs.idle, &cs.active} {
-		for at := queue.Front(); at != nil; at = at.Next() {
-			c := at.Value.(*client)
-			if began, partial := c.framing.partial(); partial && (slowest == nil || began.Before(first)) {
+	for _, queue := range []*queues.List{&cs.unused, &cs.idle, &cs.active} {
+		for element := queue.Front(); element != nil; element = element.Next() {
+			c := element.Value.(*clientConn)
+			if began, partial := c.scanner.partial(); partial && (slowest == nil || began.Before(first)) {
 				slowest, first = c, began
 			}
 		}
@@ -147,30 +147,30 @@
 	return slowest
 }
 
-func oldest(queue *queues.List) *client {
-	if at := queue.Front(); at != nil {
-		return at.Value.(*client)
+func oldest(queue *queues.List) *clientConn {
+	if element := queue.Front(); element != nil {
+		return element.Value.(*clientConn)
 	}
 	return nil
 }
 
-func (cs *clients) enqueue(c *client, queue *queues.List) {
+func (cs *connTracker) enqueue(c *clientConn, queue *queues.List) {
 	if !c.closed {
-		c.queue, c.since = queue, time.Now()
-		c.place = queue.PushBack(c)
+		c.queue, c.queuedAt = queue, time.Now()
+		c.element = queue.PushBack(c)
 	}
 }
 
-func (cs *clients) dequeue(c *client) {
+func (cs *connTracker) dequeue(c *clientConn) {
 	if c.queue != nil {
-		c.queue.Remove(c.place)
-		c.queue, c.place = nil, nil
+		c.queue.Remove(c.element)
+		c.queue, c.element = nil, nil
 	}
 }
 
 // follow is the server's ConnState hook.
-func (cs *clients) follow(conn net.Conn, state http.ConnState) {
-	c, ok := conn.(*client)
+func (cs *connTracker) onConnState(conn net.Conn, state http.ConnState) {
+	c, ok := conn.(*clientConn)
 	if !ok {
 		return
 	}
@@ -187,18 +187,18 @@
 }
 
 // Read passes on what the application sends as far as it can be told apart into requests.
-func (c *client) Read(p []byte) (int, error) {
-	if err := c.framing.err; err != nil {
+func (c *clientConn) Read(p []byte) (int, error) {
+	if err := c.scanner.err; err != nil {
 		return 0, err
 	}
 	n, err := c.TCPConn.Read(p)
 	// No method begins with such a byte, and every frame of MessagePack-RPC does. net/http answers 400.
-	if n > 0 && p[0] >= 0x80 && c.framing.begun.Load() == 0 && c.owner.stranger != nil {
-		c.owner.stranger(c.RemoteAddr())
+	if n > 0 && p[0] >= 0x80 && c.scanner.started.Load() == 0 && c.tracker.onProtocolMismatch != nil {
+		c.tracker.onProtocolMismatch(c.RemoteAddr())
 	}
-	if fit := c.framing.scan(p[:n], time.Now()); fit < n {
+	if fit := c.scanner.scan(p[:n], time.Now()); fit < n {
 		if fit == 0 {
-			return 0, c.framing.err
+			return 0, c.scanner.err
 		}
 		return fit, nil
 	}
@@ -206,8 +206,8 @@
 }
 
 // Close frees the descriptor, and its place in the budget, once.
-func (c *client) Close() error {
-	cs := c.owner
+func (c *clientConn) Close() error {
+	cs := c.tracker
 	cs.mu.Lock()
 	if !c.closed {
 		c.closed = true
@@ -219,12 +219,12 @@
 }
 
 // next counts a request that reached the handler.
-func (c *client) next() { c.served.Add(1) }
+func (c *clientConn) countRequest() { c.handled.Add(1) }
 
 // behind tells what came behind the open request. An application sends one request at a time: if there is more, the
 // length is wrong, or the request hides another.
-func (c *client) behind() socket.PeekState {
-	if c.framing.begun.Load() > c.served.Load() {
+func (c *clientConn) peekAfterRequest() socket.PeekState {
+	if c.scanner.started.Load() > c.handled.Load() {
 		return socket.Readable
 	}
 	return socket.Peek(c.TCPConn)
@@ -233,17 +233,17 @@
 // listener hands out connections within the budget.
 type listener struct {
 	net.Listener
-	clients *clients
-	evict   func() bool // closes a connection elsewhere
+	conns *connTracker
+	evict func() bool // closes a connection elsewhere
 }
 
 func (l listener) Accept() (net.Conn, error) {
 	for {
-		c, err := socket.Accept(l.Listener, func() bool { return l.evict() || l.clients.evict() })
+		c, err := socket.Accept(l.Listener, func() bool { return l.evict() || l.conns.evict() })
 		if err != nil {
 			return nil, err
 		}
-		if cl := l.clients.add(c.(*net.TCPConn)); cl != nil {
+		if cl := l.conns.add(c.(*net.TCPConn)); cl != nil {
 			return cl, nil
 		}
 	}
--- a/internal/front/http/clients_test.go
+++ b/internal/front/http/clients_test.go
@@ -12,10 +12,10 @@
 )
 
 // Where each connection has an open request it is the new one that has to go.
-func TestOpenRequestsStay(t *testing.T) {
+func TestNewConnectionIsClosedWhenAllHaveRequests(t *testing.T) {
 	ln := testbed.Listen(t)
-	cs := &clients{most: 1}
-	add := func() *client {
+	cs := &connTracker{maxConns: 1}
+	add := func() *clientConn {
 		if _, err := net.Dial("tcp", ln.Addr().String()); err != nil {
 			t.Fatal(err)
 		}
@@ -26,28 +26,28 @@
 		return cs.add(c.(*net.TCPConn))
 	}
 	first := add()
-	cs.follow(first, http.StateActive)
+	cs.onConnState(first, http.StateActive)
 	if add() != nil || cs.open != 1 {
 		t.Errorf("a second one was taken; %d open", cs.open)
 	}
-	cs.follow(first, http.StateIdle)
+	cs.onConnState(first, http.StateIdle)
 	second := add()
 	if second == nil || !first.closed || cs.open != 1 {
 		t.Errorf("the idle one stays; %d open", cs.open)
 	}
 	_ = second.Close()
 	_ = second.Close()
-	if cs.open != 0 || cs.silent.Len()+cs.idle.Len()+cs.active.Len() != 0 {
+	if cs.open != 0 || cs.unused.Len()+cs.idle.Len()+cs.active.Len() != 0 {
 		t.Errorf("%d open after all were closed", cs.open)
 	}
 }
 
 // A request that was read whole and waits for the processor is taken, though its handler has not begun: its connection
 // must not go in favour of a new one, however silent it is.
-func TestWaitingRequestIsNoVictim(t *testing.T) {
+func TestConnectionWithUnhandledRequestIsNotEvicted(t *testing.T) {
 	ln := testbed.Listen(t)
-	cs := &clients{most: 1}
-	accept := func() (*client, net.Conn) {
+	cs := &connTracker{maxConns: 1}
+	accept := func() (*clientConn, net.Conn) {
 		near, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -68,19 +68,19 @@
 	if second, _ := accept(); second != nil {
 		t.Error("the connection of a waiting request was closed for a new one")
 	}
-	first.next() // its handler has begun and, here, ended: now it may go
+	first.countRequest() // its handler has begun and, here, ended: now it may go
 	if third, _ := accept(); third == nil {
 		t.Error("an unused connection was kept in favour of a new one")
 	}
 }
 
 // short is a listener that has no descriptor at first.
-type short struct {
+type exhaustedListener struct {
 	net.Listener
 	failures int
 }
 
-func (s *short) Accept() (net.Conn, error) {
+func (s *exhaustedListener) Accept() (net.Conn, error) {
 	if s.failures--; s.failures >= 0 {
 		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
 	}
@@ -88,9 +88,9 @@
 }
 
 // A peer that speaks MessagePack-RPC is named once; one that speaks HTTP is not.
-func TestStrangersAreNamed(t *testing.T) {
-	ln, named := testbed.Listen(t), 0
-	cs := &clients{most: 2, stranger: func(net.Addr) { named++ }}
+func TestProtocolMismatchIsReported(t *testing.T) {
+	ln, reported := testbed.Listen(t), 0
+	cs := &connTracker{maxConns: 2, onProtocolMismatch: func(net.Addr) { reported++ }}
 	for i, text := range []string{"\x94\x00\x01\xa1m\x90", "GET / HTTP/1.1\r\nHost: a\r\n\r\n"} {
 		near, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
@@ -103,17 +103,17 @@
 		}
 		_, _ = io.WriteString(near, text)
 		_, _ = cs.add(far.(*net.TCPConn)).Read(make([]byte, 100))
-		if named != 1 {
-			t.Errorf("after %d: %d were named", i+1, named)
+		if reported != 1 {
+			t.Errorf("after %d: %d were named", i+1, reported)
 		}
 	}
 }
 
 // A lack of descriptors must neither end the server nor make it pause for long, as net/http does.
-func TestAcceptOutlivesLackOfDescriptors(t *testing.T) {
-	inner, evicted := &short{failures: 3}, 0
+func TestAcceptRetriesWithoutDescriptors(t *testing.T) {
+	inner, evicted := &exhaustedListener{failures: 3}, 0
 	evict := func() bool { evicted++; return true }
-	if _, err := (listener{inner, &clients{most: 1}, evict}).Accept(); !errors.Is(err, net.ErrClosed) {
+	if _, err := (listener{inner, &connTracker{maxConns: 1}, evict}).Accept(); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("ended with %v", err)
 	}
 	if evicted != 3 {
--- a/internal/front/http/framing_test.go
+++ b/internal/front/http/framing_test.go
@@ -9,7 +9,7 @@
 	"firplank/internal/httpwire"
 )
 
-func TestFraming(t *testing.T) {
+func TestRequestScanner(t *testing.T) {
 	const get = "GET /api HTTP/1.1\r\nHost: a\r\n\r\n"
 	for name, c := range map[string]struct {
 		text  string
@@ -21,26 +21,26 @@
 		"body":             {"POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\nabcde" + get, nil, 2},
 		"body like a head": {"POST / HTTP/1.1\r\ncontent-length:23\r\n\r\nTransfer-Encoding: x\r\n\n", nil, 1},
 		"chunked":          {"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + get, nil, 1},
-		"both":             {"POST / HTTP/1.1\r\nContent-Length: 9\r\nTransfer-Encoding: chunked\r\n\r\n", errTwoLengths, 1},
-		"both, otherwise":  {"POST / HTTP/1.1\nTRANSFER-ENCODING: x\nContent-Length: 9\n\n", errTwoLengths, 1},
-		"both, the second": {get + "POST / HTTP/1.1\r\nTransfer-Encoding : a\r\nContent-Length : 0\r\n\r\n", errTwoLengths, 2},
+		"both":             {"POST / HTTP/1.1\r\nContent-Length: 9\r\nTransfer-Encoding: chunked\r\n\r\n", errConflictingLengths, 1},
+		"both, otherwise":  {"POST / HTTP/1.1\nTRANSFER-ENCODING: x\nContent-Length: 9\n\n", errConflictingLengths, 1},
+		"both, the second": {get + "POST / HTTP/1.1\r\nTransfer-Encoding : a\r\nContent-Length : 0\r\n\r\n", errConflictingLengths, 2},
 		"both, long": {"POST / HTTP/1.1\r\nTransfer-Encoding: " + strings.Repeat("x", 500) +
-			"\r\nContent-Length: 1\r\n\r\n", errTwoLengths, 1},
+			"\r\nContent-Length: 1\r\n\r\n", errConflictingLengths, 1},
 		"repeated":       {"POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\n", errBadLength, 1},
 		"negative":       {"POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n", errBadLength, 1},
 		"beyond numbers": {"POST / HTTP/1.1\r\nContent-Length: 99999999999999999999\r\n\r\n", errBadLength, 1},
 		"folded":         {"POST / HTTP/1.1\r\nX: 1\r\n Content-Length: 1\r\n\r\n", httpwire.ErrFoldedField, 1},
 	} {
 		for _, step := range []int{1, 7, len(c.text)} { // however the bytes come
-			f := &framing{}
+			f := &requestScanner{}
 			passed := 0
 			for rest := []byte(c.text); len(rest) > 0 && f.err == nil; {
 				n := min(step, len(rest))
 				passed += f.scan(rest[:n], time.Now())
 				rest = rest[n:]
 			}
-			if !errors.Is(f.err, c.want) || f.begun.Load() != c.begun {
-				t.Errorf("%s by %d: %v after %d heads, want %v after %d", name, step, f.err, f.begun.Load(), c.want, c.begun)
+			if !errors.Is(f.err, c.want) || f.started.Load() != c.begun {
+				t.Errorf("%s by %d: %v after %d heads, want %v after %d", name, step, f.err, f.started.Load(), c.want, c.begun)
 			}
 			if whole := passed == len(c.text); whole != (c.want == nil) {
 				t.Errorf("%s by %d: %d of %d bytes passed on", name, step, passed, len(c.text))
@@ -55,7 +55,7 @@
 	f.Add([]byte("POST / HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"), uint8(1))
 	f.Add([]byte("\r\n\n: \nContent-Length:\n\n"), uint8(0))
 	f.Fuzz(func(t *testing.T, text []byte, step uint8) {
-		whole, parts := &framing{}, &framing{}
+		whole, parts := &requestScanner{}, &requestScanner{}
 		passed := whole.scan(text, time.Now())
 		if (passed == len(text)) != (whole.err == nil) {
 			t.Errorf("%d of %d bytes passed on with %v", passed, len(text), whole.err)
@@ -66,10 +66,10 @@
 			other += parts.scan(rest[:n], time.Now())
 			rest = rest[n:]
 		}
-		if other != passed || !errors.Is(parts.err, whole.err) || parts.begun.Load() != whole.begun.Load() {
+		if other != passed || !errors.Is(parts.err, whole.err) || parts.started.Load() != whole.started.Load() {
 			t.Errorf("whole: %d, %v; in parts: %d, %v", passed, whole.err, other, parts.err)
 		}
-		if len(whole.line) > headLine {
+		if len(whole.line) > maxLinePrefix {
 			t.Errorf("kept %d bytes", len(whole.line))
 		}
 	})
--- a/internal/front/http/front.go
+++ b/internal/front/http/front.go
@@ -35,23 +35,23 @@
 	writeTimeout = 2 * time.Second
 	// keepAlive is how long a connection may be idle while there are few: clients that ask once and stay hold their
 	// descriptors, of which the application has a number too.
-	keepAlive = 5 * time.Second
+	defaultIdleTimeout = 5 * time.Second
 	// streamTimeout is how long a client may take nothing of an answer that passes through, and pumped how much of a body is
 	// written at a time.
-	streamTimeout = 10 * time.Second
-	pumped        = 16 << 10
-	maxHeader     = 32 << 10
+	streamTimeout   = 10 * time.Second
+	copyBufferBytes = 16 << 10
+	maxHeaderBytes  = 32 << 10
 )
 
 // Config is what the front is told at its start.
 type Config struct {
-	Catalog     *core.Catalog
-	Door        *loadshed.Shedder // nil: all may come in
-	Connections int               // of clients, at most
-	LastCalls   time.Duration     // how long new connections are taken after the signal to end
-	Idle        time.Duration     // how long a connection may stand between two requests; 0: 5 s
-	Waiting     float64           // part of Connections that may wait for a request before answers end theirs; 0: a quarter
-	Evict       func() bool       // closes a connection of somebody else's where descriptors are short
+	Catalog         *core.Catalog
+	Shedder         *loadshed.Shedder // nil: all may come in
+	Connections     int               // of clients, at most
+	AcceptGrace     time.Duration     // how long new connections are taken after the signal to end
+	IdleTimeout     time.Duration     // how long a connection may stand between two requests; 0: 5 s
+	MaxIdleFraction float64           // part of Connections that may wait for a request before answers end theirs; 0: a quarter
+	Evict           func() bool       // closes a connection of somebody else's where descriptors are short
 	// Method names what a path is to servers that go by names. With it bodies in MessagePack are taken also with safe
 	// requests, by POST; nil: neither.
 	Method func(path string) string
@@ -64,26 +64,28 @@
 }
 
 // waiting is how many of so many connections may wait for a request: a part of them, or where that is 0 the usual one.
-func waiting(most int, part float64) int { return int(float64(most) * cmp.Or(part, 1./keptShare)) }
+func maxIdleConns(maxConns int, fraction float64) int {
+	return int(float64(maxConns) * cmp.Or(fraction, 1./defaultIdleDivisor))
+}
 
-func (cf *Config) idle() time.Duration { return cmp.Or(cf.Idle, keepAlive) }
+func (cf *Config) idleTimeout() time.Duration { return cmp.Or(cf.IdleTimeout, defaultIdleTimeout) }
 
 // Front is the side that the application talks to, on the standard library's server. It runs wherever Go does; where the
 // kernel has what it wants, PollFront does the same for less.
 type Front struct {
 	cfg      Config
 	exchange core.Exchange
-	clients  *clients
+	conns    *connTracker
 	server   *http.Server
 	failed   chan error
-	state
+	drainState
 }
 
 // New returns a front that hands requests to an exchange.
 func New(cfg Config, exchange core.Exchange) *Front {
-	f := &Front{cfg: cfg, exchange: exchange, clients: &clients{most: cfg.Connections, waiting: cfg.Waiting}, failed: make(chan error, 1)}
+	f := &Front{cfg: cfg, exchange: exchange, conns: &connTracker{maxConns: cfg.Connections, maxIdleFraction: cfg.MaxIdleFraction}, failed: make(chan error, 1)}
 	notes := rate.Sometimes{First: 3, Interval: time.Second}
-	f.clients.stranger = func(peer net.Addr) {
+	f.conns.onProtocolMismatch = func(peer net.Addr) {
 		notes.Do(func() {
 			cfg.Log.Warn("a client speaks no HTTP; MessagePack-RPC has an address of its own", "peer", peer.String())
 		})
@@ -94,27 +96,27 @@
 
 // Serve takes connections until End, on a goroutine of its own. What goes wrong comes on Failed.
 func (f *Front) Serve(ln net.Listener) {
-	go func() { f.failed <- f.server.Serve(listener{ln, f.clients, f.cfg.Evict}) }()
+	go func() { f.failed <- f.server.Serve(listener{ln, f.conns, f.cfg.Evict}) }()
 }
 
 // Pause sends clients away, or takes them in again.
 func (f *Front) Pause(on bool) {
-	f.state.Pause(on)
+	f.drainState.Pause(on)
 	f.server.SetKeepAlivesEnabled(!on)
 }
 
 // Open returns how many connections there are.
 func (f *Front) Open() int {
-	f.clients.mu.Lock()
-	defer f.clients.mu.Unlock()
-	return f.clients.open
+	f.conns.mu.Lock()
+	defer f.conns.mu.Unlock()
+	return f.conns.open
 }
 
 // Resize changes how many connections may be open.
 func (f *Front) Resize(n int) {
-	f.clients.mu.Lock()
-	defer f.clients.mu.Unlock()
-	f.clients.most = max(1, n)
+	f.conns.mu.Lock()
+	defer f.conns.mu.Unlock()
+	f.conns.maxConns = max(1, n)
 }
 
 // Failed tells why the front has stopped serving, before End.
@@ -126,7 +128,7 @@
 	defer cancel()
 	f.ending.Store(true)
 	select {
-	case <-time.After(f.lastCalls(f.cfg.LastCalls)):
+	case <-time.After(f.acceptGrace(f.cfg.AcceptGrace)):
 	case err := <-f.failed:
 		return fmt.Errorf("serve: %w", err)
 	}
--- a/internal/front/http/gone_linux_test.go
+++ b/internal/front/http/gone_linux_test.go
@@ -12,7 +12,7 @@
 	"firplank/internal/testbed"
 )
 
-func TestStreamEndsWithItsClient(t *testing.T) {
+func TestClientCloseAbortsStream(t *testing.T) {
 	aborted := make(chan struct{})
 	s := startPoll(t, 10, func(a *core.Attempt) {
 		body := bodypipe.New(1 << 20)
@@ -21,7 +21,7 @@
 		a.End(core.Result{Outcome: balance.OK, Answer: &core.Answer{Meta: map[string][]string{}, Stream: body}})
 	})
 	c := s.dial()
-	if _, err := fmt.Fprint(c, ask(1)); err != nil {
+	if _, err := fmt.Fprint(c, requestText(1)); err != nil {
 		t.Fatal(err)
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
--- a/internal/front/http/head.go
+++ b/internal/front/http/head.go
@@ -19,9 +19,9 @@
 	header                     http.Header
 	length                     int64 // of the body; -1 where none is announced
 	chunked                    bool
-	last                       bool // the client closes after this request, or speaks HTTP/1.0
-	old                        bool // it speaks HTTP/1.0
-	expects                    bool // it waits for leave to send its body
+	closeAfter                 bool // the client closes after this request, or speaks HTTP/1.0
+	http10                     bool // it speaks HTTP/1.0
+	expectsContinue            bool // it waits for leave to send its body
 }
 
 // request is what a dialect is shown of it.
@@ -31,40 +31,40 @@
 
 // What is wrong with a head, besides framing's errors.
 var (
-	errLongHead  = &badRequest{http.StatusRequestHeaderFieldsTooLarge, "head too long"}
-	errNoRequest = errors.New("no request line")
-	errVersion   = &badRequest{http.StatusHTTPVersionNotSupported, "neither HTTP/1.1 nor HTTP/1.0"}
-	errHost      = errors.New("not exactly one Host, or one that is none")
-	errCoding    = &badRequest{http.StatusNotImplemented, "a Transfer-Encoding other than chunked"}
-	errExpects   = &badRequest{http.StatusExpectationFailed, "an expectation other than 100-continue"}
+	errHeadTooLong      = &badRequest{http.StatusRequestHeaderFieldsTooLarge, "head too long"}
+	errRequestLine      = errors.New("no request line")
+	errVersion          = &badRequest{http.StatusHTTPVersionNotSupported, "neither HTTP/1.1 nor HTTP/1.0"}
+	errHost             = errors.New("not exactly one Host, or one that is none")
+	errTransferEncoding = &badRequest{http.StatusNotImplemented, "a Transfer-Encoding other than chunked"}
+	errExpectation      = &badRequest{http.StatusExpectationFailed, "an expectation other than 100-continue"}
 )
 
 // headScan finds the end of a head in bytes that come piece by piece.
-type headScan struct {
-	at   int // how far it has looked
-	line int // where the present line begins
+type headScanner struct {
+	offset    int // how far it has looked
+	lineStart int // where the present line begins
 }
 
 // find goes on over b, which holds the head from its first byte, and returns where the head ends; 0 where it does not yet.
-func (s *headScan) find(b []byte) (end int, err error) {
-	for s.at < len(b) {
-		i := bytes.IndexByte(b[s.at:], '\n')
+func (s *headScanner) findEnd(b []byte) (end int, err error) {
+	for s.offset < len(b) {
+		i := bytes.IndexByte(b[s.offset:], '\n')
 		if i < 0 {
-			s.at = len(b)
+			s.offset = len(b)
 			break
 		}
-		i += s.at
+		i += s.offset
 		if i == 0 || b[i-1] != '\r' {
 			return 0, httpwire.ErrLineEnd
 		}
-		s.at = i + 1
-		if i-1 == s.line && s.line > 0 {
-			return s.at, nil
+		s.offset = i + 1
+		if i-1 == s.lineStart && s.lineStart > 0 {
+			return s.offset, nil
 		}
-		s.line = s.at
+		s.lineStart = s.offset
 	}
-	if len(b) > maxHeader {
-		return 0, errLongHead
+	if len(b) > maxHeaderBytes {
+		return 0, errHeadTooLong
 	}
 	return 0, nil
 }
@@ -87,7 +87,7 @@
 		h.host = hosts[0]
 		delete(h.header, "Host")
 	}
-	if len(hosts) > 1 || len(hosts) == 0 && !h.last || !httpguts.ValidHostHeader(h.host) {
+	if len(hosts) > 1 || len(hosts) == 0 && !h.closeAfter || !httpguts.ValidHostHeader(h.host) {
 		return nil, errHost
 	}
 	return h, h.framing()
@@ -97,17 +97,17 @@
 	method, rest, ok := strings.Cut(line, " ")
 	target, version, ok2 := strings.Cut(rest, " ")
 	if !ok || !ok2 || !httpguts.ValidHeaderFieldName(method) || target == "" || target[0] != '/' {
-		return errNoRequest
+		return errRequestLine
 	}
 	for i := range len(target) {
 		if target[i] <= ' ' || target[i] >= 0x7f {
-			return errNoRequest
+			return errRequestLine
 		}
 	}
 	switch version {
 	case "HTTP/1.1":
 	case "HTTP/1.0":
-		h.last, h.old = true, true
+		h.closeAfter, h.http10 = true, true
 	default:
 		return errVersion
 	}
@@ -118,7 +118,7 @@
 	}
 	u, err := url.ParseRequestURI(target)
 	if err != nil {
-		return errNoRequest
+		return errRequestLine
 	}
 	h.path = u.Path
 	return nil
@@ -129,7 +129,7 @@
 	lengths, codings := h.header["Content-Length"], h.header["Transfer-Encoding"]
 	switch {
 	case len(lengths) > 0 && len(codings) > 0:
-		return errTwoLengths
+		return errConflictingLengths
 	case len(lengths) > 1 || len(codings) > 1:
 		return errBadLength
 	case len(lengths) == 1:
@@ -139,23 +139,23 @@
 		}
 		h.length = int64(n)
 	case len(codings) == 1:
-		if !strings.EqualFold(codings[0], "chunked") || h.last {
-			return errCoding
+		if !strings.EqualFold(codings[0], "chunked") || h.closeAfter {
+			return errTransferEncoding
 		}
 		h.chunked = true
 	}
 	for _, line := range h.header["Connection"] {
 		for _, token := range strings.Split(line, ",") {
 			if strings.EqualFold(strings.TrimSpace(token), "close") {
-				h.last = true
+				h.closeAfter = true
 			}
 		}
 	}
 	if expect := h.header["Expect"]; len(expect) > 0 {
 		if len(expect) > 1 || !strings.EqualFold(expect[0], "100-continue") {
-			return errExpects
+			return errExpectation
 		}
-		h.expects = true
+		h.expectsContinue = true
 	}
 	return nil
 }
--- a/internal/front/http/head_test.go
+++ b/internal/front/http/head_test.go
@@ -16,14 +16,14 @@
 
 // readRequest reads one request as a connection does, in pieces of a size, and returns what is behind it.
 func readRequest(b []byte, step int) (h *head, body, rest []byte, err error) {
-	var s headScan
+	var s headScanner
 	end := 0
 	for n := 0; end == 0 && err == nil; {
 		if n == len(b) {
 			return nil, nil, nil, io.ErrUnexpectedEOF
 		}
 		n = min(n+step, len(b))
-		end, err = s.find(b[:n])
+		end, err = s.findEnd(b[:n])
 	}
 	if err == nil {
 		h, err = parseHead(b[:end])
@@ -34,17 +34,17 @@
 	rest = b[end:]
 	if h.chunked {
 		var c httpwire.ChunkReader
-		var have []byte
+		var received []byte
 		for {
 			n := min(step, len(rest))
-			have, rest = append(have, rest[:n]...), rest[n:]
-			taken, done, err := c.Next(have)
+			received, rest = append(received, rest[:n]...), rest[n:]
+			taken, done, err := c.Next(received)
 			if err != nil {
 				return nil, nil, nil, err
 			}
-			have = have[taken:]
+			received = received[taken:]
 			if done {
-				return h, c.Body, append(have, rest...), nil
+				return h, c.Body, append(received, rest...), nil
 			}
 			if n == 0 {
 				return nil, nil, nil, io.ErrUnexpectedEOF
@@ -53,7 +53,7 @@
 	}
 	n := int(max(0, h.length))
 	if n > httpwire.MaxBufferedBody {
-		return nil, nil, nil, errLongBody
+		return nil, nil, nil, errBodyTooLong
 	}
 	if len(rest) < n {
 		return nil, nil, nil, io.ErrUnexpectedEOF
@@ -62,7 +62,7 @@
 }
 
 // What two readers could take for two things is taken for none.
-func TestHeads(t *testing.T) {
+func TestAmbiguousHeadsAreRejected(t *testing.T) {
 	const post = "POST /api HTTP/1.1\r\nHost: a\r\n"
 	for name, c := range map[string]struct {
 		text string
@@ -81,23 +81,23 @@
 		"control in a value": {"GET / HTTP/1.1\r\nHost: a\r\nX: a\x00\r\n\r\n", httpwire.ErrMalformedField},
 		"no host":            {"GET / HTTP/1.1\r\n\r\n", errHost},
 		"two hosts":          {"GET / HTTP/1.1\r\nHost: a\r\nHost: a\r\n\r\n", errHost},
-		"two spaces":         {"GET  / HTTP/1.1\r\nHost: a\r\n\r\n", errNoRequest},
-		"no path":            {"GET http://a/ HTTP/1.1\r\nHost: a\r\n\r\n", errNoRequest},
-		"bad escape":         {"GET /%zz HTTP/1.1\r\nHost: a\r\n\r\n", errNoRequest},
-		"empty first line":   {"\r\nGET / HTTP/1.1\r\nHost: a\r\n\r\n", errNoRequest},
+		"two spaces":         {"GET  / HTTP/1.1\r\nHost: a\r\n\r\n", errRequestLine},
+		"no path":            {"GET http://a/ HTTP/1.1\r\nHost: a\r\n\r\n", errRequestLine},
+		"bad escape":         {"GET /%zz HTTP/1.1\r\nHost: a\r\n\r\n", errRequestLine},
+		"empty first line":   {"\r\nGET / HTTP/1.1\r\nHost: a\r\n\r\n", errRequestLine},
 		"another version":    {"GET / HTTP/2.0\r\nHost: a\r\n\r\n", errVersion},
-		"two lengths":        {post + "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n", errTwoLengths},
+		"two lengths":        {post + "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n", errConflictingLengths},
 		"length twice":       {post + "Content-Length: 2\r\nContent-Length: 2\r\n\r\nab", errBadLength},
 		"length with sign":   {post + "Content-Length: +2\r\n\r\nab", errBadLength},
 		"length list":        {post + "Content-Length: 2, 2\r\n\r\nab", errBadLength},
-		"long body":          {post + "Content-Length: 65537\r\n\r\n", errLongBody},
-		"another coding":     {post + "Transfer-Encoding: gzip, chunked\r\n\r\n", errCoding},
-		"another wish":       {post + "Expect: more\r\n\r\n", errExpects},
+		"long body":          {post + "Content-Length: 65537\r\n\r\n", errBodyTooLong},
+		"another coding":     {post + "Transfer-Encoding: gzip, chunked\r\n\r\n", errTransferEncoding},
+		"another wish":       {post + "Expect: more\r\n\r\n", errExpectation},
 		"no chunk":           {post + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", httpwire.ErrMalformedChunk},
 		"chunk too short":    {post + "Transfer-Encoding: chunked\r\n\r\n1\r\nab\r\n0\r\n\r\n", httpwire.ErrMalformedChunk},
 		"chunks beyond":      {post + "Transfer-Encoding: chunked\r\n\r\n1\r\na\r\n2000000\r\n", httpwire.ErrBodyTooLong},
 		"chunk LF":           {post + "Transfer-Encoding: chunked\r\n\r\n1\na\r\n0\r\n\r\n", httpwire.ErrLineEnd},
-		"head without end":   {"GET / HTTP/1.1\r\n" + strings.Repeat("X: y\r\n", 10000), errLongHead},
+		"head without end":   {"GET / HTTP/1.1\r\n" + strings.Repeat("X: y\r\n", 10000), errHeadTooLong},
 	} {
 		for _, step := range []int{1, 7, 1 << 20} {
 			if _, _, _, err := readRequest([]byte(c.text), step); !errors.Is(err, c.want) {
@@ -151,8 +151,8 @@
 	b.Run("ours", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			var s headScan
-			end, _ := s.find(text)
+			var s headScanner
+			end, _ := s.findEnd(text)
 			if _, err := parseHead(text[:end]); err != nil {
 				b.Fatal(err)
 			}
--- a/internal/front/http/late_test.go
+++ b/internal/front/http/late_test.go
@@ -35,7 +35,7 @@
 	return nil, nil
 }
 
-func (plainDialect) Verdict(status int, text string) *core.Answer {
+func (plainDialect) ErrorAnswer(status int, text string) *core.Answer {
 	return &core.Answer{Status: status, Body: []byte(text)}
 }
 
--- a/internal/front/http/parse.go
+++ b/internal/front/http/parse.go
@@ -26,7 +26,7 @@
 	// call's from now on.
 	Fill(c *core.Call, r *Request, body []byte) (*core.Answer, error)
 	// Verdict words an error that Fill, or the reading of a request, has ended with.
-	Verdict(status int, text string) *core.Answer
+	ErrorAnswer(status int, text string) *core.Answer
 }
 
 // Request is the head of a request, as it came.
@@ -40,7 +40,7 @@
 	c := &call{answers: make(chan *core.Answer, 1)}
 	c.Client = c
 	if r.ContentLength > httpwire.MaxStreamedBody {
-		return nil, errLongBody
+		return nil, errBodyTooLong
 	}
 	var body []byte
 	var err error
@@ -59,7 +59,7 @@
 		body = nil
 	}
 	h := &head{method: r.Method, target: r.RequestURI, path: r.URL.Path, host: r.Host, header: r.Header}
-	c.direct, err = f.cfg.fillAny(&c.Call, h, body)
+	c.directAnswer, err = f.cfg.fillCall(&c.Call, h, body)
 	return c, err
 }
 
@@ -72,7 +72,7 @@
 }
 
 // countTurnedAway counts a request that the door refused.
-func (cf *Config) countTurnedAway(class int, h http.Header) {
+func (cf *Config) countRejected(class int, h http.Header) {
 	tenant, ok := cf.Catalog.Tenant(h.Get("X-Customer"))
 	if !ok {
 		tenant = -1
@@ -82,17 +82,17 @@
 }
 
 // fillAny makes a call of a request, in whatever dialect, or its answer.
-func (cf *Config) fillAny(c *core.Call, r *head, body []byte) (*core.Answer, error) {
+func (cf *Config) fillCall(c *core.Call, r *head, body []byte) (*core.Answer, error) {
 	if cf.Dialect != nil {
 		return cf.Dialect.Fill(c, r.request(), body)
 	}
-	return nil, cf.fill(c, r, body)
+	return nil, cf.fillDefault(c, r, body)
 }
 
 // fill checks a request and makes a call of it. The header is the call's from now on.
-func (cf *Config) fill(c *core.Call, r *head, body []byte) error {
+func (cf *Config) fillDefault(c *core.Call, r *head, body []byte) error {
 	h := r.header
-	for _, name := range once {
+	for _, name := range singleValueHeaders {
 		if len(h[name]) > 1 {
 			return malformed("%s more than once", name)
 		}
@@ -106,10 +106,10 @@
 		return malformed("unknown tenant %q in X-Customer", h.Get("X-Customer"))
 	}
 	rules := &cf.Catalog.Classes[class]
-	if err := cf.checkForm(r, rules.Effect); err != nil {
+	if err := cf.checkMethodAndTokens(r, rules.Effect); err != nil {
 		return err
 	}
-	left, err := parseExpiry(h.Get(httpwire.ExpiryHeader), rules.Deadline)
+	remaining, err := parseExpiry(h.Get(httpwire.ExpiryHeader), rules.Deadline)
 	if err != nil {
 		return err
 	}
@@ -123,7 +123,7 @@
 	c.Received, c.Name = time.Now(), h.Get("X-Trace-Id")
 	c.Request = balance.Request{
 		Class: class, Tenant: tenant, WorkHint: hint / 1000, Key: core.ObjectKey(h.Get("X-Object")),
-		Remaining: left, Retry: h.Get("X-Second-Try") == "1",
+		Remaining: remaining, Retry: h.Get("X-Second-Try") == "1",
 	}
 	httpwire.RemoveHopByHop(h)
 	c.Message = core.Message{
@@ -155,15 +155,15 @@
 }
 
 // once lists the headers that say what a request is; of two values of one of them neither can be trusted.
-var once = []string{
+var singleValueHeaders = []string{
 	"X-Trace-Id", "X-Qos", "X-Customer", "X-Object", "X-Expires-In", "X-Second-Try", "X-Size-Hint", "Idempotency-Key",
 	"Authorization",
 }
 
-var errLongBody = &badRequest{http.StatusRequestEntityTooLarge, "body too long"}
+var errBodyTooLong = &badRequest{http.StatusRequestEntityTooLarge, "body too long"}
 
 // checkForm: the method follows from the class, and what the servers need must be there.
-func (cf *Config) checkForm(r *head, effect balance.Effect) error {
+func (cf *Config) checkMethodAndTokens(r *head, effect balance.Effect) error {
 	method := http.MethodPost
 	if effect == balance.Safe && !(cf.Method != nil && r.header.Get("Content-Type") == core.MessagePack) {
 		method = http.MethodGet
@@ -182,9 +182,9 @@
 
 // parseExpiry reads «480m» (milliseconds) or «480000u» (microseconds); at most is what the class allows, and
 // holds where the client does not say.
-func parseExpiry(text string, most float64) (float64, error) {
+func parseExpiry(text string, maxMillis float64) (float64, error) {
 	if text == "" {
-		return most, nil
+		return maxMillis, nil
 	}
 	number, unit := text[:len(text)-1], text[len(text)-1:]
 	v, err := strconv.ParseFloat(number, 64)
@@ -198,5 +198,5 @@
 	default:
 		return 0, malformed("%s %q has no unit m or u", httpwire.ExpiryHeader, text)
 	}
-	return min(v, most), nil
+	return min(v, maxMillis), nil
 }
--- a/internal/front/http/poll_linux.go
+++ b/internal/front/http/poll_linux.go
@@ -26,34 +26,34 @@
 // Its lock is for what concerns all connections (places, queues, time-outs) and is the innermost: who holds it takes no
 // connection's.
 type PollFront struct {
-	cfg      Config
-	exchange core.Exchange
-	start    time.Time
-	failed   chan error
-	accepted chan struct{} // closed when no connection is taken any more
-	state
-	most    atomic.Int64 // connections
-	strange rate.Sometimes
-	cuts    rate.Sometimes // bounds what is logged of answers cut short
-	poller  *poller.Poller
-	tasks   sync.WaitGroup
-	date    atomic.Pointer[date] // of answers
-	sooner  chan struct{}        // something is due before the alarm; has room for one
-
-	scratch []byte // the poller's own
-
-	mu        sync.Mutex
-	ln        net.Listener
-	listening *os.File // another descriptor of it
-	closed    bool
-	open      int
-	wheel     *timerwheel.Wheel[*pollConn]
-	alarm     time.Duration // when tick looks next
-	silent    queue         // connections that never asked, the oldest first
-	idle      queue         // between two requests, the longest idle first
-	ended     queue         // that wait for their client to read the last answer
-	partly    queue         // with a request on its way, in the order in which they began
-	empty     chan struct{}
+	cfg        Config
+	exchange   core.Exchange
+	start      time.Time
+	failed     chan error
+	acceptDone chan struct{} // closed when no connection is taken any more
+	drainState
+	maxConns           atomic.Int64 // connections
+	mismatchLogLimit   rate.Sometimes
+	truncationLogLimit rate.Sometimes // bounds what is logged of answers cut short
+	poller             *poller.Poller
+	tasks              sync.WaitGroup
+	date               atomic.Pointer[date] // of answers
+	wakeUp             chan struct{}        // something is due before the alarm; has room for one
+
+	readBuffer []byte // the poller's own
+
+	mu         sync.Mutex
+	ln         net.Listener
+	listenFile *os.File // another descriptor of it
+	closed     bool
+	open       int
+	wheel      *timerwheel.Wheel[*pollConn]
+	wakeAt     time.Duration // when tick looks next
+	unused     queue         // connections that never asked, the oldest first
+	idle       queue         // between two requests, the longest idle first
+	lingering  queue         // that wait for their client to read the last answer
+	partial    queue         // with a request on its way, in the order in which they began
+	drained    chan struct{}
 }
 
 // NewPoll returns a front that hands requests to an exchange.
@@ -63,10 +63,10 @@
 		return nil, err
 	}
 	f := &PollFront{
-		cfg: cfg, exchange: exchange, start: time.Now(), failed: make(chan error, 1), accepted: make(chan struct{}),
-		poller: p, scratch: make([]byte, readAtOnce), wheel: timerwheel.New[*pollConn](wheelTick, wheelSlots),
-		strange: rate.Sometimes{First: 3, Interval: time.Second}, cuts: rate.Sometimes{First: 5, Interval: time.Second},
-		sooner: make(chan struct{}, 1),
+		cfg: cfg, exchange: exchange, start: time.Now(), failed: make(chan error, 1), acceptDone: make(chan struct{}),
+		poller: p, readBuffer: make([]byte, readBufferBytes), wheel: timerwheel.New[*pollConn](wheelTick, wheelSlots),
+		mismatchLogLimit: rate.Sometimes{First: 3, Interval: time.Second}, truncationLogLimit: rate.Sometimes{First: 5, Interval: time.Second},
+		wakeUp: make(chan struct{}, 1),
 	}
 	f.Resize(cfg.Connections)
 	return f, nil
@@ -79,7 +79,7 @@
 
 // readAtOnce is the one buffer into which connections are read; what is left of a request that is not whole is kept by its
 // connection.
-const readAtOnce = 64 << 10
+const readBufferBytes = 64 << 10
 
 func (f *PollFront) now() time.Duration { return time.Since(f.start) }
 
@@ -90,7 +90,7 @@
 }
 
 // dated returns the value of Date now.
-func (f *PollFront) dated() string {
+func (f *PollFront) dateValue() string {
 	now := time.Now()
 	d := f.date.Load()
 	if d == nil || d.second != now.Unix() {
@@ -102,26 +102,26 @@
 
 // Serve takes connections until End, on goroutines of its own. What goes wrong comes on Failed.
 func (f *PollFront) Serve(ln net.Listener) {
-	listening, err := fileOf(ln)
+	listenFile, err := duplicateListener(ln)
 	if err != nil {
 		f.failed <- err
 		return
 	}
 	f.mu.Lock()
-	f.ln, f.listening = ln, listening
+	f.ln, f.listenFile = ln, listenFile
 	f.mu.Unlock()
 	f.tasks.Go(func() {
-		defer close(f.accepted)
-		if err := f.accept(listening); err != nil && !errors.Is(err, net.ErrClosed) {
+		defer close(f.acceptDone)
+		if err := f.accept(listenFile); err != nil && !errors.Is(err, net.ErrClosed) {
 			f.failed <- err
 		}
 	})
 	f.tasks.Go(func() { f.poller.Run(func() {}, nil) })
 	done := make(chan struct{})
-	f.tasks.Go(func() { f.tick(done) })
+	f.tasks.Go(func() { f.runTimeouts(done) })
 	f.tasks.Go(func() {
 		<-f.exchange.Done()
-		f.shut()
+		f.closeAll()
 		close(done)
 	})
 }
@@ -131,7 +131,7 @@
 
 // fileOf returns another descriptor of a listener, on which the runtime can wait for who accepts bare descriptors: the
 // listener itself lets nobody.
-func fileOf(ln net.Listener) (*os.File, error) {
+func duplicateListener(ln net.Listener) (*os.File, error) {
 	sc, ok := ln.(syscall.Conn)
 	if !ok {
 		return nil, fmt.Errorf("listen: %T has no descriptor", ln)
@@ -151,8 +151,8 @@
 }
 
 // accept takes connections in as bare descriptors.
-func (f *PollFront) accept(listening *os.File) error {
-	raw, err := listening.SyscallConn()
+func (f *PollFront) accept(listenFile *os.File) error {
+	raw, err := listenFile.SyscallConn()
 	if err != nil {
 		return fmt.Errorf("accept: %w", err)
 	}
@@ -184,7 +184,7 @@
 func (f *PollFront) add(fd int) {
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // the connection works without the option
 	f.mu.Lock()
-	full := f.open >= int(f.most.Load())
+	full := f.open >= int(f.maxConns.Load())
 	f.mu.Unlock()
 	if full && !f.evict() {
 		_ = unix.Close(fd) // the descriptor is released even where this fails
@@ -199,11 +199,11 @@
 		return
 	}
 	f.open++
-	f.enter(c, &f.silent, headTimeout)
+	f.moveTo(c, &f.unused, headTimeout)
 	f.mu.Unlock()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.state != pollClosed && f.poller.Register(fd, c, &c.place) != nil {
+	if c.state != pollClosed && f.poller.Register(fd, c, &c.registration) != nil {
 		c.close()
 	}
 }
--- a/internal/front/http/poll_linux_test.go
+++ b/internal/front/http/poll_linux_test.go
@@ -28,26 +28,26 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // back answers as its test says.
-type back struct{ answer func(*core.Attempt) }
+type fakeBackend struct{ answer func(*core.Attempt) }
 
-func (b *back) Begin(a *core.Attempt)                   { go b.answer(a) }
-func (b *back) Cancel(*core.Attempt)                    {}
-func (b *back) Probe(*core.Endpoint, func(core.Result)) {}
-func (b *back) CloseIdle(*core.Endpoint)                {}
+func (b *fakeBackend) Begin(a *core.Attempt)                   { go b.answer(a) }
+func (b *fakeBackend) Cancel(*core.Attempt)                    {}
+func (b *fakeBackend) Probe(*core.Endpoint, func(core.Result)) {}
+func (b *fakeBackend) CloseIdle(*core.Endpoint)                {}
 
 // started is a front before an exchange with one server.
-type started struct {
+type testFront struct {
 	*PollFront
 	t    *testing.T
 	addr string
 }
 
-func startPoll(t *testing.T, connections int, answer func(*core.Attempt)) *started {
+func startPoll(t *testing.T, connections int, answer func(*core.Attempt)) *testFront {
 	t.Helper()
-	return startPollBehind(t, nil, connections, answer)
+	return startPollWithShedder(t, nil, connections, answer)
 }
 
-func startPollBehind(t *testing.T, keeper *loadshed.Shedder, connections int, answer func(*core.Attempt)) *started {
+func startPollWithShedder(t *testing.T, shedder *loadshed.Shedder, connections int, answer func(*core.Attempt)) *testFront {
 	t.Helper()
 	rules := []balance.Class{{Deadline: 2e4, LatencyTarget: 4000, Value: 1}}
 	ctx, stop := context.WithCancel(context.Background())
@@ -58,13 +58,13 @@
 			StreamsPerConn: 1, Peers: 1, Cancel: true,
 		},
 		InitialList: &roster.List{Complete: true, Members: []roster.Member{{ID: "s-1", HostPort: "h:1", Phase: "ready", Size: 1}}},
-		Log:         log, Backend: func(string) core.Backend { return &back{answer} },
+		Log:         log, Backend: func(string) core.Backend { return &fakeBackend{answer} },
 	})
 	catalog, err := core.NewCatalog(rules, []string{"read"}, []string{"acme"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := NewPoll(Config{Catalog: catalog, Door: keeper, Connections: connections,
+	f, err := NewPoll(Config{Catalog: catalog, Shedder: shedder, Connections: connections,
 		Evict: func() bool { return false }, Log: log}, exchange)
 	if err != nil {
 		t.Fatal(err)
@@ -78,7 +78,7 @@
 		<-done
 		f.Wait()
 	})
-	return &started{f, t, ln.Addr().String()}
+	return &testFront{f, t, ln.Addr().String()}
 }
 
 func serveText(text string) func(*core.Attempt) {
@@ -87,7 +87,7 @@
 	}
 }
 
-func (s *started) dial() net.Conn {
+func (s *testFront) dial() net.Conn {
 	s.t.Helper()
 	c, err := net.Dial("tcp", s.addr)
 	if err != nil {
@@ -99,11 +99,11 @@
 }
 
 // ask is a request under an id.
-func ask(id int) string {
+func requestText(id int) string {
 	return fmt.Sprintf("GET /api HTTP/1.1\r\nHost: a\r\nX-Trace-Id: t-%d\r\nX-Qos: read\r\nX-Customer: acme\r\n\r\n", id)
 }
 
-func (s *started) want(_ net.Conn, in *bufio.Reader, status int, body string) *http.Response {
+func (s *testFront) wantResponse(_ net.Conn, in *bufio.Reader, status int, body string) *http.Response {
 	s.t.Helper()
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
@@ -117,17 +117,17 @@
 }
 
 // A request comes in any pieces, a name cut in two among them, and the connection goes on.
-func TestPieces(t *testing.T) {
+func TestRequestInSegments(t *testing.T) {
 	s := startPoll(t, 10, serveText("ok"))
 	c := s.dial()
 	in := bufio.NewReader(c)
 	for i, step := range []int{1, 3, 1000} {
-		for rest := ask(i); rest != ""; {
+		for rest := requestText(i); rest != ""; {
 			n := min(step, len(rest))
 			_, _ = io.WriteString(c, rest[:n])
 			rest = rest[n:]
 		}
-		s.want(c, in, 200, "ok")
+		s.wantResponse(c, in, 200, "ok")
 	}
 	_, _ = io.WriteString(c, "POST /api HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\nX-Trace-Id: "+
 		"t\r\nX-Qos: read\r\nX-Customer: acme\r\n\r\n")
@@ -135,26 +135,26 @@
 		t.Fatalf("leave to go on: %v, %v", resp, err)
 	}
 	_, _ = io.WriteString(c, "ab")
-	s.want(c, in, 405, "this class wants GET")
+	s.wantResponse(c, in, 405, "this class wants GET")
 }
 
 // A door that is shut turns a request away as soon as its class is known, although that comes only in the second segment; the
 // connection goes on, and what was turned away is not held.
-func TestDoorKnowsClassesInPieces(t *testing.T) {
-	s := startPollBehind(t, loadshed.NewShedder(0, []overload.Class{{Value: 1, LatencyTarget: time.Second}}), 10, serveText("ok"))
+func TestShedderSeesClassOfSegmentedRequest(t *testing.T) {
+	s := startPollWithShedder(t, loadshed.NewShedder(0, []overload.Class{{Value: 1, LatencyTarget: time.Second}}), 10, serveText("ok"))
 	for ok := true; ok; { // until it is full
-		ok, _ = s.cfg.Door.Admit(0)
+		ok, _ = s.cfg.Shedder.Admit(0)
 	}
 	c := s.dial()
 	in := bufio.NewReader(c)
 	for i := range 3 {
-		text := ask(i)
+		text := requestText(i)
 		at := strings.Index(text, "X-Qos: re")
 		_, _ = io.WriteString(c, text[:at+9])
 		testbed.Until(t, "the first piece is there", func() bool {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			return s.partly.n == 1
+			return s.partial.length == 1
 		})
 		_, _ = io.WriteString(c, text[at+9:])
 		if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
@@ -166,12 +166,12 @@
 }
 
 // A second request in the segment of the first is neither served nor taken for something else.
-func TestPipelinedIsTurnedAway(t *testing.T) {
+func TestPipelinedRequestIsRejected(t *testing.T) {
 	s := startPoll(t, 10, serveText("ok"))
 	c := s.dial()
-	_, _ = io.WriteString(c, ask(1)+ask(2))
+	_, _ = io.WriteString(c, requestText(1)+requestText(2))
 	in := bufio.NewReader(c)
-	if resp := s.want(c, in, 400, "more than the request"); !resp.Close {
+	if resp := s.wantResponse(c, in, 400, "more than the request"); !resp.Close {
 		t.Error("the connection goes on")
 	}
 	if rest, err := io.ReadAll(in); err != nil || len(rest) > 0 {
@@ -180,19 +180,19 @@
 }
 
 // An answer larger than the socket's buffer goes to a reader that is slow, and the connection of one that stops ends.
-func TestAnswerLargerThanTheBuffer(t *testing.T) {
+func TestAnswerLargerThanSocketBuffer(t *testing.T) {
 	t.Parallel()
 	body := strings.Repeat("x", 8<<20)
 	s := startPoll(t, 10, serveText(body))
 	slow, stopped := s.dial(), s.dial()
 	_ = stopped.(*net.TCPConn).SetReadBuffer(4096)
 	for i, c := range []net.Conn{slow, stopped} {
-		_, _ = io.WriteString(c, ask(i))
+		_, _ = io.WriteString(c, requestText(i))
 	}
 	in := bufio.NewReaderSize(slow, 1000)
-	s.want(slow, in, 200, body)
-	_, _ = io.WriteString(slow, ask(7))
-	s.want(slow, in, 200, body)
+	s.wantResponse(slow, in, 200, body)
+	_, _ = io.WriteString(slow, requestText(7))
+	s.wantResponse(slow, in, 200, body)
 	testbed.Until(t, "the one that stopped is gone", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -201,20 +201,20 @@
 }
 
 // An event for a connection that has just been closed must not touch the one that has its place, and its descriptor, by now.
-func TestEventOfOneBefore(t *testing.T) {
+func TestStaleEventAfterDescriptorReuse(t *testing.T) {
 	s := startPoll(t, 10, serveText("ok"))
 	first := s.dial()
-	_, _ = io.WriteString(first, ask(1))
-	s.want(first, bufio.NewReader(first), 200, "ok")
+	_, _ = io.WriteString(first, requestText(1))
+	s.wantResponse(first, bufio.NewReader(first), 200, "ok")
 	testbed.Until(t, "it is idle", func() bool { // the answer goes out a moment before
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return s.idle.n == 1
+		return s.idle.length == 1
 	})
 	s.mu.Lock()
 	old := s.idle.first
 	s.mu.Unlock()
-	old.closeIfUnused()
+	old.closeIfIdle()
 	second := s.dial()
 	testbed.Until(t, "it is there", func() bool {
 		s.mu.Lock()
@@ -222,15 +222,15 @@
 		return s.open == 1
 	})
 	s.mu.Lock()
-	now := s.silent.first
+	now := s.unused.first
 	reused := now != nil && now.fd == old.fd
 	s.mu.Unlock()
 	if !reused {
 		t.Skip("the kernel gave another descriptor")
 	}
 	old.Ready(unix.EPOLLIN | unix.EPOLLHUP) // as if it came late
-	_, _ = io.WriteString(second, ask(2))
-	s.want(second, bufio.NewReader(second), 200, "ok")
+	_, _ = io.WriteString(second, requestText(2))
+	s.wantResponse(second, bufio.NewReader(second), 200, "ok")
 }
 
 // With many quiet connections the time-outs come on time, and one that is asked for is not let go.
@@ -246,8 +246,8 @@
 	in := bufio.NewReader(busy)
 	opened := time.Since(begun)
 	for i := 0; time.Since(begun) < 3*time.Second; i++ {
-		_, _ = io.WriteString(busy, ask(i))
-		s.want(busy, in, 200, "ok")
+		_, _ = io.WriteString(busy, requestText(i))
+		s.wantResponse(busy, in, 200, "ok")
 		time.Sleep(50 * time.Millisecond)
 	}
 	for _, c := range all {
@@ -266,9 +266,9 @@
 }
 
 // Clients that send a byte now and then hold no place from others, and none of them costs a goroutine.
-func TestManySlowClients(t *testing.T) {
+func TestSlowClientsDoNotExhaustConnections(t *testing.T) {
 	s := startPoll(t, 300, serveText("ok"))
-	text := []byte(ask(0))
+	text := []byte(requestText(0))
 	var slow []net.Conn
 	for range 300 {
 		slow = append(slow, s.dial())
@@ -281,37 +281,37 @@
 	testbed.Until(t, "all of them are known to be slow", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return s.partly.n == len(slow)
+		return s.partial.length == len(slow)
 	})
 	for i := range 20 {
 		c := s.dial()
-		_, _ = io.WriteString(c, ask(i+1))
-		s.want(c, bufio.NewReader(c), 200, "ok")
+		_, _ = io.WriteString(c, requestText(i+1))
+		s.wantResponse(c, bufio.NewReader(c), 200, "ok")
 	}
 }
 
 // A connection whose request has come and is not read yet is spared, however silent it counts; the slowest of the others
 // goes for a new one.
-func TestUnreadRequestIsSpared(t *testing.T) {
+func TestConnectionWithUnreadRequestIsNotEvicted(t *testing.T) {
 	s := startPoll(t, 2, serveText("ok"))
 	slow := s.dial()
 	_, _ = io.WriteString(slow, "GET /a")
 	testbed.Until(t, "it is on its way", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return s.partly.n == 1
+		return s.partial.length == 1
 	})
 	unread := s.dial()
 	testbed.Until(t, "it is silent", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return s.silent.n == 1
+		return s.unused.length == 1
 	})
 	s.mu.Lock()
-	c := s.silent.first
+	c := s.unused.first
 	s.mu.Unlock()
 	c.mu.Lock() // the poller has not come to it
-	_, _ = io.WriteString(unread, ask(1))
+	_, _ = io.WriteString(unread, requestText(1))
 	var b [1]byte
 	testbed.Until(t, "it has come", func() bool {
 		n, _, err := unix.Recvfrom(c.fd, b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
@@ -324,28 +324,28 @@
 	if !testbed.Next(t, evicted) {
 		t.Error("nothing was closed, though one is slow")
 	}
-	s.want(unread, bufio.NewReader(unread), 200, "ok")
+	s.wantResponse(unread, bufio.NewReader(unread), 200, "ok")
 	if _, err := slow.Read(b[:]); err == nil {
 		t.Error("the slow one goes on")
 	}
 }
 
 // At the end an open request gets its answer, and then nobody listens.
-func TestEndAnswersWhatIsOpen(t *testing.T) {
+func TestEndAnswersOpenRequests(t *testing.T) {
 	release := make(chan bool)
 	s := startPoll(t, 2000, func(a *core.Attempt) { <-release; serveText("ok")(a) })
 	open := s.dial()
-	_, _ = io.WriteString(open, ask(1))
+	_, _ = io.WriteString(open, requestText(1))
 	testbed.Until(t, "it is open", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return s.open == 1 && s.silent.n+s.partly.n == 0
+		return s.open == 1 && s.unused.length+s.partial.length == 0
 	})
 	ended := make(chan error, 1)
 	go func() { ended <- s.End(testbed.Patience) }()
 	testbed.Until(t, "it is ending", s.ending.Load)
 	close(release)
-	if resp := s.want(open, bufio.NewReader(open), 200, "ok"); !resp.Close {
+	if resp := s.wantResponse(open, bufio.NewReader(open), 200, "ok"); !resp.Close {
 		t.Error("the connection goes on")
 	}
 	if err := testbed.Next(t, ended); err != nil {
@@ -357,7 +357,7 @@
 }
 
 // What an answer carries is written as it is, with one length and one date.
-func TestRender(t *testing.T) {
+func TestAppendResponse(t *testing.T) {
 	s := startPoll(t, 1, nil)
 	for name, c := range map[string]struct {
 		answer core.Answer
@@ -372,7 +372,7 @@
 		"of RPC":   {core.Answer{ContentType: core.MessagePack, Body: []byte{7}}, false, []string{"Content-Type: application/msgpack\r\n"}},
 		"declined": {core.Answer{ApplicationError: true}, false, []string{"HTTP/1.1 422 "}},
 	} {
-		got := s.render(nil, statusOf(&c.answer), &c.answer, c.last, false)
+		got := s.appendResponse(nil, statusOf(&c.answer), &c.answer, c.last, false)
 		for _, w := range c.want {
 			if !bytes.Contains(got, []byte(w)) {
 				t.Errorf("%s: %q lacks %q", name, got, w)
--- a/internal/front/http/pollaccept_linux.go
+++ b/internal/front/http/pollaccept_linux.go
@@ -15,84 +15,84 @@
 )
 
 // accept makes a call of a request, with its body or what that is still to come through. The caller holds mu.
-func (c *pollConn) accept(body []byte, stream *bodypipe.Pipe) *pollCall {
+func (c *pollConn) startCall(body []byte, stream *bodypipe.Pipe) *pollCall {
 	h, f := c.head, c.front
 	// What is answered here ends the connection where the body is still coming.
-	c.last, c.old, c.wary = h.last || stream != nil, h.old, stream != nil
-	if c.answersItself(h) {
+	c.closeAfter, c.http10, c.mustLinger = h.closeAfter || stream != nil, h.http10, stream != nil
+	if c.answerLocally(h) {
 		return nil
 	}
 	class := -1
 	if f.cfg.Dialect == nil {
 		class = f.cfg.classOf(h.header)
 	}
-	if ok, holdOff := f.cfg.Door.Admit(class); !ok {
+	if ok, holdOff := f.cfg.Shedder.Admit(class); !ok {
 		if f.cfg.Dialect == nil {
-			f.cfg.countTurnedAway(class, h.header)
+			f.cfg.countRejected(class, h.header)
 		}
-		c.last = c.last || f.leaving()
-		c.reply(core.Refusal(holdOff.Truncate(time.Millisecond)))
+		c.closeAfter = c.closeAfter || f.closesAfterAnswer()
+		c.sendAnswer(core.Refusal(holdOff.Truncate(time.Millisecond)))
 		return nil
 	}
 	call := &pollCall{conn: c}
 	call.Client = call
 	call.Message.Stream = stream
 	// The body outlives the buffer, which is the connection's next request's.
-	direct, err := f.cfg.fillAny(&call.Call, h, append([]byte(nil), body...))
+	direct, err := f.cfg.fillCall(&call.Call, h, append([]byte(nil), body...))
 	if err != nil || direct != nil {
-		f.cfg.Door.RequestEnded(class, 0, overload.Inconclusive)
+		f.cfg.Shedder.RequestEnded(class, 0, overload.Inconclusive)
 	}
 	if err != nil {
-		c.turnAway(err)
+		c.reject(err)
 		return nil
 	}
 	if direct != nil {
-		c.last = c.last || f.leaving()
-		c.reply(direct)
+		c.closeAfter = c.closeAfter || f.closesAfterAnswer()
+		c.sendAnswer(direct)
 		return nil
 	}
-	c.call, c.state = call, pollOpen
+	c.call, c.state = call, pollInFlight
 	if stream != nil {
 		return call // begin goes on
 	}
 	c.reset()
 	f.mu.Lock()
-	f.enter(c, nil, 0)
+	f.moveTo(c, nil, 0)
 	f.mu.Unlock()
 	return call
 }
 
 // answersItself answers a request that no server is to see, for readiness or for a path that there isn't, and reports whether
 // it did. The caller holds mu.
-func (c *pollConn) answersItself(h *head) bool {
+func (c *pollConn) answerLocally(h *head) bool {
 	f := c.front
 	switch {
 	case f.cfg.Dialect != nil, h.path == "/api", strings.HasPrefix(h.path, "/api/"):
 		return false
 	case h.path == "/up" && h.method == http.MethodGet:
-		c.last = c.last || f.leaving()
-		if !f.up() || !f.exchange.Ready() {
-			c.plain(http.StatusServiceUnavailable, "not ready\n")
+		c.closeAfter = c.closeAfter || f.closesAfterAnswer()
+		if !f.isReady() || !f.exchange.Ready() {
+			c.sendText(http.StatusServiceUnavailable, "not ready\n")
 		} else {
-			c.plain(http.StatusOK, "ready\n")
+			c.sendText(http.StatusOK, "ready\n")
 		}
 	default:
-		c.turnAway(&badRequest{http.StatusNotFound, "no such path"})
+		c.reject(&badRequest{http.StatusNotFound, "no such path"})
 	}
 	return true
 }
 
 // reset forgets the request that has come.
 func (c *pollConn) reset() {
-	if c.buf != nil && cap(c.buf) <= mostKept {
+	if c.buf != nil && cap(c.buf) <= maxPooledBytes {
 		//lint:ignore SA6002 the header that is allocated here is small beside the buffer that is saved
 		readBuffers.Put(c.buf[:0])
 	}
-	c.began, c.buf, c.scan, c.head, c.headEnd, c.chunks = false, nil, headScan{}, nil, 0, nil
+	c.requestStarted, c.buf, c.scan, c.head, c.headEnd, c.chunks = false, nil, headScanner{}, nil, 0, nil
 }
 
 // turnAway answers a bad request and ends its connection: what follows on it may be anything. The caller holds mu.
-func (c *pollConn) turnAway(err error) {
+func (c *pollConn) reject(err error) {
 	status := http.StatusBadRequest
 	var bad *badRequest
 	switch {
@@ -103,15 +103,15 @@
 	case errors.Is(err, httpwire.ErrTrailersTooLong):
 		status = http.StatusRequestHeaderFieldsTooLarge
 	}
-	c.last, c.wary = true, true
+	c.closeAfter, c.mustLinger = true, true
 	if d := c.front.cfg.Dialect; d != nil {
-		c.reply(d.Verdict(status, err.Error()))
+		c.sendAnswer(d.ErrorAnswer(status, err.Error()))
 		return
 	}
-	c.plain(status, err.Error()+"\n")
+	c.sendText(status, err.Error()+"\n")
 }
 
 // plain answers with a text. The caller holds mu.
-func (c *pollConn) plain(status int, text string) {
+func (c *pollConn) sendText(status int, text string) {
 	c.send(status, &core.Answer{Meta: map[string][]string{"Content-Type": {"text/plain; charset=utf-8"}}, Body: []byte(text)})
 }
--- a/internal/front/http/pollplaces_linux.go
+++ b/internal/front/http/pollqueue_linux.go
@@ -9,7 +9,7 @@
 // queue is a list of connections through their own links.
 type queue struct {
 	first, last *pollConn
-	n           int
+	length      int
 }
 
 func (q *queue) push(c *pollConn) {
@@ -20,11 +20,11 @@
 		q.first = c
 	}
 	q.last = c
-	q.n++
+	q.length++
 }
 
 // leave takes a connection out of its queue.
-func (c *pollConn) leave() {
+func (c *pollConn) dequeue() {
 	q := c.queue
 	if q == nil {
 		return
@@ -40,28 +40,28 @@
 		q.last = c.prev
 	}
 	c.queue, c.prev, c.next = nil, nil, nil
-	q.n--
+	q.length--
 }
 
 // enter puts a connection into a queue and sets its time-out; 0 sets none. The caller holds mu.
-func (f *PollFront) enter(c *pollConn, q *queue, timeout time.Duration) {
-	c.leave()
+func (f *PollFront) moveTo(c *pollConn, q *queue, timeout time.Duration) {
+	c.dequeue()
 	if q != nil {
 		q.push(c)
-		c.since = f.now()
+		c.queuedAt = f.now()
 	}
 	if timeout > 0 {
-		f.setDue(c, f.now()+timeout)
+		f.setTimeoutAt(c, f.now()+timeout)
 	} else {
 		f.wheel.Clear(&c.timeout)
 	}
 }
 
 // crowded reports whether so many connections wait for a request that no more are kept.
-func (f *PollFront) crowded() bool {
+func (f *PollFront) tooManyIdle() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.silent.n+f.idle.n >= waiting(int(f.most.Load()), f.cfg.Waiting)
+	return f.unused.length+f.idle.length >= maxIdleConns(int(f.maxConns.Load()), f.cfg.MaxIdleFraction)
 }
 
 // evict closes the connection that is missed least, and reports whether there was one: the one silent for longest, but one
@@ -70,21 +70,21 @@
 func (f *PollFront) evict() bool {
 	var candidates []*pollConn
 	f.mu.Lock()
-	first, second := &f.silent, &f.idle
-	if c := second.first; c != nil && f.now()-c.since >= mayClose && (first.first == nil || c.since < first.first.since) {
+	first, second := &f.unused, &f.idle
+	if c := second.first; c != nil && f.now()-c.queuedAt >= minIdleBeforeEviction && (first.first == nil || c.queuedAt < first.first.queuedAt) {
 		first, second = second, first
 	}
-	for _, q := range []*queue{&f.ended, first, second} {
-		for c := q.first; c != nil && len(candidates) < triedAtOnce; c = c.next {
+	for _, q := range []*queue{&f.lingering, first, second} {
+		for c := q.first; c != nil && len(candidates) < maxEvictionCandidates; c = c.next {
 			candidates = append(candidates, c)
 		}
 	}
-	if c := f.partly.first; c != nil {
+	if c := f.partial.first; c != nil {
 		candidates = append(candidates, c)
 	}
 	f.mu.Unlock()
 	for _, c := range candidates {
-		if c.closeIfUnused() {
+		if c.closeIfIdle() {
 			return true
 		}
 	}
@@ -92,14 +92,14 @@
 }
 
 // tick plays the time-outs when they are due, and looks each wheelTick while connections are to go.
-func (f *PollFront) tick(done <-chan struct{}) {
+func (f *PollFront) runTimeouts(done <-chan struct{}) {
 	timer := time.NewTimer(wheelTick)
 	defer timer.Stop()
 	var due []*pollConn
 	for {
 		select {
 		case <-timer.C:
-		case <-f.sooner:
+		case <-f.wakeUp:
 		case <-done:
 			return
 		}
@@ -108,39 +108,39 @@
 		due = f.wheel.Advance(now, due[:0])
 		f.mu.Unlock()
 		for _, c := range due {
-			c.expired()
+			c.onTimeout()
 		}
 		clear(due)
-		f.sendAway()
+		f.closeSurplus()
 		f.mu.Lock()
-		f.alarm = now + rarely
-		if at, ok := f.wheel.Next(); ok {
-			f.alarm = min(f.alarm, at)
+		f.wakeAt = now + maxWakeInterval
+		if next, ok := f.wheel.Next(); ok {
+			f.wakeAt = min(f.wakeAt, next)
 		}
-		if f.paused.Load() != 0 || f.open > int(f.most.Load()) {
-			f.alarm = min(f.alarm, now+wheelTick)
+		if f.paused.Load() != 0 || f.open > int(f.maxConns.Load()) {
+			f.wakeAt = min(f.wakeAt, now+wheelTick)
 		}
-		timer.Reset(f.alarm - f.now())
+		timer.Reset(f.wakeAt - f.now())
 		f.mu.Unlock()
 	}
 }
 
 // rarely is how often tick looks where nothing is due.
-const rarely = time.Minute
+const maxWakeInterval = time.Minute
 
 // setDue sets a connection's time-out, and has tick look in time. The caller holds mu.
-func (f *PollFront) setDue(c *pollConn, at time.Duration) {
+func (f *PollFront) setTimeoutAt(c *pollConn, at time.Duration) {
 	f.wheel.Set(&c.timeout, at)
-	if at < f.alarm-wheelTick {
-		f.alarm = at
-		f.look()
+	if at < f.wakeAt-wheelTick {
+		f.wakeAt = at
+		f.wakeTimeouts()
 	}
 }
 
 // look has tick look now, and set its alarm anew.
-func (f *PollFront) look() {
+func (f *PollFront) wakeTimeouts() {
 	select {
-	case f.sooner <- struct{}{}:
+	case f.wakeUp <- struct{}{}:
 	default:
 	}
 }
--- a/internal/front/http/stream_linux.go
+++ b/internal/front/http/stream_linux.go
@@ -17,8 +17,8 @@
 
 const (
 	// A client has bodyGrace to begin with a body, and has to send bodyRate bytes a second from then on, on the mean.
-	bodyGrace = time.Second
-	bodyRate  = 56 << 10
+	bodyStartGrace        = time.Second
+	minBodyBytesPerSecond = 56 << 10
 )
 
 var errClosed = errors.New("the client's connection is closed")
@@ -27,113 +27,113 @@
 func (c *pollConn) setTimeout(d time.Duration) {
 	f := c.front
 	f.mu.Lock()
-	f.setDue(c, f.now()+d)
+	f.setTimeoutAt(c, f.now()+d)
 	f.mu.Unlock()
 }
 
 // bodyLeft is how long the client still has for the next bytes of a body.
-func (c *pollConn) bodyLeft() time.Duration {
-	due := c.bodyFrom + bodyGrace + time.Duration(float64(c.bodyGot)/bodyRate*float64(time.Second))
+func (c *pollConn) bodyTimeLeft() time.Duration {
+	due := c.bodyStart + bodyStartGrace + time.Duration(float64(c.bodyReceived)/minBodyBytesPerSecond*float64(time.Second))
 	return due - c.front.now()
 }
 
 // isLong reports whether the request that is coming is too long to be held whole.
-func (c *pollConn) isLong() bool {
+func (c *pollConn) isStreamed() bool {
 	return c.head != nil && (c.head.length > httpwire.MaxBufferedBody && c.chunks == nil ||
 		c.chunks != nil && c.head.length < 0 && len(c.chunks.Body) > httpwire.MaxBufferedBody)
 }
 
 // begin hands a long request over, whose body follows. The caller holds mu.
-func (c *pollConn) begin() *pollCall {
+func (c *pollConn) startStreamedCall() *pollCall {
 	h, rest := c.head, c.buf[c.headEnd:]
-	p := bodypipe.New(h.length)
-	call := c.accept(nil, p)
+	pipe := bodypipe.New(h.length)
+	call := c.startCall(nil, pipe)
 	if call == nil { // it has its answer
 		return nil
 	}
-	c.up, c.upLeft, c.waitFrom = p, h.length, 0
-	c.last, c.wary = h.last, false
+	c.upload, c.uploadLeft, c.blockedSince = pipe, h.length, 0
+	c.closeAfter, c.mustLinger = h.closeAfter, false
 	if c.chunks != nil {
-		c.upLeft = -1
-		_ = p.Append(c.chunks.Body) // fails where the request has ended already, whose answer is on its way
+		c.uploadLeft = -1
+		_ = pipe.Append(c.chunks.Body) // fails where the request has ended already, whose answer is on its way
 		c.chunks.Body = nil
 		c.buf = append([]byte(nil), rest...) // what the chunks have not taken yet
 		c.headEnd = 0
 	} else {
-		c.upLeft -= int64(len(rest))
-		_ = p.Append(rest) // the same
+		c.uploadLeft -= int64(len(rest))
+		_ = pipe.Append(rest) // the same
 		c.reset()
 	}
 	f := c.front
 	f.mu.Lock()
-	f.enter(c, nil, max(wheelTick, c.bodyLeft()))
+	f.moveTo(c, nil, max(wheelTick, c.bodyTimeLeft()))
 	f.mu.Unlock()
 	return call
 }
 
 // feed takes in more of a body, on the poller's goroutine. It reports whether to go on reading: not where nothing is there,
 // or the other side has to be waited for. The caller holds mu, and up is there.
-func (c *pollConn) feed() bool {
+func (c *pollConn) readUpload() bool {
 	f := c.front
-	room := c.up.Space()
+	room := c.upload.Space()
 	if room <= 0 {
-		if c.up.OnSpace(c.rearm) {
-			c.waitFrom = f.now()
+		if c.upload.OnSpace(c.rearm) {
+			c.blockedSince = f.now()
 			return false
 		}
-		if room = c.up.Space(); room <= 0 { // nobody takes it any more
-			room = len(f.scratch)
+		if room = c.upload.Space(); room <= 0 { // nobody takes it any more
+			room = len(f.readBuffer)
 		}
 	}
-	if c.waitFrom != 0 { // the time was not the client's
-		c.bodyFrom += f.now() - c.waitFrom
-		c.waitFrom = 0
+	if c.blockedSince != 0 { // the time was not the client's
+		c.bodyStart += f.now() - c.blockedSince
+		c.blockedSince = 0
 	}
-	room = min(room, len(f.scratch))
-	if c.upLeft >= 0 {
-		room = int(min(int64(room), c.upLeft))
+	room = min(room, len(f.readBuffer))
+	if c.uploadLeft >= 0 {
+		room = int(min(int64(room), c.uploadLeft))
 	}
-	n, err := unix.Read(c.fd, f.scratch[:room])
+	n, err := unix.Read(c.fd, f.readBuffer[:room])
 	switch {
 	case errors.Is(err, unix.EINTR):
 		return true
 	case errors.Is(err, unix.EAGAIN):
 		return false
 	case err != nil || n == 0:
-		c.up.CloseWrite(io.ErrUnexpectedEOF)
-		c.up, c.gone = nil, true
+		c.upload.CloseWrite(io.ErrUnexpectedEOF)
+		c.upload, c.readClosed = nil, true
 		return true
 	}
-	c.bodyGot += int64(n)
-	done, err := c.pass(f.scratch[:n])
+	c.bodyReceived += int64(n)
+	done, err := c.forwardUpload(f.readBuffer[:n])
 	if err != nil { // no body: the request has not come, and what follows may be anything
-		c.up.CloseWrite(err)
-		c.up, c.last, c.wary, c.gone = nil, true, true, true
+		c.upload.CloseWrite(err)
+		c.upload, c.closeAfter, c.mustLinger, c.readClosed = nil, true, true, true
 		return true
 	}
 	if done {
-		c.up.CloseWrite(nil)
-		c.up = nil
+		c.upload.CloseWrite(nil)
+		c.upload = nil
 		c.reset()
 		f.mu.Lock()
-		f.enter(c, nil, 0)
+		f.moveTo(c, nil, 0)
 		f.mu.Unlock()
 	}
 	return true
 }
 
 // pass puts bytes of a body into its pipe, and reports whether those were the last. The caller holds mu.
-func (c *pollConn) pass(b []byte) (done bool, err error) {
-	if c.upLeft >= 0 {
-		c.upLeft -= int64(len(b))
-		_ = c.up.Append(b) // fails where the request has ended already, whose answer is on its way
-		return c.upLeft == 0, nil
+func (c *pollConn) forwardUpload(b []byte) (done bool, err error) {
+	if c.uploadLeft >= 0 {
+		c.uploadLeft -= int64(len(b))
+		_ = c.upload.Append(b) // fails where the request has ended already, whose answer is on its way
+		return c.uploadLeft == 0, nil
 	}
 	c.buf = append(c.buf, b...)
 	taken, done, err := c.chunks.Next(c.buf)
 	c.buf = c.buf[:copy(c.buf, c.buf[taken:])]
 	if len(c.chunks.Body) > 0 {
-		_ = c.up.Append(c.chunks.Body) // the same
+		_ = c.upload.Append(c.chunks.Body) // the same
 		c.chunks.Body = c.chunks.Body[:0]
 	}
 	return done, err
@@ -144,60 +144,60 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.state != pollClosed {
-		c.again()
+		c.rearmLocked()
 	}
 }
 
 // again has the kernel tell once more what there is on the connection. The caller holds mu.
-func (c *pollConn) again() {
-	_ = c.front.poller.Rearm(c.fd, c.place) // fails only on a closed descriptor, and the connection's is open
+func (c *pollConn) rearmLocked() {
+	_ = c.front.poller.Rearm(c.fd, c.registration) // fails only on a closed descriptor, and the connection's is open
 }
 
 // uploadExpired handles the time-out of a body that is coming. The caller holds mu.
-func (c *pollConn) uploadExpired() {
-	left := c.bodyLeft()
-	if c.waitFrom != 0 {
-		left = bodyGrace
+func (c *pollConn) onUploadTimeout() {
+	left := c.bodyTimeLeft()
+	if c.blockedSince != 0 {
+		left = bodyStartGrace
 	}
 	if left > 0 {
 		c.setTimeout(left)
 		return
 	}
-	c.up.CloseWrite(errSlow)
-	c.up, c.call = nil, nil
-	c.turnAway(errSlow)
+	c.upload.CloseWrite(errBodyTimeout)
+	c.upload, c.call = nil, nil
+	c.reject(errBodyTimeout)
 }
 
-var errSlow = &badRequest{http.StatusRequestTimeout, "the body does not come"}
+var errBodyTimeout = &badRequest{http.StatusRequestTimeout, "the body does not come"}
 
 // pump goes on with an answer of which more has come, on whatever goroutine.
-func (c *pollConn) pump() {
+func (c *pollConn) resumeDownload() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.state == pollWriting && c.down != nil && len(c.out) == 0 {
+	if c.state == pollWriting && c.download != nil && len(c.out) == 0 {
 		c.flush()
 	}
 }
 
 // refill takes more of an answer out of its pipe, and reports whether there is something to write or the answer has come to
 // its end. The caller holds mu, and out is empty.
-func (c *pollConn) refill() bool {
+func (c *pollConn) fillOut() bool {
 	const room = 8 // for the size of a chunk
 	buf := append(outBuffers.Get().([]byte)[:0], make([]byte, room)...)
-	buf, err := c.down.TakeAppend(buf, pumped)
+	buf, err := c.download.TakeAppend(buf, copyBufferBytes)
 	n := len(buf) - room
 	out := buf[room:]
-	if c.inChunks && n > 0 {
+	if c.chunked && n > 0 {
 		size := append(strconv.AppendInt(make([]byte, 0, room), int64(n), 16), "\r\n"...)
 		copy(buf[room-len(size):], size)
 		out = append(buf[room-len(size):], "\r\n"...)
 	}
 	switch {
 	case errors.Is(err, io.EOF):
-		if c.inChunks {
+		if c.chunked {
 			out = append(out, "0\r\n\r\n"...)
 		}
-		c.down = nil
+		c.download = nil
 		c.setTimeout(streamTimeout)
 	case err != nil: // cut off where the client can tell
 		if n > 0 {
@@ -205,7 +205,7 @@
 		}
 		//lint:ignore SA6002 the header that is allocated here is small beside the buffer that is saved
 		outBuffers.Put(buf[:0])
-		c.note("an answer breaks off", err)
+		c.logTruncated("an answer breaks off", err)
 		c.abort()
 		return false
 	case n == 0:
@@ -224,7 +224,7 @@
 // abort closes the connection so that its client can tell that an answer is not whole: one that would have ended with the
 // connection looks whole else. The caller holds mu.
 func (c *pollConn) abort() {
-	if c.state != pollClosed && !c.inChunks && c.old {
+	if c.state != pollClosed && !c.chunked && c.http10 {
 		// The connection works without the option.
 		_ = unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	}
--- a/internal/front/http/write.go
+++ b/internal/front/http/write.go
@@ -13,7 +13,7 @@
 )
 
 // failures are the statuses of what has failed.
-var failures = map[core.Reason]int{
+var failureStatus = map[core.Reason]int{
 	core.NotServed: http.StatusBadGateway, core.ClientGone: http.StatusBadGateway,
 	core.DeadlineExceeded: http.StatusGatewayTimeout, core.DuplicateName: http.StatusConflict,
 	core.Forbidden: http.StatusForbidden,
@@ -29,7 +29,7 @@
 	case a.Kind == core.Refused:
 		return http.StatusServiceUnavailable
 	case a.Kind == core.Failed:
-		return failures[a.Reason]
+		return failureStatus[a.Reason]
 	case a.ApplicationError:
 		return http.StatusUnprocessableEntity
 	}
@@ -37,7 +37,7 @@
 }
 
 // write writes an answer, in which nobody else writes by now.
-func write(w http.ResponseWriter, a *core.Answer) {
+func writeAnswer(w http.ResponseWriter, a *core.Answer) {
 	h, body := w.Header(), a.Body
 	if a.Kind == core.Served || a.Status != 0 {
 		for name, values := range a.Meta {
@@ -58,37 +58,37 @@
 		return
 	}
 	h.Set("Content-Length", strconv.Itoa(len(body)))
-	limitWrite(w)
+	setWriteTimeout(w)
 	w.WriteHeader(statusOf(a))
 	_, _ = w.Write(body) // fails only where the client is gone
 }
 
 // limitWrite limits how long a client may take nothing of what is written now. The time counts from the writing, as an answer may come at
 // any time: which deadlines its requests have, a front with a dialect is not told.
-func limitWrite(w http.ResponseWriter) {
+func setWriteTimeout(w http.ResponseWriter) {
 	// Fails only on a closed connection, as the next Write does.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 }
 
 // writeStream writes an answer as it comes. One that breaks off ends its connection where the client can tell.
 func writeStream(w http.ResponseWriter, a *core.Answer) {
-	defer a.Stream.CloseRead(errGone)
+	defer a.Stream.CloseRead(errRequestOver)
 	if n := a.Stream.Length(); n >= 0 {
 		w.Header().Set("Content-Length", strconv.FormatInt(n, 10))
 	}
-	limitWrite(w)
+	setWriteTimeout(w)
 	w.WriteHeader(statusOf(a))
-	deadline := http.NewResponseController(w)
-	buf := make([]byte, pumped)
+	controller := http.NewResponseController(w)
+	buf := make([]byte, copyBufferBytes)
 	for {
 		n, err := a.Stream.ReadTimeout(buf, 2*streamTimeout)
 		// Fails only on a closed connection, as the next call on it does.
-		_ = deadline.SetWriteDeadline(time.Now().Add(streamTimeout))
+		_ = controller.SetWriteDeadline(time.Now().Add(streamTimeout))
 		if n > 0 {
 			if _, werr := w.Write(buf[:n]); werr != nil {
 				return
 			}
-			_ = deadline.Flush() // fails only where the next Write does
+			_ = controller.Flush() // fails only where the next Write does
 		}
 		if errors.Is(err, io.EOF) {
 			return
--- a/internal/sidecar/components.go
+++ b/internal/sidecar/components.go
@@ -190,16 +190,16 @@
 func (c *components) openFronts() {
 	cfg, on := c.cfg, c.listeners
 	httpCfg := httpfront.Config{
-		Catalog:     cfg.catalog,
-		Door:        c.shedder,
-		Connections: c.budget.clients,
-		LastCalls:   cfg.acceptGrace,
-		Evict:       c.evictIdle,
-		Idle:        millis(cfg.Options.HTTP.Idle * 1000),
-		Waiting:     cfg.Options.HTTP.Waiting,
-		Claims:      c.gate != nil,
-		Counts:      c.counts,
-		Log:         c.log,
+		Catalog:         cfg.catalog,
+		Shedder:         c.shedder,
+		Connections:     c.budget.clients,
+		AcceptGrace:     cfg.acceptGrace,
+		Evict:           c.evictIdle,
+		IdleTimeout:     millis(cfg.Options.HTTP.Idle * 1000),
+		MaxIdleFraction: cfg.Options.HTTP.Waiting,
+		Claims:          c.gate != nil,
+		Counts:          c.counts,
+		Log:             c.log,
 	}
 	if cfg.methods != nil {
 		cfg.methods.Claims = c.gate != nil
--- a/mesh/dataplane/incoming.go
+++ b/mesh/dataplane/incoming.go
@@ -75,6 +75,6 @@
 }
 
 // Verdict implements httpfront.Dialect: what the front rejects has not been received by the server.
-func (incomingDialect) Verdict(status int, text string) *core.Answer {
+func (incomingDialect) ErrorAnswer(status int, text string) *core.Answer {
 	return ownAnswer(status, attempts.NotReceived, text, 0)
 }
--- a/mesh/dataplane/lifecycle.go
+++ b/mesh/dataplane/lifecycle.go
@@ -89,14 +89,14 @@
 
 func (p *Proxy) newFront(d httpfront.Dialect, x core.Exchange, connections int) (front, error) {
 	cfg := httpfront.Config{
-		Catalog:     &core.Catalog{},
-		Connections: connections,
-		LastCalls:   p.durations.Shutdown.StopAccepting,
-		Idle:        frontIdleTimeout,
-		Waiting:     maxOccupancy,
-		Evict:       func() bool { return false },
-		Dialect:     d,
-		Log:         p.slog,
+		Catalog:         &core.Catalog{},
+		Connections:     connections,
+		AcceptGrace:     p.durations.Shutdown.StopAccepting,
+		IdleTimeout:     frontIdleTimeout,
+		MaxIdleFraction: maxOccupancy,
+		Evict:           func() bool { return false },
+		Dialect:         d,
+		Log:             p.slog,
 	}
 	if p.epoll {
 		return httpfront.NewPoll(cfg, x)
--- a/mesh/dataplane/outgoing.go
+++ b/mesh/dataplane/outgoing.go
@@ -72,7 +72,7 @@
 }
 
 // Verdict implements httpfront.Dialect.
-func (clientDialect) Verdict(status int, text string) *core.Answer {
+func (clientDialect) ErrorAnswer(status int, text string) *core.Answer {
 	return ownAnswer(status, "", text, 0)
 }
 
--- a/mesh/dataplane/sidecar_headers_test.go
+++ b/mesh/dataplane/sidecar_headers_test.go
@@ -105,7 +105,7 @@
 		}
 	}
 	f, err := httpfront.NewPoll(httpfront.Config{
-		Catalog: &core.Catalog{}, Connections: 16, LastCalls: time.Millisecond, Idle: time.Second, Waiting: 0.9,
+		Catalog: &core.Catalog{}, Connections: 16, AcceptGrace: time.Millisecond, IdleTimeout: time.Second, MaxIdleFraction: 0.9,
 		Evict: func() bool { return false }, Dialect: dialect, Log: slog.New(slog.DiscardHandler),
 	}, l)
 	if err != nil {
