--- a/internal/front/http/clients.go
+++ b/internal/front/http/clients.go
@@ -12,48 +12,48 @@
 )
 
 const (
-	// mayClose is how long a connection has to be without a request before it is closed in favour of a new one
-	// while there are others that never asked.
+	// minIdleBeforeEviction is how long a connection must have been idle to be evicted for a new one before connections that never
+	// carried a request.
 	minIdleBeforeEviction = 2 * time.Second
-	// onItsWay is how long a connection is spared from when a request on it began: a request comes in one piece,
-	// but its serving goroutine may have to wait for the processor.
+	// partialRequestGrace protects a connection from eviction after the first byte of a request: the request usually arrives in
+	// one piece, but the goroutine that reads it may have to wait for a processor.
 	partialRequestGrace = time.Second
-	// keptShare is the part of the connections that are kept for a next request beside those with an open one.
+	// defaultIdleDivisor is the divisor of the maximum of connections that yields the default maximum of idle ones.
 	defaultIdleDivisor = 4
-	// triedAtOnce bounds the system calls in a search for one to close.
+	// maxEvictionCandidates bounds the system calls of one search for a connection to evict.
 	maxEvictionCandidates = 32
 )
 
-// clients holds the connections of the application to a number of descriptors. Without it, connections that
-// stay and say nothing take every descriptor, and nobody is served any more.
+// connTracker limits the number of clients' connections. Without the limit, idle connections use up all descriptors, and no client is
+// served anymore.
 type connTracker struct {
 	maxConns           int
-	maxIdleFraction    float64             // see Config.Waiting
-	onProtocolMismatch func(peer net.Addr) // told of who speaks something else; nil: nobody is
+	maxIdleFraction    float64             // see Config.MaxIdleFraction
+	onProtocolMismatch func(peer net.Addr) // called when a client speaks another protocol; may be nil
 
 	mu     sync.Mutex
 	open   int
-	unused queues.List // connections that never asked, the oldest first
-	idle   queues.List // connections between two requests, the longest idle first
-	active queues.List // connections of which a head has come
+	unused queues.List // connections that never carried a request, oldest first
+	idle   queues.List // connections between two requests, longest idle first
+	active queues.List // connections with a request whose head has been received
 }
 
-// client is one connection of the application.
+// clientConn is a client's connection.
 type clientConn struct {
 	*net.TCPConn
 	tracker *connTracker
 	scanner requestScanner
 	handled atomic.Int64 // requests that reached the handler
 
-	// Guarded by owner.mu.
-	queue    *queues.List // nil once it is to be closed
+	// Guarded by tracker.mu.
+	queue    *queues.List // nil once the connection is being closed
 	element  *queues.Element
-	queuedAt time.Time // when it joined the queue
+	queuedAt time.Time // when it was added to the queue
 	closed   bool
 }
 
-// add takes in a new connection, for which others may have to go. Where all have open requests, it is the new
-// one that is closed.
+// add tracks a new connection and evicts another one if there are too many. If all others have open requests, it closes the new one
+// and returns nil.
 func (cs *connTracker) add(c *net.TCPConn) *clientConn {
 	cl := &clientConn{TCPConn: c, tracker: cs}
 	cs.mu.Lock()
@@ -69,23 +69,23 @@
 	cs.mu.Unlock()
 	switch {
 	case victim != nil:
-		_ = victim.Close() // it is given up, whatever came of it
+		_ = victim.Close() // the descriptor is released even where this fails
 	case full:
-		_ = cl.Close() // it was never served
+		_ = cl.Close() // no request was read from it
 		return nil
 	}
 	return cl
 }
 
-// crowded reports whether so many connections wait for a request that no more are kept. The application has a
-// number of descriptors too: clients that ask once and keep their connections use them up, and others cannot connect.
+// tooManyIdle reports whether no more idle connections are kept. The application has a limited number of descriptors too: clients
+// that send one request and keep the connection open use them up, and others cannot connect.
 func (cs *connTracker) tooManyIdle() bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	return cs.unused.Len()+cs.idle.Len() >= maxIdleConns(cs.maxConns, cs.maxIdleFraction)
 }
 
-// evict closes the connection that is missed least, and reports whether there was one.
+// evict closes the connection that victim selects, and reports whether there was one.
 func (cs *connTracker) evict() bool {
 	cs.mu.Lock()
 	victim := cs.victim(time.Now())
@@ -93,14 +93,13 @@
 	if victim == nil {
 		return false
 	}
-	_ = victim.Close() // it is given up, whatever came of it
+	_ = victim.Close() // the descriptor is released even where this fails
 	return true
 }
 
-// victim finds the connection that is missed least: the one silent for longest, but one that never asked rather
-// than one that has been idle for a short while. Where none is silent it is the one whose request has been on its
-// way for longest without being whole, or clients that send a little now and then would hold every place. It leaves
-// its queue. The caller holds mu.
+// victim selects a connection to evict and removes it from its queue: the one idle for longest, where one that never carried a request
+// is preferred to one idle for less than minIdleBeforeEviction. If none is idle, it is the one whose incomplete request started first;
+// otherwise clients that send a byte now and then could occupy all connections. The caller holds mu.
 func (cs *connTracker) victim(now time.Time) *clientConn {
 	first, second := &cs.unused, &cs.idle
 	if c := oldest(second); c != nil && now.Sub(c.queuedAt) >= minIdleBeforeEviction {
@@ -115,7 +114,7 @@
 			if began, partial := c.scanner.partial(); partial && now.Sub(began) < partialRequestGrace {
 				continue
 			}
-			// A whole request that waits for the processor is taken, though its handler has not begun.
+			// A complete request counts as accepted even if its handler has not started for want of a processor.
 			if c.scanner.completed.Load() > c.handled.Load() {
 				continue
 			}
@@ -133,7 +132,7 @@
 	return slowest
 }
 
-// slowest returns the connection with the request that began first of those that are not whole. The caller holds mu.
+// slowest returns the connection whose incomplete request started first. The caller holds mu.
 func (cs *connTracker) slowest() (slowest *clientConn) {
 	first := time.Time{}
 	for _, queue := range []*queues.List{&cs.unused, &cs.idle, &cs.active} {
@@ -168,7 +167,7 @@
 	}
 }
 
-// follow is the server's ConnState hook.
+// onConnState is the server's ConnState hook.
 func (cs *connTracker) onConnState(conn net.Conn, state http.ConnState) {
 	c, ok := conn.(*clientConn)
 	if !ok {
@@ -186,13 +185,13 @@
 	}
 }
 
-// Read passes on what the application sends as far as it can be told apart into requests.
+// Read returns what the client sends, up to the point where the boundaries of requests are ambiguous.
 func (c *clientConn) Read(p []byte) (int, error) {
 	if err := c.scanner.err; err != nil {
 		return 0, err
 	}
 	n, err := c.TCPConn.Read(p)
-	// No method begins with such a byte, and every frame of MessagePack-RPC does. net/http answers 400.
+	// No HTTP method begins with such a byte, but every frame of MessagePack-RPC does. net/http answers 400.
 	if n > 0 && p[0] >= 0x80 && c.scanner.started.Load() == 0 && c.tracker.onProtocolMismatch != nil {
 		c.tracker.onProtocolMismatch(c.RemoteAddr())
 	}
@@ -205,7 +204,7 @@
 	return n, err
 }
 
-// Close frees the descriptor, and its place in the budget, once.
+// Close closes the connection and stops tracking it. Further calls have no effect on the count.
 func (c *clientConn) Close() error {
 	cs := c.tracker
 	cs.mu.Lock()
@@ -218,11 +217,11 @@
 	return c.TCPConn.Close()
 }
 
-// next counts a request that reached the handler.
+// countRequest counts a request that reached the handler.
 func (c *clientConn) countRequest() { c.handled.Add(1) }
 
-// behind tells what came behind the open request. An application sends one request at a time: if there is more, the
-// length is wrong, or the request hides another.
+// peekAfterRequest returns whether anything was received after the open request. An application sends one request at a time: further
+// bytes mean a wrong length, or request smuggling.
 func (c *clientConn) peekAfterRequest() socket.PeekState {
 	if c.scanner.started.Load() > c.handled.Load() {
 		return socket.Readable
@@ -230,11 +229,11 @@
 	return socket.Peek(c.TCPConn)
 }
 
-// listener hands out connections within the budget.
+// listener accepts connections within the limit of its tracker.
 type listener struct {
 	net.Listener
 	conns *connTracker
-	evict func() bool // closes a connection elsewhere
+	evict func() bool // closes an idle connection to a server
 }
 
 func (l listener) Accept() (net.Conn, error) {
--- a/internal/front/http/framing.go
+++ b/internal/front/http/framing.go
@@ -16,34 +16,34 @@
 	errBadLength          = errors.New("a request whose Content-Length is repeated or no number")
 )
 
-// headLine is what is kept of a line of a head: enough for the names and figures that framing goes by.
+// maxLinePrefix is how many bytes of a head's line are kept: enough for the framing headers' names and values.
 const maxLinePrefix = 64
 
-// framing follows the bytes of one connection of the application and tells where requests begin and end. It is
-// there for what net/http hides: that drops Content-Length where a request is chunked too, and reads what
-// the one length calls body as the next request by the other. Such a request is taken for what it is here, and
-// its last byte is held back: net/http answers 400 and closes.
+// requestScanner finds the start and end of requests in the bytes of a client's connection. It detects what net/http hides:
+// net/http drops Content-Length if a request is chunked too, and what is body by the one length becomes the next request by the
+// other (request smuggling). The scanner rejects such a request and withholds the last byte of its head, on which net/http answers
+// 400 and closes.
 type requestScanner struct {
-	line                []byte // the start of the present line of a head
+	line                []byte // prefix of the current line of a head
 	inHead              bool
-	isRequestLine       bool  // the present line is the first one
-	contentLength       int64 // announced by the present head; -1 where none is
-	hasTransferEncoding bool  // the present head has a Transfer-Encoding
-	bodyLeft            int64 // bytes of the body yet to come
-	unscanned           bool  // chunked: what follows is not followed, and the connection ends with this request
+	isRequestLine       bool  // the current line is the first one
+	contentLength       int64 // of the current head; -1: none
+	hasTransferEncoding bool  // of the current head
+	bodyLeft            int64 // bytes of the body that are not received yet
+	unscanned           bool  // the request is chunked: the rest is not scanned, and the connection closes after this request
 	err                 error
 
-	started   atomic.Int64 // requests of which a byte has come
-	completed atomic.Int64 // ... and their last, as far as can be told
-	startedAt atomic.Int64 // when the last one began, Unix nanoseconds
+	started   atomic.Int64 // requests of which a byte was received
+	completed atomic.Int64 // requests whose last byte was received; a chunked one counts from its head
+	startedAt atomic.Int64 // start of the latest request, Unix nanoseconds
 }
 
-// partial tells whether a request is on its way that is not whole, and when it began.
+// partial reports whether a request is incomplete, and when it started.
 func (f *requestScanner) partial() (startedAt time.Time, partial bool) {
 	return time.Unix(0, f.startedAt.Load()), f.started.Load() > f.completed.Load()
 }
 
-// scan takes in what was read and returns how many of the bytes may go on; fewer than all only with f.err set.
+// scan processes bytes that were read and returns how many of them may be passed on; fewer than all only with f.err set.
 func (f *requestScanner) scan(p []byte, now time.Time) int {
 	for rest := p; len(rest) > 0; {
 		switch {
@@ -72,7 +72,7 @@
 	return len(p)
 }
 
-// keep adds to the present line of a head.
+// appendLine appends to the current line of a head.
 func (f *requestScanner) appendLine(part []byte, now time.Time) {
 	if !f.inHead {
 		f.inHead, f.isRequestLine, f.hasTransferEncoding, f.contentLength = true, true, false, -1
@@ -83,7 +83,7 @@
 	f.line = append(f.line, part[:min(len(part), maxLinePrefix-len(f.line))]...)
 }
 
-// endLine takes in a line of a head; an empty one ends it.
+// endLine processes a complete line of a head; an empty line ends the head.
 func (f *requestScanner) endLine() error {
 	line := strings.TrimSuffix(string(f.line), "\r")
 	f.line = f.line[:0]
--- a/internal/front/http/head.go
+++ b/internal/front/http/head.go
@@ -13,23 +13,23 @@
 	"firplank/internal/httpwire"
 )
 
-// head is the head of a request, taken apart.
+// head is the parsed head of a request.
 type head struct {
 	method, target, path, host string
 	header                     http.Header
-	length                     int64 // of the body; -1 where none is announced
+	length                     int64 // Content-Length; -1: none
 	chunked                    bool
-	closeAfter                 bool // the client closes after this request, or speaks HTTP/1.0
-	http10                     bool // it speaks HTTP/1.0
-	expectsContinue            bool // it waits for leave to send its body
+	closeAfter                 bool // "Connection: close", or HTTP/1.0
+	http10                     bool
+	expectsContinue            bool // "Expect: 100-continue"
 }
 
-// request is what a dialect is shown of it.
+// request returns the head for a dialect.
 func (h *head) request() *Request {
 	return &Request{Method: h.method, Target: h.target, Path: h.path, Host: h.host, Header: h.header}
 }
 
-// What is wrong with a head, besides framing's errors.
+// Faults of a head, besides those of requestScanner.
 var (
 	errHeadTooLong      = &badRequest{http.StatusRequestHeaderFieldsTooLarge, "head too long"}
 	errRequestLine      = errors.New("no request line")
@@ -39,13 +39,13 @@
 	errExpectation      = &badRequest{http.StatusExpectationFailed, "an expectation other than 100-continue"}
 )
 
-// headScan finds the end of a head in bytes that come piece by piece.
+// headScanner finds the end of a head that is received in pieces.
 type headScanner struct {
-	offset    int // how far it has looked
-	lineStart int // where the present line begins
+	offset    int // bytes that were scanned
+	lineStart int // start of the current line
 }
 
-// find goes on over b, which holds the head from its first byte, and returns where the head ends; 0 where it does not yet.
+// findEnd continues the scan of b, which holds the head from its first byte, and returns the end of the head; 0 if it is not in b.
 func (s *headScanner) findEnd(b []byte) (end int, err error) {
 	for s.offset < len(b) {
 		i := bytes.IndexByte(b[s.offset:], '\n')
@@ -69,10 +69,10 @@
 	return 0, nil
 }
 
-// parseHead takes a whole head apart. It takes nothing that the standard library would not, and nothing that two readers
-// could understand in two ways: RFC 9112 with none of its tolerance.
+// parseHead parses a complete head. It accepts nothing that the standard library rejects, and nothing that two parsers could
+// interpret in different ways: RFC 9112 without any of its optional leniency.
 func parseHead(b []byte) (*head, error) {
-	text := string(b[:len(b)-2]) // without the empty line; the one copy that all of it shares
+	text := string(b[:len(b)-2]) // without the empty line; the only copy, shared by all fields
 	line, rest, _ := strings.Cut(text, "\r\n")
 	h := &head{length: -1}
 	if err := h.requestLine(line); err != nil {
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// framing reads the headers by which the body's end and the connection's are known.
+// framing evaluates the headers that determine the end of the body and of the connection.
 func (h *head) framing() error {
 	lengths, codings := h.header["Content-Length"], h.header["Transfer-Encoding"]
 	switch {
--- a/internal/front/http/parse.go
+++ b/internal/front/http/parse.go
@@ -1,6 +1,6 @@
 package http
 
-// This file makes a call of a request, or tells what is wrong with it; both fronts use it.
+// This file turns requests into calls and validates them, for both fronts.
 
 import (
 	"errors"
@@ -20,22 +20,22 @@
 	"firplank/report"
 )
 
-// Dialect says what requests mean to a front that does not serve the platform's own.
+// Dialect defines the meaning of requests for a front that does not use the platform's headers.
 type Dialect interface {
-	// Fill makes a call of a request, or answers it itself, or says what is wrong with it. The body and the header are the
-	// call's from now on.
+	// Fill sets the fields of a call from a request, or returns the answer to it, or the error in it. The call owns the body and
+	// the header afterwards.
 	Fill(c *core.Call, r *Request, body []byte) (*core.Answer, error)
-	// Verdict words an error that Fill, or the reading of a request, has ended with.
+	// ErrorAnswer returns the answer for an error of Fill or of reading a request.
 	ErrorAnswer(status int, text string) *core.Answer
 }
 
-// Request is the head of a request, as it came.
+// Request is the head of a request as it was received.
 type Request struct {
 	Method, Target, Path, Host string
 	Header                     http.Header
 }
 
-// parse checks a request and turns it into a call.
+// parse reads and validates a request and turns it into a call.
 func (f *Front) parse(r *http.Request) (*call, error) {
 	c := &call{answers: make(chan *core.Answer, 1)}
 	c.Client = c
@@ -55,7 +55,7 @@
 	}
 	if r.ContentLength > httpwire.MaxBufferedBody || len(body) > httpwire.MaxBufferedBody {
 		c.Message.Stream = bodypipe.New(r.ContentLength)
-		_ = c.Message.Stream.Append(body) // nobody has the new pipe yet who could close it
+		_ = c.Message.Stream.Append(body) // cannot fail: the new pipe is not closed
 		body = nil
 	}
 	h := &head{method: r.Method, target: r.RequestURI, path: r.URL.Path, host: r.Host, header: r.Header}
@@ -63,7 +63,7 @@
 	return c, err
 }
 
-// classOf is the class that a request says it is of; -1 for none that there is.
+// classOf returns the class that a request names, or -1 if it is unknown.
 func (cf *Config) classOf(h http.Header) int {
 	if class, ok := cf.Catalog.Class(h.Get("X-Qos")); ok {
 		return class
@@ -71,7 +71,7 @@
 	return -1
 }
 
-// countTurnedAway counts a request that the door refused.
+// countRejected counts a request that the load shedder rejected.
 func (cf *Config) countRejected(class int, h http.Header) {
 	tenant, ok := cf.Catalog.Tenant(h.Get("X-Customer"))
 	if !ok {
@@ -81,7 +81,7 @@
 	cf.Counts.Ended(class, tenant, report.Refused, 0)
 }
 
-// fillAny makes a call of a request, in whatever dialect, or its answer.
+// fillCall sets the fields of a call from a request, by the dialect if there is one, which may return the answer instead.
 func (cf *Config) fillCall(c *core.Call, r *head, body []byte) (*core.Answer, error) {
 	if cf.Dialect != nil {
 		return cf.Dialect.Fill(c, r.request(), body)
@@ -89,7 +89,8 @@
 	return nil, cf.fillDefault(c, r, body)
 }
 
-// fill checks a request and makes a call of it. The header is the call's from now on.
+// fillDefault validates a request with the platform's headers and sets the fields of a call from it. The call owns the header
+// afterwards.
 func (cf *Config) fillDefault(c *core.Call, r *head, body []byte) error {
 	h := r.header
 	for _, name := range singleValueHeaders {
@@ -141,10 +142,10 @@
 	return nil
 }
 
-// listenerName is how contracts call this front.
+// listenerName is the name of this front in contracts.
 const listenerName = "http"
 
-// claimOf is what a request says of who sends it. Its token goes no further than its digest.
+// claimOf returns the claimed identity of a request's sender. It contains only the digest of the token.
 func claimOf(h http.Header) *contract.Claim {
 	c := &contract.Claim{Tenant: h.Get("X-Customer"), Listener: listenerName}
 	scheme, token, _ := strings.Cut(h.Get("Authorization"), " ")
@@ -154,7 +155,7 @@
 	return c
 }
 
-// once lists the headers that say what a request is; of two values of one of them neither can be trusted.
+// singleValueHeaders are the headers that may occur once: of two different values, neither can be trusted.
 var singleValueHeaders = []string{
 	"X-Trace-Id", "X-Qos", "X-Customer", "X-Object", "X-Expires-In", "X-Second-Try", "X-Size-Hint", "Idempotency-Key",
 	"Authorization",
@@ -162,7 +163,7 @@
 
 var errBodyTooLong = &badRequest{http.StatusRequestEntityTooLarge, "body too long"}
 
-// checkForm: the method follows from the class, and what the servers need must be there.
+// checkMethodAndTokens checks that the method fits the effect of the class, and that the ids which servers need are present.
 func (cf *Config) checkMethodAndTokens(r *head, effect balance.Effect) error {
 	method := http.MethodPost
 	if effect == balance.Safe && !(cf.Method != nil && r.header.Get("Content-Type") == core.MessagePack) {
@@ -180,8 +181,8 @@
 	return nil
 }
 
-// parseExpiry reads «480m» (milliseconds) or «480000u» (microseconds); at most is what the class allows, and
-// holds where the client does not say.
+// parseExpiry parses "480m" (milliseconds) or "480000u" (microseconds) and returns milliseconds, at most maxMillis, the
+// deadline of the class. An empty text yields maxMillis.
 func parseExpiry(text string, maxMillis float64) (float64, error) {
 	if text == "" {
 		return maxMillis, nil
--- a/internal/front/http/poll_linux.go
+++ b/internal/front/http/poll_linux.go
@@ -19,44 +19,44 @@
 	"firplank/internal/timerwheel"
 )
 
-// PollFront is the front on the kernel's readiness: a connection without a request has no goroutine, no timer of its own
-// and no buffer. One goroutine reads all of them; answers are written by whoever has them, and what does not fit is written
-// when the kernel says that there is room.
+// PollFront serves clients with epoll: a connection without a request has no goroutine, no timer and no buffer. One goroutine
+// reads all connections. Answers are written on the goroutine that has them, and what the socket does not accept is written when
+// the kernel reports that there is room.
 //
-// Its lock is for what concerns all connections (places, queues, time-outs) and is the innermost: who holds it takes no
-// connection's.
+// Its lock guards what concerns all connections (count, queues, time-outs). It is the innermost lock: whoever holds it must not
+// lock a connection.
 type PollFront struct {
 	cfg        Config
 	exchange   core.Exchange
 	start      time.Time
 	failed     chan error
-	acceptDone chan struct{} // closed when no connection is taken any more
+	acceptDone chan struct{} // closed when accepting has ended
 	drainState
 	maxConns           atomic.Int64 // connections
 	mismatchLogLimit   rate.Sometimes
-	truncationLogLimit rate.Sometimes // bounds what is logged of answers cut short
+	truncationLogLimit rate.Sometimes // of answers cut short
 	poller             *poller.Poller
 	tasks              sync.WaitGroup
-	date               atomic.Pointer[date] // of answers
-	wakeUp             chan struct{}        // something is due before the alarm; has room for one
+	date               atomic.Pointer[date] // the current Date header
+	wakeUp             chan struct{}        // runTimeouts must run before wakeAt; capacity one
 
-	readBuffer []byte // the poller's own
+	readBuffer []byte // used only on the poller's goroutine
 
 	mu         sync.Mutex
 	ln         net.Listener
-	listenFile *os.File // another descriptor of it
+	listenFile *os.File // duplicate of its descriptor
 	closed     bool
 	open       int
 	wheel      *timerwheel.Wheel[*pollConn]
-	wakeAt     time.Duration // when tick looks next
-	unused     queue         // connections that never asked, the oldest first
-	idle       queue         // between two requests, the longest idle first
-	lingering  queue         // that wait for their client to read the last answer
-	partial    queue         // with a request on its way, in the order in which they began
+	wakeAt     time.Duration // when runTimeouts runs next
+	unused     queue         // connections that never carried a request, oldest first
+	idle       queue         // between two requests, longest idle first
+	lingering  queue         // until the client has read the last answer
+	partial    queue         // with an incomplete request, in the order of its first byte
 	drained    chan struct{}
 }
 
-// NewPoll returns a front that hands requests to an exchange.
+// NewPoll returns a front that submits requests to an exchange.
 func NewPoll(cfg Config, exchange core.Exchange) (*PollFront, error) {
 	p, err := poller.New()
 	if err != nil {
@@ -74,22 +74,22 @@
 
 const (
 	wheelTick  = 50 * time.Millisecond
-	wheelSlots = 1024 // so that most time-outs lie within one round
+	wheelSlots = 1024 // most time-outs are within one revolution
 )
 
-// readAtOnce is the one buffer into which connections are read; what is left of a request that is not whole is kept by its
-// connection.
+// readBufferBytes is the size of the buffer that all connections share for reading. An incomplete request is copied to its
+// connection's buffer.
 const readBufferBytes = 64 << 10
 
 func (f *PollFront) now() time.Duration { return time.Since(f.start) }
 
-// date is the value of answers' Date in one second.
+// date is the value of the Date header for one second.
 type date struct {
 	second int64
 	text   string
 }
 
-// dated returns the value of Date now.
+// dateValue returns the current value of the Date header.
 func (f *PollFront) dateValue() string {
 	now := time.Now()
 	d := f.date.Load()
@@ -100,7 +100,7 @@
 	return d.text
 }
 
-// Serve takes connections until End, on goroutines of its own. What goes wrong comes on Failed.
+// Serve accepts connections until End, on goroutines that Wait waits for, and returns at once. Failed delivers its error.
 func (f *PollFront) Serve(ln net.Listener) {
 	listenFile, err := duplicateListener(ln)
 	if err != nil {
@@ -126,11 +126,11 @@
 	})
 }
 
-// Failed tells why the front has stopped serving, before End.
+// Failed delivers the error that ended serving before End.
 func (f *PollFront) Failed() <-chan error { return f.failed }
 
-// fileOf returns another descriptor of a listener, on which the runtime can wait for who accepts bare descriptors: the
-// listener itself lets nobody.
+// duplicateListener returns a duplicate of a listener's descriptor, with which the runtime waits for connections that are accepted as
+// bare descriptors; the listener itself does not allow that.
 func duplicateListener(ln net.Listener) (*os.File, error) {
 	sc, ok := ln.(syscall.Conn)
 	if !ok {
@@ -150,7 +150,7 @@
 	return os.NewFile(uintptr(fd), "listener"), nil
 }
 
-// accept takes connections in as bare descriptors.
+// accept accepts connections as bare descriptors.
 func (f *PollFront) accept(listenFile *os.File) error {
 	raw, err := listenFile.SyscallConn()
 	if err != nil {
@@ -167,7 +167,7 @@
 			return net.ErrClosed
 		case errors.Is(failed, unix.EINTR) || errors.Is(failed, unix.ECONNABORTED):
 		case failed != nil && socket.Exhausted(failed):
-			// What waits in the backlog counts as taken, so that the pause must be short.
+			// Connections in the backlog count as accepted for their clients, so the pause must be short.
 			if !f.cfg.Evict() && !f.evict() {
 				time.Sleep(2 * time.Millisecond)
 			}
@@ -179,8 +179,8 @@
 	}
 }
 
-// add takes in a new connection, for which others may have to go. Where all have open requests, it is the new one that is
-// closed.
+// add registers a new connection and evicts another one if there are too many. If all others have open requests, it closes the new
+// one.
 func (f *PollFront) add(fd int) {
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // the connection works without the option
 	f.mu.Lock()
--- a/internal/front/http/poll_other.go
+++ b/internal/front/http/poll_other.go
@@ -10,16 +10,16 @@
 	"firplank/internal/core"
 )
 
-// PollFront is there on Linux only.
+// PollFront exists on Linux only.
 type PollFront struct{}
 
-// NewPoll fails: the standard library's server has to do.
+// NewPoll returns errors.ErrUnsupported; use New.
 func NewPoll(Config, *core.Loop) (*PollFront, error) { return nil, errors.ErrUnsupported }
 
-// Serve does nothing: there is no front of this kind here.
+// Serve does nothing.
 func (*PollFront) Serve(net.Listener) {}
 
-// Failed returns nil: nothing can fail.
+// Failed returns nil.
 func (*PollFront) Failed() <-chan error { return nil }
 
 // End does nothing.
--- a/internal/front/http/pollaccept_linux.go
+++ b/internal/front/http/pollaccept_linux.go
@@ -1,6 +1,6 @@
 package http
 
-// This file makes a call of the request that a polled connection has read.
+// This file turns the request that a polled connection has read into a call.
 
 import (
 	"errors"
@@ -14,10 +14,11 @@
 	"firplank/overload"
 )
 
-// accept makes a call of a request, with its body or what that is still to come through. The caller holds mu.
+// startCall returns the call for the request, with its body or the stream of it. It returns nil if it has answered the request. The
+// caller holds mu.
 func (c *pollConn) startCall(body []byte, stream *bodypipe.Pipe) *pollCall {
 	h, f := c.head, c.front
-	// What is answered here ends the connection where the body is still coming.
+	// An answer before the end of a streamed body closes the connection.
 	c.closeAfter, c.http10, c.mustLinger = h.closeAfter || stream != nil, h.http10, stream != nil
 	if c.answerLocally(h) {
 		return nil
@@ -37,7 +38,7 @@
 	call := &pollCall{conn: c}
 	call.Client = call
 	call.Message.Stream = stream
-	// The body outlives the buffer, which is the connection's next request's.
+	// The body is copied, as the buffer is reused before the call ends.
 	direct, err := f.cfg.fillCall(&call.Call, h, append([]byte(nil), body...))
 	if err != nil || direct != nil {
 		f.cfg.Shedder.RequestEnded(class, 0, overload.Inconclusive)
@@ -53,7 +54,7 @@
 	}
 	c.call, c.state = call, pollInFlight
 	if stream != nil {
-		return call // begin goes on
+		return call // startStreamedCall continues
 	}
 	c.reset()
 	f.mu.Lock()
@@ -62,8 +63,8 @@
 	return call
 }
 
-// answersItself answers a request that no server is to see, for readiness or for a path that there isn't, and reports whether
-// it did. The caller holds mu.
+// answerLocally answers a request that is not forwarded, for readiness or for an unknown path, and reports whether it did. The caller
+// holds mu.
 func (c *pollConn) answerLocally(h *head) bool {
 	f := c.front
 	switch {
@@ -82,7 +83,7 @@
 	return true
 }
 
-// reset forgets the request that has come.
+// reset releases the buffer and the parser's state of the request.
 func (c *pollConn) reset() {
 	if c.buf != nil && cap(c.buf) <= maxPooledBytes {
 		//lint:ignore SA6002 the header that is allocated here is small beside the buffer that is saved
@@ -91,7 +92,7 @@
 	c.requestStarted, c.buf, c.scan, c.head, c.headEnd, c.chunks = false, nil, headScanner{}, nil, 0, nil
 }
 
-// turnAway answers a bad request and ends its connection: what follows on it may be anything. The caller holds mu.
+// reject answers a bad request and closes its connection, on which the next request's start is unknown. The caller holds mu.
 func (c *pollConn) reject(err error) {
 	status := http.StatusBadRequest
 	var bad *badRequest
@@ -111,7 +112,7 @@
 	c.sendText(status, err.Error()+"\n")
 }
 
-// plain answers with a text. The caller holds mu.
+// sendText answers with a text. The caller holds mu.
 func (c *pollConn) sendText(status int, text string) {
 	c.send(status, &core.Answer{Meta: map[string][]string{"Content-Type": {"text/plain; charset=utf-8"}}, Body: []byte(text)})
 }
--- a/internal/front/http/pollconn_linux.go
+++ b/internal/front/http/pollconn_linux.go
@@ -14,25 +14,25 @@
 	"firplank/internal/timerwheel"
 )
 
-// pollState is what a connection is doing.
+// pollState is the state of a connection.
 type pollState uint8
 
 const (
-	pollReading   pollState = iota // for a request, or the rest of one
-	pollInFlight                   // a request is with the exchange
-	pollWriting                    // an answer waits for room
-	pollLingering                  // all is said: the client is to read it and close
+	pollReading   pollState = iota // waits for a request, or the rest of one
+	pollInFlight                   // a request was submitted to the exchange
+	pollWriting                    // an answer is being written
+	pollLingering                  // the answer was written: waits for the client to read it and close
 	pollClosed
 )
 
-// lingering is how long a connection that has been ended is kept for its client to read what was written: closed with
-// bytes unread, the kernel would reset it and destroy the answer.
+// lingerTimeout is how long a connection is kept after its last answer for the client to read it: on a close with unread bytes
+// the kernel would reset the connection, and the client could lose the answer.
 const (
 	lingerTimeout     = 500 * time.Millisecond
-	longLingerTimeout = 10 * time.Second // ... for one that was still sending
+	longLingerTimeout = 10 * time.Second // for a client that was still sending its request
 )
 
-// pollConn is one connection of the application. Its lock guards what it reads and writes.
+// pollConn is a client's connection. Its lock guards the state of reading and writing.
 type pollConn struct {
 	front        *PollFront
 	registration poller.Registration
@@ -40,39 +40,39 @@
 	mu             sync.Mutex
 	fd             int
 	state          pollState
-	used           bool   // a byte has come
-	closeAfter     bool   // it ends with the answer that is being made or written
+	used           bool   // a byte was received
+	closeAfter     bool   // the connection closes after the current answer
 	readClosed     bool   // the client has ended its sending
-	inputPending   bool   // something came behind the request that is open
-	mustLinger     bool   // more may come: the end has to wait for the client to have read its answer
-	requestStarted bool   // a request is on its way
-	buf            []byte // what has come of it; nil where nothing has
+	inputPending   bool   // bytes were received after the open request
+	mustLinger     bool   // the client may still be sending: the close must wait until it has read the answer
+	requestStarted bool   // a byte of the current request was received
+	buf            []byte // received bytes of the current request; nil if there are none
 	scan           headScanner
 	head           *head
 	headEnd        int
 	chunks         *httpwire.ChunkReader
 	call           *pollCall
-	out            []byte // of an answer, what is not written
-
-	bodyStart     time.Duration  // when the head was whole
-	bodyReceived  int64          // bytes behind it so far
-	upload        *bodypipe.Pipe // the open request's body, which is still coming
-	uploadLeft    int64          // ... bytes of it; -1: chunks tell
-	blockedSince  time.Duration  // since when the other side of it has been waited for; 0: it is not
-	download      *bodypipe.Pipe // of the answer, what is still coming
-	chunked       bool           // ... goes out in chunks
-	safe          bool           // the request that is answered may run again
-	answeredEarly bool           // it was answered before its body had come
-	http10        bool           // the open request speaks HTTP/1.0
+	out            []byte // bytes of the answer that are not written yet
+
+	bodyStart     time.Duration  // when the head was complete, later by the time for which the client was not read
+	bodyReceived  int64          // bytes after the head
+	upload        *bodypipe.Pipe // body of the open request that is still being received
+	uploadLeft    int64          // bytes of it that are not received yet; -1: chunked
+	blockedSince  time.Duration  // since when the pipe of the body has been full; 0: it is not
+	download      *bodypipe.Pipe // body of the answer that is still being written
+	chunked       bool           // the answer is sent in chunks
+	safe          bool           // the answered request is safe to repeat
+	answeredEarly bool           // the request was answered before its body was received
+	http10        bool           // of the open request
 
 	// Guarded by front.mu.
 	queue      *queue
 	prev, next *pollConn
-	queuedAt   time.Duration // when it joined the queue
+	queuedAt   time.Duration // when it was added to the queue
 	timeout    timerwheel.Timer[*pollConn]
 }
 
-// pollCall is a core.Call with the way back to its connection.
+// pollCall is a core.Call of a connection.
 type pollCall struct {
 	core.Call
 	conn *pollConn
@@ -81,13 +81,13 @@
 // Answer implements core.Client.
 func (c *pollCall) Answer(_ *core.Call, a *core.Answer) { c.conn.writeAnswer(c, a) }
 
-// expired handles the connection's time-out.
+// onTimeout handles the connection's time-out.
 func (c *pollConn) onTimeout() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f := c.front
 	f.mu.Lock()
-	rescheduled := c.timeout.IsSet() // it was set anew meanwhile
+	rescheduled := c.timeout.IsSet() // it was set again meanwhile
 	f.mu.Unlock()
 	switch {
 	case rescheduled || c.state == pollClosed:
@@ -103,20 +103,20 @@
 		c.reject(&badRequest{http.StatusRequestTimeout, "the head does not come"})
 	default:
 		if c.state == pollWriting {
-			c.logTruncated("a client does not take its answer", nil)
+			c.logTruncated("client does not read its answer", nil)
 		}
 		c.close()
 	}
 }
 
-// note logs what cut an answer short, some of many. The caller holds mu.
+// logTruncated logs why an answer was cut short, within the limit. The caller holds mu.
 func (c *pollConn) logTruncated(msg string, err error) {
 	c.front.truncationLogLimit.Do(func() {
 		c.front.cfg.Log.Info(msg, "peer", peerAddr(c.fd), "unwritten", len(c.out), "passing", c.download != nil, "error", err)
 	})
 }
 
-// closeIfUnused closes the connection if no request is open on it, nor wholly on its way.
+// closeIfIdle closes the connection unless a request is open on it or was received completely, and reports whether it did.
 func (c *pollConn) closeIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -130,15 +130,15 @@
 	if !c.requestStarted {
 		var b [1]byte
 		if n, _, err := unix.Recvfrom(c.fd, b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT); err == nil && n > 0 {
-			return false // a request that the poller has not read: it is worth as much as one that is open
+			return false // a request that the poller has not read yet counts as open
 		}
 	}
 	c.close()
 	return true
 }
 
-// close frees the descriptor and the connection's place, once. The caller holds mu. Who waits for an answer is told when
-// there is one that its connection is gone.
+// close closes the descriptor and removes the connection. Further calls do nothing. The caller holds mu. A call that is still open
+// is not cancelled; its answer is dropped.
 func (c *pollConn) close() {
 	if c.state == pollClosed {
 		return
--- a/internal/front/http/pollend_linux.go
+++ b/internal/front/http/pollend_linux.go
@@ -1,6 +1,6 @@
 package http
 
-// This file pauses, resizes and ends the front on the kernel's readiness.
+// This file pauses, resizes and shuts down the PollFront.
 
 import (
 	"context"
@@ -12,14 +12,14 @@
 	"firplank/internal/core"
 )
 
-// Pause implements what state does, and begins to send clients away.
+// Pause starts a drain, in which connections close after their answer and idle ones after a delay, or ends it.
 func (f *PollFront) Pause(on bool) {
 	f.drainState.Pause(on)
 	f.wakeTimeouts()
 }
 
-// sendAway closes connections that carry nothing: some of those beyond the budget after it was lowered, and while clients
-// are sent away all that could have been used since.
+// closeSurplus closes idle connections: some of those beyond the maximum after it was lowered, and during a drain, after
+// idleCloseDelay, all that have been idle for long enough.
 func (f *PollFront) closeSurplus() {
 	f.mu.Lock()
 	over := f.open - int(f.maxConns.Load())
@@ -45,20 +45,20 @@
 	}
 }
 
-// Open returns how many connections there are.
+// Open returns the number of connections.
 func (f *PollFront) Open() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.open
 }
 
-// Resize changes how many connections may be open. Beyond it those that carry nothing go, one after another.
+// Resize changes the maximum of connections. Idle ones beyond it are closed in the background.
 func (f *PollFront) Resize(n int) {
 	f.maxConns.Store(int64(max(1, n)))
 	f.wakeTimeouts()
 }
 
-// End takes new connections for a little while yet, and answers all that was taken, within a time.
+// End accepts connections for Config.AcceptGrace, then answers all accepted requests, within a time, and closes.
 func (f *PollFront) End(within time.Duration) error {
 	limit, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
@@ -74,7 +74,7 @@
 	f.mu.Lock()
 	f.closeListener()
 	f.mu.Unlock()
-	select { // one that was just accepted is yet to come in
+	select { // a connection that was just accepted may not be added yet
 	case <-f.acceptDone:
 	case <-limit.Done():
 	}
@@ -86,7 +86,7 @@
 		f.drained = empty
 	}
 	f.mu.Unlock()
-	for _, c := range f.queuedConns(&f.idle) { // not those that never asked: a request may be on its way
+	for _, c := range f.queuedConns(&f.idle) { // not the unused ones: a request may be in flight to them
 		c.closeIfIdle()
 	}
 	select {
@@ -102,11 +102,11 @@
 	return nil
 }
 
-// lastWords is how long before the end whatever is still open is given its answer, for that to be written and read.
+// finalAnswerTime is how long before the end requests that are still open are answered, so that clients can read the answers.
 const finalAnswerTime = 100 * time.Millisecond
 
-// sayLast ends what nothing is owed to and answers the rest: by now the exchange has answered all that it was handed, unless
-// the processor was short.
+// answerRemaining closes connections without a request and answers open requests. By now the exchange has answered all requests,
+// unless processors were overloaded.
 func (f *PollFront) answerRemaining() {
 	for _, c := range f.queuedConns(&f.idle, &f.unused) {
 		c.closeIfIdle()
@@ -132,7 +132,7 @@
 	}
 }
 
-// members lists who is in some queues.
+// queuedConns returns the connections in some queues.
 func (f *PollFront) queuedConns(queues ...*queue) (all []*pollConn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -144,7 +144,7 @@
 	return all
 }
 
-// drainBacklog takes in what the kernel has accepted: closing the listener would reset it.
+// drainBacklog accepts the connections in the listener's backlog, which the kernel would reset when the listener closes.
 func (f *PollFront) drainBacklog() {
 	f.mu.Lock()
 	listenFile := f.listenFile
@@ -171,18 +171,18 @@
 	})
 }
 
-// mostBacklog bounds what is taken in at the end.
+// maxBacklog bounds the connections that drainBacklog accepts.
 const maxBacklog = 4096
 
-// unlisten ends the taking of connections. The caller holds mu.
+// closeListener ends accepting. The caller holds mu.
 func (f *PollFront) closeListener() {
 	if f.ln != nil {
 		_ = f.ln.Close()         // accepting ends either way
-		_ = f.listenFile.Close() // a copy of the listener's descriptor
+		_ = f.listenFile.Close() // a duplicate of the listener's descriptor
 	}
 }
 
-// shut closes everything at once; what the goroutines wait for ends with it.
+// closeAll closes the listener, all connections and the poller, which ends the front's goroutines.
 func (f *PollFront) closeAll() {
 	f.mu.Lock()
 	if f.closed {
@@ -201,5 +201,5 @@
 	f.poller.Close()
 }
 
-// Wait returns when all that Serve started has ended, after the exchange has.
+// Wait returns when all goroutines of Serve have ended, which is after the exchange is done.
 func (f *PollFront) Wait() { f.tasks.Wait() }
--- a/internal/front/http/pollqueue_linux.go
+++ b/internal/front/http/pollqueue_linux.go
@@ -1,12 +1,12 @@
 package http
 
-// This file knows which connections wait, which of them have to leave, and when each is due.
+// This file holds the queues of connections, eviction and time-outs.
 
 import (
 	"time"
 )
 
-// queue is a list of connections through their own links.
+// queue is an intrusive list of connections.
 type queue struct {
 	first, last *pollConn
 	length      int
@@ -23,7 +23,7 @@
 	q.length++
 }
 
-// leave takes a connection out of its queue.
+// dequeue removes a connection from its queue. The caller holds the front's mu.
 func (c *pollConn) dequeue() {
 	q := c.queue
 	if q == nil {
@@ -43,7 +43,7 @@
 	q.length--
 }
 
-// enter puts a connection into a queue and sets its time-out; 0 sets none. The caller holds mu.
+// moveTo moves a connection to a queue, or to none if q is nil, and sets its time-out; 0 clears it. The caller holds mu.
 func (f *PollFront) moveTo(c *pollConn, q *queue, timeout time.Duration) {
 	c.dequeue()
 	if q != nil {
@@ -57,21 +57,22 @@
 	}
 }
 
-// crowded reports whether so many connections wait for a request that no more are kept.
+// tooManyIdle reports whether no more idle connections are kept.
 func (f *PollFront) tooManyIdle() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.unused.length+f.idle.length >= maxIdleConns(int(f.maxConns.Load()), f.cfg.MaxIdleFraction)
 }
 
-// evict closes the connection that is missed least, and reports whether there was one: the one silent for longest, but one
-// that never asked rather than one that has been idle for a short while; where there is neither, the one whose request has
-// been on its way for longest without being whole.
+// evict closes a connection without an open request, and reports whether there was one. Its order: one that lingers; the one idle for
+// longest, where one that never carried a request is preferred to one idle for less than minIdleBeforeEviction; the one whose incomplete
+// request started first.
 func (f *PollFront) evict() bool {
 	var candidates []*pollConn
 	f.mu.Lock()
 	first, second := &f.unused, &f.idle
-	if c := second.first; c != nil && f.now()-c.queuedAt >= minIdleBeforeEviction && (first.first == nil || c.queuedAt < first.first.queuedAt) {
+	if c := second.first; c != nil && f.now()-c.queuedAt >= minIdleBeforeEviction &&
+		(first.first == nil || c.queuedAt < first.first.queuedAt) {
 		first, second = second, first
 	}
 	for _, q := range []*queue{&f.lingering, first, second} {
@@ -91,7 +92,7 @@
 	return false
 }
 
-// tick plays the time-outs when they are due, and looks each wheelTick while connections are to go.
+// runTimeouts handles time-outs when they are due, and runs each wheelTick while there are surplus connections to close.
 func (f *PollFront) runTimeouts(done <-chan struct{}) {
 	timer := time.NewTimer(wheelTick)
 	defer timer.Stop()
@@ -125,10 +126,10 @@
 	}
 }
 
-// rarely is how often tick looks where nothing is due.
+// maxWakeInterval is the interval at which runTimeouts runs if nothing is due.
 const maxWakeInterval = time.Minute
 
-// setDue sets a connection's time-out, and has tick look in time. The caller holds mu.
+// setTimeoutAt sets a connection's time-out, and wakes runTimeouts if it would run too late for it. The caller holds mu.
 func (f *PollFront) setTimeoutAt(c *pollConn, at time.Duration) {
 	f.wheel.Set(&c.timeout, at)
 	if at < f.wakeAt-wheelTick {
@@ -137,7 +138,7 @@
 	}
 }
 
-// look has tick look now, and set its alarm anew.
+// wakeTimeouts makes runTimeouts run now.
 func (f *PollFront) wakeTimeouts() {
 	select {
 	case f.wakeUp <- struct{}{}:
--- a/internal/front/http/pollread_linux.go
+++ b/internal/front/http/pollread_linux.go
@@ -1,6 +1,6 @@
 package http
 
-// This file reads a request from a polled connection.
+// This file reads requests from polled connections.
 
 import (
 	"net"
@@ -14,8 +14,8 @@
 	"firplank/internal/poller"
 )
 
-// Ready handles what the kernel says of the connection, on the poller's goroutine. What is for the exchange is handed over
-// when no lock is held: the exchange may be waiting for that lock.
+// Ready handles the connection's events, on the poller's goroutine. It calls the exchange without holding the lock, as the exchange
+// may be waiting for that lock.
 func (c *pollConn) Ready(events uint32) {
 	c.mu.Lock()
 	if c.state == pollWriting && events&(unix.EPOLLOUT|unix.EPOLLERR|unix.EPOLLHUP) != 0 {
@@ -34,7 +34,8 @@
 	}
 }
 
-// read reads all there is. ended says that the client's end may be behind it. The caller holds mu.
+// read reads until the socket is empty. It returns a call to submit and one whose client has disconnected, each nil if there is none.
+// maybeClosed means that the peer may have closed behind the buffered bytes. The caller holds mu.
 func (c *pollConn) read(maybeClosed bool) (submit, disconnect *pollCall) {
 	for {
 		switch {
@@ -65,19 +66,19 @@
 			return c.onReadClosed(), nil
 		}
 		if c.state == pollLingering {
-			continue // what a client says that has its last answer is of no use
+			continue // bytes after the last answer are dropped
 		}
 		c.receive(c.front.readBuffer[:n])
 		if c.state == pollReading && c.isStreamed() {
 			submit = c.startStreamedCall()
 		}
 		if c.state == pollReading && n < len(c.front.readBuffer) && !maybeClosed {
-			return c.completeCall(), nil // a short read has emptied it, and the kernel tells of what comes next
+			return c.completeCall(), nil // a short read has emptied the socket, and the kernel reports further bytes
 		}
 	}
 }
 
-// peek looks behind a request that is open: an application sends one at a time. The caller holds mu.
+// peek checks whether anything was received after the open request: an application sends one request at a time. The caller holds mu.
 func (c *pollConn) peek(disconnect *pollCall) *pollCall {
 	var b [1]byte
 	n, _, err := unix.Recvfrom(c.fd, b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
@@ -85,26 +86,27 @@
 	case err == unix.EAGAIN || err == unix.EINTR:
 	case err == nil && n > 0:
 		c.inputPending = true
-	default: // its end, or a reset
+	default: // closed or reset
 		if !c.readClosed && c.call != nil {
 			disconnect = c.call
 		}
 		c.readClosed = true
 		if c.state == pollWriting && c.download != nil && c.safe {
-			c.logTruncated("a client has left its answer", err)
-			c.abort() // the server need not make the rest of it
+			c.logTruncated("client disconnected before the end of its answer", err)
+			c.abort() // the server need not produce the rest
 		}
 	}
 	return disconnect
 }
 
-// ended handles the end of what the client sends, where no request is open. The caller holds mu.
+// onReadClosed handles the end of the client's sending while no request is open. The caller holds mu.
 func (c *pollConn) onReadClosed() *pollCall {
 	switch {
 	case c.state == pollLingering || !c.requestStarted:
 		c.close()
 	case c.isComplete():
-		// The client has gone before anything was done for it, as all have that a stopped sidecar finds when it goes on.
+		// The client disconnected before the request was submitted, as all clients do whose requests arrive while the process is
+		// stopped.
 		c.closeAfter = true
 		c.sendAnswer(core.Refusal(0))
 	default:
@@ -113,7 +115,7 @@
 	return nil
 }
 
-// take takes in bytes of a request. The caller holds mu.
+// receive processes received bytes of a request. The caller holds mu.
 func (c *pollConn) receive(b []byte) {
 	if !c.requestStarted {
 		if !c.used && b[0] >= 0x80 {
@@ -122,7 +124,7 @@
 		f := c.front
 		f.mu.Lock()
 		timeout := readTimeout
-		if !c.used { // what it may take counts from the connection's beginning
+		if !c.used { // the first request's time counts from the start of the connection
 			timeout = max(wheelTick, timeout-(f.now()-c.queuedAt))
 		}
 		f.moveTo(c, &f.partial, timeout)
@@ -137,11 +139,11 @@
 	}
 }
 
-// stranger notes a peer that speaks something else: no method begins with such a byte, and every frame of MessagePack-RPC
-// does.
+// logProtocolMismatch logs a client that speaks another protocol: no HTTP method begins with such a byte, but every frame of
+// MessagePack-RPC does.
 func (c *pollConn) logProtocolMismatch() {
 	c.front.mismatchLogLimit.Do(func() {
-		c.front.cfg.Log.Warn("a client speaks no HTTP; MessagePack-RPC has an address of its own", "peer", peerAddr(c.fd))
+		c.front.cfg.Log.Warn("client does not speak HTTP; MessagePack-RPC is served at another address", "peer", peerAddr(c.fd))
 	})
 }
 
@@ -159,7 +161,7 @@
 	return "unknown"
 }
 
-// parse goes on with what has come.
+// parse continues to parse the received bytes.
 func (c *pollConn) parse() error {
 	if c.head == nil {
 		end, err := c.scan.findEnd(c.buf)
@@ -178,10 +180,11 @@
 		}
 		c.bodyStart, c.bodyReceived = c.front.now(), int64(len(c.buf)-end)
 		if c.head.expectsContinue && len(c.buf) == end && (c.head.chunked || c.head.length > 0) {
-			_, _ = unix.Write(c.fd, []byte("HTTP/1.1 100 Continue\r\n\r\n")) // a client that does not get it sends its body after a while
+			// A client that does not receive it sends its body after a while.
+			_, _ = unix.Write(c.fd, []byte("HTTP/1.1 100 Continue\r\n\r\n"))
 		}
 	}
-	if c.isStreamed() { // begin goes on with it
+	if c.isStreamed() { // startStreamedCall continues
 		return nil
 	}
 	if c.chunks != nil && !c.isComplete() {
@@ -200,7 +203,7 @@
 	return nil
 }
 
-// isWhole reports whether all of the request has come, and behind how much more has.
+// isComplete reports whether the whole request was received, and extraBytes returns how many bytes were received after it.
 func (c *pollConn) isComplete() bool {
 	return c.head != nil && (c.chunks != nil && c.head.length >= 0 || c.chunks == nil && len(c.buf)-c.headEnd >= int(max(0, c.head.length)))
 }
@@ -212,7 +215,7 @@
 	return len(c.buf) - c.headEnd - int(max(0, c.head.length))
 }
 
-// whole hands a request over, if all of it has come and nothing else. The caller holds mu.
+// completeCall returns the call for the request if it is complete, else nil. The caller holds mu.
 func (c *pollConn) completeCall() *pollCall {
 	if c.state != pollReading || !c.isComplete() {
 		return nil
--- a/internal/front/http/pollwrite_linux.go
+++ b/internal/front/http/pollwrite_linux.go
@@ -1,6 +1,6 @@
 package http
 
-// This file writes an answer to a polled connection.
+// This file writes answers to polled connections.
 
 import (
 	"net/http"
@@ -12,32 +12,33 @@
 	"firplank/internal/core"
 )
 
-// answer writes the final answer of a call, from the exchange's goroutine.
+// writeAnswer writes the final answer of a call. It is called on the exchange's goroutine.
 func (c *pollConn) writeAnswer(call *pollCall, a *core.Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.call != call { // its connection is closed
+	if c.call != call { // the connection is closed
 		if a.Stream != nil {
 			a.Stream.CloseRead(errClosed)
 		}
 		return
 	}
 	c.call, c.safe = nil, call.Message.Safe
-	if c.upload != nil { // the rest of the request is of no use
+	if c.upload != nil { // the rest of the request is dropped
 		c.upload = nil
 		c.closeAfter, c.mustLinger, c.answeredEarly = true, true, true
 	} else {
 		c.mustLinger = false
 	}
-	// Decided when the answer is there, not when the request came: many wait when the end comes.
-	c.closeAfter = c.closeAfter || a.Reason == core.DuplicateName || c.front.closesAfterAnswer() || c.inputPending || c.readClosed || c.front.tooManyIdle()
+	// Decided with the answer, not with the request: many requests may be open when a drain starts.
+	c.closeAfter = c.closeAfter || a.Reason == core.DuplicateName || c.front.closesAfterAnswer() || c.inputPending ||
+		c.readClosed || c.front.tooManyIdle()
 	c.sendAnswer(a)
 }
 
-// reply writes an answer of the exchange's. The caller holds mu.
+// sendAnswer writes an answer with its status. The caller holds mu.
 func (c *pollConn) sendAnswer(a *core.Answer) { c.send(statusOf(a), a) }
 
-// send writes an answer, as much of it as there is room for. The caller holds mu.
+// send starts writing an answer; what the socket does not accept is written later. The caller holds mu.
 func (c *pollConn) send(status int, a *core.Answer) {
 	c.chunked = false
 	if c.download = a.Stream; c.download != nil {
@@ -55,16 +56,17 @@
 	c.flush()
 }
 
-// readBuffers hold a request from its first byte until it is handed over.
+// readBuffers hold a request from its first byte until it is submitted.
 var readBuffers = sync.Pool{New: func() any { return make([]byte, 0, 2<<10) }}
 
-// outBuffers hold answers from when they are made until they are written, most of them in one step.
+// outBuffers hold answers until they are written.
 var outBuffers = sync.Pool{New: func() any { return make([]byte, 0, 4<<10) }}
 
-// mostKept is the size up to which a buffer goes back.
+// maxPooledBytes bounds the size of buffers that return to a pool.
 const maxPooledBytes = 128 << 10
 
-// flush writes what waits. The caller holds mu, and the state is pollWriting.
+// flush writes until the answer is complete, the socket is full, or the stream has no bytes. The caller holds mu, and the state is
+// pollWriting.
 func (c *pollConn) flush() {
 	for c.writeOut() {
 		if c.download == nil {
@@ -77,7 +79,7 @@
 	}
 }
 
-// flushOut writes out, and reports whether all of it has gone. The caller holds mu.
+// writeOut writes c.out, and reports whether all of it was written. The caller holds mu.
 func (c *pollConn) writeOut() bool {
 	whole := c.out
 	for len(c.out) > 0 {
@@ -85,15 +87,15 @@
 		switch {
 		case err == unix.EINTR:
 		case err == unix.EAGAIN:
-			if &whole[0] != &c.out[0] { // what is left moves to the front, or the buffer would be lost to the pool
+			if &whole[0] != &c.out[0] { // the rest moves to the front, or the buffer would be lost to the pool
 				c.out = whole[:copy(whole, c.out)]
 			}
-			if c.download != nil { // it is the client's turn
+			if c.download != nil { // the client has to read
 				c.setTimeout(streamTimeout)
 			}
 			return false
 		case err != nil:
-			c.logTruncated("a client has left its answer", err)
+			c.logTruncated("client disconnected before the end of its answer", err)
 			c.close()
 			return false
 		default:
@@ -108,7 +110,7 @@
 	return true
 }
 
-// written goes on after an answer: to the next request, or to the end. The caller holds mu.
+// onAnswerWritten waits for the next request, or closes the connection. The caller holds mu.
 func (c *pollConn) onAnswerWritten() {
 	f := c.front
 	if !c.closeAfter {
@@ -116,32 +118,32 @@
 		f.mu.Lock()
 		f.moveTo(c, &f.idle, f.cfg.idleTimeout())
 		f.mu.Unlock()
-		if c.inputPending { // it came while the answer was written, and the kernel tells of it once
+		if c.inputPending { // they were received while the answer was written, and the kernel reports them once
 			c.inputPending = false
 			c.rearmLocked()
 		}
 		return
 	}
-	if c.readClosed || !c.mustLinger && !c.inputPending { // nothing is unread, so that the answer goes ahead of the end
+	if c.readClosed || !c.mustLinger && !c.inputPending { // nothing is unread: the close does not reset the connection
 		c.close()
 		return
 	}
-	_ = unix.Shutdown(c.fd, unix.SHUT_WR) // fails only where the client has closed already
+	_ = unix.Shutdown(c.fd, unix.SHUT_WR) // fails only if the client has closed already
 	c.state = pollLingering
 	f.mu.Lock()
 	timeout := lingerTimeout
-	if c.answeredEarly { // it reads when it has said all; of what has come the kernel has told already
+	if c.answeredEarly { // it reads once it has sent all of its request; what has arrived was reported already
 		c.inputPending = true
 		timeout = longLingerTimeout
 	}
 	f.moveTo(c, &f.lingering, timeout)
 	f.mu.Unlock()
-	if c.inputPending { // of that the kernel has told already, and closed with bytes unread it would destroy the answer
+	if c.inputPending { // the kernel does not report these bytes again, and a close with unread bytes resets the connection
 		c.discardInput()
 	}
 }
 
-// drain drops what has come, but no more than a little: whoever sends on is heard of again.
+// discardInput drops received bytes, up to a bound; the kernel reports those that arrive later.
 func (c *pollConn) discardInput() {
 	var b [4 << 10]byte
 	for range 32 {
@@ -151,7 +153,7 @@
 	}
 }
 
-// render makes an answer's bytes.
+// appendResponse appends an encoded answer.
 func (f *PollFront) appendResponse(dst []byte, status int, a *core.Answer, closeAfter, chunked bool) []byte {
 	dst = append(append(dst, "HTTP/1.1 "...), strconv.Itoa(status)...)
 	dst = append(append(append(dst, ' '), http.StatusText(status)...), "\r\nDate: "...)
@@ -184,7 +186,7 @@
 	case chunked:
 		return append(dst, "Transfer-Encoding: chunked\r\n\r\n"...)
 	case a.Stream != nil && a.Stream.Length() < 0:
-		return append(dst, "\r\n"...) // it ends with the connection
+		return append(dst, "\r\n"...) // the body ends with the connection
 	case a.Stream != nil:
 		dst = append(dst, "Content-Length: "...)
 		return append(strconv.AppendInt(dst, a.Stream.Length(), 10), "\r\n\r\n"...)
--- a/internal/front/http/serve.go
+++ b/internal/front/http/serve.go
@@ -1,6 +1,6 @@
 package http
 
-// This file serves a request on the standard library's server.
+// This file serves requests with the standard library's server.
 
 import (
 	"context"
@@ -19,17 +19,17 @@
 	"firplank/overload"
 )
 
-// BadRequest is a mistake of a client's, to be answered with a status.
+// BadRequest returns an error for a client's mistake, which is answered with the status and text.
 func BadRequest(status int, text string) error { return &badRequest{status, text} }
 
-// call is a core.Call with the way back to its handler.
+// call is a core.Call whose answer goes to the handler of its request.
 type call struct {
 	core.Call
-	answers      chan *core.Answer // takes the one final answer
-	directAnswer *core.Answer      // what a dialect answers itself
+	answers      chan *core.Answer // receives the one final answer
+	directAnswer *core.Answer      // set if the dialect has answered the request
 }
 
-// exchangeOf is who carries a call.
+// exchangeOf returns the exchange for a call: its own if it has one, else the front's.
 func exchangeOf(c *core.Call, defaultExchange core.Exchange) core.Exchange {
 	if c.Exchange != nil {
 		return c.Exchange
@@ -58,12 +58,12 @@
 	}
 }
 
-// ServeHTTP takes each path as it is written: http.ServeMux would answer some with a redirection, which is no
-// answer that the application knows.
+// ServeHTTP routes by the path as it was sent: http.ServeMux would answer some paths with a redirect, which the application
+// does not expect.
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn := r.Context().Value(connKey{}).(*clientConn)
 	conn.countRequest()
-	// What is written before the answer, as the go-ahead for a body, has a limit of its own.
+	// A write before the answer, as 100 Continue, has its own time-out.
 	setWriteTimeout(w)
 	if f.cfg.Dialect != nil {
 		f.serveAPI(w, r, conn)
@@ -84,10 +84,10 @@
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
 		return
 	}
-	_, _ = io.WriteString(w, "ready\n") // fails only where the client is gone
+	_, _ = io.WriteString(w, "ready\n") // fails only if the client has disconnected
 }
 
-// badRequest is a client's mistake: a plain answer that is no refusal.
+// badRequest is a client's mistake. It is answered with its status, which never means that a retry is safe.
 type badRequest struct {
 	status int
 	text   string
@@ -99,7 +99,7 @@
 	return &badRequest{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
-// turnAway answers a bad request and ends its connection: what follows on it may be anything.
+// rejectBadRequest answers a bad request and closes its connection, on which the next request's start is unknown.
 func rejectBadRequest(w http.ResponseWriter, err error) {
 	status := http.StatusBadRequest
 	var bad *badRequest
@@ -111,7 +111,7 @@
 	http.Error(w, err.Error(), status)
 }
 
-// api answers a request that servers are to see.
+// serveAPI serves a request that is forwarded to servers.
 func (f *Front) serveAPI(w http.ResponseWriter, r *http.Request, conn *clientConn) {
 	class := -1
 	if f.cfg.Dialect == nil {
@@ -145,7 +145,8 @@
 		return
 	}
 	if c.Message.Stream == nil && afterRequest == socket.Closed {
-		// The client has gone before anything was done for it, as all have that a stopped sidecar finds when it goes on.
+		// The client disconnected before the request was submitted, as all clients do whose requests arrive while the process is
+		// stopped.
 		w.Header().Set("Connection", "close")
 		writeAnswer(w, core.Refusal(0))
 		return
@@ -154,19 +155,20 @@
 	f.submitAndRespond(w, r, conn, c)
 }
 
-// await hands a call to the exchange and writes its answer.
+// submitAndRespond submits a call to the exchange and writes its answer.
 func (f *Front) submitAndRespond(w http.ResponseWriter, r *http.Request, conn *clientConn, c *call) {
 	exchange := exchangeOf(&c.Call, f.exchange)
 	exchange.Submit(&c.Call)
 	select {
 	case a := <-c.answers:
-		// Decided when the answer is there, not when the request came: many wait when the end comes.
-		if a.Reason == core.DuplicateName || f.closesAfterAnswer() || conn.scanner.unscanned || conn.peekAfterRequest() != socket.Idle || conn.tracker.tooManyIdle() {
+		// Decided with the answer, not with the request: many requests may be open when a drain starts.
+		if a.Reason == core.DuplicateName || f.closesAfterAnswer() || conn.scanner.unscanned ||
+			conn.peekAfterRequest() != socket.Idle || conn.tracker.tooManyIdle() {
 			w.Header().Set("Connection", "close")
 		}
 		writeAnswer(w, a)
 	case <-r.Context().Done():
-		// The client is gone, as far as can be told. One that has only ended its sending is owed an answer all the same.
+		// The client has disconnected, or has only ended its sending and still expects an answer.
 		exchange.Disconnect(&c.Call)
 		select {
 		case a := <-c.answers:
@@ -182,7 +184,7 @@
 
 var errRequestOver = errors.New("the request is over")
 
-// feedBody passes on a body that comes, as fast as both sides allow.
+// copyRequestBody copies a streamed request body into a pipe, with time-outs for both sides.
 func copyRequestBody(w http.ResponseWriter, r *http.Request, pipe *bodypipe.Pipe) {
 	controller := http.NewResponseController(w)
 	buf := make([]byte, copyBufferBytes)
--- a/internal/front/http/state.go
+++ b/internal/front/http/state.go
@@ -6,20 +6,20 @@
 )
 
 const (
-	// awayAfter is how long after clients were sent away those that carry nothing are closed: until then new ones come, and
-	// who hears of it is told with an answer. awayIdle is how long a connection has to have been idle for that.
+	// idleCloseDelay is the time from Pause until idle connections are closed. Until then new connections may arrive, and clients
+	// are notified with "Connection: close" in an answer. minIdleBeforeClose is how long a connection must have been idle.
 	idleCloseDelay     = 600 * time.Millisecond
 	minIdleBeforeClose = 150 * time.Millisecond
 )
 
-// state is whether a front wants to be sent clients. The zero value does.
+// drainState is the part of a front's state that decides whether connections are kept. The zero value keeps them.
 type drainState struct {
 	ending    atomic.Bool
 	succeeded atomic.Bool  // another process of the sidecar serves at the address
-	paused    atomic.Int64 // Unix nanoseconds since when clients are sent away; 0: they are not
+	paused    atomic.Int64 // start of the drain in Unix nanoseconds; 0: none
 }
 
-// Pause sends clients away, or takes them in again: what comes is still served.
+// Pause starts a drain, in which connections close after their answer, or ends it. Requests are still served.
 func (s *drainState) Pause(on bool) {
 	if on {
 		s.paused.CompareAndSwap(0, time.Now().UnixNano())
@@ -28,15 +28,15 @@
 	}
 }
 
-// HandOver says that another process serves at the same address by now: with End no further connection is taken.
+// HandOver notifies that another process accepts at the same address: End then accepts no further connection.
 func (s *drainState) HandOver() { s.succeeded.Store(true) }
 
-// up is what those ask that send clients. Where there is an heir the address is up.
+// isReady reports whether the address should receive clients. It does where a successor serves it.
 func (s *drainState) isReady() bool {
 	return s.paused.Load() == 0 && (!s.ending.Load() || s.succeeded.Load())
 }
 
-// leaving reports whether answers end their connections, and away whether those that carry nothing are to go.
+// closesAfterAnswer reports whether connections close after their answer, and closesIdle whether idle ones are closed.
 func (s *drainState) closesAfterAnswer() bool { return s.ending.Load() || s.paused.Load() != 0 }
 
 func (s *drainState) closesIdle() bool {
@@ -44,7 +44,7 @@
 	return pausedAt != 0 && time.Now().UnixNano()-pausedAt >= int64(idleCloseDelay)
 }
 
-// lastCalls is how long new connections are taken after the signal to end.
+// acceptGrace returns how long new connections are accepted after End.
 func (s *drainState) acceptGrace(configured time.Duration) time.Duration {
 	if s.succeeded.Load() {
 		return 0
--- a/internal/front/http/stream_linux.go
+++ b/internal/front/http/stream_linux.go
@@ -13,17 +13,17 @@
 	"firplank/internal/httpwire"
 )
 
-// This file is about requests whose body goes on while it comes, and answers that are written while they come.
+// This file streams request bodies that are forwarded while they are received, and answers that are written while they are produced.
 
 const (
-	// A client has bodyGrace to begin with a body, and has to send bodyRate bytes a second from then on, on the mean.
+	// A client has bodyStartGrace to start its body, and must send minBodyBytesPerSecond on average from then on.
 	bodyStartGrace        = time.Second
 	minBodyBytesPerSecond = 56 << 10
 )
 
 var errClosed = errors.New("the client's connection is closed")
 
-// setTimeout sets the connection's time-out and leaves its queue as it is.
+// setTimeout sets the connection's time-out without changing its queue.
 func (c *pollConn) setTimeout(d time.Duration) {
 	f := c.front
 	f.mu.Lock()
@@ -31,37 +31,37 @@
 	f.mu.Unlock()
 }
 
-// bodyLeft is how long the client still has for the next bytes of a body.
+// bodyTimeLeft returns how long the client still has for the next bytes of a body.
 func (c *pollConn) bodyTimeLeft() time.Duration {
 	due := c.bodyStart + bodyStartGrace + time.Duration(float64(c.bodyReceived)/minBodyBytesPerSecond*float64(time.Second))
 	return due - c.front.now()
 }
 
-// isLong reports whether the request that is coming is too long to be held whole.
+// isStreamed reports whether the request's body is too long to be buffered.
 func (c *pollConn) isStreamed() bool {
 	return c.head != nil && (c.head.length > httpwire.MaxBufferedBody && c.chunks == nil ||
 		c.chunks != nil && c.head.length < 0 && len(c.chunks.Body) > httpwire.MaxBufferedBody)
 }
 
-// begin hands a long request over, whose body follows. The caller holds mu.
+// startStreamedCall returns the call for a request whose body is streamed, nil if it has been answered. The caller holds mu.
 func (c *pollConn) startStreamedCall() *pollCall {
 	h, rest := c.head, c.buf[c.headEnd:]
 	pipe := bodypipe.New(h.length)
 	call := c.startCall(nil, pipe)
-	if call == nil { // it has its answer
+	if call == nil { // it has been answered
 		return nil
 	}
 	c.upload, c.uploadLeft, c.blockedSince = pipe, h.length, 0
 	c.closeAfter, c.mustLinger = h.closeAfter, false
 	if c.chunks != nil {
 		c.uploadLeft = -1
-		_ = pipe.Append(c.chunks.Body) // fails where the request has ended already, whose answer is on its way
+		_ = pipe.Append(c.chunks.Body) // fails if the request has been answered already
 		c.chunks.Body = nil
-		c.buf = append([]byte(nil), rest...) // what the chunks have not taken yet
+		c.buf = append([]byte(nil), rest...) // what the chunk reader has not consumed yet
 		c.headEnd = 0
 	} else {
 		c.uploadLeft -= int64(len(rest))
-		_ = pipe.Append(rest) // the same
+		_ = pipe.Append(rest) // fails if the request has been answered already
 		c.reset()
 	}
 	f := c.front
@@ -71,8 +71,8 @@
 	return call
 }
 
-// feed takes in more of a body, on the poller's goroutine. It reports whether to go on reading: not where nothing is there,
-// or the other side has to be waited for. The caller holds mu, and up is there.
+// readUpload reads more of a body, on the poller's goroutine. It reports whether to continue: not if nothing is received, or the pipe
+// is full. The caller holds mu, and upload is set.
 func (c *pollConn) readUpload() bool {
 	f := c.front
 	room := c.upload.Space()
@@ -81,11 +81,11 @@
 			c.blockedSince = f.now()
 			return false
 		}
-		if room = c.upload.Space(); room <= 0 { // nobody takes it any more
+		if room = c.upload.Space(); room <= 0 { // the reader has closed: the bytes are dropped
 			room = len(f.readBuffer)
 		}
 	}
-	if c.blockedSince != 0 { // the time was not the client's
+	if c.blockedSince != 0 { // the client's time did not run meanwhile
 		c.bodyStart += f.now() - c.blockedSince
 		c.blockedSince = 0
 	}
@@ -106,7 +106,7 @@
 	}
 	c.bodyReceived += int64(n)
 	done, err := c.forwardUpload(f.readBuffer[:n])
-	if err != nil { // no body: the request has not come, and what follows may be anything
+	if err != nil { // malformed body: the start of a next request is unknown
 		c.upload.CloseWrite(err)
 		c.upload, c.closeAfter, c.mustLinger, c.readClosed = nil, true, true, true
 		return true
@@ -122,24 +122,24 @@
 	return true
 }
 
-// pass puts bytes of a body into its pipe, and reports whether those were the last. The caller holds mu.
+// forwardUpload appends bytes of a body to its pipe, and reports whether those were the last. The caller holds mu.
 func (c *pollConn) forwardUpload(b []byte) (done bool, err error) {
 	if c.uploadLeft >= 0 {
 		c.uploadLeft -= int64(len(b))
-		_ = c.upload.Append(b) // fails where the request has ended already, whose answer is on its way
+		_ = c.upload.Append(b) // fails if the request has been answered already
 		return c.uploadLeft == 0, nil
 	}
 	c.buf = append(c.buf, b...)
 	taken, done, err := c.chunks.Next(c.buf)
 	c.buf = c.buf[:copy(c.buf, c.buf[taken:])]
 	if len(c.chunks.Body) > 0 {
-		_ = c.upload.Append(c.chunks.Body) // the same
+		_ = c.upload.Append(c.chunks.Body) // fails if the request has been answered already
 		c.chunks.Body = c.chunks.Body[:0]
 	}
 	return done, err
 }
 
-// rearm has the poller look at the connection again, on whatever goroutine.
+// rearm makes the poller report the connection's pending events again. It may be called on any goroutine.
 func (c *pollConn) rearm() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -148,12 +148,12 @@
 	}
 }
 
-// again has the kernel tell once more what there is on the connection. The caller holds mu.
+// rearmLocked makes the kernel report the connection's pending events again. The caller holds mu.
 func (c *pollConn) rearmLocked() {
 	_ = c.front.poller.Rearm(c.fd, c.registration) // fails only on a closed descriptor, and the connection's is open
 }
 
-// uploadExpired handles the time-out of a body that is coming. The caller holds mu.
+// onUploadTimeout handles the time-out of a streamed request body. The caller holds mu.
 func (c *pollConn) onUploadTimeout() {
 	left := c.bodyTimeLeft()
 	if c.blockedSince != 0 {
@@ -170,7 +170,7 @@
 
 var errBodyTimeout = &badRequest{http.StatusRequestTimeout, "the body does not come"}
 
-// pump goes on with an answer of which more has come, on whatever goroutine.
+// resumeDownload continues to write a streamed answer after its pipe has received more. It may be called on any goroutine.
 func (c *pollConn) resumeDownload() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -179,8 +179,8 @@
 	}
 }
 
-// refill takes more of an answer out of its pipe, and reports whether there is something to write or the answer has come to
-// its end. The caller holds mu, and out is empty.
+// fillOut reads more of a streamed answer from its pipe, and reports whether there is something to write or the answer is complete.
+// The caller holds mu, and out is empty.
 func (c *pollConn) fillOut() bool {
 	const room = 8 // for the size of a chunk
 	buf := append(outBuffers.Get().([]byte)[:0], make([]byte, room)...)
@@ -199,13 +199,13 @@
 		}
 		c.download = nil
 		c.setTimeout(streamTimeout)
-	case err != nil: // cut off where the client can tell
+	case err != nil: // aborted so that the client detects it
 		if n > 0 {
-			_, _ = unix.Write(c.fd, out) // what the client gets of it; the connection is cut off next
+			_, _ = unix.Write(c.fd, out) // as far as it is accepted; the connection is aborted next
 		}
 		//lint:ignore SA6002 the header that is allocated here is small beside the buffer that is saved
 		outBuffers.Put(buf[:0])
-		c.logTruncated("an answer breaks off", err)
+		c.logTruncated("streamed answer truncated", err)
 		c.abort()
 		return false
 	case n == 0:
@@ -213,7 +213,7 @@
 		outBuffers.Put(buf[:0])
 		f := c.front
 		f.mu.Lock()
-		f.wheel.Clear(&c.timeout) // it is the server's turn
+		f.wheel.Clear(&c.timeout) // waits for the server
 		f.mu.Unlock()
 		return false
 	}
@@ -221,8 +221,8 @@
 	return true
 }
 
-// abort closes the connection so that its client can tell that an answer is not whole: one that would have ended with the
-// connection looks whole else. The caller holds mu.
+// abort closes the connection so that its client can detect a truncated answer. One that ends with the connection would look
+// complete after an ordinary close, so that connection is reset. The caller holds mu.
 func (c *pollConn) abort() {
 	if c.state != pollClosed && !c.chunked && c.http10 {
 		// The connection works without the option.
--- a/internal/front/http/write.go
+++ b/internal/front/http/write.go
@@ -1,6 +1,6 @@
 package http
 
-// This file words an answer; both fronts use statusOf.
+// This file writes answers with the standard library's server; both fronts use statusOf.
 
 import (
 	"errors"
@@ -12,14 +12,14 @@
 	"firplank/internal/core"
 )
 
-// failures are the statuses of what has failed.
+// failureStatus maps the reason of a failure to a status.
 var failureStatus = map[core.Reason]int{
 	core.NotServed: http.StatusBadGateway, core.ClientGone: http.StatusBadGateway,
 	core.DeadlineExceeded: http.StatusGatewayTimeout, core.DuplicateName: http.StatusConflict,
 	core.Forbidden: http.StatusForbidden,
 }
 
-// statusOf words an answer; only 429 and 503 say that trying again is harmless.
+// statusOf returns the status of an answer. Of those that the sidecar generates, only 429 and 503 mean that a retry is safe.
 func statusOf(a *core.Answer) int {
 	switch {
 	case a.Status != 0:
@@ -36,7 +36,7 @@
 	return http.StatusOK
 }
 
-// write writes an answer, in which nobody else writes by now.
+// writeAnswer writes an answer, which nothing else changes anymore.
 func writeAnswer(w http.ResponseWriter, a *core.Answer) {
 	h, body := w.Header(), a.Body
 	if a.Kind == core.Served || a.Status != 0 {
@@ -60,17 +60,17 @@
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	setWriteTimeout(w)
 	w.WriteHeader(statusOf(a))
-	_, _ = w.Write(body) // fails only where the client is gone
+	_, _ = w.Write(body) // fails only if the client has disconnected
 }
 
-// limitWrite limits how long a client may take nothing of what is written now. The time counts from the writing, as an answer may come at
-// any time: which deadlines its requests have, a front with a dialect is not told.
+// setWriteTimeout bounds the next writes. The time counts from the call, not from the request, as an answer may arrive at any time: a
+// front with a dialect does not know its requests' deadlines.
 func setWriteTimeout(w http.ResponseWriter) {
 	// Fails only on a closed connection, as the next Write does.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 }
 
-// writeStream writes an answer as it comes. One that breaks off ends its connection where the client can tell.
+// writeStream writes a streamed answer. If the stream is truncated it aborts the connection, so that the client can detect it.
 func writeStream(w http.ResponseWriter, a *core.Answer) {
 	defer a.Stream.CloseRead(errRequestOver)
 	if n := a.Stream.Length(); n >= 0 {
@@ -88,7 +88,7 @@
 			if _, werr := w.Write(buf[:n]); werr != nil {
 				return
 			}
-			_ = controller.Flush() // fails only where the next Write does
+			_ = controller.Flush() // fails only if the next Write does
 		}
 		if errors.Is(err, io.EOF) {
 			return
