--- a/internal/bodypipe/pipe.go
+++ b/internal/bodypipe/pipe.go
@@ -30,7 +30,7 @@
 	mu         sync.Mutex
 	buf        []byte
 	start      int   // offset in buf of the first unread byte
-	taken      int64 // bytes read
+	consumed   int64 // bytes read
 	writeErr   error // why the writer ended; io.EOF: the body is complete
 	complete   bool  // wend is io.EOF
 	readErr    error // why the reader ended
@@ -54,7 +54,7 @@
 func (p *Pipe) Consumed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.taken > 0
+	return p.consumed > 0
 }
 
 // buffers are reused between pipes.
@@ -79,11 +79,11 @@
 		p.start = 0
 	}
 	p.buf = append(p.buf, b...)
-	call := p.onData
+	onData := p.onData
 	p.mu.Unlock()
 	notify(p.dataReady)
-	if call != nil {
-		call()
+	if onData != nil {
+		onData()
 	}
 	return nil
 }
@@ -132,9 +132,9 @@
 // CloseWrite ends the body: complete if err is nil, truncated otherwise. A cause that is io.EOF is reported as
 // io.ErrUnexpectedEOF, since io.EOF is the end of a complete body.
 func (p *Pipe) CloseWrite(err error) {
-	well := err == nil
+	complete := err == nil
 	switch {
-	case well:
+	case complete:
 		err = io.EOF
 	case errors.Is(err, io.EOF):
 		err = fmt.Errorf("%s: %w", err.Error(), io.ErrUnexpectedEOF)
@@ -142,18 +142,18 @@
 	p.mu.Lock()
 	first := p.writeErr == nil
 	if first {
-		p.writeErr, p.complete = err, well
+		p.writeErr, p.complete = err, complete
 	}
-	call, end := p.onData, p.takeEndCallbacks()
+	onData, callEnd := p.onData, p.takeEndCallbacks()
 	p.mu.Unlock()
 	if !first {
 		return
 	}
 	notify(p.dataReady)
-	if call != nil {
-		call()
+	if onData != nil {
+		onData()
 	}
-	end()
+	callEnd()
 }
 
 // OnData registers fn to be called after each appended chunk, and at the end.
@@ -168,9 +168,9 @@
 func (p *Pipe) OnEnd(fn func(complete bool)) {
 	p.mu.Lock()
 	p.onEnd = append(p.onEnd, fn)
-	end := p.takeEndCallbacks()
+	callEnd := p.takeEndCallbacks()
 	p.mu.Unlock()
-	end()
+	callEnd()
 }
 
 // OnAbort registers fn to be called once, when the reader closes.
@@ -212,25 +212,25 @@
 	n := min(limit, len(p.buf)-p.start)
 	dst = append(dst, p.buf[p.start:p.start+n]...)
 	p.start += n
-	p.taken += int64(n)
+	p.consumed += int64(n)
 	var err error
 	if p.start == len(p.buf) {
 		p.release()
 		err = p.writeErr
 	}
-	var call func()
+	var onSpace func()
 	if len(p.buf)-p.start <= BufferLimit/2 {
-		call, p.onSpace = p.onSpace, nil
+		onSpace, p.onSpace = p.onSpace, nil
 	}
-	end := p.takeEndCallbacks()
+	callEnd := p.takeEndCallbacks()
 	p.mu.Unlock()
 	if n > 0 {
 		notify(p.spaceReady)
 	}
-	if call != nil {
-		call()
+	if onSpace != nil {
+		onSpace()
 	}
-	end()
+	callEnd()
 	return dst, err
 }
 
@@ -248,9 +248,9 @@
 func (p *Pipe) ReadTimeout(b []byte, timeout time.Duration) (int, error) {
 	var timer *time.Timer
 	for {
-		got, err := p.TakeAppend(b[:0], len(b))
-		if len(got) > 0 || err != nil {
-			return len(got), err
+		read, err := p.TakeAppend(b[:0], len(b))
+		if len(read) > 0 || err != nil {
+			return len(read), err
 		}
 		if timer == nil {
 			timer = time.NewTimer(timeout)
@@ -275,20 +275,20 @@
 		return
 	}
 	p.readErr = err
-	end := p.takeEndCallbacks()
+	callEnd := p.takeEndCallbacks()
 	p.release()
-	call, aborted := p.onSpace, p.onAbort
+	onSpace, onAbort := p.onSpace, p.onAbort
 	p.onSpace, p.onAbort = nil, nil
 	p.mu.Unlock()
 	notify(p.spaceReady)
 	notify(p.dataReady)
-	if call != nil {
-		call()
+	if onSpace != nil {
+		onSpace()
 	}
-	if aborted != nil {
-		aborted()
+	if onAbort != nil {
+		onAbort()
 	}
-	end()
+	callEnd()
 }
 
 func notify(c chan struct{}) {
--- a/internal/bodypipe/pipe_test.go
+++ b/internal/bodypipe/pipe_test.go
@@ -12,44 +12,44 @@
 )
 
 // Whatever is put in comes out once, in order, and no more waits than the limit and one piece.
-func TestNothingIsLostOrPilesUp(t *testing.T) {
+func TestBytesArriveOnceInOrderWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := New(-1)
-		var in, out []byte
+		var written, read []byte
 		next := byte(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "put") && p.Space() > 0 {
-				piece := make([]byte, rapid.IntRange(0, 20000).Draw(t, "piece"))
-				for i := range piece {
+				chunk := make([]byte, rapid.IntRange(0, 20000).Draw(t, "piece"))
+				for i := range chunk {
 					next++
-					piece[i] = next
+					chunk[i] = next
 				}
-				if err := p.Append(piece); err != nil {
+				if err := p.Append(chunk); err != nil {
 					t.Fatal(err)
 				}
-				in = append(in, piece...)
+				written = append(written, chunk...)
 			} else {
 				var err error
-				if out, err = p.TakeAppend(out, rapid.IntRange(1, 20000).Draw(t, "most")); err != nil {
+				if read, err = p.TakeAppend(read, rapid.IntRange(1, 20000).Draw(t, "most")); err != nil {
 					t.Fatal(err)
 				}
 			}
-			if waits := len(in) - len(out); waits > BufferLimit+20000 || BufferLimit-waits != p.Space() {
-				t.Fatalf("%d bytes wait, room for %d", waits, p.Space())
+			if buffered := len(written) - len(read); buffered > BufferLimit+20000 || BufferLimit-buffered != p.Space() {
+				t.Fatalf("%d bytes wait, room for %d", buffered, p.Space())
 			}
 		}
 		p.CloseWrite(nil)
 		var err error
 		for err == nil {
-			out, err = p.TakeAppend(out, 5000)
+			read, err = p.TakeAppend(read, 5000)
 		}
-		if !errors.Is(err, io.EOF) || !bytes.Equal(in, out) {
-			t.Fatalf("%d bytes in, %d out, %v", len(in), len(out), err)
+		if !errors.Is(err, io.EOF) || !bytes.Equal(written, read) {
+			t.Fatalf("%d bytes in, %d out, %v", len(written), len(read), err)
 		}
 	})
 }
 
-func TestSidesWaitForEachOther(t *testing.T) {
+func TestWriterAndReaderBlock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := New(3 * BufferLimit)
 		var got []byte
@@ -82,7 +82,7 @@
 }
 
 // Neither side waits for ever for the other, nor goes on when that has given up.
-func TestGivingUp(t *testing.T) {
+func TestTimeoutAndAbort(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := New(-1)
 		if _, err := p.ReadTimeout(make([]byte, 1), time.Second); !errors.Is(err, ErrStalled) {
@@ -92,15 +92,15 @@
 		if err := p.WriteTimeout([]byte{1}, time.Second); !errors.Is(err, ErrStalled) {
 			t.Errorf("nothing is taken: %v", err)
 		}
-		left := errors.New("left")
+		cause := errors.New("left")
 		ends := make(chan bool, 2)
 		p.OnEnd(func(whole bool) { ends <- whole })
 		go func() {
 			time.Sleep(time.Second)
-			p.CloseRead(left)
+			p.CloseRead(cause)
 			p.CloseRead(nil)
 		}()
-		if err := p.WriteTimeout([]byte{1}, time.Minute); !errors.Is(err, left) {
+		if err := p.WriteTimeout([]byte{1}, time.Minute); !errors.Is(err, cause) {
 			t.Errorf("when the reader has left: %v", err)
 		}
 		p.CloseWrite(nil)
@@ -111,7 +111,7 @@
 }
 
 // A body ends well only when its last byte has been taken out.
-func TestEnds(t *testing.T) {
+func TestEndIsReportedAfterLastByte(t *testing.T) {
 	for name, c := range map[string]struct {
 		end   error
 		whole bool
--- a/internal/front/http/clients_test.go
+++ b/internal/front/http/clients_test.go
@@ -14,7 +14,7 @@
 // Where each connection has an open request it is the new one that has to go.
 func TestNewConnectionIsClosedWhenAllHaveRequests(t *testing.T) {
 	ln := testbed.Listen(t)
-	cs := &connTracker{maxConns: 1}
+	tracker := &connTracker{maxConns: 1}
 	add := func() *clientConn {
 		if _, err := net.Dial("tcp", ln.Addr().String()); err != nil {
 			t.Fatal(err)
@@ -23,22 +23,22 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return cs.add(c.(*net.TCPConn))
+		return tracker.add(c.(*net.TCPConn))
 	}
 	first := add()
-	cs.onConnState(first, http.StateActive)
-	if add() != nil || cs.open != 1 {
-		t.Errorf("a second one was taken; %d open", cs.open)
+	tracker.onConnState(first, http.StateActive)
+	if add() != nil || tracker.open != 1 {
+		t.Errorf("a second one was taken; %d open", tracker.open)
 	}
-	cs.onConnState(first, http.StateIdle)
+	tracker.onConnState(first, http.StateIdle)
 	second := add()
-	if second == nil || !first.closed || cs.open != 1 {
-		t.Errorf("the idle one stays; %d open", cs.open)
+	if second == nil || !first.closed || tracker.open != 1 {
+		t.Errorf("the idle one stays; %d open", tracker.open)
 	}
 	_ = second.Close()
 	_ = second.Close()
-	if cs.open != 0 || cs.unused.Len()+cs.idle.Len()+cs.active.Len() != 0 {
-		t.Errorf("%d open after all were closed", cs.open)
+	if tracker.open != 0 || tracker.unused.Len()+tracker.idle.Len()+tracker.active.Len() != 0 {
+		t.Errorf("%d open after all were closed", tracker.open)
 	}
 }
 
@@ -46,21 +46,21 @@
 // must not go in favour of a new one, however silent it is.
 func TestConnectionWithUnhandledRequestIsNotEvicted(t *testing.T) {
 	ln := testbed.Listen(t)
-	cs := &connTracker{maxConns: 1}
+	tracker := &connTracker{maxConns: 1}
 	accept := func() (*clientConn, net.Conn) {
-		near, err := net.Dial("tcp", ln.Addr().String())
+		clientSide, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { _ = near.Close() })
-		far, err := ln.Accept()
+		t.Cleanup(func() { _ = clientSide.Close() })
+		serverSide, err := ln.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		return cs.add(far.(*net.TCPConn)), near
+		return tracker.add(serverSide.(*net.TCPConn)), clientSide
 	}
-	first, near := accept()
-	_, _ = io.WriteString(near, "GET /api HTTP/1.1\r\nHost: a\r\n\r\n")
+	first, clientSide := accept()
+	_, _ = io.WriteString(clientSide, "GET /api HTTP/1.1\r\nHost: a\r\n\r\n")
 	buf := make([]byte, 100)
 	if _, err := first.Read(buf); err != nil {
 		t.Fatal(err)
@@ -90,19 +90,19 @@
 // A peer that speaks MessagePack-RPC is named once; one that speaks HTTP is not.
 func TestProtocolMismatchIsReported(t *testing.T) {
 	ln, reported := testbed.Listen(t), 0
-	cs := &connTracker{maxConns: 2, onProtocolMismatch: func(net.Addr) { reported++ }}
+	tracker := &connTracker{maxConns: 2, onProtocolMismatch: func(net.Addr) { reported++ }}
 	for i, text := range []string{"\x94\x00\x01\xa1m\x90", "GET / HTTP/1.1\r\nHost: a\r\n\r\n"} {
-		near, err := net.Dial("tcp", ln.Addr().String())
+		clientSide, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer func() { _ = near.Close() }()
-		far, err := ln.Accept()
+		defer func() { _ = clientSide.Close() }()
+		serverSide, err := ln.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, _ = io.WriteString(near, text)
-		_, _ = cs.add(far.(*net.TCPConn)).Read(make([]byte, 100))
+		_, _ = io.WriteString(clientSide, text)
+		_, _ = tracker.add(serverSide.(*net.TCPConn)).Read(make([]byte, 100))
 		if reported != 1 {
 			t.Errorf("after %d: %d were named", i+1, reported)
 		}
--- a/internal/front/http/framing_test.go
+++ b/internal/front/http/framing_test.go
@@ -60,14 +60,14 @@
 		if (passed == len(text)) != (whole.err == nil) {
 			t.Errorf("%d of %d bytes passed on with %v", passed, len(text), whole.err)
 		}
-		other := 0
+		passedInParts := 0
 		for rest := text; len(rest) > 0 && parts.err == nil; {
 			n := min(int(step)+1, len(rest))
-			other += parts.scan(rest[:n], time.Now())
+			passedInParts += parts.scan(rest[:n], time.Now())
 			rest = rest[n:]
 		}
-		if other != passed || !errors.Is(parts.err, whole.err) || parts.started.Load() != whole.started.Load() {
-			t.Errorf("whole: %d, %v; in parts: %d, %v", passed, whole.err, other, parts.err)
+		if passedInParts != passed || !errors.Is(parts.err, whole.err) || parts.started.Load() != whole.started.Load() {
+			t.Errorf("whole: %d, %v; in parts: %d, %v", passed, whole.err, passedInParts, parts.err)
 		}
 		if len(whole.line) > maxLinePrefix {
 			t.Errorf("kept %d bytes", len(whole.line))
--- a/internal/front/http/head_test.go
+++ b/internal/front/http/head_test.go
@@ -128,7 +128,7 @@
 		if err != nil {
 			t.Fatalf("the library says %v of %q", err, in)
 		}
-		theirs, err := io.ReadAll(r.Body)
+		wantBody, err := io.ReadAll(r.Body)
 		if err != nil {
 			t.Fatalf("the library says %v of the body of %q", err, in)
 		}
@@ -138,9 +138,9 @@
 		}
 		r.Header.Del("Trailer")
 		h.header.Del("Trailer")
-		if h.method != r.Method || h.target != r.RequestURI || h.path != r.URL.Path || h.host != r.Host || !bytes.Equal(body, theirs) ||
+		if h.method != r.Method || h.target != r.RequestURI || h.path != r.URL.Path || h.host != r.Host || !bytes.Equal(body, wantBody) ||
 			fmt.Sprint(h.header) != fmt.Sprint(r.Header) {
-			t.Fatalf("%q: %+v %q, theirs %+v %q", in, h, body, r, theirs)
+			t.Fatalf("%q: %+v %q, theirs %+v %q", in, h, body, r, wantBody)
 		}
 	})
 }
@@ -160,11 +160,11 @@
 	})
 	b.Run("library", func(b *testing.B) {
 		b.ReportAllocs()
-		from := bytes.NewReader(text)
-		in := bufio.NewReader(from)
+		reader := bytes.NewReader(text)
+		in := bufio.NewReader(reader)
 		for b.Loop() {
-			from.Reset(text)
-			in.Reset(from)
+			reader.Reset(text)
+			in.Reset(reader)
 			if _, err := http.ReadRequest(in); err != nil {
 				b.Fatal(err)
 			}
--- a/internal/front/http/poll_linux_test.go
+++ b/internal/front/http/poll_linux_test.go
@@ -103,9 +103,9 @@
 	return fmt.Sprintf("GET /api HTTP/1.1\r\nHost: a\r\nX-Trace-Id: t-%d\r\nX-Qos: read\r\nX-Customer: acme\r\n\r\n", id)
 }
 
-func (s *testFront) wantResponse(_ net.Conn, in *bufio.Reader, status int, body string) *http.Response {
+func (s *testFront) wantResponse(_ net.Conn, reader *bufio.Reader, status int, body string) *http.Response {
 	s.t.Helper()
-	resp, err := http.ReadResponse(in, nil)
+	resp, err := http.ReadResponse(reader, nil)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -149,14 +149,14 @@
 	in := bufio.NewReader(c)
 	for i := range 3 {
 		text := requestText(i)
-		at := strings.Index(text, "X-Qos: re")
-		_, _ = io.WriteString(c, text[:at+9])
+		split := strings.Index(text, "X-Qos: re")
+		_, _ = io.WriteString(c, text[:split+9])
 		testbed.Until(t, "the first piece is there", func() bool {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			return s.partial.length == 1
 		})
-		_, _ = io.WriteString(c, text[at+9:])
+		_, _ = io.WriteString(c, text[split+9:])
 		if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
 			t.Fatalf("%v, %v", resp, err)
 		} else {
@@ -222,8 +222,8 @@
 		return s.open == 1
 	})
 	s.mu.Lock()
-	now := s.unused.first
-	reused := now != nil && now.fd == old.fd
+	reusing := s.unused.first
+	reused := reusing != nil && reusing.fd == old.fd
 	s.mu.Unlock()
 	if !reused {
 		t.Skip("the kernel gave another descriptor")
@@ -237,26 +237,26 @@
 func TestIdleTimeouts(t *testing.T) {
 	t.Parallel()
 	s := startPoll(t, 4000, serveText("ok")) // of which a quarter may wait
-	var all []net.Conn
-	begun := time.Now()
+	var idle []net.Conn
+	startTime := time.Now()
 	for range 500 {
-		all = append(all, s.dial())
+		idle = append(idle, s.dial())
 	}
 	busy := s.dial()
 	in := bufio.NewReader(busy)
-	opened := time.Since(begun)
-	for i := 0; time.Since(begun) < 3*time.Second; i++ {
+	opened := time.Since(startTime)
+	for i := 0; time.Since(startTime) < 3*time.Second; i++ {
 		_, _ = io.WriteString(busy, requestText(i))
 		s.wantResponse(busy, in, 200, "ok")
 		time.Sleep(50 * time.Millisecond)
 	}
-	for _, c := range all {
+	for _, c := range idle {
 		if n, err := c.Read(make([]byte, 1)); n > 0 || !errors.Is(err, io.EOF) {
 			t.Fatalf("read %d, %v", n, err)
 		}
 	}
-	if late := time.Since(begun) - opened; late > 10*time.Second {
-		t.Errorf("the last was let go after %v", late)
+	if after := time.Since(startTime) - opened; after > 10*time.Second {
+		t.Errorf("the last was let go after %v", after)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/front/msgpackrpc/conn.go
+++ b/internal/front/msgpackrpc/conn.go
@@ -91,9 +91,9 @@
 	if errors.Is(err, io.EOF) {
 		c.mu.Lock()
 		c.closing, c.readClosed = true, true
-		over := c.finished() || c.dead
+		finished := c.finished() || c.dead
 		c.mu.Unlock()
-		if !over {
+		if !finished {
 			<-c.answered
 		}
 		_ = c.nc.Close() // the connection is released even where this fails
@@ -116,14 +116,14 @@
 		c.dead, c.closing = true, true
 		close(c.answered)
 	}
-	left := make([]*call, 0, len(c.open))
+	cancelled := make([]*call, 0, len(c.open))
 	for _, open := range c.open {
-		left = append(left, open)
+		cancelled = append(cancelled, open)
 	}
 	clear(c.open)
 	c.mu.Unlock()
 	_ = c.nc.Close() // the connection is released even where this fails
-	for _, open := range left {
+	for _, open := range cancelled {
 		c.front.exchange.Disconnect(&open.Call)
 	}
 }
@@ -137,9 +137,9 @@
 func (c *conn) finish() {
 	c.mu.Lock()
 	c.closing = true
-	over := c.finished()
+	finished := c.finished()
 	c.mu.Unlock()
-	if over {
+	if finished {
 		c.linger()
 	}
 }
@@ -318,12 +318,12 @@
 		b := c.outgoing
 		if len(b) == 0 || c.dead {
 			c.writing = false
-			over, unread := c.finished() && !c.dead, c.readClosed
+			finished, readClosed := c.finished() && !c.dead, c.readClosed
 			c.mu.Unlock()
 			switch {
-			case over && unread:
+			case finished && readClosed:
 				c.drop()
-			case over:
+			case finished:
 				c.linger()
 			}
 			return
--- a/internal/front/msgpackrpc/front.go
+++ b/internal/front/msgpackrpc/front.go
@@ -139,10 +139,10 @@
 func (f *Front) evict() bool {
 	f.mu.Lock()
 	var oldest *conn
-	first := int64(0)
+	minIdleSince := int64(0)
 	for c := range f.conns {
-		if at := c.idleSince.Load(); at > 0 && (oldest == nil || at < first) {
-			oldest, first = c, at
+		if idleSince := c.idleSince.Load(); idleSince > 0 && (oldest == nil || idleSince < minIdleSince) {
+			oldest, minIdleSince = c, idleSince
 		}
 	}
 	if oldest != nil {
@@ -168,9 +168,9 @@
 }
 
 // logProblem logs a problem with a client, within the limit.
-func (f *Front) logProblem(what string, nc net.Conn, why error) {
+func (f *Front) logProblem(msg string, nc net.Conn, err error) {
 	f.logLimit.Do(func() {
-		f.cfg.Log.Warn(what, "protocol", "MessagePack-RPC", "peer", nc.RemoteAddr().String(), "why", why)
+		f.cfg.Log.Warn(msg, "protocol", "MessagePack-RPC", "peer", nc.RemoteAddr().String(), "why", err)
 	})
 }
 
@@ -208,30 +208,30 @@
 func (f *Front) End(within time.Duration) error {
 	limit, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
-	calls := f.cfg.AcceptGrace
+	acceptGrace := f.cfg.AcceptGrace
 	if f.succeeded.Load() {
-		calls = 0
+		acceptGrace = 0
 	}
 	select {
-	case <-time.After(calls):
+	case <-time.After(acceptGrace):
 	case err := <-f.failed:
 		return fmt.Errorf("serve MessagePack-RPC: %w", err)
 	}
 	f.ending.Store(true)
 	f.mu.Lock()
 	_ = f.ln.Close() // accepting ends either way
-	var empty chan struct{}
+	var drained chan struct{}
 	if len(f.conns) > 0 {
-		empty = make(chan struct{})
-		f.drained = empty
+		drained = make(chan struct{})
+		f.drained = drained
 	}
 	for c := range f.conns {
 		c.finish()
 	}
 	f.mu.Unlock()
-	if empty != nil {
+	if drained != nil {
 		select {
-		case <-empty:
+		case <-drained:
 		case <-limit.Done():
 		}
 	}
--- a/internal/front/msgpackrpc/front_test.go
+++ b/internal/front/msgpackrpc/front_test.go
@@ -22,13 +22,13 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // exchange hands calls to the test, which answers them.
-type exchange struct {
-	arrived chan *core.Call
-	left    chan *core.Call
+type fakeExchange struct {
+	submitted    chan *core.Call
+	disconnected chan *core.Call
 }
 
-func (e *exchange) Submit(c *core.Call)     { e.arrived <- c }
-func (e *exchange) Disconnect(c *core.Call) { e.left <- c }
+func (e *fakeExchange) Submit(c *core.Call)     { e.submitted <- c }
+func (e *fakeExchange) Disconnect(c *core.Call) { e.disconnected <- c }
 
 func testMethods(t *testing.T) *Methods {
 	t.Helper()
@@ -52,17 +52,17 @@
 	return ms
 }
 
-type bench struct {
-	t     *testing.T
-	front *Front
-	addr  string
-	calls *exchange
-	log   *testbed.Log
+type testFront struct {
+	t        *testing.T
+	front    *Front
+	addr     string
+	exchange *fakeExchange
+	log      *testbed.Log
 }
 
-func start(t *testing.T, change func(*Config)) *bench {
+func start(t *testing.T, change func(*Config)) *testFront {
 	t.Helper()
-	b := &bench{t: t, calls: &exchange{make(chan *core.Call, 5000), make(chan *core.Call, 5000)}, log: &testbed.Log{}}
+	b := &testFront{t: t, exchange: &fakeExchange{make(chan *core.Call, 5000), make(chan *core.Call, 5000)}, log: &testbed.Log{}}
 	cfg := Config{
 		Methods: testMethods(t), MaxOpen: 1000, Connections: 10, Evict: func() bool { return false },
 		Log: slog.New(slog.NewTextHandler(b.log, nil)),
@@ -70,7 +70,7 @@
 	if change != nil {
 		change(&cfg)
 	}
-	b.front = New(cfg, b.calls)
+	b.front = New(cfg, b.exchange)
 	ln := testbed.Listen(t)
 	b.addr = ln.Addr().String()
 	b.front.Serve(ln)
@@ -85,7 +85,7 @@
 	in *codec.Reader
 }
 
-func (b *bench) dial() *client {
+func (b *testFront) dial() *client {
 	b.t.Helper()
 	c, err := net.Dial("tcp", b.addr)
 	if err != nil {
@@ -131,38 +131,40 @@
 	return f.ID, "", bytes.Clone(f.Result)
 }
 
-func (c *client) wantEnd(what string) {
+func (c *client) wantClose(what string) {
 	c.t.Helper()
 	if f, err := c.in.Next(); err == nil {
 		c.t.Errorf("%s: got %+v in place of a close", what, f)
 	}
 }
 
-func lookup(id uint32) []byte { return codec.AppendRequest(nil, id, "plate.lookup", []byte{0x90}) }
+func lookupRequest(id uint32) []byte {
+	return codec.AppendRequest(nil, id, "plate.lookup", []byte{0x90})
+}
 
 func serve(c *core.Call, body []byte) {
 	c.Client.Answer(c, &core.Answer{ContentType: core.MessagePack, Body: body})
 }
 
 // What a request says is read out of its params, and the params go on as they came, repeated keys and NaN among them.
-func TestReadsRequests(t *testing.T) {
+func TestRequestFields(t *testing.T) {
 	b := start(t, nil)
 	c := b.dial()
 	params := pack(t, []any{map[string]any{
 		"tenant": "south", "plate": "あ 12-34", "key": "k-1", "ms": 300, "trace": "t-1", "again": true, "more": math.NaN(),
 	}})
 	c.send(codec.AppendRequest(nil, 7, "plate.reserve", params))
-	got := testbed.Next(t, b.calls.arrived)
-	m, ask := &got.Message, &got.Request
-	if ask.Class != 1 || ask.Tenant != 1 || ask.Remaining != 300 || !ask.Retry || ask.Key == 0 || got.Name != "t-1" {
-		t.Errorf("asked %+v as %q", ask, got.Name)
+	got := testbed.Next(t, b.exchange.submitted)
+	m, request := &got.Message, &got.Request
+	if request.Class != 1 || request.Tenant != 1 || request.Remaining != 300 || !request.Retry || request.Key == 0 || got.Name != "t-1" {
+		t.Errorf("asked %+v as %q", request, got.Name)
 	}
 	if m.IdempotencyKey != "k-1" || m.Trace != "t-1" || m.Class != "reserve" || m.Tenant != "south" || m.Safe || !bytes.Equal(m.Body, params) {
 		t.Errorf("message %+v", m)
 	}
 	positions := pack(t, []any{uint64(77), []byte("north"), 1e9, nil})
 	c.send(codec.AppendRequest(nil, math.MaxUint32, "plate.pay", positions))
-	second := testbed.Next(t, b.calls.arrived)
+	second := testbed.Next(t, b.exchange.submitted)
 	if second.Request.Tenant != 0 || second.Message.Object != "77" || second.Request.Remaining != 900 ||
 		second.Message.Trace == "" || second.Name != "" {
 		t.Errorf("by position: %+v", second)
@@ -216,17 +218,17 @@
 			t.Errorf("%s: %d %q", name, id, code)
 		}
 	}
-	if len(b.calls.arrived) > 0 {
-		t.Errorf("%d reached the exchange", len(b.calls.arrived))
+	if len(b.exchange.submitted) > 0 {
+		t.Errorf("%d reached the exchange", len(b.exchange.submitted))
 	}
 }
 
 // An id that is open is used again: the first gets its own answer, first, and the second is told of its mistake.
-func TestIdOfAnOpenRequest(t *testing.T) {
+func TestDuplicateIDOfOpenRequest(t *testing.T) {
 	b := start(t, nil)
 	c := b.dial()
-	c.send(lookup(5), lookup(5), codec.AppendRequest(nil, 5, "plate.sell", []byte{0x90}), lookup(6))
-	first, other := testbed.Next(t, b.calls.arrived), testbed.Next(t, b.calls.arrived)
+	c.send(lookupRequest(5), lookupRequest(5), codec.AppendRequest(nil, 5, "plate.sell", []byte{0x90}), lookupRequest(6))
+	first, other := testbed.Next(t, b.exchange.submitted), testbed.Next(t, b.exchange.submitted)
 	serve(first, []byte{1})
 	serve(other, []byte{2})
 	for i, want := range []struct {
@@ -237,24 +239,24 @@
 			t.Errorf("response %d: id %d, %q", i, id, code)
 		}
 	}
-	c.send(lookup(5)) // it is over: the id says no more
-	serve(testbed.Next(t, b.calls.arrived), []byte{3})
+	c.send(lookupRequest(5)) // it is over: the id says no more
+	serve(testbed.Next(t, b.exchange.submitted), []byte{3})
 	if id, code, _ := c.response(); id != 5 || code != "" {
 		t.Errorf("after that: id %d, %q", id, code)
 	}
 }
 
 // Requests come in any pieces.
-func TestPieces(t *testing.T) {
+func TestRequestsInSegments(t *testing.T) {
 	b := start(t, nil)
 	c := b.dial()
 	_ = c.SetNoDelay(true)
-	for _, one := range lookup(1) {
+	for _, one := range lookupRequest(1) {
 		c.send([]byte{one})
 	}
-	c.send(lookup(2), lookup(3))
+	c.send(lookupRequest(2), lookupRequest(3))
 	for range 3 {
-		serve(testbed.Next(t, b.calls.arrived), []byte{0xc0})
+		serve(testbed.Next(t, b.exchange.submitted), []byte{0xc0})
 	}
 	for want := uint32(1); want <= 3; want++ {
 		if id, code, _ := c.response(); id != want || code != "" {
@@ -264,7 +266,7 @@
 }
 
 // What is no frame ends its connection, and the log says why; a peer of another protocol is named.
-func TestNoFrames(t *testing.T) {
+func TestMalformedFramesCloseConnection(t *testing.T) {
 	for name, c := range map[string]struct{ text, log string }{
 		"HTTP":         {"GET /api HTTP/1.1\r\nHost: x\r\n\r\n", "speaks HTTP"},
 		"4 GiB":        {"\x94\x00\x01\xdb\xff\xff\xff\xff", "beyond its limit"},
@@ -280,19 +282,19 @@
 			cl := b.dial()
 			_, _ = io.WriteString(cl, c.text)
 			_ = cl.CloseWrite()
-			cl.wantEnd(name)
+			cl.wantClose(name)
 			testbed.Until(t, "the log says why", func() bool { return b.log.Has(c.log) })
 		})
 	}
 }
 
 // Who ends its sending is owed what is open, and then the connection ends.
-func TestHalfClose(t *testing.T) {
+func TestHalfClosedClientGetsResponses(t *testing.T) {
 	b := start(t, nil)
 	c := b.dial()
-	c.send(lookup(1), lookup(2))
+	c.send(lookupRequest(1), lookupRequest(2))
 	_ = c.CloseWrite()
-	one, two := testbed.Next(t, b.calls.arrived), testbed.Next(t, b.calls.arrived)
+	one, two := testbed.Next(t, b.exchange.submitted), testbed.Next(t, b.exchange.submitted)
 	serve(two, []byte{2})
 	serve(one, []byte{1})
 	for _, want := range []uint32{2, 1} {
@@ -300,24 +302,24 @@
 			t.Errorf("id %d, %q: want %d", id, code, want)
 		}
 	}
-	c.wantEnd("after the last answer")
+	c.wantClose("after the last answer")
 }
 
 // A client that is gone is given up, each of its requests once.
-func TestGoneClient(t *testing.T) {
+func TestDisconnectCancelsOpenRequests(t *testing.T) {
 	b := start(t, nil)
 	c := b.dial()
-	c.send(lookup(1), lookup(2), lookup(3))
+	c.send(lookupRequest(1), lookupRequest(2), lookupRequest(3))
 	for range 3 {
-		testbed.Next(t, b.calls.arrived)
+		testbed.Next(t, b.exchange.submitted)
 	}
 	_ = c.SetLinger(0)
 	_ = c.Close()
 	seen := map[*core.Call]bool{}
 	for range 3 {
-		left := testbed.Next(t, b.calls.left)
-		seen[left] = true
-		serve(left, []byte{1}) // as the exchange does: it goes nowhere
+		cancelled := testbed.Next(t, b.exchange.disconnected)
+		seen[cancelled] = true
+		serve(cancelled, []byte{1}) // as the exchange does: it goes nowhere
 	}
 	if len(seen) != 3 {
 		t.Errorf("%d were given up", len(seen))
@@ -325,15 +327,15 @@
 }
 
 // Requests beyond the bound are refused at once, and say that trying again is harmless.
-func TestOpenBound(t *testing.T) {
+func TestRequestsBeyondMaxOpenAreRefused(t *testing.T) {
 	b := start(t, func(c *Config) { c.MaxOpen = 2 })
 	c := b.dial()
-	c.send(lookup(1), lookup(2), lookup(3))
+	c.send(lookupRequest(1), lookupRequest(2), lookupRequest(3))
 	if id, code, _ := c.response(); id != 3 || code != "refused" {
 		t.Errorf("id %d, %q", id, code)
 	}
 	for range 2 {
-		serve(testbed.Next(t, b.calls.arrived), []byte{1})
+		serve(testbed.Next(t, b.exchange.submitted), []byte{1})
 	}
 }
 
@@ -345,15 +347,15 @@
 	body := pack(t, strings.Repeat("x", 60<<10))
 	ended := false
 	for id := uint32(0); id < 2000 && !ended; id++ {
-		if _, err := c.Write(lookup(id)); err != nil {
+		if _, err := c.Write(lookupRequest(id)); err != nil {
 			break
 		}
 		select {
-		case call := <-b.calls.arrived:
+		case call := <-b.exchange.submitted:
 			serve(call, body)
 		case <-time.After(testbed.Patience):
 			t.Fatal("nothing came")
-		case <-b.calls.left:
+		case <-b.exchange.disconnected:
 			ended = true
 		}
 		ended = ended || b.log.Has("does not read")
@@ -367,32 +369,32 @@
 	b := start(t, nil)
 	idle, stalled := b.dial(), b.dial()
 	begun := time.Now()
-	stalled.send(lookup(1)[:3])
-	stalled.wantEnd("stalled")
+	stalled.send(lookupRequest(1)[:3])
+	stalled.wantClose("stalled")
 	if took := time.Since(begun); took < frameTimeout/2 || took > testbed.Patience/2 {
 		t.Errorf("ended after %v", took)
 	}
-	idle.send(lookup(1)) // which may be silent for as long as it likes
-	serve(testbed.Next(t, b.calls.arrived), []byte{1})
+	idle.send(lookupRequest(1)) // which may be silent for as long as it likes
+	serve(testbed.Next(t, b.exchange.submitted), []byte{1})
 	if id, _, _ := idle.response(); id != 1 {
 		t.Errorf("id %d", id)
 	}
 }
 
 // Where all places are taken the connection goes that has been idle for longest; one with a request open stays.
-func TestConnectionBound(t *testing.T) {
+func TestIdleConnectionIsEvicted(t *testing.T) {
 	b := start(t, func(c *Config) { c.Connections = 2 })
 	busy, idle := b.dial(), b.dial()
-	busy.send(lookup(1))
-	open := testbed.Next(t, b.calls.arrived)
-	idle.send(lookup(2))
-	serve(testbed.Next(t, b.calls.arrived), []byte{2})
+	busy.send(lookupRequest(1))
+	open := testbed.Next(t, b.exchange.submitted)
+	idle.send(lookupRequest(2))
+	serve(testbed.Next(t, b.exchange.submitted), []byte{2})
 	idle.response()
 	third := b.dial()
-	idle.wantEnd("the idle one")
-	third.send(lookup(3))
+	idle.wantClose("the idle one")
+	third.send(lookupRequest(3))
 	third.t = t
-	serve(testbed.Next(t, b.calls.arrived), []byte{3})
+	serve(testbed.Next(t, b.exchange.submitted), []byte{3})
 	third.response()
 	serve(open, []byte{1})
 	if id, code, _ := busy.response(); id != 1 || code != "" {
@@ -401,15 +403,15 @@
 }
 
 // AtPosition the end what is taken is answered, what comes later is refused, and then the connection closes.
-func TestEnd(t *testing.T) {
+func TestEndAnswersOpenRequests(t *testing.T) {
 	b := start(t, nil)
 	c, idle := b.dial(), b.dial()
-	c.send(lookup(1))
-	open := testbed.Next(t, b.calls.arrived)
+	c.send(lookupRequest(1))
+	open := testbed.Next(t, b.exchange.submitted)
 	ended := make(chan error, 1)
 	go func() { ended <- b.front.End(testbed.Patience) }()
-	idle.wantEnd("an idle connection")
-	c.send(lookup(2))
+	idle.wantClose("an idle connection")
+	c.send(lookupRequest(2))
 	if id, code, _ := c.response(); id != 2 || code != "refused" {
 		t.Errorf("a late one: %d %q", id, code)
 	}
@@ -417,7 +419,7 @@
 	if id, code, _ := c.response(); id != 1 || code != "" {
 		t.Errorf("the open one: %d %q", id, code)
 	}
-	c.wantEnd("after the last answer")
+	c.wantClose("after the last answer")
 	if err := testbed.Next(t, ended); err != nil {
 		t.Error(err)
 	}
@@ -428,13 +430,13 @@
 	b := start(t, nil)
 	c := b.dial()
 	c.send(codec.AppendNotification(nil, "plate.pay", pack(t, []any{1, "north"})),
-		codec.AppendNotification(nil, "plate.lookup", []byte{0x90}), lookup(9))
-	told := testbed.Next(t, b.calls.arrived)
-	if told.Message.Method != "plate.lookup" {
-		t.Errorf("took %s", told.Message.Method)
+		codec.AppendNotification(nil, "plate.lookup", []byte{0x90}), lookupRequest(9))
+	notification := testbed.Next(t, b.exchange.submitted)
+	if notification.Message.Method != "plate.lookup" {
+		t.Errorf("took %s", notification.Message.Method)
 	}
-	serve(told, []byte{1})
-	serve(testbed.Next(t, b.calls.arrived), []byte{1})
+	serve(notification, []byte{1})
+	serve(testbed.Next(t, b.exchange.submitted), []byte{1})
 	if id, _, _ := c.response(); id != 9 {
 		t.Errorf("answered %d", id)
 	}
@@ -442,7 +444,7 @@
 }
 
 // Answers of every kind have their form on the wire; a server's broken MessagePack never reaches the client's stream.
-func TestAnswers(t *testing.T) {
+func TestResponseEncoding(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer core.Answer
 		want   any // error and result
@@ -475,7 +477,7 @@
 }
 
 // What is no UTF-8 is no string on the wire.
-func TestBytesAreNoString(t *testing.T) {
+func TestInvalidUTF8IsEncodedAsBinary(t *testing.T) {
 	got := appendResponse(nil, 7, &core.Answer{Meta: map[string][]string{}, Body: []byte{0xff, 1}})
 	if !bytes.HasSuffix(got, []byte{0xc0, 0xc4, 2, 0xff, 1}) {
 		t.Errorf("% x", got)
@@ -498,7 +500,7 @@
 }
 
 // A table that the settings do not bear out is refused at load, with the method and the key.
-func TestBadMethods(t *testing.T) {
+func TestInvalidMethodTable(t *testing.T) {
 	catalog, _ := core.NewCatalog([]balance.Class{{Effect: balance.Safe}, {Effect: balance.Keyed}},
 		[]string{"lookup", "reserve"}, []string{"north"})
 	ok := Method{Name: "a", Class: "lookup", Tenant: "north", Path: "/a"}
--- a/internal/front/msgpackrpc/methods.go
+++ b/internal/front/msgpackrpc/methods.go
@@ -248,7 +248,7 @@
 
 // fillCall sets the fields of a request from its parameters.
 func (ms *Methods) fillCall(c *core.Call, m *method, params []byte) error {
-	tenant, name, err := ms.tenantOf(m, params)
+	tenant, tenantName, err := ms.tenantOf(m, params)
 	if err != nil {
 		return fmt.Errorf("tenant: %w", err)
 	}
@@ -260,7 +260,7 @@
 	if err != nil {
 		return fmt.Errorf("idempotency key: %w", err)
 	}
-	left, err := m.timeLeft(params)
+	remaining, err := m.timeLeft(params)
 	if err != nil {
 		return fmt.Errorf("deadline: %w", err)
 	}
@@ -270,23 +270,23 @@
 	if c.Name != "" && !core.IsToken(c.Name) {
 		return errors.New("trace: it is no token")
 	}
-	repeat, err := m.Retry.number(params)
+	retry, err := m.Retry.number(params)
 	if err != nil && !errors.Is(err, errMissing) {
 		return fmt.Errorf("repeat: %w", err)
 	}
 	if ms.Claims {
-		c.Claim = &contract.Claim{Tenant: name, Listener: listenerName}
+		c.Claim = &contract.Claim{Tenant: tenantName, Listener: listenerName}
 		if token, err := m.Token.text(params); err == nil {
 			c.Claim.Token, c.Claim.HasToken = contract.DigestOf(token), true
 		} else if !errors.Is(err, errMissing) {
 			return fmt.Errorf("token: %w", err)
 		}
 	}
-	c.Request = balance.Request{Class: m.class, Tenant: tenant, Key: core.ObjectKey(object), Remaining: left, Retry: repeat > 0}
+	c.Request = balance.Request{Class: m.class, Tenant: tenant, Key: core.ObjectKey(object), Remaining: remaining, Retry: retry > 0}
 	c.Message = core.Message{
 		Trace:          c.Name,
 		Class:          m.Class,
-		Tenant:         name,
+		Tenant:         tenantName,
 		Object:         object,
 		IdempotencyKey: key,
 		Safe:           m.rules.Effect == balance.Safe,
@@ -331,15 +331,15 @@
 
 // timeLeft returns the time to a request's deadline in milliseconds: the class's, or less by its parameters.
 func (m *method) timeLeft(params []byte) (float64, error) {
-	left, err := m.Deadline.number(params)
+	remaining, err := m.Deadline.number(params)
 	if errors.Is(err, errMissing) {
 		return m.rules.Deadline, nil
 	}
 	if err != nil {
 		return 0, err
 	}
-	if !(left >= 0) { // also rejects NaN
+	if !(remaining >= 0) { // also rejects NaN
 		return 0, errors.New("it is no time")
 	}
-	return min(m.rules.Deadline, left), nil
+	return min(m.rules.Deadline, remaining), nil
 }
--- a/internal/poller/poller_linux.go
+++ b/internal/poller/poller_linux.go
@@ -111,47 +111,47 @@
 }
 
 // Register notifies the handler of all events of a descriptor, those that are pending included. place is set before the first event.
-func (p *Poller) Register(fd int, h Handler, place *Registration) error {
+func (p *Poller) Register(fd int, h Handler, r *Registration) error {
 	p.mu.Lock()
 	if n := len(p.free); n > 0 {
-		place.slot, p.free = p.free[n-1], p.free[:n-1]
+		r.slot, p.free = p.free[n-1], p.free[:n-1]
 	} else {
-		place.slot = int32(len(p.slots))
+		r.slot = int32(len(p.slots))
 		p.slots, p.gens = append(p.slots, nil), append(p.gens, 0)
 	}
-	p.slots[place.slot] = h
-	p.gens[place.slot]++
-	place.gen = p.gens[place.slot]
+	p.slots[r.slot] = h
+	p.gens[r.slot]++
+	r.gen = p.gens[r.slot]
 	p.mu.Unlock()
 	event := unix.EpollEvent{
-		Events: unix.EPOLLIN | unix.EPOLLOUT | unix.EPOLLRDHUP | unix.EPOLLET, Fd: place.slot, Pad: place.gen,
+		Events: unix.EPOLLIN | unix.EPOLLOUT | unix.EPOLLRDHUP | unix.EPOLLET, Fd: r.slot, Pad: r.gen,
 	}
 	err := p.control(func(epoll int) error { return unix.EpollCtl(epoll, unix.EPOLL_CTL_ADD, fd, &event) })
 	if err != nil {
-		p.Unregister(*place)
+		p.Unregister(*r)
 		return fmt.Errorf("poll: %w", err)
 	}
 	return nil
 }
 
 // Rearm has the kernel report the pending events again.
-func (p *Poller) Rearm(fd int, place Registration) error {
+func (p *Poller) Rearm(fd int, r Registration) error {
 	event := unix.EpollEvent{
-		Events: unix.EPOLLIN | unix.EPOLLOUT | unix.EPOLLRDHUP | unix.EPOLLET, Fd: place.slot, Pad: place.gen,
+		Events: unix.EPOLLIN | unix.EPOLLOUT | unix.EPOLLRDHUP | unix.EPOLLET, Fd: r.slot, Pad: r.gen,
 	}
 	return p.control(func(epoll int) error { return unix.EpollCtl(epoll, unix.EPOLL_CTL_MOD, fd, &event) })
 }
 
 // Unregister ends a registration. The caller closes the descriptor, or has called Detach where it stays open.
-func (p *Poller) Unregister(place Registration) {
+func (p *Poller) Unregister(r Registration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if place.gen == 0 || p.gens[place.slot] != place.gen || p.slots[place.slot] == nil {
+	if r.gen == 0 || p.gens[r.slot] != r.gen || p.slots[r.slot] == nil {
 		return
 	}
-	p.slots[place.slot] = nil
-	p.gens[place.slot]++ // a late event finds another generation
-	p.free = append(p.free, place.slot)
+	p.slots[r.slot] = nil
+	p.gens[r.slot]++ // a late event finds another generation
+	p.free = append(p.free, r.slot)
 }
 
 // Detach removes a descriptor that stays open from the epoll set.
--- a/internal/timerwheel/wheel_test.go
+++ b/internal/timerwheel/wheel_test.go
@@ -14,7 +14,7 @@
 
 // With a hundred thousand time-outs, set, set anew and cleared, each fires once, no earlier than its time and no later than
 // a tick behind it, and one that was cleared never.
-func TestWheelIsOnTime(t *testing.T) {
+func TestTimeoutsFireOnceAndOnTime(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	const n = 100_000
 	w := New[*owner](wheelTick, 128)
@@ -64,7 +64,7 @@
 }
 
 // After a pause longer than the wheel is round, all that was due in it fires.
-func TestWheelAfterAPause(t *testing.T) {
+func TestAdvanceBeyondOneRevolution(t *testing.T) {
 	w := New[*owner](wheelTick, 128)
 	conns := make([]owner, 500)
 	for i := range conns {
@@ -78,7 +78,7 @@
 }
 
 // Next is never after what is due next, and says that there is none only where there is none.
-func TestNext(t *testing.T) {
+func TestNextIsNotLate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := New[int](time.Millisecond, 64*rapid.IntRange(1, 3).Draw(t, "words"))
 		timers := make([]Timer[int], 20)
