--- a/internal/bodypipe/pipe.go
+++ b/internal/bodypipe/pipe.go
@@ -32,7 +32,7 @@
 	start      int   // offset in buf of the first unread byte
 	consumed   int64 // bytes read
 	writeErr   error // why the writer ended; io.EOF: the body is complete
-	complete   bool  // wend is io.EOF
+	complete   bool  // writeErr is io.EOF
 	readErr    error // why the reader ended
 	onData     func()
 	onSpace    func() // called once
@@ -163,8 +163,8 @@
 	p.onData = fn
 }
 
-// OnEnd registers fn to be called once, when the body has been read to its end or either side has aborted it, behind those that were
-// registered before.
+// OnEnd registers fn to be called once, when the body has been read to its end or either side has aborted it, after the functions that
+// were registered before.
 func (p *Pipe) OnEnd(fn func(complete bool)) {
 	p.mu.Lock()
 	p.onEnd = append(p.onEnd, fn)
--- a/internal/bodypipe/pipe_test.go
+++ b/internal/bodypipe/pipe_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is put in comes out once, in order, and no more waits than the limit and one piece.
+// Each byte is read once and in order, and no more is buffered than BufferLimit and one chunk.
 func TestBytesArriveOnceInOrderWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := New(-1)
@@ -35,7 +35,7 @@
 				}
 			}
 			if buffered := len(written) - len(read); buffered > BufferLimit+20000 || BufferLimit-buffered != p.Space() {
-				t.Fatalf("%d bytes wait, room for %d", buffered, p.Space())
+				t.Fatalf("%d bytes are buffered, space for %d", buffered, p.Space())
 			}
 		}
 		p.CloseWrite(nil)
@@ -44,11 +44,12 @@
 			read, err = p.TakeAppend(read, 5000)
 		}
 		if !errors.Is(err, io.EOF) || !bytes.Equal(written, read) {
-			t.Fatalf("%d bytes in, %d out, %v", len(written), len(read), err)
+			t.Fatalf("%d bytes written, %d read, %v", len(written), len(read), err)
 		}
 	})
 }
 
+// A writer waits for a slower reader, and all bytes arrive.
 func TestWriterAndReaderBlock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := New(3 * BufferLimit)
@@ -81,16 +82,16 @@
 	})
 }
 
-// Neither side waits for ever for the other, nor goes on when that has given up.
+// Neither side waits for the other beyond the time-out, nor continues when the other has aborted.
 func TestTimeoutAndAbort(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := New(-1)
 		if _, err := p.ReadTimeout(make([]byte, 1), time.Second); !errors.Is(err, ErrStalled) {
-			t.Errorf("nothing comes: %v", err)
+			t.Errorf("read without data: %v", err)
 		}
 		_ = p.Append(make([]byte, BufferLimit))
 		if err := p.WriteTimeout([]byte{1}, time.Second); !errors.Is(err, ErrStalled) {
-			t.Errorf("nothing is taken: %v", err)
+			t.Errorf("write without a reader: %v", err)
 		}
 		cause := errors.New("left")
 		ends := make(chan bool, 2)
@@ -101,16 +102,16 @@
 			p.CloseRead(nil)
 		}()
 		if err := p.WriteTimeout([]byte{1}, time.Minute); !errors.Is(err, cause) {
-			t.Errorf("when the reader has left: %v", err)
+			t.Errorf("write after the reader has closed: %v", err)
 		}
 		p.CloseWrite(nil)
 		if whole := <-ends; whole || len(ends) > 0 {
-			t.Errorf("ended as whole: %v, then %d times more", whole, len(ends))
+			t.Errorf("ended as complete: %v, then %d times more", whole, len(ends))
 		}
 	})
 }
 
-// A body ends well only when its last byte has been taken out.
+// A body ends, as complete or truncated, only once its last byte has been read.
 func TestEndIsReportedAfterLastByte(t *testing.T) {
 	for name, c := range map[string]struct {
 		end   error
@@ -126,7 +127,7 @@
 		_ = p.Append([]byte("ab"))
 		p.CloseWrite(c.end)
 		if c.whole && len(got) > 0 {
-			t.Errorf("%s: ended before it was taken out", name)
+			t.Errorf("%s: ended before it was read", name)
 		}
 		if _, err := p.TakeAppend(nil, 10); errors.Is(err, io.EOF) != c.whole || err == nil {
 			t.Errorf("%s: the end is %v", name, err)
--- a/internal/front/http/clients_test.go
+++ b/internal/front/http/clients_test.go
@@ -11,7 +11,7 @@
 	"firplank/internal/testbed"
 )
 
-// Where each connection has an open request it is the new one that has to go.
+// If all connections have open requests, a new connection is closed; an idle one is evicted for it.
 func TestNewConnectionIsClosedWhenAllHaveRequests(t *testing.T) {
 	ln := testbed.Listen(t)
 	tracker := &connTracker{maxConns: 1}
@@ -28,22 +28,22 @@
 	first := add()
 	tracker.onConnState(first, http.StateActive)
 	if add() != nil || tracker.open != 1 {
-		t.Errorf("a second one was taken; %d open", tracker.open)
+		t.Errorf("a second connection was accepted; %d open", tracker.open)
 	}
 	tracker.onConnState(first, http.StateIdle)
 	second := add()
 	if second == nil || !first.closed || tracker.open != 1 {
-		t.Errorf("the idle one stays; %d open", tracker.open)
+		t.Errorf("the idle connection was not evicted; %d open", tracker.open)
 	}
 	_ = second.Close()
 	_ = second.Close()
 	if tracker.open != 0 || tracker.unused.Len()+tracker.idle.Len()+tracker.active.Len() != 0 {
-		t.Errorf("%d open after all were closed", tracker.open)
+		t.Errorf("%d connections are open after all were closed", tracker.open)
 	}
 }
 
-// A request that was read whole and waits for the processor is taken, though its handler has not begun: its connection
-// must not go in favour of a new one, however silent it is.
+// A request that was read completely counts as accepted even if its handler has not started yet: its connection must not be evicted
+// for a new one.
 func TestConnectionWithUnhandledRequestIsNotEvicted(t *testing.T) {
 	ln := testbed.Listen(t)
 	tracker := &connTracker{maxConns: 1}
@@ -66,15 +66,15 @@
 		t.Fatal(err)
 	}
 	if second, _ := accept(); second != nil {
-		t.Error("the connection of a waiting request was closed for a new one")
+		t.Error("the connection of an unhandled request was evicted for a new one")
 	}
-	first.countRequest() // its handler has begun and, here, ended: now it may go
+	first.countRequest() // its handler has started and ended: it may be evicted now
 	if third, _ := accept(); third == nil {
-		t.Error("an unused connection was kept in favour of a new one")
+		t.Error("an idle connection was not evicted for a new one")
 	}
 }
 
-// short is a listener that has no descriptor at first.
+// exhaustedListener is a listener whose first calls of Accept fail for lack of descriptors.
 type exhaustedListener struct {
 	net.Listener
 	failures int
@@ -87,7 +87,7 @@
 	return nil, net.ErrClosed
 }
 
-// A peer that speaks MessagePack-RPC is named once; one that speaks HTTP is not.
+// A client that speaks MessagePack-RPC is reported once; one that speaks HTTP is not.
 func TestProtocolMismatchIsReported(t *testing.T) {
 	ln, reported := testbed.Listen(t), 0
 	tracker := &connTracker{maxConns: 2, onProtocolMismatch: func(net.Addr) { reported++ }}
@@ -104,12 +104,12 @@
 		_, _ = io.WriteString(clientSide, text)
 		_, _ = tracker.add(serverSide.(*net.TCPConn)).Read(make([]byte, 100))
 		if reported != 1 {
-			t.Errorf("after %d: %d were named", i+1, reported)
+			t.Errorf("after connection %d: %d were reported", i+1, reported)
 		}
 	}
 }
 
-// A lack of descriptors must neither end the server nor make it pause for long, as net/http does.
+// A lack of descriptors must neither end the server nor make it pause for long, as net/http does: each failure evicts a connection.
 func TestAcceptRetriesWithoutDescriptors(t *testing.T) {
 	inner, evicted := &exhaustedListener{failures: 3}, 0
 	evict := func() bool { evicted++; return true }
@@ -117,6 +117,6 @@
 		t.Errorf("ended with %v", err)
 	}
 	if evicted != 3 {
-		t.Errorf("%d idle connections closed while descriptors were short three times", evicted)
+		t.Errorf("%d connections were evicted, want one for each of three failures", evicted)
 	}
 }
--- a/internal/front/http/framing_test.go
+++ b/internal/front/http/framing_test.go
@@ -31,7 +31,7 @@
 		"beyond numbers": {"POST / HTTP/1.1\r\nContent-Length: 99999999999999999999\r\n\r\n", errBadLength, 1},
 		"folded":         {"POST / HTTP/1.1\r\nX: 1\r\n Content-Length: 1\r\n\r\n", httpwire.ErrFoldedField, 1},
 	} {
-		for _, step := range []int{1, 7, len(c.text)} { // however the bytes come
+		for _, step := range []int{1, 7, len(c.text)} { // in pieces of this size
 			f := &requestScanner{}
 			passed := 0
 			for rest := []byte(c.text); len(rest) > 0 && f.err == nil; {
@@ -49,7 +49,7 @@
 	}
 }
 
-// However its bytes come, the same is made of a connection, and nothing goes on past the point of an error.
+// The result does not depend on the pieces in which the bytes are received, and no byte is passed on after an error.
 func FuzzFraming(f *testing.F) {
 	f.Add([]byte("POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\nabcdeGET / HTTP/1.1\r\n\r\n"), uint8(3))
 	f.Add([]byte("POST / HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"), uint8(1))
@@ -70,7 +70,7 @@
 			t.Errorf("whole: %d, %v; in parts: %d, %v", passed, whole.err, passedInParts, parts.err)
 		}
 		if len(whole.line) > maxLinePrefix {
-			t.Errorf("kept %d bytes", len(whole.line))
+			t.Errorf("kept %d bytes of a line", len(whole.line))
 		}
 	})
 }
--- a/internal/front/http/head_test.go
+++ b/internal/front/http/head_test.go
@@ -14,7 +14,7 @@
 	"firplank/internal/httpwire"
 )
 
-// readRequest reads one request as a connection does, in pieces of a size, and returns what is behind it.
+// readRequest parses one request as a connection does, in pieces of step bytes, and returns the bytes after it.
 func readRequest(b []byte, step int) (h *head, body, rest []byte, err error) {
 	var s headScanner
 	end := 0
@@ -61,7 +61,7 @@
 	return h, rest[:n], rest[n:], nil
 }
 
-// What two readers could take for two things is taken for none.
+// A head that two parsers could interpret in different ways is rejected, which prevents request smuggling.
 func TestAmbiguousHeadsAreRejected(t *testing.T) {
 	const post = "POST /api HTTP/1.1\r\nHost: a\r\n"
 	for name, c := range map[string]struct {
@@ -107,8 +107,8 @@
 	}
 }
 
-// Whatever ours takes, the standard library's parser takes too, with the same method, target, host, headers and body; and it
-// is the same however the bytes come.
+// Whatever parseHead accepts, the standard library's parser accepts too, with the same method, target, host, headers and body. The
+// result does not depend on the pieces in which the bytes are received.
 func FuzzHeadAgainstLibrary(f *testing.F) {
 	f.Add([]byte("GET /api?a=b HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: 7\r\n\r\n"), uint8(3))
 	f.Add([]byte("POST /a HTTP/1.1\r\nhost: a\r\ncontent-length: 3\r\nX: \t a \r\nx: b\r\n\r\nabc"), uint8(1))
@@ -126,13 +126,13 @@
 		}
 		r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(in)))
 		if err != nil {
-			t.Fatalf("the library says %v of %q", err, in)
+			t.Fatalf("the library rejects %q: %v", in, err)
 		}
 		wantBody, err := io.ReadAll(r.Body)
 		if err != nil {
-			t.Fatalf("the library says %v of the body of %q", err, in)
+			t.Fatalf("the library rejects the body of %q: %v", in, err)
 		}
-		for _, name := range []string{"Content-Length", "Transfer-Encoding"} { // the library takes these out at times
+		for _, name := range []string{"Content-Length", "Transfer-Encoding"} { // the library removes some of these
 			h.header.Del(name)
 			r.Header.Del(name)
 		}
@@ -140,7 +140,7 @@
 		h.header.Del("Trailer")
 		if h.method != r.Method || h.target != r.RequestURI || h.path != r.URL.Path || h.host != r.Host || !bytes.Equal(body, wantBody) ||
 			fmt.Sprint(h.header) != fmt.Sprint(r.Header) {
-			t.Fatalf("%q: %+v %q, theirs %+v %q", in, h, body, r, wantBody)
+			t.Fatalf("%q: %+v %q, the library %+v %q", in, h, body, r, wantBody)
 		}
 	})
 }
--- a/internal/front/http/late_test.go
+++ b/internal/front/http/late_test.go
@@ -12,7 +12,7 @@
 	"firplank/internal/testbed"
 )
 
-// lateExchange answers each call after a time.
+// lateExchange answers each call after a delay.
 type lateExchange struct {
 	after time.Duration
 	ctx   context.Context
@@ -27,7 +27,7 @@
 func (lateExchange) Ready() bool             { return true }
 func (x lateExchange) Done() <-chan struct{} { return x.ctx.Done() }
 
-// plainDialect takes each request as it is.
+// plainDialect accepts each request unchanged.
 type plainDialect struct{}
 
 func (plainDialect) Fill(c *core.Call, r *Request, body []byte) (*core.Answer, error) {
@@ -39,8 +39,8 @@
 	return &core.Answer{Status: status, Body: []byte(text)}
 }
 
-// A front with a dialect knows no deadlines, so that an answer may come at any time: both fronts write one that comes later than the limit
-// of its writing. Each time on a connection that has carried one before.
+// A front with a dialect does not know its requests' deadlines, so an answer may arrive at any time. An answer that arrives later than
+// writeTimeout after its request must still be written, also on a connection that carried another one before.
 func TestLateAnswerIsWritten(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
--- a/internal/front/http/poll_linux_test.go
+++ b/internal/front/http/poll_linux_test.go
@@ -27,7 +27,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// back answers as its test says.
+// fakeBackend passes attempts to a function of the test.
 type fakeBackend struct{ answer func(*core.Attempt) }
 
 func (b *fakeBackend) Begin(a *core.Attempt)                   { go b.answer(a) }
@@ -35,7 +35,7 @@
 func (b *fakeBackend) Probe(*core.Endpoint, func(core.Result)) {}
 func (b *fakeBackend) CloseIdle(*core.Endpoint)                {}
 
-// started is a front before an exchange with one server.
+// testFront is a PollFront with an exchange that has one server.
 type testFront struct {
 	*PollFront
 	t    *testing.T
@@ -98,7 +98,7 @@
 	return c
 }
 
-// ask is a request under an id.
+// requestText returns a request with a trace id.
 func requestText(id int) string {
 	return fmt.Sprintf("GET /api HTTP/1.1\r\nHost: a\r\nX-Trace-Id: t-%d\r\nX-Qos: read\r\nX-Customer: acme\r\n\r\n", id)
 }
@@ -116,7 +116,7 @@
 	return resp
 }
 
-// A request comes in any pieces, a name cut in two among them, and the connection goes on.
+// A request may be received in any pieces, also with a header name split between two, and the connection stays open.
 func TestRequestInSegments(t *testing.T) {
 	s := startPoll(t, 10, serveText("ok"))
 	c := s.dial()
@@ -132,17 +132,17 @@
 	_, _ = io.WriteString(c, "POST /api HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\nX-Trace-Id: "+
 		"t\r\nX-Qos: read\r\nX-Customer: acme\r\n\r\n")
 	if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != 100 {
-		t.Fatalf("leave to go on: %v, %v", resp, err)
+		t.Fatalf("want 100 Continue, got %v, %v", resp, err)
 	}
 	_, _ = io.WriteString(c, "ab")
 	s.wantResponse(c, in, 405, "this class wants GET")
 }
 
-// A door that is shut turns a request away as soon as its class is known, although that comes only in the second segment; the
-// connection goes on, and what was turned away is not held.
+// A saturated load shedder rejects a request by its class, also if that arrives in the second segment. The connection stays open, and
+// the rejected request is not kept.
 func TestShedderSeesClassOfSegmentedRequest(t *testing.T) {
 	s := startPollWithShedder(t, loadshed.NewShedder(0, []overload.Class{{Value: 1, LatencyTarget: time.Second}}), 10, serveText("ok"))
-	for ok := true; ok; { // until it is full
+	for ok := true; ok; { // until it rejects
 		ok, _ = s.cfg.Shedder.Admit(0)
 	}
 	c := s.dial()
@@ -151,7 +151,7 @@
 		text := requestText(i)
 		split := strings.Index(text, "X-Qos: re")
 		_, _ = io.WriteString(c, text[:split+9])
-		testbed.Until(t, "the first piece is there", func() bool {
+		testbed.Until(t, "the first segment was received", func() bool {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			return s.partial.length == 1
@@ -165,21 +165,21 @@
 	}
 }
 
-// A second request in the segment of the first is neither served nor taken for something else.
+// A second request in the segment of the first is neither served nor taken for a part of the first: both are rejected with 400.
 func TestPipelinedRequestIsRejected(t *testing.T) {
 	s := startPoll(t, 10, serveText("ok"))
 	c := s.dial()
 	_, _ = io.WriteString(c, requestText(1)+requestText(2))
 	in := bufio.NewReader(c)
 	if resp := s.wantResponse(c, in, 400, "more than the request"); !resp.Close {
-		t.Error("the connection goes on")
+		t.Error("the connection stays open")
 	}
 	if rest, err := io.ReadAll(in); err != nil || len(rest) > 0 {
-		t.Errorf("and then %q, %v", rest, err)
+		t.Errorf("after the answer: %q, %v", rest, err)
 	}
 }
 
-// An answer larger than the socket's buffer goes to a reader that is slow, and the connection of one that stops ends.
+// An answer larger than the socket's buffer reaches a slow reader completely; the connection of a client that stops reading is closed.
 func TestAnswerLargerThanSocketBuffer(t *testing.T) {
 	t.Parallel()
 	body := strings.Repeat("x", 8<<20)
@@ -193,20 +193,20 @@
 	s.wantResponse(slow, in, 200, body)
 	_, _ = io.WriteString(slow, requestText(7))
 	s.wantResponse(slow, in, 200, body)
-	testbed.Until(t, "the one that stopped is gone", func() bool {
+	testbed.Until(t, "the connection of the client that stopped reading is closed", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return s.open == 1
 	})
 }
 
-// An event for a connection that has just been closed must not touch the one that has its place, and its descriptor, by now.
+// A late event for a closed connection must not affect the one that has reused its registration slot and descriptor.
 func TestStaleEventAfterDescriptorReuse(t *testing.T) {
 	s := startPoll(t, 10, serveText("ok"))
 	first := s.dial()
 	_, _ = io.WriteString(first, requestText(1))
 	s.wantResponse(first, bufio.NewReader(first), 200, "ok")
-	testbed.Until(t, "it is idle", func() bool { // the answer goes out a moment before
+	testbed.Until(t, "the connection is idle", func() bool { // the answer is sent shortly before
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return s.idle.length == 1
@@ -216,7 +216,7 @@
 	s.mu.Unlock()
 	old.closeIfIdle()
 	second := s.dial()
-	testbed.Until(t, "it is there", func() bool {
+	testbed.Until(t, "the second connection is open", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return s.open == 1
@@ -226,17 +226,17 @@
 	reused := reusing != nil && reusing.fd == old.fd
 	s.mu.Unlock()
 	if !reused {
-		t.Skip("the kernel gave another descriptor")
+		t.Skip("the kernel did not reuse the descriptor")
 	}
-	old.Ready(unix.EPOLLIN | unix.EPOLLHUP) // as if it came late
+	old.Ready(unix.EPOLLIN | unix.EPOLLHUP) // a late event
 	_, _ = io.WriteString(second, requestText(2))
 	s.wantResponse(second, bufio.NewReader(second), 200, "ok")
 }
 
-// With many quiet connections the time-outs come on time, and one that is asked for is not let go.
+// With many idle connections the time-outs fire on time, and a connection in use is not closed.
 func TestIdleTimeouts(t *testing.T) {
 	t.Parallel()
-	s := startPoll(t, 4000, serveText("ok")) // of which a quarter may wait
+	s := startPoll(t, 4000, serveText("ok")) // of which a quarter may be idle
 	var idle []net.Conn
 	startTime := time.Now()
 	for range 500 {
@@ -256,16 +256,16 @@
 		}
 	}
 	if after := time.Since(startTime) - opened; after > 10*time.Second {
-		t.Errorf("the last was let go after %v", after)
+		t.Errorf("the last idle connection was closed after %v", after)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.open != 1 {
-		t.Errorf("%d are open", s.open)
+		t.Errorf("%d connections are open, want 1", s.open)
 	}
 }
 
-// Clients that send a byte now and then hold no place from others, and none of them costs a goroutine.
+// Clients that send a byte now and then occupy all connections; they must not keep new clients from being served.
 func TestSlowClientsDoNotExhaustConnections(t *testing.T) {
 	s := startPoll(t, 300, serveText("ok"))
 	text := []byte(requestText(0))
@@ -278,7 +278,7 @@
 			_, _ = c.Write(text[i : i+1])
 		}
 	}
-	testbed.Until(t, "all of them are known to be slow", func() bool {
+	testbed.Until(t, "all slow requests have started", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return s.partial.length == len(slow)
@@ -290,19 +290,19 @@
 	}
 }
 
-// A connection whose request has come and is not read yet is spared, however silent it counts; the slowest of the others
-// goes for a new one.
+// A connection whose request has arrived but is not read yet must not be evicted, although it still counts as unused. The slowest of
+// the others is evicted.
 func TestConnectionWithUnreadRequestIsNotEvicted(t *testing.T) {
 	s := startPoll(t, 2, serveText("ok"))
 	slow := s.dial()
 	_, _ = io.WriteString(slow, "GET /a")
-	testbed.Until(t, "it is on its way", func() bool {
+	testbed.Until(t, "the slow request has started", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return s.partial.length == 1
 	})
 	unread := s.dial()
-	testbed.Until(t, "it is silent", func() bool {
+	testbed.Until(t, "the second connection is unused", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return s.unused.length == 1
@@ -310,10 +310,10 @@
 	s.mu.Lock()
 	c := s.unused.first
 	s.mu.Unlock()
-	c.mu.Lock() // the poller has not come to it
+	c.mu.Lock() // the poller cannot read it
 	_, _ = io.WriteString(unread, requestText(1))
 	var b [1]byte
-	testbed.Until(t, "it has come", func() bool {
+	testbed.Until(t, "the request has arrived", func() bool {
 		n, _, err := unix.Recvfrom(c.fd, b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		return err == nil && n > 0
 	})
@@ -322,41 +322,41 @@
 	time.Sleep(10 * time.Millisecond)
 	c.mu.Unlock()
 	if !testbed.Next(t, evicted) {
-		t.Error("nothing was closed, though one is slow")
+		t.Error("nothing was evicted, although one connection is slow")
 	}
 	s.wantResponse(unread, bufio.NewReader(unread), 200, "ok")
 	if _, err := slow.Read(b[:]); err == nil {
-		t.Error("the slow one goes on")
+		t.Error("the slow connection is still open")
 	}
 }
 
-// At the end an open request gets its answer, and then nobody listens.
+// End answers an open request, closes its connection and stops listening.
 func TestEndAnswersOpenRequests(t *testing.T) {
 	release := make(chan bool)
 	s := startPoll(t, 2000, func(a *core.Attempt) { <-release; serveText("ok")(a) })
 	open := s.dial()
 	_, _ = io.WriteString(open, requestText(1))
-	testbed.Until(t, "it is open", func() bool {
+	testbed.Until(t, "the request is open", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return s.open == 1 && s.unused.length+s.partial.length == 0
 	})
 	ended := make(chan error, 1)
 	go func() { ended <- s.End(testbed.Patience) }()
-	testbed.Until(t, "it is ending", s.ending.Load)
+	testbed.Until(t, "the front is ending", s.ending.Load)
 	close(release)
 	if resp := s.wantResponse(open, bufio.NewReader(open), 200, "ok"); !resp.Close {
-		t.Error("the connection goes on")
+		t.Error("the connection stays open")
 	}
 	if err := testbed.Next(t, ended); err != nil {
 		t.Error(err)
 	}
 	if _, err := net.Dial("tcp", s.addr); err == nil {
-		t.Error("it still listens")
+		t.Error("the front still listens")
 	}
 }
 
-// What an answer carries is written as it is, with one length and one date.
+// Headers and body of an answer are written unchanged, with exactly one Content-Length and one Date.
 func TestAppendResponse(t *testing.T) {
 	s := startPoll(t, 1, nil)
 	for name, c := range map[string]struct {
--- a/internal/front/http/gone_linux_test.go
+++ b/internal/front/http/streamabort_linux_test.go
@@ -12,12 +12,13 @@
 	"firplank/internal/testbed"
 )
 
+// A client that closes its connection in the middle of a streamed answer must abort the stream, or the server would continue.
 func TestClientCloseAbortsStream(t *testing.T) {
 	aborted := make(chan struct{})
 	s := startPoll(t, 10, func(a *core.Attempt) {
 		body := bodypipe.New(1 << 20)
 		body.OnAbort(func() { close(aborted) })
-		_ = body.Append([]byte("first")) // the rest is a long time in coming
+		_ = body.Append([]byte("first")) // the rest does not arrive
 		a.End(core.Result{Outcome: balance.OK, Answer: &core.Answer{Meta: map[string][]string{}, Stream: body}})
 	})
 	c := s.dial()
@@ -29,6 +30,6 @@
 		t.Fatal(err)
 	}
 	_ = c.Close()
-	_ = resp.Body.Close() // of a connection that is closed
+	_ = resp.Body.Close() // the connection is closed already
 	testbed.Next(t, aborted)
 }
--- a/internal/front/msgpackrpc/conn.go
+++ b/internal/front/msgpackrpc/conn.go
@@ -38,8 +38,8 @@
 	core.Call
 	conn         *conn
 	id           uint32
-	notification bool // a notification
-	duplicates   int  // requests with the same id while this one was open
+	notification bool
+	duplicates   int // requests with the same id while this one was open
 }
 
 // Answer implements core.Client.
@@ -104,7 +104,7 @@
 	c.mu.Unlock()
 	var network net.Error
 	if !expected && (!errors.As(err, &network) || network.Timeout()) {
-		c.front.logProblem("a client's connection is closed", c.nc, err)
+		c.front.logProblem("client connection closed", c.nc, err)
 	}
 	c.drop()
 }
@@ -213,7 +213,7 @@
 func (c *conn) handleNotification(f *codec.Frame) {
 	m := c.front.cfg.Methods.byName[string(f.Method)]
 	if m == nil || !m.Notify {
-		c.front.logProblem("a notification is dropped", c.nc, fmt.Errorf("method %q accepts none", f.Method))
+		c.front.logProblem("notification dropped", c.nc, fmt.Errorf("method %q accepts none", f.Method))
 		return
 	}
 	if c.front.ending.Load() {
@@ -225,7 +225,7 @@
 	cl := &call{conn: c, notification: true}
 	if err := c.fill(cl, m, f, time.Now()); err != nil {
 		c.front.cfg.Shedder.RequestEnded(m.class, 0, overload.Inconclusive)
-		c.front.logProblem("a notification is dropped", c.nc, err)
+		c.front.logProblem("notification dropped", c.nc, err)
 		return
 	}
 	c.mu.Lock()
@@ -303,7 +303,7 @@
 	c.writing = true
 	c.mu.Unlock()
 	if full {
-		c.front.logProblem("a client's connection is closed", c.nc, errNotReading)
+		c.front.logProblem("client connection closed", c.nc, errNotReading)
 		_ = c.nc.Close() // ends the reader and the writer
 	}
 	if start {
@@ -339,7 +339,7 @@
 		c.spare = b
 		c.mu.Unlock()
 		if err != nil {
-			c.front.logProblem("a client's connection is closed", c.nc, err)
+			c.front.logProblem("client connection closed", c.nc, err)
 			c.drop()
 		}
 	}
--- a/internal/front/msgpackrpc/front.go
+++ b/internal/front/msgpackrpc/front.go
@@ -40,8 +40,8 @@
 type Config struct {
 	Methods     *Methods
 	Limits      codec.Limits
-	MaxOpen     int // open requests on a connection; those beyond are refused
-	Connections int // of all clients, at most
+	MaxOpen     int // open requests of a connection; those beyond are refused
+	Connections int // maximum of clients' connections
 	Shedder     *loadshed.Shedder
 	AcceptGrace time.Duration // how long requests are accepted after End
 	Evict       func() bool   // closes an idle connection to a server when descriptors run out
@@ -51,8 +51,8 @@
 // Why a connection is closed.
 var (
 	errAllBusy    = errors.New("every connection has open requests")
-	errNotReading = errors.New("it does not read its answers")
-	errReusedID   = errors.New("an id that is open is used again and again")
+	errNotReading = errors.New("client does not read its responses")
+	errReusedID   = errors.New("id of an open request reused too often")
 )
 
 // Exchange handles requests; *core.Loop implements it.
@@ -121,7 +121,7 @@
 	full := len(f.conns) >= f.cfg.Connections
 	f.mu.Unlock()
 	if full && !f.evict() {
-		f.logProblem("a client is turned away", nc, errAllBusy)
+		f.logProblem("client connection rejected", nc, errAllBusy)
 		_ = nc.Close() // the connection is released even where this fails
 		return
 	}
@@ -156,7 +156,7 @@
 	return true
 }
 
-// remove forgets a connection that has ended.
+// remove removes a connection that has ended.
 func (f *Front) remove(c *conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -167,7 +167,7 @@
 	}
 }
 
-// logProblem logs a problem with a client, within the limit.
+// logProblem logs a problem with a client, rate-limited.
 func (f *Front) logProblem(msg string, nc net.Conn, err error) {
 	f.logLimit.Do(func() {
 		f.cfg.Log.Warn(msg, "protocol", "MessagePack-RPC", "peer", nc.RemoteAddr().String(), "why", err)
--- a/internal/front/msgpackrpc/front_test.go
+++ b/internal/front/msgpackrpc/front_test.go
@@ -21,7 +21,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// exchange hands calls to the test, which answers them.
+// fakeExchange delivers calls to the test, which answers them.
 type fakeExchange struct {
 	submitted    chan *core.Call
 	disconnected chan *core.Call
@@ -78,7 +78,7 @@
 	return b
 }
 
-// client is a connection of the test's.
+// client is the client's side of a connection.
 type client struct {
 	*net.TCPConn
 	t  *testing.T
@@ -112,7 +112,7 @@
 	}
 }
 
-// response reads one: its id, the code of its error and its result.
+// response reads a response and returns its id, the code of its error and its result.
 func (c *client) response() (id uint32, code string, result []byte) {
 	c.t.Helper()
 	f, err := c.in.Next()
@@ -134,7 +134,7 @@
 func (c *client) wantClose(what string) {
 	c.t.Helper()
 	if f, err := c.in.Next(); err == nil {
-		c.t.Errorf("%s: got %+v in place of a close", what, f)
+		c.t.Errorf("%s: got %+v instead of a close", what, f)
 	}
 }
 
@@ -146,7 +146,8 @@
 	c.Client.Answer(c, &core.Answer{ContentType: core.MessagePack, Body: body})
 }
 
-// What a request says is read out of its params, and the params go on as they came, repeated keys and NaN among them.
+// The fields of a request are read from its parameters, by key and by position. The parameters are forwarded unchanged, also with
+// NaN among them, and so is a result with a repeated key.
 func TestRequestFields(t *testing.T) {
 	b := start(t, nil)
 	c := b.dial()
@@ -157,7 +158,7 @@
 	got := testbed.Next(t, b.exchange.submitted)
 	m, request := &got.Message, &got.Request
 	if request.Class != 1 || request.Tenant != 1 || request.Remaining != 300 || !request.Retry || request.Key == 0 || got.Name != "t-1" {
-		t.Errorf("asked %+v as %q", request, got.Name)
+		t.Errorf("request %+v with trace id %q", request, got.Name)
 	}
 	if m.IdempotencyKey != "k-1" || m.Trace != "t-1" || m.Class != "reserve" || m.Tenant != "south" || m.Safe || !bytes.Equal(m.Body, params) {
 		t.Errorf("message %+v", m)
@@ -179,7 +180,7 @@
 	}
 }
 
-// What is wrong with a request is told at once, and its connection goes on.
+// A faulty request is answered with an error at once, reaches no server, and its connection stays open.
 func TestBadRequestsAreAnswered(t *testing.T) {
 	b := start(t, nil)
 	c := b.dial()
@@ -223,7 +224,8 @@
 	}
 }
 
-// An id that is open is used again: the first gets its own answer, first, and the second is told of its mistake.
+// If a client reuses the id of an open request, the first request gets its answer first, and the duplicates get an error afterwards:
+// in the other order the client would take the error for the first one's answer.
 func TestDuplicateIDOfOpenRequest(t *testing.T) {
 	b := start(t, nil)
 	c := b.dial()
@@ -239,14 +241,14 @@
 			t.Errorf("response %d: id %d, %q", i, id, code)
 		}
 	}
-	c.send(lookupRequest(5)) // it is over: the id says no more
+	c.send(lookupRequest(5)) // the id may be used again once its request has been answered
 	serve(testbed.Next(t, b.exchange.submitted), []byte{3})
 	if id, code, _ := c.response(); id != 5 || code != "" {
-		t.Errorf("after that: id %d, %q", id, code)
+		t.Errorf("reused id: id %d, %q", id, code)
 	}
 }
 
-// Requests come in any pieces.
+// Requests may be received in any pieces.
 func TestRequestsInSegments(t *testing.T) {
 	b := start(t, nil)
 	c := b.dial()
@@ -265,7 +267,7 @@
 	}
 }
 
-// What is no frame ends its connection, and the log says why; a peer of another protocol is named.
+// A malformed frame closes its connection, and the log contains the reason, also for a client that speaks HTTP.
 func TestMalformedFramesCloseConnection(t *testing.T) {
 	for name, c := range map[string]struct{ text, log string }{
 		"HTTP":         {"GET /api HTTP/1.1\r\nHost: x\r\n\r\n", "speaks HTTP"},
@@ -283,12 +285,12 @@
 			_, _ = io.WriteString(cl, c.text)
 			_ = cl.CloseWrite()
 			cl.wantClose(name)
-			testbed.Until(t, "the log says why", func() bool { return b.log.Has(c.log) })
+			testbed.Until(t, "the log contains the reason", func() bool { return b.log.Has(c.log) })
 		})
 	}
 }
 
-// Who ends its sending is owed what is open, and then the connection ends.
+// A client that ends its sending gets the responses to its open requests, and then the connection is closed.
 func TestHalfClosedClientGetsResponses(t *testing.T) {
 	b := start(t, nil)
 	c := b.dial()
@@ -305,7 +307,7 @@
 	c.wantClose("after the last answer")
 }
 
-// A client that is gone is given up, each of its requests once.
+// When a client disconnects, each of its open requests is cancelled once.
 func TestDisconnectCancelsOpenRequests(t *testing.T) {
 	b := start(t, nil)
 	c := b.dial()
@@ -319,14 +321,14 @@
 	for range 3 {
 		cancelled := testbed.Next(t, b.exchange.disconnected)
 		seen[cancelled] = true
-		serve(cancelled, []byte{1}) // as the exchange does: it goes nowhere
+		serve(cancelled, []byte{1}) // the exchange answers cancelled calls too; the answer is dropped
 	}
 	if len(seen) != 3 {
-		t.Errorf("%d were given up", len(seen))
+		t.Errorf("%d requests were cancelled, want 3", len(seen))
 	}
 }
 
-// Requests beyond the bound are refused at once, and say that trying again is harmless.
+// Requests beyond Config.MaxOpen are refused at once, with the code which means that a retry is safe.
 func TestRequestsBeyondMaxOpenAreRefused(t *testing.T) {
 	b := start(t, func(c *Config) { c.MaxOpen = 2 })
 	c := b.dial()
@@ -339,7 +341,7 @@
 	}
 }
 
-// A client that sends and never reads loses its connection when too much waits for it; its memory is bounded until then.
+// The connection of a client that sends and never reads is closed when too many responses are queued, which bounds their memory.
 func TestClientThatNeverReads(t *testing.T) {
 	b := start(t, nil)
 	c := b.dial()
@@ -354,16 +356,16 @@
 		case call := <-b.exchange.submitted:
 			serve(call, body)
 		case <-time.After(testbed.Patience):
-			t.Fatal("nothing came")
+			t.Fatal("no request arrived")
 		case <-b.exchange.disconnected:
 			ended = true
 		}
 		ended = ended || b.log.Has("does not read")
 	}
-	testbed.Until(t, "the log says why", func() bool { return b.log.Has("does not read") || b.log.Has("closed") })
+	testbed.Until(t, "the log contains the reason", func() bool { return b.log.Has("does not read") || b.log.Has("closed") })
 }
 
-// A frame that does not come to its end holds its connection for no longer than a time.
+// A connection on which a frame stays incomplete is closed after frameTimeout; one without a frame may be idle for longer.
 func TestStalledFrame(t *testing.T) {
 	t.Parallel()
 	b := start(t, nil)
@@ -374,14 +376,14 @@
 	if took := time.Since(begun); took < frameTimeout/2 || took > testbed.Patience/2 {
 		t.Errorf("ended after %v", took)
 	}
-	idle.send(lookupRequest(1)) // which may be silent for as long as it likes
+	idle.send(lookupRequest(1)) // an idle connection has no time-out
 	serve(testbed.Next(t, b.exchange.submitted), []byte{1})
 	if id, _, _ := idle.response(); id != 1 {
 		t.Errorf("id %d", id)
 	}
 }
 
-// Where all places are taken the connection goes that has been idle for longest; one with a request open stays.
+// At the maximum of connections, the one that has been idle for longest is closed for a new one, and one with an open request is kept.
 func TestIdleConnectionIsEvicted(t *testing.T) {
 	b := start(t, func(c *Config) { c.Connections = 2 })
 	busy, idle := b.dial(), b.dial()
@@ -391,18 +393,18 @@
 	serve(testbed.Next(t, b.exchange.submitted), []byte{2})
 	idle.response()
 	third := b.dial()
-	idle.wantClose("the idle one")
+	idle.wantClose("the idle connection")
 	third.send(lookupRequest(3))
 	third.t = t
 	serve(testbed.Next(t, b.exchange.submitted), []byte{3})
 	third.response()
 	serve(open, []byte{1})
 	if id, code, _ := busy.response(); id != 1 || code != "" {
-		t.Errorf("the busy one: %d %q", id, code)
+		t.Errorf("the busy connection: %d %q", id, code)
 	}
 }
 
-// AtPosition the end what is taken is answered, what comes later is refused, and then the connection closes.
+// End answers accepted requests, refuses later ones, and then closes the connections.
 func TestEndAnswersOpenRequests(t *testing.T) {
 	b := start(t, nil)
 	c, idle := b.dial(), b.dial()
@@ -413,11 +415,11 @@
 	idle.wantClose("an idle connection")
 	c.send(lookupRequest(2))
 	if id, code, _ := c.response(); id != 2 || code != "refused" {
-		t.Errorf("a late one: %d %q", id, code)
+		t.Errorf("the late request: %d %q", id, code)
 	}
 	serve(open, []byte{1})
 	if id, code, _ := c.response(); id != 1 || code != "" {
-		t.Errorf("the open one: %d %q", id, code)
+		t.Errorf("the open request: %d %q", id, code)
 	}
 	c.wantClose("after the last answer")
 	if err := testbed.Next(t, ended); err != nil {
@@ -425,7 +427,7 @@
 	}
 }
 
-// A notification is taken where its method says so, and nobody is answered.
+// A notification is accepted if its method allows it, and is never answered. One that is not accepted is logged.
 func TestNotifications(t *testing.T) {
 	b := start(t, nil)
 	c := b.dial()
@@ -433,17 +435,17 @@
 		codec.AppendNotification(nil, "plate.lookup", []byte{0x90}), lookupRequest(9))
 	notification := testbed.Next(t, b.exchange.submitted)
 	if notification.Message.Method != "plate.lookup" {
-		t.Errorf("took %s", notification.Message.Method)
+		t.Errorf("accepted %s", notification.Message.Method)
 	}
 	serve(notification, []byte{1})
 	serve(testbed.Next(t, b.exchange.submitted), []byte{1})
 	if id, _, _ := c.response(); id != 9 {
 		t.Errorf("answered %d", id)
 	}
-	testbed.Until(t, "the log says why", func() bool { return b.log.Has("plate.pay") })
+	testbed.Until(t, "the log contains the reason", func() bool { return b.log.Has("plate.pay") })
 }
 
-// Answers of every kind have their form on the wire; a server's broken MessagePack never reaches the client's stream.
+// Each kind of answer is encoded in its form. Malformed MessagePack of a server must not reach the client's stream.
 func TestResponseEncoding(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer core.Answer
@@ -476,7 +478,7 @@
 	}
 }
 
-// What is no UTF-8 is no string on the wire.
+// A body that is not UTF-8 is encoded as bin, not as a string.
 func TestInvalidUTF8IsEncodedAsBinary(t *testing.T) {
 	got := appendResponse(nil, 7, &core.Answer{Meta: map[string][]string{}, Body: []byte{0xff, 1}})
 	if !bytes.HasSuffix(got, []byte{0xc0, 0xc4, 2, 0xff, 1}) {
@@ -484,7 +486,7 @@
 	}
 }
 
-// equalMaps compares an error that is a map; the library writes its keys in any order.
+// equalMaps compares errors that are maps, whose keys the library encodes in any order.
 func equalMaps(got, want []any) bool {
 	g, ok := got[0].(map[string]any)
 	w, ok2 := want[0].(map[string]any)
@@ -499,20 +501,20 @@
 	return true
 }
 
-// A table that the settings do not bear out is refused at load, with the method and the key.
+// A table of methods that contradicts the settings is rejected when it is loaded; the error names the method and the key.
 func TestInvalidMethodTable(t *testing.T) {
 	catalog, _ := core.NewCatalog([]balance.Class{{Effect: balance.Safe}, {Effect: balance.Keyed}},
 		[]string{"lookup", "reserve"}, []string{"north"})
 	ok := Method{Name: "a", Class: "lookup", Tenant: "north", Path: "/a"}
 	for want, change := range map[string]func(*Method){
-		"name: it is there twice":   func(m *Method) { m.Path = "" },
-		"path: method \"a\" has it": func(m *Method) { m.Name = "b" },
-		"class: ":                   func(m *Method) { m.Name, m.Class = "b", "none" },
-		"tenant: ":                  func(m *Method) { m.Name, m.Tenant = "b", "none" },
-		"tenant_param: ":            func(m *Method) { m.Name, m.TenantParam = "b", AtPosition(0) },
-		"notify: ":                  func(m *Method) { m.Name, m.Class, m.Notify, m.Idempotency = "b", "reserve", true, AtPosition(0) },
-		"idempotency_param: ":       func(m *Method) { m.Name, m.Class = "b", "reserve" },
-		"path: \"b\" does not":      func(m *Method) { m.Name, m.Path = "b", "b" },
+		"name: it occurs twice":               func(m *Method) { m.Path = "" },
+		"path: method \"a\" has the same one": func(m *Method) { m.Name = "b" },
+		"class: ":                             func(m *Method) { m.Name, m.Class = "b", "none" },
+		"tenant: ":                            func(m *Method) { m.Name, m.Tenant = "b", "none" },
+		"tenant_param: ":                      func(m *Method) { m.Name, m.TenantParam = "b", AtPosition(0) },
+		"notify: ":                            func(m *Method) { m.Name, m.Class, m.Notify, m.Idempotency = "b", "reserve", true, AtPosition(0) },
+		"idempotency_param: ":                 func(m *Method) { m.Name, m.Class = "b", "reserve" },
+		"path: \"b\" does not":                func(m *Method) { m.Name, m.Path = "b", "b" },
 	} {
 		m := ok
 		change(&m)
@@ -522,7 +524,7 @@
 	}
 }
 
-// Whatever a client sends: no panic, and each request that was taken is answered under its id or the connection ends.
+// Arbitrary parameters cause no panic, and a lookup yields either a value or an error.
 func FuzzParams(f *testing.F) {
 	f.Add([]byte{0x91, 0x80}, int64(0), "k")
 	f.Add([]byte{0x91, 0x82, 0xa1, 'k', 1, 0xa1, 'k', 2}, int64(-1), "k")
--- a/internal/front/msgpackrpc/methods.go
+++ b/internal/front/msgpackrpc/methods.go
@@ -81,18 +81,18 @@
 	case m.Name == "" || len(m.Name) > maxNameBytes:
 		return errors.New("name: want 1 to 256 bytes")
 	case ms.byName[m.Name] != nil:
-		return errors.New("name: it is there twice")
+		return errors.New("name: it occurs twice")
 	case !ok:
 		return fmt.Errorf("class: the settings have no class %q", m.Class)
 	}
 	known := &method{Method: m, class: class, rules: &ms.catalog.Classes[class]}
 	switch {
 	case m.Notify && known.rules.Effect != balance.Safe:
-		return fmt.Errorf("notify: class %q is not safe to repeat, and nobody would hear what became of it", m.Class)
+		return fmt.Errorf("notify: class %q is not safe to repeat, and the outcome of a notification is not reported", m.Class)
 	case known.rules.Effect == balance.Keyed && !m.Idempotency.set:
-		return fmt.Errorf("idempotency_param: class %q wants a key", m.Class)
+		return fmt.Errorf("idempotency_param: class %q requires a key", m.Class)
 	case m.Tenant != "" && m.TenantParam.set:
-		return errors.New("tenant_param: there is a fixed tenant already")
+		return errors.New("tenant_param: not allowed with a fixed tenant")
 	}
 	if !m.TenantParam.set {
 		if known.tenant, ok = ms.catalog.Tenant(m.Tenant); !ok {
@@ -104,7 +104,7 @@
 			return fmt.Errorf("path: %q does not begin with a slash", m.Path)
 		}
 		if other, ok := ms.byPath[m.Path]; ok {
-			return fmt.Errorf("path: method %q has it too", other)
+			return fmt.Errorf("path: method %q has the same one", other)
 		}
 		ms.byPath[m.Path] = m.Name
 	}
--- a/internal/poller/poller_linux.go
+++ b/internal/poller/poller_linux.go
@@ -64,7 +64,7 @@
 }
 
 // ErrNotNotified means that the system does not report an epoll set as readable in another epoll set, which Run relies on.
-var ErrNotNotified = errors.New("epoll sets are not waited for by others here")
+var ErrNotNotified = errors.New("the system does not report an epoll set as readable in another epoll set")
 
 const (
 	checkWait   = 10 * time.Millisecond // for an event that is pending already
@@ -110,7 +110,7 @@
 	return ErrNotNotified
 }
 
-// Register notifies the handler of all events of a descriptor, those that are pending included. place is set before the first event.
+// Register notifies the handler of all events of a descriptor, those that are pending included. r is set before the first event.
 func (p *Poller) Register(fd int, h Handler, r *Registration) error {
 	p.mu.Lock()
 	if n := len(p.free); n > 0 {
--- a/internal/poller/poller_linux_test.go
+++ b/internal/poller/poller_linux_test.go
@@ -12,7 +12,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// heard keeps what a handler is told.
+// eventRecorder is a handler that records its events.
 type eventRecorder struct{ events chan uint32 }
 
 func (h *eventRecorder) Ready(events uint32) { h.events <- events }
@@ -42,9 +42,10 @@
 	return p
 }
 
-// Where the set's readiness reaches the runtime, Check says so; where nothing comes of it, it says that, and does not wait.
+// Check succeeds where the runtime is notified of the epoll set's readiness. Without a notification the check fails within a bounded
+// time.
 func TestCheckDetectsMissingNotification(t *testing.T) {
-	// A machine that is busy with other tests may take longer than the check waits, which is for a program's start.
+	// On a machine that is busy with other tests a notification may take longer than Check waits, whose bound is for a program's start.
 	err := Check()
 	for range 50 {
 		if err == nil {
@@ -55,17 +56,17 @@
 	if err != nil {
 		t.Errorf("on this kernel: %v", err)
 	}
-	silent, err := New() // nothing in it is ever ready, as where the runtime is told of none
+	silent, err := New() // it is never ready, as where the runtime is not notified
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer silent.Close()
 	if err := silent.awaitReadiness(); !errors.Is(err, ErrNotNotified) {
-		t.Errorf("of a set that says nothing: %v", err)
+		t.Errorf("on a set that is never ready: %v", err)
 	}
 }
 
-// An event whose place was given back is nobody's: not even of who has the place by then.
+// A late event of an ended registration reaches no handler, not even that of a registration which reuses the slot.
 func TestStaleEventReachesNoHandler(t *testing.T) {
 	p := start(t, func(*Poller) {}, nil)
 	firstLocal, firstRemote := socketPair(t)
@@ -74,7 +75,7 @@
 	if err := p.Register(firstLocal, first, &registration); err != nil {
 		t.Fatal(err)
 	}
-	<-first.events // there is room to write
+	<-first.events // it is writable
 	p.Unregister(registration)
 	secondLocal, _ := socketPair(t)
 	if err := p.Register(secondLocal, second, &next); err != nil {
@@ -82,23 +83,23 @@
 	}
 	<-second.events
 	if next.slot != registration.slot || next.gen == registration.gen {
-		t.Fatalf("the place %v came after %v", next, registration)
+		t.Fatalf("registration %v follows %v, want the same slot and another generation", next, registration)
 	}
-	_, _ = unix.Write(firstRemote, []byte("x")) // the kernel still tells, under the old count
-	_ = p.Rearm(secondLocal, next)              // of which it tells after
+	_, _ = unix.Write(firstRemote, []byte("x")) // the kernel still reports it, with the old generation
+	_ = p.Rearm(secondLocal, next)              // reported afterwards
 	if e := <-second.events; e&unix.EPOLLIN != 0 {
-		t.Errorf("the second hears %x of the first's descriptor", e)
+		t.Errorf("the second handler got event %x of the first descriptor", e)
 	}
 	if len(first.events) != 0 {
-		t.Error("the first hears of what it gave back")
+		t.Error("the first handler got an event after its registration had ended")
 	}
-	p.Unregister(registration) // once more, which must not take the second's
+	p.Unregister(registration) // again, which must not end the second registration
 	if len(p.Handlers()) != 1 {
 		t.Errorf("%d handlers", len(p.Handlers()))
 	}
 }
 
-// The alarm comes at its time and goes on only where it is set anew; events come meanwhile.
+// The alarm fires at its time, and again only if it is set again. Events are delivered after it.
 func TestAlarm(t *testing.T) {
 	fired := make(chan time.Time, 10)
 	startTime := time.Now()
@@ -122,6 +123,6 @@
 		t.Errorf("events %x", e)
 	}
 	if len(fired) != 0 {
-		t.Error("it rang again")
+		t.Error("the alarm fired again")
 	}
 }
--- a/internal/timerwheel/wheel_test.go
+++ b/internal/timerwheel/wheel_test.go
@@ -12,8 +12,8 @@
 
 type owner struct{ timeout Timer[*owner] }
 
-// With a hundred thousand time-outs, set, set anew and cleared, each fires once, no earlier than its time and no later than
-// a tick behind it, and one that was cleared never.
+// Of 100,000 time-outs that are set, set again and cleared, each fires once, not before its time and later by at most a tick and the
+// interval of Advance. A cleared one never fires.
 func TestTimeoutsFireOnceAndOnTime(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	const n = 100_000
@@ -35,7 +35,7 @@
 		for _, c := range due {
 			i := index[c]
 			if want[i] == 0 {
-				t.Fatalf("one that was cleared has fired at %v", now)
+				t.Fatalf("a cleared or fired time-out fired at %v", now)
 			}
 			if late := now - want[i]; late < 0 || late > wheelTick+wheelTick {
 				t.Fatalf("due at %v, fired at %v", want[i], now)
@@ -43,7 +43,7 @@
 			want[i] = 0
 			fired++
 		}
-		for range 2000 { // some are set anew, some cleared
+		for range 2000 { // some are set again, some cleared
 			i := r.IntN(n)
 			if want[i] == 0 {
 				continue
@@ -59,11 +59,11 @@
 		}
 	}
 	if fired != n {
-		t.Errorf("%d of %d", fired, n)
+		t.Errorf("%d of %d fired or were cleared", fired, n)
 	}
 }
 
-// After a pause longer than the wheel is round, all that was due in it fires.
+// If Advance is called after more than a revolution, all time-outs that are due fire.
 func TestAdvanceBeyondOneRevolution(t *testing.T) {
 	w := New[*owner](wheelTick, 128)
 	conns := make([]owner, 500)
@@ -73,11 +73,11 @@
 	}
 	w.Advance(0, nil)
 	if due := w.Advance(time.Hour, nil); len(due) != 500 {
-		t.Errorf("%d of 500 fire", len(due))
+		t.Errorf("%d of 500 fired", len(due))
 	}
 }
 
-// Next is never after what is due next, and says that there is none only where there is none.
+// Next is never later than the first due time-out, and reports none only if none is set.
 func TestNextIsNotLate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := New[int](time.Millisecond, 64*rapid.IntRange(1, 3).Draw(t, "words"))
