--- a/internal/front/http/clients.go
+++ b/internal/front/http/clients.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// minIdleBeforeEviction is how long a connection must have been idle to be evicted for a new one before connections that never
+	// minIdleBeforeEviction is how long a connection must have been idle before it may be evicted in preference to one that never
 	// carried a request.
 	minIdleBeforeEviction = 2 * time.Second
 	// partialRequestGrace protects a connection from eviction after the first byte of a request: the request usually arrives in
--- a/internal/front/http/poll_linux.go
+++ b/internal/front/http/poll_linux.go
@@ -32,7 +32,7 @@
 	failed     chan error
 	acceptDone chan struct{} // closed when accepting has ended
 	drainState
-	maxConns           atomic.Int64 // connections
+	maxConns           atomic.Int64 // maximum of connections
 	mismatchLogLimit   rate.Sometimes
 	truncationLogLimit rate.Sometimes // of answers cut short
 	poller             *poller.Poller
--- a/internal/front/http/pollread_linux.go
+++ b/internal/front/http/pollread_linux.go
@@ -105,8 +105,7 @@
 	case c.state == pollLingering || !c.requestStarted:
 		c.close()
 	case c.isComplete():
-		// The client disconnected before the request was submitted, as all clients do whose requests arrive while the process is
-		// stopped.
+		// The client disconnected before its request was submitted, as usual when a paused process resumes (SIGSTOP, SIGCONT).
 		c.closeAfter = true
 		c.sendAnswer(core.Refusal(0))
 	default:
--- a/internal/front/http/pollwrite_linux.go
+++ b/internal/front/http/pollwrite_linux.go
@@ -118,7 +118,7 @@
 		f.mu.Lock()
 		f.moveTo(c, &f.idle, f.cfg.idleTimeout())
 		f.mu.Unlock()
-		if c.inputPending { // they were received while the answer was written, and the kernel reports them once
+		if c.inputPending { // received while the answer was written, and reported by the kernel only once
 			c.inputPending = false
 			c.rearmLocked()
 		}
@@ -132,7 +132,7 @@
 	c.state = pollLingering
 	f.mu.Lock()
 	timeout := lingerTimeout
-	if c.answeredEarly { // it reads once it has sent all of its request; what has arrived was reported already
+	if c.answeredEarly { // the client reads once it has sent its request; what has arrived was reported already
 		c.inputPending = true
 		timeout = longLingerTimeout
 	}
--- a/internal/front/http/serve.go
+++ b/internal/front/http/serve.go
@@ -40,7 +40,7 @@
 // Answer implements core.Client.
 func (c *call) Answer(_ *core.Call, a *core.Answer) { c.answers <- a }
 
-// clientKey is the context key of a request's connection.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
 func (f *Front) newServer() *http.Server {
@@ -145,8 +145,7 @@
 		return
 	}
 	if c.Message.Stream == nil && afterRequest == socket.Closed {
-		// The client disconnected before the request was submitted, as all clients do whose requests arrive while the process is
-		// stopped.
+		// The client disconnected before its request was submitted, as usual when a paused process resumes (SIGSTOP, SIGCONT).
 		w.Header().Set("Connection", "close")
 		writeAnswer(w, core.Refusal(0))
 		return
--- a/internal/front/http/write.go
+++ b/internal/front/http/write.go
@@ -36,7 +36,7 @@
 	return http.StatusOK
 }
 
-// writeAnswer writes an answer, which nothing else changes anymore.
+// writeAnswer writes an answer, which nothing else changes concurrently.
 func writeAnswer(w http.ResponseWriter, a *core.Answer) {
 	h, body := w.Header(), a.Body
 	if a.Kind == core.Served || a.Status != 0 {
