--- a/internal/front/http/head.go
+++ b/internal/front/http/head.go
@@ -13,66 +13,66 @@
 	"firplank/internal/httpwire"
 )
 
-// head is the head of a request, taken apart.
+// head is the parsed head of a request.
 type head struct {
 	method, target, path, host string
 	header                     http.Header
-	length                     int64 // of the body; -1 where none is announced
+	length                     int64 // Content-Length; -1: none
 	chunked                    bool
-	last                       bool // the client closes after this request, or speaks HTTP/1.0
-	old                        bool // it speaks HTTP/1.0
-	expects                    bool // it waits for leave to send its body
+	closeAfter                 bool // "Connection: close", or HTTP/1.0
+	http10                     bool
+	expectsContinue            bool // "Expect: 100-continue"
 }
 
-// request is what a dialect is shown of it.
+// request returns the head for a dialect.
 func (h *head) request() *Request {
 	return &Request{Method: h.method, Target: h.target, Path: h.path, Host: h.host, Header: h.header}
 }
 
-// What is wrong with a head, besides framing's errors.
+// Faults of a head, besides those of requestScanner.
 var (
-	errLongHead  = &badRequest{http.StatusRequestHeaderFieldsTooLarge, "head too long"}
-	errNoRequest = errors.New("no request line")
-	errVersion   = &badRequest{http.StatusHTTPVersionNotSupported, "neither HTTP/1.1 nor HTTP/1.0"}
-	errHost      = errors.New("not exactly one Host, or one that is none")
-	errCoding    = &badRequest{http.StatusNotImplemented, "a Transfer-Encoding other than chunked"}
-	errExpects   = &badRequest{http.StatusExpectationFailed, "an expectation other than 100-continue"}
+	errHeadTooLong      = &badRequest{http.StatusRequestHeaderFieldsTooLarge, "head too long"}
+	errRequestLine      = errors.New("no request line")
+	errVersion          = &badRequest{http.StatusHTTPVersionNotSupported, "neither HTTP/1.1 nor HTTP/1.0"}
+	errHost             = errors.New("not exactly one Host, or one that is none")
+	errTransferEncoding = &badRequest{http.StatusNotImplemented, "a Transfer-Encoding other than chunked"}
+	errExpectation      = &badRequest{http.StatusExpectationFailed, "an expectation other than 100-continue"}
 )
 
-// headScan finds the end of a head in bytes that come piece by piece.
-type headScan struct {
-	at   int // how far it has looked
-	line int // where the present line begins
+// headScanner finds the end of a head that is received in pieces.
+type headScanner struct {
+	offset    int // bytes that were scanned
+	lineStart int // start of the current line
 }
 
-// find goes on over b, which holds the head from its first byte, and returns where the head ends; 0 where it does not yet.
-func (s *headScan) find(b []byte) (end int, err error) {
-	for s.at < len(b) {
-		i := bytes.IndexByte(b[s.at:], '\n')
+// findEnd continues the scan of b, which holds the head from its first byte, and returns the end of the head; 0 if it is not in b.
+func (s *headScanner) findEnd(b []byte) (end int, err error) {
+	for s.offset < len(b) {
+		i := bytes.IndexByte(b[s.offset:], '\n')
 		if i < 0 {
-			s.at = len(b)
+			s.offset = len(b)
 			break
 		}
-		i += s.at
+		i += s.offset
 		if i == 0 || b[i-1] != '\r' {
 			return 0, httpwire.ErrLineEnd
 		}
-		s.at = i + 1
-		if i-1 == s.line && s.line > 0 {
-			return s.at, nil
+		s.offset = i + 1
+		if i-1 == s.lineStart && s.lineStart > 0 {
+			return s.offset, nil
 		}
-		s.line = s.at
+		s.lineStart = s.offset
 	}
-	if len(b) > maxHeader {
-		return 0, errLongHead
+	if len(b) > maxHeaderBytes {
+		return 0, errHeadTooLong
 	}
 	return 0, nil
 }
 
-// parseHead takes a whole head apart. It takes nothing that the standard library would not, and nothing that two readers
-// could understand in two ways: RFC 9112 with none of its tolerance.
+// parseHead parses a complete head. It accepts nothing that the standard library rejects, and nothing that two parsers could
+// interpret in different ways: RFC 9112 without any of its optional leniency.
 func parseHead(b []byte) (*head, error) {
-	text := string(b[:len(b)-2]) // without the empty line; the one copy that all of it shares
+	text := string(b[:len(b)-2]) // without the empty line; the only copy, shared by all fields
 	line, rest, _ := strings.Cut(text, "\r\n")
 	h := &head{length: -1}
 	if err := h.requestLine(line); err != nil {
@@ -87,7 +87,7 @@
 		h.host = hosts[0]
 		delete(h.header, "Host")
 	}
-	if len(hosts) > 1 || len(hosts) == 0 && !h.last || !httpguts.ValidHostHeader(h.host) {
+	if len(hosts) > 1 || len(hosts) == 0 && !h.closeAfter || !httpguts.ValidHostHeader(h.host) {
 		return nil, errHost
 	}
 	return h, h.framing()
@@ -97,17 +97,17 @@
 	method, rest, ok := strings.Cut(line, " ")
 	target, version, ok2 := strings.Cut(rest, " ")
 	if !ok || !ok2 || !httpguts.ValidHeaderFieldName(method) || target == "" || target[0] != '/' {
-		return errNoRequest
+		return errRequestLine
 	}
 	for i := range len(target) {
 		if target[i] <= ' ' || target[i] >= 0x7f {
-			return errNoRequest
+			return errRequestLine
 		}
 	}
 	switch version {
 	case "HTTP/1.1":
 	case "HTTP/1.0":
-		h.last, h.old = true, true
+		h.closeAfter, h.http10 = true, true
 	default:
 		return errVersion
 	}
@@ -118,18 +118,18 @@
 	}
 	u, err := url.ParseRequestURI(target)
 	if err != nil {
-		return errNoRequest
+		return errRequestLine
 	}
 	h.path = u.Path
 	return nil
 }
 
-// framing reads the headers by which the body's end and the connection's are known.
+// framing evaluates the headers that determine the end of the body and of the connection.
 func (h *head) framing() error {
 	lengths, codings := h.header["Content-Length"], h.header["Transfer-Encoding"]
 	switch {
 	case len(lengths) > 0 && len(codings) > 0:
-		return errTwoLengths
+		return errConflictingLengths
 	case len(lengths) > 1 || len(codings) > 1:
 		return errBadLength
 	case len(lengths) == 1:
@@ -139,23 +139,23 @@
 		}
 		h.length = int64(n)
 	case len(codings) == 1:
-		if !strings.EqualFold(codings[0], "chunked") || h.last {
-			return errCoding
+		if !strings.EqualFold(codings[0], "chunked") || h.closeAfter {
+			return errTransferEncoding
 		}
 		h.chunked = true
 	}
 	for _, line := range h.header["Connection"] {
 		for _, token := range strings.Split(line, ",") {
 			if strings.EqualFold(strings.TrimSpace(token), "close") {
-				h.last = true
+				h.closeAfter = true
 			}
 		}
 	}
 	if expect := h.header["Expect"]; len(expect) > 0 {
 		if len(expect) > 1 || !strings.EqualFold(expect[0], "100-continue") {
-			return errExpects
+			return errExpectation
 		}
-		h.expects = true
+		h.expectsContinue = true
 	}
 	return nil
 }
--- a/internal/front/http/pollend_linux.go
+++ b/internal/front/http/pollend_linux.go
@@ -1,6 +1,6 @@
 package http
 
-// This file pauses, resizes and ends the front on the kernel's readiness.
+// This file pauses, resizes and shuts down the PollFront.
 
 import (
 	"context"
@@ -12,70 +12,70 @@
 	"firplank/internal/core"
 )
 
-// Pause implements what state does, and begins to send clients away.
+// Pause starts a drain, in which connections close after their answer and idle ones after a delay, or ends it.
 func (f *PollFront) Pause(on bool) {
-	f.state.Pause(on)
-	f.look()
+	f.drainState.Pause(on)
+	f.wakeTimeouts()
 }
 
-// sendAway closes connections that carry nothing: some of those beyond the budget after it was lowered, and while clients
-// are sent away all that could have been used since.
-func (f *PollFront) sendAway() {
+// closeSurplus closes idle connections: some of those beyond the maximum after it was lowered, and during a drain, after
+// idleCloseDelay, all that have been idle for long enough.
+func (f *PollFront) closeSurplus() {
 	f.mu.Lock()
-	over := f.open - int(f.most.Load())
+	over := f.open - int(f.maxConns.Load())
 	f.mu.Unlock()
-	for range min(over, triedAtOnce) {
+	for range min(over, maxEvictionCandidates) {
 		if !f.evict() {
 			break
 		}
 	}
-	if !f.away() {
+	if !f.closesIdle() {
 		return
 	}
 	var unused []*pollConn
 	f.mu.Lock()
-	for _, q := range []*queue{&f.idle, &f.silent} {
-		for c := q.first; c != nil && f.now()-c.since >= awayIdle; c = c.next {
+	for _, q := range []*queue{&f.idle, &f.unused} {
+		for c := q.first; c != nil && f.now()-c.queuedAt >= minIdleBeforeClose; c = c.next {
 			unused = append(unused, c)
 		}
 	}
 	f.mu.Unlock()
 	for _, c := range unused {
-		c.closeIfUnused()
+		c.closeIfIdle()
 	}
 }
 
-// Open returns how many connections there are.
+// Open returns the number of connections.
 func (f *PollFront) Open() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.open
 }
 
-// Resize changes how many connections may be open. Beyond it those that carry nothing go, one after another.
+// Resize changes the maximum of connections. Idle ones beyond it are closed in the background.
 func (f *PollFront) Resize(n int) {
-	f.most.Store(int64(max(1, n)))
-	f.look()
+	f.maxConns.Store(int64(max(1, n)))
+	f.wakeTimeouts()
 }
 
-// End takes new connections for a little while yet, and answers all that was taken, within a time.
+// End accepts connections for Config.AcceptGrace, then answers all accepted requests, within a time, and closes.
 func (f *PollFront) End(within time.Duration) error {
 	limit, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
-	late := time.NewTimer(within - lastWords)
-	defer late.Stop()
+	finalAnswers := time.NewTimer(within - finalAnswerTime)
+	defer finalAnswers.Stop()
 	f.ending.Store(true)
 	select {
-	case <-time.After(f.lastCalls(f.cfg.LastCalls)):
+	case <-time.After(f.acceptGrace(f.cfg.AcceptGrace)):
 	case err := <-f.failed:
 		return fmt.Errorf("serve: %w", err)
 	}
 	f.drainBacklog()
 	f.mu.Lock()
-	f.unlisten()
+	f.closeListener()
 	f.mu.Unlock()
-	select { // one that was just accepted is yet to come in
-	case <-f.accepted:
+	select { // a connection that was just accepted may not be added yet
+	case <-f.acceptDone:
 	case <-limit.Done():
 	}
 	f.mu.Lock()
@@ -83,57 +83,57 @@
 	if f.open == 0 {
 		close(empty)
 	} else {
-		f.empty = empty
+		f.drained = empty
 	}
 	f.mu.Unlock()
-	for _, c := range f.members(&f.idle) { // not those that never asked: a request may be on its way
-		c.closeIfUnused()
+	for _, c := range f.queuedConns(&f.idle) { // not the unused ones: a request may be in flight to them
+		c.closeIfIdle()
 	}
 	select {
 	case <-empty:
-	case <-late.C:
-		f.sayLast()
+	case <-finalAnswers.C:
+		f.answerRemaining()
 		select {
 		case <-empty:
 		case <-limit.Done():
 		}
 	}
-	f.shut()
+	f.closeAll()
 	return nil
 }
 
-// lastWords is how long before the end whatever is still open is given its answer, for that to be written and read.
-const lastWords = 100 * time.Millisecond
+// finalAnswerTime is how long before the end requests that are still open are answered, so that clients can read the answers.
+const finalAnswerTime = 100 * time.Millisecond
 
-// sayLast ends what nothing is owed to and answers the rest: by now the exchange has answered all that it was handed, unless
-// the processor was short.
-func (f *PollFront) sayLast() {
-	for _, c := range f.members(&f.idle, &f.silent) {
-		c.closeIfUnused()
+// answerRemaining closes connections without a request and answers open requests. By now the exchange has answered all requests,
+// unless processors were overloaded.
+func (f *PollFront) answerRemaining() {
+	for _, c := range f.queuedConns(&f.idle, &f.unused) {
+		c.closeIfIdle()
 	}
-	for _, c := range f.members(&f.partly) {
+	for _, c := range f.queuedConns(&f.partial) {
 		c.mu.Lock()
-		if c.state == pollWaiting && c.began {
-			c.last, c.wary = true, true
-			c.reply(core.Refusal(0))
+		if c.state == pollReading && c.requestStarted {
+			c.closeAfter, c.mustLinger = true, true
+			c.sendAnswer(core.Refusal(0))
 		}
 		c.mu.Unlock()
 	}
 	for _, h := range f.poller.Handlers() {
 		c := h.(*pollConn)
 		c.mu.Lock()
-		if c.state == pollOpen && c.call != nil {
+		if c.state == pollInFlight && c.call != nil {
 			call := c.call
 			c.mu.Unlock()
-			c.answer(call, &core.Answer{Kind: core.Failed, Reason: core.DeadlineExceeded, Text: "the sidecar ends"})
+			c.writeAnswer(call, &core.Answer{Kind: core.Failed, Reason: core.DeadlineExceeded, Text: "the sidecar ends"})
 			continue
 		}
 		c.mu.Unlock()
 	}
 }
 
-// members lists who is in some queues.
-func (f *PollFront) members(queues ...*queue) (all []*pollConn) {
+// queuedConns returns the connections in some queues.
+func (f *PollFront) queuedConns(queues ...*queue) (all []*pollConn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, q := range queues {
@@ -144,21 +144,21 @@
 	return all
 }
 
-// drainBacklog takes in what the kernel has accepted: closing the listener would reset it.
+// drainBacklog accepts the connections in the listener's backlog, which the kernel would reset when the listener closes.
 func (f *PollFront) drainBacklog() {
 	f.mu.Lock()
-	listening := f.listening
+	listenFile := f.listenFile
 	f.mu.Unlock()
-	if listening == nil {
+	if listenFile == nil {
 		return
 	}
-	raw, err := listening.SyscallConn()
+	raw, err := listenFile.SyscallConn()
 	if err != nil {
 		return
 	}
 	// Fails only on a closed listener, whose backlog is gone.
 	_ = raw.Control(func(l uintptr) {
-		for range mostBacklog {
+		for range maxBacklog {
 			fd, _, err := unix.Accept4(int(l), unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 			if err == unix.EINTR || err == unix.ECONNABORTED {
 				continue
@@ -171,26 +171,26 @@
 	})
 }
 
-// mostBacklog bounds what is taken in at the end.
-const mostBacklog = 4096
+// maxBacklog bounds the connections that drainBacklog accepts.
+const maxBacklog = 4096
 
-// unlisten ends the taking of connections. The caller holds mu.
-func (f *PollFront) unlisten() {
+// closeListener ends accepting. The caller holds mu.
+func (f *PollFront) closeListener() {
 	if f.ln != nil {
-		_ = f.ln.Close()        // accepting ends either way
-		_ = f.listening.Close() // a copy of the listener's descriptor
+		_ = f.ln.Close()         // accepting ends either way
+		_ = f.listenFile.Close() // a duplicate of the listener's descriptor
 	}
 }
 
-// shut closes everything at once; what the goroutines wait for ends with it.
-func (f *PollFront) shut() {
+// closeAll closes the listener, all connections and the poller, which ends the front's goroutines.
+func (f *PollFront) closeAll() {
 	f.mu.Lock()
 	if f.closed {
 		f.mu.Unlock()
 		return
 	}
 	f.closed = true
-	f.unlisten()
+	f.closeListener()
 	f.mu.Unlock()
 	for _, h := range f.poller.Handlers() {
 		c := h.(*pollConn)
@@ -201,5 +201,5 @@
 	f.poller.Close()
 }
 
-// Wait returns when all that Serve started has ended, after the exchange has.
+// Wait returns when all goroutines of Serve have ended, which is after the exchange is done.
 func (f *PollFront) Wait() { f.tasks.Wait() }
--- a/internal/front/http/pollread_linux.go
+++ b/internal/front/http/pollread_linux.go
@@ -1,6 +1,6 @@
 package http
 
-// This file reads a request from a polled connection.
+// This file reads requests from polled connections.
 
 import (
 	"net"
@@ -14,138 +14,139 @@
 	"firplank/internal/poller"
 )
 
-// Ready handles what the kernel says of the connection, on the poller's goroutine. What is for the exchange is handed over
-// when no lock is held: the exchange may be waiting for that lock.
+// Ready handles the connection's events, on the poller's goroutine. It calls the exchange without holding the lock, as the exchange
+// may be waiting for that lock.
 func (c *pollConn) Ready(events uint32) {
 	c.mu.Lock()
 	if c.state == pollWriting && events&(unix.EPOLLOUT|unix.EPOLLERR|unix.EPOLLHUP) != 0 {
 		c.flush()
 	}
-	var arrive, leave *pollCall
+	var submit, disconnect *pollCall
 	if events&(unix.EPOLLIN|unix.EPOLLRDHUP|unix.EPOLLHUP|unix.EPOLLERR) != 0 {
-		arrive, leave = c.read(events&poller.PeerClosed != 0)
+		submit, disconnect = c.read(events&poller.PeerClosed != 0)
 	}
 	c.mu.Unlock()
-	if arrive != nil {
-		exchangeOf(&arrive.Call, c.front.exchange).Submit(&arrive.Call)
+	if submit != nil {
+		exchangeOf(&submit.Call, c.front.exchange).Submit(&submit.Call)
 	}
-	if leave != nil {
-		exchangeOf(&leave.Call, c.front.exchange).Disconnect(&leave.Call)
+	if disconnect != nil {
+		exchangeOf(&disconnect.Call, c.front.exchange).Disconnect(&disconnect.Call)
 	}
 }
 
-// read reads all there is. ended says that the client's end may be behind it. The caller holds mu.
-func (c *pollConn) read(ended bool) (arrive, leave *pollCall) {
+// read reads until the socket is empty. It returns a call to submit and one whose client has disconnected, each nil if there is none.
+// maybeClosed means that the peer may have closed behind the buffered bytes. The caller holds mu.
+func (c *pollConn) read(maybeClosed bool) (submit, disconnect *pollCall) {
 	for {
 		switch {
 		case c.state == pollClosed:
-			return arrive, leave
-		case c.state == pollOpen && c.up != nil:
-			if !c.feed() {
-				return arrive, leave
+			return submit, disconnect
+		case c.state == pollInFlight && c.upload != nil:
+			if !c.readUpload() {
+				return submit, disconnect
 			}
-			if c.gone && c.call != nil {
-				return arrive, c.call
+			if c.readClosed && c.call != nil {
+				return submit, c.call
 			}
 			continue
-		case c.state == pollOpen || c.state == pollWriting:
-			return arrive, c.peek(leave)
+		case c.state == pollInFlight || c.state == pollWriting:
+			return submit, c.peek(disconnect)
 		}
-		n, err := unix.Read(c.fd, c.front.scratch)
+		n, err := unix.Read(c.fd, c.front.readBuffer)
 		switch {
 		case err == unix.EINTR:
 			continue
 		case err == unix.EAGAIN:
-			return c.whole(), nil
+			return c.completeCall(), nil
 		case err != nil:
 			c.close()
 			return nil, nil
 		case n == 0:
-			c.gone = true
-			return c.ended(), nil
+			c.readClosed = true
+			return c.onReadClosed(), nil
 		}
 		if c.state == pollLingering {
-			continue // what a client says that has its last answer is of no use
+			continue // bytes after the last answer are dropped
 		}
-		c.take(c.front.scratch[:n])
-		if c.state == pollWaiting && c.isLong() {
-			arrive = c.begin()
+		c.receive(c.front.readBuffer[:n])
+		if c.state == pollReading && c.isStreamed() {
+			submit = c.startStreamedCall()
 		}
-		if c.state == pollWaiting && n < len(c.front.scratch) && !ended {
-			return c.whole(), nil // a short read has emptied it, and the kernel tells of what comes next
+		if c.state == pollReading && n < len(c.front.readBuffer) && !maybeClosed {
+			return c.completeCall(), nil // a short read has emptied the socket, and the kernel reports further bytes
 		}
 	}
 }
 
-// peek looks behind a request that is open: an application sends one at a time. The caller holds mu.
-func (c *pollConn) peek(leave *pollCall) *pollCall {
+// peek checks whether anything was received after the open request: an application sends one request at a time. The caller holds mu.
+func (c *pollConn) peek(disconnect *pollCall) *pollCall {
 	var b [1]byte
 	n, _, err := unix.Recvfrom(c.fd, b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	switch {
 	case err == unix.EAGAIN || err == unix.EINTR:
 	case err == nil && n > 0:
-		c.more = true
-	default: // its end, or a reset
-		if !c.gone && c.call != nil {
-			leave = c.call
+		c.inputPending = true
+	default: // closed or reset
+		if !c.readClosed && c.call != nil {
+			disconnect = c.call
 		}
-		c.gone = true
-		if c.state == pollWriting && c.down != nil && c.safe {
-			c.note("a client has left its answer", err)
-			c.abort() // the server need not make the rest of it
+		c.readClosed = true
+		if c.state == pollWriting && c.download != nil && c.safe {
+			c.logTruncated("client disconnected before the end of its answer", err)
+			c.abort() // the server need not produce the rest
 		}
 	}
-	return leave
+	return disconnect
 }
 
-// ended handles the end of what the client sends, where no request is open. The caller holds mu.
-func (c *pollConn) ended() *pollCall {
+// onReadClosed handles the end of the client's sending while no request is open. The caller holds mu.
+func (c *pollConn) onReadClosed() *pollCall {
 	switch {
-	case c.state == pollLingering || !c.began:
+	case c.state == pollLingering || !c.requestStarted:
 		c.close()
-	case c.isWhole():
-		// The client has gone before anything was done for it, as all have that a stopped sidecar finds when it goes on.
-		c.last = true
-		c.reply(core.Refusal(0))
+	case c.isComplete():
+		// The client disconnected before its request was submitted, as usual when a paused process resumes (SIGSTOP, SIGCONT).
+		c.closeAfter = true
+		c.sendAnswer(core.Refusal(0))
 	default:
-		c.turnAway(malformed("a request without its end"))
+		c.reject(malformed("a request without its end"))
 	}
 	return nil
 }
 
-// take takes in bytes of a request. The caller holds mu.
-func (c *pollConn) take(b []byte) {
-	if !c.began {
-		if !c.asked && b[0] >= 0x80 {
-			c.stranger()
+// receive processes received bytes of a request. The caller holds mu.
+func (c *pollConn) receive(b []byte) {
+	if !c.requestStarted {
+		if !c.used && b[0] >= 0x80 {
+			c.logProtocolMismatch()
 		}
 		f := c.front
 		f.mu.Lock()
-		left := readTimeout
-		if !c.asked { // what it may take counts from the connection's beginning
-			left = max(wheelTick, left-(f.now()-c.since))
+		timeout := readTimeout
+		if !c.used { // the first request's time counts from the start of the connection
+			timeout = max(wheelTick, timeout-(f.now()-c.queuedAt))
 		}
-		f.enter(c, &f.partly, left)
+		f.moveTo(c, &f.partial, timeout)
 		f.mu.Unlock()
-		c.asked, c.began, c.more = true, true, false
+		c.used, c.requestStarted, c.inputPending = true, true, false
 		c.buf = readBuffers.Get().([]byte)[:0]
 	}
 	c.buf = append(c.buf, b...)
-	c.bodyGot += int64(len(b))
+	c.bodyReceived += int64(len(b))
 	if err := c.parse(); err != nil {
-		c.turnAway(err)
+		c.reject(err)
 	}
 }
 
-// stranger notes a peer that speaks something else: no method begins with such a byte, and every frame of MessagePack-RPC
-// does.
-func (c *pollConn) stranger() {
-	c.front.strange.Do(func() {
-		c.front.cfg.Log.Warn("a client speaks no HTTP; MessagePack-RPC has an address of its own", "peer", peerOf(c.fd))
+// logProtocolMismatch logs a client that speaks another protocol: no HTTP method begins with such a byte, but every frame of
+// MessagePack-RPC does.
+func (c *pollConn) logProtocolMismatch() {
+	c.front.mismatchLogLimit.Do(func() {
+		c.front.cfg.Log.Warn("client does not speak HTTP; MessagePack-RPC is served at another address", "peer", peerAddr(c.fd))
 	})
 }
 
-func peerOf(fd int) string {
+func peerAddr(fd int) string {
 	sa, err := unix.Getpeername(fd)
 	if err != nil {
 		return "unknown"
@@ -159,10 +160,10 @@
 	return "unknown"
 }
 
-// parse goes on with what has come.
+// parse continues to parse the received bytes.
 func (c *pollConn) parse() error {
 	if c.head == nil {
-		end, err := c.scan.find(c.buf)
+		end, err := c.scan.findEnd(c.buf)
 		if err != nil || end == 0 {
 			return err
 		}
@@ -171,20 +172,21 @@
 		}
 		c.headEnd = end
 		if c.head.length > httpwire.MaxStreamedBody {
-			return errLongBody
+			return errBodyTooLong
 		}
 		if c.head.chunked {
 			c.chunks = &httpwire.ChunkReader{}
 		}
-		c.bodyFrom, c.bodyGot = c.front.now(), int64(len(c.buf)-end)
-		if c.head.expects && len(c.buf) == end && (c.head.chunked || c.head.length > 0) {
-			_, _ = unix.Write(c.fd, []byte("HTTP/1.1 100 Continue\r\n\r\n")) // a client that does not get it sends its body after a while
+		c.bodyStart, c.bodyReceived = c.front.now(), int64(len(c.buf)-end)
+		if c.head.expectsContinue && len(c.buf) == end && (c.head.chunked || c.head.length > 0) {
+			// A client that does not receive it sends its body after a while.
+			_, _ = unix.Write(c.fd, []byte("HTTP/1.1 100 Continue\r\n\r\n"))
 		}
 	}
-	if c.isLong() { // begin goes on with it
+	if c.isStreamed() { // startStreamedCall continues
 		return nil
 	}
-	if c.chunks != nil && !c.isWhole() {
+	if c.chunks != nil && !c.isComplete() {
 		taken, done, err := c.chunks.Next(c.buf[c.headEnd:])
 		if err != nil {
 			return err
@@ -194,32 +196,32 @@
 			c.head.length = int64(len(c.chunks.Body))
 		}
 	}
-	if c.isWhole() && c.behind() > 0 {
+	if c.isComplete() && c.extraBytes() > 0 {
 		return malformed("more than the request that was announced")
 	}
 	return nil
 }
 
-// isWhole reports whether all of the request has come, and behind how much more has.
-func (c *pollConn) isWhole() bool {
+// isComplete reports whether the whole request was received, and extraBytes returns how many bytes were received after it.
+func (c *pollConn) isComplete() bool {
 	return c.head != nil && (c.chunks != nil && c.head.length >= 0 || c.chunks == nil && len(c.buf)-c.headEnd >= int(max(0, c.head.length)))
 }
 
-func (c *pollConn) behind() int {
+func (c *pollConn) extraBytes() int {
 	if c.chunks != nil {
 		return len(c.buf) - c.headEnd
 	}
 	return len(c.buf) - c.headEnd - int(max(0, c.head.length))
 }
 
-// whole hands a request over, if all of it has come and nothing else. The caller holds mu.
-func (c *pollConn) whole() *pollCall {
-	if c.state != pollWaiting || !c.isWhole() {
+// completeCall returns the call for the request if it is complete, else nil. The caller holds mu.
+func (c *pollConn) completeCall() *pollCall {
+	if c.state != pollReading || !c.isComplete() {
 		return nil
 	}
 	body := c.buf[c.headEnd:]
 	if c.chunks != nil {
 		body = c.chunks.Body
 	}
-	return c.accept(body, nil)
+	return c.startCall(body, nil)
 }
--- a/internal/front/http/pollwrite_linux.go
+++ b/internal/front/http/pollwrite_linux.go
@@ -1,6 +1,6 @@
 package http
 
-// This file writes an answer to a polled connection.
+// This file writes answers to polled connections.
 
 import (
 	"net/http"
@@ -12,95 +12,97 @@
 	"firplank/internal/core"
 )
 
-// answer writes the final answer of a call, from the exchange's goroutine.
-func (c *pollConn) answer(call *pollCall, a *core.Answer) {
+// writeAnswer writes the final answer of a call. It is called on the exchange's goroutine.
+func (c *pollConn) writeAnswer(call *pollCall, a *core.Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.call != call { // its connection is closed
+	if c.call != call { // the connection is closed
 		if a.Stream != nil {
 			a.Stream.CloseRead(errClosed)
 		}
 		return
 	}
 	c.call, c.safe = nil, call.Message.Safe
-	if c.up != nil { // the rest of the request is of no use
-		c.up = nil
-		c.last, c.wary, c.unsaid = true, true, true
+	if c.upload != nil { // the rest of the request is dropped
+		c.upload = nil
+		c.closeAfter, c.mustLinger, c.answeredEarly = true, true, true
 	} else {
-		c.wary = false
+		c.mustLinger = false
 	}
-	// Decided when the answer is there, not when the request came: many wait when the end comes.
-	c.last = c.last || a.Reason == core.DuplicateName || c.front.leaving() || c.more || c.gone || c.front.crowded()
-	c.reply(a)
+	// Decided with the answer, not with the request: many requests may be open when a drain starts.
+	c.closeAfter = c.closeAfter || a.Reason == core.DuplicateName || c.front.closesAfterAnswer() || c.inputPending ||
+		c.readClosed || c.front.tooManyIdle()
+	c.sendAnswer(a)
 }
 
-// reply writes an answer of the exchange's. The caller holds mu.
-func (c *pollConn) reply(a *core.Answer) { c.send(statusOf(a), a) }
+// sendAnswer writes an answer with its status. The caller holds mu.
+func (c *pollConn) sendAnswer(a *core.Answer) { c.send(statusOf(a), a) }
 
-// send writes an answer, as much of it as there is room for. The caller holds mu.
+// send starts writing an answer; what the socket does not accept is written later. The caller holds mu.
 func (c *pollConn) send(status int, a *core.Answer) {
-	c.inChunks = false
-	if c.down = a.Stream; c.down != nil {
-		c.inChunks = c.down.Length() < 0 && !c.old
-		c.last = c.last || c.down.Length() < 0 && c.old
-		c.down.OnData(c.pump)
+	c.chunked = false
+	if c.download = a.Stream; c.download != nil {
+		c.chunked = c.download.Length() < 0 && !c.http10
+		c.closeAfter = c.closeAfter || c.download.Length() < 0 && c.http10
+		c.download.OnData(c.resumeDownload)
 	}
-	c.out = c.front.render(outBuffers.Get().([]byte)[:0], status, a, c.last, c.inChunks)
+	c.out = c.front.appendResponse(outBuffers.Get().([]byte)[:0], status, a, c.closeAfter, c.chunked)
 	c.state = pollWriting
 	c.reset()
 	f := c.front
 	f.mu.Lock()
-	f.enter(c, nil, writeTimeout)
+	f.moveTo(c, nil, writeTimeout)
 	f.mu.Unlock()
 	c.flush()
 }
 
-// readBuffers hold a request from its first byte until it is handed over.
+// readBuffers hold a request from its first byte until it is submitted.
 var readBuffers = sync.Pool{New: func() any { return make([]byte, 0, 2<<10) }}
 
-// outBuffers hold answers from when they are made until they are written, most of them in one step.
+// outBuffers hold answers until they are written.
 var outBuffers = sync.Pool{New: func() any { return make([]byte, 0, 4<<10) }}
 
-// mostKept is the size up to which a buffer goes back.
-const mostKept = 128 << 10
+// maxPooledBytes bounds the size of buffers that return to a pool.
+const maxPooledBytes = 128 << 10
 
-// flush writes what waits. The caller holds mu, and the state is pollWriting.
+// flush writes until the answer is complete, the socket is full, or the stream has no bytes. The caller holds mu, and the state is
+// pollWriting.
 func (c *pollConn) flush() {
-	for c.flushOut() {
-		if c.down == nil {
-			c.written()
+	for c.writeOut() {
+		if c.download == nil {
+			c.onAnswerWritten()
 			return
 		}
-		if !c.refill() {
+		if !c.fillOut() {
 			return
 		}
 	}
 }
 
-// flushOut writes out, and reports whether all of it has gone. The caller holds mu.
-func (c *pollConn) flushOut() bool {
+// writeOut writes c.out, and reports whether all of it was written. The caller holds mu.
+func (c *pollConn) writeOut() bool {
 	whole := c.out
 	for len(c.out) > 0 {
 		n, err := unix.Write(c.fd, c.out)
 		switch {
 		case err == unix.EINTR:
 		case err == unix.EAGAIN:
-			if &whole[0] != &c.out[0] { // what is left moves to the front, or the buffer would be lost to the pool
+			if &whole[0] != &c.out[0] { // the rest moves to the front, or the buffer would be lost to the pool
 				c.out = whole[:copy(whole, c.out)]
 			}
-			if c.down != nil { // it is the client's turn
+			if c.download != nil { // the client has to read
 				c.setTimeout(streamTimeout)
 			}
 			return false
 		case err != nil:
-			c.note("a client has left its answer", err)
+			c.logTruncated("client disconnected before the end of its answer", err)
 			c.close()
 			return false
 		default:
 			c.out = c.out[n:]
 		}
 	}
-	if whole != nil && cap(whole) <= mostKept {
+	if whole != nil && cap(whole) <= maxPooledBytes {
 		//lint:ignore SA6002 the header that is allocated here is small beside the buffer that is saved
 		outBuffers.Put(whole[:0])
 	}
@@ -108,41 +110,41 @@
 	return true
 }
 
-// written goes on after an answer: to the next request, or to the end. The caller holds mu.
-func (c *pollConn) written() {
+// onAnswerWritten waits for the next request, or closes the connection. The caller holds mu.
+func (c *pollConn) onAnswerWritten() {
 	f := c.front
-	if !c.last {
-		c.state = pollWaiting
+	if !c.closeAfter {
+		c.state = pollReading
 		f.mu.Lock()
-		f.enter(c, &f.idle, f.cfg.idle())
+		f.moveTo(c, &f.idle, f.cfg.idleTimeout())
 		f.mu.Unlock()
-		if c.more { // it came while the answer was written, and the kernel tells of it once
-			c.more = false
-			c.again()
+		if c.inputPending { // received while the answer was written, and reported by the kernel only once
+			c.inputPending = false
+			c.rearmLocked()
 		}
 		return
 	}
-	if c.gone || !c.wary && !c.more { // nothing is unread, so that the answer goes ahead of the end
+	if c.readClosed || !c.mustLinger && !c.inputPending { // nothing is unread: the close does not reset the connection
 		c.close()
 		return
 	}
-	_ = unix.Shutdown(c.fd, unix.SHUT_WR) // fails only where the client has closed already
+	_ = unix.Shutdown(c.fd, unix.SHUT_WR) // fails only if the client has closed already
 	c.state = pollLingering
 	f.mu.Lock()
-	patience := lingering
-	if c.unsaid { // it reads when it has said all; of what has come the kernel has told already
-		c.more = true
-		patience = longLingering
+	timeout := lingerTimeout
+	if c.answeredEarly { // the client reads once it has sent its request; what has arrived was reported already
+		c.inputPending = true
+		timeout = longLingerTimeout
 	}
-	f.enter(c, &f.ended, patience)
+	f.moveTo(c, &f.lingering, timeout)
 	f.mu.Unlock()
-	if c.more { // of that the kernel has told already, and closed with bytes unread it would destroy the answer
-		c.drain()
+	if c.inputPending { // the kernel does not report these bytes again, and a close with unread bytes resets the connection
+		c.discardInput()
 	}
 }
 
-// drain drops what has come, but no more than a little: whoever sends on is heard of again.
-func (c *pollConn) drain() {
+// discardInput drops received bytes, up to a bound; the kernel reports those that arrive later.
+func (c *pollConn) discardInput() {
 	var b [4 << 10]byte
 	for range 32 {
 		if n, err := unix.Read(c.fd, b[:]); n <= 0 && err != unix.EINTR {
@@ -151,11 +153,11 @@
 	}
 }
 
-// render makes an answer's bytes.
-func (f *PollFront) render(dst []byte, status int, a *core.Answer, last, inChunks bool) []byte {
+// appendResponse appends an encoded answer.
+func (f *PollFront) appendResponse(dst []byte, status int, a *core.Answer, closeAfter, chunked bool) []byte {
 	dst = append(append(dst, "HTTP/1.1 "...), strconv.Itoa(status)...)
 	dst = append(append(append(dst, ' '), http.StatusText(status)...), "\r\nDate: "...)
-	dst = append(append(dst, f.dated()...), "\r\n"...)
+	dst = append(append(dst, f.dateValue()...), "\r\n"...)
 	body := a.Body
 	switch {
 	case a.Kind != core.Served && a.Status == 0:
@@ -177,14 +179,14 @@
 			}
 		}
 	}
-	if last {
+	if closeAfter {
 		dst = append(dst, "Connection: close\r\n"...)
 	}
 	switch {
-	case inChunks:
+	case chunked:
 		return append(dst, "Transfer-Encoding: chunked\r\n\r\n"...)
 	case a.Stream != nil && a.Stream.Length() < 0:
-		return append(dst, "\r\n"...) // it ends with the connection
+		return append(dst, "\r\n"...) // the body ends with the connection
 	case a.Stream != nil:
 		dst = append(dst, "Content-Length: "...)
 		return append(strconv.AppendInt(dst, a.Stream.Length(), 10), "\r\n\r\n"...)
--- a/internal/front/http/serve.go
+++ b/internal/front/http/serve.go
@@ -1,6 +1,6 @@
 package http
 
-// This file serves a request on the standard library's server.
+// This file serves requests with the standard library's server.
 
 import (
 	"context"
@@ -19,75 +19,75 @@
 	"firplank/overload"
 )
 
-// BadRequest is a mistake of a client's, to be answered with a status.
+// BadRequest returns an error for a client's mistake, which is answered with the status and text.
 func BadRequest(status int, text string) error { return &badRequest{status, text} }
 
-// call is a core.Call with the way back to its handler.
+// call is a core.Call whose answer goes to the handler of its request.
 type call struct {
 	core.Call
-	answers chan *core.Answer // takes the one final answer
-	direct  *core.Answer      // what a dialect answers itself
+	answers      chan *core.Answer // receives the one final answer
+	directAnswer *core.Answer      // set if the dialect has answered the request
 }
 
-// exchangeOf is who carries a call.
-func exchangeOf(c *core.Call, own core.Exchange) core.Exchange {
+// exchangeOf returns the exchange for a call: its own if it has one, else the front's.
+func exchangeOf(c *core.Call, defaultExchange core.Exchange) core.Exchange {
 	if c.Exchange != nil {
 		return c.Exchange
 	}
-	return own
+	return defaultExchange
 }
 
 // Answer implements core.Client.
 func (c *call) Answer(_ *core.Call, a *core.Answer) { c.answers <- a }
 
-// clientKey is the context key of a request's connection.
-type clientKey struct{}
+// connKey is the context key of a request's connection.
+type connKey struct{}
 
 func (f *Front) newServer() *http.Server {
 	return &http.Server{
 		Handler:           f,
 		ReadHeaderTimeout: headTimeout,
 		ReadTimeout:       readTimeout,
-		IdleTimeout:       f.cfg.idle(),
-		MaxHeaderBytes:    maxHeader,
+		IdleTimeout:       f.cfg.idleTimeout(),
+		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          slog.NewLogLogger(f.cfg.Log.Handler(), slog.LevelDebug),
-		ConnState:         f.clients.follow,
+		ConnState:         f.conns.onConnState,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			return context.WithValue(ctx, clientKey{}, c)
+			return context.WithValue(ctx, connKey{}, c)
 		},
 	}
 }
 
-// ServeHTTP takes each path as it is written: http.ServeMux would answer some with a redirection, which is no
-// answer that the application knows.
+// ServeHTTP routes by the path as it was sent: http.ServeMux would answer some paths with a redirect, which the application
+// does not expect.
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	cl := r.Context().Value(clientKey{}).(*client)
-	cl.next()
-	// What is written before the answer, as the go-ahead for a body, has a limit of its own.
-	limitWrite(w)
+	conn := r.Context().Value(connKey{}).(*clientConn)
+	conn.countRequest()
+	// A write before the answer, as 100 Continue, has its own time-out.
+	setWriteTimeout(w)
 	if f.cfg.Dialect != nil {
-		f.api(w, r, cl)
+		f.serveAPI(w, r, conn)
 		return
 	}
 	switch path := r.URL.Path; {
 	case path == "/api" || strings.HasPrefix(path, "/api/"):
-		f.api(w, r, cl)
+		f.serveAPI(w, r, conn)
 	case path == "/up" && r.Method == http.MethodGet:
-		f.tellUp(w)
+		f.serveReadiness(w)
 	default:
-		turnAway(w, &badRequest{http.StatusNotFound, "no such path"})
+		rejectBadRequest(w, &badRequest{http.StatusNotFound, "no such path"})
 	}
 }
 
-func (f *Front) tellUp(w http.ResponseWriter) {
-	if !f.up() || !f.exchange.Ready() {
+func (f *Front) serveReadiness(w http.ResponseWriter) {
+	if !f.isReady() || !f.exchange.Ready() {
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
 		return
 	}
-	_, _ = io.WriteString(w, "ready\n") // fails only where the client is gone
+	_, _ = io.WriteString(w, "ready\n") // fails only if the client has disconnected
 }
 
-// badRequest is a client's mistake: a plain answer that is no refusal.
+// badRequest is a client's mistake. It is answered with its status, which never means that a retry is safe.
 type badRequest struct {
 	status int
 	text   string
@@ -99,79 +99,80 @@
 	return &badRequest{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
-// turnAway answers a bad request and ends its connection: what follows on it may be anything.
-func turnAway(w http.ResponseWriter, err error) {
+// rejectBadRequest answers a bad request and closes its connection, on which the next request's start is unknown.
+func rejectBadRequest(w http.ResponseWriter, err error) {
 	status := http.StatusBadRequest
 	var bad *badRequest
 	if errors.As(err, &bad) {
 		status = bad.status
 	}
 	w.Header().Set("Connection", "close")
-	limitWrite(w)
+	setWriteTimeout(w)
 	http.Error(w, err.Error(), status)
 }
 
-// api answers a request that servers are to see.
-func (f *Front) api(w http.ResponseWriter, r *http.Request, cl *client) {
+// serveAPI serves a request that is forwarded to servers.
+func (f *Front) serveAPI(w http.ResponseWriter, r *http.Request, conn *clientConn) {
 	class := -1
 	if f.cfg.Dialect == nil {
 		class = f.cfg.classOf(r.Header)
 	}
-	if ok, holdOff := f.cfg.Door.Admit(class); !ok {
-		f.cfg.countTurnedAway(class, r.Header)
-		write(w, core.Refusal(holdOff.Truncate(time.Millisecond)))
+	if ok, holdOff := f.cfg.Shedder.Admit(class); !ok {
+		f.cfg.countRejected(class, r.Header)
+		writeAnswer(w, core.Refusal(holdOff.Truncate(time.Millisecond)))
 		return
 	}
-	arrived := false
+	submitted := false
 	defer func() {
-		if !arrived {
-			f.cfg.Door.RequestEnded(class, 0, overload.Inconclusive)
+		if !submitted {
+			f.cfg.Shedder.RequestEnded(class, 0, overload.Inconclusive)
 		}
 	}()
 	c, err := f.parse(r)
-	behind := cl.behind()
+	afterRequest := conn.peekAfterRequest()
 	if err == nil && c.Message.Stream != nil {
-		defer c.Message.Stream.CloseWrite(errGone)
-		go feedBody(w, r, c.Message.Stream)
-	} else if err == nil && behind == socket.Readable {
+		defer c.Message.Stream.CloseWrite(errRequestOver)
+		go copyRequestBody(w, r, c.Message.Stream)
+	} else if err == nil && afterRequest == socket.Readable {
 		err = malformed("more than the request that was announced")
 	}
 	if err != nil {
-		turnAway(w, err)
+		rejectBadRequest(w, err)
 		return
 	}
-	if c.direct != nil {
-		write(w, c.direct)
+	if c.directAnswer != nil {
+		writeAnswer(w, c.directAnswer)
 		return
 	}
-	if c.Message.Stream == nil && behind == socket.Closed {
-		// The client has gone before anything was done for it, as all have that a stopped sidecar finds when it goes on.
+	if c.Message.Stream == nil && afterRequest == socket.Closed {
+		// The client disconnected before its request was submitted, as usual when a paused process resumes (SIGSTOP, SIGCONT).
 		w.Header().Set("Connection", "close")
-		write(w, core.Refusal(0))
+		writeAnswer(w, core.Refusal(0))
 		return
 	}
-	arrived = true
-	f.await(w, r, cl, c)
+	submitted = true
+	f.submitAndRespond(w, r, conn, c)
 }
 
-// await hands a call to the exchange and writes its answer.
-func (f *Front) await(w http.ResponseWriter, r *http.Request, cl *client, c *call) {
+// submitAndRespond submits a call to the exchange and writes its answer.
+func (f *Front) submitAndRespond(w http.ResponseWriter, r *http.Request, conn *clientConn, c *call) {
 	exchange := exchangeOf(&c.Call, f.exchange)
 	exchange.Submit(&c.Call)
 	select {
 	case a := <-c.answers:
-		// Decided when the answer is there, not when the request came: many wait when the end comes.
-		if a.Reason == core.DuplicateName || f.leaving() || cl.framing.blind || cl.behind() != socket.Idle || cl.owner.crowded() {
+		// Decided with the answer, not with the request: many requests may be open when a drain starts.
+		if a.Reason == core.DuplicateName || f.closesAfterAnswer() || conn.scanner.unscanned ||
+			conn.peekAfterRequest() != socket.Idle || conn.tracker.tooManyIdle() {
 			w.Header().Set("Connection", "close")
 		}
-		write(w, a)
+		writeAnswer(w, a)
 	case <-r.Context().Done():
-		// The client is gone, as far as can be told. One that has only ended its sending is owed an answer all the same.
+		// The client has disconnected, or has only ended its sending and still expects an answer.
 		exchange.Disconnect(&c.Call)
 		select {
 		case a := <-c.answers:
 			w.Header().Set("Connection", "close")
-			write(w, a)
+			writeAnswer(w, a)
 		case <-f.exchange.Done():
 			panic(http.ErrAbortHandler)
 		}
@@ -180,25 +181,25 @@
 	}
 }
 
-var errGone = errors.New("the request is over")
+var errRequestOver = errors.New("the request is over")
 
-// feedBody passes on a body that comes, as fast as both sides allow.
-func feedBody(w http.ResponseWriter, r *http.Request, to *bodypipe.Pipe) {
-	deadline := http.NewResponseController(w)
-	buf := make([]byte, pumped)
+// copyRequestBody copies a streamed request body into a pipe, with time-outs for both sides.
+func copyRequestBody(w http.ResponseWriter, r *http.Request, pipe *bodypipe.Pipe) {
+	controller := http.NewResponseController(w)
+	buf := make([]byte, copyBufferBytes)
 	for {
 		// Fails only on a closed connection, as the next call on it does.
-		_ = deadline.SetReadDeadline(time.Now().Add(readTimeout))
+		_ = controller.SetReadDeadline(time.Now().Add(readTimeout))
 		n, err := r.Body.Read(buf)
-		if n > 0 && to.WriteTimeout(buf[:n], streamTimeout) != nil {
+		if n > 0 && pipe.WriteTimeout(buf[:n], streamTimeout) != nil {
 			return
 		}
 		if err == io.EOF {
-			to.CloseWrite(nil)
+			pipe.CloseWrite(nil)
 			return
 		}
 		if err != nil {
-			to.CloseWrite(err)
+			pipe.CloseWrite(err)
 			return
 		}
 	}
--- a/internal/front/http/gone_linux_test.go
+++ b/internal/front/http/streamabort_linux_test.go
@@ -12,16 +12,17 @@
 	"firplank/internal/testbed"
 )
 
-func TestStreamEndsWithItsClient(t *testing.T) {
+// A client that closes its connection in the middle of a streamed answer must abort the stream, or the server would continue.
+func TestClientCloseAbortsStream(t *testing.T) {
 	aborted := make(chan struct{})
 	s := startPoll(t, 10, func(a *core.Attempt) {
 		body := bodypipe.New(1 << 20)
 		body.OnAbort(func() { close(aborted) })
-		_ = body.Append([]byte("first")) // the rest is a long time in coming
+		_ = body.Append([]byte("first")) // the rest does not arrive
 		a.End(core.Result{Outcome: balance.OK, Answer: &core.Answer{Meta: map[string][]string{}, Stream: body}})
 	})
 	c := s.dial()
-	if _, err := fmt.Fprint(c, ask(1)); err != nil {
+	if _, err := fmt.Fprint(c, requestText(1)); err != nil {
 		t.Fatal(err)
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -29,6 +30,6 @@
 		t.Fatal(err)
 	}
 	_ = c.Close()
-	_ = resp.Body.Close() // of a connection that is closed
+	_ = resp.Body.Close() // the connection is closed already
 	testbed.Next(t, aborted)
 }
--- a/internal/front/msgpackrpc/conn.go
+++ b/internal/front/msgpackrpc/conn.go
@@ -38,8 +38,8 @@
 	core.Call
 	conn         *conn
 	id           uint32
-	notification bool // a notification
-	duplicates   int  // requests with the same id while this one was open
+	notification bool
+	duplicates   int // requests with the same id while this one was open
 }
 
 // Answer implements core.Client.
@@ -91,9 +91,9 @@
 	if errors.Is(err, io.EOF) {
 		c.mu.Lock()
 		c.closing, c.readClosed = true, true
-		over := c.finished() || c.dead
+		finished := c.finished() || c.dead
 		c.mu.Unlock()
-		if !over {
+		if !finished {
 			<-c.answered
 		}
 		_ = c.nc.Close() // the connection is released even where this fails
@@ -104,7 +104,7 @@
 	c.mu.Unlock()
 	var network net.Error
 	if !expected && (!errors.As(err, &network) || network.Timeout()) {
-		c.front.logProblem("a client's connection is closed", c.nc, err)
+		c.front.logProblem("client connection closed", c.nc, err)
 	}
 	c.drop()
 }
@@ -116,14 +116,14 @@
 		c.dead, c.closing = true, true
 		close(c.answered)
 	}
-	left := make([]*call, 0, len(c.open))
+	cancelled := make([]*call, 0, len(c.open))
 	for _, open := range c.open {
-		left = append(left, open)
+		cancelled = append(cancelled, open)
 	}
 	clear(c.open)
 	c.mu.Unlock()
 	_ = c.nc.Close() // the connection is released even where this fails
-	for _, open := range left {
+	for _, open := range cancelled {
 		c.front.exchange.Disconnect(&open.Call)
 	}
 }
@@ -137,9 +137,9 @@
 func (c *conn) finish() {
 	c.mu.Lock()
 	c.closing = true
-	over := c.finished()
+	finished := c.finished()
 	c.mu.Unlock()
-	if over {
+	if finished {
 		c.linger()
 	}
 }
@@ -213,7 +213,7 @@
 func (c *conn) handleNotification(f *codec.Frame) {
 	m := c.front.cfg.Methods.byName[string(f.Method)]
 	if m == nil || !m.Notify {
-		c.front.logProblem("a notification is dropped", c.nc, fmt.Errorf("method %q accepts none", f.Method))
+		c.front.logProblem("notification dropped", c.nc, fmt.Errorf("method %q accepts none", f.Method))
 		return
 	}
 	if c.front.ending.Load() {
@@ -225,7 +225,7 @@
 	cl := &call{conn: c, notification: true}
 	if err := c.fill(cl, m, f, time.Now()); err != nil {
 		c.front.cfg.Shedder.RequestEnded(m.class, 0, overload.Inconclusive)
-		c.front.logProblem("a notification is dropped", c.nc, err)
+		c.front.logProblem("notification dropped", c.nc, err)
 		return
 	}
 	c.mu.Lock()
@@ -303,7 +303,7 @@
 	c.writing = true
 	c.mu.Unlock()
 	if full {
-		c.front.logProblem("a client's connection is closed", c.nc, errNotReading)
+		c.front.logProblem("client connection closed", c.nc, errNotReading)
 		_ = c.nc.Close() // ends the reader and the writer
 	}
 	if start {
@@ -318,12 +318,12 @@
 		b := c.outgoing
 		if len(b) == 0 || c.dead {
 			c.writing = false
-			over, unread := c.finished() && !c.dead, c.readClosed
+			finished, readClosed := c.finished() && !c.dead, c.readClosed
 			c.mu.Unlock()
 			switch {
-			case over && unread:
+			case finished && readClosed:
 				c.drop()
-			case over:
+			case finished:
 				c.linger()
 			}
 			return
@@ -339,7 +339,7 @@
 		c.spare = b
 		c.mu.Unlock()
 		if err != nil {
-			c.front.logProblem("a client's connection is closed", c.nc, err)
+			c.front.logProblem("client connection closed", c.nc, err)
 			c.drop()
 		}
 	}
--- a/internal/front/msgpackrpc/methods.go
+++ b/internal/front/msgpackrpc/methods.go
@@ -81,18 +81,18 @@
 	case m.Name == "" || len(m.Name) > maxNameBytes:
 		return errors.New("name: want 1 to 256 bytes")
 	case ms.byName[m.Name] != nil:
-		return errors.New("name: it is there twice")
+		return errors.New("name: it occurs twice")
 	case !ok:
 		return fmt.Errorf("class: the settings have no class %q", m.Class)
 	}
 	known := &method{Method: m, class: class, rules: &ms.catalog.Classes[class]}
 	switch {
 	case m.Notify && known.rules.Effect != balance.Safe:
-		return fmt.Errorf("notify: class %q is not safe to repeat, and nobody would hear what became of it", m.Class)
+		return fmt.Errorf("notify: class %q is not safe to repeat, and the outcome of a notification is not reported", m.Class)
 	case known.rules.Effect == balance.Keyed && !m.Idempotency.set:
-		return fmt.Errorf("idempotency_param: class %q wants a key", m.Class)
+		return fmt.Errorf("idempotency_param: class %q requires a key", m.Class)
 	case m.Tenant != "" && m.TenantParam.set:
-		return errors.New("tenant_param: there is a fixed tenant already")
+		return errors.New("tenant_param: not allowed with a fixed tenant")
 	}
 	if !m.TenantParam.set {
 		if known.tenant, ok = ms.catalog.Tenant(m.Tenant); !ok {
@@ -104,7 +104,7 @@
 			return fmt.Errorf("path: %q does not begin with a slash", m.Path)
 		}
 		if other, ok := ms.byPath[m.Path]; ok {
-			return fmt.Errorf("path: method %q has it too", other)
+			return fmt.Errorf("path: method %q has the same one", other)
 		}
 		ms.byPath[m.Path] = m.Name
 	}
@@ -248,7 +248,7 @@
 
 // fillCall sets the fields of a request from its parameters.
 func (ms *Methods) fillCall(c *core.Call, m *method, params []byte) error {
-	tenant, name, err := ms.tenantOf(m, params)
+	tenant, tenantName, err := ms.tenantOf(m, params)
 	if err != nil {
 		return fmt.Errorf("tenant: %w", err)
 	}
@@ -260,7 +260,7 @@
 	if err != nil {
 		return fmt.Errorf("idempotency key: %w", err)
 	}
-	left, err := m.timeLeft(params)
+	remaining, err := m.timeLeft(params)
 	if err != nil {
 		return fmt.Errorf("deadline: %w", err)
 	}
@@ -270,23 +270,23 @@
 	if c.Name != "" && !core.IsToken(c.Name) {
 		return errors.New("trace: it is no token")
 	}
-	repeat, err := m.Retry.number(params)
+	retry, err := m.Retry.number(params)
 	if err != nil && !errors.Is(err, errMissing) {
 		return fmt.Errorf("repeat: %w", err)
 	}
 	if ms.Claims {
-		c.Claim = &contract.Claim{Tenant: name, Listener: listenerName}
+		c.Claim = &contract.Claim{Tenant: tenantName, Listener: listenerName}
 		if token, err := m.Token.text(params); err == nil {
 			c.Claim.Token, c.Claim.HasToken = contract.DigestOf(token), true
 		} else if !errors.Is(err, errMissing) {
 			return fmt.Errorf("token: %w", err)
 		}
 	}
-	c.Request = balance.Request{Class: m.class, Tenant: tenant, Key: core.ObjectKey(object), Remaining: left, Retry: repeat > 0}
+	c.Request = balance.Request{Class: m.class, Tenant: tenant, Key: core.ObjectKey(object), Remaining: remaining, Retry: retry > 0}
 	c.Message = core.Message{
 		Trace:          c.Name,
 		Class:          m.Class,
-		Tenant:         name,
+		Tenant:         tenantName,
 		Object:         object,
 		IdempotencyKey: key,
 		Safe:           m.rules.Effect == balance.Safe,
@@ -331,15 +331,15 @@
 
 // timeLeft returns the time to a request's deadline in milliseconds: the class's, or less by its parameters.
 func (m *method) timeLeft(params []byte) (float64, error) {
-	left, err := m.Deadline.number(params)
+	remaining, err := m.Deadline.number(params)
 	if errors.Is(err, errMissing) {
 		return m.rules.Deadline, nil
 	}
 	if err != nil {
 		return 0, err
 	}
-	if !(left >= 0) { // also rejects NaN
+	if !(remaining >= 0) { // also rejects NaN
 		return 0, errors.New("it is no time")
 	}
-	return min(m.rules.Deadline, left), nil
+	return min(m.rules.Deadline, remaining), nil
 }
--- a/mesh/dataplane/incoming.go
+++ b/mesh/dataplane/incoming.go
@@ -74,7 +74,7 @@
 	return route == nil || !route.Allows(*d.service.Load())
 }
 
-// Verdict implements httpfront.Dialect: a request that the front rejects has not reached the server.
-func (incomingDialect) Verdict(status int, text string) *core.Answer {
+// ErrorAnswer implements httpfront.Dialect: a request that the front rejects has not reached the server.
+func (incomingDialect) ErrorAnswer(status int, text string) *core.Answer {
 	return ownAnswer(status, attempts.NotReceived, text, 0)
 }
