--- a/mesh/dataplane/outgoing.go
+++ b/mesh/dataplane/outgoing.go
@@ -71,7 +71,7 @@
 	return nil, nil
 }
 
-// Verdict implements httpfront.Dialect.
+// ErrorAnswer implements httpfront.Dialect.
 func (clientDialect) ErrorAnswer(status int, text string) *core.Answer {
 	return ownAnswer(status, "", text, 0)
 }
