--- a/internal/sidecar/components.go
+++ b/internal/sidecar/components.go
@@ -105,12 +105,12 @@
 	cfg := c.cfg
 	c.back = newHTTPBack(ctx, c.polled, httpback.Config{
 		ConnectTimeout: cmp.Or(millis(cfg.Balance.ConnectTimeout), defaultConnectTimeout),
-		Idle:           c.idleTimeout,
-		Rest:           cfg.reuseDelay,
-		Sockets:        c.budget.servers,
-		Fields:         cfg.fields,
-		Reports:        cfg.Balance.Reports != balance.ReportNone,
-		NoteLate: func(e *core.Endpoint) {
+		IdleTimeout:    c.idleTimeout,
+		ReuseDelay:     cfg.reuseDelay,
+		MaxConns:       c.budget.servers,
+		ReportFields:   cfg.fields,
+		ProbeForReport: cfg.Balance.Reports != balance.ReportNone,
+		OnLateData: func(e *core.Endpoint) {
 			c.log.Warn("a server sends more than its answers, and late", "server", e.Name())
 		},
 	}, c.log)
--- a/internal/sidecar/msgpackrpc.go
+++ b/internal/sidecar/msgpackrpc.go
@@ -82,16 +82,16 @@
 func newRPCBack(ctx context.Context, cfg *Config, sockets int, idle time.Duration, log *slog.Logger) *rpcback.Backend {
 	o := &cfg.Options.MsgpackRPC
 	return rpcback.New(ctx, rpcback.Config{
-		ConnectTimeout: cmp.Or(millis(cfg.Balance.ConnectTimeout), defaultConnectTimeout),
-		Idle:           idle,
-		Connections:    o.ServerConnections,
-		Sockets:        sockets,
-		Open:           o.ServerOpen,
-		Limits:         rpcLimits(o),
-		NeverRan:       o.NeverRan,
-		Answers:        o.Answers,
-		Probe:          o.Probe,
-		Log:            log,
+		ConnectTimeout:    cmp.Or(millis(cfg.Balance.ConnectTimeout), defaultConnectTimeout),
+		IdleTimeout:       idle,
+		MaxConnsPerServer: o.ServerConnections,
+		MaxConns:          sockets,
+		MaxOpenPerConn:    o.ServerOpen,
+		Limits:            rpcLimits(o),
+		NeverRan:          o.NeverRan,
+		ApplicationErrors: o.Answers,
+		Probe:             o.Probe,
+		Log:               log,
 	})
 }
 
--- a/internal/upstream/http/conn.go
+++ b/internal/upstream/http/conn.go
@@ -13,20 +13,20 @@
 
 // conn is a connection to an endpoint; it carries one request at a time.
 type conn struct {
-	net.Conn // nil while it is polled
-	polled   polled
-	in       answerReader // of what is not polled
-	endpoint *core.Endpoint
-	addr     string
-	idleFrom time.Time
-	uses     int  // how often it was given back
-	looked   bool // it was silent when its rest was over
-
-	lastBody uint64 // hash of the answer before; 0 if there was none, or it was empty
+	net.Conn      // nil while it is polled
+	polled        polledSocket
+	reader        responseReader // of what is not polled
+	endpoint      *core.Endpoint
+	addr          string
+	idleSince     time.Time
+	uses          int  // how often it was given back
+	verifiedQuiet bool // it was silent when its rest was over
+
+	lastBodyHash uint64 // hash of the answer before; 0 if there was none, or it was empty
 }
 
 // polled is a connection that waits for the kernel's readiness, as long as no goroutine has it.
-type polled interface {
+type polledSocket interface {
 	// peek is asked of a connection that is idle, by whoever took it out of the pool or holds the pool's lock.
 	peek() socket.PeekState
 	Close() error
--- a/internal/upstream/http/encode.go
+++ b/internal/upstream/http/encode.go
@@ -41,16 +41,16 @@
 // encode writes the request of an attempt.
 func (u *upstream) encode(a *core.Attempt) ([]byte, error) {
 	if u.dialect != nil {
-		return u.appendSpoken(make([]byte, 0, 512+len(a.Message.Body)), a), nil
+		return u.appendDialectRequest(make([]byte, 0, 512+len(a.Message.Body)), a), nil
 	}
 	return encode(a.Message, a.Deadline)
 }
 
 // appendSpoken appends a request in the words of a dialect; a body that is a stream follows it.
-func (u *upstream) appendSpoken(dst []byte, a *core.Attempt) []byte {
-	m, left := a.Message, time.Until(a.Deadline)
+func (u *upstream) appendDialectRequest(dst []byte, a *core.Attempt) []byte {
+	m, remaining := a.Message, time.Until(a.Deadline)
 	if m.Stream != nil {
-		left = m.Remaining
+		remaining = m.Remaining
 	}
 	dst = append(append(dst, methodOf(m)...), ' ')
 	dst = append(append(dst, m.Target...), " HTTP/1.1\r\nHost: "...)
@@ -60,14 +60,14 @@
 		case "Host", "Content-Length", "Transfer-Encoding", "Trailer", "Expect":
 			continue
 		}
-		if !u.dialect.Keep(name) {
+		if !u.dialect.ForwardsHeader(name) {
 			continue
 		}
 		for _, v := range values {
 			dst = append(append(append(append(dst, name...), ": "...), v...), "\r\n"...)
 		}
 	}
-	dst = u.dialect.Fields(dst, a, left)
+	dst = u.dialect.AppendHeaders(dst, a, remaining)
 	switch {
 	case m.Stream != nil && m.Stream.Length() < 0:
 		return append(dst, "Transfer-Encoding: chunked\r\n\r\n"...)
@@ -82,9 +82,9 @@
 }
 
 // encode writes the message as it is sent to a server, with the time that remains until cut.
-func encode(m *core.Message, cut time.Time) ([]byte, error) {
+func encode(m *core.Message, deadline time.Time) ([]byte, error) {
 	if m.Meta != nil && m.Stream == nil { // it came over HTTP, and was checked
-		return appendRequest(make([]byte, 0, 512+len(m.Body)), m, time.Until(cut)), nil
+		return appendRequest(make([]byte, 0, 512+len(m.Body)), m, time.Until(deadline)), nil
 	}
 	req := http.Request{
 		Method: methodOf(m),
@@ -92,11 +92,11 @@
 		Header: headerOf(m),
 		Host:   cmp.Or(m.Authority, "app.svc"),
 	}
-	left := time.Until(cut)
+	remaining := time.Until(deadline)
 	if m.Stream != nil {
-		left = m.Remaining // the server counts from the last byte too
+		remaining = m.Remaining // the server counts from the last byte too
 	}
-	req.Header.Set(httpwire.ExpiryHeader, strconv.FormatInt(max(1, left.Microseconds()), 10)+"u")
+	req.Header.Set(httpwire.ExpiryHeader, strconv.FormatInt(max(1, remaining.Microseconds()), 10)+"u")
 	if req.Header.Get("User-Agent") == "" {
 		req.Header.Set("User-Agent", "") // else Write adds one of its own
 	}
@@ -116,7 +116,7 @@
 }
 
 // appendRequest appends a request whose fields are those that came, as they came.
-func appendRequest(dst []byte, m *core.Message, left time.Duration) []byte {
+func appendRequest(dst []byte, m *core.Message, remaining time.Duration) []byte {
 	method := methodOf(m)
 	dst = append(append(dst, method...), ' ')
 	dst = append(append(dst, m.Target...), " HTTP/1.1\r\nHost: "...)
@@ -139,7 +139,7 @@
 		dst = append(append(dst, "\r\nX-Qos: "...), class...)
 	}
 	dst = append(dst, "\r\n"+httpwire.ExpiryHeader+": "...)
-	dst = append(strconv.AppendInt(dst, max(1, left.Microseconds()), 10), 'u')
+	dst = append(strconv.AppendInt(dst, max(1, remaining.Microseconds()), 10), 'u')
 	if len(m.Body) > 0 || method != http.MethodGet {
 		dst = append(dst, "\r\nContent-Length: "...)
 		dst = strconv.AppendInt(dst, int64(len(m.Body)), 10)
--- a/internal/upstream/http/late_test.go
+++ b/internal/upstream/http/late_test.go
@@ -30,10 +30,10 @@
 	return core.NewEndpoint(name, ln.Addr().String()), conns
 }
 
-func latePool(t *testing.T) (p *pool, noted *[]string) {
+func newLatePool(t *testing.T) (p *pool, noted *[]string) {
 	t.Helper()
 	p, noted = newPool(time.Second, time.Minute, 0, 256), new([]string)
-	p.noteLate = func(e *core.Endpoint) { *noted = append(*noted, e.Name()) }
+	p.onLateData = func(e *core.Endpoint) { *noted = append(*noted, e.Name()) }
 	t.Cleanup(p.closeAll)
 	return p, noted
 }
@@ -49,13 +49,13 @@
 
 // A server that sends something when its answer is long over would, another time, do so while the next request is out,
 // and that would be served with an answer made for the one before. Its connections carry one request from then on.
-func TestLateExtraEndsReuse(t *testing.T) {
-	p, noted := latePool(t)
+func TestLateDataEndsReuse(t *testing.T) {
+	p, noted := newLatePool(t)
 	e, conns := silentServer(t, "s-1")
 	c := p.mustGet(t, e)
 	p.put(c)
-	p.look(time.Now())
-	if !c.looked {
+	p.checkPending(time.Now())
+	if !c.verifiedQuiet {
 		t.Fatal("a connection that rested in silence was not passed")
 	}
 	_, _ = io.WriteString(<-conns, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -68,18 +68,18 @@
 	if len(*noted) != 1 || len(p.idle[e]) != 0 {
 		t.Errorf("noted %v, %d connections are kept", *noted, len(p.idle[e]))
 	}
-	if left := time.Until(p.lateOnes[e]); left < lateMemory/2 || left > lateMemory {
+	if left := time.Until(p.lateSenders[e]); left < lateSenderTTL/2 || left > lateSenderTTL {
 		t.Errorf("that holds for %v", left)
 	}
 }
 
 // The sweep finds it too, where no request comes to find it.
-func TestSweepFindsLateExtra(t *testing.T) {
-	p, noted := latePool(t)
+func TestSweepDetectsLateData(t *testing.T) {
+	p, noted := newLatePool(t)
 	e, conns := silentServer(t, "s-1")
 	c := p.mustGet(t, e)
 	p.put(c)
-	p.look(time.Now())
+	p.checkPending(time.Now())
 	_, _ = io.WriteString(<-conns, "x")
 	testbed.Until(t, "it is there", func() bool { return c.state() == socket.Readable })
 	p.sweep(time.Now())
@@ -90,27 +90,27 @@
 
 // What comes right behind the answer is there when the rest is over: the connection ends, and nothing is held against
 // the server.
-func TestExtraRightBehindIsNoEvidence(t *testing.T) {
-	p, noted := latePool(t)
+func TestExtraDataWithinReuseDelayIsNotLate(t *testing.T) {
+	p, noted := newLatePool(t)
 	e, conns := silentServer(t, "s-1")
 	c := p.mustGet(t, e)
 	_, _ = io.WriteString(<-conns, "x")
 	testbed.Until(t, "it is there", func() bool { return c.state() == socket.Readable })
 	p.put(c)
-	p.look(time.Now())
-	if len(*noted) != 0 || p.open != 0 || len(p.lateOnes) != 0 {
-		t.Errorf("noted %v, %d open, until %v", *noted, p.open, p.lateOnes[e])
+	p.checkPending(time.Now())
+	if len(*noted) != 0 || p.open != 0 || len(p.lateSenders) != 0 {
+		t.Errorf("noted %v, %d open, until %v", *noted, p.open, p.lateSenders[e])
 	}
 }
 
 // Where two servers were caught, it is no server's own: connections to all of them rest longer.
-func TestTwoLateServersMakeAllRest(t *testing.T) {
-	p, _ := latePool(t)
+func TestTwoLateServersExtendReuseDelay(t *testing.T) {
+	p, _ := newLatePool(t)
 	for _, name := range []string{"s-1", "s-2"} {
 		e, conns := silentServer(t, name)
 		c := p.mustGet(t, e)
 		p.put(c)
-		p.look(time.Now())
+		p.checkPending(time.Now())
 		_, _ = io.WriteString(<-conns, "x")
 		testbed.Until(t, "it is there", func() bool { return c.state() == socket.Readable })
 		p.sweep(time.Now())
@@ -118,13 +118,13 @@
 	e, _ := silentServer(t, "s-3")
 	c := p.mustGet(t, e)
 	p.put(c)
-	p.look(time.Now())
+	p.checkPending(time.Now())
 	if next := p.mustGet(t, e); next == c {
 		t.Error("a connection is used again at once")
 	} else {
 		p.drop(next)
 	}
-	c.idleFrom = c.idleFrom.Add(-lateRest)
+	c.idleSince = c.idleSince.Add(-extendedReuseDelay)
 	if next := p.mustGet(t, e); next != c {
 		t.Error("a connection that has rested is not used again")
 	} else {
@@ -134,11 +134,11 @@
 
 // While servers are known to send copies, the very bytes of the answer before are no answer to the next request. At
 // other times they are: a server may always say the same.
-func TestAnswerOfTheOneBefore(t *testing.T) {
+func TestRepeatedBodyFailsWhileLateSenderSuspected(t *testing.T) {
 	for _, suspicious := range []bool{false, true} {
 		same := testbed.Say(200, "made for the one before")
 		s := testbed.NewScript(t, same)
-		p, _ := latePool(t)
+		p, _ := newLatePool(t)
 		u := &upstream{pool: p}
 		e := core.NewEndpoint("s-1", s.Addr)
 		try := func() core.Result {
@@ -146,12 +146,12 @@
 			end := time.Now().Add(testbed.Patience)
 			a := &attempt{Attempt: core.NewAttempt(e, m, end, func(core.Result) {}), ctx: t.Context()}
 			r := u.perform(a)
-			p.look(time.Now())
+			p.checkPending(time.Now())
 			return r
 		}
 		first := try()
 		if suspicious {
-			p.late, p.lateAt = core.NewEndpoint("s-2", ""), time.Now()
+			p.lastLate, p.lastLateAt = core.NewEndpoint("s-2", ""), time.Now()
 		}
 		second := try()
 		want := balance.OK
--- a/internal/upstream/http/ended_test.go
+++ b/internal/upstream/http/onend_test.go
@@ -10,16 +10,17 @@
 )
 
 // Config.Ended is told once of an attempt that breaks off, and ends it in place of the back, whichever kind of back it is.
-func TestWhoIsToldOfAnEndMayEndItLater(t *testing.T) {
+func TestOnEndMayTakeOverAttempt(t *testing.T) {
 	for name, polled := range map[string]bool{"polled": true, "with goroutines": false} {
 		t.Run(name, func(t *testing.T) {
 			e, conns := silentServer(t, "s-1")
-			told, ended := make(chan balance.Result, 4), make(chan balance.Result, 4)
-			cfg := Config{ConnectTimeout: testbed.Patience, Idle: testbed.Patience, Sockets: 4, Ended: func(a *core.Attempt, r core.Result) bool {
-				told <- r.Outcome
-				go a.End(core.Result{Outcome: balance.Rejected, NotDelivered: true})
-				return true
-			}}
+			notified, ended := make(chan balance.Result, 4), make(chan balance.Result, 4)
+			cfg := Config{ConnectTimeout: testbed.Patience, IdleTimeout: testbed.Patience, MaxConns: 4,
+				OnEnd: func(a *core.Attempt, r core.Result) bool {
+					notified <- r.Outcome
+					go a.End(core.Result{Outcome: balance.Rejected, NotDelivered: true})
+					return true
+				}}
 			a := core.NewAttempt(e, &core.Message{Target: "/"}, time.Now().Add(testbed.Patience), func(r core.Result) { ended <- r.Outcome })
 			if polled {
 				b, err := NewPoll(t.Context(), cfg)
@@ -33,13 +34,13 @@
 			c := <-conns
 			_, _ = c.Read(make([]byte, 1))
 			_ = c.Close()
-			if got := <-told; got != balance.Reset {
+			if got := <-notified; got != balance.Reset {
 				t.Errorf("told of %v", got)
 			}
 			if got := <-ended; got != balance.Rejected {
 				t.Errorf("ended with %v", got)
 			}
-			if len(told)+len(ended) > 0 {
+			if len(notified)+len(ended) > 0 {
 				t.Error("told or ended twice")
 			}
 		})
--- a/internal/upstream/http/outcome.go
+++ b/internal/upstream/http/outcome.go
@@ -14,7 +14,7 @@
 )
 
 // unconnected is the outcome where there is no connection: a failure of this side's own must not count against the server.
-func unconnected(a *attempt, err error) balance.Result {
+func connectOutcome(a *attempt, err error) balance.Result {
 	if a.ctx.Err() != nil || errors.Is(err, errNoSocket) || !time.Now().Before(a.Deadline) {
 		return balance.NotSent
 	}
@@ -22,7 +22,7 @@
 }
 
 // answer is an answer without its body. The head's fields are its own from now on.
-func (h *answerHead) answer() *core.Answer {
+func (h *responseHead) newAnswer() *core.Answer {
 	delete(h.header, loadHeader)
 	httpwire.RemoveHopByHop(h.header)
 	return &core.Answer{Meta: h.header, ContentType: h.header.Get("Content-Type")}
@@ -33,7 +33,7 @@
 }
 
 // broken is the outcome where no whole answer came to a request that was written whole.
-func (a *attempt) broken(err error) balance.Result {
+func (a *attempt) failureOutcome(err error) balance.Result {
 	if a.ctx.Err() != nil {
 		return balance.Cancelled
 	}
@@ -44,12 +44,12 @@
 }
 
 // outcome is what an answer proves.
-func (h *answerHead) outcome() balance.Result {
+func (h *responseHead) outcome() balance.Result {
 	switch h.status {
 	case http.StatusOK:
 		return balance.OK
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
-		if h.header.Get(neverRan) == "1" {
+		if h.header.Get(neverRanHeader) == "1" {
 			return balance.Rejected
 		}
 	}
--- a/internal/upstream/http/poll_linux.go
+++ b/internal/upstream/http/poll_linux.go
@@ -26,8 +26,8 @@
 // may wait for any of them.
 type PollBackend struct {
 	*Backend
-	poller  *poller.Poller
-	scratch []byte // the poller's own
+	poller     *poller.Poller
+	readBuffer []byte // the poller's own
 
 	start      time.Time
 	polledUpTo atomic.Int64 // since start: what came on any connection before that has been handled
@@ -39,9 +39,9 @@
 
 const (
 	// The wheel of attempts: none is given up later than by a tick, and what the processor is late.
-	attemptTick  = time.Millisecond
-	attemptSlots = 4096
-	readAtOnce   = 64 << 10
+	timeoutTick     = time.Millisecond
+	timeoutSlots    = 4096
+	readBufferBytes = 64 << 10
 )
 
 // NewPoll returns a backend on the kernel's readiness, whose attempts end when ctx does.
@@ -51,20 +51,20 @@
 		return nil, err
 	}
 	b := &PollBackend{
-		Backend: New(ctx, cfg), poller: p, scratch: make([]byte, readAtOnce), start: time.Now(),
-		wheel: timerwheel.New[*polledConn](attemptTick, attemptSlots),
+		Backend: New(ctx, cfg), poller: p, readBuffer: make([]byte, readBufferBytes), start: time.Now(),
+		wheel: timerwheel.New[*polledConn](timeoutTick, timeoutSlots),
 	}
 	b.up.pool.adopt = b.adopt
 	b.up.pool.polledUpTo = func() time.Time { return b.start.Add(time.Duration(b.polledUpTo.Load())) }
 	b.running.Go(func() {
-		b.poller.Run(b.ring, func(began time.Time) { b.polledUpTo.Store(int64(began.Sub(b.start))) })
+		b.poller.Run(b.runTimeouts, func(began time.Time) { b.polledUpTo.Store(int64(began.Sub(b.start))) })
 	})
-	context.AfterFunc(ctx, b.shut)
+	context.AfterFunc(ctx, b.closeConns)
 	return b, nil
 }
 
 // shut closes what is open; the exchange has ended, nobody waits for the attempts.
-func (b *PollBackend) shut() {
+func (b *PollBackend) closeConns() {
 	for _, h := range b.poller.Handlers() {
 		_ = h.(*polledConn).Close() // nobody waits for what comes of it
 	}
@@ -78,9 +78,9 @@
 		b.Backend.Begin(a)
 		return
 	}
-	t := &polledRequest{up: b.up, attempt: a, endpoint: a.Endpoint, cut: a.Deadline}
+	t := &polledRequest{up: b.up, attempt: a, endpoint: a.Endpoint, deadline: a.Deadline}
 	a.State = t
-	b.begin(t, addr)
+	b.startRequest(t, addr)
 }
 
 // Cancel implements core.Backend.
@@ -91,7 +91,7 @@
 		return
 	}
 	if s := t.conn; s != nil {
-		s.giveUp(t)
+		s.cancel(t)
 	}
 }
 
@@ -102,27 +102,27 @@
 		b.Backend.Probe(e, done)
 		return
 	}
-	t := &polledRequest{up: b.up, probe: done, endpoint: e, cut: time.Now().Add(b.up.pool.connectTimeout + probePatience)}
-	b.begin(t, addr)
+	t := &polledRequest{up: b.up, probe: done, endpoint: e, deadline: time.Now().Add(b.up.pool.connectTimeout + probeGrace)}
+	b.startRequest(t, addr)
 }
 
 // polledRequest is an attempt or a probe.
 type polledRequest struct {
-	up       *upstream
-	attempt  *core.Attempt // nil of a probe
-	probe    func(core.Result)
-	endpoint *core.Endpoint
-	cut      time.Time
-	conn     *polledConn             // set before Begin returns, and never changed
-	taken    atomic.Pointer[attempt] // by a goroutine, as its answer passes through
+	up         *upstream
+	attempt    *core.Attempt // nil of a probe
+	probe      func(core.Result)
+	endpoint   *core.Endpoint
+	deadline   time.Time
+	conn       *polledConn             // set before Begin returns, and never changed
+	handedOver atomic.Pointer[attempt] // by a goroutine, as its answer passes through
 }
 
 // over reports whether nothing may be sent for it any more.
-func (t *polledRequest) over() bool {
+func (t *polledRequest) obsolete() bool {
 	if t.attempt != nil {
 		return t.attempt.Obsolete()
 	}
-	return !time.Now().Before(t.cut)
+	return !time.Now().Before(t.deadline)
 }
 
 // encode makes its request, with the time that it has left.
@@ -130,7 +130,7 @@
 	if t.attempt != nil {
 		return b.up.encode(t.attempt)
 	}
-	return b.up.question(t.endpoint.Addr()), nil
+	return b.up.probeRequest(t.endpoint.Addr()), nil
 }
 
 // end ends it, on a goroutine that may wait for the exchange.
@@ -143,7 +143,7 @@
 }
 
 // settle ends what was not begun, or is given up, from a goroutine that may not wait.
-func (b *PollBackend) settle(t *polledRequest, outcome balance.Result) {
+func (b *PollBackend) endAsync(t *polledRequest, outcome balance.Result) {
 	if t.attempt == nil && outcome == balance.NotSent {
 		outcome = balance.ConnectFailed // a probe has no other failure
 	}
@@ -151,35 +151,35 @@
 }
 
 // begin puts a request on an idle connection, or on a new one.
-func (b *PollBackend) begin(t *polledRequest, addr netip.AddrPort) {
-	if t.over() {
-		b.settle(t, balance.NotSent)
+func (b *PollBackend) startRequest(t *polledRequest, addr netip.AddrPort) {
+	if t.obsolete() {
+		b.endAsync(t, balance.NotSent)
 		return
 	}
 	p := b.up.pool
-	within := time.Duration(0)
+	maxIdle := time.Duration(0)
 	if t.attempt != nil {
-		within = p.within(t.attempt.Message)
+		maxIdle = p.maxIdle(t.attempt.Message)
 	}
-	for c := p.takeIdle(t.endpoint, within); c != nil; c = p.takeIdle(t.endpoint, within) {
-		if c = p.check(c, t.endpoint); c == nil {
+	for c := p.takeIdle(t.endpoint, maxIdle); c != nil; c = p.takeIdle(t.endpoint, maxIdle) {
+		if c = p.checkIdle(c, t.endpoint); c == nil {
 			continue
 		}
-		c.polled.(*polledConn).begin(t)
+		c.polled.(*polledConn).startRequest(t)
 		return
 	}
 	if !p.reserve() {
-		b.settle(t, balance.NotSent)
+		b.endAsync(t, balance.NotSent)
 		return
 	}
-	fd, err := connect(addr, p.silence)
+	fd, err := connect(addr, p.peerTimeout)
 	if err != nil {
 		p.release()
 		if socket.Exhausted(err) {
 			p.evict()
-			b.settle(t, balance.NotSent)
+			b.endAsync(t, balance.NotSent)
 		} else {
-			b.settle(t, balance.ConnectFailed)
+			b.endAsync(t, balance.ConnectFailed)
 		}
 		return
 	}
@@ -187,22 +187,22 @@
 	s := &polledConn{backend: b, conn: c, fd: fd, state: polledConnecting, current: t}
 	s.timeout.Owner, c.polled, t.conn = s, s, s
 	s.mu.Lock()
-	failed := b.poller.Register(fd, s, &s.place) != nil
+	failed := b.poller.Register(fd, s, &s.registration) != nil
 	if !failed {
-		b.setTimeout(s, min(time.Until(t.cut), p.connectTimeout))
+		b.setTimeout(s, min(time.Until(t.deadline), p.connectTimeout))
 	}
 	s.mu.Unlock()
 	if failed {
-		s.giveUp(t)
+		s.cancel(t)
 	}
 }
 
 // connect begins a connection.
 func connect(addr netip.AddrPort, silence time.Duration) (fd int, err error) {
 	family := unix.AF_INET6
-	var to unix.Sockaddr = &unix.SockaddrInet6{Port: int(addr.Port()), Addr: addr.Addr().As16()}
+	var sockaddr unix.Sockaddr = &unix.SockaddrInet6{Port: int(addr.Port()), Addr: addr.Addr().As16()}
 	if ip := addr.Addr().Unmap(); ip.Is4() {
-		family, to = unix.AF_INET, &unix.SockaddrInet4{Port: int(addr.Port()), Addr: ip.As4()}
+		family, sockaddr = unix.AF_INET, &unix.SockaddrInet4{Port: int(addr.Port()), Addr: ip.As4()}
 	}
 	fd, err = unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -210,7 +210,7 @@
 	}
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // the connection works without the option
 	socket.SetPeerTimeout(fd, silence)
-	if err := unix.Connect(fd, to); err != nil && err != unix.EINPROGRESS && err != unix.EINTR {
+	if err := unix.Connect(fd, sockaddr); err != nil && err != unix.EINPROGRESS && err != unix.EINTR {
 		_ = unix.Close(fd) // the descriptor is released even where this fails
 		return -1, fmt.Errorf("connect: %w", err)
 	}
@@ -228,7 +228,7 @@
 		return false
 	}
 	fd, failed := -1, error(nil)
-	err = raw.Control(func(theirs uintptr) { fd, failed = unix.FcntlInt(theirs, unix.F_DUPFD_CLOEXEC, 0) })
+	err = raw.Control(func(original uintptr) { fd, failed = unix.FcntlInt(original, unix.F_DUPFD_CLOEXEC, 0) })
 	if err != nil || failed != nil {
 		return false
 	}
@@ -238,18 +238,18 @@
 	c.Conn, c.polled = nil, s
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return b.poller.Register(fd, s, &s.place) == nil
+	return b.poller.Register(fd, s, &s.registration) == nil
 }
 
 // setTimeout sets a connection's time-out, and the poller's alarm where it comes before all others.
-func (b *PollBackend) setTimeout(s *polledConn, in time.Duration) {
+func (b *PollBackend) setTimeout(s *polledConn, delay time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	at := (time.Since(b.start) + max(0, in) + attemptTick - 1).Truncate(attemptTick)
-	b.wheel.Set(&s.timeout, at)
-	if b.alarm == 0 || at < b.alarm {
-		b.alarm = at
-		b.poller.SetAlarm(b.start.Add(at))
+	due := (time.Since(b.start) + max(0, delay) + timeoutTick - 1).Truncate(timeoutTick)
+	b.wheel.Set(&s.timeout, due)
+	if b.alarm == 0 || due < b.alarm {
+		b.alarm = due
+		b.poller.SetAlarm(b.start.Add(due))
 	}
 }
 
@@ -260,7 +260,7 @@
 }
 
 // ring plays the time-outs that are due, on the poller's goroutine.
-func (b *PollBackend) ring() {
+func (b *PollBackend) runTimeouts() {
 	b.mu.Lock()
 	due := b.wheel.Advance(time.Since(b.start), nil)
 	at, ok := b.wheel.Next()
@@ -273,6 +273,6 @@
 	}
 	b.mu.Unlock()
 	for _, s := range due {
-		s.expired()
+		s.handleTimeout()
 	}
 }
--- a/internal/upstream/http/poll_linux_test.go
+++ b/internal/upstream/http/poll_linux_test.go
@@ -19,9 +19,9 @@
 	"firplank/internal/testbed"
 )
 
-func newPolled(t *testing.T, rest time.Duration) *subject {
+func newPollSubject(t *testing.T, rest time.Duration) *subject {
 	t.Helper()
-	b, err := NewPoll(t.Context(), Config{ConnectTimeout: testbed.Patience, Idle: testbed.Patience, Rest: rest, Sockets: 64})
+	b, err := NewPoll(t.Context(), Config{ConnectTimeout: testbed.Patience, IdleTimeout: testbed.Patience, ReuseDelay: rest, MaxConns: 64})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +30,7 @@
 }
 
 // dribble says a text in single bytes, each in a packet of its own.
-func dribble(text string) testbed.Step {
+func writeBytewise(text string) testbed.Step {
 	return func(c net.Conn) bool {
 		for i := range len(text) {
 			if _, err := io.WriteString(c, text[i:i+1]); err != nil {
@@ -45,16 +45,16 @@
 }
 
 // An answer is the same in whatever pieces it comes, and its connection goes on.
-func TestAnswersInPieces(t *testing.T) {
+func TestFragmentedResponses(t *testing.T) {
 	for name, text := range map[string]string{
 		"length":  "HTTP/1.1 103 Early Hints\r\nA: b\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved",
 		"chunks":  "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nse\r\n4;x=y\r\nrved\r\n0\r\nT: u\r\n\r\n",
 		"bare LF": "HTTP/1.1 200 OK\nContent-Length: 6\n\nserved",
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, u := testbed.NewScript(t, dribble(text), dribble(text)), newPolled(t, 0)
+			s, u := testbed.NewScript(t, writeBytewise(text), writeBytewise(text)), newPollSubject(t, 0)
 			for range 2 {
-				r := u.want(t, newAttempt(at(s.Addr), testbed.Patience), balance.OK)
+				r := u.want(t, newAttempt(endpointAt(s.Addr), testbed.Patience), balance.OK)
 				if r.Answer == nil || string(r.Answer.Body) != "served" {
 					t.Fatalf("got %+v", r.Answer)
 				}
@@ -64,21 +64,21 @@
 }
 
 // A request whose last byte has not gone out never ran, even where its time is up.
-func TestUnreadRequestNeverRan(t *testing.T) {
-	u := newPolled(t, 0)
+func TestIncompletelyWrittenRequestIsNotSent(t *testing.T) {
+	u := newPollSubject(t, 0)
 	e, conns := silentServer(t, "s-1")
 	a := newAttempt(e, 150*time.Millisecond)
 	a.Message.Body = make([]byte, 32<<20) // more than the kernel holds
 	u.want(t, a, balance.NotSent)
 	testbed.Next(t, conns)
-	testbed.Until(t, "its connection is gone", func() bool { return u.kept() == 0 })
+	testbed.Until(t, "its connection is gone", func() bool { return u.openConns() == 0 })
 }
 
 // What comes on a connection long after its answer is held against the server; what is there when its rest is over is not.
-func TestPolledLateExtra(t *testing.T) {
+func TestPolledLateData(t *testing.T) {
 	for name, rest := range map[string]time.Duration{"late": 0, "right behind": time.Hour} {
 		t.Run(name, func(t *testing.T) {
-			u := newPolled(t, rest)
+			u := newPollSubject(t, rest)
 			e, conns := silentServer(t, "s-1")
 			a := newAttempt(e, testbed.Patience)
 			u.poll.Begin(a.Attempt)
@@ -89,7 +89,7 @@
 			}
 			// Another round of the poller's, so that it has heard of all that was there.
 			other := testbed.NewScript(t, testbed.Say(200, ""))
-			u.want(t, newAttempt(at(other.Addr), testbed.Patience), balance.OK)
+			u.want(t, newAttempt(endpointAt(other.Addr), testbed.Patience), balance.OK)
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 			testbed.Until(t, "the connection ends", func() bool {
 				u.pool.mu.Lock()
@@ -97,7 +97,7 @@
 				return len(u.pool.idle[e]) == 0
 			})
 			u.pool.mu.Lock()
-			_, caught := u.pool.lateOnes[e]
+			_, caught := u.pool.lateSenders[e]
 			u.pool.mu.Unlock()
 			if caught != (rest == 0) {
 				t.Errorf("caught: %v", caught)
@@ -124,32 +124,32 @@
 }
 
 // An answer that is long, or may be, goes on to the client as it comes, on a goroutine; then its connection is polled again.
-func TestLongAnswersPass(t *testing.T) {
+func TestLongResponsesAreStreamed(t *testing.T) {
 	long := strings.Repeat("0123456789abcdef", 20<<10)
 	slow := func(c net.Conn) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n")
-		time.Sleep(2 * heldBack)
+		time.Sleep(2 * holdTimeout)
 		_, err := io.WriteString(c, "3\r\ndef\r\n0\r\n\r\n")
 		return err == nil
 	}
 	late := func(c net.Conn) bool { // nothing at all for a while, and then for longer than the attempt may take
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-		time.Sleep(2 * heldBack)
+		time.Sleep(2 * holdTimeout)
 		for _, text := range []string{"3\r\nabc\r\n", "3\r\ndef\r\n", "0\r\n\r\n"} {
 			if _, err := io.WriteString(c, text); err != nil {
 				return false
 			}
-			time.Sleep(4 * heldBack)
+			time.Sleep(4 * holdTimeout)
 		}
 		return true
 	}
 	s := testbed.NewScript(t, testbed.Say(200, long), slow, late, testbed.Say(200, "short"))
-	u := newPolled(t, 0)
-	e := at(s.Addr)
+	u := newPollSubject(t, 0)
+	e := endpointAt(s.Addr)
 	for i, want := range []string{long, "abcdef", "abcdef"} {
 		within := testbed.Patience
 		if i == 2 {
-			within = 5 * heldBack
+			within = 5 * holdTimeout
 		}
 		a := newAttempt(e, within)
 		a.Message.AcceptsStream = true
@@ -173,10 +173,10 @@
 }
 
 // Attempts end at their time, not before it and hardly behind, and none is left.
-func TestAttemptsEndInTime(t *testing.T) {
-	u := newPolled(t, 0)
+func TestAttemptsEndAtDeadline(t *testing.T) {
+	u := newPollSubject(t, 0)
 	e, _ := silentServer(t, "s-1")
-	var all []*tried
+	var all []*testAttempt
 	begun := time.Now()
 	for i := range 50 {
 		a := newAttempt(e, time.Duration(20+i)*time.Millisecond)
@@ -189,7 +189,7 @@
 			t.Errorf("attempt %d: %v after %v", i, r.Outcome, took)
 		}
 	}
-	if n := u.kept(); n != 0 {
+	if n := u.openConns(); n != 0 {
 		t.Errorf("%d connections left", n)
 	}
 }
@@ -209,21 +209,21 @@
 		f.Add([]byte(text), uint8(3))
 	}
 	f.Fuzz(func(t *testing.T, text []byte, step uint8) {
-		var in incoming
+		var in responseParser
 		whole, err := false, error(nil)
 		n := 0
 		for !whole && err == nil && n < len(text) {
 			n = min(len(text), n+int(step)+1)
-			whole, err = in.next(text[:n], false)
+			whole, err = in.parse(text[:n], false)
 		}
 		if !whole && err == nil {
-			whole, err = in.next(text[:n], true)
+			whole, err = in.parse(text[:n], true)
 		}
 		if err != nil || !whole {
 			return
 		}
 		body, _ := in.body(text[:n])
-		resp, theirs, err := newAnswerReader(bytes.NewReader(text)).next(http.MethodPost)
+		resp, theirs, err := newResponseReader(bytes.NewReader(text)).readWhole(http.MethodPost)
 		if err != nil {
 			if len(body) > httpwire.MaxBufferedBody {
 				return // theirs bounds it, ours is bounded by who reads
@@ -231,7 +231,7 @@
 			t.Fatalf("theirs: %v, ours took %+v", err, in.head)
 		}
 		h := headOf(resp)
-		if in.head.status != h.status || !bytes.Equal(body, theirs) || in.head.last != h.last {
+		if in.head.status != h.status || !bytes.Equal(body, theirs) || in.head.willClose != h.willClose {
 			t.Fatalf("ours %+v with %q, theirs %+v with %q", in.head, body, h, theirs)
 		}
 		delete(in.head.header, "Connection") // which the library keeps or drops, and is not passed on
@@ -243,8 +243,8 @@
 }
 
 // What goes out is read by the standard library as what it says.
-func TestRequestAsItIsRead(t *testing.T) {
-	a := newAttempt(at("127.0.0.1:1"), testbed.Patience)
+func TestEncodedRequestParses(t *testing.T) {
+	a := newAttempt(endpointAt("127.0.0.1:1"), testbed.Patience)
 	a.Message.Class, a.Message.Safe = "gold", false
 	a.Message.Meta = http.Header{"X-Qos": {"silver"}, "Accept": {"a", "b"}, "Expect": {"100-continue"}, "Content-Length": {"99"}}
 	r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(appendRequest(nil, a.Message, time.Second))))
@@ -260,7 +260,7 @@
 }
 
 // Nobody reads the answer any more: the server learns of that at once, though its next bytes would come much later.
-func TestAnswerThatNobodyReadsEndsAtItsServer(t *testing.T) {
+func TestAbandonedStreamClosesServerConnection(t *testing.T) {
 	for name, polled := range map[string]bool{"polled": true, "with goroutines": false} {
 		t.Run(name, func(t *testing.T) {
 			e, conns := silentServer(t, "s-1")
@@ -268,9 +268,9 @@
 			m := &core.Message{Target: "/", AcceptsStream: true}
 			a := core.NewAttempt(e, m, time.Now().Add(testbed.Patience), func(r core.Result) { ended <- r })
 			if polled {
-				newPolled(t, 0).poll.Begin(a)
+				newPollSubject(t, 0).poll.Begin(a)
 			} else {
-				New(t.Context(), Config{ConnectTimeout: testbed.Patience, Idle: testbed.Patience, Sockets: 4}).Begin(a)
+				New(t.Context(), Config{ConnectTimeout: testbed.Patience, IdleTimeout: testbed.Patience, MaxConns: 4}).Begin(a)
 			}
 			c := testbed.Next(t, conns)
 			_, _ = c.Read(make([]byte, 1<<10))
@@ -282,7 +282,7 @@
 				t.Fatalf("got %+v", r)
 			}
 			r.Answer.Stream.CloseRead(errors.New("its client has left"))
-			_ = c.SetReadDeadline(time.Now().Add(stall / 4))
+			_ = c.SetReadDeadline(time.Now().Add(stallTimeout / 4))
 			if _, err := c.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Errorf("the connection is still open: %v", err)
 			}
--- a/internal/upstream/http/polledconn_linux.go
+++ b/internal/upstream/http/polledconn_linux.go
@@ -26,24 +26,24 @@
 	polledConnecting                    // the request waits for the connection
 	polledWriting                       // ... for room
 	polledWaiting                       // for the answer
-	polledGone                          // closed, or a goroutine's
+	polledReleased                      // closed, or a goroutine's
 )
 
 // polledConn is a connection to a server that is polled. Its lock guards what follows it.
 type polledConn struct {
-	backend *PollBackend
-	conn    *conn
-	place   poller.Registration
+	backend      *PollBackend
+	conn         *conn
+	registration poller.Registration
 
-	mu      sync.Mutex
-	fd      int
-	state   polledState
-	current *polledRequest // nil while it is idle
-	out     []byte         // of the request, what is not written
-	in      []byte         // of the answer, what has come in pieces
-	ans     incoming
+	mu       sync.Mutex
+	fd       int
+	state    polledState
+	current  *polledRequest // nil while it is idle
+	unsent   []byte         // of the request, what is not written
+	received []byte         // of the answer, what has come in pieces
+	parser   responseParser
 	// headAt is when the head was whole of an answer that may pass through.
-	headAt time.Time
+	headCompletedAt time.Time
 
 	timeout timerwheel.Timer[*polledConn] // guarded by backend.mu
 }
@@ -52,37 +52,37 @@
 func (s *polledConn) peek() socket.PeekState { return socket.PeekFD(s.fd) }
 
 // begin writes a request to a connection that was idle.
-func (s *polledConn) begin(t *polledRequest) {
+func (s *polledConn) startRequest(t *polledRequest) {
 	s.mu.Lock()
 	if s.state != polledIdle { // closed at the end of all
 		s.mu.Unlock()
-		s.backend.settle(t, balance.NotSent)
+		s.backend.endAsync(t, balance.NotSent)
 		return
 	}
 	s.current, t.conn = t, s
 	e := s.send()
 	s.mu.Unlock()
 	if e != nil {
-		s.backend.running.Go(e.do)
+		s.backend.running.Go(e.report)
 	}
 }
 
 // send writes the current request. The caller holds mu.
-func (s *polledConn) send() *ending {
+func (s *polledConn) send() *endedRequest {
 	request, err := s.current.encode(s.backend)
 	if err != nil {
-		return s.failed(balance.NotSent)
+		return s.fail(balance.NotSent)
 	}
-	s.state, s.out = polledWriting, request
-	s.backend.setTimeout(s, time.Until(s.current.cut))
+	s.state, s.unsent = polledWriting, request
+	s.backend.setTimeout(s, time.Until(s.current.deadline))
 	if err := s.write(); err != nil { // its last byte never went out, and nothing was read meanwhile
-		return s.failed(balance.ConnectFailed)
+		return s.fail(balance.ConnectFailed)
 	}
 	return nil
 }
 
 // ending is how a request ended. It is reported when no lock is held.
-type ending struct {
+type endedRequest struct {
 	conn     *polledConn
 	request  *polledRequest
 	result   core.Result
@@ -90,48 +90,48 @@
 }
 
 // end takes the request off the connection. The caller holds mu.
-func (s *polledConn) end(r core.Result, reusable bool) *ending {
-	e := &ending{s, s.current, r, reusable}
+func (s *polledConn) end(r core.Result, reusable bool) *endedRequest {
+	e := &endedRequest{s, s.current, r, reusable}
 	s.backend.clearTimeout(s)
-	s.current, s.out, s.ans = nil, nil, incoming{}
-	if s.state != polledGone {
+	s.current, s.unsent, s.parser = nil, nil, responseParser{}
+	if s.state != polledReleased {
 		s.state = polledIdle
 	}
-	if s.in != nil {
-		if cap(s.in) <= mostKept {
+	if s.received != nil {
+		if cap(s.received) <= maxPooledBufferBytes {
 			//lint:ignore SA6002 the header that is allocated here is small beside the buffer that is saved
-			inBuffers.Put(s.in[:0])
+			receiveBuffers.Put(s.received[:0])
 		}
-		s.in = nil
+		s.received = nil
 	}
 	return e
 }
 
 // inBuffers hold answers that come in more than one piece.
-var inBuffers = sync.Pool{New: func() any { return make([]byte, 0, 4<<10) }}
+var receiveBuffers = sync.Pool{New: func() any { return make([]byte, 0, 4<<10) }}
 
-const mostKept = 128 << 10
+const maxPooledBufferBytes = 128 << 10
 
 // do reports the end; it may wait for the exchange.
-func (e *ending) do() {
+func (e *endedRequest) report() {
 	if e == nil {
 		return
 	}
-	e.conn.backend.up.pool.giveBack(e.conn.conn, e.reusable)
+	e.conn.backend.up.pool.returnConn(e.conn.conn, e.reusable)
 	if e.request.attempt == nil && e.result.Outcome == balance.NotSent {
 		e.result.Outcome = balance.ConnectFailed
 	}
 	e.request.end(e.result)
 }
 
-func (s *polledConn) failed(outcome balance.Result) *ending {
+func (s *polledConn) fail(outcome balance.Result) *endedRequest {
 	return s.end(core.Result{Outcome: outcome}, false)
 }
 
 // write writes what is left of the request. The caller holds mu, and the state is polledWriting.
 func (s *polledConn) write() error {
-	for len(s.out) > 0 {
-		n, err := unix.Write(s.fd, s.out)
+	for len(s.unsent) > 0 {
+		n, err := unix.Write(s.fd, s.unsent)
 		switch {
 		case err == unix.EINTR:
 		case err == unix.EAGAIN:
@@ -139,10 +139,10 @@
 		case err != nil:
 			return err
 		default:
-			s.out = s.out[n:]
+			s.unsent = s.unsent[n:]
 		}
 	}
-	s.out, s.state = nil, polledWaiting
+	s.unsent, s.state = nil, polledWaiting
 	if s.current.attempt != nil {
 		s.current.attempt.Written()
 	}
@@ -151,48 +151,48 @@
 
 // Ready implements poller.Handler.
 func (s *polledConn) Ready(events uint32) {
-	var e *ending
+	var e *endedRequest
 	s.mu.Lock()
 	if s.state == polledConnecting && events&poller.Writable != 0 {
-		e = s.connected()
+		e = s.handleConnected()
 	}
 	if e == nil && s.state == polledWriting && events&poller.Writable != 0 {
-		e = s.writeOn()
+		e = s.continueWrite()
 	}
 	if e == nil && (s.state == polledWriting || s.state == polledWaiting) && events&poller.Readable != 0 {
 		e = s.read(events&poller.PeerClosed != 0)
 	}
 	idle := s.state == polledIdle && e == nil
 	s.mu.Unlock()
-	e.do()
+	e.report()
 	if idle && events&poller.Readable != 0 {
-		s.backend.up.pool.stir(s.conn)
+		s.backend.up.pool.handleIdleReadable(s.conn)
 	}
 }
 
 // writeOn writes more of a request. Where that fails the server may have answered before it has closed the connection. The caller holds mu,
 // on the poller's goroutine.
-func (s *polledConn) writeOn() *ending {
+func (s *polledConn) continueWrite() *endedRequest {
 	if err := s.write(); err == nil {
 		return nil
 	}
-	if e := s.read(true); e != nil || s.state == polledGone {
+	if e := s.read(true); e != nil || s.state == polledReleased {
 		return e
 	}
-	return s.failed(balance.ConnectFailed)
+	return s.fail(balance.ConnectFailed)
 }
 
 // connected goes on when the connection has come up, or has not. The caller holds mu.
-func (s *polledConn) connected() *ending {
+func (s *polledConn) handleConnected() *endedRequest {
 	switch code, err := unix.GetsockoptInt(s.fd, unix.SOL_SOCKET, unix.SO_ERROR); {
 	case err != nil || code != 0:
 		if code != 0 && socket.Exhausted(unix.Errno(code)) {
-			return s.failed(balance.NotSent)
+			return s.fail(balance.NotSent)
 		}
-		return s.failed(balance.ConnectFailed)
+		return s.fail(balance.ConnectFailed)
 	}
 	// Connecting may take longer than the server accepts requests, or than the request has. Nothing was sent yet.
-	if s.current.over() {
+	if s.current.obsolete() {
 		return s.end(core.Result{Outcome: balance.NotSent}, true)
 	}
 	return s.send()
@@ -203,19 +203,19 @@
 	t, c, backend := s.current, s.conn, s.backend
 	a := &attempt{Attempt: t.attempt, heldFor: heldFor}
 	a.ctx, a.cancel = context.WithCancel(backend.ctx)
-	t.taken.Store(a)
-	got, written := bytes.Clone(b), s.state != polledWriting
+	t.handedOver.Store(a)
+	received, written := bytes.Clone(b), s.state != polledWriting
 	file, _ := s.release()
 	s.end(core.Result{}, false)
 	c.Conn, c.polled = file, nil
-	c.in = newAnswerReader(io.MultiReader(bytes.NewReader(got), file))
+	c.reader = newResponseReader(io.MultiReader(bytes.NewReader(received), file))
 	backend.running.Go(func() {
 		defer a.cancel()
 		_ = c.SetDeadline(a.Deadline) // fails only on a closed connection, as the next call on it does
 		// Fails only on a closed connection, as the next call on it does.
 		stop := context.AfterFunc(a.ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
 		r, reusable := backend.up.receive(a, c)
-		backend.up.pool.giveBack(c, stop() && reusable && written)
+		backend.up.pool.returnConn(c, stop() && reusable && written)
 		backend.up.end(a.Attempt, r)
 	})
 }
@@ -223,8 +223,8 @@
 // release takes the descriptor from the poller. The caller holds mu.
 func (s *polledConn) release() (net.Conn, error) {
 	err := s.backend.poller.Detach(s.fd)
-	s.backend.poller.Unregister(s.place)
-	s.state = polledGone
+	s.backend.poller.Unregister(s.registration)
+	s.state = polledReleased
 	return fileConn{os.NewFile(uintptr(s.fd), "server")}, err
 }
 
@@ -245,59 +245,59 @@
 func (fileConn) RemoteAddr() net.Addr { return nil }
 
 // giveUp ends a request that the exchange has given up, on the exchange's goroutine.
-func (s *polledConn) giveUp(t *polledRequest) {
+func (s *polledConn) cancel(t *polledRequest) {
 	s.mu.Lock()
 	if s.current != t {
 		s.mu.Unlock()
-		if a := t.taken.Load(); a != nil {
+		if a := t.handedOver.Load(); a != nil {
 			a.cancel()
 		}
 		return
 	}
 	outcome := balance.NotSent
-	if s.state == polledWaiting || s.answered() {
+	if s.state == polledWaiting || s.responseStarted() {
 		outcome = balance.Cancelled
 	}
-	e := s.failed(outcome)
+	e := s.fail(outcome)
 	s.mu.Unlock()
-	s.backend.running.Go(e.do)
+	s.backend.running.Go(e.report)
 }
 
 // expired handles the time-out.
-func (s *polledConn) expired() {
+func (s *polledConn) handleTimeout() {
 	s.mu.Lock()
 	s.backend.mu.Lock()
-	again := s.timeout.IsSet() // it was set anew meanwhile
+	rearmed := s.timeout.IsSet() // it was set anew meanwhile
 	s.backend.mu.Unlock()
-	var e *ending
-	if t := s.current; t != nil && !again {
-		late := !time.Now().Before(t.cut)
+	var e *endedRequest
+	if t := s.current; t != nil && !rearmed {
+		pastDeadline := !time.Now().Before(t.deadline)
 		switch {
-		case s.state == polledConnecting && late, s.state == polledWriting && !s.answered():
-			e = s.failed(balance.NotSent)
+		case s.state == polledConnecting && pastDeadline, s.state == polledWriting && !s.responseStarted():
+			e = s.fail(balance.NotSent)
 		case s.state == polledConnecting:
-			e = s.failed(balance.ConnectFailed)
-		case late:
-			e = s.failed(balance.TimedOut)
-		case len(s.ans.chunks.Body) > 0 || len(s.in) > s.ans.from && s.ans.head != nil && !s.ans.head.chunked:
-			s.handOver(s.in, heldBack) // its end was not announced, and has not come soon
+			e = s.fail(balance.ConnectFailed)
+		case pastDeadline:
+			e = s.fail(balance.TimedOut)
+		case len(s.parser.chunks.Body) > 0 || len(s.received) > s.parser.offset && s.parser.head != nil && !s.parser.head.chunked:
+			s.handOver(s.received, holdTimeout) // its end was not announced, and has not come soon
 		default: // not a byte of it has come
-			s.backend.setTimeout(s, time.Until(t.cut))
+			s.backend.setTimeout(s, time.Until(t.deadline))
 		}
 	}
 	s.mu.Unlock()
-	e.do()
+	e.report()
 }
 
 // Close implements polled.
 func (s *polledConn) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.state == polledGone {
+	if s.state == polledReleased {
 		return nil
 	}
-	s.state, s.current = polledGone, nil
+	s.state, s.current = polledReleased, nil
 	s.backend.clearTimeout(s)
-	s.backend.poller.Unregister(s.place)
+	s.backend.poller.Unregister(s.registration)
 	return unix.Close(s.fd)
 }
--- a/internal/upstream/http/pool.go
+++ b/internal/upstream/http/pool.go
@@ -19,25 +19,25 @@
 
 // pool keeps the connections to endpoints, within a number of sockets.
 type pool struct {
-	connectTimeout time.Duration
-	idleTime       time.Duration
-	restTime       time.Duration
-	silence, fresh time.Duration // Config's
-	most           int           // open connections
+	connectTimeout             time.Duration
+	idleTimeout                time.Duration
+	reuseDelay                 time.Duration
+	peerTimeout, maxUnsafeIdle time.Duration // Config's
+	maxOpen                    int           // open connections
 
 	mu   sync.Mutex
 	open int                        // dialled, in use and idle
 	idle map[*core.Endpoint][]*conn // the most recently used last
 	// resting holds idle connections that were not looked at since their last use, in order; one may have been taken
 	// meanwhile.
-	resting   []resting
-	rested    chan struct{}  // there is one more; has room for one
-	late      *core.Endpoint // that was last caught sending late, at lateAt
-	lateAt    time.Time
-	lateUntil time.Time                    // until then connections to all servers rest longer
-	lateOnes  map[*core.Endpoint]time.Time // servers that were caught, and until when no connection to them is used again
-	noteLate  func(*core.Endpoint)
-	seed      maphash.Seed
+	pendingChecks      []pendingCheck
+	checkAdded         chan struct{}  // there is one more; has room for one
+	lastLate           *core.Endpoint // that was last caught sending late, at lateAt
+	lastLateAt         time.Time
+	extendedDelayUntil time.Time                    // until then connections to all servers rest longer
+	lateSenders        map[*core.Endpoint]time.Time // servers that were caught, and until when no connection to them is used again
+	onLateData         func(*core.Endpoint)
+	seed               maphash.Seed
 
 	// Where the kernel's readiness is waited for: adopt makes a goroutine's connection one that is polled, and polledUpTo is
 	// a time before which everything that came on idle connections has been handled. Nil elsewhere.
@@ -45,24 +45,24 @@
 	polledUpTo func() time.Time
 }
 
-func newPool(connectTimeout, idleTime, restTime time.Duration, most int) *pool {
+func newPool(connectTimeout, idleTimeout, reuseDelay time.Duration, maxOpen int) *pool {
 	return &pool{
-		connectTimeout: connectTimeout, idleTime: idleTime, restTime: restTime,
-		most: most, idle: map[*core.Endpoint][]*conn{}, rested: make(chan struct{}, 1),
-		lateOnes: map[*core.Endpoint]time.Time{}, noteLate: func(*core.Endpoint) {}, seed: maphash.MakeSeed(),
+		connectTimeout: connectTimeout, idleTimeout: idleTimeout, reuseDelay: reuseDelay,
+		maxOpen: maxOpen, idle: map[*core.Endpoint][]*conn{}, checkAdded: make(chan struct{}, 1),
+		lateSenders: map[*core.Endpoint]time.Time{}, onLateData: func(*core.Endpoint) {}, seed: maphash.MakeSeed(),
 	}
 }
 
 // get returns an idle connection that still stands, or a new one.
-func (p *pool) get(ctx context.Context, e *core.Endpoint, cut time.Time, within time.Duration) (*conn, error) {
+func (p *pool) get(ctx context.Context, e *core.Endpoint, deadline time.Time, maxIdle time.Duration) (*conn, error) {
 	for {
-		c := p.takeIdle(e, within)
+		c := p.takeIdle(e, maxIdle)
 		if c == nil {
 			break
 		}
 		// The server may have closed it, or died, while it was idle. A request written to it would end as a
 		// reset, which may have run; a new connection is sure.
-		if c = p.check(c, e); c == nil {
+		if c = p.checkIdle(c, e); c == nil {
 			continue
 		}
 		if c.polled == nil {
@@ -70,7 +70,7 @@
 		}
 		var err error
 		if c.Conn, err = c.polled.detach(); err == nil {
-			c.polled, c.in = nil, newAnswerReader(c.Conn)
+			c.polled, c.reader = nil, newResponseReader(c.Conn)
 			return c, nil
 		}
 		p.drop(c)
@@ -78,7 +78,7 @@
 	if !p.reserve() {
 		return nil, errNoSocket
 	}
-	c, err := p.dial(ctx, e, cut)
+	c, err := p.dial(ctx, e, deadline)
 	if err != nil {
 		p.release()
 		if socket.Exhausted(err) {
@@ -91,26 +91,26 @@
 }
 
 // check returns an idle connection that was taken if it still stands and is silent; else it ends it.
-func (p *pool) check(c *conn, e *core.Endpoint) *conn {
+func (p *pool) checkIdle(c *conn, e *core.Endpoint) *conn {
 	state := c.state()
 	if c.addr == e.Addr() && state == socket.Idle {
 		return c
 	}
-	p.end(c, state)
+	p.dropIdle(c, state)
 	return nil
 }
 
 // end drops a connection that is nobody's any more, of which state was found.
-func (p *pool) end(c *conn, state socket.PeekState) {
+func (p *pool) dropIdle(c *conn, state socket.PeekState) {
 	p.mu.Lock()
-	noted := p.judge(c, state)
+	caught := p.recordPeek(c, state)
 	p.mu.Unlock()
 	p.drop(c)
-	p.note(noted)
+	p.reportLate(caught)
 }
 
-func (p *pool) dial(ctx context.Context, e *core.Endpoint, cut time.Time) (*conn, error) {
-	dialer := net.Dialer{Timeout: p.connectTimeout, Deadline: cut, KeepAlive: -1}
+func (p *pool) dial(ctx context.Context, e *core.Endpoint, deadline time.Time) (*conn, error) {
+	dialer := net.Dialer{Timeout: p.connectTimeout, Deadline: deadline, KeepAlive: -1}
 	addr := e.Addr()
 	c, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -118,22 +118,22 @@
 	}
 	if sc, ok := c.(syscall.Conn); ok {
 		if raw, err := sc.SyscallConn(); err == nil {
-			_ = raw.Control(func(fd uintptr) { socket.SetPeerTimeout(int(fd), p.silence) }) // fails only on a closed connection
+			_ = raw.Control(func(fd uintptr) { socket.SetPeerTimeout(int(fd), p.peerTimeout) }) // fails only on a closed connection
 		}
 	}
-	return &conn{Conn: c, in: newAnswerReader(c), endpoint: e, addr: addr}, nil
+	return &conn{Conn: c, reader: newResponseReader(c), endpoint: e, addr: addr}, nil
 }
 
 // within is how long a connection may have been idle to carry a message; 0: as long as any.
-func (p *pool) within(m *core.Message) time.Duration {
+func (p *pool) maxIdle(m *core.Message) time.Duration {
 	if m.Safe {
 		return 0
 	}
-	return p.fresh
+	return p.maxUnsafeIdle
 }
 
 // giveBack ends the use of a connection.
-func (p *pool) giveBack(c *conn, reusable bool) {
+func (p *pool) returnConn(c *conn, reusable bool) {
 	if reusable {
 		p.put(c)
 	} else {
@@ -151,13 +151,13 @@
 		}
 	}
 	p.mu.Lock()
-	c.idleFrom, c.looked = time.Now(), false
+	c.idleSince, c.verifiedQuiet = time.Now(), false
 	c.uses++
-	keep := !c.endpoint.Closed() && c.idleFrom.After(p.lateOnes[c.endpoint])
+	keep := !c.endpoint.Closed() && c.idleSince.After(p.lateSenders[c.endpoint])
 	if keep {
 		p.idle[c.endpoint] = append(p.idle[c.endpoint], c)
 		if p.polledUpTo == nil {
-			p.resting = append(p.resting, resting{c, c.uses})
+			p.pendingChecks = append(p.pendingChecks, pendingCheck{c, c.uses})
 		}
 	}
 	p.mu.Unlock()
@@ -165,7 +165,7 @@
 		p.drop(c)
 	} else if p.polledUpTo == nil {
 		select {
-		case p.rested <- struct{}{}:
+		case p.checkAdded <- struct{}{}:
 		default:
 		}
 	}
@@ -180,7 +180,7 @@
 func (p *pool) reserve() bool {
 	for {
 		p.mu.Lock()
-		if p.open < p.most {
+		if p.open < p.maxOpen {
 			p.open++
 			p.mu.Unlock()
 			return true
@@ -196,7 +196,7 @@
 func (p *pool) resize(n int) {
 	for {
 		p.mu.Lock()
-		p.most = n
+		p.maxOpen = n
 		over := p.open > n
 		p.mu.Unlock()
 		if !over || !p.evict() {
--- a/internal/upstream/http/poolidle.go
+++ b/internal/upstream/http/poolidle.go
@@ -12,14 +12,14 @@
 )
 
 // resting is a connection as it was given back.
-type resting struct {
+type pendingCheck struct {
 	conn *conn
 	uses int
 }
 
 // stir looks at a connection on which something has come, if it is idle in the pool: it ends unless that was part of the
 // answer before.
-func (p *pool) stir(c *conn) {
+func (p *pool) handleIdleReadable(c *conn) {
 	p.mu.Lock()
 	idle := p.idle[c.endpoint]
 	i := slices.Index(idle, c)
@@ -33,25 +33,25 @@
 		return
 	}
 	p.setIdle(c.endpoint, slices.Delete(idle, i, i+1))
-	noted := p.judge(c, state)
+	caught := p.recordPeek(c, state)
 	p.mu.Unlock()
 	p.drop(c)
-	p.note(noted)
+	p.reportLate(caught)
 }
 
 // takeIdle takes the most recently used connection that has rested, if it was used within so long; 0: whenever.
-func (p *pool) takeIdle(e *core.Endpoint, within time.Duration) *conn {
+func (p *pool) takeIdle(e *core.Endpoint, maxIdle time.Duration) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	idle, now, rest := p.idle[e], time.Now(), p.restTime
-	if now.Before(p.lateUntil) {
-		rest = max(rest, lateRest)
+	idle, now, delay := p.idle[e], time.Now(), p.reuseDelay
+	if now.Before(p.extendedDelayUntil) {
+		delay = max(delay, extendedReuseDelay)
 	}
 	for i := len(idle) - 1; i >= 0; i-- {
-		if within > 0 && now.Sub(idle[i].idleFrom) > within {
+		if maxIdle > 0 && now.Sub(idle[i].idleSince) > maxIdle {
 			return nil // and those before it are older
 		}
-		if c := idle[i]; now.Sub(c.idleFrom) >= rest {
+		if c := idle[i]; now.Sub(c.idleSince) >= delay {
 			p.setIdle(e, slices.Delete(idle, i, i+1))
 			return c
 		}
@@ -72,7 +72,7 @@
 	p.mu.Lock()
 	var oldest *conn
 	for _, idle := range p.idle {
-		if oldest == nil || idle[0].idleFrom.Before(oldest.idleFrom) {
+		if oldest == nil || idle[0].idleSince.Before(oldest.idleSince) {
 			oldest = idle[0]
 		}
 	}
@@ -93,13 +93,13 @@
 }
 
 // closeWhere closes the idle connections for which old holds.
-func (p *pool) closeWhere(old func(*conn) bool) {
+func (p *pool) closeWhere(match func(*conn) bool) {
 	var dropped []*conn
 	p.mu.Lock()
 	for e, idle := range p.idle {
 		kept := idle[:0]
 		for _, c := range idle {
-			if old(c) {
+			if match(c) {
 				dropped = append(dropped, c)
 			} else {
 				kept = append(kept, c)
@@ -119,17 +119,17 @@
 func (p *pool) sweep(now time.Time) {
 	var caught []*core.Endpoint
 	p.closeWhere(func(c *conn) bool {
-		if now.Sub(c.idleFrom) >= p.idleTime {
+		if now.Sub(c.idleSince) >= p.idleTimeout {
 			return true
 		}
 		state := c.state()
-		if e := p.judge(c, state); e != nil {
+		if e := p.recordPeek(c, state); e != nil {
 			caught = append(caught, e)
 		}
 		return state != socket.Idle
 	})
 	for _, e := range caught {
-		p.note(e)
+		p.reportLate(e)
 	}
 }
 
@@ -138,7 +138,7 @@
 
 // run looks after idle connections until ctx ends.
 func (p *pool) run(ctx context.Context) {
-	ticker := time.NewTicker(max(p.idleTime/20, time.Millisecond))
+	ticker := time.NewTicker(max(p.idleTimeout/20, time.Millisecond))
 	defer ticker.Stop()
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -147,12 +147,12 @@
 		case now := <-ticker.C:
 			p.sweep(now)
 			continue
-		case <-p.rested:
+		case <-p.checkAdded:
 		case <-timer.C:
 		case <-ctx.Done():
 			return
 		}
-		if next := p.look(time.Now()); next > 0 {
+		if next := p.checkPending(time.Now()); next > 0 {
 			timer.Reset(next)
 		}
 	}
--- a/internal/upstream/http/answer.go
+++ b/internal/upstream/http/response.go
@@ -15,50 +15,50 @@
 )
 
 const (
-	maxAnswerHead = 32 << 10 // of an answer and the interim ones ahead of it
-	maxFraming    = 2        // times the body that its framing in chunks may take
-	mostFigure    = 1e6      // of a load report: beyond it no share, rate or count of one server is meant
+	maxResponseHeadBytes = 32 << 10 // of an answer and the interim ones ahead of it
+	maxFramingFactor     = 2        // times the body that its framing in chunks may take
+	maxReportValue       = 1e6      // of a load report: beyond it no share, rate or count of one server is meant
 )
 
 var (
-	errHuge     = errors.New("an answer beyond what a message may hold")
-	errUnframed = errors.New("an answer that does not say where it ends")
+	errResponseTooLarge = errors.New("an answer beyond what a message may hold")
+	errResponseUnframed = errors.New("an answer that does not say where it ends")
 )
 
 // allowance lets only so many bytes through. http.ReadResponse bounds neither a head nor the interim answers
 // ahead of it: a server whose head does not end would fill the memory.
-type allowance struct {
-	from io.Reader
-	left int
+type limitedReader struct {
+	src       io.Reader
+	remaining int
 }
 
-func (a *allowance) Read(p []byte) (int, error) {
-	if a.left <= 0 {
-		return 0, errHuge
+func (a *limitedReader) Read(p []byte) (int, error) {
+	if a.remaining <= 0 {
+		return 0, errResponseTooLarge
 	}
-	n, err := a.from.Read(p[:min(len(p), a.left)])
-	a.left -= n
+	n, err := a.src.Read(p[:min(len(p), a.remaining)])
+	a.remaining -= n
 	return n, err
 }
 
 // answerReader reads the answers that come on a connection.
-type answerReader struct {
+type responseReader struct {
 	*bufio.Reader
-	allowance *allowance
+	limit *limitedReader
 }
 
-func newAnswerReader(from io.Reader) answerReader {
-	a := &allowance{from: from}
-	return answerReader{bufio.NewReader(a), a}
+func newResponseReader(src io.Reader) responseReader {
+	a := &limitedReader{src: src}
+	return responseReader{bufio.NewReader(a), a}
 }
 
 // next reads one answer to its last byte; a body that ends early is an error, and so is what no answer may be.
-func (r answerReader) next(method string) (*http.Response, []byte, error) {
-	resp, err := r.head(method, httpwire.MaxBufferedBody)
+func (r responseReader) readWhole(method string) (*http.Response, []byte, error) {
+	resp, err := r.readHead(method, httpwire.MaxBufferedBody)
 	if err != nil || resp.Body == http.NoBody {
 		return resp, nil, err
 	}
-	body, err := r.whole(resp)
+	body, err := r.readBody(resp)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -66,10 +66,10 @@
 }
 
 // head reads the head of an answer whose body has most bytes at most. A body that cannot be read to its end is taken off.
-func (r answerReader) head(method string, most int64) (*http.Response, error) {
-	r.allowance.left = maxAnswerHead
+func (r responseReader) readHead(method string, maxBodyBytes int64) (*http.Response, error) {
+	r.limit.remaining = maxResponseHeadBytes
 	for {
-		closes := saysClose(r.peekHead())
+		closes := hasConnectionClose(r.peekHead())
 		resp, err := http.ReadResponse(r.Reader, &http.Request{Method: method})
 		if err != nil {
 			return nil, err
@@ -77,35 +77,35 @@
 		if resp.StatusCode < 200 { // an interim answer: the real one follows
 			continue
 		}
-		if resp.ContentLength > most {
-			return nil, fmt.Errorf("%w: it announces %d bytes", errHuge, resp.ContentLength)
+		if resp.ContentLength > maxBodyBytes {
+			return nil, fmt.Errorf("%w: it announces %d bytes", errResponseTooLarge, resp.ContentLength)
 		}
 		h := headOf(resp)
-		h.closes = closes
-		if h.endless() {
+		h.announcedClose = closes
+		if h.unterminated() {
 			if h.success() {
-				return nil, errUnframed
+				return nil, errResponseUnframed
 			}
 			resp.Close, resp.Body = true, http.NoBody // its head is enough
 			return resp, nil
 		}
-		r.allowance.left = maxFraming * int(most)
+		r.limit.remaining = maxFramingFactor * int(maxBodyBytes)
 		return resp, nil
 	}
 }
 
 // awaitByte waits for the first byte of an answer. It reports whether one has come.
-func (r answerReader) awaitByte() bool {
-	r.allowance.left = maxAnswerHead
+func (r responseReader) waitForByte() bool {
+	r.limit.remaining = maxResponseHeadBytes
 	_, err := r.Peek(1)
 	return err == nil
 }
 
 // dropInterim waits for the head of an answer and takes it off if it is an interim one. It reports whether it was.
-func (r answerReader) dropInterim() bool {
-	r.allowance.left = maxAnswerHead
+func (r responseReader) discardInterim() bool {
+	r.limit.remaining = maxResponseHeadBytes
 	head := r.peekHead()
-	if !interimStatus.Match(head) {
+	if !interimStatusLine.Match(head) {
 		return false
 	}
 	_, err := r.Discard(len(head))
@@ -113,10 +113,10 @@
 }
 
 // interimStatus matches the status line of an interim answer.
-var interimStatus = regexp.MustCompile(`^HTTP/1\.[01] 1[0-9][0-9][ \r\n]`)
+var interimStatusLine = regexp.MustCompile(`^HTTP/1\.[01] 1[0-9][0-9][ \r\n]`)
 
 // peekHead waits for the head of an answer and returns it, as far as the reader's buffer holds it.
-func (r answerReader) peekHead() []byte {
+func (r responseReader) peekHead() []byte {
 	for {
 		b, _ := r.Peek(r.Buffered()) // what is buffered is there
 		for _, end := range [...]string{"\n\r\n", "\n\n"} {
@@ -131,20 +131,20 @@
 }
 
 // whole reads a body that is held whole.
-func (r answerReader) whole(resp *http.Response) ([]byte, error) {
-	r.allowance.left = min(r.allowance.left, maxFraming*httpwire.MaxBufferedBody)
+func (r responseReader) readBody(resp *http.Response) ([]byte, error) {
+	r.limit.remaining = min(r.limit.remaining, maxFramingFactor*httpwire.MaxBufferedBody)
 	body, err := io.ReadAll(io.LimitReader(resp.Body, httpwire.MaxBufferedBody+1))
 	if err != nil {
 		return nil, err
 	}
 	if len(body) > httpwire.MaxBufferedBody {
-		return nil, errHuge
+		return nil, errResponseTooLarge
 	}
 	return body, nil
 }
 
 // reportOf returns the load report of an answer. One that cannot be read is dropped, the answer is not.
-func reportOf(h http.Header, fields []string) []float32 {
+func loadReport(h http.Header, fields []string) []float32 {
 	for _, text := range h[loadHeader] {
 		if report := parseReport(text, fields); report != nil {
 			return report
@@ -154,7 +154,7 @@
 }
 
 // otherNames are the words that load reports may use for a figure which the settings name otherwise.
-var otherNames = map[string]string{
+var reportAliases = map[string]string{
 	"inflight": "rif", "queue": "q", "util": "busy", "latency_ms": "lat_ms", "qps": "rate", "eps": "fail_rate",
 }
 
@@ -169,11 +169,11 @@
 	for _, part := range strings.Split(text, ",") {
 		name, figure, _ := strings.Cut(strings.TrimSpace(part), "=")
 		v, err := strconv.ParseFloat(figure, 32)
-		if err != nil || !(v >= 0 && v <= mostFigure) { // NaN is neither
+		if err != nil || !(v >= 0 && v <= maxReportValue) { // NaN is neither
 			return nil
 		}
 		values[name] = float32(v)
-		if other, ok := otherNames[name]; ok {
+		if other, ok := reportAliases[name]; ok {
 			values[other] = float32(v)
 		}
 	}
--- a/internal/upstream/http/answer_test.go
+++ b/internal/upstream/http/response_test.go
@@ -16,9 +16,9 @@
 )
 
 // flow writes a start and then the same again and again, until nobody reads it any more.
-func flow(start, again string) testbed.Step {
+func repeatForever(start, repeated string) testbed.Step {
 	return func(c net.Conn) bool {
-		for text := start; ; text = strings.Repeat(again, 100) {
+		for text := start; ; text = strings.Repeat(repeated, 100) {
 			if _, err := io.WriteString(c, text); err != nil {
 				return false
 			}
@@ -27,7 +27,7 @@
 }
 
 // stay writes part of an answer, or what is none, and leaves the connection open.
-func stay(text string) testbed.Step {
+func writeAndHold(text string) testbed.Step {
 	return func(c net.Conn) bool {
 		_, err := io.WriteString(c, text)
 		return err == nil
@@ -36,35 +36,37 @@
 
 // An answer that cannot be used fails at once. Waiting for the rest of it, which never comes or never ends, costs the
 // request its time, and keeping it costs memory.
-func TestSpoiltAnswers(t *testing.T) { onEach(t, testSpoiltAnswers) }
+func TestMalformedResponsesFailAtOnce(t *testing.T) {
+	forEachBackend(t, testMalformedResponsesFailAtOnce)
+}
 
-func testSpoiltAnswers(t *testing.T, newUpstream func(int) *subject) {
+func testMalformedResponsesFailAtOnce(t *testing.T, newUpstream func(int) *subject) {
 	for name, c := range map[string]struct {
 		answer testbed.Step
 		want   balance.Result
 	}{
-		"noise":               {stay("\x80\x8a\xf9\xcf\r\n\r\n"), balance.Reset},
-		"no status":           {stay("HTTP/1.1 2x0 OK\r\nContent-Length: 0\r\n\r\n"), balance.Reset},
-		"no colon":            {stay("HTTP/1.1 200 OK\r\nno colon\r\nContent-Length: 0\r\n\r\n"), balance.Reset},
-		"head without end":    {flow("HTTP/1.1 200 OK\r\n", "X-Pad: pppppppp\r\n"), balance.Reset},
-		"line without end":    {flow("HTTP/1.1 200 OK\r\nX-Pad: ", "pppppppp"), balance.Reset},
-		"interim without end": {flow("", "HTTP/1.1 102 Processing\r\n\r\n"), balance.Reset},
-		"two lengths":         {stay("HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab"), balance.Reset},
-		"announced too long":  {stay("HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n"), balance.Reset},
-		"chunks without end":  {flow("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\na\r\n"), balance.Reset},
-		"bad chunk":           {stay("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"), balance.Reset},
-		"no length":           {stay("HTTP/1.1 200 OK\r\n\r\nserved"), balance.Reset},
-		"error, no length":    {stay("HTTP/1.1 500 Oops\r\n\r\nmore to come"), balance.Failed},
-		"away, no length":     {stay("HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\n\r\n"), balance.Rejected},
+		"noise":               {writeAndHold("\x80\x8a\xf9\xcf\r\n\r\n"), balance.Reset},
+		"no status":           {writeAndHold("HTTP/1.1 2x0 OK\r\nContent-Length: 0\r\n\r\n"), balance.Reset},
+		"no colon":            {writeAndHold("HTTP/1.1 200 OK\r\nno colon\r\nContent-Length: 0\r\n\r\n"), balance.Reset},
+		"head without end":    {repeatForever("HTTP/1.1 200 OK\r\n", "X-Pad: pppppppp\r\n"), balance.Reset},
+		"line without end":    {repeatForever("HTTP/1.1 200 OK\r\nX-Pad: ", "pppppppp"), balance.Reset},
+		"interim without end": {repeatForever("", "HTTP/1.1 102 Processing\r\n\r\n"), balance.Reset},
+		"two lengths":         {writeAndHold("HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab"), balance.Reset},
+		"announced too long":  {writeAndHold("HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n"), balance.Reset},
+		"chunks without end":  {repeatForever("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\na\r\n"), balance.Reset},
+		"bad chunk":           {writeAndHold("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"), balance.Reset},
+		"no length":           {writeAndHold("HTTP/1.1 200 OK\r\n\r\nserved"), balance.Reset},
+		"error, no length":    {writeAndHold("HTTP/1.1 500 Oops\r\n\r\nmore to come"), balance.Failed},
+		"away, no length":     {writeAndHold("HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\n\r\n"), balance.Rejected},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, u := testbed.NewScript(t, c.answer), newUpstream(1024)
 			start := time.Now()
-			u.want(t, newAttempt(at(s.Addr), 2*testbed.Patience), c.want)
+			u.want(t, newAttempt(endpointAt(s.Addr), 2*testbed.Patience), c.want)
 			if took := time.Since(start); took > testbed.Patience {
 				t.Errorf("failed only after %v", took)
 			}
-			if u.kept() != 0 {
+			if u.openConns() != 0 {
 				t.Error("the connection is kept")
 			}
 		})
@@ -72,9 +74,9 @@
 }
 
 // What is good is served, and a connection on which more came than belongs to it is not used again.
-func TestGoodAnswers(t *testing.T) { onEach(t, testGoodAnswers) }
+func TestValidResponses(t *testing.T) { forEachBackend(t, testValidResponses) }
 
-func testGoodAnswers(t *testing.T, newUpstream func(int) *subject) {
+func testValidResponses(t *testing.T, newUpstream func(int) *subject) {
 	const answer = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n"
 	for name, c := range map[string]struct {
 		text string
@@ -88,27 +90,27 @@
 		"report unusable": {answer + loadHeader + ": TEXT busy=-1, rate=3\r\n\r\nserved", 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, u := testbed.NewScript(t, stay(c.text)), newUpstream(1024)
-			r := u.want(t, newAttempt(at(s.Addr), testbed.Patience), balance.OK)
+			s, u := testbed.NewScript(t, writeAndHold(c.text)), newUpstream(1024)
+			r := u.want(t, newAttempt(endpointAt(s.Addr), testbed.Patience), balance.OK)
 			if r.Answer == nil || string(r.Answer.Body) != "served" || r.Report != nil {
 				t.Errorf("got %+v", r)
 			}
-			if u.kept() != c.kept {
-				t.Errorf("%d connections kept, want %d", u.kept(), c.kept)
+			if u.openConns() != c.kept {
+				t.Errorf("%d connections kept, want %d", u.openConns(), c.kept)
 			}
 		})
 	}
 }
 
 // A report that cannot be read does not hide one that can.
-func TestSecondReport(t *testing.T) {
+func TestUnreadableReportDoesNotHideNext(t *testing.T) {
 	h := http.Header{loadHeader: {"TEXT ?", "TEXT busy=0.5, rate=3"}}
-	if got := reportOf(h, []string{"busy", "rate"}); len(got) != 2 || got[0] != 0.5 {
+	if got := loadReport(h, []string{"busy", "rate"}); len(got) != 2 || got[0] != 0.5 {
 		t.Errorf("got %v", got)
 	}
 }
 
-func newRestingUpstream(t *testing.T) *upstream {
+func newReuseDelayUpstream(t *testing.T) *upstream {
 	p := newPool(testbed.Patience, testbed.Patience, time.Hour, 1024)
 	t.Cleanup(p.closeAll)
 	return &upstream{pool: p}
@@ -116,16 +118,16 @@
 
 // A second copy of an answer may come in a packet of its own, after the connection was found silent. Written to at
 // once, the next request would be answered with it.
-func TestConnectionsRest(t *testing.T) {
-	s, u := testbed.NewScript(t, testbed.Say(200, "")), newRestingUpstream(t)
-	e := at(s.Addr)
+func TestReuseDelay(t *testing.T) {
+	s, u := testbed.NewScript(t, testbed.Say(200, "")), newReuseDelayUpstream(t)
+	e := endpointAt(s.Addr)
 	if r := u.perform(newAttempt(e, testbed.Patience).attempt); r.Outcome != balance.OK {
 		t.Fatalf("outcome %v", r.Outcome)
 	}
 	if c := u.pool.takeIdle(e, 0); c != nil {
 		t.Error("taken at once")
 	}
-	u.pool.idle[e][0].idleFrom = time.Now().Add(-2 * time.Hour)
+	u.pool.idle[e][0].idleSince = time.Now().Add(-2 * time.Hour)
 	if c := u.pool.takeIdle(e, 0); c == nil {
 		t.Error("not taken after its rest")
 	} else {
@@ -139,8 +141,8 @@
 	f.Add([]byte("HTTP/1.1 103 E\r\n\r\nHTTP/1.0 200 OK\r\n\r\nserved"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		r := newAnswerReader(bytes.NewReader(text))
-		resp, body, err := r.next(http.MethodPost)
+		r := newResponseReader(bytes.NewReader(text))
+		resp, body, err := r.readWhole(http.MethodPost)
 		if (resp == nil) != (err != nil) || len(body) > httpwire.MaxBufferedBody {
 			t.Errorf("%v with %d bytes and %v", resp, len(body), err)
 		}
@@ -159,7 +161,7 @@
 			t.Errorf("%d figures", len(report))
 		}
 		for _, v := range report {
-			if !(v >= 0 && v <= mostFigure) {
+			if !(v >= 0 && v <= maxReportValue) {
 				t.Errorf("%q gave %v", text, report)
 			}
 		}
@@ -167,9 +169,9 @@
 }
 
 // What must not run twice goes out on no connection that a server may have forgotten; what may goes out on any that stands.
-func TestIdleConnectionsThatMayBeForgotten(t *testing.T) {
+func TestUnsafeRequestsAvoidLongIdleConnections(t *testing.T) {
 	p := newPool(time.Second, time.Minute, 0, 4)
-	p.fresh = 800 * time.Millisecond
+	p.maxUnsafeIdle = 800 * time.Millisecond
 	e, now := core.NewEndpoint("s", "h:1"), time.Now()
 	for _, c := range []struct {
 		name string
@@ -180,12 +182,12 @@
 		{"safe, idle for long", true, 10 * time.Second, true}, {"unsafe, idle for long", false, 10 * time.Second, false},
 		{"unsafe, just used", false, 100 * time.Millisecond, true},
 	} {
-		p.idle[e] = []*conn{{endpoint: e, idleFrom: now.Add(-c.idle)}}
-		if got := p.takeIdle(e, p.within(&core.Message{Safe: c.safe})) != nil; got != c.want {
+		p.idle[e] = []*conn{{endpoint: e, idleSince: now.Add(-c.idle)}}
+		if got := p.takeIdle(e, p.maxIdle(&core.Message{Safe: c.safe})) != nil; got != c.want {
 			t.Errorf("%s: taken: %v", c.name, got)
 		}
 	}
-	if p.fresh = 0; p.within(&core.Message{}) != 0 {
+	if p.maxUnsafeIdle = 0; p.maxIdle(&core.Message{}) != 0 {
 		t.Error("bounded where nothing bounds it")
 	}
 }
--- a/internal/upstream/http/scan.go
+++ b/internal/upstream/http/scan.go
@@ -15,28 +15,28 @@
 )
 
 // answerHead is the head of an answer, taken apart.
-type answerHead struct {
-	status  int
-	header  http.Header
-	length  int64 // of the body; -1: it ends with its chunks or with the connection
-	chunked bool
-	last    bool // the server closes after it
-	closes  bool // the server has said that it will
-	old     bool // it is of HTTP/1.0, where the connection's end may be the answer's
+type responseHead struct {
+	status         int
+	header         http.Header
+	length         int64 // of the body; -1: it ends with its chunks or with the connection
+	chunked        bool
+	willClose      bool // the server closes after it
+	announcedClose bool // the server has said that it will
+	http10         bool // it is of HTTP/1.0, where the connection's end may be the answer's
 }
 
 // headOf is what the standard library has read.
-func headOf(resp *http.Response) *answerHead {
-	return &answerHead{
+func headOf(resp *http.Response) *responseHead {
+	return &responseHead{
 		status: resp.StatusCode, header: resp.Header, length: resp.ContentLength, chunked: len(resp.TransferEncoding) > 0,
-		last: resp.Close, old: !resp.ProtoAtLeast(1, 1),
+		willClose: resp.Close, http10: !resp.ProtoAtLeast(1, 1),
 	}
 }
 
 // parseAnswerHead takes a whole head apart, which ends with its empty line. What is not plain goes to the standard library,
 // so that exactly what it takes is taken.
-func parseAnswerHead(b []byte) (*answerHead, error) {
-	if h := plainHead(b); h != nil {
+func parseResponseHead(b []byte) (*responseHead, error) {
+	if h := parseSimpleHead(b); h != nil {
 		return h, nil
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(b)), nil)
@@ -45,12 +45,12 @@
 	}
 	_ = resp.Body.Close() // the body has been read, or is not wanted
 	h := headOf(resp)
-	h.closes = saysClose(b)
+	h.announcedClose = hasConnectionClose(b)
 	return h, nil
 }
 
 // saysClose reports whether a head has "Connection: close", which the standard library takes off.
-func saysClose(head []byte) bool {
+func hasConnectionClose(head []byte) bool {
 	_, fields, _ := bytes.Cut(head, []byte("\n"))
 	header, err := textproto.NewReader(bufio.NewReader(bytes.NewReader(fields))).ReadMIMEHeader()
 	return err == nil && httpguts.HeaderValuesContainsToken(header["Connection"], "close")
@@ -58,7 +58,7 @@
 
 // plainHead takes apart a head of HTTP/1.1 whose lines end in CR LF, with one length or chunked, and nothing unusual; else
 // it returns nil.
-func plainHead(b []byte) *answerHead {
+func parseSimpleHead(b []byte) *responseHead {
 	const version = "HTTP/1.1 "
 	if len(b) < len(version)+len("200\r\n\r\n") || string(b[:len(version)]) != version || !bytes.HasSuffix(b, []byte("\r\n\r\n")) {
 		return nil
@@ -71,7 +71,7 @@
 	if err != nil || status < 200 || status == http.StatusNoContent || status == http.StatusNotModified {
 		return nil
 	}
-	h := &answerHead{status: int(status), length: -1}
+	h := &responseHead{status: int(status), length: -1}
 	if h.header, err = httpwire.ReadFields(fields); err != nil {
 		return nil
 	}
@@ -93,7 +93,7 @@
 		return nil
 	} else if len(connection) == 1 {
 		if strings.EqualFold(connection[0], "close") {
-			h.last = true
+			h.willClose = true
 		} else if !strings.EqualFold(connection[0], "keep-alive") {
 			return nil
 		}
@@ -106,121 +106,121 @@
 
 // endless reports whether a body goes on until the connection ends although the server did not say that it would end it:
 // nobody may wait for that.
-func (h *answerHead) endless() bool {
-	return h.length < 0 && !h.chunked && !h.old && !h.closes
+func (h *responseHead) unterminated() bool {
+	return h.length < 0 && !h.chunked && !h.http10 && !h.announcedClose
 }
 
 // success reports whether the body counts, and not the head alone.
-func (h *answerHead) success() bool { return h.status >= 200 && h.status < 300 }
+func (h *responseHead) success() bool { return h.status >= 200 && h.status < 300 }
 
 // incoming is an answer that comes piece by piece. Its bytes are kept by who reads them, from the first on.
-type incoming struct {
-	head   *answerHead // nil until it is whole
-	from   int         // where the present head begins, and later what has not been taken of the body
-	seen   int         // how far the present head has been looked through
-	chunks httpwire.ChunkReader
-	short  bool // only its head counts: the body has no end that could be waited for
+type responseParser struct {
+	head     *responseHead // nil until it is whole
+	offset   int           // where the present head begins, and later what has not been taken of the body
+	scanned  int           // how far the present head has been looked through
+	chunks   httpwire.ChunkReader
+	headOnly bool // only its head counts: the body has no end that could be waited for
 }
 
 // next goes on over b, all that has come, and reports whether the answer is complete. eof: nothing will follow.
-func (in *incoming) next(b []byte, eof bool) (whole bool, err error) {
+func (in *responseParser) parse(b []byte, eof bool) (complete bool, err error) {
 	for in.head == nil {
-		end, err := in.findHead(b)
+		end, err := in.findHeadEnd(b)
 		if err != nil {
 			return false, err
 		}
 		if end == 0 {
 			if eof {
-				return false, errCutShort
+				return false, errResponseTruncated
 			}
 			return false, nil
 		}
-		h, err := parseAnswerHead(b[in.from:end])
+		h, err := parseResponseHead(b[in.offset:end])
 		if err != nil {
 			return false, err
 		}
-		in.from, in.seen = end, end
+		in.offset, in.scanned = end, end
 		if h.status < 200 { // an interim answer: the real one follows
 			continue
 		}
 		in.head = h
-		if h.endless() {
+		if h.unterminated() {
 			if h.success() {
-				return false, errUnframed
+				return false, errResponseUnframed
 			}
-			in.short, h.last = true, true // its head is enough
+			in.headOnly, h.willClose = true, true // its head is enough
 		}
 	}
 	switch h := in.head; {
-	case in.short:
+	case in.headOnly:
 		return true, nil
 	case h.length >= 0:
-		whole = int64(len(b)-in.from) >= h.length
+		complete = int64(len(b)-in.offset) >= h.length
 	case h.chunked:
-		taken, done, err := in.chunks.Next(b[in.from:])
-		in.from += taken
+		consumed, done, err := in.chunks.Next(b[in.offset:])
+		in.offset += consumed
 		if err != nil {
 			return false, err
 		}
-		whole = done
+		complete = done
 	default:
-		whole = eof
+		complete = eof
 	}
-	if eof && !whole {
-		return false, errCutShort
+	if eof && !complete {
+		return false, errResponseTruncated
 	}
-	return whole, nil
+	return complete, nil
 }
 
-var errCutShort = errors.New("an answer that breaks off")
+var errResponseTruncated = errors.New("an answer that breaks off")
 
 // findHead returns where the present head ends; 0 where it does not yet. Lines may end with a bare LF, as the standard
 // library has it.
-func (in *incoming) findHead(b []byte) (end int, err error) {
+func (in *responseParser) findHeadEnd(b []byte) (end int, err error) {
 	for {
-		i := bytes.IndexByte(b[in.seen:], '\n')
+		i := bytes.IndexByte(b[in.scanned:], '\n')
 		if i < 0 {
-			in.seen = len(b)
+			in.scanned = len(b)
 			break
 		}
-		i += in.seen
+		i += in.scanned
 		switch after := b[i+1:]; {
 		case len(after) > 0 && after[0] == '\n':
 			end = i + 2
 		case len(after) > 1 && after[0] == '\r' && after[1] == '\n':
 			end = i + 3
 		case len(after) == 0 || len(after) == 1 && after[0] == '\r':
-			in.seen = i // once more with what follows
+			in.scanned = i // once more with what follows
 		default:
-			in.seen = i + 1
+			in.scanned = i + 1
 			continue
 		}
 		break
 	}
-	if len(b) > maxAnswerHead && (end == 0 || end > maxAnswerHead) {
-		return 0, errHuge
+	if len(b) > maxResponseHeadBytes && (end == 0 || end > maxResponseHeadBytes) {
+		return 0, errResponseTooLarge
 	}
 	return end, nil
 }
 
 // surplus drops a whole answer that belongs to no request, and returns what came behind it. It reports whether another answer may follow.
-func (in *incoming) surplus(b []byte, eof bool) (left []byte, more bool) {
-	if eof || in.head.last {
+func (in *responseParser) discard(b []byte, eof bool) (unread []byte, usable bool) {
+	if eof || in.head.willClose {
 		return nil, false
 	}
-	_, rest := in.body(b)
-	return b[len(b)-rest:], true
+	_, trailing := in.body(b)
+	return b[len(b)-trailing:], true
 }
 
 // body is the body of a whole answer, and rest how many bytes came behind it.
-func (in *incoming) body(b []byte) (body []byte, rest int) {
+func (in *responseParser) body(b []byte) (body []byte, trailing int) {
 	switch h := in.head; {
-	case in.short:
+	case in.headOnly:
 		return nil, 0
 	case h.chunked:
-		return in.chunks.Body, len(b) - in.from
+		return in.chunks.Body, len(b) - in.offset
 	case h.length >= 0:
-		return b[in.from : in.from+int(h.length)], len(b) - in.from - int(h.length)
+		return b[in.offset : in.offset+int(h.length)], len(b) - in.offset - int(h.length)
 	}
-	return b[in.from:], 0
+	return b[in.offset:], 0
 }
--- a/internal/upstream/http/stream.go
+++ b/internal/upstream/http/stream.go
@@ -22,18 +22,18 @@
 // is held whole.
 
 const (
-	piece = 16 << 10 // bytes that are read or written at a time
+	copyBufferBytes = 16 << 10 // bytes that are read or written at a time
 	// stall is how long a server may take nothing of a request, or give nothing of an answer, that passes through; and a client
 	// take nothing of one.
-	stall = 10 * time.Second
+	stallTimeout = 10 * time.Second
 	// heldBack is how long the first bytes of an answer of unknown length are kept: it may be short, and can be asked for
 	// again as long as the client has none of it.
-	heldBack = 100 * time.Millisecond
+	holdTimeout = 100 * time.Millisecond
 	// uploadWait bounds the wait for the next piece of a request; the front ends those that come too slowly.
-	uploadWait = time.Minute
+	uploadReadTimeout = time.Minute
 )
 
-var pieces = sync.Pool{New: func() any { return new([piece]byte) }}
+var copyBuffers = sync.Pool{New: func() any { return new([copyBufferBytes]byte) }}
 
 // encodeHead writes the head of a request whose body follows; of unknown length it follows in chunks.
 func encodeHead(req *http.Request, length int64) []byte {
@@ -58,52 +58,52 @@
 type uploadEnd uint8
 
 const (
-	uploadComplete uploadEnd = iota // all of it was written
-	uploadAnswered                  // the server has something to say before that, or has closed the connection
-	uploadBroken                    // it can't be written to its end
+	uploadComplete    uploadEnd = iota // all of it was written
+	uploadInterrupted                  // the server has something to say before that, or has closed the connection
+	uploadFailed                       // it can't be written to its end
 )
 
 // upload writes a body as it comes. The outcome is that of an upload that is broken.
 func (u *upstream) upload(a *attempt, c *conn) (end uploadEnd, outcome balance.Result) {
 	s := a.Message.Stream
-	buf := pieces.Get().(*[piece]byte)
-	defer pieces.Put(buf)
-	const room = 10 // for the size of a chunk ahead of it, and 2 for the line end behind
+	buf := copyBuffers.Get().(*[copyBufferBytes]byte)
+	defer copyBuffers.Put(buf)
+	const chunkHeadBytes = 10 // for the size of a chunk ahead of it, and 2 for the line end behind
 	for {
-		if u.answersEarly(c) {
-			return uploadAnswered, 0
+		if u.hasEarlyResponse(c) {
+			return uploadInterrupted, 0
 		}
-		n, err := s.ReadTimeout(buf[room:piece-2], uploadWait)
+		n, err := s.ReadTimeout(buf[chunkHeadBytes:copyBufferBytes-2], uploadReadTimeout)
 		if err != nil && !errors.Is(err, io.EOF) {
-			return uploadBroken, balance.NotSent // the client's end, not the server's
+			return uploadFailed, balance.NotSent // the client's end, not the server's
 		}
-		out := buf[room : room+n]
+		out := buf[chunkHeadBytes : chunkHeadBytes+n]
 		if s.Length() < 0 {
 			if n > 0 {
 				head := strconv.AppendInt(nil, int64(n), 16)
 				head = append(head, '\r', '\n')
-				copy(buf[room-len(head):], head)
-				copy(buf[room+n:], "\r\n")
-				out = buf[room-len(head) : room+n+2]
+				copy(buf[chunkHeadBytes-len(head):], head)
+				copy(buf[chunkHeadBytes+n:], "\r\n")
+				out = buf[chunkHeadBytes-len(head) : chunkHeadBytes+n+2]
 			}
 			if errors.Is(err, io.EOF) {
 				out = append(out, "0\r\n\r\n"...)
 			}
 		}
-		if !a.extend(c, stall) {
-			return uploadBroken, balance.NotSent
+		if !a.extendDeadline(c, stallTimeout) {
+			return uploadFailed, balance.NotSent
 		}
 		if len(out) > 0 {
-			if _, werr := c.Write(out); werr != nil {
+			if _, writeErr := c.Write(out); writeErr != nil {
 				if a.ctx.Err() != nil {
-					return uploadBroken, balance.NotSent
+					return uploadFailed, balance.NotSent
 				}
-				return uploadAnswered, 0 // the connection is closed, maybe behind an answer
+				return uploadInterrupted, 0 // the connection is closed, maybe behind an answer
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			if !a.extend(c, a.Message.Remaining) {
-				return uploadBroken, 0
+			if !a.extendDeadline(c, a.Message.Remaining) {
+				return uploadFailed, 0
 			}
 			return uploadComplete, 0
 		}
@@ -111,7 +111,7 @@
 }
 
 // extend gives a connection a time from now, and reports whether the attempt still goes on.
-func (a *attempt) extend(c *conn, d time.Duration) bool {
+func (a *attempt) extendDeadline(c *conn, d time.Duration) bool {
 	_ = c.SetDeadline(time.Now().Add(d)) // fails only on a closed connection, as the next call on it does
 	if a.ctx.Err() != nil {              // given up meanwhile, which had set another
 		_ = c.SetDeadline(time.Unix(1, 0)) // fails only on a closed connection, as the next call on it does
@@ -122,9 +122,9 @@
 
 // answersEarly reports whether a server has something to say before it has the whole request, or has closed the connection. Interim
 // answers are dropped where a dialect judges answers.
-func (u *upstream) answersEarly(c *conn) bool {
-	for c.state() != socket.Idle || c.in.Buffered() > 0 {
-		if u.dialect == nil || !c.in.dropInterim() {
+func (u *upstream) hasEarlyResponse(c *conn) bool {
+	for c.state() != socket.Idle || c.reader.Buffered() > 0 {
+		if u.dialect == nil || !c.reader.discardInterim() {
 			return true
 		}
 	}
@@ -134,17 +134,17 @@
 // early reads the answer of a server that answers before it has the whole request. By the platform of package settings no server begins
 // before the last byte. Where a dialect judges answers, this one counts like any other, as a server may begin by the head alone; one that
 // closes the connection without a word has not begun.
-func (u *upstream) early(a *attempt, c *conn) core.Result {
-	if !a.extend(c, u.pool.connectTimeout) {
+func (u *upstream) readEarlyResponse(a *attempt, c *conn) core.Result {
+	if !a.extendDeadline(c, u.pool.connectTimeout) {
 		return core.Result{Outcome: balance.NotSent}
 	}
 	if u.dialect == nil {
-		return core.Result{Outcome: u.earlyRejection(c)}
+		return core.Result{Outcome: u.earlyOutcome(c)}
 	}
-	if !c.in.awaitByte() {
+	if !c.reader.waitForByte() {
 		return core.Result{Outcome: balance.ConnectFailed}
 	}
-	if !a.extend(c, a.Message.Remaining) {
+	if !a.extendDeadline(c, a.Message.Remaining) {
 		return core.Result{Outcome: balance.Cancelled}
 	}
 	r, _ := u.receive(a, c) // what is missing of the request makes the connection useless
@@ -152,8 +152,8 @@
 }
 
 // earlyRejection is what an early answer proves by the platform of package settings.
-func (u *upstream) earlyRejection(c *conn) balance.Result {
-	resp, err := c.in.head(http.MethodPost, httpwire.MaxStreamedBody)
+func (u *upstream) earlyOutcome(c *conn) balance.Result {
+	resp, err := c.reader.readHead(http.MethodPost, httpwire.MaxStreamedBody)
 	if err == nil && headOf(resp).outcome() == balance.Rejected {
 		return balance.Rejected
 	}
@@ -162,88 +162,88 @@
 
 // relay passes an answer on whose body is longer than what is held whole, or of unknown length. What turns out to be short
 // is answered like any other.
-func (u *upstream) relay(a *attempt, c *conn, resp *http.Response) (core.Result, bool) {
-	r := &relaying{a: a, u: u, conn: c, head: headOf(resp), pipe: bodypipe.New(resp.ContentLength)}
+func (u *upstream) streamResponse(a *attempt, c *conn, resp *http.Response) (core.Result, bool) {
+	r := &responseStream{a: a, u: u, conn: c, head: headOf(resp), pipe: bodypipe.New(resp.ContentLength)}
 	r.pipe.OnAbort(a.cancel) // the server's next bytes may be seconds away
 	if resp.ContentLength < 0 {
-		timer := time.AfterFunc(heldBack-a.heldFor, func() { r.pass(false) })
+		timer := time.AfterFunc(holdTimeout-a.heldFor, func() { r.startStreaming(false) })
 		defer timer.Stop()
 	} else {
-		r.pass(true)
+		r.startStreaming(true)
 	}
-	c.lastBody = 0
-	buf := pieces.Get().(*[piece]byte)
-	defer pieces.Put(buf)
+	c.lastBodyHash = 0
+	buf := copyBuffers.Get().(*[copyBufferBytes]byte)
+	defer copyBuffers.Put(buf)
 	total := int64(0)
 	for {
-		if r.passed() && !a.extend(c, stall) {
-			return r.broken(os.ErrDeadlineExceeded), false
+		if r.isStreaming() && !a.extendDeadline(c, stallTimeout) {
+			return r.abort(os.ErrDeadlineExceeded), false
 		}
 		n, err := resp.Body.Read(buf[:])
 		if total += int64(n); total > httpwire.MaxStreamedBody {
-			return r.broken(errHuge), false
+			return r.abort(errResponseTooLarge), false
 		}
 		if n > 0 {
-			if gone := r.take(buf[:n]); gone != nil {
-				return r.broken(gone), false
+			if writeErr := r.write(buf[:n]); writeErr != nil {
+				return r.abort(writeErr), false
 			}
 		}
 		if err == io.EOF {
-			if !r.passed() && r.hold() {
-				return u.answered(a.Attempt, c, r.head, r.held, c.in.Buffered())
+			if !r.isStreaming() && r.keepWhole() {
+				return u.result(a.Attempt, c, r.head, r.buffered, c.reader.Buffered())
 			}
 			r.pipe.CloseWrite(nil)
-			return core.Result{}, !resp.Close && c.in.Buffered() == 0
+			return core.Result{}, !resp.Close && c.reader.Buffered() == 0
 		}
 		if err != nil {
-			return r.broken(err), false
+			return r.abort(err), false
 		}
 	}
 }
 
 // relaying is an answer on its way.
-type relaying struct {
+type responseStream struct {
 	a    *attempt
 	u    *upstream
 	conn *conn
-	head *answerHead
+	head *responseHead
 	pipe *bodypipe.Pipe
 
-	mu   sync.Mutex
-	held []byte // as long as nothing has been passed on
-	gone bool   // the client gets it as it comes
-	kept bool   // it is answered as a whole, or not at all
+	mu        sync.Mutex
+	buffered  []byte // as long as nothing has been passed on
+	streaming bool   // the client gets it as it comes
+	keptWhole bool   // it is answered as a whole, or not at all
 }
 
-func (r *relaying) passed() bool {
+func (r *responseStream) isStreaming() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.gone
+	return r.streaming
 }
 
 // hold keeps the answer from being passed on, unless it is already.
-func (r *relaying) hold() bool {
+func (r *responseStream) keepWhole() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.kept = !r.gone
-	return r.kept
+	r.keptWhole = !r.streaming
+	return r.keptWhole
 }
 
 // pass ends the attempt with an answer whose body follows, and with it what was held back; without any only if empty is set.
-func (r *relaying) pass(empty bool) {
+func (r *responseStream) startStreaming(allowEmpty bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock() // after End: the one who reads on must not end the attempt before
-	if r.gone || r.kept || len(r.held) == 0 && !empty {
+	if r.streaming || r.keptWhole || len(r.buffered) == 0 && !allowEmpty {
 		return
 	}
-	r.gone = true
-	r.a.extend(r.conn, stall)
-	if len(r.held) > 0 {
-		_ = r.pipe.Append(r.held) // fails where the client has gone, and so does the next write
-		r.held = nil
+	r.streaming = true
+	r.a.extendDeadline(r.conn, stallTimeout)
+	if len(r.buffered) > 0 {
+		_ = r.pipe.Append(r.buffered) // fails where the client has gone, and so does the next write
+		r.buffered = nil
 	}
-	report := reportOf(r.head.header, r.u.fields)
-	answer := r.head.answer()
+	report := loadReport(r.head.header, r.u.reportFields)
+	answer := r.head.newAnswer()
 	if r.u.dialect != nil {
 		answer.Status = r.head.status
 	}
@@ -252,27 +252,27 @@
 }
 
 // take takes in a piece. It fails when the client takes no more.
-func (r *relaying) take(b []byte) error {
+func (r *responseStream) write(b []byte) error {
 	r.mu.Lock()
-	if !r.gone {
-		r.held = append(r.held, b...)
-		full := len(r.held) > httpwire.MaxBufferedBody || r.a.heldFor >= heldBack // no timer is to come
+	if !r.streaming {
+		r.buffered = append(r.buffered, b...)
+		full := len(r.buffered) > httpwire.MaxBufferedBody || r.a.heldFor >= holdTimeout // no timer is to come
 		r.mu.Unlock()
 		if full {
-			r.pass(true)
+			r.startStreaming(true)
 		}
 		return nil
 	}
 	r.mu.Unlock()
-	return r.pipe.WriteTimeout(b, stall)
+	return r.pipe.WriteTimeout(b, stallTimeout)
 }
 
 // broken ends what does not come to its end: the attempt, or the body that the client is reading.
-func (r *relaying) broken(err error) core.Result {
-	if !r.hold() {
-		r.pipe.CloseWrite(errors.Join(errBroken, err))
+func (r *responseStream) abort(err error) core.Result {
+	if !r.keepWhole() {
+		r.pipe.CloseWrite(errors.Join(errResponseAborted, err))
 	}
-	return core.Result{Outcome: r.a.broken(err)}
+	return core.Result{Outcome: r.a.failureOutcome(err)}
 }
 
-var errBroken = errors.New("an answer that breaks off")
+var errResponseAborted = errors.New("an answer that breaks off")
--- a/internal/upstream/http/upstream.go
+++ b/internal/upstream/http/upstream.go
@@ -18,29 +18,29 @@
 )
 
 const (
-	loadHeader    = "Endpoint-Load-Metrics"
-	neverRan      = "X-Never-Ran"
-	probePatience = 250 * time.Millisecond // beyond the time for a connection
+	loadHeader     = "Endpoint-Load-Metrics"
+	neverRanHeader = "X-Never-Ran"
+	probeGrace     = 250 * time.Millisecond // beyond the time for a connection
 )
 
 // Config holds the settings of a Backend.
 type Config struct {
 	ConnectTimeout time.Duration
-	Idle           time.Duration // after which an unused connection is closed
-	Rest           time.Duration // between two requests on a connection
-	Sockets        int           // connections at most
-	Fields         []string      // the figures of a load report, in the module's order
-	Reports        bool          // probes ask for the load report
-	NoteLate       func(*core.Endpoint)
+	IdleTimeout    time.Duration // after which an unused connection is closed
+	ReuseDelay     time.Duration // between two requests on a connection
+	MaxConns       int           // connections at most
+	ReportFields   []string      // the figures of a load report, in the module's order
+	ProbeForReport bool          // probes ask for the load report
+	OnLateData     func(*core.Endpoint)
 	// Silence is after how long without a word of the kernel at the other side a connection that carries a request counts as broken:
 	// its machine has no power, or is cut off. 0: it may hang.
-	Silence time.Duration
+	PeerTimeout time.Duration
 	// Fresh is how long a connection may have been idle to carry what must not run twice: servers may forget idle ones without a word, and
 	// after a reset nobody knows whether a request ran. 0: as long as any.
-	Fresh time.Duration
+	MaxUnsafeIdle time.Duration
 	// Ended is notified of how an attempt has ended, ahead of the exchange. Where it returns true, it ends the attempt itself, later.
 	// Nil: nobody is.
-	Ended func(*core.Attempt, core.Result) (later bool)
+	OnEnd func(*core.Attempt, core.Result) (later bool)
 	// Dialect words requests and judges answers, where that is not as the platform of package settings has it; nil: it is.
 	Dialect Dialect
 }
@@ -49,14 +49,14 @@
 type Dialect interface {
 	// Fields appends the header lines of a request that the dialect adds, each ended with CR LF, for an attempt that has so
 	// long left. Of what came with the message those go on for which Keep holds.
-	Fields(dst []byte, a *core.Attempt, left time.Duration) []byte
-	Keep(name string) bool
+	AppendHeaders(dst []byte, a *core.Attempt, remaining time.Duration) []byte
+	ForwardsHeader(name string) bool
 	// Judge returns what a complete answer proves, of which the header is the judge's own from now on.
-	Judge(a *core.Attempt, status int, header http.Header, body []byte) core.Result
+	Evaluate(a *core.Attempt, status int, header http.Header, body []byte) core.Result
 	// Ours reports whether an answer belongs to an attempt. One that does not is dropped, and the next is read.
-	Ours(a *core.Attempt, header http.Header) bool
+	Matches(a *core.Attempt, header http.Header) bool
 	// Passes reports whether the body of an answer may be passed on while it comes.
-	Passes(a *core.Attempt, status int, header http.Header) bool
+	Streamable(a *core.Attempt, status int, header http.Header) bool
 }
 
 // attempt is a core.Attempt with what it takes to give it up.
@@ -77,14 +77,14 @@
 
 // New returns a back whose attempts end when ctx does.
 func New(ctx context.Context, cfg Config) *Backend {
-	p := newPool(cfg.ConnectTimeout, cfg.Idle, cfg.Rest, cfg.Sockets)
-	p.silence, p.fresh = cfg.Silence, cfg.Fresh
-	if cfg.NoteLate != nil {
-		p.noteLate = cfg.NoteLate
+	p := newPool(cfg.ConnectTimeout, cfg.IdleTimeout, cfg.ReuseDelay, cfg.MaxConns)
+	p.peerTimeout, p.maxUnsafeIdle = cfg.PeerTimeout, cfg.MaxUnsafeIdle
+	if cfg.OnLateData != nil {
+		p.onLateData = cfg.OnLateData
 	}
-	u := &upstream{pool: p, fields: cfg.Fields, probe: "/alive", dialect: cfg.Dialect, ended: cfg.Ended}
-	if cfg.Reports {
-		u.probe = "/metrics/load"
+	u := &upstream{pool: p, reportFields: cfg.ReportFields, probePath: "/alive", dialect: cfg.Dialect, onEnd: cfg.OnEnd}
+	if cfg.ProbeForReport {
+		u.probePath = "/metrics/load"
 	}
 	return &Backend{up: u, ctx: ctx}
 }
@@ -105,7 +105,7 @@
 
 // Probe implements core.Backend.
 func (b *Backend) Probe(e *core.Endpoint, done func(core.Result)) {
-	b.running.Go(func() { done(b.up.ask(b.ctx, e)) })
+	b.running.Go(func() { done(b.up.sendProbe(b.ctx, e)) })
 }
 
 // CloseIdle implements core.Backend.
@@ -137,26 +137,26 @@
 // sends a request again by itself when a kept connection turns out to be dead, and does not report whether the
 // last byte was written, on which it hangs whether a request may have run.
 type upstream struct {
-	pool   *pool
-	fields []string
-	probe  string // path
+	pool         *pool
+	reportFields []string
+	probePath    string // path
 
 	dialect Dialect
-	ended   func(*core.Attempt, core.Result) bool
+	onEnd   func(*core.Attempt, core.Result) bool
 }
 
 // end ends an attempt, unless that is left to somebody else.
 func (u *upstream) end(a *core.Attempt, r core.Result) {
-	if u.ended == nil || !u.ended(a, r) {
+	if u.onEnd == nil || !u.onEnd(a, r) {
 		a.End(r)
 	}
 }
 
 // perform makes an attempt and returns how it ended.
 func (u *upstream) perform(a *attempt) core.Result {
-	c, err := u.pool.get(a.ctx, a.Endpoint, a.Deadline, u.pool.within(a.Message))
+	c, err := u.pool.get(a.ctx, a.Endpoint, a.Deadline, u.pool.maxIdle(a.Message))
 	if err != nil {
-		return core.Result{Outcome: unconnected(a, err)}
+		return core.Result{Outcome: connectOutcome(a, err)}
 	}
 	// A dial may take longer than the server accepts requests, or than the request has. Nothing was sent yet.
 	if a.Obsolete() || a.ctx.Err() != nil {
@@ -164,7 +164,7 @@
 		return core.Result{Outcome: balance.NotSent}
 	}
 	r, reusable := u.exchange(a, c)
-	u.pool.giveBack(c, reusable)
+	u.pool.returnConn(c, reusable)
 	return r
 }
 
@@ -188,9 +188,9 @@
 	}
 	if a.Message.Stream != nil {
 		switch end, outcome := u.upload(a, c); end {
-		case uploadAnswered:
-			return u.early(a, c), false
-		case uploadBroken:
+		case uploadInterrupted:
+			return u.readEarlyResponse(a, c), false
+		case uploadFailed:
 			return core.Result{Outcome: outcome}, false
 		case uploadComplete:
 		}
@@ -201,51 +201,51 @@
 
 // receive reads the answer to a request that was written whole.
 func (u *upstream) receive(a *attempt, c *conn) (r core.Result, reusable bool) {
-	most := int64(httpwire.MaxBufferedBody)
+	maxBodyBytes := int64(httpwire.MaxBufferedBody)
 	if a.Message.AcceptsStream {
-		most = httpwire.MaxStreamedBody
+		maxBodyBytes = httpwire.MaxStreamedBody
 	}
-	resp, err := c.in.head(methodOf(a.Message), most)
+	resp, err := c.reader.readHead(methodOf(a.Message), maxBodyBytes)
 	if err != nil {
-		return core.Result{Outcome: a.broken(err)}, false
+		return core.Result{Outcome: a.failureOutcome(err)}, false
 	}
-	if u.dialect != nil && !u.dialect.Ours(a.Attempt, resp.Header) {
+	if u.dialect != nil && !u.dialect.Matches(a.Attempt, resp.Header) {
 		return core.Result{Outcome: balance.Reset}, false
 	}
-	if a.Message.AcceptsStream && u.passes(a.Attempt, headOf(resp)) && resp.Body != http.NoBody &&
+	if a.Message.AcceptsStream && u.streamable(a.Attempt, headOf(resp)) && resp.Body != http.NoBody &&
 		(resp.ContentLength < 0 || resp.ContentLength > httpwire.MaxBufferedBody) {
-		return u.relay(a, c, resp)
+		return u.streamResponse(a, c, resp)
 	}
 	var body []byte
 	if resp.Body != http.NoBody {
-		if body, err = c.in.whole(resp); err != nil {
-			return core.Result{Outcome: a.broken(err)}, false
+		if body, err = c.reader.readBody(resp); err != nil {
+			return core.Result{Outcome: a.failureOutcome(err)}, false
 		}
 	}
-	return u.answered(a.Attempt, c, headOf(resp), body, c.in.Buffered())
+	return u.result(a.Attempt, c, headOf(resp), body, c.reader.Buffered())
 }
 
 // answered makes a result of an answer that is there as a whole, with rest bytes behind it.
-func (u *upstream) answered(a *core.Attempt, c *conn, h *answerHead, body []byte, rest int) (r core.Result, reusable bool) {
+func (u *upstream) result(a *core.Attempt, c *conn, h *responseHead, body []byte, trailing int) (r core.Result, reusable bool) {
 	if u.dialect != nil {
 		httpwire.RemoveHopByHop(h.header)
-		return u.dialect.Judge(a, h.status, h.header, body), !h.last && rest == 0
+		return u.dialect.Evaluate(a, h.status, h.header, body), !h.willClose && trailing == 0
 	}
-	r = core.Result{Outcome: h.outcome(), Report: reportOf(h.header, u.fields)}
+	r = core.Result{Outcome: h.outcome(), Report: loadReport(h.header, u.reportFields)}
 	if r.Outcome == balance.OK {
-		if u.pool.isCopy(c, body) {
+		if u.pool.isDuplicate(c, body) {
 			return core.Result{Outcome: balance.Reset}, false // the answer to this request is yet to come, or never will
 		}
-		r.Answer = h.answer()
+		r.Answer = h.newAnswer()
 		r.Answer.Body = body
 	}
-	return r, !h.last && rest == 0
+	return r, !h.willClose && trailing == 0
 }
 
 // passes reports whether an answer that is long may be passed on while it comes.
-func (u *upstream) passes(a *core.Attempt, h *answerHead) bool {
+func (u *upstream) streamable(a *core.Attempt, h *responseHead) bool {
 	if u.dialect != nil {
-		return u.dialect.Passes(a, h.status, h.header)
+		return u.dialect.Streamable(a, h.status, h.header)
 	}
 	return h.status == http.StatusOK
 }
--- a/internal/upstream/http/upstream_test.go
+++ b/internal/upstream/http/upstream_test.go
@@ -22,11 +22,13 @@
 }
 
 // onEach runs a test on both kinds of backs.
-func onEach(t *testing.T, test func(t *testing.T, newUpstream func(sockets int) *subject)) {
-	cfg := Config{ConnectTimeout: testbed.Patience, Idle: testbed.Patience, Fields: []string{"busy", "rate"}, Reports: true}
+func forEachBackend(t *testing.T, test func(t *testing.T, newUpstream func(sockets int) *subject)) {
+	cfg := Config{
+		ConnectTimeout: testbed.Patience, IdleTimeout: testbed.Patience, ReportFields: []string{"busy", "rate"}, ProbeForReport: true,
+	}
 	t.Run("goroutines", func(t *testing.T) {
 		test(t, func(sockets int) *subject {
-			cfg.Sockets = sockets
+			cfg.MaxConns = sockets
 			b := New(t.Context(), cfg)
 			t.Cleanup(b.Close)
 			return &subject{b.up, nil}
@@ -34,7 +36,7 @@
 	})
 	t.Run("readiness", func(t *testing.T) {
 		test(t, func(sockets int) *subject {
-			cfg.Sockets = sockets
+			cfg.MaxConns = sockets
 			b, err := NewPoll(t.Context(), cfg)
 			if errors.Is(err, errors.ErrUnsupported) {
 				t.Skip(err)
@@ -49,7 +51,7 @@
 }
 
 // do makes an attempt.
-func (s *subject) do(t *testing.T, a *tried) core.Result {
+func (s *subject) runAttempt(t *testing.T, a *testAttempt) core.Result {
 	t.Helper()
 	if s.poll == nil {
 		return s.perform(a.attempt)
@@ -59,10 +61,10 @@
 	return testbed.Next(t, a.done)
 }
 
-func (s *subject) ask(t *testing.T, e *core.Endpoint) core.Result {
+func (s *subject) runProbe(t *testing.T, e *core.Endpoint) core.Result {
 	t.Helper()
 	if s.poll == nil {
-		return s.upstream.ask(context.Background(), e)
+		return s.upstream.sendProbe(context.Background(), e)
 	}
 	done := make(chan core.Result, 1)
 	s.poll.Probe(e, func(r core.Result) { done <- r })
@@ -70,25 +72,25 @@
 }
 
 // kept is how many connections there are.
-func (s *subject) kept() int {
+func (s *subject) openConns() int {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
 	return s.pool.open
 }
 
-func at(addr string) *core.Endpoint {
+func endpointAt(addr string) *core.Endpoint {
 	return core.NewEndpoint(addr, addr)
 }
 
 // tried is an attempt whose end comes on done.
-type tried struct {
+type testAttempt struct {
 	*attempt
 	done chan core.Result
 }
 
-func newAttempt(e *core.Endpoint, within time.Duration) *tried {
+func newAttempt(e *core.Endpoint, within time.Duration) *testAttempt {
 	m := &core.Message{Target: "/api", Authority: "app.svc", Meta: http.Header{}, Body: []byte("order 7")}
-	a := &tried{&attempt{}, make(chan core.Result, 1)}
+	a := &testAttempt{&attempt{}, make(chan core.Result, 1)}
 	a.Attempt = core.NewAttempt(e, m, time.Now().Add(within), func(r core.Result) { a.done <- r })
 	a.ctx, a.cancel = context.WithCancel(context.Background())
 	return a
@@ -99,9 +101,9 @@
 	return r
 }
 
-func (s *subject) want(t *testing.T, a *tried, want balance.Result) core.Result {
+func (s *subject) want(t *testing.T, a *testAttempt, want balance.Result) core.Result {
 	t.Helper()
-	r := s.do(t, a)
+	r := s.runAttempt(t, a)
 	a.cancel()
 	if r.Outcome != want {
 		t.Errorf("outcome %d, want %d", r.Outcome, want)
@@ -111,21 +113,21 @@
 
 // A connection may be there only after the news that the server drains, or after the request's final answer.
 // Nothing may be sent then, and the attempt never ran.
-func TestLooksAgainBeforeTheFirstByte(t *testing.T) { onEach(t, testLooksAgainBeforeTheFirstByte) }
+func TestObsoleteAttemptIsNotSent(t *testing.T) { forEachBackend(t, testObsoleteAttemptIsNotSent) }
 
-func testLooksAgainBeforeTheFirstByte(t *testing.T, newUpstream func(int) *subject) {
-	for name, late := range map[string]func(*tried){
-		"draining": func(a *tried) { a.Endpoint.Close() },
-		"answered": func(a *tried) { a.SetAnswered() },
-		"given up": func(a *tried) { a.cancel() },
-		"too late": func(a *tried) { a.Deadline = time.Now() },
+func testObsoleteAttemptIsNotSent(t *testing.T, newUpstream func(int) *subject) {
+	for name, change := range map[string]func(*testAttempt){
+		"draining": func(a *testAttempt) { a.Endpoint.Close() },
+		"answered": func(a *testAttempt) { a.SetAnswered() },
+		"given up": func(a *testAttempt) { a.cancel() },
+		"too late": func(a *testAttempt) { a.Deadline = time.Now() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, u := testbed.NewScript(t, testbed.Say(200, "")), newUpstream(1024)
-			e := at(s.Addr)
+			e := endpointAt(s.Addr)
 			u.want(t, newAttempt(e, testbed.Patience), balance.OK)
 			a := newAttempt(e, testbed.Patience)
-			if late(a); a.ctx.Err() != nil && u.poll != nil {
+			if change(a); a.ctx.Err() != nil && u.poll != nil {
 				t.Skip("what is given up is never begun")
 			}
 			u.want(t, a, balance.NotSent)
@@ -137,11 +139,13 @@
 }
 
 // A request written to a connection that the server has closed would end as a reset, which may have run.
-func TestLeavesDeadConnections(t *testing.T) { onEach(t, testLeavesDeadConnections) }
+func TestClosedConnectionsAreNotReused(t *testing.T) {
+	forEachBackend(t, testClosedConnectionsAreNotReused)
+}
 
-func testLeavesDeadConnections(t *testing.T, newUpstream func(int) *subject) {
+func testClosedConnectionsAreNotReused(t *testing.T, newUpstream func(int) *subject) {
 	ending := testbed.NewScript(t, func(c net.Conn) bool { testbed.Say(200, "")(c); return false })
-	u, e := newUpstream(1024), at(ending.Addr)
+	u, e := newUpstream(1024), endpointAt(ending.Addr)
 	u.want(t, newAttempt(e, testbed.Patience), balance.OK)
 	testbed.Until(t, "the server closes", func() bool {
 		u.pool.mu.Lock()
@@ -152,23 +156,25 @@
 	if _, _, conns := ending.Seen(); conns != 2 {
 		t.Errorf("%d connections, want a second one", conns)
 	}
-	testbed.Until(t, "what has ended is not counted", func() bool { return u.kept() <= 1 })
+	testbed.Until(t, "what has ended is not counted", func() bool { return u.openConns() <= 1 })
 }
 
-func TestRefusedConnectionNeverRan(t *testing.T) { onEach(t, testRefusedConnectionNeverRan) }
+func TestRefusedConnectionIsConnectFailed(t *testing.T) {
+	forEachBackend(t, testRefusedConnectionIsConnectFailed)
+}
 
-func testRefusedConnectionNeverRan(t *testing.T, newUpstream func(int) *subject) {
+func testRefusedConnectionIsConnectFailed(t *testing.T, newUpstream func(int) *subject) {
 	ln := testbed.Listen(t)
 	_ = ln.Close()
-	newUpstream(1024).want(t, newAttempt(at(ln.Addr().String()), testbed.Patience), balance.ConnectFailed)
+	newUpstream(1024).want(t, newAttempt(endpointAt(ln.Addr().String()), testbed.Patience), balance.ConnectFailed)
 }
 
 // Giving an attempt up ends its connection: it must neither occupy a socket nor carry another request.
-func TestGivenUpAttemptsFreeTheirConnection(t *testing.T) {
-	onEach(t, testGivenUpAttemptsFreeTheirConnection)
+func TestCancelledAttemptsCloseConnection(t *testing.T) {
+	forEachBackend(t, testCancelledAttemptsCloseConnection)
 }
 
-func testGivenUpAttemptsFreeTheirConnection(t *testing.T, newUpstream func(int) *subject) {
+func testCancelledAttemptsCloseConnection(t *testing.T, newUpstream func(int) *subject) {
 	ended := make(chan bool, 2)
 	hang := func(c net.Conn) bool {
 		var b [1]byte
@@ -177,7 +183,7 @@
 		return false
 	}
 	s, u := testbed.NewScript(t, hang), newUpstream(1024)
-	e := at(s.Addr)
+	e := endpointAt(s.Addr)
 	u.want(t, newAttempt(e, 2*time.Second), balance.TimedOut)
 	testbed.Next(t, ended)
 	a := newAttempt(e, testbed.Patience)
@@ -189,39 +195,41 @@
 	}()
 	u.want(t, a, balance.Cancelled)
 	testbed.Next(t, ended)
-	if u.kept() != 0 {
-		t.Errorf("%d connections open", u.kept())
+	if u.openConns() != 0 {
+		t.Errorf("%d connections open", u.openConns())
 	}
 }
 
 // The pool gives up idle connections before it refuses one, and a lack of sockets is no fault of the server.
-func TestSocketBudget(t *testing.T) { onEach(t, testSocketBudget) }
+func TestConnectionLimit(t *testing.T) { forEachBackend(t, testConnectionLimit) }
 
-func testSocketBudget(t *testing.T, newUpstream func(int) *subject) {
+func testConnectionLimit(t *testing.T, newUpstream func(int) *subject) {
 	first, second := testbed.NewScript(t, testbed.Say(200, "")), testbed.NewScript(t, testbed.Say(200, ""))
 	u := newUpstream(1) // one connection
-	u.want(t, newAttempt(at(first.Addr), testbed.Patience), balance.OK)
-	u.want(t, newAttempt(at(second.Addr), testbed.Patience), balance.OK)
-	if n := u.kept(); n != 1 {
+	u.want(t, newAttempt(endpointAt(first.Addr), testbed.Patience), balance.OK)
+	u.want(t, newAttempt(endpointAt(second.Addr), testbed.Patience), balance.OK)
+	if n := u.openConns(); n != 1 {
 		t.Errorf("%d connections open, want 1", n)
 	}
-	c, err := u.pool.get(context.Background(), at(first.Addr), time.Now().Add(testbed.Patience), 0)
+	c, err := u.pool.get(context.Background(), endpointAt(first.Addr), time.Now().Add(testbed.Patience), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer u.pool.drop(c)
-	u.want(t, newAttempt(at(second.Addr), testbed.Patience), balance.NotSent)
+	u.want(t, newAttempt(endpointAt(second.Addr), testbed.Patience), balance.NotSent)
 }
 
 // Where the server's answer goes on beyond its end, the connection must not be used again.
-func TestLeavesConnectionsOutOfStep(t *testing.T) { onEach(t, testLeavesConnectionsOutOfStep) }
+func TestConnectionWithExtraDataIsNotReused(t *testing.T) {
+	forEachBackend(t, testConnectionWithExtraDataIsNotReused)
+}
 
-func testLeavesConnectionsOutOfStep(t *testing.T, newUpstream func(int) *subject) {
+func testConnectionWithExtraDataIsNotReused(t *testing.T, newUpstream func(int) *subject) {
 	s := testbed.NewScript(t, func(c net.Conn) bool {
 		_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray")
 		return err == nil
 	})
-	u, e := newUpstream(1024), at(s.Addr)
+	u, e := newUpstream(1024), endpointAt(s.Addr)
 	for range 2 {
 		if r := u.want(t, newAttempt(e, testbed.Patience), balance.OK); r.Answer != nil && len(r.Answer.Body) != 0 {
 			t.Errorf("got the body %q", r.Answer.Body)
@@ -229,16 +237,16 @@
 	}
 }
 
-func TestProbe(t *testing.T) { onEach(t, testProbe) }
+func TestProbe(t *testing.T) { forEachBackend(t, testProbe) }
 
 func testProbe(t *testing.T, newUpstream func(int) *subject) {
 	s := testbed.NewScript(t, testbed.Say(200, "TEXT util=0.5, qps=12"), testbed.Say(503, ""))
 	u := newUpstream(1024)
-	r := u.ask(t, at(s.Addr))
+	r := u.runProbe(t, endpointAt(s.Addr))
 	if r.Outcome != balance.OK || len(r.Report) != 2 || r.Report[0] != 0.5 || r.Report[1] != 12 {
 		t.Errorf("probed: %+v", r)
 	}
-	if r := u.ask(t, at(s.Addr)); r.Outcome != balance.Failed {
+	if r := u.runProbe(t, endpointAt(s.Addr)); r.Outcome != balance.Failed {
 		t.Errorf("probed a server that is not well: %+v", r)
 	}
 	if got := requestsOf(s)[0]; got.URL.Path != "/metrics/load" {
--- a/internal/upstream/msgpackrpc/backend.go
+++ b/internal/upstream/msgpackrpc/backend.go
@@ -36,27 +36,27 @@
 
 // Config configures a Backend.
 type Config struct {
-	ConnectTimeout time.Duration
-	Idle           time.Duration // after which an unused connection is closed
-	Connections    int           // to one server, at most
-	Sockets        int           // to all servers, at most
-	Open           int           // requests on one connection, at most
-	Limits         codec.Limits
-	NeverRan       []string // error codes of a server that has not started the request
-	Answers        []string // error codes that are responses of the application; "*": all others
-	Probe          string   // the method of health checks; empty: they only connect
-	Log            *slog.Logger
+	ConnectTimeout    time.Duration
+	IdleTimeout       time.Duration // after which an unused connection is closed
+	MaxConnsPerServer int           // to one server, at most
+	MaxConns          int           // to all servers, at most
+	MaxOpenPerConn    int           // requests on one connection, at most
+	Limits            codec.Limits
+	NeverRan          []string // error codes of a server that has not started the request
+	ApplicationErrors []string // error codes that are responses of the application; "*": all others
+	Probe             string   // the method of health checks; empty: they only connect
+	Log               *slog.Logger
 }
 
 // Backend makes attempts over MessagePack-RPC. It implements core.Backend and is safe for concurrent use.
 type Backend struct {
-	cfg       Config
-	ctx       context.Context
-	neverRan  map[string]bool
-	answers   map[string]bool
-	logLimit  rate.Sometimes // of problems with servers
-	unmatched atomic.Int64
-	running   sync.WaitGroup
+	cfg               Config
+	ctx               context.Context
+	neverRan          map[string]bool
+	applicationErrors map[string]bool
+	logLimit          rate.Sometimes // of problems with servers
+	unmatched         atomic.Int64
+	running           sync.WaitGroup
 
 	mu      sync.Mutex
 	servers map[*core.Endpoint][]*conn
@@ -73,12 +73,12 @@
 		return m
 	}
 	return &Backend{
-		cfg:      cfg,
-		ctx:      ctx,
-		neverRan: set(cfg.NeverRan),
-		answers:  set(cfg.Answers),
-		logLimit: rate.Sometimes{First: 5, Interval: time.Second},
-		servers:  map[*core.Endpoint][]*conn{},
+		cfg:               cfg,
+		ctx:               ctx,
+		neverRan:          set(cfg.NeverRan),
+		applicationErrors: set(cfg.ApplicationErrors),
+		logLimit:          rate.Sometimes{First: 5, Interval: time.Second},
+		servers:           map[*core.Endpoint][]*conn{},
 	}
 }
 
@@ -124,10 +124,10 @@
 			best, least = c, load
 		}
 	}
-	if (best == nil || least >= openPerConnTarget) && fit < b.cfg.Connections && b.sockets < b.cfg.Sockets {
+	if (best == nil || least >= openPerConnTarget) && fit < b.cfg.MaxConnsPerServer && b.sockets < b.cfg.MaxConns {
 		best, least = b.open(t.Endpoint, addr), 0
 	}
-	return best != nil && least < b.cfg.Open && best.add(t)
+	return best != nil && least < b.cfg.MaxOpenPerConn && best.add(t)
 }
 
 // open starts a connection. The caller holds mu.
@@ -183,7 +183,7 @@
 
 // Run closes connections that have been idle for too long, until ctx ends.
 func (b *Backend) Run(ctx context.Context) {
-	tick := time.NewTicker(max(b.cfg.Idle/idleChecks, time.Millisecond))
+	tick := time.NewTicker(max(b.cfg.IdleTimeout/idleChecks, time.Millisecond))
 	defer tick.Stop()
 	for {
 		select {
@@ -191,7 +191,7 @@
 			b.mu.Lock()
 			for _, all := range b.servers {
 				for _, c := range all {
-					c.closeIf(func(open int, last time.Time) bool { return open == 0 && now.Sub(last) >= b.cfg.Idle }, false)
+					c.closeIf(func(open int, last time.Time) bool { return open == 0 && now.Sub(last) >= b.cfg.IdleTimeout }, false)
 				}
 			}
 			b.mu.Unlock()
--- a/internal/upstream/msgpackrpc/backend_test.go
+++ b/internal/upstream/msgpackrpc/backend_test.go
@@ -22,28 +22,28 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // seen is a request as the server of a test got it, and its connection.
-type seen struct {
+type receivedRequest struct {
 	id     uint32
 	method string
 	params []byte
 	conn   net.Conn
 }
 
-func (s *seen) reply(failure, result []byte) {
+func (s *receivedRequest) respond(failure, result []byte) {
 	_, _ = s.conn.Write(codec.AppendResponse(nil, s.id, failure, result))
 }
 
 // server hands what comes to the test.
 type server struct {
 	addr     string
-	requests chan *seen
+	requests chan *receivedRequest
 	conns    chan net.Conn
 }
 
 func newServer(t *testing.T) *server {
 	t.Helper()
 	ln := testbed.Listen(t)
-	s := &server{ln.Addr().String(), make(chan *seen, 5000), make(chan net.Conn, 100)}
+	s := &server{ln.Addr().String(), make(chan *receivedRequest, 5000), make(chan net.Conn, 100)}
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -58,7 +58,7 @@
 					if err != nil {
 						return
 					}
-					s.requests <- &seen{f.ID, string(f.Method), bytes.Clone(f.Params), c}
+					s.requests <- &receivedRequest{f.ID, string(f.Method), bytes.Clone(f.Params), c}
 				}
 			}()
 		}
@@ -66,18 +66,18 @@
 	return s
 }
 
-type bench struct {
+type testBackend struct {
 	*Backend
-	t    *testing.T
-	note *testbed.Log
+	t   *testing.T
+	log *testbed.Log
 }
 
-func newBack(t *testing.T, change func(*Config)) *bench {
+func newTestBackend(t *testing.T, change func(*Config)) *testBackend {
 	t.Helper()
-	b := &bench{t: t, note: &testbed.Log{}}
+	b := &testBackend{t: t, log: &testbed.Log{}}
 	cfg := Config{
-		ConnectTimeout: testbed.Patience, Idle: testbed.Patience, Connections: 1, Sockets: 10, Open: 1000,
-		NeverRan: []string{"busy", "-7"}, Answers: []string{"none"}, Log: slog.New(slog.NewTextHandler(b.note, nil)),
+		ConnectTimeout: testbed.Patience, IdleTimeout: testbed.Patience, MaxConnsPerServer: 1, MaxConns: 10, MaxOpenPerConn: 1000,
+		NeverRan: []string{"busy", "-7"}, ApplicationErrors: []string{"none"}, Log: slog.New(slog.NewTextHandler(b.log, nil)),
 	}
 	if change != nil {
 		change(&cfg)
@@ -91,7 +91,7 @@
 var message = &core.Message{Method: "m", ContentType: core.MessagePack, Body: []byte{0x91, 7}}
 
 // attempt begins one and returns where its end comes.
-func (b *bench) attempt(e *core.Endpoint, within time.Duration) (*core.Attempt, chan core.Result) {
+func (b *testBackend) startAttempt(e *core.Endpoint, within time.Duration) (*core.Attempt, chan core.Result) {
 	ended := make(chan core.Result, 2)
 	a := core.NewAttempt(e, message, time.Now().Add(within), func(r core.Result) { ended <- r })
 	b.Begin(a)
@@ -108,15 +108,15 @@
 }
 
 // Requests are pipelined over one connection, and each gets its own answer in whatever order they come.
-func TestPipelines(t *testing.T) {
-	s, b := newServer(t), newBack(t, nil)
+func TestPipelining(t *testing.T) {
+	s, b := newServer(t), newTestBackend(t, nil)
 	e := core.NewEndpoint("s-1", s.addr)
 	const n = 50
 	var ends [n]chan core.Result
 	for i := range n {
-		_, ends[i] = b.attempt(e, testbed.Patience)
+		_, ends[i] = b.startAttempt(e, testbed.Patience)
 	}
-	var got [n]*seen
+	var got [n]*receivedRequest
 	for i := range n {
 		got[i] = testbed.Next(t, s.requests)
 		if got[i].method != "m" || !bytes.Equal(got[i].params, message.Body) {
@@ -124,7 +124,7 @@
 		}
 	}
 	for i := n - 1; i >= 0; i-- {
-		got[i].reply(nil, []byte{0xcd, 0, byte(i)})
+		got[i].respond(nil, []byte{0xcd, 0, byte(i)})
 	}
 	for i := range n {
 		if r := want(t, ends[i], balance.OK); !bytes.Equal(r.Answer.Body, []byte{0xcd, 0, byte(i)}) {
@@ -138,7 +138,7 @@
 
 // What a server says tells whether the request ran.
 func TestOutcomes(t *testing.T) {
-	s, b := newServer(t), newBack(t, nil)
+	s, b := newServer(t), newTestBackend(t, nil)
 	e := core.NewEndpoint("s-1", s.addr)
 	pack := func(v any) []byte { p, _ := msgpack.Marshal(v); return p }
 	for name, c := range map[string]struct {
@@ -154,8 +154,8 @@
 		"a code that is a map":     {map[string]any{"code": map[string]any{}}, balance.Failed},
 		"true":                     {true, balance.Failed},
 	} {
-		_, ended := b.attempt(e, testbed.Patience)
-		testbed.Next(t, s.requests).reply(pack(c.failure), nil)
+		_, ended := b.startAttempt(e, testbed.Patience)
+		testbed.Next(t, s.requests).respond(pack(c.failure), nil)
 		r := want(t, ended, c.want)
 		if c.want == balance.OK && (!r.Answer.ApplicationError || !bytes.Equal(r.Answer.Body, pack(c.failure))) {
 			t.Errorf("%s: %+v", name, r.Answer)
@@ -168,32 +168,32 @@
 
 // A reply whose id matches nothing, and a second reply to one id, make their connection unfit: what is out on it goes on,
 // what is new goes over another, and it closes with the last.
-func TestReplyThatMatchesNothing(t *testing.T) {
-	for name, stray := range map[string]func(s *seen){
-		"no id":        func(s *seen) { _, _ = s.conn.Write(codec.AppendResponse(nil, s.id+1<<30, nil, []byte{1})) },
-		"second reply": func(s *seen) { s.reply(nil, []byte{1}); s.reply(nil, []byte{1}) },
+func TestUnmatchedResponseRetiresConnection(t *testing.T) {
+	for name, stray := range map[string]func(s *receivedRequest){
+		"no id":        func(s *receivedRequest) { _, _ = s.conn.Write(codec.AppendResponse(nil, s.id+1<<30, nil, []byte{1})) },
+		"second reply": func(s *receivedRequest) { s.respond(nil, []byte{1}); s.respond(nil, []byte{1}) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, b := newServer(t), newBack(t, nil)
+			s, b := newServer(t), newTestBackend(t, nil)
 			e := core.NewEndpoint("s-1", s.addr)
-			_, first := b.attempt(e, testbed.Patience)
-			_, second := b.attempt(e, testbed.Patience)
+			_, first := b.startAttempt(e, testbed.Patience)
+			_, second := b.startAttempt(e, testbed.Patience)
 			one, two := testbed.Next(t, s.requests), testbed.Next(t, s.requests)
 			stray(one)
 			testbed.Until(t, "it is counted", func() bool { return b.Unmatched() == 1 })
-			testbed.Until(t, "it is logged", func() bool { return b.note.Has("matches nothing") })
-			_, third := b.attempt(e, testbed.Patience)
+			testbed.Until(t, "it is logged", func() bool { return b.log.Has("matches nothing") })
+			_, third := b.startAttempt(e, testbed.Patience)
 			three := testbed.Next(t, s.requests)
 			if three.conn == one.conn {
 				t.Error("a new request goes over the unfit connection")
 			}
 			if name == "no id" {
-				one.reply(nil, []byte{1})
+				one.respond(nil, []byte{1})
 			}
 			want(t, first, balance.OK)
-			two.reply(nil, []byte{2})
+			two.respond(nil, []byte{2})
 			want(t, second, balance.OK)
-			three.reply(nil, []byte{3})
+			three.respond(nil, []byte{3})
 			want(t, third, balance.OK)
 			_ = one.conn.SetReadDeadline(time.Now().Add(testbed.Patience))
 			testbed.Until(t, "it closes", func() bool {
@@ -206,18 +206,18 @@
 }
 
 // A server that answers on one connection what came on another answers neither: ids of two connections do not match.
-func TestAnswerToAnotherConnection(t *testing.T) {
-	one, two, b := newServer(t), newServer(t), newBack(t, nil)
-	_, first := b.attempt(core.NewEndpoint("s-1", one.addr), testbed.Patience)
-	_, second := b.attempt(core.NewEndpoint("s-2", two.addr), testbed.Patience)
+func TestResponseOnWrongConnectionIsUnmatched(t *testing.T) {
+	one, two, b := newServer(t), newServer(t), newTestBackend(t, nil)
+	_, first := b.startAttempt(core.NewEndpoint("s-1", one.addr), testbed.Patience)
+	_, second := b.startAttempt(core.NewEndpoint("s-2", two.addr), testbed.Patience)
 	a, c := testbed.Next(t, one.requests), testbed.Next(t, two.requests)
 	_, _ = a.conn.Write(codec.AppendResponse(nil, c.id, nil, []byte{2}))
 	testbed.Until(t, "it is counted", func() bool { return b.Unmatched() == 1 })
 	if len(first)+len(second) > 0 {
 		t.Error("it was taken for an answer")
 	}
-	a.reply(nil, []byte{1})
-	c.reply(nil, []byte{2})
+	a.respond(nil, []byte{1})
+	c.respond(nil, []byte{2})
 	if r := want(t, first, balance.OK); r.Answer.Body[0] != 1 {
 		t.Errorf("the first got % x", r.Answer.Body)
 	}
@@ -225,15 +225,15 @@
 }
 
 // A connection that breaks with N requests out gives N outcomes: all of them may have run.
-func TestBreakWithManyOut(t *testing.T) {
-	s, b := newServer(t), newBack(t, nil)
+func TestConnectionLossResetsOpenAttempts(t *testing.T) {
+	s, b := newServer(t), newTestBackend(t, nil)
 	e := core.NewEndpoint("s-1", s.addr)
 	var ends []chan core.Result
 	for range 20 {
-		_, ended := b.attempt(e, testbed.Patience)
+		_, ended := b.startAttempt(e, testbed.Patience)
 		ends = append(ends, ended)
 	}
-	var last *seen
+	var last *receivedRequest
 	for range 20 {
 		last = testbed.Next(t, s.requests)
 	}
@@ -242,8 +242,8 @@
 	for _, ended := range ends {
 		want(t, ended, balance.Reset)
 	}
-	_, again := b.attempt(e, testbed.Patience) // over a new connection
-	testbed.Next(t, s.requests).reply(nil, nil)
+	_, again := b.startAttempt(e, testbed.Patience) // over a new connection
+	testbed.Next(t, s.requests).respond(nil, nil)
 	want(t, again, balance.OK)
 	for _, ended := range ends {
 		if len(ended) > 0 {
@@ -254,7 +254,7 @@
 
 // A server that reads nothing stalls the writer: of what the kernel has not taken nothing can have run, and the rest may
 // have. Nothing is written later than that.
-func TestServerThatReadsNothing(t *testing.T) {
+func TestServerThatDoesNotRead(t *testing.T) {
 	ln := testbed.Listen(t)
 	accepted := make(chan net.Conn, 1)
 	go func() {
@@ -263,7 +263,7 @@
 			accepted <- c
 		}
 	}()
-	b := newBack(t, func(c *Config) { c.Open = 5000 })
+	b := newTestBackend(t, func(c *Config) { c.MaxOpenPerConn = 5000 })
 	e := core.NewEndpoint("s-1", ln.Addr().String())
 	big := &core.Message{Method: "m", ContentType: core.MessagePack, Body: append([]byte{0x91, 0xc5, 0xf0, 0}, make([]byte, 0xf000)...)}
 	const n = 300
@@ -286,53 +286,53 @@
 func TestRefusedConnection(t *testing.T) {
 	ln := testbed.Listen(t)
 	_ = ln.Close()
-	b := newBack(t, nil)
-	_, ended := b.attempt(core.NewEndpoint("s-1", ln.Addr().String()), testbed.Patience)
+	b := newTestBackend(t, nil)
+	_, ended := b.startAttempt(core.NewEndpoint("s-1", ln.Addr().String()), testbed.Patience)
 	want(t, ended, balance.ConnectFailed)
 }
 
 // An attempt that is given up abandons its id; the late reply is dropped, and is no error.
-func TestLateReplies(t *testing.T) {
-	s, b := newServer(t), newBack(t, nil)
+func TestLateResponsesToAbandonedAttempts(t *testing.T) {
+	s, b := newServer(t), newTestBackend(t, nil)
 	e := core.NewEndpoint("s-1", s.addr)
-	cancelled, one := b.attempt(e, testbed.Patience)
-	_, two := b.attempt(e, 100*time.Millisecond)
+	cancelled, one := b.startAttempt(e, testbed.Patience)
+	_, two := b.startAttempt(e, 100*time.Millisecond)
 	first, second := testbed.Next(t, s.requests), testbed.Next(t, s.requests)
 	b.Cancel(cancelled)
 	b.Cancel(cancelled)
 	want(t, one, balance.Cancelled)
 	want(t, two, balance.TimedOut)
-	first.reply(nil, nil)
-	second.reply(nil, nil)
-	_, three := b.attempt(e, testbed.Patience)
+	first.respond(nil, nil)
+	second.respond(nil, nil)
+	_, three := b.startAttempt(e, testbed.Patience)
 	third := testbed.Next(t, s.requests)
-	third.reply(nil, nil)
+	third.respond(nil, nil)
 	want(t, three, balance.OK)
 	if b.Unmatched() != 0 || third.conn != first.conn {
 		t.Errorf("%d unmatched, the same connection: %v", b.Unmatched(), third.conn == first.conn)
 	}
-	first.reply(nil, nil) // but a second late one is
+	first.respond(nil, nil) // but a second late one is
 	testbed.Until(t, "it is counted", func() bool { return b.Unmatched() == 1 })
 }
 
 // A connection may be there only after the news that the server drains, or after the request's final answer. Nothing may
 // be sent then, and the attempt never ran.
-func TestLooksAgainBeforeTheFirstByte(t *testing.T) {
-	for name, late := range map[string]func(*core.Attempt, *bench){
-		"draining": func(a *core.Attempt, b *bench) { a.Endpoint.Close(); b.CloseIdle(a.Endpoint) },
-		"answered": func(a *core.Attempt, _ *bench) { a.SetAnswered() },
-		"given up": func(a *core.Attempt, b *bench) { b.Cancel(a) },
+func TestObsoleteAttemptIsNotSent(t *testing.T) {
+	for name, change := range map[string]func(*core.Attempt, *testBackend){
+		"draining": func(a *core.Attempt, b *testBackend) { a.Endpoint.Close(); b.CloseIdle(a.Endpoint) },
+		"answered": func(a *core.Attempt, _ *testBackend) { a.SetAnswered() },
+		"given up": func(a *core.Attempt, b *testBackend) { b.Cancel(a) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, b := newServer(t), newBack(t, nil)
+			s, b := newServer(t), newTestBackend(t, nil)
 			e := core.NewEndpoint("s-1", s.addr)
 			b.mu.Lock() // the connection is not up before the news
 			c := newConn(b.Backend, e, s.addr)
 			b.servers[e] = append(b.servers[e], c)
 			b.sockets++
 			b.mu.Unlock()
-			a, ended := b.attempt(e, testbed.Patience)
-			late(a, b)
+			a, ended := b.startAttempt(e, testbed.Patience)
+			change(a, b)
 			b.running.Go(c.run)
 			want(t, ended, balance.NotSent)
 			if len(s.requests) != 0 {
@@ -343,14 +343,14 @@
 }
 
 // A drain lets what is out end, and the connection with it.
-func TestDrainLetsWhatIsOutEnd(t *testing.T) {
-	s, b := newServer(t), newBack(t, nil)
+func TestDrainWaitsForOpenAttempts(t *testing.T) {
+	s, b := newServer(t), newTestBackend(t, nil)
 	e := core.NewEndpoint("s-1", s.addr)
-	_, ended := b.attempt(e, testbed.Patience)
+	_, ended := b.startAttempt(e, testbed.Patience)
 	open := testbed.Next(t, s.requests)
 	e.Close()
 	b.CloseIdle(e)
-	open.reply(nil, nil)
+	open.respond(nil, nil)
 	want(t, ended, balance.OK)
 	testbed.Until(t, "its connection closes", func() bool {
 		b.mu.Lock()
@@ -360,12 +360,12 @@
 }
 
 // Connections that carry nothing close in time, or when a socket is wanted elsewhere.
-func TestIdleConnections(t *testing.T) {
-	s, b := newServer(t), newBack(t, func(c *Config) { c.Idle = 50 * time.Millisecond })
+func TestIdleConnectionsClose(t *testing.T) {
+	s, b := newServer(t), newTestBackend(t, func(c *Config) { c.IdleTimeout = 50 * time.Millisecond })
 	e := core.NewEndpoint("s-1", s.addr)
 	use := func() {
-		_, ended := b.attempt(e, testbed.Patience)
-		testbed.Next(t, s.requests).reply(nil, nil)
+		_, ended := b.startAttempt(e, testbed.Patience)
+		testbed.Next(t, s.requests).respond(nil, nil)
 		want(t, ended, balance.OK)
 	}
 	none := func() bool {
@@ -386,7 +386,7 @@
 }
 
 // A peer of another protocol, or out of its mind, ends the connection; what was out may have run, and the log says why.
-func TestServersOutOfStep(t *testing.T) {
+func TestMalformedResponseResetsAttempts(t *testing.T) {
 	for name, c := range map[string]struct{ text, log string }{
 		"HTTP":       {"HTTP/1.1 400 Bad Request\r\n\r\n", "speaks HTTP"},
 		"4 GiB":      {"\x94\x01\x07\xc0\xdb\xff\xff\xff\xff", "beyond its limit"},
@@ -395,26 +395,26 @@
 		"a reserved": {"\x94\x01\x07\xc0\xc1", "never used"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, b := newServer(t), newBack(t, nil)
-			_, ended := b.attempt(core.NewEndpoint("s-1", s.addr), testbed.Patience)
+			s, b := newServer(t), newTestBackend(t, nil)
+			_, ended := b.startAttempt(core.NewEndpoint("s-1", s.addr), testbed.Patience)
 			conn := testbed.Next(t, s.requests).conn
 			_, _ = io.WriteString(conn, c.text)
 			if strings.HasPrefix(name, "cut") {
 				_ = conn.Close()
 			}
 			want(t, ended, balance.Reset)
-			testbed.Until(t, "the log says why", func() bool { return b.note.Has(c.log) })
+			testbed.Until(t, "the log says why", func() bool { return b.log.Has(c.log) })
 		})
 	}
 }
 
 // A notification from a server is no answer, and does no harm.
 func TestNotificationFromServer(t *testing.T) {
-	s, b := newServer(t), newBack(t, nil)
-	_, ended := b.attempt(core.NewEndpoint("s-1", s.addr), testbed.Patience)
+	s, b := newServer(t), newTestBackend(t, nil)
+	_, ended := b.startAttempt(core.NewEndpoint("s-1", s.addr), testbed.Patience)
 	got := testbed.Next(t, s.requests)
 	_, _ = got.conn.Write(codec.AppendNotification(nil, "progress", []byte{0x90}))
-	got.reply(nil, []byte{5})
+	got.respond(nil, []byte{5})
 	want(t, ended, balance.OK)
 }
 
@@ -441,15 +441,15 @@
 func TestProbe(t *testing.T) {
 	s := newServer(t)
 	ended := make(chan core.Result, 1)
-	b := newBack(t, func(c *Config) { c.Probe = "ping" })
+	b := newTestBackend(t, func(c *Config) { c.Probe = "ping" })
 	b.Probe(core.NewEndpoint("s-1", s.addr), func(r core.Result) { ended <- r })
 	if got := testbed.Next(t, s.requests); got.method != "ping" || string(got.params) != "\x90" {
 		t.Errorf("asked %q % x", got.method, got.params)
 	} else {
-		got.reply([]byte{0xa3, 'b', 'a', 'd'}, nil)
+		got.respond([]byte{0xa3, 'b', 'a', 'd'}, nil)
 	}
 	want(t, ended, balance.Failed)
-	plain := newBack(t, nil)
+	plain := newTestBackend(t, nil)
 	plain.Probe(core.NewEndpoint("s-1", s.addr), func(r core.Result) { ended <- r })
 	want(t, ended, balance.OK)
 }
--- a/internal/upstream/msgpackrpc/conn.go
+++ b/internal/upstream/msgpackrpc/conn.go
@@ -149,7 +149,7 @@
 	c.mu.Lock()
 	now := time.Now()
 	c.nextDeadline = time.Time{}
-	look := func(t *attempt) {
+	check := func(t *attempt) {
 		if t.state != done && !now.Before(t.Deadline) {
 			if e, ok := c.abandon(t, balance.TimedOut); ok {
 				ended = append(ended, e)
@@ -159,10 +159,10 @@
 		}
 	}
 	for _, t := range c.queued {
-		look(t)
+		check(t)
 	}
 	for _, t := range c.open {
-		look(t)
+		check(t)
 	}
 	if !c.nextDeadline.IsZero() {
 		c.timer.Reset(c.nextDeadline.Sub(now))
@@ -293,14 +293,14 @@
 }
 
 // logProblem logs a problem with the server, within the limit.
-func (c *conn) logProblem(what string, why error) {
+func (c *conn) logProblem(msg string, err error) {
 	c.backend.logLimit.Do(func() {
-		c.backend.cfg.Log.Warn(what, "protocol", "MessagePack-RPC", "server", c.endpoint.Name(), "why", why)
+		c.backend.cfg.Log.Warn(msg, "protocol", "MessagePack-RPC", "server", c.endpoint.Name(), "why", err)
 	})
 }
 
 // fail ends the connection: attempts of which a byte was passed to the kernel may have been executed, others not.
-func (c *conn) fail(why error) {
+func (c *conn) fail(err error) {
 	c.mu.Lock()
 	if c.dead {
 		c.mu.Unlock()
@@ -331,8 +331,8 @@
 	}
 	c.queued = nil
 	c.mu.Unlock()
-	if why != nil && !errors.Is(why, io.EOF) && !errors.Is(why, net.ErrClosed) {
-		c.logProblem("the connection to a server ends", why)
+	if err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
+		c.logProblem("the connection to a server ends", err)
 	}
 	endAll(ended)
 }
--- a/internal/upstream/msgpackrpc/result.go
+++ b/internal/upstream/msgpackrpc/result.go
@@ -46,7 +46,7 @@
 	switch {
 	case b.neverRan[code]:
 		return core.Result{Outcome: balance.Rejected}
-	case b.answers[code] || b.answers["*"]:
+	case b.applicationErrors[code] || b.applicationErrors["*"]:
 		body := append([]byte(nil), f.Error...)
 		return core.Result{
 			Outcome: balance.OK, Answer: &core.Answer{ApplicationError: true, ContentType: core.MessagePack, Body: body},
--- a/lab/explore/calls/lasthop.go
+++ b/lab/explore/calls/lasthop.go
@@ -169,7 +169,7 @@
 }
 
 // ended takes in what the server's connection brought for an attempt; nil: it broke.
-func (h *lastHop) ended(l *link, p *httpback.Paired) {
+func (h *lastHop) ended(l *link, p *httpback.MatchedResponse) {
 	got, result := indeterminate, lasthop.Result[response]{Health: admission.Failure}
 	if p != nil {
 		seen := responseOf(l.request.id, p)
--- a/lab/explore/calls/link.go
+++ b/lab/explore/calls/link.go
@@ -23,7 +23,7 @@
 	answered bool   // by the last hop
 	gone     bool   // the sender has let go of the connection
 	back     []byte // of the response, what the sender has yet to read
-	pair     httpback.Pairing
+	pair     httpback.ResponseMatcher
 }
 
 func (l *link) choices() {
@@ -66,7 +66,7 @@
 func (l *link) read(n int) {
 	b := l.back[:n]
 	l.back = l.back[n:]
-	p, err := l.pair.Take(b, false, func(h http.Header) bool { return l.w.belongsTo(l.request.id, h) })
+	p, err := l.pair.Feed(b, false, func(h http.Header) bool { return l.w.belongsTo(l.request.id, h) })
 	switch {
 	case err != nil:
 		l.gone = true
--- a/lab/explore/calls/sender.go
+++ b/lab/explore/calls/sender.go
@@ -111,7 +111,7 @@
 }
 
 // respond takes in a complete response on a connection.
-func (s *sender) respond(l *link, p *httpback.Paired) {
+func (s *sender) respond(l *link, p *httpback.MatchedResponse) {
 	outcome, incarnation := attempts.Outcome(p.Header.Get("Firplank-Fate")), uint64(0)
 	if n, err := strconv.ParseUint(p.Header.Get("Firplank-Life"), 16, 64); err == nil {
 		incarnation = n
@@ -161,7 +161,7 @@
 }
 
 // responseOf is what there is to see of a response to a request.
-func responseOf(id string, p *httpback.Paired) attempts.Response {
+func responseOf(id string, p *httpback.MatchedResponse) attempts.Response {
 	return attempts.Response{
 		Success:        p.Status == http.StatusOK,
 		MatchesRequest: p.Header.Get("Try-Id") == id,
--- a/lab/explore/calls/server.go
+++ b/lab/explore/calls/server.go
@@ -20,12 +20,12 @@
 	begun bool   // ... and has begun
 	last  []byte // what the server has sent before
 	back  []byte // what the last hop has yet to read
-	pair  httpback.Pairing
+	pair  httpback.ResponseMatcher
 }
 
 // begin writes a request.
 func (c *serverConn) begin(l *link) {
-	c.link, c.pair, c.asked, c.begun = l, httpback.Pairing{}, l.request.id, false
+	c.link, c.pair, c.asked, c.begun = l, httpback.ResponseMatcher{}, l.request.id, false
 }
 
 func (c *serverConn) choices() {
@@ -84,7 +84,7 @@
 		return
 	}
 	id := c.link.request.id
-	p, err := c.pair.Take(b, false, func(h http.Header) bool { return c.w.belongsTo(id, h) })
+	p, err := c.pair.Feed(b, false, func(h http.Header) bool { return c.w.belongsTo(id, h) })
 	switch {
 	case err != nil:
 		c.broke()
--- a/mesh/dataplane/earlyanswer_test.go
+++ b/mesh/dataplane/earlyanswer_test.go
@@ -45,8 +45,8 @@
 	const bodyBytes = 16 << 20 // more than the kernel buffers
 	pool, err := httpback.NewPoll(t.Context(), httpback.Config{
 		ConnectTimeout: time.Second,
-		Idle:           time.Second,
-		Sockets:        4,
+		IdleTimeout:    time.Second,
+		MaxConns:       4,
 		Dialect:        serverDialect{},
 	})
 	if err != nil {
--- a/mesh/dataplane/lifecycle.go
+++ b/mesh/dataplane/lifecycle.go
@@ -54,20 +54,20 @@
 func (p *Proxy) startUpstreams(sockets int) {
 	p.sidecarPool = p.newUpstream(httpback.Config{
 		ConnectTimeout: hopConnectTimeout,
-		Idle:           hopIdleTimeout,
-		Silence:        hopUnackedTimeout,
-		Sockets:        sockets / 3,
+		IdleTimeout:    hopIdleTimeout,
+		PeerTimeout:    hopUnackedTimeout,
+		MaxConns:       sockets / 3,
 		Dialect:        sidecarDialect{inFlight: p.inFlight, service: &p.serviceName, recordReachable: p.liveness.RecordReachable},
-		Ended:          p.queries.attemptEnded,
+		OnEnd:          p.queries.attemptEnded,
 	})
 	p.queries.pool = p.sidecarPool
 	p.lastHop.pool = p.newUpstream(httpback.Config{
 		ConnectTimeout: serverConnectTimeout,
-		Idle:           serverIdleTimeout,
-		Rest:           serverReuseDelay,
-		Silence:        serverUnackedTimeout,
-		Fresh:          serverNonIdempotentMaxIdle,
-		Sockets:        sockets / 8,
+		IdleTimeout:    serverIdleTimeout,
+		ReuseDelay:     serverReuseDelay,
+		PeerTimeout:    serverUnackedTimeout,
+		MaxUnsafeIdle:  serverNonIdempotentMaxIdle,
+		MaxConns:       sockets / 8,
 		Dialect:        serverDialect{},
 	})
 	for _, u := range []upstream{p.sidecarPool, p.lastHop.pool} {
--- a/mesh/dataplane/proxy_test.go
+++ b/mesh/dataplane/proxy_test.go
@@ -65,10 +65,10 @@
 		a := core.NewAttempt(core.NewEndpoint("i-1", "h:1"), &core.Message{Trace: "x"}, time.Now(), func(core.Result) {})
 		r := core.Result{Outcome: c.noAnswerOutcome}
 		if c.status != 0 {
-			r = serverDialect{}.Judge(a, c.status, c.header, []byte("body"))
+			r = serverDialect{}.Evaluate(a, c.status, c.header, []byte("body"))
 		}
 		lastHopResponse := lastHopAnswer(r)
-		got := newSidecarDialect().Judge(a, lastHopResponse.Status, http.Header(lastHopResponse.Meta), lastHopResponse.Body)
+		got := newSidecarDialect().Evaluate(a, lastHopResponse.Status, http.Header(lastHopResponse.Meta), lastHopResponse.Body)
 		if got.Outcome != c.want || got.NotDelivered != c.notDelivered {
 			t.Errorf("%s: %v, not delivered %v; want %v, %v", c.name, got.Outcome, got.NotDelivered, c.want, c.notDelivered)
 		}
@@ -143,8 +143,8 @@
 	}()
 	pool, err := httpback.NewPoll(t.Context(), httpback.Config{
 		ConnectTimeout: time.Second,
-		Idle:           time.Second,
-		Sockets:        4,
+		IdleTimeout:    time.Second,
+		MaxConns:       4,
 		Dialect:        serverDialect{},
 	})
 	if err != nil {
--- a/mesh/dataplane/queries.go
+++ b/mesh/dataplane/queries.go
@@ -30,7 +30,7 @@
 	return &outcomeQueries{ctx: ctx, log: log, inFlight: inFlight, logLimit: rate.Sometimes{First: 2, Interval: time.Second}}
 }
 
-// attemptEnded is the httpback.Config.Ended of the pool to other sidecars, and is called for each attempt. If the attempt
+// attemptEnded is the httpback.Config.OnEnd of the pool to other sidecars, and is called for each attempt. If the attempt
 // must not run twice and its connection broke without a response, it starts to query the outcome and returns true: the
 // attempt is then ended later, by the queries.
 func (q *outcomeQueries) attemptEnded(a *core.Attempt, r core.Result) (later bool) {
--- a/mesh/dataplane/queries_test.go
+++ b/mesh/dataplane/queries_test.go
@@ -41,7 +41,7 @@
 		a := core.NewAttempt(core.NewEndpoint("", "h:1"), &core.Message{Trace: "x"}, time.Now(), func(core.Result) {})
 		query := &inflight.Query{Number: 1}
 		dialect.inFlight.BeginQuery(a, query)
-		got := dialect.Judge(a, c.status, header("Firplank-Fate", string(c.outcome), "Try-Id", "x"), nil)
+		got := dialect.Evaluate(a, c.status, header("Firplank-Fate", string(c.outcome), "Try-Id", "x"), nil)
 		if got.Outcome != c.want || got.NotDelivered != c.notDelivered || query.Answered() != c.answered {
 			t.Errorf("%q: %v, not delivered %v, answered %v", c.outcome, got.Outcome, got.NotDelivered, query.Answered())
 		}
@@ -57,14 +57,14 @@
 }
 
 func (p *queriedPool) Begin(a *core.Attempt) {
-	p.dialect.Fields(nil, a, time.Until(a.Deadline))
+	p.dialect.AppendHeaders(nil, a, time.Until(a.Deadline))
 	queryIndex := len(p.queriedAt)
 	p.queriedAt = append(p.queriedAt, time.Now())
 	if queryIndex >= len(p.outcomes) || p.outcomes[queryIndex] == "" {
 		a.End(core.Result{Outcome: balance.Reset})
 		return
 	}
-	a.End(p.dialect.Judge(a, 503, header("Firplank-Fate", string(p.outcomes[queryIndex]), "Try-Id", "x"), nil))
+	a.End(p.dialect.Evaluate(a, 503, header("Firplank-Fate", string(p.outcomes[queryIndex]), "Try-Id", "x"), nil))
 }
 
 // An attempt whose connection broke ends with the outcome that its last hop returns, or as unknown after all queries,
@@ -94,7 +94,7 @@
 			ended := make(chan core.Result, 1)
 			a := core.NewAttempt(core.NewEndpoint("i1", "h:1"), &core.Message{Trace: "x"}, time.Now().Add(c.remaining),
 				func(r core.Result) { ended <- r })
-			dialect.Fields(nil, a, c.remaining)
+			dialect.AppendHeaders(nil, a, c.remaining)
 			if !q.attemptEnded(a, core.Result{Outcome: balance.Reset}) {
 				t.Fatalf("%s: no query is sent", c.name)
 			}
@@ -120,7 +120,7 @@
 		outcome balance.Result
 	}{{false, balance.TimedOut}, {false, balance.ConnectFailed}, {false, balance.OK}, {true, balance.Reset}} {
 		a := core.NewAttempt(core.NewEndpoint("i1", "h:1"), &core.Message{Trace: "x", Safe: c.safe}, time.Now(), func(core.Result) {})
-		dialect.Fields(nil, a, time.Second)
+		dialect.AppendHeaders(nil, a, time.Second)
 		if q.attemptEnded(a, core.Result{Outcome: c.outcome}) {
 			t.Errorf("queried %+v", c)
 		}
@@ -136,7 +136,7 @@
 	ended := make(chan core.Result, 1)
 	a := core.NewAttempt(core.NewEndpoint("i1", "h:1"), &core.Message{Trace: "x"}, time.Now().Add(time.Hour),
 		func(r core.Result) { ended <- r })
-	dialect.Fields(nil, a, time.Hour)
+	dialect.AppendHeaders(nil, a, time.Hour)
 	q.attemptEnded(a, core.Result{Outcome: balance.Reset})
 	stop()
 	q.wait()
--- a/mesh/dataplane/sidecar_headers_test.go
+++ b/mesh/dataplane/sidecar_headers_test.go
@@ -199,7 +199,7 @@
 	defer func() { _ = ln.Close() }()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	pool, err := httpback.NewPoll(ctx, httpback.Config{ConnectTimeout: time.Second, Idle: time.Second, Sockets: 4, Dialect: dialect})
+	pool, err := httpback.NewPoll(ctx, httpback.Config{ConnectTimeout: time.Second, IdleTimeout: time.Second, MaxConns: 4, Dialect: dialect})
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -251,16 +251,16 @@
 	for _, remaining := range []time.Duration{0, time.Millisecond, 1234560 * time.Microsecond, 59999999 * time.Microsecond, time.Hour} {
 		for _, safe := range []bool{true, false} {
 			a := core.NewAttempt(endpoint, clientMessage(safe), time.Now(), func(core.Result) {})
-			w.add(fmt.Sprintf("fields with %v left, safe %v", remaining, safe), "%q", h.dialect.Fields(nil, a, remaining))
+			w.add(fmt.Sprintf("fields with %v left, safe %v", remaining, safe), "%q", h.dialect.AppendHeaders(nil, a, remaining))
 		}
 		a := core.NewAttempt(endpoint, clientMessage(true), time.Now(), func(core.Result) {})
-		w.add(fmt.Sprintf("fields to the server with %v left", remaining), "%q", newServerDialect().Fields(nil, a, remaining))
+		w.add(fmt.Sprintf("fields to the server with %v left", remaining), "%q", newServerDialect().AppendHeaders(nil, a, remaining))
 	}
 	for range 20 {
-		h.dialect.Fields(nil, core.NewAttempt(endpoint, clientMessage(false), time.Now(), func(core.Result) {}), time.Second)
+		h.dialect.AppendHeaders(nil, core.NewAttempt(endpoint, clientMessage(false), time.Now(), func(core.Result) {}), time.Second)
 	}
 	w.add("fields of the 26th attempt", "%q",
-		h.dialect.Fields(nil, core.NewAttempt(endpoint, clientMessage(false), time.Now(), func(core.Result) {}), time.Second))
+		h.dialect.AppendHeaders(nil, core.NewAttempt(endpoint, clientMessage(false), time.Now(), func(core.Result) {}), time.Second))
 }
 
 // exchange sends a request to a sidecar's incoming address and ends its attempt with a result; nil leaves the attempt open. The returned
@@ -311,20 +311,20 @@
 		if kind == "query" {
 			h.query(a, "branch-b.1.fe", 18, 5)
 		}
-		h.dialect.Fields(nil, a, time.Second)
+		h.dialect.AppendHeaders(nil, a, time.Second)
 		header := http.Header{}
 		for name, values := range response.Header {
 			if name != "Date" {
 				header[name] = values
 			}
 		}
-		passes := h.dialect.Passes(a, response.StatusCode, header)
-		result := h.dialect.Judge(a, response.StatusCode, header, body)
+		passes := h.dialect.Streamable(a, response.StatusCode, header)
+		result := h.dialect.Evaluate(a, response.StatusCode, header, body)
 		answer := "none"
 		if got := result.Answer; got != nil {
 			answer = fmt.Sprintf("%d %v %q", got.Status, got.Meta, got.Body)
 		}
-		nextFields := h.dialect.Fields(nil, core.NewAttempt(endpoint, clientMessage(false), time.Now(), func(core.Result) {}), time.Second)
+		nextFields := h.dialect.AppendHeaders(nil, core.NewAttempt(endpoint, clientMessage(false), time.Now(), func(core.Result) {}), time.Second)
 		w.add(title+": judged as "+kind, "outcome %d unmet %v passes %v answer %s\nnext %q",
 			result.Outcome, result.NotDelivered, passes, answer, nextFields)
 	}
--- a/mesh/dataplane/sidecardialect.go
+++ b/mesh/dataplane/sidecardialect.go
@@ -19,14 +19,15 @@
 	recordReachable func(addr string)       // records that the sidecar at addr has responded
 }
 
-// Keep implements httpback.Dialect: it forwards the headers of clients, except those that only sidecars set.
-func (sidecarDialect) Keep(name string) bool { return !isSidecarHeader(name) }
+// ForwardsHeader implements httpback.Dialect: it forwards the headers of clients, except those that only sidecars set.
+func (sidecarDialect) ForwardsHeader(name string) bool { return !isSidecarHeader(name) }
 
 // rejectedByServer is the detail of a result, for the log, if the server itself rejected the request.
 const rejectedByServer = "by the server"
 
-// Fields implements httpback.Dialect: it writes the headers between sidecars, and assigns an ID to an attempt that must not run twice.
-func (d sidecarDialect) Fields(dst []byte, a *core.Attempt, remaining time.Duration) []byte {
+// AppendHeaders implements httpback.Dialect: it writes the headers between sidecars, and assigns an ID to an attempt
+// that must not run twice.
+func (d sidecarDialect) AppendHeaders(dst []byte, a *core.Attempt, remaining time.Duration) []byte {
 	dst = appendDeadline(dst, remaining)
 	if query := d.inFlight.QueryFor(a); query != nil {
 		return appendField(dst, queryHeader, formatAttemptID(query.Attempt.ID))
@@ -40,17 +41,17 @@
 	return appendField(dst, versionHeader, strconv.FormatUint(a.Message.ConfigVersion, 16))
 }
 
-// Ours implements httpback.Dialect.
-func (sidecarDialect) Ours(a *core.Attempt, h http.Header) bool { return belongsTo(a, h) }
+// Matches implements httpback.Dialect.
+func (sidecarDialect) Matches(a *core.Attempt, h http.Header) bool { return belongsTo(a, h) }
 
-// Passes implements httpback.Dialect: a server's successful response may be passed on before its whole body is received.
-func (d sidecarDialect) Passes(a *core.Attempt, status int, h http.Header) bool {
+// Streamable implements httpback.Dialect: a server's successful response may be passed on before its whole body is received.
+func (d sidecarDialect) Streamable(a *core.Attempt, status int, h http.Header) bool {
 	d.recordReachable(a.Endpoint.Addr())
 	return isSuccess(status) && attempts.Outcome(h.Get(outcomeHeader)) == attempts.Executed && postmarked(h)
 }
 
-// Judge implements httpback.Dialect: it determines an attempt's outcome from a last hop's response.
-func (d sidecarDialect) Judge(a *core.Attempt, status int, h http.Header, body []byte) core.Result {
+// Evaluate implements httpback.Dialect: it determines an attempt's outcome from a last hop's response.
+func (d sidecarDialect) Evaluate(a *core.Attempt, status int, h http.Header, body []byte) core.Result {
 	d.recordReachable(a.Endpoint.Addr())
 	outcome := attempts.Outcome(h.Get(outcomeHeader))
 	delete(h, outcomeHeader)
