--- a/internal/upstream/http/conn.go
+++ b/internal/upstream/http/conn.go
@@ -1,6 +1,6 @@
 package http
 
-// This file is one connection of the pool.
+// This file contains a connection of the pool.
 
 import (
 	"net"
@@ -11,30 +11,29 @@
 	"firplank/internal/socket"
 )
 
-// conn is a connection to an endpoint; it carries one request at a time.
+// conn is a connection to an endpoint. It carries one request at a time.
 type conn struct {
 	net.Conn      // nil while it is polled
 	polled        polledSocket
-	reader        responseReader // of what is not polled
+	reader        responseReader // while it is not polled
 	endpoint      *core.Endpoint
 	addr          string
 	idleSince     time.Time
-	uses          int  // how often it was given back
-	verifiedQuiet bool // it was silent when its rest was over
+	uses          int  // number of times it was returned to the pool
+	verifiedQuiet bool // no bytes had arrived by the end of the reuse delay
 
-	lastBodyHash uint64 // hash of the answer before; 0 if there was none, or it was empty
+	lastBodyHash uint64 // hash of the body of the previous response; 0 if there was none or it was empty
 }
 
-// polled is a connection that waits for the kernel's readiness, as long as no goroutine has it.
+// polledSocket is a connection whose readiness is polled while no goroutine owns it.
 type polledSocket interface {
-	// peek is asked of a connection that is idle, by whoever took it out of the pool or holds the pool's lock.
+	// peek returns the state of an idle connection. The caller has removed it from the pool or holds the pool's lock.
 	peek() socket.PeekState
 	Close() error
-	// detach gives it to a goroutine.
+	// detach stops polling and passes the connection to the calling goroutine.
 	detach() (net.Conn, error)
 }
 
-// Close ends the connection.
 func (c *conn) Close() error {
 	if c.polled != nil {
 		return c.polled.Close()
@@ -42,7 +41,7 @@
 	return c.Conn.Close()
 }
 
-// state returns whether an idle connection is open and silent, as it has to be.
+// state returns whether an idle connection is open and has no bytes to read, which reuse requires.
 func (c *conn) state() socket.PeekState {
 	if c.polled != nil {
 		return c.polled.peek()
--- a/internal/upstream/http/encode.go
+++ b/internal/upstream/http/encode.go
@@ -1,6 +1,6 @@
 package http
 
-// This file writes requests as servers read them.
+// This file encodes requests to servers.
 
 import (
 	"bytes"
@@ -16,12 +16,12 @@
 	"firplank/internal/httpwire"
 )
 
-// headerOf returns the headers of a message, which may be changed: those that came, or where its protocol has none,
-// those that say the same.
+// headerOf returns the header fields of a message, which the caller may modify: those that were received, or equivalent
+// ones if the protocol of the message has none.
 func headerOf(m *core.Message) http.Header {
 	if m.Meta != nil {
 		h := http.Header(m.Meta).Clone()
-		if m.Class != "" && h.Get("X-Qos") != m.Class { // a contract has changed it
+		if m.Class != "" && h.Get("X-Qos") != m.Class { // changed by a contract
 			h.Set("X-Qos", m.Class)
 		}
 		return h
@@ -38,7 +38,7 @@
 	return h
 }
 
-// encode writes the request of an attempt.
+// encode encodes the request of an attempt.
 func (u *upstream) encode(a *core.Attempt) ([]byte, error) {
 	if u.dialect != nil {
 		return u.appendDialectRequest(make([]byte, 0, 512+len(a.Message.Body)), a), nil
@@ -46,7 +46,7 @@
 	return encode(a.Message, a.Deadline)
 }
 
-// appendSpoken appends a request in the words of a dialect; a body that is a stream follows it.
+// appendDialectRequest appends a request as the dialect defines it. A streamed body is not included and follows.
 func (u *upstream) appendDialectRequest(dst []byte, a *core.Attempt) []byte {
 	m, remaining := a.Message, time.Until(a.Deadline)
 	if m.Stream != nil {
@@ -81,24 +81,24 @@
 	return append(append(dst, "\r\n"...), m.Body...)
 }
 
-// encode writes the message as it is sent to a server, with the time that remains until cut.
+// encode encodes a message for a server, with the time remaining until deadline.
 func encode(m *core.Message, deadline time.Time) ([]byte, error) {
-	if m.Meta != nil && m.Stream == nil { // it came over HTTP, and was checked
+	if m.Meta != nil && m.Stream == nil { // received over HTTP, and validated there
 		return appendRequest(make([]byte, 0, 512+len(m.Body)), m, time.Until(deadline)), nil
 	}
 	req := http.Request{
 		Method: methodOf(m),
-		URL:    &url.URL{Opaque: cmp.Or(m.Target, "/api/"+m.Method)}, // goes on as the client wrote it
+		URL:    &url.URL{Opaque: cmp.Or(m.Target, "/api/"+m.Method)}, // forwarded as the client sent it
 		Header: headerOf(m),
 		Host:   cmp.Or(m.Authority, "app.svc"),
 	}
 	remaining := time.Until(deadline)
 	if m.Stream != nil {
-		remaining = m.Remaining // the server counts from the last byte too
+		remaining = m.Remaining // the server also counts from the last byte of the request
 	}
 	req.Header.Set(httpwire.ExpiryHeader, strconv.FormatInt(max(1, remaining.Microseconds()), 10)+"u")
 	if req.Header.Get("User-Agent") == "" {
-		req.Header.Set("User-Agent", "") // else Write adds one of its own
+		req.Header.Set("User-Agent", "") // otherwise Write adds its own
 	}
 	if m.Stream != nil {
 		return encodeHead(&req, m.Stream.Length()), nil
@@ -115,7 +115,7 @@
 	return out.Bytes(), nil
 }
 
-// appendRequest appends a request whose fields are those that came, as they came.
+// appendRequest appends a request with the header fields as they were received.
 func appendRequest(dst []byte, m *core.Message, remaining time.Duration) []byte {
 	method := methodOf(m)
 	dst = append(append(dst, method...), ' ')
--- a/internal/upstream/http/late.go
+++ b/internal/upstream/http/late.go
@@ -1,6 +1,6 @@
 package http
 
-// This file finds servers that send something on a connection after the answer.
+// This file detects servers that send bytes on a connection after the response.
 
 import (
 	"hash/maphash"
@@ -12,28 +12,29 @@
 )
 
 const (
-	// A server that has sent something on a connection long after the answer, a second copy of it say, may do so when
-	// the next request is out, and that would get an answer made for another: no answer names its request. lateMemory
-	// is how long connections to such a server carry one request only; where it were two servers, those to all others
-	// rest for lateRest meanwhile.
+	// A server that has sent bytes long after a response, such as a duplicate of it, may do so again while the next
+	// request is in flight. That request would then receive the wrong response, because responses do not identify their
+	// request. For lateSenderTTL, each connection to such a server carries only one request. If two servers were
+	// detected within that time, connections to all servers use extendedReuseDelay meanwhile.
 	lateSenderTTL      = 30 * time.Second
 	extendedReuseDelay = 250 * time.Millisecond
 )
 
-// judge records what was found on an idle connection, and returns its endpoint if it was not suspected before. The caller holds mu.
+// recordPeek records the state that was found on an idle connection. It returns the endpoint if this makes it a late
+// sender that was not known as one. The caller holds mu.
 func (p *pool) recordPeek(c *conn, state socket.PeekState) *core.Endpoint {
 	if state == socket.Readable && p.polledUpTo != nil && p.polledUpTo().Sub(c.idleSince) >= p.reuseDelay {
-		c.verifiedQuiet = true // silent until then, or it would have been ended
+		c.verifiedQuiet = true // no bytes before, or the poller would have dropped it
 	}
 	if state != socket.Readable || !c.verifiedQuiet {
-		return nil // what came right behind the answer could do no harm: nothing is sent until the rest is over
+		return nil // bytes directly after the response are harmless: no request is sent before the reuse delay ends
 	}
 	e, now := c.endpoint, time.Now()
 	if p.lastLate != nil && p.lastLate != e && now.Sub(p.lastLateAt) < lateSenderTTL {
 		p.extendedDelayUntil = now.Add(lateSenderTTL)
 	}
 	newlyCaught := now.After(p.lateSenders[e])
-	for old, until := range p.lateSenders { // those that are over, so that servers gone for good are let go
+	for old, until := range p.lateSenders { // remove expired entries, so that removed servers are not retained
 		if now.After(until) {
 			delete(p.lateSenders, old)
 		}
@@ -45,15 +46,15 @@
 	return e
 }
 
-// suspicious reports whether a server was caught sending late a short while ago.
+// lateSenderSuspected reports whether a late sender was detected within lateSenderTTL.
 func (p *pool) lateSenderSuspected() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.lastLate != nil && time.Since(p.lastLateAt) < lateSenderTTL
 }
 
-// isCopy takes in the body of an answer and reports whether it is that of the request before on the connection, while
-// servers are known to send copies.
+// isDuplicate records the body of a response. It reports whether the body equals that of the previous response on the
+// connection while a late sender is suspected.
 func (p *pool) isDuplicate(c *conn, body []byte) bool {
 	sum := uint64(0)
 	if len(body) > 0 {
@@ -72,7 +73,8 @@
 	return true
 }
 
-// note reports an endpoint that was caught sending late; at most once in lateMemory for each.
+// reportLate reports an endpoint that was detected as a late sender, at most once within lateSenderTTL. It does nothing
+// if e is nil.
 func (p *pool) reportLate(e *core.Endpoint) {
 	if e != nil {
 		p.closeIdle(e)
@@ -80,8 +82,8 @@
 	}
 }
 
-// look looks at the connections whose rest is over, and returns when the next one's will be; 0 if none rests. What has
-// come on one by then came right behind its answer.
+// checkPending checks the connections whose reuse delay has ended, and returns the time until the next one's ends; 0 if
+// none is pending. Bytes that have arrived by then came directly after the response.
 func (p *pool) checkPending(now time.Time) (next time.Duration) {
 	var dropped []*conn
 	p.mu.Lock()
@@ -95,7 +97,7 @@
 		p.pendingChecks = p.pendingChecks[1:]
 		idle := p.idle[r.conn.endpoint]
 		i := slices.Index(idle, r.conn)
-		if i < 0 || r.uses != r.conn.uses { // taken, or gone
+		if i < 0 || r.uses != r.conn.uses { // in use, or closed
 			continue
 		}
 		if r.conn.verifiedQuiet = r.conn.state() == socket.Idle; !r.conn.verifiedQuiet {
--- a/internal/upstream/http/late_test.go
+++ b/internal/upstream/http/late_test.go
@@ -13,7 +13,7 @@
 	"firplank/internal/testbed"
 )
 
-// silentServer accepts connections and hands them to the test.
+// silentServer accepts connections and passes them to the test.
 func silentServer(t *testing.T, name string) (*core.Endpoint, <-chan net.Conn) {
 	t.Helper()
 	ln := testbed.Listen(t)
@@ -47,8 +47,8 @@
 	return c
 }
 
-// A server that sends something when its answer is long over would, another time, do so while the next request is out,
-// and that would be served with an answer made for the one before. Its connections carry one request from then on.
+// A server that sends bytes long after its response may do so again while the next request is in flight, which would
+// then receive the wrong response. Its connections must carry only one request each.
 func TestLateDataEndsReuse(t *testing.T) {
 	p, noted := newLatePool(t)
 	e, conns := silentServer(t, "s-1")
@@ -56,24 +56,24 @@
 	p.put(c)
 	p.checkPending(time.Now())
 	if !c.verifiedQuiet {
-		t.Fatal("a connection that rested in silence was not passed")
+		t.Fatal("connection without input was not marked quiet")
 	}
 	_, _ = io.WriteString(<-conns, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-	testbed.Until(t, "the copy is there", func() bool { return c.state() == socket.Readable })
+	testbed.Until(t, "the duplicate arrives", func() bool { return c.state() == socket.Readable })
 	if next := p.mustGet(t, e); next == c {
-		t.Error("the connection with a copy on it is used again")
+		t.Error("connection with a duplicate response was reused")
 	} else {
 		p.put(next)
 	}
 	if len(*noted) != 1 || len(p.idle[e]) != 0 {
-		t.Errorf("noted %v, %d connections are kept", *noted, len(p.idle[e]))
+		t.Errorf("reported %v, %d idle connections", *noted, len(p.idle[e]))
 	}
 	if left := time.Until(p.lateSenders[e]); left < lateSenderTTL/2 || left > lateSenderTTL {
-		t.Errorf("that holds for %v", left)
+		t.Errorf("late sender remembered for %v", left)
 	}
 }
 
-// The sweep finds it too, where no request comes to find it.
+// The sweep detects late data, even if no request checks the connection.
 func TestSweepDetectsLateData(t *testing.T) {
 	p, noted := newLatePool(t)
 	e, conns := silentServer(t, "s-1")
@@ -81,29 +81,29 @@
 	p.put(c)
 	p.checkPending(time.Now())
 	_, _ = io.WriteString(<-conns, "x")
-	testbed.Until(t, "it is there", func() bool { return c.state() == socket.Readable })
+	testbed.Until(t, "the data arrives", func() bool { return c.state() == socket.Readable })
 	p.sweep(time.Now())
 	if len(*noted) != 1 || p.open != 0 {
-		t.Errorf("noted %v, %d open", *noted, p.open)
+		t.Errorf("reported %v, %d open", *noted, p.open)
 	}
 }
 
-// What comes right behind the answer is there when the rest is over: the connection ends, and nothing is held against
-// the server.
+// Data directly after the response has arrived when the reuse delay ends. The connection is closed, but the server is
+// not treated as a late sender.
 func TestExtraDataWithinReuseDelayIsNotLate(t *testing.T) {
 	p, noted := newLatePool(t)
 	e, conns := silentServer(t, "s-1")
 	c := p.mustGet(t, e)
 	_, _ = io.WriteString(<-conns, "x")
-	testbed.Until(t, "it is there", func() bool { return c.state() == socket.Readable })
+	testbed.Until(t, "the data arrives", func() bool { return c.state() == socket.Readable })
 	p.put(c)
 	p.checkPending(time.Now())
 	if len(*noted) != 0 || p.open != 0 || len(p.lateSenders) != 0 {
-		t.Errorf("noted %v, %d open, until %v", *noted, p.open, p.lateSenders[e])
+		t.Errorf("reported %v, %d open, until %v", *noted, p.open, p.lateSenders[e])
 	}
 }
 
-// Where two servers were caught, it is no server's own: connections to all of them rest longer.
+// If two servers send late data, the cause may be the network: connections to all servers use the extended reuse delay.
 func TestTwoLateServersExtendReuseDelay(t *testing.T) {
 	p, _ := newLatePool(t)
 	for _, name := range []string{"s-1", "s-2"} {
@@ -112,7 +112,7 @@
 		p.put(c)
 		p.checkPending(time.Now())
 		_, _ = io.WriteString(<-conns, "x")
-		testbed.Until(t, "it is there", func() bool { return c.state() == socket.Readable })
+		testbed.Until(t, "the data arrives", func() bool { return c.state() == socket.Readable })
 		p.sweep(time.Now())
 	}
 	e, _ := silentServer(t, "s-3")
@@ -120,23 +120,23 @@
 	p.put(c)
 	p.checkPending(time.Now())
 	if next := p.mustGet(t, e); next == c {
-		t.Error("a connection is used again at once")
+		t.Error("connection reused at once")
 	} else {
 		p.drop(next)
 	}
 	c.idleSince = c.idleSince.Add(-extendedReuseDelay)
 	if next := p.mustGet(t, e); next != c {
-		t.Error("a connection that has rested is not used again")
+		t.Error("connection not reused after the extended delay")
 	} else {
 		p.drop(next)
 	}
 }
 
-// While servers are known to send copies, the very bytes of the answer before are no answer to the next request. At
-// other times they are: a server may always say the same.
+// While a late sender is suspected, a body equal to the previous one on the connection is not accepted as the response
+// to the next request. At other times it is, because a server may always return the same body.
 func TestRepeatedBodyFailsWhileLateSenderSuspected(t *testing.T) {
 	for _, suspicious := range []bool{false, true} {
-		same := testbed.Say(200, "made for the one before")
+		same := testbed.Say(200, "repeated body")
 		s := testbed.NewScript(t, same)
 		p, _ := newLatePool(t)
 		u := &upstream{pool: p}
--- a/internal/upstream/http/matcher.go
+++ b/internal/upstream/http/matcher.go
@@ -5,14 +5,14 @@
 	"net/http"
 )
 
-// Pairing finds the answer to the one request that is out on a connection among the bytes that come on it, as a
-// connection that is polled does. It has no socket, so that it can be explored.
+// ResponseMatcher finds the response to the request in flight among the bytes received on a connection, as polled
+// connections do. It uses no socket, so that the explorer can check it.
 type ResponseMatcher struct {
 	received []byte
 	parser   responseParser
 }
 
-// Paired is an answer that was found.
+// MatchedResponse is a response that a ResponseMatcher found.
 type MatchedResponse struct {
 	Status   int
 	Header   http.Header
@@ -20,8 +20,8 @@
 	Reusable bool // the connection may carry another request
 }
 
-// Take takes in what has come, or with eof that nothing follows. ours reports whether an answer belongs to the request;
-// one that does not is dropped. It returns the answer once it is complete; after an error none can follow.
+// Feed adds received bytes; eof reports that no more follow. matches reports whether a response belongs to the request;
+// others are dropped. Feed returns the response once it is complete, and nil before. After an error none can follow.
 func (p *ResponseMatcher) Feed(b []byte, eof bool, matches func(http.Header) bool) (*MatchedResponse, error) {
 	p.received = append(p.received, b...)
 	for {
--- a/internal/upstream/http/matcher_test.go
+++ b/internal/upstream/http/matcher_test.go
@@ -15,7 +15,7 @@
 
 func isMine(h http.Header) bool { return h.Get("Try-Id") == "mine" }
 
-// pairWhole and pairInPieces find the answer in what comes at once, and byte by byte.
+// matchAtOnce and matchBytewise find the response in bytes that arrive at once, and one by one.
 func matchAtOnce(b []byte) (*MatchedResponse, error) {
 	return new(ResponseMatcher).Feed(b, false, isMine)
 }
@@ -33,28 +33,29 @@
 func TestMatcherFindsOwnResponse(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
-		want       string // the body; empty: none is found
+		want       string // the body; empty: no match
 		reusable   bool
-		hopeless   bool
+		wantErr    bool
 	}{
-		{"its own", ownResponse, "mine", true, false},
-		{"a surplus one ahead of it", otherResponse + ownResponse, "mine", true, false},
-		{"two ahead of it", otherResponse + otherResponse + ownResponse, "mine", true, false},
-		{"a surplus one behind it", ownResponse + otherResponse, "mine", false, false},
-		{"part of one behind it", ownResponse + "H", "mine", false, false},
-		{"another's alone", otherResponse, "", false, false},
-		{"not whole", ownResponse[:len(ownResponse)-1], "", false, false},
-		{"another's, and the end is announced",
+		{"own response", ownResponse, "mine", true, false},
+		{"surplus response before", otherResponse + ownResponse, "mine", true, false},
+		{"two surplus responses before", otherResponse + otherResponse + ownResponse, "mine", true, false},
+		{"surplus response after", ownResponse + otherResponse, "mine", false, false},
+		{"partial response after", ownResponse + "H", "mine", false, false},
+		{"surplus response only", otherResponse, "", false, false},
+		{"incomplete", ownResponse[:len(ownResponse)-1], "", false, false},
+		{"surplus response with Connection: close",
 			"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n" + ownResponse, "", false, true},
-		{"the end is announced with it", "HTTP/1.1 200 OK\r\nTry-Id: mine\r\nConnection: close\r\nContent-Length: 1\r\n\r\nm", "m", false, false},
-		{"in chunks, behind another's in chunks",
+		{"own response with Connection: close",
+			"HTTP/1.1 200 OK\r\nTry-Id: mine\r\nConnection: close\r\nContent-Length: 1\r\n\r\nm", "m", false, false},
+		{"chunked, after a chunked surplus response",
 			"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\nHTTP/1.1 500 X\r\nTry-Id: " +
 				"mine\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nm\r\n0\r\n\r\n", "m", true, false},
 		{"noise", "\x00\x01\r\n\r\n" + ownResponse, "", false, true},
 	} {
 		p, err := matchAtOnce([]byte(c.text))
 		switch {
-		case (err != nil) != c.hopeless || (p != nil) != (c.want != ""):
+		case (err != nil) != c.wantErr || (p != nil) != (c.want != ""):
 			t.Errorf("%s: %+v, %v", c.name, p, err)
 		case p != nil && (string(p.Body) != c.want || p.Reusable != c.reusable):
 			t.Errorf("%s: %q, reusable %v", c.name, p.Body, p.Reusable)
@@ -62,8 +63,8 @@
 	}
 }
 
-// FuzzPairing: whatever comes on a connection, the answer that is found names the request, it is the same in whatever
-// pieces it comes, and the standard library finds it at the same place.
+// For any input, the response found names the request, it is the same for any split of the input, and the standard
+// library finds the same one.
 func FuzzPairing(f *testing.F) {
 	for _, text := range []string{
 		ownResponse, otherResponse + ownResponse, ownResponse + otherResponse,
@@ -79,21 +80,22 @@
 		whole, err := matchAtOnce(b)
 		pieces, errPieces := matchBytewise(b)
 		if (whole == nil) != (pieces == nil) || whole == nil && (err == nil) != (errPieces == nil) {
-			t.Fatalf("at once %+v, %v; in pieces %+v, %v", whole, err, pieces, errPieces)
+			t.Fatalf("at once %+v, %v; bytewise %+v, %v", whole, err, pieces, errPieces)
 		}
 		if whole == nil {
 			return
 		}
 		if !isMine(whole.Header) || whole.Status != pieces.Status || !bytes.Equal(whole.Body, pieces.Body) {
-			t.Fatalf("at once %+v, in pieces %+v", whole, pieces)
+			t.Fatalf("at once %+v, bytewise %+v", whole, pieces)
 		}
 		if want := matchWithLibrary(b); want != nil && (want.Status != whole.Status || !bytes.Equal(want.Body, whole.Body)) {
-			t.Fatalf("found %+v, the library %+v", whole, want)
+			t.Fatalf("found %+v, library found %+v", whole, want)
 		}
 	})
 }
 
-// byLibrary reads answers one after the other until one names the request; nil where it finds none, or one whose end it does not know.
+// matchWithLibrary reads responses with the standard library until one names the request. It returns nil if there is
+// none, or on a response whose end is not delimited.
 func matchWithLibrary(b []byte) *MatchedResponse {
 	for r := bufio.NewReader(bytes.NewReader(b)); ; {
 		resp, err := http.ReadResponse(r, nil)
@@ -120,17 +122,17 @@
 	for _, c := range []struct {
 		name, text string
 		eof        bool
-		body       string // empty: it is no answer
+		body       string // empty: no response
 		waits      bool
 	}{
-		{"it ends", "HTTP/1.1 201 Created\r\nTry-Id: mine\r\nConnection: close\r\n\r\nmine", true, "mine", false},
-		{"it goes on", "HTTP/1.1 201 Created\r\nTry-Id: mine\r\nConnection: close\r\n\r\nmi", false, "", true},
-		{"nobody says that it ends", "HTTP/1.1 201 Created\r\nPostmark: p\r\n\r\nmine", true, "", false},
+		{"closed", "HTTP/1.1 201 Created\r\nTry-Id: mine\r\nConnection: close\r\n\r\nmine", true, "mine", false},
+		{"still open", "HTTP/1.1 201 Created\r\nTry-Id: mine\r\nConnection: close\r\n\r\nmi", false, "", true},
+		{"close not announced", "HTTP/1.1 201 Created\r\nPostmark: p\r\n\r\nmine", true, "", false},
 	} {
 		in := &responseParser{}
 		whole, err := in.parse([]byte(c.text), c.eof)
 		if whole != (c.body != "") || (err == nil) != (whole || c.waits) {
-			t.Errorf("%s: whole %v, %v", c.name, whole, err)
+			t.Errorf("%s: complete %v, %v", c.name, whole, err)
 		}
 		if whole && c.text[in.offset:] != c.body {
 			t.Errorf("%s: %q", c.name, c.text[in.offset:])
--- a/internal/upstream/http/onend_test.go
+++ b/internal/upstream/http/onend_test.go
@@ -9,7 +9,7 @@
 	"firplank/internal/testbed"
 )
 
-// Config.Ended is told once of an attempt that breaks off, and ends it in place of the back, whichever kind of back it is.
+// Config.OnEnd is called once for an attempt that fails, and may end it in place of the backend, polled or not.
 func TestOnEndMayTakeOverAttempt(t *testing.T) {
 	for name, polled := range map[string]bool{"polled": true, "with goroutines": false} {
 		t.Run(name, func(t *testing.T) {
@@ -35,13 +35,13 @@
 			_, _ = c.Read(make([]byte, 1))
 			_ = c.Close()
 			if got := <-notified; got != balance.Reset {
-				t.Errorf("told of %v", got)
+				t.Errorf("notified of %v", got)
 			}
 			if got := <-ended; got != balance.Rejected {
 				t.Errorf("ended with %v", got)
 			}
 			if len(notified)+len(ended) > 0 {
-				t.Error("told or ended twice")
+				t.Error("notified or ended twice")
 			}
 		})
 	}
--- a/internal/upstream/http/outcome.go
+++ b/internal/upstream/http/outcome.go
@@ -1,6 +1,6 @@
 package http
 
-// This file draws the evidence of the end of an attempt.
+// This file determines outcomes from how attempts ended.
 
 import (
 	"errors"
@@ -13,7 +13,8 @@
 	"firplank/internal/httpwire"
 )
 
-// unconnected is the outcome where there is no connection: a failure of this side's own must not count against the server.
+// connectOutcome returns the outcome of an attempt without a connection. A local failure must not count against the
+// server.
 func connectOutcome(a *attempt, err error) balance.Result {
 	if a.ctx.Err() != nil || errors.Is(err, errNoSocket) || !time.Now().Before(a.Deadline) {
 		return balance.NotSent
@@ -21,7 +22,7 @@
 	return balance.ConnectFailed
 }
 
-// answer is an answer without its body. The head's fields are its own from now on.
+// newAnswer returns the response without its body. It takes ownership of the header.
 func (h *responseHead) newAnswer() *core.Answer {
 	delete(h.header, loadHeader)
 	httpwire.RemoveHopByHop(h.header)
@@ -32,7 +33,7 @@
 	return a.ctx.Err() != nil || errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// broken is the outcome where no whole answer came to a request that was written whole.
+// failureOutcome returns the outcome of a request that was written completely but has no complete response.
 func (a *attempt) failureOutcome(err error) balance.Result {
 	if a.ctx.Err() != nil {
 		return balance.Cancelled
@@ -43,7 +44,7 @@
 	return balance.Reset
 }
 
-// outcome is what an answer proves.
+// outcome returns the outcome that a response proves.
 func (h *responseHead) outcome() balance.Result {
 	switch h.status {
 	case http.StatusOK:
@@ -56,7 +57,7 @@
 	return balance.Failed
 }
 
-// methodOf follows from what the request may do; a safe one that has something to say cannot say it with GET.
+// methodOf returns the HTTP method of a message. A safe request with a body cannot use GET.
 func methodOf(m *core.Message) string {
 	if m.Verb != "" {
 		return m.Verb
--- a/internal/upstream/http/poll_linux.go
+++ b/internal/upstream/http/poll_linux.go
@@ -18,33 +18,33 @@
 	"firplank/internal/timerwheel"
 )
 
-// PollBackend makes attempts on the kernel's readiness: an attempt that is written in one piece and answered with what is held
-// in memory has no goroutine. Its request is written where the exchange asks for it, its answer read by the one goroutine of the
-// poller. What passes through goes on a goroutine of its own, as with Backend, and so does what has to be looked up by name.
+// PollBackend makes attempts over polled sockets: an attempt whose request is written at once and whose response is
+// buffered needs no goroutine. The request is written on the goroutine of the exchange, and the response is read on the
+// poller's goroutine. Streamed bodies and endpoints that need name resolution use a goroutine each, as in Backend.
 //
-// Locks: a connection's comes before the pool's and before the wheel's. None is held when an attempt is ended: the exchange
-// may wait for any of them.
+// Lock order: a connection's lock before the pool's and the timer wheel's. No lock is held when an attempt is ended,
+// because the exchange may wait for any of them.
 type PollBackend struct {
 	*Backend
 	poller     *poller.Poller
-	readBuffer []byte // the poller's own
+	readBuffer []byte // used by the poller only
 
 	start      time.Time
-	polledUpTo atomic.Int64 // since start: what came on any connection before that has been handled
+	polledUpTo atomic.Int64 // since start; everything that was received before on any connection has been handled
 
 	mu    sync.Mutex
 	wheel *timerwheel.Wheel[*polledConn]
-	alarm time.Duration // when the poller's is set to; 0: it is not
+	alarm time.Duration // when the poller's alarm is due; 0 if it is not set
 }
 
 const (
-	// The wheel of attempts: none is given up later than by a tick, and what the processor is late.
+	// Resolution of the timer wheel. An attempt times out at most one tick late, plus scheduling delay.
 	timeoutTick     = time.Millisecond
 	timeoutSlots    = 4096
 	readBufferBytes = 64 << 10
 )
 
-// NewPoll returns a backend on the kernel's readiness, whose attempts end when ctx does.
+// NewPoll returns a backend that polls its sockets. Its attempts end when ctx does.
 func NewPoll(ctx context.Context, cfg Config) (*PollBackend, error) {
 	p, err := poller.New()
 	if err != nil {
@@ -63,10 +63,10 @@
 	return b, nil
 }
 
-// shut closes what is open; the exchange has ended, nobody waits for the attempts.
+// closeConns closes all connections. The exchange has ended, so nothing waits for the attempts.
 func (b *PollBackend) closeConns() {
 	for _, h := range b.poller.Handlers() {
-		_ = h.(*polledConn).Close() // nobody waits for what comes of it
+		_ = h.(*polledConn).Close() // the result is not used
 	}
 	b.poller.Close()
 }
@@ -106,18 +106,18 @@
 	b.startRequest(t, addr)
 }
 
-// polledRequest is an attempt or a probe.
+// polledRequest is an attempt or a probe on a polled connection.
 type polledRequest struct {
 	up         *upstream
-	attempt    *core.Attempt // nil of a probe
+	attempt    *core.Attempt // nil for a probe
 	probe      func(core.Result)
 	endpoint   *core.Endpoint
 	deadline   time.Time
-	conn       *polledConn             // set before Begin returns, and never changed
-	handedOver atomic.Pointer[attempt] // by a goroutine, as its answer passes through
+	conn       *polledConn             // set before Begin returns, then constant
+	handedOver atomic.Pointer[attempt] // set when a goroutine takes over to stream the response
 }
 
-// over reports whether nothing may be sent for it any more.
+// obsolete reports whether nothing may be sent for the request any more.
 func (t *polledRequest) obsolete() bool {
 	if t.attempt != nil {
 		return t.attempt.Obsolete()
@@ -125,7 +125,7 @@
 	return !time.Now().Before(t.deadline)
 }
 
-// encode makes its request, with the time that it has left.
+// encode encodes the request, with the time remaining.
 func (t *polledRequest) encode(b *PollBackend) ([]byte, error) {
 	if t.attempt != nil {
 		return b.up.encode(t.attempt)
@@ -133,7 +133,7 @@
 	return b.up.probeRequest(t.endpoint.Addr()), nil
 }
 
-// end ends it, on a goroutine that may wait for the exchange.
+// end reports the result. It may wait for the exchange.
 func (t *polledRequest) end(r core.Result) {
 	if t.attempt != nil {
 		t.up.end(t.attempt, r)
@@ -142,15 +142,15 @@
 	}
 }
 
-// settle ends what was not begun, or is given up, from a goroutine that may not wait.
+// endAsync ends a request from a goroutine that must not wait for the exchange.
 func (b *PollBackend) endAsync(t *polledRequest, outcome balance.Result) {
 	if t.attempt == nil && outcome == balance.NotSent {
-		outcome = balance.ConnectFailed // a probe has no other failure
+		outcome = balance.ConnectFailed // a probe reports no other failure to connect
 	}
 	b.running.Go(func() { t.end(core.Result{Outcome: outcome}) })
 }
 
-// begin puts a request on an idle connection, or on a new one.
+// startRequest starts a request on an idle connection or on a new one.
 func (b *PollBackend) startRequest(t *polledRequest, addr netip.AddrPort) {
 	if t.obsolete() {
 		b.endAsync(t, balance.NotSent)
@@ -197,7 +197,7 @@
 	}
 }
 
-// connect begins a connection.
+// connect starts to connect to addr and returns the socket.
 func connect(addr netip.AddrPort, silence time.Duration) (fd int, err error) {
 	family := unix.AF_INET6
 	var sockaddr unix.Sockaddr = &unix.SockaddrInet6{Port: int(addr.Port()), Addr: addr.Addr().As16()}
@@ -217,7 +217,7 @@
 	return fd, nil
 }
 
-// adopt takes a connection over from a goroutine. Go's own descriptor of it is closed, ours is another.
+// adopt starts polling a connection that a goroutine used. It closes Go's descriptor and uses a duplicate.
 func (b *PollBackend) adopt(c *conn) bool {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -241,7 +241,7 @@
 	return b.poller.Register(fd, s, &s.registration) == nil
 }
 
-// setTimeout sets a connection's time-out, and the poller's alarm where it comes before all others.
+// setTimeout sets the time-out of a connection, and the poller's alarm if it is the earliest.
 func (b *PollBackend) setTimeout(s *polledConn, delay time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -259,7 +259,7 @@
 	b.mu.Unlock()
 }
 
-// ring plays the time-outs that are due, on the poller's goroutine.
+// runTimeouts handles the time-outs that are due, on the poller's goroutine.
 func (b *PollBackend) runTimeouts() {
 	b.mu.Lock()
 	due := b.wheel.Advance(time.Since(b.start), nil)
--- a/internal/upstream/http/poll_linux_test.go
+++ b/internal/upstream/http/poll_linux_test.go
@@ -29,7 +29,7 @@
 	return &subject{b.up, b}
 }
 
-// dribble says a text in single bytes, each in a packet of its own.
+// writeBytewise writes a text in single bytes, each in a packet of its own.
 func writeBytewise(text string) testbed.Step {
 	return func(c net.Conn) bool {
 		for i := range len(text) {
@@ -44,7 +44,7 @@
 	}
 }
 
-// An answer is the same in whatever pieces it comes, and its connection goes on.
+// A response that arrives in fragments is the same as a whole one, and its connection is reused.
 func TestFragmentedResponses(t *testing.T) {
 	for name, text := range map[string]string{
 		"length":  "HTTP/1.1 103 Early Hints\r\nA: b\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved",
@@ -63,20 +63,20 @@
 	}
 }
 
-// A request whose last byte has not gone out never ran, even where its time is up.
+// A request whose last byte was not sent never ran, even if it timed out.
 func TestIncompletelyWrittenRequestIsNotSent(t *testing.T) {
 	u := newPollSubject(t, 0)
 	e, conns := silentServer(t, "s-1")
 	a := newAttempt(e, 150*time.Millisecond)
-	a.Message.Body = make([]byte, 32<<20) // more than the kernel holds
+	a.Message.Body = make([]byte, 32<<20) // exceeds the socket buffers
 	u.want(t, a, balance.NotSent)
 	testbed.Next(t, conns)
-	testbed.Until(t, "its connection is gone", func() bool { return u.openConns() == 0 })
+	testbed.Until(t, "the connection closes", func() bool { return u.openConns() == 0 })
 }
 
-// What comes on a connection long after its answer is held against the server; what is there when its rest is over is not.
+// Bytes that arrive long after the response make the server a late sender; bytes within the reuse delay do not.
 func TestPolledLateData(t *testing.T) {
-	for name, rest := range map[string]time.Duration{"late": 0, "right behind": time.Hour} {
+	for name, rest := range map[string]time.Duration{"late": 0, "within the reuse delay": time.Hour} {
 		t.Run(name, func(t *testing.T) {
 			u := newPollSubject(t, rest)
 			e, conns := silentServer(t, "s-1")
@@ -87,11 +87,11 @@
 			if r := testbed.Next(t, a.done); r.Outcome != balance.OK {
 				t.Fatalf("outcome %v", r.Outcome)
 			}
-			// Another round of the poller's, so that it has heard of all that was there.
+			// Another round of the poller, so that it has handled all earlier events.
 			other := testbed.NewScript(t, testbed.Say(200, ""))
 			u.want(t, newAttempt(endpointAt(other.Addr), testbed.Patience), balance.OK)
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-			testbed.Until(t, "the connection ends", func() bool {
+			testbed.Until(t, "the connection closes", func() bool {
 				u.pool.mu.Lock()
 				defer u.pool.mu.Unlock()
 				return len(u.pool.idle[e]) == 0
@@ -100,13 +100,13 @@
 			_, caught := u.pool.lateSenders[e]
 			u.pool.mu.Unlock()
 			if caught != (rest == 0) {
-				t.Errorf("caught: %v", caught)
+				t.Errorf("late sender: %v", caught)
 			}
 		})
 	}
 }
 
-// readStream reads an answer that comes piece by piece to its end.
+// readStream reads a streamed response to its end.
 func readStream(t *testing.T, a *core.Answer) []byte {
 	t.Helper()
 	var got []byte
@@ -123,7 +123,8 @@
 	}
 }
 
-// An answer that is long, or may be, goes on to the client as it comes, on a goroutine; then its connection is polled again.
+// A response that is long, or may be, is streamed to the client on a goroutine. Afterwards its connection is polled
+// again.
 func TestLongResponsesAreStreamed(t *testing.T) {
 	long := strings.Repeat("0123456789abcdef", 20<<10)
 	slow := func(c net.Conn) bool {
@@ -132,7 +133,7 @@
 		_, err := io.WriteString(c, "3\r\ndef\r\n0\r\n\r\n")
 		return err == nil
 	}
-	late := func(c net.Conn) bool { // nothing at all for a while, and then for longer than the attempt may take
+	late := func(c net.Conn) bool { // no body for a while, and then for longer than the attempt may take
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		time.Sleep(2 * holdTimeout)
 		for _, text := range []string{"3\r\nabc\r\n", "3\r\ndef\r\n", "0\r\n\r\n"} {
@@ -168,11 +169,11 @@
 	}
 	r := u.want(t, newAttempt(e, testbed.Patience), balance.OK)
 	if _, _, conns := s.Seen(); conns != 1 || r.Answer == nil || string(r.Answer.Body) != "short" {
-		t.Errorf("%d connections, last answer %+v", conns, r.Answer)
+		t.Errorf("%d connections, last response %+v", conns, r.Answer)
 	}
 }
 
-// Attempts end at their time, not before it and hardly behind, and none is left.
+// Attempts end at their deadline, not before, and close their connections.
 func TestAttemptsEndAtDeadline(t *testing.T) {
 	u := newPollSubject(t, 0)
 	e, _ := silentServer(t, "s-1")
@@ -194,8 +195,8 @@
 	}
 }
 
-// Whatever ours takes in whatever pieces, the standard library takes with the same status, fields and body; and what is plain
-// is taken by both.
+// For any input in any fragments, what the parser accepts the standard library accepts with the same status, header and
+// body.
 func FuzzAnswerAgainstLibrary(f *testing.F) {
 	for _, text := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved",
@@ -226,23 +227,23 @@
 		resp, theirs, err := newResponseReader(bytes.NewReader(text)).readWhole(http.MethodPost)
 		if err != nil {
 			if len(body) > httpwire.MaxBufferedBody {
-				return // theirs bounds it, ours is bounded by who reads
+				return // the library reader bounds the body, the parser's caller does
 			}
-			t.Fatalf("theirs: %v, ours took %+v", err, in.head)
+			t.Fatalf("library: %v, parser accepted %+v", err, in.head)
 		}
 		h := headOf(resp)
 		if in.head.status != h.status || !bytes.Equal(body, theirs) || in.head.willClose != h.willClose {
-			t.Fatalf("ours %+v with %q, theirs %+v with %q", in.head, body, h, theirs)
+			t.Fatalf("parser %+v with %q, library %+v with %q", in.head, body, h, theirs)
 		}
-		delete(in.head.header, "Connection") // which the library keeps or drops, and is not passed on
+		delete(in.head.header, "Connection") // which the library keeps or drops, and which is not forwarded
 		delete(resp.Header, "Connection")
 		if got, want := fmt.Sprint(in.head.header), fmt.Sprint(resp.Header); got != want {
-			t.Fatalf("ours %s, theirs %s", got, want)
+			t.Fatalf("parser %s, library %s", got, want)
 		}
 	})
 }
 
-// What goes out is read by the standard library as what it says.
+// An encoded request is parsed by the standard library with the same content.
 func TestEncodedRequestParses(t *testing.T) {
 	a := newAttempt(endpointAt("127.0.0.1:1"), testbed.Patience)
 	a.Message.Class, a.Message.Safe = "gold", false
@@ -259,7 +260,8 @@
 	}
 }
 
-// Nobody reads the answer any more: the server learns of that at once, though its next bytes would come much later.
+// If the client abandons a streamed response, the connection to the server closes at once, even if the next bytes would
+// come much later.
 func TestAbandonedStreamClosesServerConnection(t *testing.T) {
 	for name, polled := range map[string]bool{"polled": true, "with goroutines": false} {
 		t.Run(name, func(t *testing.T) {
@@ -281,10 +283,10 @@
 			if r.Answer == nil || r.Answer.Stream == nil {
 				t.Fatalf("got %+v", r)
 			}
-			r.Answer.Stream.CloseRead(errors.New("its client has left"))
+			r.Answer.Stream.CloseRead(errors.New("client disconnected"))
 			_ = c.SetReadDeadline(time.Now().Add(stallTimeout / 4))
 			if _, err := c.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Errorf("the connection is still open: %v", err)
+				t.Errorf("connection still open: %v", err)
 			}
 		})
 	}
--- a/internal/upstream/http/poll_other.go
+++ b/internal/upstream/http/poll_other.go
@@ -7,8 +7,8 @@
 	"errors"
 )
 
-// PollBackend is there on Linux only.
+// PollBackend is available on Linux only.
 type PollBackend struct{ *Backend }
 
-// NewPoll fails: Backend has to do.
+// NewPoll returns errors.ErrUnsupported. Callers use Backend instead.
 func NewPoll(context.Context, Config) (*PollBackend, error) { return nil, errors.ErrUnsupported }
--- a/internal/upstream/http/polledconn_linux.go
+++ b/internal/upstream/http/polledconn_linux.go
@@ -18,18 +18,18 @@
 	"firplank/internal/timerwheel"
 )
 
-// polledState is what a connection is doing.
+// polledState is the state of a polled connection.
 type polledState uint8
 
 const (
-	polledIdle       polledState = iota // in the pool, or on its way there
-	polledConnecting                    // the request waits for the connection
-	polledWriting                       // ... for room
-	polledWaiting                       // for the answer
-	polledReleased                      // closed, or a goroutine's
+	polledIdle       polledState = iota // in the pool, or being returned to it
+	polledConnecting                    // the request waits until it is connected
+	polledWriting                       // the request waits for buffer space
+	polledWaiting                       // waiting for the response
+	polledReleased                      // closed, or handed over to a goroutine
 )
 
-// polledConn is a connection to a server that is polled. Its lock guards what follows it.
+// polledConn is a polled connection to a server. mu guards the fields below it.
 type polledConn struct {
 	backend      *PollBackend
 	conn         *conn
@@ -38,23 +38,23 @@
 	mu       sync.Mutex
 	fd       int
 	state    polledState
-	current  *polledRequest // nil while it is idle
-	unsent   []byte         // of the request, what is not written
-	received []byte         // of the answer, what has come in pieces
+	current  *polledRequest // nil while idle
+	unsent   []byte         // rest of the request
+	received []byte         // bytes of a response that is not yet complete
 	parser   responseParser
-	// headAt is when the head was whole of an answer that may pass through.
+	// headCompletedAt is when the head of a streamable response was complete.
 	headCompletedAt time.Time
 
 	timeout timerwheel.Timer[*polledConn] // guarded by backend.mu
 }
 
-// peek implements polled.
+// peek implements polledSocket.
 func (s *polledConn) peek() socket.PeekState { return socket.PeekFD(s.fd) }
 
-// begin writes a request to a connection that was idle.
+// startRequest writes a request to an idle connection.
 func (s *polledConn) startRequest(t *polledRequest) {
 	s.mu.Lock()
-	if s.state != polledIdle { // closed at the end of all
+	if s.state != polledIdle { // closed at shutdown
 		s.mu.Unlock()
 		s.backend.endAsync(t, balance.NotSent)
 		return
@@ -75,13 +75,13 @@
 	}
 	s.state, s.unsent = polledWriting, request
 	s.backend.setTimeout(s, time.Until(s.current.deadline))
-	if err := s.write(); err != nil { // its last byte never went out, and nothing was read meanwhile
+	if err := s.write(); err != nil { // the last byte was not sent, and no response was read
 		return s.fail(balance.ConnectFailed)
 	}
 	return nil
 }
 
-// ending is how a request ended. It is reported when no lock is held.
+// endedRequest is a request with its result, to be reported when no lock is held.
 type endedRequest struct {
 	conn     *polledConn
 	request  *polledRequest
@@ -89,7 +89,7 @@
 	reusable bool
 }
 
-// end takes the request off the connection. The caller holds mu.
+// end detaches the request from the connection and returns it with its result. The caller holds mu.
 func (s *polledConn) end(r core.Result, reusable bool) *endedRequest {
 	e := &endedRequest{s, s.current, r, reusable}
 	s.backend.clearTimeout(s)
@@ -99,7 +99,7 @@
 	}
 	if s.received != nil {
 		if cap(s.received) <= maxPooledBufferBytes {
-			//lint:ignore SA6002 the header that is allocated here is small beside the buffer that is saved
+			//lint:ignore SA6002 the slice header allocated here is small compared with the reused buffer
 			receiveBuffers.Put(s.received[:0])
 		}
 		s.received = nil
@@ -107,12 +107,12 @@
 	return e
 }
 
-// inBuffers hold answers that come in more than one piece.
+// receiveBuffers holds buffers for responses that arrive in several reads.
 var receiveBuffers = sync.Pool{New: func() any { return make([]byte, 0, 4<<10) }}
 
 const maxPooledBufferBytes = 128 << 10
 
-// do reports the end; it may wait for the exchange.
+// report returns the connection to the pool and reports the result. It may wait for the exchange.
 func (e *endedRequest) report() {
 	if e == nil {
 		return
@@ -128,7 +128,7 @@
 	return s.end(core.Result{Outcome: outcome}, false)
 }
 
-// write writes what is left of the request. The caller holds mu, and the state is polledWriting.
+// write writes the rest of the request. The caller holds mu, and the state is polledWriting.
 func (s *polledConn) write() error {
 	for len(s.unsent) > 0 {
 		n, err := unix.Write(s.fd, s.unsent)
@@ -170,8 +170,8 @@
 	}
 }
 
-// writeOn writes more of a request. Where that fails the server may have answered before it has closed the connection. The caller holds mu,
-// on the poller's goroutine.
+// continueWrite writes more of a request. If that fails, the server may have responded before it closed the connection.
+// It is called on the poller's goroutine, with mu held.
 func (s *polledConn) continueWrite() *endedRequest {
 	if err := s.write(); err == nil {
 		return nil
@@ -182,7 +182,7 @@
 	return s.fail(balance.ConnectFailed)
 }
 
-// connected goes on when the connection has come up, or has not. The caller holds mu.
+// handleConnected handles the result of connecting. The caller holds mu.
 func (s *polledConn) handleConnected() *endedRequest {
 	switch code, err := unix.GetsockoptInt(s.fd, unix.SOL_SOCKET, unix.SO_ERROR); {
 	case err != nil || code != 0:
@@ -191,14 +191,16 @@
 		}
 		return s.fail(balance.ConnectFailed)
 	}
-	// Connecting may take longer than the server accepts requests, or than the request has. Nothing was sent yet.
+	// Connecting may have taken until the server stopped accepting requests or the deadline passed. Nothing was sent
+	// yet.
 	if s.current.obsolete() {
 		return s.end(core.Result{Outcome: balance.NotSent}, true)
 	}
 	return s.send()
 }
 
-// handOver gives the connection to a goroutine, which reads the answer once more from its first byte. The caller holds mu.
+// handOver hands the connection over to a goroutine, which parses the response again from its first byte. The caller
+// holds mu.
 func (s *polledConn) handOver(b []byte, heldFor time.Duration) {
 	t, c, backend := s.current, s.conn, s.backend
 	a := &attempt{Attempt: t.attempt, heldFor: heldFor}
@@ -211,8 +213,8 @@
 	c.reader = newResponseReader(io.MultiReader(bytes.NewReader(received), file))
 	backend.running.Go(func() {
 		defer a.cancel()
-		_ = c.SetDeadline(a.Deadline) // fails only on a closed connection, as the next call on it does
-		// Fails only on a closed connection, as the next call on it does.
+		_ = c.SetDeadline(a.Deadline) // fails only on a closed connection, and so does the next call
+		// Fails only on a closed connection, and so does the next call.
 		stop := context.AfterFunc(a.ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
 		r, reusable := backend.up.receive(a, c)
 		backend.up.pool.returnConn(c, stop() && reusable && written)
@@ -220,7 +222,7 @@
 	})
 }
 
-// release takes the descriptor from the poller. The caller holds mu.
+// release stops polling the descriptor and returns it as a connection. The caller holds mu.
 func (s *polledConn) release() (net.Conn, error) {
 	err := s.backend.poller.Detach(s.fd)
 	s.backend.poller.Unregister(s.registration)
@@ -228,7 +230,7 @@
 	return fileConn{os.NewFile(uintptr(s.fd), "server")}, err
 }
 
-// detach implements polled.
+// detach implements polledSocket.
 func (s *polledConn) detach() (net.Conn, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -238,13 +240,13 @@
 	return s.release()
 }
 
-// fileConn is a socket that Go's own poller waits for.
+// fileConn is a socket that the Go runtime polls.
 type fileConn struct{ *os.File }
 
 func (fileConn) LocalAddr() net.Addr  { return nil }
 func (fileConn) RemoteAddr() net.Addr { return nil }
 
-// giveUp ends a request that the exchange has given up, on the exchange's goroutine.
+// cancel ends a request that the exchange cancelled, on the goroutine of the exchange.
 func (s *polledConn) cancel(t *polledRequest) {
 	s.mu.Lock()
 	if s.current != t {
@@ -263,11 +265,11 @@
 	s.backend.running.Go(e.report)
 }
 
-// expired handles the time-out.
+// handleTimeout handles the time-out of a connection.
 func (s *polledConn) handleTimeout() {
 	s.mu.Lock()
 	s.backend.mu.Lock()
-	rearmed := s.timeout.IsSet() // it was set anew meanwhile
+	rearmed := s.timeout.IsSet() // set again since it expired
 	s.backend.mu.Unlock()
 	var e *endedRequest
 	if t := s.current; t != nil && !rearmed {
@@ -280,8 +282,8 @@
 		case pastDeadline:
 			e = s.fail(balance.TimedOut)
 		case len(s.parser.chunks.Body) > 0 || len(s.received) > s.parser.offset && s.parser.head != nil && !s.parser.head.chunked:
-			s.handOver(s.received, holdTimeout) // its end was not announced, and has not come soon
-		default: // not a byte of it has come
+			s.handOver(s.received, holdTimeout) // the length is unknown, and the body did not end within holdTimeout
+		default: // no byte of the body was received
 			s.backend.setTimeout(s, time.Until(t.deadline))
 		}
 	}
@@ -289,7 +291,7 @@
 	e.report()
 }
 
-// Close implements polled.
+// Close implements polledSocket.
 func (s *polledConn) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/upstream/http/polledresponse_linux.go
+++ b/internal/upstream/http/polledresponse_linux.go
@@ -1,6 +1,6 @@
 package http
 
-// This file reads answers on polled connections.
+// This file reads responses on polled connections.
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 	"firplank/internal/httpwire"
 )
 
-// read reads what has arrived. ended: the connection's end may be behind it. The caller holds mu.
+// read reads the bytes that have arrived. ended is set if the peer may have closed the connection. The caller holds mu.
 func (s *polledConn) read(ended bool) *endedRequest {
 	scratch := s.backend.readBuffer
 	for {
@@ -29,17 +29,17 @@
 			return e
 		}
 		if s.state == polledReleased || n < len(scratch) && !ended {
-			return nil // a short read has emptied it, and the kernel reports what comes next
+			return nil // a short read emptied the socket buffer; the poller reports new bytes
 		}
 	}
 }
 
-// take takes in bytes of the answer, or its end. The caller holds mu.
+// handleInput handles bytes of the response, or its end. The caller holds mu.
 func (s *polledConn) handleInput(b []byte, eof bool, err error) *endedRequest {
 	if s.state == polledWriting && !s.acceptsEarlyResponse(b) {
 		return s.fail(balance.ConnectFailed)
 	}
-	if err != nil { // what broke off has no end that could be one
+	if err != nil { // a failed connection doesn't delimit a body
 		return s.fail(balance.Reset)
 	}
 	if s.received != nil {
@@ -65,8 +65,9 @@
 	return s.handleComplete(b, eof)
 }
 
-// takeLong hands an answer over that is too long to be held, or has been held for long enough; one that may not be passed on
-// while it comes fails. It reports whether it did either. first: the head of the answer has only arrived now.
+// handleLong hands over a response that exceeds what is buffered or that was buffered for holdTimeout; the attempt fails
+// if the response is too long and may not be streamed. It reports whether it did either. headCompleted is set if b
+// completed the head.
 func (s *polledConn) handleLong(b []byte, headCompleted, complete bool) (e *endedRequest, handled bool) {
 	h := s.parser.head
 	bodyBytes := len(b) - s.parser.offset
@@ -85,14 +86,14 @@
 	case headCompleted:
 		s.headCompletedAt = time.Now()
 		s.backend.setTimeout(s, min(holdTimeout, time.Until(s.current.deadline)))
-	case bodyBytes > 0 && time.Since(s.headCompletedAt) >= holdTimeout: // its first bytes came late: held, it would be cut off at its time
+	case bodyBytes > 0 && time.Since(s.headCompletedAt) >= holdTimeout: // the body started late, and buffering would last until the deadline
 		s.handOver(b, holdTimeout)
 		return nil, true
 	}
 	return nil, false
 }
 
-// takeWhole ends the attempt with an answer that has come to its end.
+// handleComplete ends the attempt with a complete response.
 func (s *polledConn) handleComplete(b []byte, eof bool) *endedRequest {
 	h := s.parser.head
 	body, trailing := s.parser.body(b)
@@ -102,7 +103,7 @@
 	if s.current.attempt == nil {
 		return s.end(s.backend.up.probeResult(h, body), !h.willClose && trailing == 0)
 	}
-	if d := s.backend.up.dialect; d != nil && !d.Matches(s.current.attempt, h.header) { // a surplus one: the next may be ours
+	if d := s.backend.up.dialect; d != nil && !d.Matches(s.current.attempt, h.header) { // a response to another request: the next may match
 		unread, usable := s.parser.discard(b, eof)
 		if !usable {
 			return s.fail(balance.Reset)
@@ -118,16 +119,17 @@
 	return s.end(r, reusable && !eof && s.state != polledWriting)
 }
 
-// provesEarly reports whether what comes before the request is written proves anything: an answer that a dialect judges, of which b are the
-// next bytes or its end. Else the server has not begun. The caller holds mu.
+// acceptsEarlyResponse reports whether input before the request is written counts as a response: only if a dialect
+// evaluates it, and a byte of it is in b or was received before. Otherwise the server has not started the request. The
+// caller holds mu.
 func (s *polledConn) acceptsEarlyResponse(b []byte) bool {
 	return s.backend.up.dialect != nil && s.current.attempt != nil && (len(b) > 0 || s.responseStarted())
 }
 
-// answered reports whether a byte of an answer has come. The caller holds mu.
+// responseStarted reports whether a byte of a response was received. The caller holds mu.
 func (s *polledConn) responseStarted() bool { return len(s.received) > 0 || s.parser.head != nil }
 
-// passes reports whether an answer may be passed on while it comes: it is a good one that is long, or may be.
+// streamable reports whether a response may be streamed: a success whose length exceeds what is buffered or is unknown.
 func (s *polledConn) streamable(h *responseHead) bool {
 	return s.current.attempt != nil && s.current.attempt.Message.AcceptsStream &&
 		s.backend.up.streamable(s.current.attempt, h) && !s.parser.headOnly && (h.length < 0 || h.length > httpwire.MaxBufferedBody)
--- a/internal/upstream/http/pool.go
+++ b/internal/upstream/http/pool.go
@@ -14,33 +14,33 @@
 	"firplank/internal/socket"
 )
 
-// errNoSocket: no connection was tried, as this side has no socket left for it.
-var errNoSocket = errors.New("no socket to spare")
+// errNoSocket means that no connection was attempted because the local socket limit is reached.
+var errNoSocket = errors.New("socket limit reached")
 
-// pool keeps the connections to endpoints, within a number of sockets.
+// pool holds the connections to endpoints, within a limit on their number.
 type pool struct {
 	connectTimeout             time.Duration
 	idleTimeout                time.Duration
 	reuseDelay                 time.Duration
-	peerTimeout, maxUnsafeIdle time.Duration // Config's
-	maxOpen                    int           // open connections
+	peerTimeout, maxUnsafeIdle time.Duration // see Config
+	maxOpen                    int           // limit of open
 
 	mu   sync.Mutex
-	open int                        // dialled, in use and idle
-	idle map[*core.Endpoint][]*conn // the most recently used last
-	// resting holds idle connections that were not looked at since their last use, in order; one may have been taken
-	// meanwhile.
+	open int                        // number of connections: dialing, in use and idle
+	idle map[*core.Endpoint][]*conn // most recently used last
+	// pendingChecks holds idle connections that were not checked since their last use, oldest first. A connection may
+	// have been reused meanwhile.
 	pendingChecks      []pendingCheck
-	checkAdded         chan struct{}  // there is one more; has room for one
-	lastLate           *core.Endpoint // that was last caught sending late, at lateAt
+	checkAdded         chan struct{}  // signals an addition to pendingChecks; capacity 1
+	lastLate           *core.Endpoint // the latest late sender, detected at lastLateAt
 	lastLateAt         time.Time
-	extendedDelayUntil time.Time                    // until then connections to all servers rest longer
-	lateSenders        map[*core.Endpoint]time.Time // servers that were caught, and until when no connection to them is used again
+	extendedDelayUntil time.Time                    // until then connections to all servers use extendedReuseDelay
+	lateSenders        map[*core.Endpoint]time.Time // late senders, and until when connections to them are not reused
 	onLateData         func(*core.Endpoint)
 	seed               maphash.Seed
 
-	// Where the kernel's readiness is waited for: adopt makes a goroutine's connection one that is polled, and polledUpTo is
-	// a time before which everything that came on idle connections has been handled. Nil elsewhere.
+	// Set if sockets are polled: adopt starts polling the connection of a goroutine, and polledUpTo returns a time
+	// before which all input on idle connections has been handled. Otherwise nil.
 	adopt      func(*conn) bool
 	polledUpTo func() time.Time
 }
@@ -53,15 +53,15 @@
 	}
 }
 
-// get returns an idle connection that still stands, or a new one.
+// get returns a usable idle connection or a new one. maxIdle is as for takeIdle.
 func (p *pool) get(ctx context.Context, e *core.Endpoint, deadline time.Time, maxIdle time.Duration) (*conn, error) {
 	for {
 		c := p.takeIdle(e, maxIdle)
 		if c == nil {
 			break
 		}
-		// The server may have closed it, or died, while it was idle. A request written to it would end as a
-		// reset, which may have run; a new connection is sure.
+		// The server may have closed the connection or failed while it was idle. A request written to it would end in a
+		// reset, after which it is unknown whether the request ran.
 		if c = p.checkIdle(c, e); c == nil {
 			continue
 		}
@@ -90,7 +90,8 @@
 	return c, nil
 }
 
-// check returns an idle connection that was taken if it still stands and is silent; else it ends it.
+// checkIdle returns a connection that was taken from the idle ones if it is open and has no bytes to read. Otherwise it
+// closes it and returns nil.
 func (p *pool) checkIdle(c *conn, e *core.Endpoint) *conn {
 	state := c.state()
 	if c.addr == e.Addr() && state == socket.Idle {
@@ -100,7 +101,7 @@
 	return nil
 }
 
-// end drops a connection that is nobody's any more, of which state was found.
+// dropIdle closes a connection that was removed from the idle ones and found in state.
 func (p *pool) dropIdle(c *conn, state socket.PeekState) {
 	p.mu.Lock()
 	caught := p.recordPeek(c, state)
@@ -124,7 +125,7 @@
 	return &conn{Conn: c, reader: newResponseReader(c), endpoint: e, addr: addr}, nil
 }
 
-// within is how long a connection may have been idle to carry a message; 0: as long as any.
+// maxIdle returns how long a connection may have been idle to carry the message; 0 means unlimited.
 func (p *pool) maxIdle(m *core.Message) time.Duration {
 	if m.Safe {
 		return 0
@@ -132,7 +133,7 @@
 	return p.maxUnsafeIdle
 }
 
-// giveBack ends the use of a connection.
+// returnConn returns a connection to the pool after use, or closes it.
 func (p *pool) returnConn(c *conn, reusable bool) {
 	if reusable {
 		p.put(c)
@@ -141,10 +142,10 @@
 	}
 }
 
-// put gives a connection back for further use.
+// put returns a connection to the pool.
 func (p *pool) put(c *conn) {
 	if c.polled == nil {
-		_ = c.SetDeadline(time.Time{}) // fails only on a closed connection, as the next call on it does
+		_ = c.SetDeadline(time.Time{}) // fails only on a closed connection, and so does the next call
 		if p.adopt != nil && !p.adopt(c) {
 			p.drop(c)
 			return
@@ -172,11 +173,11 @@
 }
 
 func (p *pool) drop(c *conn) {
-	_ = c.Close() // it is given up, whatever came of it
+	_ = c.Close() // the connection is released even where this fails
 	p.release()
 }
 
-// reserve counts one more connection, for which an idle one may have to go.
+// reserve counts one more connection. At the limit it evicts an idle one, and reports false if there is none.
 func (p *pool) reserve() bool {
 	for {
 		p.mu.Lock()
@@ -192,7 +193,7 @@
 	}
 }
 
-// resize changes how many connections may be open.
+// resize changes the connection limit and evicts idle connections beyond it.
 func (p *pool) resize(n int) {
 	for {
 		p.mu.Lock()
--- a/internal/upstream/http/poolidle.go
+++ b/internal/upstream/http/poolidle.go
@@ -1,6 +1,6 @@
 package http
 
-// This file keeps the pool's idle connections, and closes those that are old or not wanted any more.
+// This file manages the idle connections of the pool.
 
 import (
 	"context"
@@ -11,19 +11,19 @@
 	"firplank/internal/socket"
 )
 
-// resting is a connection as it was given back.
+// pendingCheck is a connection at the time it was returned to the pool.
 type pendingCheck struct {
 	conn *conn
 	uses int
 }
 
-// stir looks at a connection on which something has come, if it is idle in the pool: it ends unless that was part of the
-// answer before.
+// handleIdleReadable handles input on a connection, if it is idle in the pool. The connection is closed unless its input
+// was part of the previous response.
 func (p *pool) handleIdleReadable(c *conn) {
 	p.mu.Lock()
 	idle := p.idle[c.endpoint]
 	i := slices.Index(idle, c)
-	if i < 0 { // who has taken it looks at it, too
+	if i < 0 { // whoever has taken it also checks it
 		p.mu.Unlock()
 		return
 	}
@@ -39,7 +39,8 @@
 	p.reportLate(caught)
 }
 
-// takeIdle takes the most recently used connection that has rested, if it was used within so long; 0: whenever.
+// takeIdle removes and returns the most recently used connection whose reuse delay has passed and that has been idle for
+// at most maxIdle (0: unlimited); nil if there is none.
 func (p *pool) takeIdle(e *core.Endpoint, maxIdle time.Duration) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -49,7 +50,7 @@
 	}
 	for i := len(idle) - 1; i >= 0; i-- {
 		if maxIdle > 0 && now.Sub(idle[i].idleSince) > maxIdle {
-			return nil // and those before it are older
+			return nil // the others have been idle for longer
 		}
 		if c := idle[i]; now.Sub(c.idleSince) >= delay {
 			p.setIdle(e, slices.Delete(idle, i, i+1))
@@ -92,7 +93,7 @@
 	p.closeWhere(func(c *conn) bool { return c.endpoint == e })
 }
 
-// closeWhere closes the idle connections for which old holds.
+// closeWhere closes the idle connections for which match returns true.
 func (p *pool) closeWhere(match func(*conn) bool) {
 	var dropped []*conn
 	p.mu.Lock()
@@ -114,8 +115,7 @@
 	}
 }
 
-// sweep closes connections that have been idle for too long, that the other side has closed, or on which something has
-// come.
+// sweep closes connections that exceed the idle time-out, were closed by the peer, or have bytes to read.
 func (p *pool) sweep(now time.Time) {
 	var caught []*core.Endpoint
 	p.closeWhere(func(c *conn) bool {
@@ -133,10 +133,9 @@
 	}
 }
 
-// closeAll closes all idle connections.
 func (p *pool) closeAll() { p.closeWhere(func(*conn) bool { return true }) }
 
-// run looks after idle connections until ctx ends.
+// run checks and closes idle connections until ctx ends.
 func (p *pool) run(ctx context.Context) {
 	ticker := time.NewTicker(max(p.idleTimeout/20, time.Millisecond))
 	defer ticker.Stop()
--- a/internal/upstream/http/probe.go
+++ b/internal/upstream/http/probe.go
@@ -1,6 +1,6 @@
 package http
 
-// This file asks a server how it is.
+// This file probes servers.
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"firplank/internal/core"
 )
 
-// ask probes an endpoint.
+// sendProbe probes an endpoint over a connection of the pool.
 func (u *upstream) sendProbe(ctx context.Context, e *core.Endpoint) core.Result {
 	deadline := time.Now().Add(u.pool.connectTimeout + probeGrace)
 	c, err := u.pool.get(ctx, e, deadline, 0)
@@ -27,8 +27,8 @@
 }
 
 func (u *upstream) probeConn(ctx context.Context, c *conn, deadline time.Time) (r core.Result, reusable bool) {
-	_ = c.SetDeadline(deadline) // fails only on a closed connection, as the next call on it does
-	// Fails only on a closed connection, as the next call on it does.
+	_ = c.SetDeadline(deadline) // fails only on a closed connection, and so does the next call
+	// Fails only on a closed connection, and so does the next call.
 	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
 	defer func() { reusable = stop() && reusable }()
 	if _, err := c.Write(u.probeRequest(c.addr)); err != nil {
@@ -44,12 +44,12 @@
 	return u.probeResult(headOf(resp), body), !resp.Close && c.reader.Buffered() == 0
 }
 
-// question is a probe's request.
+// probeRequest returns the request of a probe.
 func (u *upstream) probeRequest(addr string) []byte {
 	return fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", u.probePath, addr)
 }
 
-// probed is the result of an answer to a probe.
+// probeResult returns the result that a response to a probe means.
 func (u *upstream) probeResult(h *responseHead, body []byte) core.Result {
 	r := core.Result{Outcome: balance.Failed, Report: loadReport(h.header, u.reportFields)}
 	if r.Report == nil {
--- a/internal/upstream/http/response.go
+++ b/internal/upstream/http/response.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	maxResponseHeadBytes = 32 << 10 // of an answer and the interim ones ahead of it
-	maxFramingFactor     = 2        // times the body that its framing in chunks may take
-	maxReportValue       = 1e6      // of a load report: beyond it no share, rate or count of one server is meant
+	maxResponseHeadBytes = 32 << 10 // of a response head with the interim responses before it
+	maxFramingFactor     = 2        // bytes on the wire, with chunk framing, per byte of the body limit
+	maxReportValue       = 1e6      // for a value in a load report; no share, rate or count of one server is larger
 )
 
 var (
-	errResponseTooLarge = errors.New("an answer beyond what a message may hold")
-	errResponseUnframed = errors.New("an answer that does not say where it ends")
+	errResponseTooLarge = errors.New("response exceeds the size limit")
+	errResponseUnframed = errors.New("response does not delimit its body")
 )
 
-// allowance lets only so many bytes through. http.ReadResponse bounds neither a head nor the interim answers
-// ahead of it: a server whose head does not end would fill the memory.
+// limitedReader returns errResponseTooLarge after a number of bytes. http.ReadResponse bounds neither a head nor the
+// interim responses before it, so a server whose head never ends could exhaust the memory.
 type limitedReader struct {
 	src       io.Reader
 	remaining int
@@ -41,7 +41,7 @@
 	return n, err
 }
 
-// answerReader reads the answers that come on a connection.
+// responseReader reads the responses on a connection.
 type responseReader struct {
 	*bufio.Reader
 	limit *limitedReader
@@ -52,7 +52,7 @@
 	return responseReader{bufio.NewReader(a), a}
 }
 
-// next reads one answer to its last byte; a body that ends early is an error, and so is what no answer may be.
+// readWhole reads one response with its whole body. A body that ends early and a malformed response are errors.
 func (r responseReader) readWhole(method string) (*http.Response, []byte, error) {
 	resp, err := r.readHead(method, httpwire.MaxBufferedBody)
 	if err != nil || resp.Body == http.NoBody {
@@ -65,7 +65,8 @@
 	return resp, body, nil
 }
 
-// head reads the head of an answer whose body has most bytes at most. A body that cannot be read to its end is taken off.
+// readHead reads the head of a response whose body has at most maxBodyBytes. The body is dropped if it has no delimited
+// end and the status is not a success.
 func (r responseReader) readHead(method string, maxBodyBytes int64) (*http.Response, error) {
 	r.limit.remaining = maxResponseHeadBytes
 	for {
@@ -74,11 +75,11 @@
 		if err != nil {
 			return nil, err
 		}
-		if resp.StatusCode < 200 { // an interim answer: the real one follows
+		if resp.StatusCode < 200 { // an interim response: the final one follows
 			continue
 		}
 		if resp.ContentLength > maxBodyBytes {
-			return nil, fmt.Errorf("%w: it announces %d bytes", errResponseTooLarge, resp.ContentLength)
+			return nil, fmt.Errorf("%w: it announces a body of %d bytes", errResponseTooLarge, resp.ContentLength)
 		}
 		h := headOf(resp)
 		h.announcedClose = closes
@@ -86,7 +87,7 @@
 			if h.success() {
 				return nil, errResponseUnframed
 			}
-			resp.Close, resp.Body = true, http.NoBody // its head is enough
+			resp.Close, resp.Body = true, http.NoBody // the head suffices
 			return resp, nil
 		}
 		r.limit.remaining = maxFramingFactor * int(maxBodyBytes)
@@ -94,14 +95,15 @@
 	}
 }
 
-// awaitByte waits for the first byte of an answer. It reports whether one has come.
+// waitForByte waits for the first byte of a response and reports whether one was received.
 func (r responseReader) waitForByte() bool {
 	r.limit.remaining = maxResponseHeadBytes
 	_, err := r.Peek(1)
 	return err == nil
 }
 
-// dropInterim waits for the head of an answer and takes it off if it is an interim one. It reports whether it was.
+// discardInterim waits for the head of a response and discards it if the response is an interim one. It reports whether
+// it did.
 func (r responseReader) discardInterim() bool {
 	r.limit.remaining = maxResponseHeadBytes
 	head := r.peekHead()
@@ -112,13 +114,14 @@
 	return err == nil
 }
 
-// interimStatus matches the status line of an interim answer.
+// interimStatusLine matches the status line of an interim response.
 var interimStatusLine = regexp.MustCompile(`^HTTP/1\.[01] 1[0-9][0-9][ \r\n]`)
 
-// peekHead waits for the head of an answer and returns it, as far as the reader's buffer holds it.
+// peekHead waits for the head of a response and returns it without consuming it; nil if it exceeds the buffer or the
+// connection fails.
 func (r responseReader) peekHead() []byte {
 	for {
-		b, _ := r.Peek(r.Buffered()) // what is buffered is there
+		b, _ := r.Peek(r.Buffered()) // buffered bytes are always available
 		for _, end := range [...]string{"\n\r\n", "\n\n"} {
 			if at := bytes.Index(b, []byte(end)); at >= 0 {
 				return b[:at+len(end)]
@@ -130,7 +133,7 @@
 	}
 }
 
-// whole reads a body that is held whole.
+// readBody reads a body that is buffered whole.
 func (r responseReader) readBody(resp *http.Response) ([]byte, error) {
 	r.limit.remaining = min(r.limit.remaining, maxFramingFactor*httpwire.MaxBufferedBody)
 	body, err := io.ReadAll(io.LimitReader(resp.Body, httpwire.MaxBufferedBody+1))
@@ -143,7 +146,7 @@
 	return body, nil
 }
 
-// reportOf returns the load report of an answer. One that cannot be read is dropped, the answer is not.
+// loadReport returns the load report in a response header. A malformed report is ignored; the response is not.
 func loadReport(h http.Header, fields []string) []float32 {
 	for _, text := range h[loadHeader] {
 		if report := parseReport(text, fields); report != nil {
@@ -153,13 +156,13 @@
 	return nil
 }
 
-// otherNames are the words that load reports may use for a figure which the settings name otherwise.
+// reportAliases maps names that servers may use in load reports to the names in the settings.
 var reportAliases = map[string]string{
 	"inflight": "rif", "queue": "q", "util": "busy", "latency_ms": "lat_ms", "qps": "rate", "eps": "fail_rate",
 }
 
-// parseReport reads «TEXT inflight=7, util=0.61» into the order of fields. A report that lacks one of them, or
-// holds what is no number or no load, counts as none: the module goes by position.
+// parseReport parses «TEXT inflight=7, util=0.61» and returns the values in the order of fields. It returns nil if a
+// field is missing or a value is not a valid load, because the values are used by position.
 func parseReport(text string, fields []string) []float32 {
 	text, found := strings.CutPrefix(strings.TrimSpace(text), "TEXT ")
 	if !found || len(fields) == 0 {
@@ -169,7 +172,7 @@
 	for _, part := range strings.Split(text, ",") {
 		name, figure, _ := strings.Cut(strings.TrimSpace(part), "=")
 		v, err := strconv.ParseFloat(figure, 32)
-		if err != nil || !(v >= 0 && v <= maxReportValue) { // NaN is neither
+		if err != nil || !(v >= 0 && v <= maxReportValue) { // false for NaN, too
 			return nil
 		}
 		values[name] = float32(v)
--- a/internal/upstream/http/response_test.go
+++ b/internal/upstream/http/response_test.go
@@ -15,7 +15,7 @@
 	"firplank/internal/testbed"
 )
 
-// flow writes a start and then the same again and again, until nobody reads it any more.
+// repeatForever writes start and then repeated, until the peer closes the connection.
 func repeatForever(start, repeated string) testbed.Step {
 	return func(c net.Conn) bool {
 		for text := start; ; text = strings.Repeat(repeated, 100) {
@@ -26,7 +26,7 @@
 	}
 }
 
-// stay writes part of an answer, or what is none, and leaves the connection open.
+// writeAndHold writes a text, such as part of a response, and keeps the connection open.
 func writeAndHold(text string) testbed.Step {
 	return func(c net.Conn) bool {
 		_, err := io.WriteString(c, text)
@@ -34,8 +34,8 @@
 	}
 }
 
-// An answer that cannot be used fails at once. Waiting for the rest of it, which never comes or never ends, costs the
-// request its time, and keeping it costs memory.
+// A malformed response fails at once. Waiting for the rest, which never comes or never ends, would use up the deadline,
+// and buffering it would exhaust memory.
 func TestMalformedResponsesFailAtOnce(t *testing.T) {
 	forEachBackend(t, testMalformedResponsesFailAtOnce)
 }
@@ -57,23 +57,23 @@
 		"bad chunk":           {writeAndHold("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"), balance.Reset},
 		"no length":           {writeAndHold("HTTP/1.1 200 OK\r\n\r\nserved"), balance.Reset},
 		"error, no length":    {writeAndHold("HTTP/1.1 500 Oops\r\n\r\nmore to come"), balance.Failed},
-		"away, no length":     {writeAndHold("HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\n\r\n"), balance.Rejected},
+		"rejected, no length": {writeAndHold("HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\n\r\n"), balance.Rejected},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, u := testbed.NewScript(t, c.answer), newUpstream(1024)
 			start := time.Now()
 			u.want(t, newAttempt(endpointAt(s.Addr), 2*testbed.Patience), c.want)
 			if took := time.Since(start); took > testbed.Patience {
-				t.Errorf("failed only after %v", took)
+				t.Errorf("failed after %v, want at once", took)
 			}
 			if u.openConns() != 0 {
-				t.Error("the connection is kept")
+				t.Error("connection was not closed")
 			}
 		})
 	}
 }
 
-// What is good is served, and a connection on which more came than belongs to it is not used again.
+// A valid response is accepted, and a connection with surplus bytes after the response is not reused.
 func TestValidResponses(t *testing.T) { forEachBackend(t, testValidResponses) }
 
 func testValidResponses(t *testing.T, newUpstream func(int) *subject) {
@@ -85,7 +85,7 @@
 		"plain":           {answer + "\r\nserved", 1},
 		"interim":         {"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + answer + "\r\nserved", 1},
 		"chunks":          {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n6\r\nserved\r\n0\r\n\r\n", 1},
-		"second copy":     {strings.Repeat(answer+"\r\nserved", 2), 0},
+		"duplicate":       {strings.Repeat(answer+"\r\nserved", 2), 0},
 		"noise":           {answer + "\r\nserved\x01\x02\x03", 0},
 		"report unusable": {answer + loadHeader + ": TEXT busy=-1, rate=3\r\n\r\nserved", 1},
 	} {
@@ -96,13 +96,13 @@
 				t.Errorf("got %+v", r)
 			}
 			if u.openConns() != c.kept {
-				t.Errorf("%d connections kept, want %d", u.openConns(), c.kept)
+				t.Errorf("%d connections open, want %d", u.openConns(), c.kept)
 			}
 		})
 	}
 }
 
-// A report that cannot be read does not hide one that can.
+// A malformed load report must not hide a valid one.
 func TestUnreadableReportDoesNotHideNext(t *testing.T) {
 	h := http.Header{loadHeader: {"TEXT ?", "TEXT busy=0.5, rate=3"}}
 	if got := loadReport(h, []string{"busy", "rate"}); len(got) != 2 || got[0] != 0.5 {
@@ -116,8 +116,8 @@
 	return &upstream{pool: p}
 }
 
-// A second copy of an answer may come in a packet of its own, after the connection was found silent. Written to at
-// once, the next request would be answered with it.
+// A duplicate response may arrive in a packet of its own, after the connection was found to have no input. A request
+// written at once would receive it as its response.
 func TestReuseDelay(t *testing.T) {
 	s, u := testbed.NewScript(t, testbed.Say(200, "")), newReuseDelayUpstream(t)
 	e := endpointAt(s.Addr)
@@ -125,17 +125,17 @@
 		t.Fatalf("outcome %v", r.Outcome)
 	}
 	if c := u.pool.takeIdle(e, 0); c != nil {
-		t.Error("taken at once")
+		t.Error("connection taken within the reuse delay")
 	}
 	u.pool.idle[e][0].idleSince = time.Now().Add(-2 * time.Hour)
 	if c := u.pool.takeIdle(e, 0); c == nil {
-		t.Error("not taken after its rest")
+		t.Error("connection not taken after the reuse delay")
 	} else {
 		u.pool.put(c)
 	}
 }
 
-// Whatever comes, no more is kept of it than a message may hold, and reading ends.
+// For any input, parsing ends and no more is buffered than a body may hold.
 func FuzzAnswers(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved"))
 	f.Add([]byte("HTTP/1.1 103 E\r\n\r\nHTTP/1.0 200 OK\r\n\r\nserved"))
@@ -149,7 +149,7 @@
 	})
 }
 
-// A report is as long as it has to be and holds only figures that a load can have, or there is none.
+// A load report has all fields with valid values, or there is none.
 func FuzzReports(f *testing.F) {
 	f.Add("TEXT busy=0.5, rate=3")
 	f.Add("TEXT busy=-1, rate=3")
@@ -158,17 +158,18 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		report := parseReport(text, []string{"busy", "rate"})
 		if report != nil && len(report) != 2 {
-			t.Errorf("%d figures", len(report))
+			t.Errorf("%d values", len(report))
 		}
 		for _, v := range report {
 			if !(v >= 0 && v <= maxReportValue) {
-				t.Errorf("%q gave %v", text, report)
+				t.Errorf("%q: got %v", text, report)
 			}
 		}
 	})
 }
 
-// What must not run twice goes out on no connection that a server may have forgotten; what may goes out on any that stands.
+// An unsafe request must not use a connection that has been idle for so long that the server may have dropped it. A safe
+// request may.
 func TestUnsafeRequestsAvoidLongIdleConnections(t *testing.T) {
 	p := newPool(time.Second, time.Minute, 0, 4)
 	p.maxUnsafeIdle = 800 * time.Millisecond
@@ -188,6 +189,6 @@
 		}
 	}
 	if p.maxUnsafeIdle = 0; p.maxIdle(&core.Message{}) != 0 {
-		t.Error("bounded where nothing bounds it")
+		t.Error("idle time bounded without MaxUnsafeIdle")
 	}
 }
--- a/internal/upstream/http/scan.go
+++ b/internal/upstream/http/scan.go
@@ -14,18 +14,18 @@
 	"firplank/internal/httpwire"
 )
 
-// answerHead is the head of an answer, taken apart.
+// responseHead is the parsed head of a response.
 type responseHead struct {
 	status         int
 	header         http.Header
-	length         int64 // of the body; -1: it ends with its chunks or with the connection
+	length         int64 // of the body; -1: delimited by its chunks or by the end of the connection
 	chunked        bool
-	willClose      bool // the server closes after it
-	announcedClose bool // the server has said that it will
-	http10         bool // it is of HTTP/1.0, where the connection's end may be the answer's
+	willClose      bool // the connection can't be reused after the response
+	announcedClose bool // the response has "Connection: close"
+	http10         bool // HTTP/1.0, where the end of the connection may delimit the body
 }
 
-// headOf is what the standard library has read.
+// headOf returns the head that the standard library parsed.
 func headOf(resp *http.Response) *responseHead {
 	return &responseHead{
 		status: resp.StatusCode, header: resp.Header, length: resp.ContentLength, chunked: len(resp.TransferEncoding) > 0,
@@ -33,8 +33,8 @@
 	}
 }
 
-// parseAnswerHead takes a whole head apart, which ends with its empty line. What is not plain goes to the standard library,
-// so that exactly what it takes is taken.
+// parseResponseHead parses a complete head, with its empty line. Heads that are not in the common form are passed to the
+// standard library, so that exactly those are accepted that it accepts.
 func parseResponseHead(b []byte) (*responseHead, error) {
 	if h := parseSimpleHead(b); h != nil {
 		return h, nil
@@ -43,21 +43,21 @@
 	if err != nil {
 		return nil, err
 	}
-	_ = resp.Body.Close() // the body has been read, or is not wanted
+	_ = resp.Body.Close() // the body is not read here
 	h := headOf(resp)
 	h.announcedClose = hasConnectionClose(b)
 	return h, nil
 }
 
-// saysClose reports whether a head has "Connection: close", which the standard library takes off.
+// hasConnectionClose reports whether a head has "Connection: close", which the standard library removes.
 func hasConnectionClose(head []byte) bool {
 	_, fields, _ := bytes.Cut(head, []byte("\n"))
 	header, err := textproto.NewReader(bufio.NewReader(bytes.NewReader(fields))).ReadMIMEHeader()
 	return err == nil && httpguts.HeaderValuesContainsToken(header["Connection"], "close")
 }
 
-// plainHead takes apart a head of HTTP/1.1 whose lines end in CR LF, with one length or chunked, and nothing unusual; else
-// it returns nil.
+// parseSimpleHead parses an HTTP/1.1 head in the common form: lines that end in CR LF, and either one Content-Length or
+// the chunked coding. It returns nil for any other.
 func parseSimpleHead(b []byte) *responseHead {
 	const version = "HTTP/1.1 "
 	if len(b) < len(version)+len("200\r\n\r\n") || string(b[:len(version)]) != version || !bytes.HasSuffix(b, []byte("\r\n\r\n")) {
@@ -104,25 +104,26 @@
 	return h
 }
 
-// endless reports whether a body goes on until the connection ends although the server did not say that it would end it:
-// nobody may wait for that.
+// unterminated reports whether the body ends only with the connection although the server didn't announce that it closes
+// it. Waiting for its end could take forever.
 func (h *responseHead) unterminated() bool {
 	return h.length < 0 && !h.chunked && !h.http10 && !h.announcedClose
 }
 
-// success reports whether the body counts, and not the head alone.
+// success reports whether the status is a success, so that the response needs its body.
 func (h *responseHead) success() bool { return h.status >= 200 && h.status < 300 }
 
-// incoming is an answer that comes piece by piece. Its bytes are kept by who reads them, from the first on.
+// responseParser parses a response that arrives in several reads. The caller keeps all its bytes, from the first one.
 type responseParser struct {
-	head     *responseHead // nil until it is whole
-	offset   int           // where the present head begins, and later what has not been taken of the body
-	scanned  int           // how far the present head has been looked through
+	head     *responseHead // nil until it is complete
+	offset   int           // start of the current head, later of the unparsed body
+	scanned  int           // end of the part of the current head that was searched for its end
 	chunks   httpwire.ChunkReader
-	headOnly bool // only its head counts: the body has no end that could be waited for
+	headOnly bool // only the head counts, because the body is unterminated
 }
 
-// next goes on over b, all that has come, and reports whether the answer is complete. eof: nothing will follow.
+// parse continues with b, all the bytes received so far, and reports whether the response is complete. eof reports that
+// no more follow.
 func (in *responseParser) parse(b []byte, eof bool) (complete bool, err error) {
 	for in.head == nil {
 		end, err := in.findHeadEnd(b)
@@ -140,7 +141,7 @@
 			return false, err
 		}
 		in.offset, in.scanned = end, end
-		if h.status < 200 { // an interim answer: the real one follows
+		if h.status < 200 { // an interim response: the final one follows
 			continue
 		}
 		in.head = h
@@ -148,7 +149,7 @@
 			if h.success() {
 				return false, errResponseUnframed
 			}
-			in.headOnly, h.willClose = true, true // its head is enough
+			in.headOnly, h.willClose = true, true // the head suffices
 		}
 	}
 	switch h := in.head; {
@@ -172,10 +173,10 @@
 	return complete, nil
 }
 
-var errResponseTruncated = errors.New("an answer that breaks off")
+var errResponseTruncated = errors.New("response is truncated")
 
-// findHead returns where the present head ends; 0 where it does not yet. Lines may end with a bare LF, as the standard
-// library has it.
+// findHeadEnd returns where the current head ends; 0 if it is incomplete. Lines may end with a bare LF, as in the
+// standard library.
 func (in *responseParser) findHeadEnd(b []byte) (end int, err error) {
 	for {
 		i := bytes.IndexByte(b[in.scanned:], '\n')
@@ -190,7 +191,7 @@
 		case len(after) > 1 && after[0] == '\r' && after[1] == '\n':
 			end = i + 3
 		case len(after) == 0 || len(after) == 1 && after[0] == '\r':
-			in.scanned = i // once more with what follows
+			in.scanned = i // searched again with the next bytes
 		default:
 			in.scanned = i + 1
 			continue
@@ -203,7 +204,8 @@
 	return end, nil
 }
 
-// surplus drops a whole answer that belongs to no request, and returns what came behind it. It reports whether another answer may follow.
+// discard drops a complete response that belongs to no request, and returns the bytes after it. It reports whether
+// another response may follow.
 func (in *responseParser) discard(b []byte, eof bool) (unread []byte, usable bool) {
 	if eof || in.head.willClose {
 		return nil, false
@@ -212,7 +214,7 @@
 	return b[len(b)-trailing:], true
 }
 
-// body is the body of a whole answer, and rest how many bytes came behind it.
+// body returns the body of a complete response, and how many bytes follow it.
 func (in *responseParser) body(b []byte) (body []byte, trailing int) {
 	switch h := in.head; {
 	case in.headOnly:
--- a/internal/upstream/http/stream.go
+++ b/internal/upstream/http/stream.go
@@ -18,24 +18,24 @@
 	"firplank/internal/socket"
 )
 
-// This file is about bodies that pass through: requests whose body is still coming, and answers that are longer than what
-// is held whole.
+// This file streams bodies: of requests that are still being received, and of responses that exceed what is buffered.
 
 const (
-	copyBufferBytes = 16 << 10 // bytes that are read or written at a time
-	// stall is how long a server may take nothing of a request, or give nothing of an answer, that passes through; and a client
-	// take nothing of one.
+	copyBufferBytes = 16 << 10 // bytes per read or write
+	// stallTimeout bounds how long a streamed body may make no progress: the server accepts nothing of a request or
+	// sends nothing of a response, or the client accepts nothing of a response.
 	stallTimeout = 10 * time.Second
-	// heldBack is how long the first bytes of an answer of unknown length are kept: it may be short, and can be asked for
-	// again as long as the client has none of it.
+	// holdTimeout is how long the first bytes of a response of unknown length are buffered. The response may turn out to
+	// be short, and the request can be retried as long as the client has received none of it.
 	holdTimeout = 100 * time.Millisecond
-	// uploadWait bounds the wait for the next piece of a request; the front ends those that come too slowly.
+	// uploadReadTimeout bounds the wait for the next part of a request body. The front end cancels requests that arrive
+	// too slowly.
 	uploadReadTimeout = time.Minute
 )
 
 var copyBuffers = sync.Pool{New: func() any { return new([copyBufferBytes]byte) }}
 
-// encodeHead writes the head of a request whose body follows; of unknown length it follows in chunks.
+// encodeHead encodes the head of a request whose body follows, in chunks if length is negative.
 func encodeHead(req *http.Request, length int64) []byte {
 	var out bytes.Buffer
 	fmt.Fprintf(&out, "%s %s HTTP/1.1\r\nHost: %s\r\n", req.Method, req.URL.Opaque, req.Host)
@@ -45,7 +45,7 @@
 	if v := req.Header["User-Agent"]; len(v) == 1 && v[0] == "" {
 		req.Header.Del("User-Agent")
 	}
-	_ = req.Header.Write(&out) // a bytes.Buffer's Write does not fail
+	_ = req.Header.Write(&out) // writes to a bytes.Buffer do not fail
 	if length >= 0 {
 		fmt.Fprintf(&out, "Content-Length: %d\r\n\r\n", length)
 	} else {
@@ -54,28 +54,28 @@
 	return out.Bytes()
 }
 
-// uploadEnd is how the writing of a body ended.
+// uploadEnd is how the upload of a body ended.
 type uploadEnd uint8
 
 const (
-	uploadComplete    uploadEnd = iota // all of it was written
-	uploadInterrupted                  // the server has something to say before that, or has closed the connection
-	uploadFailed                       // it can't be written to its end
+	uploadComplete    uploadEnd = iota // the body was written completely
+	uploadInterrupted                  // the server has responded before that, or closed the connection
+	uploadFailed                       // the rest can't be written
 )
 
-// upload writes a body as it comes. The outcome is that of an upload that is broken.
+// upload writes a request body as it is received. The outcome is valid if the upload failed.
 func (u *upstream) upload(a *attempt, c *conn) (end uploadEnd, outcome balance.Result) {
 	s := a.Message.Stream
 	buf := copyBuffers.Get().(*[copyBufferBytes]byte)
 	defer copyBuffers.Put(buf)
-	const chunkHeadBytes = 10 // for the size of a chunk ahead of it, and 2 for the line end behind
+	const chunkHeadBytes = 10 // for the size line before a chunk; 2 bytes for the line end after it
 	for {
 		if u.hasEarlyResponse(c) {
 			return uploadInterrupted, 0
 		}
 		n, err := s.ReadTimeout(buf[chunkHeadBytes:copyBufferBytes-2], uploadReadTimeout)
 		if err != nil && !errors.Is(err, io.EOF) {
-			return uploadFailed, balance.NotSent // the client's end, not the server's
+			return uploadFailed, balance.NotSent // a failure of the client, not of the server
 		}
 		out := buf[chunkHeadBytes : chunkHeadBytes+n]
 		if s.Length() < 0 {
@@ -98,7 +98,7 @@
 				if a.ctx.Err() != nil {
 					return uploadFailed, balance.NotSent
 				}
-				return uploadInterrupted, 0 // the connection is closed, maybe behind an answer
+				return uploadInterrupted, 0 // the connection is closed, perhaps after a response
 			}
 		}
 		if errors.Is(err, io.EOF) {
@@ -110,18 +110,18 @@
 	}
 }
 
-// extend gives a connection a time from now, and reports whether the attempt still goes on.
+// extendDeadline sets the deadline of a connection to d from now, and reports whether the attempt is still wanted.
 func (a *attempt) extendDeadline(c *conn, d time.Duration) bool {
-	_ = c.SetDeadline(time.Now().Add(d)) // fails only on a closed connection, as the next call on it does
-	if a.ctx.Err() != nil {              // given up meanwhile, which had set another
-		_ = c.SetDeadline(time.Unix(1, 0)) // fails only on a closed connection, as the next call on it does
+	_ = c.SetDeadline(time.Now().Add(d)) // fails only on a closed connection, and so does the next call
+	if a.ctx.Err() != nil {              // cancelled meanwhile, which had set a past deadline
+		_ = c.SetDeadline(time.Unix(1, 0)) // fails only on a closed connection, and so does the next call
 		return false
 	}
 	return true
 }
 
-// answersEarly reports whether a server has something to say before it has the whole request, or has closed the connection. Interim
-// answers are dropped where a dialect judges answers.
+// hasEarlyResponse reports whether a server has responded before it received the whole request, or closed the
+// connection. With a dialect, which evaluates responses, interim ones are discarded.
 func (u *upstream) hasEarlyResponse(c *conn) bool {
 	for c.state() != socket.Idle || c.reader.Buffered() > 0 {
 		if u.dialect == nil || !c.reader.discardInterim() {
@@ -131,9 +131,9 @@
 	return false
 }
 
-// early reads the answer of a server that answers before it has the whole request. By the platform of package settings no server begins
-// before the last byte. Where a dialect judges answers, this one counts like any other, as a server may begin by the head alone; one that
-// closes the connection without a word has not begun.
+// readEarlyResponse reads the response of a server that responds before it received the whole request. In the platform
+// of package settings no server starts a request before its last byte. With a dialect the response counts like any
+// other, as a server may start after the head; a server that closes the connection without a response has not started.
 func (u *upstream) readEarlyResponse(a *attempt, c *conn) core.Result {
 	if !a.extendDeadline(c, u.pool.connectTimeout) {
 		return core.Result{Outcome: balance.NotSent}
@@ -147,11 +147,11 @@
 	if !a.extendDeadline(c, a.Message.Remaining) {
 		return core.Result{Outcome: balance.Cancelled}
 	}
-	r, _ := u.receive(a, c) // what is missing of the request makes the connection useless
+	r, _ := u.receive(a, c) // the connection can't be reused after an incomplete request
 	return r
 }
 
-// earlyRejection is what an early answer proves by the platform of package settings.
+// earlyOutcome returns the outcome that an early response proves in the platform of package settings.
 func (u *upstream) earlyOutcome(c *conn) balance.Result {
 	resp, err := c.reader.readHead(http.MethodPost, httpwire.MaxStreamedBody)
 	if err == nil && headOf(resp).outcome() == balance.Rejected {
@@ -160,11 +160,11 @@
 	return balance.ConnectFailed
 }
 
-// relay passes an answer on whose body is longer than what is held whole, or of unknown length. What turns out to be short
-// is answered like any other.
+// streamResponse forwards a response whose body is of unknown length or exceeds what is buffered. A response that turns
+// out to be short is handled like any other.
 func (u *upstream) streamResponse(a *attempt, c *conn, resp *http.Response) (core.Result, bool) {
 	r := &responseStream{a: a, u: u, conn: c, head: headOf(resp), pipe: bodypipe.New(resp.ContentLength)}
-	r.pipe.OnAbort(a.cancel) // the server's next bytes may be seconds away
+	r.pipe.OnAbort(a.cancel) // without it, the reader could wait seconds for the next bytes of the server
 	if resp.ContentLength < 0 {
 		timer := time.AfterFunc(holdTimeout-a.heldFor, func() { r.startStreaming(false) })
 		defer timer.Stop()
@@ -201,7 +201,7 @@
 	}
 }
 
-// relaying is an answer on its way.
+// responseStream is a response that is being received to be streamed.
 type responseStream struct {
 	a    *attempt
 	u    *upstream
@@ -210,9 +210,9 @@
 	pipe *bodypipe.Pipe
 
 	mu        sync.Mutex
-	buffered  []byte // as long as nothing has been passed on
-	streaming bool   // the client gets it as it comes
-	keptWhole bool   // it is answered as a whole, or not at all
+	buffered  []byte // the body so far, until streaming begins
+	streaming bool   // the body is forwarded as it arrives
+	keptWhole bool   // the response is reported complete, or not at all
 }
 
 func (r *responseStream) isStreaming() bool {
@@ -221,7 +221,7 @@
 	return r.streaming
 }
 
-// hold keeps the answer from being passed on, unless it is already.
+// keepWhole prevents streaming, and reports whether it did: not if streaming has begun.
 func (r *responseStream) keepWhole() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -229,17 +229,18 @@
 	return r.keptWhole
 }
 
-// pass ends the attempt with an answer whose body follows, and with it what was held back; without any only if empty is set.
+// startStreaming ends the attempt with a response whose body follows, beginning with the buffered bytes. If none are
+// buffered, it does so only if allowEmpty is set.
 func (r *responseStream) startStreaming(allowEmpty bool) {
 	r.mu.Lock()
-	defer r.mu.Unlock() // after End: the one who reads on must not end the attempt before
+	defer r.mu.Unlock() // after End: the reading goroutine must not finish the stream before
 	if r.streaming || r.keptWhole || len(r.buffered) == 0 && !allowEmpty {
 		return
 	}
 	r.streaming = true
 	r.a.extendDeadline(r.conn, stallTimeout)
 	if len(r.buffered) > 0 {
-		_ = r.pipe.Append(r.buffered) // fails where the client has gone, and so does the next write
+		_ = r.pipe.Append(r.buffered) // fails if the client has disconnected, and so does the next write
 		r.buffered = nil
 	}
 	report := loadReport(r.head.header, r.u.reportFields)
@@ -251,12 +252,12 @@
 	r.u.end(r.a.Attempt, core.Result{Outcome: balance.OK, Report: report, Answer: answer})
 }
 
-// take takes in a piece. It fails when the client takes no more.
+// write handles a part of the body. It fails if the client accepts no more.
 func (r *responseStream) write(b []byte) error {
 	r.mu.Lock()
 	if !r.streaming {
 		r.buffered = append(r.buffered, b...)
-		full := len(r.buffered) > httpwire.MaxBufferedBody || r.a.heldFor >= holdTimeout // no timer is to come
+		full := len(r.buffered) > httpwire.MaxBufferedBody || r.a.heldFor >= holdTimeout // no timer is set
 		r.mu.Unlock()
 		if full {
 			r.startStreaming(true)
@@ -267,7 +268,7 @@
 	return r.pipe.WriteTimeout(b, stallTimeout)
 }
 
-// broken ends what does not come to its end: the attempt, or the body that the client is reading.
+// abort ends a response that failed: the attempt, or the body that the client is receiving.
 func (r *responseStream) abort(err error) core.Result {
 	if !r.keepWhole() {
 		r.pipe.CloseWrite(errors.Join(errResponseAborted, err))
@@ -275,4 +276,4 @@
 	return core.Result{Outcome: r.a.failureOutcome(err)}
 }
 
-var errResponseAborted = errors.New("an answer that breaks off")
+var errResponseAborted = errors.New("response was aborted")
--- a/internal/upstream/http/upstream.go
+++ b/internal/upstream/http/upstream.go
@@ -1,9 +1,9 @@
-// Package http makes attempts at servers that speak HTTP/1.1: it keeps connections to them, writes a request in one
-// piece, reads the answer within bounds, and draws from its end whether the request may have run. Which server, and
-// whether again, is not for it; it knows no client.
+// Package http makes attempts at servers that speak HTTP/1.1. It pools connections, writes each request at once, reads
+// the response within limits, and determines from how the attempt ended whether the request may have run. The choice of
+// the server and of retries is made elsewhere, and clients are unknown to it.
 //
-// Begin with Backend: upstream.go makes attempts over the connections of pool.go, writes them with encode.go, reads what comes back with
-// answer.go, and outcome.go draws the evidence.
+// Start reading at Backend. upstream.go makes attempts over the connections of pool.go, encodes them with encode.go and
+// reads responses with response.go; outcome.go determines the outcomes.
 package http
 
 import (
@@ -20,62 +20,64 @@
 const (
 	loadHeader     = "Endpoint-Load-Metrics"
 	neverRanHeader = "X-Never-Ran"
-	probeGrace     = 250 * time.Millisecond // beyond the time for a connection
+	probeGrace     = 250 * time.Millisecond // in addition to the connect time-out
 )
 
-// Config holds the settings of a Backend.
+// Config configures a Backend.
 type Config struct {
 	ConnectTimeout time.Duration
-	IdleTimeout    time.Duration // after which an unused connection is closed
-	ReuseDelay     time.Duration // between two requests on a connection
-	MaxConns       int           // connections at most
-	ReportFields   []string      // the figures of a load report, in the module's order
-	ProbeForReport bool          // probes ask for the load report
+	IdleTimeout    time.Duration // after which an idle connection is closed
+	ReuseDelay     time.Duration // between two requests on a connection; bytes that arrive within it reveal a surplus response
+	MaxConns       int           // to all servers
+	ReportFields   []string      // values of a load report, in the order of the module
+	ProbeForReport bool          // probes request the load report
 	OnLateData     func(*core.Endpoint)
-	// Silence is after how long without a word of the kernel at the other side a connection that carries a request counts as broken:
-	// its machine has no power, or is cut off. 0: it may hang.
+	// PeerTimeout is how long data on a connection may remain unacknowledged before the connection counts as failed: the
+	// machine at the other side has no power or is partitioned. 0: unlimited.
 	PeerTimeout time.Duration
-	// Fresh is how long a connection may have been idle to carry what must not run twice: servers may forget idle ones without a word, and
-	// after a reset nobody knows whether a request ran. 0: as long as any.
+	// MaxUnsafeIdle is how long a connection may have been idle to carry a request that must not run twice. Servers may
+	// drop idle connections without notice, and after a reset it is unknown whether the request ran. 0: unlimited.
 	MaxUnsafeIdle time.Duration
-	// Ended is notified of how an attempt has ended, ahead of the exchange. Where it returns true, it ends the attempt itself, later.
-	// Nil: nobody is.
+	// OnEnd, if set, is called with the result of each attempt before the exchange. If it returns true, it ends the
+	// attempt itself, later.
 	OnEnd func(*core.Attempt, core.Result) (later bool)
-	// Dialect words requests and judges answers, where that is not as the platform of package settings has it; nil: it is.
+	// Dialect encodes requests and evaluates responses. Nil: the protocol of the platform of package settings.
 	Dialect Dialect
 }
 
-// Dialect is what a back speaks that does not speak the platform's own.
+// Dialect is a protocol over HTTP/1.1 other than that of the platform of package settings.
 type Dialect interface {
-	// Fields appends the header lines of a request that the dialect adds, each ended with CR LF, for an attempt that has so
-	// long left. Of what came with the message those go on for which Keep holds.
+	// AppendHeaders appends the header lines that the dialect adds to a request, each with its CR LF. remaining is the
+	// time left for the attempt.
 	AppendHeaders(dst []byte, a *core.Attempt, remaining time.Duration) []byte
+	// ForwardsHeader reports whether a header field of the message is forwarded.
 	ForwardsHeader(name string) bool
-	// Judge returns what a complete answer proves, of which the header is the judge's own from now on.
+	// Evaluate returns the result that a complete response proves. It takes ownership of the header.
 	Evaluate(a *core.Attempt, status int, header http.Header, body []byte) core.Result
-	// Ours reports whether an answer belongs to an attempt. One that does not is dropped, and the next is read.
+	// Matches reports whether a response belongs to an attempt. A response that does not is dropped, and the next one is
+	// read.
 	Matches(a *core.Attempt, header http.Header) bool
-	// Passes reports whether the body of an answer may be passed on while it comes.
+	// Streamable reports whether the body of a response may be forwarded as it arrives.
 	Streamable(a *core.Attempt, status int, header http.Header) bool
 }
 
-// attempt is a core.Attempt with what it takes to give it up.
+// attempt is a core.Attempt that can be cancelled.
 type attempt struct {
 	*core.Attempt
 	ctx    context.Context
 	cancel context.CancelFunc
-	// heldFor is for how long the beginning of its answer was held back before a goroutine took it over.
+	// heldFor is how long the first bytes of the response were buffered before a goroutine took over.
 	heldFor time.Duration
 }
 
-// Backend makes attempts over HTTP/1.1.
+// Backend makes attempts over HTTP/1.1. It implements core.Backend and is safe for concurrent use.
 type Backend struct {
 	up      *upstream
 	ctx     context.Context
 	running sync.WaitGroup // attempts and probes
 }
 
-// New returns a back whose attempts end when ctx does.
+// New returns a backend whose attempts end when ctx does.
 func New(ctx context.Context, cfg Config) *Backend {
 	p := newPool(cfg.ConnectTimeout, cfg.IdleTimeout, cfg.ReuseDelay, cfg.MaxConns)
 	p.peerTimeout, p.maxUnsafeIdle = cfg.PeerTimeout, cfg.MaxUnsafeIdle
@@ -114,51 +116,52 @@
 // Evict closes the connection that has been idle for longest, and reports whether there was one.
 func (b *Backend) Evict() bool { return b.up.pool.evict() }
 
-// Open returns how many connections there are.
+// Open returns the number of connections.
 func (b *Backend) Open() int {
 	b.up.pool.mu.Lock()
 	defer b.up.pool.mu.Unlock()
 	return b.up.pool.open
 }
 
-// Resize changes how many connections may be open; idle ones beyond it go at once.
+// Resize changes the connection limit, and closes idle connections beyond it.
 func (b *Backend) Resize(n int) { b.up.pool.resize(max(1, n)) }
 
-// Run looks after idle connections until ctx ends.
+// Run checks and closes idle connections until ctx ends.
 func (b *Backend) Run(ctx context.Context) { b.up.pool.run(ctx) }
 
-// Close waits for what is out, after the context of New has ended, and closes all connections.
+// Close waits for attempts and probes, after the context of New has ended, and closes all connections.
 func (b *Backend) Close() {
 	b.running.Wait()
 	b.up.pool.closeAll()
 }
 
-// upstream sends attempts and probes to servers over connections of its own. It uses no http.Transport: that
-// sends a request again by itself when a kept connection turns out to be dead, and does not report whether the
-// last byte was written, on which it hangs whether a request may have run.
+// upstream makes attempts and probes over its own connection pool. http.Transport is unsuitable: it retries a request by
+// itself if a reused connection turns out to be closed, and does not report whether the last byte was written, which
+// decides whether a request may have run.
 type upstream struct {
 	pool         *pool
 	reportFields []string
-	probePath    string // path
+	probePath    string // path of the request
 
 	dialect Dialect
 	onEnd   func(*core.Attempt, core.Result) bool
 }
 
-// end ends an attempt, unless that is left to somebody else.
+// end ends an attempt, unless OnEnd does so later.
 func (u *upstream) end(a *core.Attempt, r core.Result) {
 	if u.onEnd == nil || !u.onEnd(a, r) {
 		a.End(r)
 	}
 }
 
-// perform makes an attempt and returns how it ended.
+// perform makes an attempt and returns its result.
 func (u *upstream) perform(a *attempt) core.Result {
 	c, err := u.pool.get(a.ctx, a.Endpoint, a.Deadline, u.pool.maxIdle(a.Message))
 	if err != nil {
 		return core.Result{Outcome: connectOutcome(a, err)}
 	}
-	// A dial may take longer than the server accepts requests, or than the request has. Nothing was sent yet.
+	// Connecting may have taken until the server stopped accepting requests or the deadline passed. Nothing was sent
+	// yet.
 	if a.Obsolete() || a.ctx.Err() != nil {
 		u.pool.put(c)
 		return core.Result{Outcome: balance.NotSent}
@@ -168,18 +171,18 @@
 	return r
 }
 
-// exchange writes the request and reads the answer. Cancelling an attempt ends its connection.
+// exchange writes the request and reads the response. Cancelling the attempt interrupts both.
 func (u *upstream) exchange(a *attempt, c *conn) (r core.Result, reusable bool) {
 	request, err := u.encode(a.Attempt)
 	if err != nil {
 		return core.Result{Outcome: balance.NotSent}, false
 	}
-	_ = c.SetDeadline(a.Deadline) // fails only on a closed connection, as the next call on it does
-	// Fails only on a closed connection, as the next call on it does.
+	_ = c.SetDeadline(a.Deadline) // fails only on a closed connection, and so does the next call
+	// Fails only on a closed connection, and so does the next call.
 	stop := context.AfterFunc(a.ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
 	defer func() { reusable = stop() && reusable }()
 
-	// One write, so that it is known by what the kernel took whether the last byte went out.
+	// A single write, so that the number of bytes accepted by the kernel tells whether the last byte was sent.
 	if n, err := c.Write(request); n < len(request) {
 		if interrupted(a, err) {
 			return core.Result{Outcome: balance.NotSent}, false
@@ -199,7 +202,7 @@
 	return u.receive(a, c)
 }
 
-// receive reads the answer to a request that was written whole.
+// receive reads the response to a request that was written completely.
 func (u *upstream) receive(a *attempt, c *conn) (r core.Result, reusable bool) {
 	maxBodyBytes := int64(httpwire.MaxBufferedBody)
 	if a.Message.AcceptsStream {
@@ -225,7 +228,7 @@
 	return u.result(a.Attempt, c, headOf(resp), body, c.reader.Buffered())
 }
 
-// answered makes a result of an answer that is there as a whole, with rest bytes behind it.
+// result returns the result of a complete response that is followed by trailing bytes on the connection.
 func (u *upstream) result(a *core.Attempt, c *conn, h *responseHead, body []byte, trailing int) (r core.Result, reusable bool) {
 	if u.dialect != nil {
 		httpwire.RemoveHopByHop(h.header)
@@ -234,7 +237,7 @@
 	r = core.Result{Outcome: h.outcome(), Report: loadReport(h.header, u.reportFields)}
 	if r.Outcome == balance.OK {
 		if u.pool.isDuplicate(c, body) {
-			return core.Result{Outcome: balance.Reset}, false // the answer to this request is yet to come, or never will
+			return core.Result{Outcome: balance.Reset}, false // the response to this request may still arrive, or never
 		}
 		r.Answer = h.newAnswer()
 		r.Answer.Body = body
@@ -242,7 +245,7 @@
 	return r, !h.willClose && trailing == 0
 }
 
-// passes reports whether an answer that is long may be passed on while it comes.
+// streamable reports whether a long response may be forwarded as it arrives.
 func (u *upstream) streamable(a *core.Attempt, h *responseHead) bool {
 	if u.dialect != nil {
 		return u.dialect.Streamable(a, h.status, h.header)
--- a/internal/upstream/http/upstream_test.go
+++ b/internal/upstream/http/upstream_test.go
@@ -15,13 +15,13 @@
 	"firplank/internal/testbed"
 )
 
-// subject is a back under test: attempts on goroutines, or on the kernel's readiness.
+// subject is a backend under test, with goroutines or polled.
 type subject struct {
 	*upstream
-	poll *PollBackend // nil: on goroutines
+	poll *PollBackend // nil: with goroutines
 }
 
-// onEach runs a test on both kinds of backs.
+// forEachBackend runs a test with both kinds of backends.
 func forEachBackend(t *testing.T, test func(t *testing.T, newUpstream func(sockets int) *subject)) {
 	cfg := Config{
 		ConnectTimeout: testbed.Patience, IdleTimeout: testbed.Patience, ReportFields: []string{"busy", "rate"}, ProbeForReport: true,
@@ -50,7 +50,7 @@
 	})
 }
 
-// do makes an attempt.
+// runAttempt makes an attempt and waits for its result.
 func (s *subject) runAttempt(t *testing.T, a *testAttempt) core.Result {
 	t.Helper()
 	if s.poll == nil {
@@ -71,7 +71,7 @@
 	return testbed.Next(t, done)
 }
 
-// kept is how many connections there are.
+// openConns returns the number of connections.
 func (s *subject) openConns() int {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
@@ -82,7 +82,7 @@
 	return core.NewEndpoint(addr, addr)
 }
 
-// tried is an attempt whose end comes on done.
+// testAttempt is an attempt whose result is sent on done.
 type testAttempt struct {
 	*attempt
 	done chan core.Result
@@ -111,8 +111,8 @@
 	return r
 }
 
-// A connection may be there only after the news that the server drains, or after the request's final answer.
-// Nothing may be sent then, and the attempt never ran.
+// While it connects, the server may begin to drain, or the request may be answered, cancelled or time out. Nothing may
+// be sent then, and the attempt never ran.
 func TestObsoleteAttemptIsNotSent(t *testing.T) { forEachBackend(t, testObsoleteAttemptIsNotSent) }
 
 func testObsoleteAttemptIsNotSent(t *testing.T, newUpstream func(int) *subject) {
@@ -128,17 +128,18 @@
 			u.want(t, newAttempt(e, testbed.Patience), balance.OK)
 			a := newAttempt(e, testbed.Patience)
 			if change(a); a.ctx.Err() != nil && u.poll != nil {
-				t.Skip("what is given up is never begun")
+				t.Skip("a cancelled attempt is never started")
 			}
 			u.want(t, a, balance.NotSent)
 			if got := len(requestsOf(s)); got != 1 {
-				t.Errorf("the server saw %d requests", got)
+				t.Errorf("server received %d requests", got)
 			}
 		})
 	}
 }
 
-// A request written to a connection that the server has closed would end as a reset, which may have run.
+// A request written to a connection that the server closed would end in a reset, after which it is unknown whether it
+// ran.
 func TestClosedConnectionsAreNotReused(t *testing.T) {
 	forEachBackend(t, testClosedConnectionsAreNotReused)
 }
@@ -156,7 +157,7 @@
 	if _, _, conns := ending.Seen(); conns != 2 {
 		t.Errorf("%d connections, want a second one", conns)
 	}
-	testbed.Until(t, "what has ended is not counted", func() bool { return u.openConns() <= 1 })
+	testbed.Until(t, "closed connections are not counted", func() bool { return u.openConns() <= 1 })
 }
 
 func TestRefusedConnectionIsConnectFailed(t *testing.T) {
@@ -169,7 +170,7 @@
 	newUpstream(1024).want(t, newAttempt(endpointAt(ln.Addr().String()), testbed.Patience), balance.ConnectFailed)
 }
 
-// Giving an attempt up ends its connection: it must neither occupy a socket nor carry another request.
+// Cancelling an attempt must close its connection, so that it neither occupies a socket nor carries another request.
 func TestCancelledAttemptsCloseConnection(t *testing.T) {
 	forEachBackend(t, testCancelledAttemptsCloseConnection)
 }
@@ -200,12 +201,13 @@
 	}
 }
 
-// The pool gives up idle connections before it refuses one, and a lack of sockets is no fault of the server.
+// At its limit the pool evicts idle connections before it fails an attempt, and the limit is not a failure of the
+// server.
 func TestConnectionLimit(t *testing.T) { forEachBackend(t, testConnectionLimit) }
 
 func testConnectionLimit(t *testing.T, newUpstream func(int) *subject) {
 	first, second := testbed.NewScript(t, testbed.Say(200, "")), testbed.NewScript(t, testbed.Say(200, ""))
-	u := newUpstream(1) // one connection
+	u := newUpstream(1) // at most one connection
 	u.want(t, newAttempt(endpointAt(first.Addr), testbed.Patience), balance.OK)
 	u.want(t, newAttempt(endpointAt(second.Addr), testbed.Patience), balance.OK)
 	if n := u.openConns(); n != 1 {
@@ -219,7 +221,7 @@
 	u.want(t, newAttempt(endpointAt(second.Addr), testbed.Patience), balance.NotSent)
 }
 
-// Where the server's answer goes on beyond its end, the connection must not be used again.
+// A connection with surplus bytes after the response must not be reused.
 func TestConnectionWithExtraDataIsNotReused(t *testing.T) {
 	forEachBackend(t, testConnectionWithExtraDataIsNotReused)
 }
@@ -244,13 +246,13 @@
 	u := newUpstream(1024)
 	r := u.runProbe(t, endpointAt(s.Addr))
 	if r.Outcome != balance.OK || len(r.Report) != 2 || r.Report[0] != 0.5 || r.Report[1] != 12 {
-		t.Errorf("probed: %+v", r)
+		t.Errorf("probe: %+v", r)
 	}
 	if r := u.runProbe(t, endpointAt(s.Addr)); r.Outcome != balance.Failed {
-		t.Errorf("probed a server that is not well: %+v", r)
+		t.Errorf("probe of an unhealthy server: %+v", r)
 	}
 	if got := requestsOf(s)[0]; got.URL.Path != "/metrics/load" {
-		t.Errorf("asked %s", got.URL.Path)
+		t.Errorf("probe requested %s", got.URL.Path)
 	}
 }
 
--- a/internal/upstream/msgpackrpc/backend.go
+++ b/internal/upstream/msgpackrpc/backend.go
@@ -31,20 +31,20 @@
 	// retired.
 	maxAbandoned = 1024
 	probeGrace   = 250 * time.Millisecond // beyond the time to connect
-	idleChecks   = 20                     // in the idle time-out
+	idleChecks   = 20                     // per idle time-out
 )
 
 // Config configures a Backend.
 type Config struct {
 	ConnectTimeout    time.Duration
-	IdleTimeout       time.Duration // after which an unused connection is closed
-	MaxConnsPerServer int           // to one server, at most
-	MaxConns          int           // to all servers, at most
-	MaxOpenPerConn    int           // requests on one connection, at most
+	IdleTimeout       time.Duration // after which an idle connection is closed
+	MaxConnsPerServer int
+	MaxConns          int
+	MaxOpenPerConn    int
 	Limits            codec.Limits
-	NeverRan          []string // error codes of a server that has not started the request
-	ApplicationErrors []string // error codes that are responses of the application; "*": all others
-	Probe             string   // the method of health checks; empty: they only connect
+	NeverRan          []string // error codes that mean the request was not started
+	ApplicationErrors []string // error codes that are passed to the client as responses; "*": all others
+	Probe             string   // method that health checks call; empty: they only connect
 	Log               *slog.Logger
 }
 
@@ -106,7 +106,7 @@
 	b.running.Go(func() { t.End(core.Result{Outcome: outcome}) })
 }
 
-// assign assigns an attempt to the connection to its server with the fewest open ones, or to a new connection. It reports false where
+// assign assigns an attempt to the connection to its server with the fewest open attempts, or to a new connection. It reports false where
 // all are full, or no socket is left.
 func (b *Backend) assign(t *attempt) bool {
 	b.mu.Lock()
@@ -139,7 +139,7 @@
 	return c
 }
 
-// remove forgets a connection that has ended.
+// remove removes a connection that has ended.
 func (b *Backend) remove(c *conn) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/upstream/msgpackrpc/backend_test.go
+++ b/internal/upstream/msgpackrpc/backend_test.go
@@ -21,7 +21,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// seen is a request as the server of a test got it, and its connection.
+// receivedRequest is a request as the test server received it, with its connection.
 type receivedRequest struct {
 	id     uint32
 	method string
@@ -33,7 +33,7 @@
 	_, _ = s.conn.Write(codec.AppendResponse(nil, s.id, failure, result))
 }
 
-// server hands what comes to the test.
+// server passes connections and requests to the test.
 type server struct {
 	addr     string
 	requests chan *receivedRequest
@@ -90,7 +90,7 @@
 
 var message = &core.Message{Method: "m", ContentType: core.MessagePack, Body: []byte{0x91, 7}}
 
-// attempt begins one and returns where its end comes.
+// startAttempt begins an attempt and returns it with the channel of its result.
 func (b *testBackend) startAttempt(e *core.Endpoint, within time.Duration) (*core.Attempt, chan core.Result) {
 	ended := make(chan core.Result, 2)
 	a := core.NewAttempt(e, message, time.Now().Add(within), func(r core.Result) { ended <- r })
@@ -107,7 +107,7 @@
 	return r
 }
 
-// Requests are pipelined over one connection, and each gets its own answer in whatever order they come.
+// Requests are pipelined over one connection, and responses are matched by id in any order.
 func TestPipelining(t *testing.T) {
 	s, b := newServer(t), newTestBackend(t, nil)
 	e := core.NewEndpoint("s-1", s.addr)
@@ -120,7 +120,7 @@
 	for i := range n {
 		got[i] = testbed.Next(t, s.requests)
 		if got[i].method != "m" || !bytes.Equal(got[i].params, message.Body) {
-			t.Fatalf("server got %+v", got[i])
+			t.Fatalf("server received %+v", got[i])
 		}
 	}
 	for i := n - 1; i >= 0; i-- {
@@ -136,7 +136,7 @@
 	}
 }
 
-// What a server says tells whether the request ran.
+// The error in a response determines whether the request ran.
 func TestOutcomes(t *testing.T) {
 	s, b := newServer(t), newTestBackend(t, nil)
 	e := core.NewEndpoint("s-1", s.addr)
@@ -145,14 +145,14 @@
 		failure any
 		want    balance.Result
 	}{
-		"code that it never ran":   {map[string]any{"text": []int{1}, "code": "busy"}, balance.Rejected},
-		"number that it never ran": {-7, balance.Rejected},
-		"first of an array":        {[]any{"busy", "queue full"}, balance.Rejected},
-		"an answer of its own":     {"none", balance.OK},
-		"any other error":          {"oops", balance.Failed},
-		"a map without a code":     {map[string]any{"text": "busy"}, balance.Failed},
-		"a code that is a map":     {map[string]any{"code": map[string]any{}}, balance.Failed},
-		"true":                     {true, balance.Failed},
+		"never-ran code":         {map[string]any{"text": []int{1}, "code": "busy"}, balance.Rejected},
+		"numeric never-ran code": {-7, balance.Rejected},
+		"first element of array": {[]any{"busy", "queue full"}, balance.Rejected},
+		"application error":      {"none", balance.OK},
+		"other error":            {"oops", balance.Failed},
+		"map without code":       {map[string]any{"text": "busy"}, balance.Failed},
+		"code that is a map":     {map[string]any{"code": map[string]any{}}, balance.Failed},
+		"true":                   {true, balance.Failed},
 	} {
 		_, ended := b.startAttempt(e, testbed.Patience)
 		testbed.Next(t, s.requests).respond(pack(c.failure), nil)
@@ -166,12 +166,12 @@
 	}
 }
 
-// A reply whose id matches nothing, and a second reply to one id, make their connection unfit: what is out on it goes on,
-// what is new goes over another, and it closes with the last.
+// After a response with an unknown id, or a second response to an id, the connection is retired: its open attempts go
+// on, new ones use another connection, and it closes after the last.
 func TestUnmatchedResponseRetiresConnection(t *testing.T) {
 	for name, stray := range map[string]func(s *receivedRequest){
-		"no id":        func(s *receivedRequest) { _, _ = s.conn.Write(codec.AppendResponse(nil, s.id+1<<30, nil, []byte{1})) },
-		"second reply": func(s *receivedRequest) { s.respond(nil, []byte{1}); s.respond(nil, []byte{1}) },
+		"no id":           func(s *receivedRequest) { _, _ = s.conn.Write(codec.AppendResponse(nil, s.id+1<<30, nil, []byte{1})) },
+		"second response": func(s *receivedRequest) { s.respond(nil, []byte{1}); s.respond(nil, []byte{1}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, b := newServer(t), newTestBackend(t, nil)
@@ -180,12 +180,12 @@
 			_, second := b.startAttempt(e, testbed.Patience)
 			one, two := testbed.Next(t, s.requests), testbed.Next(t, s.requests)
 			stray(one)
-			testbed.Until(t, "it is counted", func() bool { return b.Unmatched() == 1 })
-			testbed.Until(t, "it is logged", func() bool { return b.log.Has("matches nothing") })
+			testbed.Until(t, "the response is counted", func() bool { return b.Unmatched() == 1 })
+			testbed.Until(t, "the response is logged", func() bool { return b.log.Has("matches nothing") })
 			_, third := b.startAttempt(e, testbed.Patience)
 			three := testbed.Next(t, s.requests)
 			if three.conn == one.conn {
-				t.Error("a new request goes over the unfit connection")
+				t.Error("a new request uses the retired connection")
 			}
 			if name == "no id" {
 				one.respond(nil, []byte{1})
@@ -196,7 +196,7 @@
 			three.respond(nil, []byte{3})
 			want(t, third, balance.OK)
 			_ = one.conn.SetReadDeadline(time.Now().Add(testbed.Patience))
-			testbed.Until(t, "it closes", func() bool {
+			testbed.Until(t, "the connection closes", func() bool {
 				b.mu.Lock()
 				defer b.mu.Unlock()
 				return b.sockets == 1
@@ -205,26 +205,26 @@
 	}
 }
 
-// A server that answers on one connection what came on another answers neither: ids of two connections do not match.
+// A response on another connection than its request must not match: connections use different ids.
 func TestResponseOnWrongConnectionIsUnmatched(t *testing.T) {
 	one, two, b := newServer(t), newServer(t), newTestBackend(t, nil)
 	_, first := b.startAttempt(core.NewEndpoint("s-1", one.addr), testbed.Patience)
 	_, second := b.startAttempt(core.NewEndpoint("s-2", two.addr), testbed.Patience)
 	a, c := testbed.Next(t, one.requests), testbed.Next(t, two.requests)
 	_, _ = a.conn.Write(codec.AppendResponse(nil, c.id, nil, []byte{2}))
-	testbed.Until(t, "it is counted", func() bool { return b.Unmatched() == 1 })
+	testbed.Until(t, "the response is counted", func() bool { return b.Unmatched() == 1 })
 	if len(first)+len(second) > 0 {
-		t.Error("it was taken for an answer")
+		t.Error("the response was matched")
 	}
 	a.respond(nil, []byte{1})
 	c.respond(nil, []byte{2})
 	if r := want(t, first, balance.OK); r.Answer.Body[0] != 1 {
-		t.Errorf("the first got % x", r.Answer.Body)
+		t.Errorf("first attempt got % x", r.Answer.Body)
 	}
 	want(t, second, balance.OK)
 }
 
-// A connection that breaks with N requests out gives N outcomes: all of them may have run.
+// If a connection fails with many requests in flight, each attempt ends once, as one that may have run.
 func TestConnectionLossResetsOpenAttempts(t *testing.T) {
 	s, b := newServer(t), newTestBackend(t, nil)
 	e := core.NewEndpoint("s-1", s.addr)
@@ -242,18 +242,18 @@
 	for _, ended := range ends {
 		want(t, ended, balance.Reset)
 	}
-	_, again := b.startAttempt(e, testbed.Patience) // over a new connection
+	_, again := b.startAttempt(e, testbed.Patience) // on a new connection
 	testbed.Next(t, s.requests).respond(nil, nil)
 	want(t, again, balance.OK)
 	for _, ended := range ends {
 		if len(ended) > 0 {
-			t.Error("a second outcome")
+			t.Error("second outcome")
 		}
 	}
 }
 
-// A server that reads nothing stalls the writer: of what the kernel has not taken nothing can have run, and the rest may
-// have. Nothing is written later than that.
+// If a server does not read, the write times out: requests that the kernel did not accept never ran, and the others may
+// have. No more is written afterwards.
 func TestServerThatDoesNotRead(t *testing.T) {
 	ln := testbed.Listen(t)
 	accepted := make(chan net.Conn, 1)
@@ -282,7 +282,7 @@
 	}
 }
 
-// A server that is not there has run nothing.
+// A request to a refused connection never ran.
 func TestRefusedConnection(t *testing.T) {
 	ln := testbed.Listen(t)
 	_ = ln.Close()
@@ -291,7 +291,7 @@
 	want(t, ended, balance.ConnectFailed)
 }
 
-// An attempt that is given up abandons its id; the late reply is dropped, and is no error.
+// A cancelled or timed-out attempt abandons its id, and a late response to it is dropped without an error.
 func TestLateResponsesToAbandonedAttempts(t *testing.T) {
 	s, b := newServer(t), newTestBackend(t, nil)
 	e := core.NewEndpoint("s-1", s.addr)
@@ -311,12 +311,12 @@
 	if b.Unmatched() != 0 || third.conn != first.conn {
 		t.Errorf("%d unmatched, the same connection: %v", b.Unmatched(), third.conn == first.conn)
 	}
-	first.respond(nil, nil) // but a second late one is
-	testbed.Until(t, "it is counted", func() bool { return b.Unmatched() == 1 })
+	first.respond(nil, nil) // but a second late response is unmatched
+	testbed.Until(t, "the response is counted", func() bool { return b.Unmatched() == 1 })
 }
 
-// A connection may be there only after the news that the server drains, or after the request's final answer. Nothing may
-// be sent then, and the attempt never ran.
+// While it connects, the server may begin to drain, or the request may be answered or cancelled. Nothing may be sent
+// then, and the attempt never ran.
 func TestObsoleteAttemptIsNotSent(t *testing.T) {
 	for name, change := range map[string]func(*core.Attempt, *testBackend){
 		"draining": func(a *core.Attempt, b *testBackend) { a.Endpoint.Close(); b.CloseIdle(a.Endpoint) },
@@ -326,7 +326,7 @@
 		t.Run(name, func(t *testing.T) {
 			s, b := newServer(t), newTestBackend(t, nil)
 			e := core.NewEndpoint("s-1", s.addr)
-			b.mu.Lock() // the connection is not up before the news
+			b.mu.Lock() // so that it connects only after the change
 			c := newConn(b.Backend, e, s.addr)
 			b.servers[e] = append(b.servers[e], c)
 			b.sockets++
@@ -336,13 +336,13 @@
 			b.running.Go(c.run)
 			want(t, ended, balance.NotSent)
 			if len(s.requests) != 0 {
-				t.Error("it was sent")
+				t.Error("request was sent")
 			}
 		})
 	}
 }
 
-// A drain lets what is out end, and the connection with it.
+// When a server drains, its connection closes after the last open attempt.
 func TestDrainWaitsForOpenAttempts(t *testing.T) {
 	s, b := newServer(t), newTestBackend(t, nil)
 	e := core.NewEndpoint("s-1", s.addr)
@@ -352,14 +352,14 @@
 	b.CloseIdle(e)
 	open.respond(nil, nil)
 	want(t, ended, balance.OK)
-	testbed.Until(t, "its connection closes", func() bool {
+	testbed.Until(t, "the connection closes", func() bool {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		return b.sockets == 0 && len(b.servers) == 0
 	})
 }
 
-// Connections that carry nothing close in time, or when a socket is wanted elsewhere.
+// Idle connections close after the time-out, or when they are evicted.
 func TestIdleConnectionsClose(t *testing.T) {
 	s, b := newServer(t), newTestBackend(t, func(c *Config) { c.IdleTimeout = 50 * time.Millisecond })
 	e := core.NewEndpoint("s-1", s.addr)
@@ -377,22 +377,23 @@
 	if !b.Evict() {
 		t.Error("nothing to evict")
 	}
-	testbed.Until(t, "the evicted one is gone", none)
+	testbed.Until(t, "the evicted connection closes", none)
 	ctx, stop := context.WithCancel(context.Background())
 	b.running.Go(func() { b.Run(ctx) })
 	use()
-	testbed.Until(t, "the idle one is gone", none)
+	testbed.Until(t, "the idle connection closes", none)
 	stop()
 }
 
-// A peer of another protocol, or out of its mind, ends the connection; what was out may have run, and the log says why.
+// A peer that speaks another protocol or sends malformed frames loses its connection. Open attempts may have run, and
+// the reason is logged.
 func TestMalformedResponseResetsAttempts(t *testing.T) {
 	for name, c := range map[string]struct{ text, log string }{
 		"HTTP":       {"HTTP/1.1 400 Bad Request\r\n\r\n", "speaks HTTP"},
 		"4 GiB":      {"\x94\x01\x07\xc0\xdb\xff\xff\xff\xff", "beyond its limit"},
 		"a request":  {"\x94\x00\x07\xa1m\x90", "no response"},
 		"cut string": {"\x94\x01\x07\xc0\xa5ab", "unexpected EOF"},
-		"a reserved": {"\x94\x01\x07\xc0\xc1", "never used"},
+		"reserved":   {"\x94\x01\x07\xc0\xc1", "never used"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, b := newServer(t), newTestBackend(t, nil)
@@ -403,12 +404,12 @@
 				_ = conn.Close()
 			}
 			want(t, ended, balance.Reset)
-			testbed.Until(t, "the log says why", func() bool { return b.log.Has(c.log) })
+			testbed.Until(t, "the reason is logged", func() bool { return b.log.Has(c.log) })
 		})
 	}
 }
 
-// A notification from a server is no answer, and does no harm.
+// A notification from a server is ignored.
 func TestNotificationFromServer(t *testing.T) {
 	s, b := newServer(t), newTestBackend(t, nil)
 	_, ended := b.startAttempt(core.NewEndpoint("s-1", s.addr), testbed.Patience)
@@ -418,7 +419,7 @@
 	want(t, ended, balance.OK)
 }
 
-// Whatever a body is, it goes out as params.
+// Any body becomes valid params.
 func TestBodiesBecomeParams(t *testing.T) {
 	meta := map[string][]string{}
 	for name, c := range map[string]struct {
@@ -444,7 +445,7 @@
 	b := newTestBackend(t, func(c *Config) { c.Probe = "ping" })
 	b.Probe(core.NewEndpoint("s-1", s.addr), func(r core.Result) { ended <- r })
 	if got := testbed.Next(t, s.requests); got.method != "ping" || string(got.params) != "\x90" {
-		t.Errorf("asked %q % x", got.method, got.params)
+		t.Errorf("probe called %q % x", got.method, got.params)
 	} else {
 		got.respond([]byte{0xa3, 'b', 'a', 'd'}, nil)
 	}
--- a/internal/upstream/msgpackrpc/conn.go
+++ b/internal/upstream/msgpackrpc/conn.go
@@ -258,7 +258,7 @@
 			continue // some servers notify of progress
 		}
 		if f.Kind != codec.Response {
-			return fmt.Errorf("%w: no response from a server", codec.ErrMalformed)
+			return fmt.Errorf("%w: no response frame from the server", codec.ErrMalformed)
 		}
 		if finished := c.handleResponse(&f); finished {
 			return nil
@@ -282,10 +282,10 @@
 	c.mu.Unlock()
 	switch {
 	case !known:
-		// After a second response to an id, or one to none, the other responses on this connection are doubtful. Open attempts
-		// go on: their own responses may arrive, and are better than a guess.
+		// After a second response to an id, or a response with an unknown one, other responses on this connection are
+		// unreliable too. Open attempts go on, because a response to them is still better than an unknown outcome.
 		n := c.backend.unmatched.Add(1)
-		c.logProblem("a reply whose id matches nothing; its connection gets no new requests", fmt.Errorf("id %d, %d so far", f.ID, n))
+		c.logProblem("response id matches nothing; the connection gets no new requests", fmt.Errorf("id %d, %d so far", f.ID, n))
 	case t != nil:
 		t.End(c.backend.result(f))
 	}
@@ -332,7 +332,7 @@
 	c.queued = nil
 	c.mu.Unlock()
 	if err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
-		c.logProblem("the connection to a server ends", err)
+		c.logProblem("connection to server failed", err)
 	}
 	endAll(ended)
 }
@@ -345,7 +345,7 @@
 		if !ok {
 			return
 		}
-		_ = nc.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only on a closed connection, as the next call on it does
+		_ = nc.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only on a closed connection, and so does the next call
 		n, err := nc.Write(c.buffer)
 		c.batchWritten(n, err)
 		if err != nil {
