--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -64,7 +64,7 @@
 		b := balance.New(told.Balance)
 		h.instances[rec.Instance] = b
 		h.reply.Add(rec.Instance, b.Start(clock))
-	case wire.Down:
+	case wire.Killed:
 		delete(h.instances, rec.Instance)
 	case balance.Event:
 		b, begun := h.instances[rec.Instance]
--- a/cmd/firplank/main.go
+++ b/cmd/firplank/main.go
@@ -69,7 +69,7 @@
 		return fmt.Errorf("--count is %d and --timeout %v: want 1 to 10000, and more than 0", c.Count, c.Timeout)
 	}
 	return call.Do(context.Background(), &call.Request{
-		To: c.To, Method: c.Method, Params: c.Params, Class: c.Class, Tenant: c.Tenant, Key: c.Key, Object: c.Object,
+		URL: c.To, Method: c.Method, Params: c.Params, Class: c.Class, Tenant: c.Tenant, IdempotencyKey: c.Key, Object: c.Object,
 		Body: c.Body, Timeout: c.Timeout, Count: c.Count,
 	}, out)
 }
--- a/cmd/firplank/off_test.go
+++ b/cmd/firplank/off_test.go
@@ -95,14 +95,14 @@
 		mayTell bool
 		want    int
 	}{{deploy.Run, false, 0}, {deploy.Run, true, 0}, {deploy.Run + " serve --config " + options, true, 1}} {
-		log := &testbed.Log{}
+		log := &testbed.LogBuffer{}
 		cmd := exec.Command("/bin/sh", "-c", c.run)
 		cmd.Dir, cmd.Stderr = root, log
 		cmd.Env = append(os.Environ(), "NODE_CONFIG="+talkConfig(t, c.mayTell), "TMPDIR="+t.TempDir())
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
 		}
-		testbed.Until(t, "the sidecar listens", func() bool { return log.Has("msg=listening") })
+		testbed.Until(t, "the sidecar listens", func() bool { return log.Contains("msg=listening") })
 		time.Sleep(300 * time.Millisecond) // what began late would have begun
 		if got := datagramSockets(t, cmd.Process.Pid); got != c.want {
 			t.Errorf("%s, may_tell %v: %d sockets for datagrams, want %d", c.run, c.mayTell, got, c.want)
--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -27,16 +27,16 @@
 
 // Request is what to ask, and of whom. Over MessagePack-RPC only To, Method, Params, Timeout and Count are used.
 type Request struct {
-	To      *url.URL // http://host:port/path, or msgpack-rpc://host:port
-	Method  string   // of MessagePack-RPC
-	Params  string   // a JSON array
-	Class   string
-	Tenant  string
-	Key     string // the idempotency key
-	Object  string
-	Body    string // without one the method is GET
-	Timeout time.Duration
-	Count   int // requests at once, 1 or more
+	URL            *url.URL // http://host:port/path, or msgpack-rpc://host:port
+	Method         string   // of MessagePack-RPC
+	Params         string   // a JSON array
+	Class          string
+	Tenant         string
+	IdempotencyKey string // the idempotency key
+	Object         string
+	Body           string // without one the method is GET
+	Timeout        time.Duration
+	Count          int // requests at once, 1 or more
 }
 
 // Errors that end a call.
@@ -46,20 +46,20 @@
 )
 
 // mostAnswer bounds an answer.
-const mostAnswer = 16 << 20
+const maxResponseBytes = 16 << 20
 
 // Do makes the request and writes each answer on a line of its own as it comes. The error is the first that an answer
 // means, ErrRefused or ErrFailed, or why there is none.
 func Do(ctx context.Context, r *Request, out io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, r.Timeout)
 	defer cancel()
-	switch r.To.Scheme {
+	switch r.URL.Scheme {
 	case "http":
 		return r.http(ctx, out)
 	case "msgpack-rpc":
 		return r.rpc(ctx, out)
 	}
-	return fmt.Errorf("call: %q: want http or msgpack-rpc", r.To.Scheme)
+	return fmt.Errorf("call: %q: want http or msgpack-rpc", r.URL.Scheme)
 }
 
 func (r *Request) http(ctx context.Context, out io.Writer) error {
@@ -71,7 +71,7 @@
 	for range r.Count {
 		all.Go(func() {
 			printer := output.New(out)
-			line, err := r.httpOnce(ctx, client)
+			line, err := r.doHTTP(ctx, client)
 			mu.Lock()
 			defer mu.Unlock()
 			if line != "" {
@@ -81,10 +81,10 @@
 		})
 	}
 	all.Wait()
-	return first(errs)
+	return firstError(errs)
 }
 
-func first(errs []error) error {
+func firstError(errs []error) error {
 	for _, err := range errs {
 		if err != nil {
 			return err
@@ -93,18 +93,18 @@
 	return nil
 }
 
-func (r *Request) httpOnce(ctx context.Context, client *http.Client) (string, error) {
+func (r *Request) doHTTP(ctx context.Context, client *http.Client) (string, error) {
 	method, body := http.MethodGet, io.Reader(nil)
-	if r.Body != "" || r.Key != "" {
+	if r.Body != "" || r.IdempotencyKey != "" {
 		method, body = http.MethodPost, strings.NewReader(r.Body)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, r.To.String(), body)
+	req, err := http.NewRequestWithContext(ctx, method, r.URL.String(), body)
 	if err != nil {
 		return "", fmt.Errorf("call: %w", err)
 	}
 	for name, value := range map[string]string{
 		"X-Trace-Id": fmt.Sprintf("%016x", rand.Uint64()), "X-Qos": r.Class, "X-Customer": r.Tenant, "X-Object": r.Object,
-		"Idempotency-Key": r.Key, "X-Expires-In": fmt.Sprintf("%dm", max(1, r.Timeout.Milliseconds())),
+		"Idempotency-Key": r.IdempotencyKey, "X-Expires-In": fmt.Sprintf("%dm", max(1, r.Timeout.Milliseconds())),
 	} {
 		if value != "" {
 			req.Header.Set(name, value)
@@ -115,7 +115,7 @@
 		return "", fmt.Errorf("call: %w", err)
 	}
 	defer func() { _ = resp.Body.Close() }() // the body has been read, or is not wanted
-	text, err := io.ReadAll(io.LimitReader(resp.Body, mostAnswer))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return "", fmt.Errorf("call: %w", err)
 	}
@@ -135,12 +135,12 @@
 // rpc sends all requests in one piece over one connection.
 func (r *Request) rpc(ctx context.Context, out io.Writer) error {
 	printer := output.New(out)
-	params, err := toParams(r.Params)
+	params, err := parseParams(r.Params)
 	if err != nil {
 		return err
 	}
 	var dialer net.Dialer
-	c, err := dialer.DialContext(ctx, "tcp", r.To.Host)
+	c, err := dialer.DialContext(ctx, "tcp", r.URL.Host)
 	if err != nil {
 		return fmt.Errorf("call: %w", err)
 	}
@@ -155,31 +155,31 @@
 		return fmt.Errorf("call: %w", err)
 	}
 	var errs []error
-	open := make(map[uint32]bool, r.Count)
+	pending := make(map[uint32]bool, r.Count)
 	for id := range uint32(r.Count) {
-		open[id+1] = true
+		pending[id+1] = true
 	}
-	for in := codec.NewReader(c, codec.Limits{Frame: mostAnswer}); len(open) > 0; {
+	for in := codec.NewReader(c, codec.Limits{Frame: maxResponseBytes}); len(pending) > 0; {
 		f, err := in.Next()
 		if err != nil {
-			return fmt.Errorf("call: %d of %d answers came: %w", r.Count-len(open), r.Count, err)
+			return fmt.Errorf("call: %d of %d answers came: %w", r.Count-len(pending), r.Count, err)
 		}
-		if f.Kind != codec.Response || !open[f.ID] {
+		if f.Kind != codec.Response || !pending[f.ID] {
 			return fmt.Errorf("call: a response to id %d, which is not open", f.ID)
 		}
-		delete(open, f.ID)
+		delete(pending, f.ID)
 		if !f.Failed() {
 			printer.Printf("%d result %s\n", f.ID, toJSON(f.Result))
 			continue
 		}
 		printer.Printf("%d error %s\n", f.ID, toJSON(f.Error))
-		if isRefusal(f.Error) {
+		if isRefused(f.Error) {
 			errs = append(errs, ErrRefused)
 		} else {
 			errs = append(errs, ErrFailed)
 		}
 	}
-	return first(errs)
+	return firstError(errs)
 }
 
 // toJSON shows a value in MessagePack.
@@ -191,13 +191,13 @@
 	return text.String()
 }
 
-func isRefusal(b []byte) bool {
+func isRefused(b []byte) bool {
 	v, _, err := msgp.ReadMapStrIntfBytes(b, nil)
 	return err == nil && v["code"] == "refused"
 }
 
 // toParams makes params of a JSON array; whole numbers stay whole.
-func toParams(text string) ([]byte, error) {
+func parseParams(text string) ([]byte, error) {
 	var params []any
 	d := json.NewDecoder(strings.NewReader(cmp.Or(text, "[]")))
 	d.UseNumber()
@@ -207,7 +207,7 @@
 	if d.More() {
 		return nil, errors.New("call: params are no JSON array: more comes behind it")
 	}
-	b, err := msgp.AppendIntf(nil, plain(params))
+	b, err := msgp.AppendIntf(nil, convertNumbers(params))
 	if err != nil {
 		return nil, fmt.Errorf("call: params: %w", err)
 	}
@@ -215,7 +215,7 @@
 }
 
 // plain turns the numbers of JSON into those of Go.
-func plain(v any) any {
+func convertNumbers(v any) any {
 	switch v := v.(type) {
 	case json.Number:
 		if i, err := v.Int64(); err == nil {
@@ -225,11 +225,11 @@
 		return f
 	case []any:
 		for i := range v {
-			v[i] = plain(v[i])
+			v[i] = convertNumbers(v[i])
 		}
 	case map[string]any:
 		for k := range v {
-			v[k] = plain(v[k])
+			v[k] = convertNumbers(v[k])
 		}
 	}
 	return v
--- a/internal/call/call_test.go
+++ b/internal/call/call_test.go
@@ -16,19 +16,19 @@
 func do(t *testing.T, r *Request, to string) (string, error) {
 	t.Helper()
 	var err error
-	if r.To, err = url.Parse(to); err != nil {
+	if r.URL, err = url.Parse(to); err != nil {
 		t.Fatal(err)
 	}
-	r.Timeout, r.Count = testbed.Patience, max(r.Count, 1)
+	r.Timeout, r.Count = testbed.Timeout, max(r.Count, 1)
 	var out bytes.Buffer
 	err = Do(t.Context(), r, &out)
 	return out.String(), err
 }
 
 func TestHTTP(t *testing.T) {
-	status, saw := http.StatusOK, make(chan *http.Request, 10)
+	status, received := http.StatusOK, make(chan *http.Request, 10)
 	addr := testbed.ServeHTTP(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		saw <- r
+		received <- r
 		if status != http.StatusOK {
 			w.Header().Set("Retry-After", "0.250")
 		}
@@ -39,16 +39,16 @@
 	if err != nil || out != "200 OK plate 7\n" {
 		t.Errorf("%q, %v", out, err)
 	}
-	if r := <-saw; r.Method != "GET" || r.Header.Get("X-Qos") != "lookup" || r.Header.Get("X-Trace-Id") == "" ||
+	if r := <-received; r.Method != "GET" || r.Header.Get("X-Qos") != "lookup" || r.Header.Get("X-Trace-Id") == "" ||
 		r.Header.Get("X-Expires-In") != "30000m" {
 		t.Errorf("asked %s with %v", r.Method, r.Header)
 	}
 	status = http.StatusServiceUnavailable
-	out, err = do(t, &Request{Class: "reserve", Key: "k", Count: 3}, "http://"+addr+"/api/x")
+	out, err = do(t, &Request{Class: "reserve", IdempotencyKey: "k", Count: 3}, "http://"+addr+"/api/x")
 	if !errors.Is(err, ErrRefused) || strings.Count(out, "after 0.250") != 3 {
 		t.Errorf("%q, %v", out, err)
 	}
-	if r := <-saw; r.Method != "POST" || r.Header.Get("Idempotency-Key") != "k" {
+	if r := <-received; r.Method != "POST" || r.Header.Get("Idempotency-Key") != "k" {
 		t.Errorf("asked %s with %v", r.Method, r.Header)
 	}
 	status = http.StatusBadGateway
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestBadCalls(t *testing.T) {
+func TestInvalidCalls(t *testing.T) {
 	for _, c := range [][2]string{
 		{"ftp://127.0.0.1:9", "[]"}, {"msgpack-rpc://127.0.0.1:9", "{}"}, {"msgpack-rpc://127.0.0.1:9", "[] []"},
 		{"msgpack-rpc://127.0.0.1:9", "[1"},
--- a/internal/front/http/late_test.go
+++ b/internal/front/http/late_test.go
@@ -52,7 +52,7 @@
 	ln := testbed.Listen(t)
 	f := New(cfg, x)
 	f.Serve(ln)
-	client := &http.Client{Timeout: testbed.Patience}
+	client := &http.Client{Timeout: testbed.Timeout}
 	defer client.CloseIdleConnections()
 	for range 2 {
 		response, err := client.Get("http://" + ln.Addr().String() + "/x")
--- a/internal/front/http/poll_linux_test.go
+++ b/internal/front/http/poll_linux_test.go
@@ -94,7 +94,7 @@
 		s.t.Fatal(err)
 	}
 	s.t.Cleanup(func() { _ = c.Close() })
-	_ = c.SetDeadline(time.Now().Add(testbed.Patience))
+	_ = c.SetDeadline(time.Now().Add(testbed.Timeout))
 	return c
 }
 
@@ -342,7 +342,7 @@
 		return s.open == 1 && s.unused.length+s.partial.length == 0
 	})
 	ended := make(chan error, 1)
-	go func() { ended <- s.End(testbed.Patience) }()
+	go func() { ended <- s.End(testbed.Timeout) }()
 	testbed.Until(t, "the front is ending", s.ending.Load)
 	close(release)
 	if resp := s.wantResponse(open, bufio.NewReader(open), 200, "ok"); !resp.Close {
--- a/internal/front/msgpackrpc/front_test.go
+++ b/internal/front/msgpackrpc/front_test.go
@@ -57,12 +57,12 @@
 	front    *Front
 	addr     string
 	exchange *fakeExchange
-	log      *testbed.Log
+	log      *testbed.LogBuffer
 }
 
 func start(t *testing.T, change func(*Config)) *testFront {
 	t.Helper()
-	b := &testFront{t: t, exchange: &fakeExchange{make(chan *core.Call, 5000), make(chan *core.Call, 5000)}, log: &testbed.Log{}}
+	b := &testFront{t: t, exchange: &fakeExchange{make(chan *core.Call, 5000), make(chan *core.Call, 5000)}, log: &testbed.LogBuffer{}}
 	cfg := Config{
 		Methods: testMethods(t), MaxOpen: 1000, Connections: 10, Evict: func() bool { return false },
 		Log: slog.New(slog.NewTextHandler(b.log, nil)),
@@ -92,7 +92,7 @@
 		b.t.Fatal(err)
 	}
 	b.t.Cleanup(func() { _ = c.Close() })
-	_ = c.SetDeadline(time.Now().Add(testbed.Patience))
+	_ = c.SetDeadline(time.Now().Add(testbed.Timeout))
 	return &client{c.(*net.TCPConn), b.t, codec.NewReader(c, codec.Limits{Frame: 1 << 20})}
 }
 
@@ -285,7 +285,7 @@
 			_, _ = io.WriteString(cl, c.text)
 			_ = cl.CloseWrite()
 			cl.wantClose(name)
-			testbed.Until(t, "the log contains the reason", func() bool { return b.log.Has(c.log) })
+			testbed.Until(t, "the log contains the reason", func() bool { return b.log.Contains(c.log) })
 		})
 	}
 }
@@ -355,14 +355,14 @@
 		select {
 		case call := <-b.exchange.submitted:
 			serve(call, body)
-		case <-time.After(testbed.Patience):
+		case <-time.After(testbed.Timeout):
 			t.Fatal("no request arrived")
 		case <-b.exchange.disconnected:
 			ended = true
 		}
-		ended = ended || b.log.Has("does not read")
+		ended = ended || b.log.Contains("does not read")
 	}
-	testbed.Until(t, "the log contains the reason", func() bool { return b.log.Has("does not read") || b.log.Has("closed") })
+	testbed.Until(t, "the log contains the reason", func() bool { return b.log.Contains("does not read") || b.log.Contains("closed") })
 }
 
 // A connection on which a frame stays incomplete is closed after frameTimeout; one without a frame may be idle for longer.
@@ -373,7 +373,7 @@
 	begun := time.Now()
 	stalled.send(lookupRequest(1)[:3])
 	stalled.wantClose("stalled")
-	if took := time.Since(begun); took < frameTimeout/2 || took > testbed.Patience/2 {
+	if took := time.Since(begun); took < frameTimeout/2 || took > testbed.Timeout/2 {
 		t.Errorf("ended after %v", took)
 	}
 	idle.send(lookupRequest(1)) // an idle connection has no time-out
@@ -411,7 +411,7 @@
 	c.send(lookupRequest(1))
 	open := testbed.Next(t, b.exchange.submitted)
 	ended := make(chan error, 1)
-	go func() { ended <- b.front.End(testbed.Patience) }()
+	go func() { ended <- b.front.End(testbed.Timeout) }()
 	idle.wantClose("an idle connection")
 	c.send(lookupRequest(2))
 	if id, code, _ := c.response(); id != 2 || code != "refused" {
@@ -442,7 +442,7 @@
 	if id, _, _ := c.response(); id != 9 {
 		t.Errorf("answered %d", id)
 	}
-	testbed.Until(t, "the log contains the reason", func() bool { return b.log.Has("plate.pay") })
+	testbed.Until(t, "the log contains the reason", func() bool { return b.log.Contains("plate.pay") })
 }
 
 // Each kind of answer is encoded in its form. Malformed MessagePack of a server must not reach the client's stream.
--- a/internal/httpwire/chunks.go
+++ b/internal/httpwire/chunks.go
@@ -10,8 +10,8 @@
 
 const (
 	// maxChunkLine bounds a line of a chunked body without data: a size with extensions, or a trailer field.
-	maxChunkLine    = 1 << 10
-	maxTrailerBytes = 32 << 10 // bytes of trailer fields, which are discarded
+	maxChunkLineBytes = 1 << 10
+	maxTrailerBytes   = 32 << 10 // bytes of trailer fields, which are discarded
 )
 
 // Faults of a chunked body.
@@ -24,65 +24,65 @@
 // ChunkReader decodes a chunked body (RFC 9112, 7.1) piece by piece. It discards extensions and trailer fields. The zero value is ready for
 // a body. It is not safe for concurrent use.
 type ChunkReader struct {
-	Body      []byte // what is decoded; the caller may remove it
-	total     int64
-	remaining int // bytes of the current chunk, with its line end
-	trailers  int // bytes of trailer fields so far
-	lastChunk bool
+	Body         []byte // what is decoded; the caller may remove it
+	total        int64
+	remaining    int // bytes of the current chunk, with its line end
+	trailerBytes int // bytes of trailer fields so far
+	lastChunk    bool
 }
 
 // Next decodes b and returns how many bytes it consumed, and whether that includes the end of the body. What is not consumed has to
 // be passed again, with more behind it.
-func (c *ChunkReader) Next(b []byte) (taken int, done bool, err error) {
+func (c *ChunkReader) Next(b []byte) (consumed int, done bool, err error) {
 	for {
-		n, whole, err := c.takeData(b[taken:])
-		taken += n
-		if err != nil || !whole {
-			return taken, false, err
+		n, complete, err := c.readData(b[consumed:])
+		consumed += n
+		if err != nil || !complete {
+			return consumed, false, err
 		}
-		line, n, err := cutLine(b[taken:])
+		line, n, err := cutLine(b[consumed:])
 		if err != nil || n == 0 {
-			return taken, false, err
+			return consumed, false, err
 		}
-		taken += n
+		consumed += n
 		if !c.lastChunk {
-			if err := c.begin(line); err != nil {
-				return taken, false, err
+			if err := c.startChunk(line); err != nil {
+				return consumed, false, err
 			}
 			continue
 		}
-		if done, err := c.takeTrailer(line); done || err != nil {
-			return taken, done, err
+		if done, err := c.checkTrailer(line); done || err != nil {
+			return consumed, done, err
 		}
 	}
 }
 
 // takeData consumes the rest of the current chunk, with its line end, and reports whether the chunk is complete.
-func (c *ChunkReader) takeData(b []byte) (taken int, whole bool, err error) {
+func (c *ChunkReader) readData(b []byte) (consumed int, complete bool, err error) {
 	if c.remaining > 2 {
-		taken = min(c.remaining-2, len(b))
-		c.Body = append(c.Body, b[:taken]...)
-		c.remaining -= taken
+		consumed = min(c.remaining-2, len(b))
+		c.Body = append(c.Body, b[:consumed]...)
+		c.remaining -= consumed
 	}
 	if c.remaining > 2 {
-		return taken, false, nil
+		return consumed, false, nil
 	}
 	if c.remaining == 2 {
-		if len(b)-taken < 2 {
-			return taken, false, nil
+		if len(b)-consumed < 2 {
+			return consumed, false, nil
 		}
-		if b[taken] != '\r' || b[taken+1] != '\n' {
-			return taken, false, ErrMalformedChunk
+		if b[consumed] != '\r' || b[consumed+1] != '\n' {
+			return consumed, false, ErrMalformedChunk
 		}
-		taken, c.remaining = taken+2, 0
+		consumed, c.remaining = consumed+2, 0
 	}
-	return taken, true, nil
+	return consumed, true, nil
 }
 
 // cutLine returns the first line of b without its end, and its length with it; 0 where it is incomplete.
 func cutLine(b []byte) (line []byte, length int, err error) {
 	i := bytes.IndexByte(b, '\n')
-	if i > maxChunkLine || i < 0 && len(b) > maxChunkLine {
+	if i > maxChunkLineBytes || i < 0 && len(b) > maxChunkLineBytes {
 		return nil, 0, ErrMalformedChunk
 	}
 	if i < 0 {
@@ -96,7 +96,7 @@
 }
 
 // begin starts the chunk of a size line.
-func (c *ChunkReader) begin(line []byte) error {
+func (c *ChunkReader) startChunk(line []byte) error {
 	size, _, _ := bytes.Cut(line, []byte{';'})
 	n, err := strconv.ParseUint(string(bytes.TrimRight(size, " \t")), 16, 31)
 	if err != nil || len(size) == 0 || size[0] == '+' || size[0] == '_' {
@@ -114,8 +114,8 @@
 }
 
 // takeTrailer checks a trailer field, and reports whether the line ends the body.
-func (c *ChunkReader) takeTrailer(line []byte) (done bool, err error) {
-	if c.trailers += len(line); c.trailers > maxTrailerBytes {
+func (c *ChunkReader) checkTrailer(line []byte) (done bool, err error) {
+	if c.trailerBytes += len(line); c.trailerBytes > maxTrailerBytes {
 		return false, ErrTrailersTooLong
 	}
 	if len(line) == 0 {
--- a/internal/operators/console_test.go
+++ b/internal/operators/console_test.go
@@ -65,7 +65,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Close() })
-	_ = c.SetDeadline(time.Now().Add(testbed.Patience))
+	_ = c.SetDeadline(time.Now().Add(testbed.Timeout))
 	return c
 }
 
--- a/internal/reporting/reporting_test.go
+++ b/internal/reporting/reporting_test.go
@@ -97,7 +97,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	log := &testbed.Log{}
+	log := &testbed.LogBuffer{}
 	r := New(Config{
 		Counts: report.New(report.Shape{}), Receivers: Receivers(o, "n1", time.Now()), Log: slog.New(slog.NewTextHandler(log, nil)),
 	})
@@ -108,7 +108,7 @@
 	}()
 	r.Flush(50 * time.Millisecond)
 	<-ended
-	if !log.Has("a receiver cannot be reached") || !log.Has("intervals are lost with the process") {
+	if !log.Contains("a receiver cannot be reached") || !log.Contains("intervals are lost with the process") {
 		t.Error("the log does not say so")
 	}
 }
--- a/internal/roster/follower_test.go
+++ b/internal/roster/follower_test.go
@@ -39,44 +39,44 @@
 // A list with revision 0 must be watched like any other. When it was treated as missing, the complete list was fetched thousands of times a
 // second.
 func TestWatchFromRevisionZero(t *testing.T) {
-	r := testbed.NewRoster(t)
+	r := testbed.NewDiscoveryServer(t)
 	start(t, Config{Addr: r.Addr, Known: knownList(0)})
-	if got := testbed.Next(t, r.Calls); !strings.HasPrefix(got, "from=0&hold_ms=") {
+	if got := testbed.Next(t, r.Queries); !strings.HasPrefix(got, "from=0&hold_ms=") {
 		t.Errorf("first call: %q", got)
 	}
-	r.Lists <- List{Revision: 0, Complete: true}
-	if got := testbed.Next(t, r.Calls); !strings.HasPrefix(got, "from=0&hold_ms=") {
+	r.Responses <- List{Revision: 0, Complete: true}
+	if got := testbed.Next(t, r.Queries); !strings.HasPrefix(got, "from=0&hold_ms=") {
 		t.Errorf("second call: %q", got)
 	}
-	r.Lists <- List{Revision: 3}
-	if got := testbed.Next(t, r.Calls); !strings.HasPrefix(got, "from=3&hold_ms=") {
+	r.Responses <- List{Revision: 3}
+	if got := testbed.Next(t, r.Queries); !strings.HasPrefix(got, "from=3&hold_ms=") {
 		t.Errorf("third call: %q", got)
 	}
 }
 
 // Without a known list the first call fetches the complete one, as there is no revision to watch from.
 func TestFullListFirst(t *testing.T) {
-	r := testbed.NewRoster(t)
+	r := testbed.NewDiscoveryServer(t)
 	start(t, Config{Addr: r.Addr, Known: &List{}})
-	if got := testbed.Next(t, r.Calls); got != "" {
+	if got := testbed.Next(t, r.Queries); got != "" {
 		t.Errorf("first call: %q", got)
 	}
-	r.Lists <- List{Revision: 7, Complete: true}
-	if got := testbed.Next(t, r.Calls); !strings.HasPrefix(got, "from=7&hold_ms=") {
+	r.Responses <- List{Revision: 7, Complete: true}
+	if got := testbed.Next(t, r.Queries); !strings.HasPrefix(got, "from=7&hold_ms=") {
 		t.Errorf("second call: %q", got)
 	}
 }
 
 // Changes with an older revision than the current list's can't be applied: the complete list is fetched again.
 func TestFullListAfterRevisionDecrease(t *testing.T) {
-	r := testbed.NewRoster(t)
+	r := testbed.NewDiscoveryServer(t)
 	events := start(t, Config{Addr: r.Addr, Known: knownList(41)})
-	testbed.Next(t, r.Calls)
-	r.Lists <- List{Revision: 2}
-	if got := testbed.Next(t, r.Calls); got != "" {
+	testbed.Next(t, r.Queries)
+	r.Responses <- List{Revision: 2}
+	if got := testbed.Next(t, r.Queries); got != "" {
 		t.Errorf("call after the lower revision: %q", got)
 	}
-	r.Lists <- List{Revision: 2, Complete: true}
+	r.Responses <- List{Revision: 2, Complete: true}
 	if ev, ok := testbed.Next[any](t, events).(*List); !ok || !ev.Complete {
 		t.Errorf("received %#v", ev)
 	}
@@ -106,7 +106,8 @@
 func TestReportsAndRetriesFailedCalls(t *testing.T) {
 	for name, pushed := range map[string]bool{"asked": false, "pushed": true} {
 		t.Run(name, func(t *testing.T) {
-			s := testbed.NewScript(t, testbed.Say(503, ""), testbed.Say(503, ""), testbed.Say(200, `{"revision":42}`), testbed.Stop(""))
+			s := testbed.NewScriptedServer(t, testbed.Respond(503, ""), testbed.Respond(503, ""),
+				testbed.Respond(200, `{"revision":42}`), testbed.WriteAndStall(""))
 			events := start(t, Config{Addr: s.Addr, Pushed: pushed, Known: knownList(41)})
 			for range 2 {
 				if ev := testbed.Next[any](t, events); !errors.Is(ev.(error), errStatus) {
@@ -128,17 +129,17 @@
 		first     testbed.Step
 		truncated bool
 	}{
-		"within the status line": {testbed.BreakOff("HTTP/1"), true},
-		"within the list":        {testbed.BreakOff("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n" + fullList[:60]), true},
-		"reset":                  {testbed.Cut(), true},
-		"stopped in the line":    {testbed.Stop("HTTP/1"), true},
-		"stopped in the list":    {testbed.Stop("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n" + fullList[:60]), true},
-		"no JSON":                {testbed.Say(200, "gibberish"), true},
-		"a member without id":    {testbed.Say(200, `{"revision":42,"complete":true,"members":[{"phase":"ready"}]}`), true},
-		"busy":                   {testbed.Say(503, ""), false},
+		"within the status line": {testbed.WriteAndClose("HTTP/1"), true},
+		"within the list":        {testbed.WriteAndClose("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n" + fullList[:60]), true},
+		"reset":                  {testbed.ResetConn(), true},
+		"stopped in the line":    {testbed.WriteAndStall("HTTP/1"), true},
+		"stopped in the list":    {testbed.WriteAndStall("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n" + fullList[:60]), true},
+		"no JSON":                {testbed.Respond(200, "gibberish"), true},
+		"a member without id":    {testbed.Respond(200, `{"revision":42,"complete":true,"members":[{"phase":"ready"}]}`), true},
+		"busy":                   {testbed.Respond(503, ""), false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := testbed.NewScript(t, c.first, testbed.Say(503, ""), testbed.Say(200, fullList)) // discovery is also overloaded
+			s := testbed.NewScriptedServer(t, c.first, testbed.Respond(503, ""), testbed.Respond(200, fullList)) // discovery is also overloaded
 			events := start(t, Config{Addr: s.Addr, Known: knownList(41)})
 			began, failed := time.Now(), 0
 			for {
@@ -163,23 +164,23 @@
 // probes a stalled watch missed the replacement of all servers.
 func TestStalledWatchIsReplaced(t *testing.T) {
 	t.Parallel()
-	r := testbed.NewRoster(t)
+	r := testbed.NewDiscoveryServer(t)
 	events := start(t, Config{Addr: r.Addr, Known: knownList(41)})
-	if got := testbed.Next(t, r.Calls); got != "from=41&hold_ms=40000" {
+	if got := testbed.Next(t, r.Queries); got != "from=41&hold_ms=40000" {
 		t.Errorf("first call: %s", got)
 	}
-	if got := testbed.Next(t, r.Calls); got != "from=41&hold_ms=1" {
+	if got := testbed.Next(t, r.Queries); got != "from=41&hold_ms=1" {
 		t.Errorf("second call: %s", got)
 	}
 	// The stand-in sends the list in response to either call. If that is the watch, the probe is cancelled.
-	r.Lists <- List{Revision: 42}
+	r.Responses <- List{Revision: 42}
 	if l, ok := testbed.Next[any](t, events).(*List); !ok || l.Revision != 42 {
 		t.Errorf("received %v", l)
 	}
-	if got := testbed.Next(t, r.Calls); got != "from=42&hold_ms=40000" {
+	if got := testbed.Next(t, r.Queries); got != "from=42&hold_ms=40000" {
 		t.Errorf("third call: %s", got)
 	}
-	testbed.Next(t, r.Cut)
+	testbed.Next(t, r.Cancelled)
 }
 
 // After a move the new discovery may not be up yet. Calls to it are retried soon, without the long backoff that follows repeated failures
@@ -187,11 +188,11 @@
 func TestRetriesAfterMoveToUnreachableAddress(t *testing.T) {
 	ln := testbed.Listen(t)
 	_ = ln.Close()
-	r := testbed.NewRoster(t)
+	r := testbed.NewDiscoveryServer(t)
 	events := make(recordedEvents, 100)
 	f := New(Config{Addr: r.Addr, Known: knownList(41)}, events)
 	run(t, f)
-	testbed.Next(t, r.Calls)
+	testbed.Next(t, r.Queries)
 	f.Move(ln.Addr().String())
 	for range 3 { // retries
 		if _, ok := testbed.Next[any](t, events).(error); !ok {
@@ -199,23 +200,23 @@
 		}
 	}
 	f.Move(r.Addr)
-	if got := testbed.Next(t, r.Calls); got != "" {
+	if got := testbed.Next(t, r.Queries); got != "" {
 		t.Errorf("first call after the move: %q", got)
 	}
 }
 
 // Consecutive moves end at the last address, also before Run and before the first list.
 func TestConsecutiveMoves(t *testing.T) {
-	first, second, third := testbed.NewRoster(t), testbed.NewRoster(t), testbed.NewRoster(t)
+	first, second, third := testbed.NewDiscoveryServer(t), testbed.NewDiscoveryServer(t), testbed.NewDiscoveryServer(t)
 	events := make(recordedEvents, 100)
 	f := New(Config{Addr: first.Addr, Known: &List{}}, events)
 	f.Move(second.Addr) // before it runs
 	run(t, f)
-	testbed.Next(t, second.Calls)
+	testbed.Next(t, second.Queries)
 	f.Move(first.Addr)
 	f.Move(third.Addr)
-	testbed.Next(t, third.Calls)
-	third.Lists <- List{Revision: 1, Complete: true}
+	testbed.Next(t, third.Queries)
+	third.Responses <- List{Revision: 1, Complete: true}
 	if l, ok := testbed.Next[any](t, events).(*List); !ok || l.Revision != 1 {
 		t.Errorf("received %#v", l)
 	}
--- a/internal/sidecar/connections_test.go
+++ b/internal/sidecar/connections_test.go
@@ -20,7 +20,7 @@
 		n.t.Fatal(err)
 	}
 	n.t.Cleanup(func() { _ = c.Close() })
-	_ = c.SetDeadline(time.Now().Add(testbed.Patience))
+	_ = c.SetDeadline(time.Now().Add(testbed.Timeout))
 	return c
 }
 
@@ -47,7 +47,7 @@
 // request are never the ones to go.
 func TestSilentClientsGoFirst(t *testing.T) {
 	started, release := make(chan bool, 1), make(chan bool)
-	s := testbed.NewScript(t, hold(started, release), testbed.Say(200, "served"))
+	s := testbed.NewScriptedServer(t, hold(started, release), testbed.Respond(200, "served"))
 	cfg := testConfig(t, ready("s-1", s.Addr))
 	cfg.Limits.Sockets = 64 // 20 of them for clients
 	n := startNode(t, cfg)
@@ -73,7 +73,7 @@
 // Clients that ask once and keep their connections use up the application's own descriptors, long before those
 // of the sidecar are short. Only some are kept; the others end with their answer, as HTTP has it.
 func TestKeepsSomeIdleConnections(t *testing.T) {
-	s := testbed.NewScript(t, testbed.Say(200, "served"))
+	s := testbed.NewScriptedServer(t, testbed.Respond(200, "served"))
 	cfg := testConfig(t, ready("s-1", s.Addr))
 	cfg.Limits.Sockets = 224 // 100 of them for clients, 25 to be kept
 	n := startNode(t, cfg)
@@ -97,7 +97,7 @@
 
 // Clients that send a little now and then must not hold every place: of requests on their way the slowest goes.
 func TestSlowRequestsGo(t *testing.T) {
-	s := testbed.NewScript(t, testbed.Say(200, "served"))
+	s := testbed.NewScriptedServer(t, testbed.Respond(200, "served"))
 	cfg := testConfig(t, ready("s-1", s.Addr))
 	cfg.Limits.Sockets = 64 // 20 of them for clients
 	n := startNode(t, cfg)
@@ -113,7 +113,7 @@
 
 // Whoever stops in the middle is owed an answer or a close within 3 s, and so is who says nothing at all.
 func TestStalledClientsAreLetGo(t *testing.T) {
-	s := testbed.NewScript(t, testbed.Say(200, "served"))
+	s := testbed.NewScriptedServer(t, testbed.Respond(200, "served"))
 	n := startNode(t, testConfig(t, ready("s-1", s.Addr)))
 	for name, text := range map[string]string{
 		"nothing": "", "half a head": "POST /api HTTP/1.1\r\nX-Qos: p",
@@ -129,7 +129,7 @@
 			if err != nil || strings.HasPrefix(string(got), "HTTP/1.1 200") {
 				t.Errorf("got %q, %v", got, err)
 			}
-			if took := time.Since(start); took < 2*time.Second || took > testbed.Patience/2 {
+			if took := time.Since(start); took < 2*time.Second || took > testbed.Timeout/2 {
 				t.Errorf("let go after %v", took)
 			}
 		})
@@ -144,7 +144,7 @@
 // A request must reach a server neither with two lengths nor when it stood inside the body of another, and what
 // has more behind it than it announced is not the request that it seems.
 func TestNothingPassesHidden(t *testing.T) {
-	s := testbed.NewScript(t, testbed.Say(200, "served"))
+	s := testbed.NewScriptedServer(t, testbed.Respond(200, "served"))
 	n := startNode(t, testConfig(t, ready("s-1", s.Addr)))
 	for name, text := range map[string]string{
 		"two lengths":         n.raw("pay", "Content-Length: 5", "Transfer-Encoding: chunked") + "0\r\n\r\n" + n.raw("read"),
@@ -169,7 +169,7 @@
 // A second request under the id of an open one is turned away, and the first gets its own answer.
 func TestIdOfAnOpenRequest(t *testing.T) {
 	started, release := make(chan bool, 1), make(chan bool)
-	s := testbed.NewScript(t, hold(started, release), testbed.Say(200, "again"))
+	s := testbed.NewScriptedServer(t, hold(started, release), testbed.Respond(200, "again"))
 	n := startNode(t, testConfig(t, ready("s-1", s.Addr)))
 	text := n.raw("pay", "Content-Length: 2") + "ab"
 	first, second := n.dial(), n.dial()
--- a/internal/sidecar/contracts_test.go
+++ b/internal/sidecar/contracts_test.go
@@ -55,7 +55,7 @@
 // Beyond its budget a team is told 429 and when to come back, at once; what is not in its contract is 403. Neither reaches
 // a server. MessagePack-RPC says the same.
 func TestContractsOnTheWire(t *testing.T) {
-	s := testbed.NewScript(t, testbed.Say(200, "ok"))
+	s := testbed.NewScriptedServer(t, testbed.Respond(200, "ok"))
 	cfg := rpcConfig(t, false, ready("s-1", s.Addr))
 	withContracts(t, cfg, acmeContract)
 	n := startNode(t, cfg)
@@ -96,7 +96,7 @@
 // the new terms hold for the next request, and a bad file changes nothing.
 func TestContractsChangeInFlight(t *testing.T) {
 	started, release := make(chan bool, 100), make(chan bool)
-	s := testbed.NewScript(t, hold(started, release))
+	s := testbed.NewScriptedServer(t, hold(started, release))
 	cfg := testConfig(t, ready("s-1", s.Addr))
 	generous := strings.Replace(acmeContract, "burst = 8", "burst = 100", 1)
 	rewrite := withContracts(t, cfg, generous)
@@ -148,7 +148,7 @@
 
 // Operators see every team's account, on an address of their own.
 func TestOperatorsPage(t *testing.T) {
-	s := testbed.NewScript(t, testbed.Say(200, "ok"))
+	s := testbed.NewScriptedServer(t, testbed.Respond(200, "ok"))
 	cfg := testConfig(t, ready("s-1", s.Addr))
 	withContracts(t, cfg, acmeContract)
 	n := startNode(t, cfg)
--- a/internal/sidecar/helpers_test.go
+++ b/internal/sidecar/helpers_test.go
@@ -43,7 +43,7 @@
 	addr      string
 	operators string // of the operators' pages, where there are contracts
 	rpc       string // of MessagePack-RPC, where that is on
-	roster    *testbed.Roster
+	roster    *testbed.DiscoveryServer
 	end       context.CancelFunc // as SIGTERM does
 	ended     chan error
 	client    *http.Client
@@ -53,8 +53,8 @@
 
 func startNode(t *testing.T, cfg *Config) *node {
 	t.Helper()
-	n := &node{t: t, roster: testbed.NewRoster(t), ended: make(chan error, 1), reloads: make(chan os.Signal, 1), client: &http.Client{
-		Transport: &http.Transport{}, Timeout: testbed.Patience,
+	n := &node{t: t, roster: testbed.NewDiscoveryServer(t), ended: make(chan error, 1), reloads: make(chan os.Signal, 1), client: &http.Client{
+		Transport: &http.Transport{}, Timeout: testbed.Timeout,
 	}}
 	cfg.Discovery = n.roster.Addr
 	ln := testbed.Listen(t)
@@ -87,7 +87,7 @@
 		if err != nil {
 			t.Errorf("the sidecar ended with %v", err)
 		}
-	case <-time.After(testbed.Patience):
+	case <-time.After(testbed.Timeout):
 		t.Error("the sidecar does not end")
 	}
 }
@@ -128,7 +128,7 @@
 	return resp, string(body)
 }
 
-func requestsOf(s *testbed.Script) []*http.Request {
-	r, _, _ := s.Seen()
+func requestsOf(s *testbed.ScriptedServer) []*http.Request {
+	r, _, _ := s.Received()
 	return r
 }
--- a/internal/sidecar/hotrestart_test.go
+++ b/internal/sidecar/hotrestart_test.go
@@ -30,7 +30,7 @@
 }
 
 // startProcess starts one that listens at addr; empty: at an address of its own.
-func startProcess(t *testing.T, cfg *Config, dir, addr string, discovery *testbed.Roster) *process {
+func startProcess(t *testing.T, cfg *Config, dir, addr string, discovery *testbed.DiscoveryServer) *process {
 	t.Helper()
 	cfg.Discovery = discovery.Addr
 	cfg.Admin = "127.0.0.1:0"
@@ -71,7 +71,7 @@
 		p.t.Fatal(err)
 	}
 	defer func() { _ = c.Close() }()
-	_ = c.SetDeadline(time.Now().Add(testbed.Patience))
+	_ = c.SetDeadline(time.Now().Add(testbed.Timeout))
 	_, _ = io.WriteString(c, line+"\n")
 	got, err := io.ReadAll(c)
 	if err != nil {
@@ -107,13 +107,13 @@
 }
 
 func newClient(t *testing.T) *http.Client {
-	c := &http.Client{Transport: &http.Transport{}, Timeout: testbed.Patience}
+	c := &http.Client{Transport: &http.Transport{}, Timeout: testbed.Timeout}
 	t.Cleanup(c.CloseIdleConnections)
 	return c
 }
 
 func twoServers(t *testing.T) (*Config, roster.List) {
-	one, two := testbed.NewScript(t, testbed.Say(200, "one")), testbed.NewScript(t, testbed.Say(200, "two"))
+	one, two := testbed.NewScriptedServer(t, testbed.Respond(200, "one")), testbed.NewScriptedServer(t, testbed.Respond(200, "two"))
 	list := roster.List{Revision: 42, Complete: true, Members: []roster.Member{ready("s-1", one.Addr), ready("s-2", two.Addr)}}
 	return testConfig(t, list.Members...), list
 }
@@ -122,7 +122,7 @@
 func TestServersOutByHand(t *testing.T) {
 	cfg, list := twoServers(t)
 	dir := filepath.Join(t.TempDir(), "shared")
-	discovery := testbed.NewRoster(t)
+	discovery := testbed.NewDiscoveryServer(t)
 	p, client := startProcess(t, cfg, dir, "", discovery), newClient(t)
 	only := func(p *process, what, want string) {
 		t.Helper()
@@ -144,21 +144,21 @@
 	if size, avoided := p.figure("cluster_size"), p.figure("cluster_unhealthy"); size != 2 || avoided != 1 {
 		t.Errorf("%d servers, %d avoided", size, avoided)
 	}
-	testbed.Next(t, discovery.Calls)
+	testbed.Next(t, discovery.Queries)
 	gone := list.Members[0]
 	gone.Phase = "gone"
-	discovery.Lists <- roster.List{Revision: 43, Members: []roster.Member{gone}}
-	testbed.Next(t, discovery.Calls)
-	discovery.Lists <- roster.List{Revision: 44, Members: list.Members[:1]}
-	testbed.Next(t, discovery.Calls)
+	discovery.Responses <- roster.List{Revision: 43, Members: []roster.Member{gone}}
+	testbed.Next(t, discovery.Queries)
+	discovery.Responses <- roster.List{Revision: 44, Members: list.Members[:1]}
+	testbed.Next(t, discovery.Queries)
 	only(p, "listed again", "two")
 
 	next, _ := twoServers(t)
 	next.Known = cfg.Known
 	q := startProcess(t, next, dir, p.addr, discovery)
-	testbed.Next(t, discovery.Calls) // it wants a whole list first
+	testbed.Next(t, discovery.Queries) // it wants a whole list first
 	list.Revision = 45
-	discovery.Lists <- list
+	discovery.Responses <- list
 	testbed.Until(t, "the second process serves", func() bool { return q.call("STATUS") == "+OK" })
 	p.end()
 	p.ended <- testbed.Next(t, p.ended) // for the clean-up
@@ -174,7 +174,7 @@
 func TestUpgradeLosesNothing(t *testing.T) {
 	cfg, list := twoServers(t)
 	dir := t.TempDir()
-	discovery := testbed.NewRoster(t)
+	discovery := testbed.NewDiscoveryServer(t)
 	p := startProcess(t, cfg, dir, "", discovery)
 	stop, addr := make(chan bool), p.addr
 	var clients sync.WaitGroup
@@ -210,7 +210,7 @@
 		next.Known = cfg.Known
 		q := startProcess(t, next, dir, addr, discovery)
 		list.Revision += int64(i) + 1
-		discovery.Lists <- list // to whichever asks: the first has all of it
+		discovery.Responses <- list // to whichever asks: the first has all of it
 		testbed.Until(t, "the next process serves", func() bool { return q.call("STATUS") == "+OK" })
 		p.end()
 		p.ended <- testbed.Next(t, p.ended)
@@ -226,9 +226,9 @@
 
 // Told to send clients away, the sidecar says so, serves what comes, keeps no connection, and takes clients again.
 func TestDrainByHand(t *testing.T) {
-	bothFronts(t, func(t *testing.T, config func(...*testbed.Script) *Config) {
-		s := testbed.NewScript(t, testbed.Say(200, "one"))
-		p := startProcess(t, config(s), t.TempDir(), "", testbed.NewRoster(t))
+	bothFronts(t, func(t *testing.T, config func(...*testbed.ScriptedServer) *Config) {
+		s := testbed.NewScriptedServer(t, testbed.Respond(200, "one"))
+		p := startProcess(t, config(s), t.TempDir(), "", testbed.NewDiscoveryServer(t))
 		client := newClient(t)
 		up := func() int {
 			resp, err := client.Get("http://" + p.addr + "/up")
@@ -263,7 +263,7 @@
 		if resp, body := n.do(n.request("read")); body != "one" || !resp.Close {
 			t.Errorf("a request: %q, closing: %v", body, resp.Close)
 		}
-		_ = idle.SetReadDeadline(time.Now().Add(testbed.Patience))
+		_ = idle.SetReadDeadline(time.Now().Add(testbed.Timeout))
 		if _, err := in.ReadByte(); err != io.EOF {
 			t.Errorf("the idle connection: %v", err)
 		}
@@ -275,8 +275,8 @@
 
 // The figures agree with what clients saw, to the request.
 func TestFigures(t *testing.T) {
-	s := testbed.NewScript(t, testbed.Say(200, "one"), testbed.Say(500, ""), testbed.Say(503, "", "X-Never-Ran: 1"))
-	p := startProcess(t, testConfig(t, ready("s-1", s.Addr)), t.TempDir(), "", testbed.NewRoster(t))
+	s := testbed.NewScriptedServer(t, testbed.Respond(200, "one"), testbed.Respond(500, ""), testbed.Respond(503, "", "X-Never-Ran: 1"))
+	p := startProcess(t, testConfig(t, ready("s-1", s.Addr)), t.TempDir(), "", testbed.NewDiscoveryServer(t))
 	n := node{t: t, addr: p.addr, client: newClient(t)}
 	for _, want := range []int{200, 502, 503} {
 		req := n.request("pay")
@@ -292,7 +292,7 @@
 			t.Errorf("%s is %d, want %d", name, got, want)
 		}
 	}
-	if got, _, _ := s.Seen(); p.figure("sends") != len(got) {
+	if got, _, _ := s.Received(); p.figure("sends") != len(got) {
 		t.Errorf("%d sends, the server has seen %d", p.figure("sends"), len(got))
 	}
 }
--- a/internal/sidecar/msgpackrpc_test.go
+++ b/internal/sidecar/msgpackrpc_test.go
@@ -107,7 +107,7 @@
 		n.t.Fatal(err)
 	}
 	n.t.Cleanup(func() { _ = c.Close() })
-	_ = c.SetDeadline(time.Now().Add(testbed.Patience))
+	_ = c.SetDeadline(time.Now().Add(testbed.Timeout))
 	return c, codec.NewReader(c, codec.Limits{})
 }
 
@@ -129,13 +129,13 @@
 	a, b := ready("s-1", draining.addr), ready("s-2", staying.addr)
 	n := startNode(t, rpcConfig(t, true, a, b))
 	c, in := n.dialRPC()
-	testbed.Next(t, n.roster.Calls)
+	testbed.Next(t, n.roster.Queries)
 	_, _ = c.Write(requests(250, 0, func(id uint32) []byte { return []byte{0x91, 0xcd, 1, byte(id)} }))
 	testbed.Until(t, "the draining one holds some", func() bool { return len(draining.times()) >= 10 })
 	a.Phase = "draining"
-	n.roster.Lists <- roster.List{Revision: 42, Members: []roster.Member{a}}
+	n.roster.Responses <- roster.List{Revision: 42, Members: []roster.Member{a}}
 	told := time.Now()
-	testbed.Next(t, n.roster.Calls)
+	testbed.Next(t, n.roster.Queries)
 	_, _ = c.Write(requests(250, 250, func(uint32) []byte { return []byte{0x90} }))
 	var answered [500]int
 	var by [3]int
@@ -173,7 +173,7 @@
 // A request and its answer cross between the protocols, both ways.
 func TestAcrossProtocols(t *testing.T) {
 	t.Run("RPC to HTTP", func(t *testing.T) {
-		s := testbed.NewScript(t, testbed.Say(200, "\x91\x07", "Content-Type: application/msgpack"), testbed.Say(200, "plate 7"))
+		s := testbed.NewScriptedServer(t, testbed.Respond(200, "\x91\x07", "Content-Type: application/msgpack"), testbed.Respond(200, "plate 7"))
 		n := startNode(t, rpcConfig(t, false, ready("s-1", s.Addr)))
 		c, in := n.dialRPC()
 		for id, want := range []string{"\x91\x07", "\xa7plate 7"} {
@@ -183,7 +183,7 @@
 				t.Errorf("answered %+v, %v", f, err)
 			}
 		}
-		requests, bodies, _ := s.Seen()
+		requests, bodies, _ := s.Received()
 		h := requests[0].Header
 		if h.Get("X-Trace-Id") != "t-1" || h.Get("Idempotency-Key") != "k-1" || h.Get("X-Qos") != "reserve" || h.Get("X-Expires-In") == "" ||
 			h.Get("Content-Type") != "application/msgpack" || requests[0].Method != "POST" || requests[0].RequestURI != "/api/plate.reserve" {
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -80,26 +80,26 @@
 // SIGHUP moves the sidecar to another discovery: the watch at the old one is cut, the whole list of the new one
 // holds, and a file that cannot be used changes nothing.
 func TestReloadMovesDiscovery(t *testing.T) {
-	one, two := testbed.NewScript(t, testbed.Say(200, "one")), testbed.NewScript(t, testbed.Say(200, "two"))
+	one, two := testbed.NewScriptedServer(t, testbed.Respond(200, "one")), testbed.NewScriptedServer(t, testbed.Respond(200, "two"))
 	f := newConfigFile(t)
 	cfg := f.load(nil)
 	cfg.Known.Members, cfg.acceptGrace = []roster.Member{ready("s-1", one.Addr)}, 0
 	n := startNode(t, cfg)
-	testbed.Next(t, n.roster.Calls) // the watch at the old address
+	testbed.Next(t, n.roster.Queries) // the watch at the old address
 	f.write("{")
 	n.reloads <- syscall.SIGHUP
 	if _, body := n.do(n.request("read")); body != "one" {
 		t.Errorf("after a bad file: served by %q", body)
 	}
-	other := testbed.NewRoster(t)
+	other := testbed.NewDiscoveryServer(t)
 	f.name(other.Addr)
 	n.reloads <- syscall.SIGHUP // taken only after the bad file was
-	if got := testbed.Next(t, other.Calls); got != "" {
+	if got := testbed.Next(t, other.Queries); got != "" {
 		t.Errorf("first call at the new address: %q", got)
 	}
-	testbed.Next(t, n.roster.Cut)
-	other.Lists <- roster.List{Revision: 3, Complete: true, Members: []roster.Member{ready("s-2", two.Addr)}}
-	if got := testbed.Next(t, other.Calls); !strings.HasPrefix(got, "from=3&hold_ms=") {
+	testbed.Next(t, n.roster.Cancelled)
+	other.Responses <- roster.List{Revision: 3, Complete: true, Members: []roster.Member{ready("s-2", two.Addr)}}
+	if got := testbed.Next(t, other.Queries); !strings.HasPrefix(got, "from=3&hold_ms=") {
 		t.Errorf("second call at the new address: %q", got)
 	}
 	for range 3 {
--- a/internal/sidecar/reporting_test.go
+++ b/internal/sidecar/reporting_test.go
@@ -242,7 +242,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(socket.Stop)
-	server := testbed.NewScript(t, testbed.Say(200, "one"))
+	server := testbed.NewScriptedServer(t, testbed.Respond(200, "one"))
 	cfg := reportTo(t, testConfig(t, ready("s-1", server.Addr)), fmt.Sprintf(graphiteTo, stalled.Addr(), "plaintext")+
 		fmt.Sprintf("[collectd]\ninterval_s = 1\nhost = \"h\"\nunix_socket = %q\n", socket.Addr()))
 	n := startNode(t, cfg)
@@ -267,7 +267,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(carbon.Stop)
-	server := testbed.NewScript(t, testbed.Say(200, "one"))
+	server := testbed.NewScriptedServer(t, testbed.Respond(200, "one"))
 	text := strings.Replace(fmt.Sprintf(graphiteTo, carbon.Addr(), "pickle"), "interval_s = 1", "interval_s = 3600", 1)
 	n := startNode(t, reportTo(t, testConfig(t, ready("s-1", server.Addr)), text))
 	for range 7 {
--- a/internal/sidecar/serve_test.go
+++ b/internal/sidecar/serve_test.go
@@ -18,7 +18,7 @@
 )
 
 func TestServesAndPassesOn(t *testing.T) {
-	s := testbed.NewScript(t, testbed.Say(200, "plate 7", "Endpoint-Load-Metrics: TEXT util=0.5, qps=3"))
+	s := testbed.NewScriptedServer(t, testbed.Respond(200, "plate 7", "Endpoint-Load-Metrics: TEXT util=0.5, qps=3"))
 	n := startNode(t, testConfig(t, ready("s-1", s.Addr)))
 	var ids []string
 	for _, class := range []string{"read", "reserve", "pay"} {
@@ -32,7 +32,7 @@
 			t.Errorf("the load report reached the application")
 		}
 	}
-	requests, bodies, conns := s.Seen()
+	requests, bodies, conns := s.Received()
 	if len(requests) != 3 || conns != 1 {
 		t.Fatalf("%d requests on %d connections: want 3 on one", len(requests), conns)
 	}
@@ -55,7 +55,7 @@
 
 // Where the runtime is not told of an epoll set within another, nothing would ever be served through one: goroutines serve.
 func TestServesWhereReadinessIsNotToBeHad(t *testing.T) {
-	s := testbed.NewScript(t, testbed.Say(200, "plate 7"))
+	s := testbed.NewScriptedServer(t, testbed.Respond(200, "plate 7"))
 	cfg := testConfig(t, ready("s-1", s.Addr))
 	asked := 0
 	cfg.readiness = func() error { asked++; return errors.New("untold") }
@@ -75,15 +75,15 @@
 		first  testbed.Step
 		status int
 	}{
-		"turned away":           {testbed.Say(503, "", never), 200},
-		"over already":          {testbed.Say(504, "", never), 200},
-		"503 that may have run": {testbed.Say(503, ""), 502},
-		"error":                 {testbed.Say(500, ""), 502},
-		"reset":                 {testbed.BreakOff(""), 502},
-		"short body":            {testbed.BreakOff("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nplate"), 502},
+		"turned away":           {testbed.Respond(503, "", never), 200},
+		"over already":          {testbed.Respond(504, "", never), 200},
+		"503 that may have run": {testbed.Respond(503, ""), 502},
+		"error":                 {testbed.Respond(500, ""), 502},
+		"reset":                 {testbed.WriteAndClose(""), 502},
+		"short body":            {testbed.WriteAndClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nplate"), 502},
 	} {
 		t.Run(name, func(t *testing.T) {
-			failing, serving := testbed.NewScript(t, c.first), testbed.NewScript(t, testbed.Say(200, "done"))
+			failing, serving := testbed.NewScriptedServer(t, c.first), testbed.NewScriptedServer(t, testbed.Respond(200, "done"))
 			n := startNode(t, testConfig(t, ready("s-1", failing.Addr), ready("s-2", serving.Addr)))
 			resp, _ := n.do(n.request("pay"))
 			for len(requestsOf(failing)) == 0 { // the other one had the first turn
@@ -97,7 +97,7 @@
 }
 
 func TestBadRequests(t *testing.T) {
-	s := testbed.NewScript(t, testbed.Say(200, "served"))
+	s := testbed.NewScriptedServer(t, testbed.Respond(200, "served"))
 	n := startNode(t, testConfig(t, ready("s-1", s.Addr)))
 	set := func(name, value string) func(*http.Request) {
 		return func(r *http.Request) { r.Header.Set(name, value) }
@@ -151,14 +151,14 @@
 	return func(c net.Conn) bool {
 		started <- true
 		<-release
-		return testbed.Say(200, "held")(c)
+		return testbed.Respond(200, "held")(c)
 	}
 }
 
 // On SIGTERM new connections are still taken for a while, and what was taken before is answered.
 func TestEndsWithAllAnswered(t *testing.T) {
 	started, release := make(chan bool, 1), make(chan bool)
-	s := testbed.NewScript(t, hold(started, release), testbed.Say(200, "late"))
+	s := testbed.NewScriptedServer(t, hold(started, release), testbed.Respond(200, "late"))
 	cfg := testConfig(t, ready("s-1", s.Addr))
 	cfg.acceptGrace = 3 * time.Second
 	n := startNode(t, cfg)
@@ -194,7 +194,7 @@
 // net/http would end the handler with an empty 200, which says served although no server made it.
 func TestEndOfSendingFailsTheRequest(t *testing.T) {
 	started, release := make(chan bool, 1), make(chan bool)
-	s := testbed.NewScript(t, hold(started, release))
+	s := testbed.NewScriptedServer(t, hold(started, release))
 	defer close(release)
 	n := startNode(t, testConfig(t, ready("s-1", s.Addr)))
 	c, err := net.Dial("tcp", n.addr)
@@ -207,7 +207,7 @@
 	}
 	testbed.Next(t, started)
 	_ = c.(*net.TCPConn).CloseWrite()
-	_ = c.SetReadDeadline(time.Now().Add(testbed.Patience))
+	_ = c.SetReadDeadline(time.Now().Add(testbed.Timeout))
 	got, err := io.ReadAll(c)
 	if err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 502 ") || strings.Count(string(got), "HTTP/1.1") != 1 {
 		t.Errorf("answered %q, %v", got, err)
@@ -217,7 +217,7 @@
 // A client that has gone by the time that its request is read, as all have that a stopped sidecar finds when it goes on,
 // has nothing sent for it.
 func TestGoneBeforeItBeganIsNotSent(t *testing.T) {
-	s := testbed.NewScript(t, testbed.Say(200, "one"))
+	s := testbed.NewScriptedServer(t, testbed.Respond(200, "one"))
 	n := startNode(t, testConfig(t, ready("s-1", s.Addr)))
 	c, err := net.Dial("tcp", n.addr)
 	if err != nil {
@@ -241,36 +241,36 @@
 	})
 	_, _ = c.Write(whole[len(whole)-1:])
 	_ = tcp.CloseWrite()
-	_ = c.SetReadDeadline(time.Now().Add(testbed.Patience))
+	_ = c.SetReadDeadline(time.Now().Add(testbed.Timeout))
 	if got, err := io.ReadAll(c); err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 503 ") {
 		t.Errorf("answered %q, %v", got, err)
 	}
-	if requests, _, _ := s.Seen(); len(requests) > 0 {
+	if requests, _, _ := s.Received(); len(requests) > 0 {
 		t.Error("the request was sent to a server")
 	}
 }
 
 // What discovery has told holds for the next request.
 func TestFollowsTheList(t *testing.T) {
-	one, two := testbed.NewScript(t, testbed.Say(200, "one")), testbed.NewScript(t, testbed.Say(200, "two"))
+	one, two := testbed.NewScriptedServer(t, testbed.Respond(200, "one")), testbed.NewScriptedServer(t, testbed.Respond(200, "two"))
 	n := startNode(t, testConfig(t))
 	if resp, err := n.client.Get("http://" + n.addr + "/up"); err != nil || resp.StatusCode != 503 {
 		t.Fatalf("/up without servers: %v %v", resp, err)
 	}
 	tell := func(l roster.List) {
 		t.Helper()
-		testbed.Next(t, n.roster.Calls)
-		n.roster.Lists <- l
+		testbed.Next(t, n.roster.Queries)
+		n.roster.Responses <- l
 	}
 	tell(roster.List{Revision: 42, Complete: true, Members: []roster.Member{ready("s-1", one.Addr)}})
-	testbed.Next(t, n.roster.Calls) // the list before has reached the loop
+	testbed.Next(t, n.roster.Queries) // the list before has reached the loop
 	if _, body := n.do(n.request("read")); body != "one" {
 		t.Errorf("served by %q", body)
 	}
 	draining := ready("s-1", one.Addr)
 	draining.Phase = "draining"
-	n.roster.Lists <- roster.List{Revision: 43, Members: []roster.Member{draining, ready("s-2", two.Addr)}}
-	testbed.Next(t, n.roster.Calls)
+	n.roster.Responses <- roster.List{Revision: 43, Members: []roster.Member{draining, ready("s-2", two.Addr)}}
+	testbed.Next(t, n.roster.Queries)
 	for range 3 {
 		if _, body := n.do(n.request("read")); body != "two" {
 			t.Errorf("served by %q", body)
@@ -280,7 +280,7 @@
 
 // A refused client is told when to come back, which it may do without harm.
 func TestRefusalsSayWhenToComeBack(t *testing.T) {
-	s := testbed.NewScript(t, testbed.Say(503, "", "X-Never-Ran: 1"))
+	s := testbed.NewScriptedServer(t, testbed.Respond(503, "", "X-Never-Ran: 1"))
 	n := startNode(t, testConfig(t, ready("s-1", s.Addr)))
 	req := n.request("pay")
 	req.Header.Set("X-Expires-In", "300m")
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -30,7 +30,7 @@
 		n.t.Fatal(err)
 	}
 	n.t.Cleanup(func() { _ = c.Close() })
-	_ = c.SetDeadline(time.Now().Add(testbed.Patience))
+	_ = c.SetDeadline(time.Now().Add(testbed.Timeout))
 	var text bytes.Buffer
 	if err := req.Write(&text); err != nil {
 		n.t.Fatal(err)
@@ -54,10 +54,10 @@
 // Requests whose deadlines lie beyond the end have their final answers before it: failed, or refused where that does no
 // harm.
 func TestEndAnswersLongDeadlines(t *testing.T) {
-	bothFronts(t, func(t *testing.T, config func(...*testbed.Script) *Config) {
+	bothFronts(t, func(t *testing.T, config func(...*testbed.ScriptedServer) *Config) {
 		started, release := make(chan bool, 8), make(chan bool)
 		defer close(release)
-		s := testbed.NewScript(t, hold(started, release))
+		s := testbed.NewScriptedServer(t, hold(started, release))
 		n := startNode(t, soon(config(s)))
 		want := map[string]int{"read": 503, "reserve": 502, "pay": 502}
 		conns := map[string]net.Conn{}
@@ -73,7 +73,7 @@
 				t.Errorf("%s: %d, Retry-After %v, closing: %v", class, resp.StatusCode, after, resp.Close)
 			}
 		}
-		if requests, _, _ := s.Seen(); len(requests) != 3 {
+		if requests, _, _ := s.Received(); len(requests) != 3 {
 			t.Errorf("%d attempts", len(requests))
 		}
 	})
@@ -83,7 +83,7 @@
 func TestEndAnswersSlowReaders(t *testing.T) {
 	started, release := make(chan bool, 1), make(chan bool)
 	defer close(release)
-	s := testbed.NewScript(t, hold(started, release))
+	s := testbed.NewScriptedServer(t, hold(started, release))
 	n := startNode(t, soon(testConfig(t, ready("s-1", s.Addr))))
 	c, _ := n.write(n.request("pay"), 0)
 	testbed.Next(t, started)
@@ -97,12 +97,12 @@
 // A request that comes whole when the last answers are being given, on a connection from before, is refused and not sent,
 // and so is one that never comes whole.
 func TestEndAnswersTheLastRequest(t *testing.T) {
-	bothFronts(t, func(t *testing.T, config func(...*testbed.Script) *Config) {
+	bothFronts(t, func(t *testing.T, config func(...*testbed.ScriptedServer) *Config) {
 		started, release := make(chan bool, 8), make(chan bool)
 		defer close(release)
-		s := testbed.NewScript(t, hold(started, release))
+		s := testbed.NewScriptedServer(t, hold(started, release))
 		cfg := config(s)
-		cfg.maxDrain, cfg.responseMargin = testbed.Patience, testbed.Patience
+		cfg.maxDrain, cfg.responseMargin = testbed.Timeout, testbed.Timeout
 		n := startNode(t, cfg)
 		held, _ := n.write(n.request("pay"), 0)
 		testbed.Next(t, started)
@@ -119,7 +119,7 @@
 		if resp := read(t, late); resp.StatusCode != 503 {
 			t.Errorf("answered %d", resp.StatusCode)
 		}
-		if requests, _, _ := s.Seen(); len(requests) != 1 {
+		if requests, _, _ := s.Received(); len(requests) != 1 {
 			t.Errorf("%d attempts", len(requests))
 		}
 	})
@@ -127,7 +127,7 @@
 
 // A request of which the rest does not come is refused at the end: nothing can have run.
 func TestEndAnswersPartOfARequest(t *testing.T) {
-	n := startNode(t, soon(testConfig(t, ready("s-1", testbed.NewScript(t, testbed.Say(200, "one")).Addr))))
+	n := startNode(t, soon(testConfig(t, ready("s-1", testbed.NewScriptedServer(t, testbed.Respond(200, "one")).Addr))))
 	c, _ := n.write(n.request("pay"), 3)
 	n.end()
 	if resp := read(t, c); resp.StatusCode != 503 {
@@ -137,7 +137,7 @@
 
 // A long body that is still coming when the sidecar has to go gets an answer while it comes.
 func TestEndAnswersUploads(t *testing.T) {
-	bothFronts(t, func(t *testing.T, config func(...*testbed.Script) *Config) {
+	bothFronts(t, func(t *testing.T, config func(...*testbed.ScriptedServer) *Config) {
 		began := make(chan bool, 1)
 		addr := testbed.ServeHTTP(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 			began <- true
@@ -213,8 +213,8 @@
 func TestEndAnswersOverAnUpgrade(t *testing.T) {
 	started, release := make(chan bool, 1), make(chan bool)
 	defer close(release)
-	s := testbed.NewScript(t, hold(started, release))
-	cfg, dir, discovery := soon(testConfig(t, ready("s-1", s.Addr))), t.TempDir(), testbed.NewRoster(t)
+	s := testbed.NewScriptedServer(t, hold(started, release))
+	cfg, dir, discovery := soon(testConfig(t, ready("s-1", s.Addr))), t.TempDir(), testbed.NewDiscoveryServer(t)
 	p := startProcess(t, cfg, dir, "", discovery)
 	n := &node{t: t, addr: p.addr}
 	c, _ := n.write(n.request("pay"), 0)
@@ -223,7 +223,7 @@
 	q := startProcess(t, next, dir, p.addr, discovery)
 	list := cfg.Known
 	list.Revision, list.Complete = 42, true
-	discovery.Lists <- list
+	discovery.Responses <- list
 	testbed.Until(t, "the next process serves", func() bool { return q.call("STATUS") == "+OK" })
 	p.end()
 	if resp := read(t, c); resp.StatusCode != 502 {
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -29,10 +29,10 @@
 func sum(b []byte) string { return fmt.Sprintf("%x", sha256.Sum256(b)) }
 
 // bothFronts runs a test on the front on readiness and on the portable one.
-func bothFronts(t *testing.T, do func(t *testing.T, cfg func(servers ...*testbed.Script) *Config)) {
+func bothFronts(t *testing.T, do func(t *testing.T, cfg func(servers ...*testbed.ScriptedServer) *Config)) {
 	for name, standard := range map[string]bool{"readiness": false, "standard": true} {
 		t.Run(name, func(t *testing.T) {
-			do(t, func(servers ...*testbed.Script) *Config {
+			do(t, func(servers ...*testbed.ScriptedServer) *Config {
 				cfg := testConfig(t)
 				for i, s := range servers {
 					cfg.Known.Members = append(cfg.Known.Members, ready("s-"+strconv.Itoa(i+1), s.Addr))
@@ -57,8 +57,8 @@
 
 // A long body reaches the server as it was sent, with its length or in chunks.
 func TestLongRequestsPassThrough(t *testing.T) {
-	bothFronts(t, func(t *testing.T, config func(...*testbed.Script) *Config) {
-		s := testbed.NewScript(t, testbed.Say(200, "stored"))
+	bothFronts(t, func(t *testing.T, config func(...*testbed.ScriptedServer) *Config) {
+		s := testbed.NewScriptedServer(t, testbed.Respond(200, "stored"))
 		n := startNode(t, config(s))
 		long := body(3 << 20)
 		for _, length := range []int64{int64(len(long)), -1} {
@@ -71,7 +71,7 @@
 				}
 			}
 		}
-		_, bodies, _ := s.Seen()
+		_, bodies, _ := s.Received()
 		if len(bodies) != 4 {
 			t.Fatalf("%d requests", len(bodies))
 		}
@@ -114,9 +114,10 @@
 
 // A long answer reaches the client as the server gave it, and both connections go on.
 func TestLongAnswersPassThrough(t *testing.T) {
-	bothFronts(t, func(t *testing.T, config func(...*testbed.Script) *Config) {
+	bothFronts(t, func(t *testing.T, config func(...*testbed.ScriptedServer) *Config) {
 		long := body(3 << 20)
-		s := testbed.NewScript(t, sayLong(long, false, nil), sayLong(long, true, nil), sayLong(long[:100], true, nil), testbed.Say(200, "short"))
+		s := testbed.NewScriptedServer(t, sayLong(long, false, nil), sayLong(long, true, nil), sayLong(long[:100], true, nil),
+			testbed.Respond(200, "short"))
 		n := startNode(t, config(s))
 		for i, want := range [][]byte{long, long, long[:100], []byte("short")} {
 			resp, got := n.do(n.request("read"))
@@ -124,7 +125,7 @@
 				t.Errorf("answer %d: %d with %d bytes, want %d", i, resp.StatusCode, len(got), len(want))
 			}
 		}
-		if _, _, conns := s.Seen(); conns != 1 {
+		if _, _, conns := s.Received(); conns != 1 {
 			t.Errorf("%d connections to the server: want 1", conns)
 		}
 	})
@@ -132,10 +133,10 @@
 
 // A client that reads nothing holds the server back: what is on its way must not pile up in memory.
 func TestSlowReaderHoldsTheServerBack(t *testing.T) {
-	bothFronts(t, func(t *testing.T, config func(...*testbed.Script) *Config) {
+	bothFronts(t, func(t *testing.T, config func(...*testbed.ScriptedServer) *Config) {
 		var wrote atomic.Int64
 		long := body(32 << 20)
-		s := testbed.NewScript(t, sayLong(long, false, &wrote))
+		s := testbed.NewScriptedServer(t, sayLong(long, false, &wrote))
 		n := startNode(t, config(s))
 		c, err := net.Dial("tcp", n.addr)
 		if err != nil {
@@ -172,7 +173,7 @@
 // An answer that breaks off has failed, and the client can tell, however it is framed; one that breaks off before the client
 // has any of it is asked for again.
 func TestBrokenLongAnswers(t *testing.T) {
-	bothFronts(t, func(t *testing.T, config func(...*testbed.Script) *Config) {
+	bothFronts(t, func(t *testing.T, config func(...*testbed.ScriptedServer) *Config) {
 		cut := func(head string) testbed.Step {
 			return func(c net.Conn) bool {
 				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n"+head+"\r\n\r\n")
@@ -183,7 +184,7 @@
 		for name, step := range map[string]testbed.Step{
 			"length": cut("Content-Length: 200000"), "chunks": cut("Transfer-Encoding: chunked\r\n\r\n20000"),
 		} {
-			s := testbed.NewScript(t, step)
+			s := testbed.NewScriptedServer(t, step)
 			n := startNode(t, config(s))
 			resp, err := n.client.Do(n.request("pay"))
 			if err != nil {
@@ -198,7 +199,7 @@
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nplate")
 			return false
 		}
-		one, two := testbed.NewScript(t, early), testbed.NewScript(t, testbed.Say(200, "whole"))
+		one, two := testbed.NewScriptedServer(t, early), testbed.NewScriptedServer(t, testbed.Respond(200, "whole"))
 		n := startNode(t, config(one, two))
 		for len(requestsOf(one)) == 0 {
 			if resp, got := n.do(n.request("read")); resp.StatusCode != 200 || got != "whole" {
@@ -210,9 +211,9 @@
 
 // A client that leaves an answer or a request in the middle frees the server's connection.
 func TestLeavingInTheMiddle(t *testing.T) {
-	bothFronts(t, func(t *testing.T, config func(...*testbed.Script) *Config) {
+	bothFronts(t, func(t *testing.T, config func(...*testbed.ScriptedServer) *Config) {
 		ended := make(chan bool, 2)
-		s := testbed.NewScript(t, func(c net.Conn) bool {
+		s := testbed.NewScriptedServer(t, func(c net.Conn) bool {
 			ok := sayLong(body(32<<20), false, nil)(c)
 			ended <- ok
 			return ok
@@ -241,7 +242,7 @@
 			t.Fatal("the body was written whole")
 		}
 		n.do(n.request("read")) // what was left would have come by now
-		if got, _, _ := s.Seen(); len(got) != 2 {
+		if got, _, _ := s.Received(); len(got) != 2 {
 			t.Errorf("%d requests reached the server: want the two that were sent whole", len(got))
 		}
 	})
@@ -257,7 +258,7 @@
 
 // The time of a request counts from its last byte: a body that takes longer than the deadline is not late.
 func TestTimeCountsFromTheLastByte(t *testing.T) {
-	s := testbed.NewScript(t, testbed.Say(200, "stored"))
+	s := testbed.NewScriptedServer(t, testbed.Respond(200, "stored"))
 	n := startNode(t, testConfig(t, ready("s-1", s.Addr)))
 	req := n.request("pay")
 	req.Header.Set("X-Expires-In", "300m")
@@ -266,7 +267,7 @@
 	if resp, got := n.do(req); resp.StatusCode != 200 || got != "stored" {
 		t.Errorf("answered %d %q", resp.StatusCode, got)
 	}
-	got, _, _ := s.Seen()
+	got, _, _ := s.Received()
 	left, err := strconv.Atoi(strings.TrimSuffix(got[0].Header.Get("X-Expires-In"), "u"))
 	if err != nil || left < 250_000 || left > 300_000 {
 		t.Errorf("X-Expires-In went on as %q", got[0].Header.Get("X-Expires-In"))
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -17,7 +17,7 @@
 )
 
 // Patience bounds every wait; no test takes that long unless it fails.
-const Patience = 30 * time.Second
+const Timeout = 30 * time.Second
 
 // Next waits for what comes next.
 func Next[T any](t *testing.T, events <-chan T) T {
@@ -25,16 +25,16 @@
 	select {
 	case ev := <-events:
 		return ev
-	case <-time.After(Patience):
+	case <-time.After(Timeout):
 		t.Fatal("nothing came")
 	}
 	panic("unreachable")
 }
 
 // Until waits until something holds.
-func Until(t *testing.T, what string, holds func() bool) {
+func Until(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Patience); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(Timeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("in vain: ", what)
 		}
@@ -63,23 +63,23 @@
 }
 
 // Roster is a discovery service: it answers each call with what the test hands it, as JSON.
-type Roster struct {
-	Addr  string
-	Calls chan string // the query of each call
-	Lists chan any
-	Cut   chan bool // calls that were given up
+type DiscoveryServer struct {
+	Addr      string
+	Queries   chan string // the query of each call
+	Responses chan any
+	Cancelled chan bool // calls that were given up
 }
 
 // NewRoster starts one.
-func NewRoster(t *testing.T) *Roster {
-	r := &Roster{Calls: make(chan string, 100), Lists: make(chan any), Cut: make(chan bool, 100)}
+func NewDiscoveryServer(t *testing.T) *DiscoveryServer {
+	r := &DiscoveryServer{Queries: make(chan string, 100), Responses: make(chan any), Cancelled: make(chan bool, 100)}
 	r.Addr = ServeHTTP(t, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		r.Calls <- req.URL.RawQuery
+		r.Queries <- req.URL.RawQuery
 		select {
-		case l := <-r.Lists:
+		case l := <-r.Responses:
 			_ = json.NewEncoder(w).Encode(l) // fails only where the client is gone
 		case <-req.Context().Done():
-			r.Cut <- true
+			r.Cancelled <- true
 		}
 	}))
 	return r
@@ -87,7 +87,7 @@
 
 // Script is a server that plays one step for each request that reaches it, on raw connections. A step gets the
 // connection after the request is read, and whether it returns true decides if the connection goes on.
-type Script struct {
+type ScriptedServer struct {
 	Addr     string
 	mu       sync.Mutex
 	requests []*http.Request
@@ -99,8 +99,8 @@
 type Step func(net.Conn) bool
 
 // NewScript starts one; after the last step it plays that again.
-func NewScript(t *testing.T, steps ...Step) *Script {
-	s := &Script{}
+func NewScriptedServer(t *testing.T, steps ...Step) *ScriptedServer {
+	s := &ScriptedServer{}
 	ln := Listen(t)
 	s.Addr = ln.Addr().String()
 	go func() {
@@ -119,7 +119,7 @@
 	return s
 }
 
-func (s *Script) serve(c net.Conn, steps []Step) {
+func (s *ScriptedServer) serve(c net.Conn, steps []Step) {
 	defer func() { _ = c.Close() }() // the connection is released even where this fails
 	for in := bufio.NewReader(c); ; {
 		req, err := http.ReadRequest(in)
@@ -141,14 +141,14 @@
 }
 
 // Seen returns the requests and their bodies so far, and how many connections there were.
-func (s *Script) Seen() (requests []*http.Request, bodies []string, conns int) {
+func (s *ScriptedServer) Received() (requests []*http.Request, bodies []string, conns int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]*http.Request(nil), s.requests...), append([]string(nil), s.bodies...), s.conns
 }
 
 // Say answers.
-func Say(status int, body string, headers ...string) Step {
+func Respond(status int, body string, headers ...string) Step {
 	return func(c net.Conn) bool {
 		head := "HTTP/1.1 " + strconv.Itoa(status) + " X\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n"
 		for _, h := range headers {
@@ -160,7 +160,7 @@
 }
 
 // BreakOff ends the connection after part of an answer.
-func BreakOff(part string) Step {
+func WriteAndClose(part string) Step {
 	return func(c net.Conn) bool {
 		_, _ = io.WriteString(c, part) // the peer may be gone, which the next read says
 		return false
@@ -168,7 +168,7 @@
 }
 
 // Stop writes part of an answer and then nothing, until the other side ends the connection.
-func Stop(part string) Step {
+func WriteAndStall(part string) Step {
 	return func(c net.Conn) bool {
 		_, _ = io.WriteString(c, part) // the peer may be gone, which the next read says
 		_, _ = io.Copy(io.Discard, c)  // read only to be dropped
@@ -177,7 +177,7 @@
 }
 
 // Cut resets the connection.
-func Cut() Step {
+func ResetConn() Step {
 	return func(c net.Conn) bool {
 		_ = c.(*net.TCPConn).SetLinger(0) // without it the connection closes in the ordinary way
 		return false
@@ -185,20 +185,20 @@
 }
 
 // Log is a log that can be read while it is written.
-type Log struct {
+type LogBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
 // Write keeps what was logged; it may be called by several goroutines.
-func (l *Log) Write(p []byte) (int, error) {
+func (l *LogBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
 // Has reports whether a text stands in the log.
-func (l *Log) Has(text string) bool {
+func (l *LogBuffer) Contains(text string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Contains(l.text.String(), text)
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -7,7 +7,7 @@
 )
 
 // The package is for tests alone: no program has it.
-func TestOnlyTestsImportThis(t *testing.T) {
+func TestImportedByTestsOnly(t *testing.T) {
 	const importers = `{{range .Imports}}{{if eq . "firplank/internal/testbed"}}{{$.ImportPath}} {{end}}{{end}}`
 	out, err := exec.Command("go", "list", "-f", importers, "firplank/...").CombinedOutput()
 	if err != nil {
--- a/internal/upstream/http/late_test.go
+++ b/internal/upstream/http/late_test.go
@@ -40,7 +40,7 @@
 
 func (p *pool) mustGet(t *testing.T, e *core.Endpoint) *conn {
 	t.Helper()
-	c, err := p.get(t.Context(), e, time.Now().Add(testbed.Patience), 0)
+	c, err := p.get(t.Context(), e, time.Now().Add(testbed.Timeout), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,14 +136,14 @@
 // to the next request. At other times it is, because a server may always return the same body.
 func TestRepeatedBodyFailsWhileLateSenderSuspected(t *testing.T) {
 	for _, suspicious := range []bool{false, true} {
-		same := testbed.Say(200, "repeated body")
-		s := testbed.NewScript(t, same)
+		same := testbed.Respond(200, "repeated body")
+		s := testbed.NewScriptedServer(t, same)
 		p, _ := newLatePool(t)
 		u := &upstream{pool: p}
 		e := core.NewEndpoint("s-1", s.Addr)
 		try := func() core.Result {
 			m := &core.Message{Safe: true, Target: "/api", Authority: "app.svc", Meta: http.Header{}}
-			end := time.Now().Add(testbed.Patience)
+			end := time.Now().Add(testbed.Timeout)
 			a := &attempt{Attempt: core.NewAttempt(e, m, end, func(core.Result) {}), ctx: t.Context()}
 			r := u.perform(a)
 			p.checkPending(time.Now())
@@ -161,7 +161,7 @@
 		if first.Outcome != balance.OK || second.Outcome != want {
 			t.Errorf("suspicious: %v; outcomes %v and %v", suspicious, first.Outcome, second.Outcome)
 		}
-		if _, _, conns := s.Seen(); conns != 1 {
+		if _, _, conns := s.Received(); conns != 1 {
 			t.Errorf("%d connections", conns)
 		}
 		if again := try(); again.Outcome != balance.OK {
--- a/internal/upstream/http/onend_test.go
+++ b/internal/upstream/http/onend_test.go
@@ -15,13 +15,13 @@
 		t.Run(name, func(t *testing.T) {
 			e, conns := silentServer(t, "s-1")
 			notified, ended := make(chan balance.Result, 4), make(chan balance.Result, 4)
-			cfg := Config{ConnectTimeout: testbed.Patience, IdleTimeout: testbed.Patience, MaxConns: 4,
+			cfg := Config{ConnectTimeout: testbed.Timeout, IdleTimeout: testbed.Timeout, MaxConns: 4,
 				OnEnd: func(a *core.Attempt, r core.Result) bool {
 					notified <- r.Outcome
 					go a.End(core.Result{Outcome: balance.Rejected, NotDelivered: true})
 					return true
 				}}
-			a := core.NewAttempt(e, &core.Message{Target: "/"}, time.Now().Add(testbed.Patience), func(r core.Result) { ended <- r.Outcome })
+			a := core.NewAttempt(e, &core.Message{Target: "/"}, time.Now().Add(testbed.Timeout), func(r core.Result) { ended <- r.Outcome })
 			if polled {
 				b, err := NewPoll(t.Context(), cfg)
 				if err != nil {
--- a/internal/upstream/http/poll_linux_test.go
+++ b/internal/upstream/http/poll_linux_test.go
@@ -21,7 +21,7 @@
 
 func newPollSubject(t *testing.T, rest time.Duration) *subject {
 	t.Helper()
-	b, err := NewPoll(t.Context(), Config{ConnectTimeout: testbed.Patience, IdleTimeout: testbed.Patience, ReuseDelay: rest, MaxConns: 64})
+	b, err := NewPoll(t.Context(), Config{ConnectTimeout: testbed.Timeout, IdleTimeout: testbed.Timeout, ReuseDelay: rest, MaxConns: 64})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,9 +52,9 @@
 		"bare LF": "HTTP/1.1 200 OK\nContent-Length: 6\n\nserved",
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, u := testbed.NewScript(t, writeBytewise(text), writeBytewise(text)), newPollSubject(t, 0)
+			s, u := testbed.NewScriptedServer(t, writeBytewise(text), writeBytewise(text)), newPollSubject(t, 0)
 			for range 2 {
-				r := u.want(t, newAttempt(endpointAt(s.Addr), testbed.Patience), balance.OK)
+				r := u.want(t, newAttempt(endpointAt(s.Addr), testbed.Timeout), balance.OK)
 				if r.Answer == nil || string(r.Answer.Body) != "served" {
 					t.Fatalf("got %+v", r.Answer)
 				}
@@ -80,7 +80,7 @@
 		t.Run(name, func(t *testing.T) {
 			u := newPollSubject(t, rest)
 			e, conns := silentServer(t, "s-1")
-			a := newAttempt(e, testbed.Patience)
+			a := newAttempt(e, testbed.Timeout)
 			u.poll.Begin(a.Attempt)
 			c := testbed.Next(t, conns)
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -88,8 +88,8 @@
 				t.Fatalf("outcome %v", r.Outcome)
 			}
 			// Another round of the poller, so that it has handled all earlier events.
-			other := testbed.NewScript(t, testbed.Say(200, ""))
-			u.want(t, newAttempt(endpointAt(other.Addr), testbed.Patience), balance.OK)
+			other := testbed.NewScriptedServer(t, testbed.Respond(200, ""))
+			u.want(t, newAttempt(endpointAt(other.Addr), testbed.Timeout), balance.OK)
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 			testbed.Until(t, "the connection closes", func() bool {
 				u.pool.mu.Lock()
@@ -112,7 +112,7 @@
 	var got []byte
 	buf := make([]byte, 10_000)
 	for {
-		n, err := a.Stream.ReadTimeout(buf, testbed.Patience)
+		n, err := a.Stream.ReadTimeout(buf, testbed.Timeout)
 		got = append(got, buf[:n]...)
 		if errors.Is(err, io.EOF) {
 			return got
@@ -144,11 +144,11 @@
 		}
 		return true
 	}
-	s := testbed.NewScript(t, testbed.Say(200, long), slow, late, testbed.Say(200, "short"))
+	s := testbed.NewScriptedServer(t, testbed.Respond(200, long), slow, late, testbed.Respond(200, "short"))
 	u := newPollSubject(t, 0)
 	e := endpointAt(s.Addr)
 	for i, want := range []string{long, "abcdef", "abcdef"} {
-		within := testbed.Patience
+		within := testbed.Timeout
 		if i == 2 {
 			within = 5 * holdTimeout
 		}
@@ -167,8 +167,8 @@
 			return len(u.pool.idle[e]) == 1
 		})
 	}
-	r := u.want(t, newAttempt(e, testbed.Patience), balance.OK)
-	if _, _, conns := s.Seen(); conns != 1 || r.Answer == nil || string(r.Answer.Body) != "short" {
+	r := u.want(t, newAttempt(e, testbed.Timeout), balance.OK)
+	if _, _, conns := s.Received(); conns != 1 || r.Answer == nil || string(r.Answer.Body) != "short" {
 		t.Errorf("%d connections, last response %+v", conns, r.Answer)
 	}
 }
@@ -245,7 +245,7 @@
 
 // An encoded request is parsed by the standard library with the same content.
 func TestEncodedRequestParses(t *testing.T) {
-	a := newAttempt(endpointAt("127.0.0.1:1"), testbed.Patience)
+	a := newAttempt(endpointAt("127.0.0.1:1"), testbed.Timeout)
 	a.Message.Class, a.Message.Safe = "gold", false
 	a.Message.Meta = http.Header{"X-Qos": {"silver"}, "Accept": {"a", "b"}, "Expect": {"100-continue"}, "Content-Length": {"99"}}
 	r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(appendRequest(nil, a.Message, time.Second))))
@@ -268,11 +268,11 @@
 			e, conns := silentServer(t, "s-1")
 			ended := make(chan core.Result, 1)
 			m := &core.Message{Target: "/", AcceptsStream: true}
-			a := core.NewAttempt(e, m, time.Now().Add(testbed.Patience), func(r core.Result) { ended <- r })
+			a := core.NewAttempt(e, m, time.Now().Add(testbed.Timeout), func(r core.Result) { ended <- r })
 			if polled {
 				newPollSubject(t, 0).poll.Begin(a)
 			} else {
-				New(t.Context(), Config{ConnectTimeout: testbed.Patience, IdleTimeout: testbed.Patience, MaxConns: 4}).Begin(a)
+				New(t.Context(), Config{ConnectTimeout: testbed.Timeout, IdleTimeout: testbed.Timeout, MaxConns: 4}).Begin(a)
 			}
 			c := testbed.Next(t, conns)
 			_, _ = c.Read(make([]byte, 1<<10))
--- a/internal/upstream/http/response_test.go
+++ b/internal/upstream/http/response_test.go
@@ -60,10 +60,10 @@
 		"rejected, no length": {writeAndHold("HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\n\r\n"), balance.Rejected},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, u := testbed.NewScript(t, c.answer), newUpstream(1024)
+			s, u := testbed.NewScriptedServer(t, c.answer), newUpstream(1024)
 			start := time.Now()
-			u.want(t, newAttempt(endpointAt(s.Addr), 2*testbed.Patience), c.want)
-			if took := time.Since(start); took > testbed.Patience {
+			u.want(t, newAttempt(endpointAt(s.Addr), 2*testbed.Timeout), c.want)
+			if took := time.Since(start); took > testbed.Timeout {
 				t.Errorf("failed after %v, want at once", took)
 			}
 			if u.openConns() != 0 {
@@ -90,8 +90,8 @@
 		"report unusable": {answer + loadHeader + ": TEXT busy=-1, rate=3\r\n\r\nserved", 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, u := testbed.NewScript(t, writeAndHold(c.text)), newUpstream(1024)
-			r := u.want(t, newAttempt(endpointAt(s.Addr), testbed.Patience), balance.OK)
+			s, u := testbed.NewScriptedServer(t, writeAndHold(c.text)), newUpstream(1024)
+			r := u.want(t, newAttempt(endpointAt(s.Addr), testbed.Timeout), balance.OK)
 			if r.Answer == nil || string(r.Answer.Body) != "served" || r.Report != nil {
 				t.Errorf("got %+v", r)
 			}
@@ -111,7 +111,7 @@
 }
 
 func newReuseDelayUpstream(t *testing.T) *upstream {
-	p := newPool(testbed.Patience, testbed.Patience, time.Hour, 1024)
+	p := newPool(testbed.Timeout, testbed.Timeout, time.Hour, 1024)
 	t.Cleanup(p.closeAll)
 	return &upstream{pool: p}
 }
@@ -119,9 +119,9 @@
 // A duplicate response may arrive in a packet of its own, after the connection was found to have no input. A request
 // written at once would receive it as its response.
 func TestReuseDelay(t *testing.T) {
-	s, u := testbed.NewScript(t, testbed.Say(200, "")), newReuseDelayUpstream(t)
+	s, u := testbed.NewScriptedServer(t, testbed.Respond(200, "")), newReuseDelayUpstream(t)
 	e := endpointAt(s.Addr)
-	if r := u.perform(newAttempt(e, testbed.Patience).attempt); r.Outcome != balance.OK {
+	if r := u.perform(newAttempt(e, testbed.Timeout).attempt); r.Outcome != balance.OK {
 		t.Fatalf("outcome %v", r.Outcome)
 	}
 	if c := u.pool.takeIdle(e, 0); c != nil {
--- a/internal/upstream/http/upstream_test.go
+++ b/internal/upstream/http/upstream_test.go
@@ -24,7 +24,7 @@
 // forEachBackend runs a test with both kinds of backends.
 func forEachBackend(t *testing.T, test func(t *testing.T, newUpstream func(sockets int) *subject)) {
 	cfg := Config{
-		ConnectTimeout: testbed.Patience, IdleTimeout: testbed.Patience, ReportFields: []string{"busy", "rate"}, ProbeForReport: true,
+		ConnectTimeout: testbed.Timeout, IdleTimeout: testbed.Timeout, ReportFields: []string{"busy", "rate"}, ProbeForReport: true,
 	}
 	t.Run("goroutines", func(t *testing.T) {
 		test(t, func(sockets int) *subject {
@@ -96,8 +96,8 @@
 	return a
 }
 
-func requestsOf(s *testbed.Script) []*http.Request {
-	r, _, _ := s.Seen()
+func requestsOf(s *testbed.ScriptedServer) []*http.Request {
+	r, _, _ := s.Received()
 	return r
 }
 
@@ -123,10 +123,10 @@
 		"too late": func(a *testAttempt) { a.Deadline = time.Now() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, u := testbed.NewScript(t, testbed.Say(200, "")), newUpstream(1024)
+			s, u := testbed.NewScriptedServer(t, testbed.Respond(200, "")), newUpstream(1024)
 			e := endpointAt(s.Addr)
-			u.want(t, newAttempt(e, testbed.Patience), balance.OK)
-			a := newAttempt(e, testbed.Patience)
+			u.want(t, newAttempt(e, testbed.Timeout), balance.OK)
+			a := newAttempt(e, testbed.Timeout)
 			if change(a); a.ctx.Err() != nil && u.poll != nil {
 				t.Skip("a cancelled attempt is never started")
 			}
@@ -145,16 +145,16 @@
 }
 
 func testClosedConnectionsAreNotReused(t *testing.T, newUpstream func(int) *subject) {
-	ending := testbed.NewScript(t, func(c net.Conn) bool { testbed.Say(200, "")(c); return false })
+	ending := testbed.NewScriptedServer(t, func(c net.Conn) bool { testbed.Respond(200, "")(c); return false })
 	u, e := newUpstream(1024), endpointAt(ending.Addr)
-	u.want(t, newAttempt(e, testbed.Patience), balance.OK)
+	u.want(t, newAttempt(e, testbed.Timeout), balance.OK)
 	testbed.Until(t, "the server closes", func() bool {
 		u.pool.mu.Lock()
 		defer u.pool.mu.Unlock()
 		return len(u.pool.idle[e]) == 0 || u.pool.idle[e][0].state() != socket.Idle
 	})
-	u.want(t, newAttempt(e, testbed.Patience), balance.OK)
-	if _, _, conns := ending.Seen(); conns != 2 {
+	u.want(t, newAttempt(e, testbed.Timeout), balance.OK)
+	if _, _, conns := ending.Received(); conns != 2 {
 		t.Errorf("%d connections, want a second one", conns)
 	}
 	testbed.Until(t, "closed connections are not counted", func() bool { return u.openConns() <= 1 })
@@ -167,7 +167,7 @@
 func testRefusedConnectionIsConnectFailed(t *testing.T, newUpstream func(int) *subject) {
 	ln := testbed.Listen(t)
 	_ = ln.Close()
-	newUpstream(1024).want(t, newAttempt(endpointAt(ln.Addr().String()), testbed.Patience), balance.ConnectFailed)
+	newUpstream(1024).want(t, newAttempt(endpointAt(ln.Addr().String()), testbed.Timeout), balance.ConnectFailed)
 }
 
 // Cancelling an attempt must close its connection, so that it neither occupies a socket nor carries another request.
@@ -183,11 +183,11 @@
 		ended <- err != nil
 		return false
 	}
-	s, u := testbed.NewScript(t, hang), newUpstream(1024)
+	s, u := testbed.NewScriptedServer(t, hang), newUpstream(1024)
 	e := endpointAt(s.Addr)
 	u.want(t, newAttempt(e, 2*time.Second), balance.TimedOut)
 	testbed.Next(t, ended)
-	a := newAttempt(e, testbed.Patience)
+	a := newAttempt(e, testbed.Timeout)
 	go func() {
 		for len(requestsOf(s)) < 2 {
 			time.Sleep(time.Millisecond)
@@ -206,19 +206,19 @@
 func TestConnectionLimit(t *testing.T) { forEachBackend(t, testConnectionLimit) }
 
 func testConnectionLimit(t *testing.T, newUpstream func(int) *subject) {
-	first, second := testbed.NewScript(t, testbed.Say(200, "")), testbed.NewScript(t, testbed.Say(200, ""))
+	first, second := testbed.NewScriptedServer(t, testbed.Respond(200, "")), testbed.NewScriptedServer(t, testbed.Respond(200, ""))
 	u := newUpstream(1) // at most one connection
-	u.want(t, newAttempt(endpointAt(first.Addr), testbed.Patience), balance.OK)
-	u.want(t, newAttempt(endpointAt(second.Addr), testbed.Patience), balance.OK)
+	u.want(t, newAttempt(endpointAt(first.Addr), testbed.Timeout), balance.OK)
+	u.want(t, newAttempt(endpointAt(second.Addr), testbed.Timeout), balance.OK)
 	if n := u.openConns(); n != 1 {
 		t.Errorf("%d connections open, want 1", n)
 	}
-	c, err := u.pool.get(context.Background(), endpointAt(first.Addr), time.Now().Add(testbed.Patience), 0)
+	c, err := u.pool.get(context.Background(), endpointAt(first.Addr), time.Now().Add(testbed.Timeout), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer u.pool.drop(c)
-	u.want(t, newAttempt(endpointAt(second.Addr), testbed.Patience), balance.NotSent)
+	u.want(t, newAttempt(endpointAt(second.Addr), testbed.Timeout), balance.NotSent)
 }
 
 // A connection with surplus bytes after the response must not be reused.
@@ -227,13 +227,13 @@
 }
 
 func testConnectionWithExtraDataIsNotReused(t *testing.T, newUpstream func(int) *subject) {
-	s := testbed.NewScript(t, func(c net.Conn) bool {
+	s := testbed.NewScriptedServer(t, func(c net.Conn) bool {
 		_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray")
 		return err == nil
 	})
 	u, e := newUpstream(1024), endpointAt(s.Addr)
 	for range 2 {
-		if r := u.want(t, newAttempt(e, testbed.Patience), balance.OK); r.Answer != nil && len(r.Answer.Body) != 0 {
+		if r := u.want(t, newAttempt(e, testbed.Timeout), balance.OK); r.Answer != nil && len(r.Answer.Body) != 0 {
 			t.Errorf("got the body %q", r.Answer.Body)
 		}
 	}
@@ -242,7 +242,7 @@
 func TestProbe(t *testing.T) { forEachBackend(t, testProbe) }
 
 func testProbe(t *testing.T, newUpstream func(int) *subject) {
-	s := testbed.NewScript(t, testbed.Say(200, "TEXT util=0.5, qps=12"), testbed.Say(503, ""))
+	s := testbed.NewScriptedServer(t, testbed.Respond(200, "TEXT util=0.5, qps=12"), testbed.Respond(503, ""))
 	u := newUpstream(1024)
 	r := u.runProbe(t, endpointAt(s.Addr))
 	if r.Outcome != balance.OK || len(r.Report) != 2 || r.Report[0] != 0.5 || r.Report[1] != 12 {
--- a/internal/upstream/msgpackrpc/backend_test.go
+++ b/internal/upstream/msgpackrpc/backend_test.go
@@ -69,14 +69,14 @@
 type testBackend struct {
 	*Backend
 	t   *testing.T
-	log *testbed.Log
+	log *testbed.LogBuffer
 }
 
 func newTestBackend(t *testing.T, change func(*Config)) *testBackend {
 	t.Helper()
-	b := &testBackend{t: t, log: &testbed.Log{}}
+	b := &testBackend{t: t, log: &testbed.LogBuffer{}}
 	cfg := Config{
-		ConnectTimeout: testbed.Patience, IdleTimeout: testbed.Patience, MaxConnsPerServer: 1, MaxConns: 10, MaxOpenPerConn: 1000,
+		ConnectTimeout: testbed.Timeout, IdleTimeout: testbed.Timeout, MaxConnsPerServer: 1, MaxConns: 10, MaxOpenPerConn: 1000,
 		NeverRan: []string{"busy", "-7"}, ApplicationErrors: []string{"none"}, Log: slog.New(slog.NewTextHandler(b.log, nil)),
 	}
 	if change != nil {
@@ -114,7 +114,7 @@
 	const n = 50
 	var ends [n]chan core.Result
 	for i := range n {
-		_, ends[i] = b.startAttempt(e, testbed.Patience)
+		_, ends[i] = b.startAttempt(e, testbed.Timeout)
 	}
 	var got [n]*receivedRequest
 	for i := range n {
@@ -154,7 +154,7 @@
 		"code that is a map":     {map[string]any{"code": map[string]any{}}, balance.Failed},
 		"true":                   {true, balance.Failed},
 	} {
-		_, ended := b.startAttempt(e, testbed.Patience)
+		_, ended := b.startAttempt(e, testbed.Timeout)
 		testbed.Next(t, s.requests).respond(pack(c.failure), nil)
 		r := want(t, ended, c.want)
 		if c.want == balance.OK && (!r.Answer.ApplicationError || !bytes.Equal(r.Answer.Body, pack(c.failure))) {
@@ -176,13 +176,13 @@
 		t.Run(name, func(t *testing.T) {
 			s, b := newServer(t), newTestBackend(t, nil)
 			e := core.NewEndpoint("s-1", s.addr)
-			_, first := b.startAttempt(e, testbed.Patience)
-			_, second := b.startAttempt(e, testbed.Patience)
+			_, first := b.startAttempt(e, testbed.Timeout)
+			_, second := b.startAttempt(e, testbed.Timeout)
 			one, two := testbed.Next(t, s.requests), testbed.Next(t, s.requests)
 			stray(one)
 			testbed.Until(t, "the response is counted", func() bool { return b.Unmatched() == 1 })
-			testbed.Until(t, "the response is logged", func() bool { return b.log.Has("matches nothing") })
-			_, third := b.startAttempt(e, testbed.Patience)
+			testbed.Until(t, "the response is logged", func() bool { return b.log.Contains("matches nothing") })
+			_, third := b.startAttempt(e, testbed.Timeout)
 			three := testbed.Next(t, s.requests)
 			if three.conn == one.conn {
 				t.Error("a new request uses the retired connection")
@@ -195,7 +195,7 @@
 			want(t, second, balance.OK)
 			three.respond(nil, []byte{3})
 			want(t, third, balance.OK)
-			_ = one.conn.SetReadDeadline(time.Now().Add(testbed.Patience))
+			_ = one.conn.SetReadDeadline(time.Now().Add(testbed.Timeout))
 			testbed.Until(t, "the connection closes", func() bool {
 				b.mu.Lock()
 				defer b.mu.Unlock()
@@ -208,8 +208,8 @@
 // A response on another connection than its request must not match: connections use different ids.
 func TestResponseOnWrongConnectionIsUnmatched(t *testing.T) {
 	one, two, b := newServer(t), newServer(t), newTestBackend(t, nil)
-	_, first := b.startAttempt(core.NewEndpoint("s-1", one.addr), testbed.Patience)
-	_, second := b.startAttempt(core.NewEndpoint("s-2", two.addr), testbed.Patience)
+	_, first := b.startAttempt(core.NewEndpoint("s-1", one.addr), testbed.Timeout)
+	_, second := b.startAttempt(core.NewEndpoint("s-2", two.addr), testbed.Timeout)
 	a, c := testbed.Next(t, one.requests), testbed.Next(t, two.requests)
 	_, _ = a.conn.Write(codec.AppendResponse(nil, c.id, nil, []byte{2}))
 	testbed.Until(t, "the response is counted", func() bool { return b.Unmatched() == 1 })
@@ -230,7 +230,7 @@
 	e := core.NewEndpoint("s-1", s.addr)
 	var ends []chan core.Result
 	for range 20 {
-		_, ended := b.startAttempt(e, testbed.Patience)
+		_, ended := b.startAttempt(e, testbed.Timeout)
 		ends = append(ends, ended)
 	}
 	var last *receivedRequest
@@ -242,7 +242,7 @@
 	for _, ended := range ends {
 		want(t, ended, balance.Reset)
 	}
-	_, again := b.startAttempt(e, testbed.Patience) // on a new connection
+	_, again := b.startAttempt(e, testbed.Timeout) // on a new connection
 	testbed.Next(t, s.requests).respond(nil, nil)
 	want(t, again, balance.OK)
 	for _, ended := range ends {
@@ -269,7 +269,7 @@
 	const n = 300
 	ended := make(chan core.Result, n)
 	for range n {
-		b.Begin(core.NewAttempt(e, big, time.Now().Add(testbed.Patience), func(r core.Result) { ended <- r }))
+		b.Begin(core.NewAttempt(e, big, time.Now().Add(testbed.Timeout), func(r core.Result) { ended <- r }))
 	}
 	conn := testbed.Next(t, accepted)
 	defer func() { _ = conn.Close() }()
@@ -287,7 +287,7 @@
 	ln := testbed.Listen(t)
 	_ = ln.Close()
 	b := newTestBackend(t, nil)
-	_, ended := b.startAttempt(core.NewEndpoint("s-1", ln.Addr().String()), testbed.Patience)
+	_, ended := b.startAttempt(core.NewEndpoint("s-1", ln.Addr().String()), testbed.Timeout)
 	want(t, ended, balance.ConnectFailed)
 }
 
@@ -295,7 +295,7 @@
 func TestLateResponsesToAbandonedAttempts(t *testing.T) {
 	s, b := newServer(t), newTestBackend(t, nil)
 	e := core.NewEndpoint("s-1", s.addr)
-	cancelled, one := b.startAttempt(e, testbed.Patience)
+	cancelled, one := b.startAttempt(e, testbed.Timeout)
 	_, two := b.startAttempt(e, 100*time.Millisecond)
 	first, second := testbed.Next(t, s.requests), testbed.Next(t, s.requests)
 	b.Cancel(cancelled)
@@ -304,7 +304,7 @@
 	want(t, two, balance.TimedOut)
 	first.respond(nil, nil)
 	second.respond(nil, nil)
-	_, three := b.startAttempt(e, testbed.Patience)
+	_, three := b.startAttempt(e, testbed.Timeout)
 	third := testbed.Next(t, s.requests)
 	third.respond(nil, nil)
 	want(t, three, balance.OK)
@@ -331,7 +331,7 @@
 			b.servers[e] = append(b.servers[e], c)
 			b.sockets++
 			b.mu.Unlock()
-			a, ended := b.startAttempt(e, testbed.Patience)
+			a, ended := b.startAttempt(e, testbed.Timeout)
 			change(a, b)
 			b.running.Go(c.run)
 			want(t, ended, balance.NotSent)
@@ -346,7 +346,7 @@
 func TestDrainWaitsForOpenAttempts(t *testing.T) {
 	s, b := newServer(t), newTestBackend(t, nil)
 	e := core.NewEndpoint("s-1", s.addr)
-	_, ended := b.startAttempt(e, testbed.Patience)
+	_, ended := b.startAttempt(e, testbed.Timeout)
 	open := testbed.Next(t, s.requests)
 	e.Close()
 	b.CloseIdle(e)
@@ -364,7 +364,7 @@
 	s, b := newServer(t), newTestBackend(t, func(c *Config) { c.IdleTimeout = 50 * time.Millisecond })
 	e := core.NewEndpoint("s-1", s.addr)
 	use := func() {
-		_, ended := b.startAttempt(e, testbed.Patience)
+		_, ended := b.startAttempt(e, testbed.Timeout)
 		testbed.Next(t, s.requests).respond(nil, nil)
 		want(t, ended, balance.OK)
 	}
@@ -397,14 +397,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, b := newServer(t), newTestBackend(t, nil)
-			_, ended := b.startAttempt(core.NewEndpoint("s-1", s.addr), testbed.Patience)
+			_, ended := b.startAttempt(core.NewEndpoint("s-1", s.addr), testbed.Timeout)
 			conn := testbed.Next(t, s.requests).conn
 			_, _ = io.WriteString(conn, c.text)
 			if strings.HasPrefix(name, "cut") {
 				_ = conn.Close()
 			}
 			want(t, ended, balance.Reset)
-			testbed.Until(t, "the reason is logged", func() bool { return b.log.Has(c.log) })
+			testbed.Until(t, "the reason is logged", func() bool { return b.log.Contains(c.log) })
 		})
 	}
 }
@@ -412,7 +412,7 @@
 // A notification from a server is ignored.
 func TestNotificationFromServer(t *testing.T) {
 	s, b := newServer(t), newTestBackend(t, nil)
-	_, ended := b.startAttempt(core.NewEndpoint("s-1", s.addr), testbed.Patience)
+	_, ended := b.startAttempt(core.NewEndpoint("s-1", s.addr), testbed.Timeout)
 	got := testbed.Next(t, s.requests)
 	_, _ = got.conn.Write(codec.AppendNotification(nil, "progress", []byte{0x90}))
 	got.respond(nil, []byte{5})
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -10,21 +10,21 @@
 
 // Action codes.
 const (
-	codeSend    = 1000
-	codeRefuse  = 1010
-	codeFail    = 1020
-	codeCancel  = 1030
-	codeTimer   = 1040
-	codeProbe   = 1050
-	codeClose   = 1060
-	codePost    = 1070
-	codeTrace   = 1080
-	codeFault   = 1090
-	codeWatch   = 1100
-	codeFetch   = 1110
-	everyPeer   = 0xffffffff
-	maxText     = 0xffff
-	replyHeader = 4
+	codeSend         = 1000
+	codeRefuse       = 1010
+	codeFail         = 1020
+	codeCancel       = 1030
+	codeTimer        = 1040
+	codeProbe        = 1050
+	codeCloseIdle    = 1060
+	codeSendMessage  = 1070
+	codeLog          = 1080
+	codeFault        = 1090
+	codeSubscribe    = 1100
+	codeFetchList    = 1110
+	allPeers         = 0xffffffff
+	maxTextBytes     = 0xffff
+	replyHeaderBytes = 4
 )
 
 // Reply gathers the actions that answer one frame.
@@ -43,64 +43,64 @@
 // Add appends the actions of one instance.
 func (r *Reply) Add(instance uint16, actions []balance.Action) {
 	for i := range actions {
-		r.add(instance, &actions[i])
+		r.appendAction(instance, &actions[i])
 	}
 }
 
 // Fault reports that an instance's decision code broke.
 func (r *Reply) Fault(instance uint16, text string) {
-	r.head(codeFault, instance)
-	r.text([]byte(text))
+	r.appendHeader(codeFault, instance)
+	r.appendText([]byte(text))
 }
 
-func (r *Reply) add(instance uint16, a *balance.Action) {
+func (r *Reply) appendAction(instance uint16, a *balance.Action) {
 	switch a.Kind {
 	case balance.Send:
-		r.head(codeSend, instance)
+		r.appendHeader(codeSend, instance)
 		r.u64(uint64(a.Request))
 		r.f64(a.At)
 		r.server(a.Server)
 	case balance.Refuse:
-		r.head(codeRefuse, instance)
+		r.appendHeader(codeRefuse, instance)
 		r.u64(uint64(a.Request))
 		r.f64(a.At)
 	case balance.Fail:
-		r.head(codeFail, instance)
+		r.appendHeader(codeFail, instance)
 		r.u64(uint64(a.Request))
 	case balance.Cancel:
-		r.head(codeCancel, instance)
+		r.appendHeader(codeCancel, instance)
 		r.u64(uint64(a.Request))
 		r.buf = append(r.buf, uint8(a.Attempt))
 	case balance.SetTimer:
-		r.head(codeTimer, instance)
+		r.appendHeader(codeTimer, instance)
 		r.u64(a.Token)
 		r.f64(a.At)
 	case balance.Probe:
-		r.head(codeProbe, instance)
+		r.appendHeader(codeProbe, instance)
 		r.server(a.Server)
 	case balance.CloseIdle:
-		r.head(codeClose, instance)
+		r.appendHeader(codeCloseIdle, instance)
 		r.server(a.Server)
 	case balance.SendMessage:
-		r.head(codePost, instance)
-		peer := uint32(everyPeer)
+		r.appendHeader(codeSendMessage, instance)
+		peer := uint32(allPeers)
 		if a.Peer >= 0 {
 			peer = uint32(a.Peer)
 		}
 		r.buf = binary.BigEndian.AppendUint32(r.buf, peer)
-		r.text(a.Data)
+		r.appendText(a.Data)
 	case balance.Log:
-		r.head(codeTrace, instance)
-		r.text([]byte(a.Text))
+		r.appendHeader(codeLog, instance)
+		r.appendText([]byte(a.Text))
 	case balance.Subscribe:
-		r.head(codeWatch, instance)
+		r.appendHeader(codeSubscribe, instance)
 		r.buf = append(r.buf, 1)
 	case balance.FetchList:
-		r.head(codeFetch, instance)
+		r.appendHeader(codeFetchList, instance)
 	}
 }
 
-func (r *Reply) head(code, instance uint16) {
+func (r *Reply) appendHeader(code, instance uint16) {
 	r.buf = binary.BigEndian.AppendUint16(r.buf, code)
 	r.buf = binary.BigEndian.AppendUint16(r.buf, instance)
 }
@@ -113,9 +113,9 @@
 	r.buf = binary.BigEndian.AppendUint16(r.buf, uint16(id))
 }
 
-func (r *Reply) text(b []byte) {
-	if len(b) > maxText {
-		b = b[:maxText]
+func (r *Reply) appendText(b []byte) {
+	if len(b) > maxTextBytes {
+		b = b[:maxTextBytes]
 	}
 	r.buf = binary.BigEndian.AppendUint16(r.buf, uint16(len(b)))
 	r.buf = append(r.buf, b...)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -53,7 +53,7 @@
 		0442 0003 0002978f5d3a91c4 00 0a124a07 232b 0000 4032800000000000 01 00`
 )
 
-func TestDecodesTheProtocolsExamples(t *testing.T) {
+func TestDecodeProtocolExamples(t *testing.T) {
 	in := unhex(t, emptyFrame+eventsFrame+listFrame+endedFrame)
 	recs, clock, err := readAll(NewReader(bytes.NewReader(in)))
 	if err != nil {
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestEncodesTheProtocolsExamples(t *testing.T) {
+func TestEncodeProtocolExamples(t *testing.T) {
 	var r Reply
 	r.Reset()
 	r.Add(3, []balance.Action{
@@ -111,7 +111,7 @@
 	}
 }
 
-func TestMalformedFramesAreErrors(t *testing.T) {
+func TestMalformedFrames(t *testing.T) {
 	for name, frame := range map[string]string{
 		"header cut short":     "00000000 0000",
 		"length under header":  "00000000 0000000f 40c06e2000000000",
@@ -144,7 +144,7 @@
 	f.Add(unhex(f, "00000001 00000018 40c06e2000000000 03e8 0000 ffffffff"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		recs, _, err := readAll(NewReader(bytes.NewReader(in)))
-		if err == nil && len(in) > 0 && len(in) < headerSize {
+		if err == nil && len(in) > 0 && len(in) < headerBytes {
 			t.Fatalf("%d bytes read as %d records", len(in), len(recs))
 		}
 	})
--- a/msgpackrpc/msgpackrpc.go
+++ b/msgpackrpc/msgpackrpc.go
@@ -33,7 +33,7 @@
 	Method int // bytes of a method's name; 256
 }
 
-func (l Limits) filled() Limits {
+func (l Limits) withDefaults() Limits {
 	if l.Frame <= 0 {
 		l.Frame = 64 << 10
 	}
@@ -81,23 +81,23 @@
 // Reader reads frames from a stream. It holds one frame at a time, of Limits.Frame bytes at most, and allocates no more
 // than twice what has come of it, whatever lengths are announced. It is not safe for concurrent use.
 type Reader struct {
-	from   io.Reader
-	limits Limits
-	buf    []byte // what has come; the present frame begins at start
-	start  int
-	used   int      // bytes of buf that belong to the frame returned last
-	open   []uint64 // the scanner's, kept for the next frame
-	rush   bool     // the last read filled the buffer
-	err    error
+	src          io.Reader
+	limits       Limits
+	buf          []byte // what has come; the present frame begins at start
+	start        int
+	frameBytes   int      // bytes of buf that belong to the frame returned last
+	pending      []uint64 // the scanner's, kept for the next frame
+	lastReadFull bool     // the last read filled the buffer
+	err          error
 }
 
 // firstBuffer is what a reader allocates for a connection that says little, and mostBuffer what it may grow to for one
 // that says much, whose frames are short.
-const firstBuffer, mostBuffer = 512, 16 << 10
+const initialBufferBytes, busyBufferBytes = 512, 16 << 10
 
 // NewReader returns a reader of the frames of from, which need not be buffered.
-func NewReader(from io.Reader, limits Limits) *Reader {
-	return &Reader{from: from, limits: limits.filled()}
+func NewReader(src io.Reader, limits Limits) *Reader {
+	return &Reader{src: src, limits: limits.withDefaults()}
 }
 
 // Next returns the next frame. It returns io.EOF where the stream ends between two frames, io.ErrUnexpectedEOF where it
@@ -112,18 +112,18 @@
 }
 
 func (r *Reader) next() (Frame, error) {
-	r.start += r.used
-	r.used = 0
-	s := scanner{limits: r.limits, open: r.open[:0]}
-	defer func() { r.open = s.open }()
+	r.start += r.frameBytes
+	r.frameBytes = 0
+	s := scanner{limits: r.limits, pending: r.pending[:0]}
+	defer func() { r.pending = s.pending }()
 	for {
 		done, err := s.scan(r.buf[r.start:])
 		if err != nil {
 			return Frame{}, err
 		}
 		if done {
-			r.used = s.at
-			return r.parse(r.buf[r.start : r.start+s.at])
+			r.frameBytes = s.offset
+			return r.parse(r.buf[r.start : r.start+s.offset])
 		}
 		if err := r.fill(); err != nil {
 			if errors.Is(err, io.EOF) && len(r.buf) > r.start {
@@ -135,7 +135,7 @@
 }
 
 // Buffered returns how many bytes have come that belong to no frame returned so far.
-func (r *Reader) Buffered() int { return len(r.buf) - r.start - r.used }
+func (r *Reader) Buffered() int { return len(r.buf) - r.start - r.frameBytes }
 
 // fill reads more of the stream. What was returned before makes room for it.
 func (r *Reader) fill() error {
@@ -144,17 +144,17 @@
 		r.start = 0
 	}
 	switch {
-	case len(r.buf) == 0 && cap(r.buf) > firstBuffer && !r.rush:
-		r.buf = make([]byte, 0, firstBuffer) // what a long frame or a rush took is given back
-	case len(r.buf) == cap(r.buf) || r.rush && cap(r.buf) < mostBuffer:
-		bigger := make([]byte, len(r.buf), max(firstBuffer, 2*cap(r.buf)))
+	case len(r.buf) == 0 && cap(r.buf) > initialBufferBytes && !r.lastReadFull:
+		r.buf = make([]byte, 0, initialBufferBytes) // what a long frame or a rush took is given back
+	case len(r.buf) == cap(r.buf) || r.lastReadFull && cap(r.buf) < busyBufferBytes:
+		bigger := make([]byte, len(r.buf), max(initialBufferBytes, 2*cap(r.buf)))
 		copy(bigger, r.buf)
 		r.buf = bigger
 	}
 	for range 100 { // as bufio does with a reader that returns nothing
-		n, err := r.from.Read(r.buf[len(r.buf):cap(r.buf)])
+		n, err := r.src.Read(r.buf[len(r.buf):cap(r.buf)])
 		r.buf = r.buf[:len(r.buf)+n]
-		r.rush = n > 0 && len(r.buf) == cap(r.buf)
+		r.lastReadFull = n > 0 && len(r.buf) == cap(r.buf)
 		if n > 0 {
 			return nil // an error comes again
 		}
@@ -166,7 +166,7 @@
 }
 
 // counts is how many elements the frame of each kind has.
-var counts = [...]uint32{Request: 4, Response: 4, Notification: 3}
+var elementCounts = [...]uint32{Request: 4, Response: 4, Notification: 3}
 
 // parse takes a whole frame apart.
 func (r *Reader) parse(b []byte) (f Frame, err error) {
@@ -176,7 +176,7 @@
 		return f, fmt.Errorf("%w: its kind is not 0, 1 or 2", ErrMalformed)
 	}
 	f.Kind = Kind(kind)
-	if want := counts[f.Kind]; n != want {
+	if want := elementCounts[f.Kind]; n != want {
 		return f, fmt.Errorf("%w: %d elements where %d are wanted", ErrMalformed, n, want)
 	}
 	if f.Kind != Notification {
--- a/msgpackrpc/msgpackrpc_test.go
+++ b/msgpackrpc/msgpackrpc_test.go
@@ -34,8 +34,8 @@
 }
 
 // readAll reads frames until an error, and copies what they hold.
-func readAll(from io.Reader, limits Limits) (frames []Frame, err error) {
-	r := NewReader(from, limits)
+func readAll(src io.Reader, limits Limits) (frames []Frame, err error) {
+	r := NewReader(src, limits)
 	for {
 		f, err := r.Next()
 		if err != nil {
@@ -71,7 +71,7 @@
 }
 
 // Frames come in any pieces: many in one, one in pieces of a byte, and with the end of the stream behind the last byte.
-func TestPieces(t *testing.T) {
+func TestFragmentedFrames(t *testing.T) {
 	var stream []byte
 	for id := range uint32(20) {
 		stream = AppendRequest(stream, id*id*1000, strings.Repeat("m", int(id)), pack(t, []any{id, strings.Repeat("x", int(id)*40)}))
@@ -95,12 +95,12 @@
 }
 
 // endless gives the same byte for ever, and counts.
-type endless struct {
+type repeatReader struct {
 	b byte
 	n int
 }
 
-func (e *endless) Read(p []byte) (int, error) {
+func (e *repeatReader) Read(p []byte) (int, error) {
 	for i := range p {
 		p[i] = e.b
 	}
@@ -109,7 +109,7 @@
 }
 
 // What no peer may send, and the error that it leads to.
-func TestBadFrames(t *testing.T) {
+func TestMalformedFrames(t *testing.T) {
 	for name, c := range map[string]struct {
 		hex  string
 		want error
@@ -152,7 +152,7 @@
 }
 
 // A hundred thousand arrays within one another end at the limit, and neither recursion nor memory follow them.
-func TestNesting(t *testing.T) {
+func TestNestingLimit(t *testing.T) {
 	deep := append(unhex(t, "94 00 01 a1 61"), bytes.Repeat([]byte{0x91}, 100000)...)
 	if _, err := readAll(bytes.NewReader(deep), Limits{Frame: 1 << 20}); !errors.Is(err, ErrTooDeep) {
 		t.Errorf("error %v", err)
@@ -164,15 +164,15 @@
 }
 
 // A frame that is announced as long as the limit allows costs no more memory than what has come of it.
-func TestMemoryFollowsWhatHasCome(t *testing.T) {
+func TestMemoryBoundedByReceivedBytes(t *testing.T) {
 	r := NewReader(bytes.NewReader(unhex(t, "94 00 01 a1 61 91 c6 000fff00")), Limits{Frame: 1 << 20})
 	if _, err := r.Next(); !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Fatal(err)
 	}
-	if cap(r.buf) > firstBuffer {
+	if cap(r.buf) > initialBufferBytes {
 		t.Errorf("%d bytes are held for 11", cap(r.buf))
 	}
-	e := &endless{b: 0x91}
+	e := &repeatReader{b: 0x91}
 	if _, err := NewReader(e, Limits{}).Next(); err == nil || e.n > 4096 {
 		t.Errorf("%d bytes are read of a stream without end, error %v", e.n, err)
 	}
