--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -1,6 +1,5 @@
-// Package call is a small client for the command line: it makes one request, or the same one several times at once, over
-// HTTP/1.1 or MessagePack-RPC, and shows the answers. It is for people who try a sidecar or a server; it retries nothing
-// and owns no rule.
+// Package call is a small client for the command line. It makes one request, or several equal ones at once, over
+// HTTP/1.1 or MessagePack-RPC, and prints the responses. It serves to try out a sidecar or a server, and does not retry.
 package call
 
 import (
@@ -25,31 +24,31 @@
 	codec "firplank/msgpackrpc"
 )
 
-// Request is what to ask, and of whom. Over MessagePack-RPC only To, Method, Params, Timeout and Count are used.
+// Request is the request to make. Over MessagePack-RPC only URL, Method, Params, Timeout and Count are used.
 type Request struct {
 	URL            *url.URL // http://host:port/path, or msgpack-rpc://host:port
-	Method         string   // of MessagePack-RPC
+	Method         string   // for MessagePack-RPC
 	Params         string   // a JSON array
 	Class          string
 	Tenant         string
-	IdempotencyKey string // the idempotency key
+	IdempotencyKey string
 	Object         string
-	Body           string // without one the method is GET
+	Body           string // if Body and IdempotencyKey are empty, the method is GET
 	Timeout        time.Duration
-	Count          int // requests at once, 1 or more
+	Count          int // concurrent requests, at least 1
 }
 
 // Errors that end a call.
 var (
-	ErrRefused = errors.New("refused: trying again is harmless")
+	ErrRefused = errors.New("refused: safe to retry")
 	ErrFailed  = errors.New("failed")
 )
 
-// mostAnswer bounds an answer.
+// maxResponseBytes bounds a response.
 const maxResponseBytes = 16 << 20
 
-// Do makes the request and writes each answer on a line of its own as it comes. The error is the first that an answer
-// means, ErrRefused or ErrFailed, or why there is none.
+// Do makes the requests and writes each response on its own line as it arrives. The error is ErrRefused or ErrFailed
+// after the first response that means it, or why a response is missing.
 func Do(ctx context.Context, r *Request, out io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, r.Timeout)
 	defer cancel()
@@ -63,7 +62,7 @@
 }
 
 func (r *Request) http(ctx context.Context, out io.Writer) error {
-	var mu sync.Mutex // over out and errs
+	var mu sync.Mutex // guards out and errs
 	var errs []error
 	var all sync.WaitGroup
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: r.Count}}
@@ -114,7 +113,7 @@
 	if err != nil {
 		return "", fmt.Errorf("call: %w", err)
 	}
-	defer func() { _ = resp.Body.Close() }() // the body has been read, or is not wanted
+	defer func() { _ = resp.Body.Close() }() // the connection is closed with the client
 	text, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return "", fmt.Errorf("call: %w", err)
@@ -132,7 +131,7 @@
 	return line, ErrFailed
 }
 
-// rpc sends all requests in one piece over one connection.
+// rpc sends all requests in one write over one connection.
 func (r *Request) rpc(ctx context.Context, out io.Writer) error {
 	printer := output.New(out)
 	params, err := parseParams(r.Params)
@@ -145,7 +144,7 @@
 		return fmt.Errorf("call: %w", err)
 	}
 	defer func() { _ = c.Close() }() // the connection is released even where this fails
-	// Fails only on a closed connection, as the next call on it does.
+	// Fails only on a closed connection, and so does the next call.
 	defer context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })()
 	var frames []byte
 	for id := range uint32(r.Count) {
@@ -162,10 +161,10 @@
 	for in := codec.NewReader(c, codec.Limits{Frame: maxResponseBytes}); len(pending) > 0; {
 		f, err := in.Next()
 		if err != nil {
-			return fmt.Errorf("call: %d of %d answers came: %w", r.Count-len(pending), r.Count, err)
+			return fmt.Errorf("call: received %d of %d responses: %w", r.Count-len(pending), r.Count, err)
 		}
 		if f.Kind != codec.Response || !pending[f.ID] {
-			return fmt.Errorf("call: a response to id %d, which is not open", f.ID)
+			return fmt.Errorf("call: unexpected frame or response to unknown id %d", f.ID)
 		}
 		delete(pending, f.ID)
 		if !f.Failed() {
@@ -182,7 +181,7 @@
 	return firstError(errs)
 }
 
-// toJSON shows a value in MessagePack.
+// toJSON returns a MessagePack value as JSON.
 func toJSON(b []byte) string {
 	var text bytes.Buffer
 	if _, err := msgp.UnmarshalAsJSON(&text, b); err != nil {
@@ -196,25 +195,25 @@
 	return err == nil && v["code"] == "refused"
 }
 
-// toParams makes params of a JSON array; whole numbers stay whole.
+// parseParams encodes a JSON array as params. Integers stay integers.
 func parseParams(text string) ([]byte, error) {
 	var params []any
 	d := json.NewDecoder(strings.NewReader(cmp.Or(text, "[]")))
 	d.UseNumber()
 	if err := d.Decode(&params); err != nil {
-		return nil, fmt.Errorf("call: params are no JSON array: %w", err)
+		return nil, fmt.Errorf("call: params are not a JSON array: %w", err)
 	}
 	if d.More() {
-		return nil, errors.New("call: params are no JSON array: more comes behind it")
+		return nil, errors.New("call: params are not a JSON array: text after the array")
 	}
 	b, err := msgp.AppendIntf(nil, convertNumbers(params))
 	if err != nil {
-		return nil, fmt.Errorf("call: params: %w", err)
+		return nil, fmt.Errorf("call: encode params: %w", err)
 	}
 	return b, nil
 }
 
-// plain turns the numbers of JSON into those of Go.
+// convertNumbers replaces the numbers of JSON by int64 and float64.
 func convertNumbers(v any) any {
 	switch v := v.(type) {
 	case json.Number:
--- a/internal/call/call_test.go
+++ b/internal/call/call_test.go
@@ -41,7 +41,7 @@
 	}
 	if r := <-received; r.Method != "GET" || r.Header.Get("X-Qos") != "lookup" || r.Header.Get("X-Trace-Id") == "" ||
 		r.Header.Get("X-Expires-In") != "30000m" {
-		t.Errorf("asked %s with %v", r.Method, r.Header)
+		t.Errorf("server received %s with %v", r.Method, r.Header)
 	}
 	status = http.StatusServiceUnavailable
 	out, err = do(t, &Request{Class: "reserve", IdempotencyKey: "k", Count: 3}, "http://"+addr+"/api/x")
@@ -49,7 +49,7 @@
 		t.Errorf("%q, %v", out, err)
 	}
 	if r := <-received; r.Method != "POST" || r.Header.Get("Idempotency-Key") != "k" {
-		t.Errorf("asked %s with %v", r.Method, r.Header)
+		t.Errorf("server received %s with %v", r.Method, r.Header)
 	}
 	status = http.StatusBadGateway
 	if _, err := do(t, &Request{}, "http://"+addr+"/api/x"); !errors.Is(err, ErrFailed) {
--- a/internal/httpwire/chunks.go
+++ b/internal/httpwire/chunks.go
@@ -9,30 +9,30 @@
 )
 
 const (
-	// maxChunkLine bounds a line of a chunked body without data: a size with extensions, or a trailer field.
+	// maxChunkLineBytes bounds a line of a chunked body without data: a size with extensions, or a trailer field.
 	maxChunkLineBytes = 1 << 10
 	maxTrailerBytes   = 32 << 10 // bytes of trailer fields, which are discarded
 )
 
-// Faults of a chunked body.
+// Errors in a chunked body.
 var (
 	ErrMalformedChunk  = errors.New("a chunk that is none")
 	ErrTrailersTooLong = errors.New("trailers too long")
 	ErrBodyTooLong     = errors.New("body too long")
 )
 
-// ChunkReader decodes a chunked body (RFC 9112, 7.1) piece by piece. It discards extensions and trailer fields. The zero value is ready for
-// a body. It is not safe for concurrent use.
+// ChunkReader decodes a chunked body (RFC 9112, 7.1) incrementally. It discards extensions and trailer fields. The zero
+// value is ready for use. It is not safe for concurrent use.
 type ChunkReader struct {
-	Body         []byte // what is decoded; the caller may remove it
+	Body         []byte // the decoded bytes; the caller may remove them
 	total        int64
-	remaining    int // bytes of the current chunk, with its line end
+	remaining    int // bytes left of the current chunk, with its line end
 	trailerBytes int // bytes of trailer fields so far
 	lastChunk    bool
 }
 
-// Next decodes b and returns how many bytes it consumed, and whether that includes the end of the body. What is not consumed has to
-// be passed again, with more behind it.
+// Next decodes b and returns how many bytes it consumed, and whether they include the end of the body. The caller passes
+// the other bytes again, followed by more.
 func (c *ChunkReader) Next(b []byte) (consumed int, done bool, err error) {
 	for {
 		n, complete, err := c.readData(b[consumed:])
@@ -57,7 +57,7 @@
 	}
 }
 
-// takeData consumes the rest of the current chunk, with its line end, and reports whether the chunk is complete.
+// readData consumes the rest of the current chunk, with its line end, and reports whether the chunk is complete.
 func (c *ChunkReader) readData(b []byte) (consumed int, complete bool, err error) {
 	if c.remaining > 2 {
 		consumed = min(c.remaining-2, len(b))
@@ -95,7 +95,7 @@
 	return line, i + 1, nil
 }
 
-// begin starts the chunk of a size line.
+// startChunk starts the chunk of a size line.
 func (c *ChunkReader) startChunk(line []byte) error {
 	size, _, _ := bytes.Cut(line, []byte{';'})
 	n, err := strconv.ParseUint(string(bytes.TrimRight(size, " \t")), 16, 31)
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// takeTrailer checks a trailer field, and reports whether the line ends the body.
+// checkTrailer checks a trailer field, and reports whether the line ends the body.
 func (c *ChunkReader) checkTrailer(line []byte) (done bool, err error) {
 	if c.trailerBytes += len(line); c.trailerBytes > maxTrailerBytes {
 		return false, ErrTrailersTooLong
--- a/internal/httpwire/fields.go
+++ b/internal/httpwire/fields.go
@@ -9,7 +9,7 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// Faults of header fields.
+// Errors in header fields.
 var (
 	ErrLineEnd        = errors.New("a line that does not end with CR and LF")
 	ErrMalformedField = errors.New("a header line that is none")
--- a/internal/httpwire/httpwire.go
+++ b/internal/httpwire/httpwire.go
@@ -1,5 +1,5 @@
-// Package httpwire has what the downstream and upstream sides of HTTP/1.1 share: strict parsing of header fields and chunked bodies,
-// which fields are hop-by-hop, and the names and bounds of the platform's protocol.
+// Package httpwire contains what the downstream and upstream sides of HTTP/1.1 share: strict parsing of header fields
+// and chunked bodies, the removal of hop-by-hop fields, and the names and limits of the platform's protocol.
 package httpwire
 
 import (
@@ -11,7 +11,7 @@
 const (
 	MaxBufferedBody = 64 << 10       // of a body that is buffered
 	MaxStreamedBody = 32 << 20       // of a body that is streamed
-	ExpiryHeader    = "X-Expires-In" // how long the client waits
+	ExpiryHeader    = "X-Expires-In" // how long the client waits for the response
 )
 
 // hopHeaders are the hop-by-hop fields, in canonical form, which are not forwarded (RFC 9110, 7.6.1).
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -1,5 +1,5 @@
-// Package testbed holds what the tests of several packages play the program's surroundings with: scripted HTTP servers, a
-// roster that answers what the test says, and waits that have an end. Only tests use it.
+// Package testbed has test doubles and helpers that several test packages share: scripted HTTP servers, a discovery
+// server, and bounded waits. Only tests import it.
 package testbed
 
 import (
@@ -16,38 +16,38 @@
 	"time"
 )
 
-// Patience bounds every wait; no test takes that long unless it fails.
+// Timeout bounds every wait. A test only takes that long if it fails.
 const Timeout = 30 * time.Second
 
-// Next waits for what comes next.
+// Next returns the next value of a channel. It fails the test after Timeout.
 func Next[T any](t *testing.T, events <-chan T) T {
 	t.Helper()
 	select {
 	case ev := <-events:
 		return ev
 	case <-time.After(Timeout):
-		t.Fatal("nothing came")
+		t.Fatal("timed out waiting for the next value")
 	}
 	panic("unreachable")
 }
 
-// Until waits until something holds.
+// Until waits until condition returns true. It fails the test after Timeout; what describes the condition.
 func Until(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(Timeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("in vain: ", what)
+			t.Fatal("timed out waiting until: ", what)
 		}
 	}
 }
 
-// ServeHTTP serves h on loopback until the test ends.
+// ServeHTTP serves h on loopback until the test ends, and returns the address.
 func ServeHTTP(t *testing.T, h http.Handler) string {
 	t.Helper()
 	ln := Listen(t)
 	server := &http.Server{Handler: h}
-	go func() { _ = server.Serve(ln) }()     // until Close, of which it says nothing else
-	t.Cleanup(func() { _ = server.Close() }) // serving ends either way
+	go func() { _ = server.Serve(ln) }()     // returns at Close, with no other information
+	t.Cleanup(func() { _ = server.Close() }) // serving ends even where this fails
 	return ln.Addr().String()
 }
 
@@ -58,26 +58,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = ln.Close() }) // accepting ends either way
+	t.Cleanup(func() { _ = ln.Close() }) // accepting ends even where this fails
 	return ln
 }
 
-// Roster is a discovery service: it answers each call with what the test hands it, as JSON.
+// DiscoveryServer is a discovery service that responds to each call with a value of the test, as JSON.
 type DiscoveryServer struct {
 	Addr      string
-	Queries   chan string // the query of each call
+	Queries   chan string // query of each call
 	Responses chan any
-	Cancelled chan bool // calls that were given up
+	Cancelled chan bool // calls that the client cancelled
 }
 
-// NewRoster starts one.
+// NewDiscoveryServer starts a DiscoveryServer that runs until the test ends.
 func NewDiscoveryServer(t *testing.T) *DiscoveryServer {
 	r := &DiscoveryServer{Queries: make(chan string, 100), Responses: make(chan any), Cancelled: make(chan bool, 100)}
 	r.Addr = ServeHTTP(t, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		r.Queries <- req.URL.RawQuery
 		select {
 		case l := <-r.Responses:
-			_ = json.NewEncoder(w).Encode(l) // fails only where the client is gone
+			_ = json.NewEncoder(w).Encode(l) // fails only if the client has disconnected
 		case <-req.Context().Done():
 			r.Cancelled <- true
 		}
@@ -85,8 +85,8 @@
 	return r
 }
 
-// Script is a server that plays one step for each request that reaches it, on raw connections. A step gets the
-// connection after the request is read, and whether it returns true decides if the connection goes on.
+// ScriptedServer is a server that performs one step for each request on raw connections. A step is called with the
+// connection after the request was read, and returns whether the connection stays open.
 type ScriptedServer struct {
 	Addr     string
 	mu       sync.Mutex
@@ -95,10 +95,10 @@
 	conns    int
 }
 
-// Step is what a Script does with a request.
+// Step is what a ScriptedServer does with a request.
 type Step func(net.Conn) bool
 
-// NewScript starts one; after the last step it plays that again.
+// NewScriptedServer starts a ScriptedServer. It repeats the last step.
 func NewScriptedServer(t *testing.T, steps ...Step) *ScriptedServer {
 	s := &ScriptedServer{}
 	ln := Listen(t)
@@ -140,14 +140,14 @@
 	}
 }
 
-// Seen returns the requests and their bodies so far, and how many connections there were.
+// Received returns the requests and their bodies so far, and the number of connections.
 func (s *ScriptedServer) Received() (requests []*http.Request, bodies []string, conns int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]*http.Request(nil), s.requests...), append([]string(nil), s.bodies...), s.conns
 }
 
-// Say answers.
+// Respond sends a response.
 func Respond(status int, body string, headers ...string) Step {
 	return func(c net.Conn) bool {
 		head := "HTTP/1.1 " + strconv.Itoa(status) + " X\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n"
@@ -159,45 +159,45 @@
 	}
 }
 
-// BreakOff ends the connection after part of an answer.
+// WriteAndClose writes part of a response and closes the connection.
 func WriteAndClose(part string) Step {
 	return func(c net.Conn) bool {
-		_, _ = io.WriteString(c, part) // the peer may be gone, which the next read says
+		_, _ = io.WriteString(c, part) // the peer may have closed the connection, which the next read reports
 		return false
 	}
 }
 
-// Stop writes part of an answer and then nothing, until the other side ends the connection.
+// WriteAndStall writes part of a response and then nothing, until the peer closes the connection.
 func WriteAndStall(part string) Step {
 	return func(c net.Conn) bool {
-		_, _ = io.WriteString(c, part) // the peer may be gone, which the next read says
-		_, _ = io.Copy(io.Discard, c)  // read only to be dropped
+		_, _ = io.WriteString(c, part) // the peer may have closed the connection, which the next read reports
+		_, _ = io.Copy(io.Discard, c)  // read only to wait for the close
 		return false
 	}
 }
 
-// Cut resets the connection.
+// ResetConn resets the connection.
 func ResetConn() Step {
 	return func(c net.Conn) bool {
-		_ = c.(*net.TCPConn).SetLinger(0) // without it the connection closes in the ordinary way
+		_ = c.(*net.TCPConn).SetLinger(0) // without it the connection closes normally
 		return false
 	}
 }
 
-// Log is a log that can be read while it is written.
+// LogBuffer is a log that can be searched while it is written.
 type LogBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-// Write keeps what was logged; it may be called by several goroutines.
+// Write appends to the log. It is safe for concurrent use.
 func (l *LogBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-// Has reports whether a text stands in the log.
+// Contains reports whether the log contains text.
 func (l *LogBuffer) Contains(text string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -1,5 +1,5 @@
-// Package wire translates the simulator's binary frames to the types
-// of package balance and back. It takes no decisions.
+// Package wire converts between the binary frames of the simulator and the types of package balance. It makes no
+// decisions.
 package wire
 
 import (
@@ -40,22 +40,22 @@
 	14: balance.ConnectFailed, 10: balance.Reset, 1: balance.Cancelled, 9: balance.NotSent,
 }
 
-// Begin starts an instance; Settings is the raw object for settings.Parse.
+// Begin starts an instance. Settings is the JSON object for settings.Parse.
 type Begin struct {
 	Seed     uint64
 	Settings []byte
 }
 
-// Down says that an instance was killed.
+// Killed reports that an instance was killed.
 type Killed struct{}
 
-// Record is one event for one instance: a Begin, a Down or a balance.Event.
+// Record is one event for one instance. Event is a Begin, a Killed or a balance.Event.
 type Record struct {
 	Instance uint16
 	Event    any
 }
 
-// Reader reads frames. Server tables live across frames.
+// Reader reads frames. Server tables are kept from one frame to the next.
 type Reader struct {
 	in            io.Reader
 	buf           bytes.Buffer
@@ -64,19 +64,18 @@
 	report        []float32
 }
 
-// NewReader returns a reader of the frames of in, which should be buffered.
+// NewReader returns a reader of the frames in in, which should be buffered.
 func NewReader(in io.Reader) *Reader { return &Reader{in: in} }
 
-// Read hands the events of the next frame to handle, in order, with the frame's clock.
-// It returns io.EOF at an end of input between frames, and nothing that wraps it elsewhere. Slices in events are valid
-// during the call only.
+// Read reads the next frame and calls handle for each event, in order, with the clock of the frame. It returns io.EOF if
+// the input ends between frames, and no other error that wraps io.EOF. Slices in events are valid during the call only.
 func (r *Reader) Read(handle func(clock float64, rec Record) error) error {
 	var head [headerBytes]byte
 	if _, err := io.ReadFull(r.in, head[:]); err != nil {
 		if errors.Is(err, io.EOF) {
 			return io.EOF
 		}
-		return fmt.Errorf("frame header cut short: %w", err)
+		return fmt.Errorf("read frame header: %w", err)
 	}
 	count := binary.BigEndian.Uint32(head[0:])
 	size := binary.BigEndian.Uint32(head[4:])
@@ -88,12 +87,12 @@
 		return fmt.Errorf("frame clock is %v", clock)
 	}
 	r.buf.Reset()
-	// The buffer grows with what arrives, not with what the header claims.
+	// The buffer grows with the bytes received, not with the announced length.
 	if n, err := io.CopyN(&r.buf, r.in, int64(size-headerBytes)); err != nil {
-		if errors.Is(err, io.EOF) { // which only an end between frames is
+		if errors.Is(err, io.EOF) { // io.EOF is only for an end between frames
 			err = io.ErrUnexpectedEOF
 		}
-		return fmt.Errorf("frame of %d bytes cut short after %d: %w", size, n+headerBytes, err)
+		return fmt.Errorf("frame of %d bytes ends after %d: %w", size, n+headerBytes, err)
 	}
 	f := decoder{data: r.buf.Bytes()}
 	for i := uint32(0); i < count; i++ {
@@ -181,7 +180,7 @@
 		case 1:
 			s.State = balance.Gone
 		default:
-			return fmt.Errorf("entry %d: unknown condition %d", i, state)
+			return fmt.Errorf("entry %d: unknown state %d", i, state)
 		}
 		s.ID = f.server()
 		s.Rating = float64(f.f32())
@@ -210,7 +209,7 @@
 		return nil, fmt.Errorf("unknown list kind %d", kind)
 	}
 	if table >= maxTables || !r.tableReceived[table] {
-		return nil, fmt.Errorf("server table %d was never sent", table)
+		return nil, fmt.Errorf("server table %d was not received", table)
 	}
 	ev.Servers = r.tables[table]
 	return ev, nil
@@ -263,9 +262,9 @@
 	return r.report
 }
 
-var errTruncated = errors.New("record runs past the end of the frame")
+var errTruncated = errors.New("record exceeds the frame")
 
-// fields takes values off a frame. A read past the end sets bad and gives zero.
+// decoder reads values from a frame. A read past the end sets truncated and returns zero.
 type decoder struct {
 	data      []byte
 	pos       int
@@ -309,7 +308,7 @@
 	return 0
 }
 
-// f64 reads a number; what is no finite number counts as absent.
+// f64 reads a float64. NaN and infinities count as absent and are returned as 0.
 func (f *decoder) f64() float64 {
 	v := math.Float64frombits(f.u64())
 	if math.IsNaN(v) || math.IsInf(v, 0) {
@@ -326,7 +325,7 @@
 	return v
 }
 
-// server packs four bytes of address and a port into an ID.
+// server reads an address of four bytes and a port, and packs them into a ServerID.
 func (f *decoder) server() balance.ServerID {
 	host := f.u32()
 	return balance.ServerID(uint64(host)<<16 | uint64(f.u16()))
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -27,10 +27,10 @@
 	replyHeaderBytes = 4
 )
 
-// Reply gathers the actions that answer one frame.
+// Reply collects the actions that respond to one frame.
 type Reply struct{ buf []byte }
 
-// Reset empties the reply.
+// Reset starts an empty reply, with room for its header.
 func (r *Reply) Reset() { r.buf = append(r.buf[:0], 0, 0, 0, 0) }
 
 // WriteTo writes the reply as one frame.
@@ -40,14 +40,14 @@
 	return int64(n), err
 }
 
-// Add appends the actions of one instance.
+// Add appends actions of one instance.
 func (r *Reply) Add(instance uint16, actions []balance.Action) {
 	for i := range actions {
 		r.appendAction(instance, &actions[i])
 	}
 }
 
-// Fault reports that an instance's decision code broke.
+// Fault reports that the decision code of an instance failed.
 func (r *Reply) Fault(instance uint16, text string) {
 	r.appendHeader(codeFault, instance)
 	r.appendText([]byte(text))
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -11,7 +11,7 @@
 	"firplank/balance"
 )
 
-// unhex joins hex text with spaces and line breaks.
+// unhex decodes hex text with spaces and line breaks.
 func unhex(t testing.TB, text string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(text), ""))
@@ -65,13 +65,13 @@
 	ask, ok := recs[0].Event.(balance.Request)
 	want := balance.Request{ID: 0x2978f5d3a91c4, WorkHint: 12, Key: 0x91f03b7c55d20a64, Remaining: 240}
 	if !ok || ask != want || recs[0].Instance != 3 {
-		t.Errorf("ask: %+v", recs[0])
+		t.Errorf("request: %+v", recs[0])
 	}
 	if ev := recs[1].Event; ev != any(balance.TimerFired{Token: 77}) {
-		t.Errorf("alarm: %+v", ev)
+		t.Errorf("timer: %+v", ev)
 	}
 	if ev := recs[2].Event; ev != any(balance.ClientDisconnected{Request: 0xb677a0e6f2b19}) || recs[2].Instance != 5 {
-		t.Errorf("hangup: %+v", recs[2])
+		t.Errorf("disconnect: %+v", recs[2])
 	}
 	list := recs[3].Event.(balance.ServerList)
 	if list.Kind != balance.ListCached || len(list.Servers) != 2 {
@@ -84,7 +84,7 @@
 	ended := recs[4].Event.(balance.Outcome)
 	if ended.Request != 0x2978f5d3a91c4 || ended.Server != 0x0a124a07232b || ended.Latency != 18.5 ||
 		!ended.Finished || ended.Result != balance.OK {
-		t.Errorf("ended: %+v", ended)
+		t.Errorf("outcome: %+v", ended)
 	}
 }
 
@@ -113,17 +113,17 @@
 
 func TestMalformedFrames(t *testing.T) {
 	for name, frame := range map[string]string{
-		"header cut short":     "00000000 0000",
+		"truncated header":     "00000000 0000",
 		"length under header":  "00000000 0000000f 40c06e2000000000",
 		"length past the end":  "00000001 00000050 40c06e2000000000 03fc",
 		"huge length":          "00000001 ffffffff 40c06e2000000000",
-		"clock not a number":   "00000000 00000010 7ff8000000000000",
+		"clock is NaN":         "00000000 00000010 7ff8000000000000",
 		"unknown code":         "00000001 00000014 40c06e2000000000 ffff 0003",
-		"record cut short":     "00000001 00000016 40c06e2000000000 03fc 0003 0000",
-		"bytes left over":      "00000000 00000012 40c06e2000000000 0000",
+		"truncated record":     "00000001 00000016 40c06e2000000000 03fc 0003 0000",
+		"surplus bytes":        "00000000 00000012 40c06e2000000000 0000",
 		"count past the end":   "00000001 00000018 40c06e2000000000 03e8 0000 ffffffff",
 		"settings past end":    "00000001 00000020 40c06e2000000000 042e 0000 0000000000000001 7fffffff",
-		"table never sent":     "00000001 0000001b 40c06e2000000000 0410 0003 00 00000001 0003",
+		"unknown table":        "00000001 0000001b 40c06e2000000000 0410 0003 00 00000001 0003",
 		"table out of range":   "00000001 00000018 40c06e2000000000 03e8 0010 00000000",
 		"unknown list kind":    "00000001 0000001b 40c06e2000000000 0410 0003 07 00000001 0000",
 		"unknown result":       strings.Replace(endedFrame, "232b 0000", "232b 0055", 1),
@@ -136,7 +136,7 @@
 	}
 }
 
-// The seed corpus runs in CI as an ordinary test.
+// The seed corpus runs as an ordinary test in CI.
 func FuzzReader(f *testing.F) {
 	for _, frame := range []string{emptyFrame, eventsFrame, listFrame, endedFrame, eventsFrame + listFrame} {
 		f.Add(unhex(f, frame))
--- a/msgpackrpc/msgpackrpc_test.go
+++ b/msgpackrpc/msgpackrpc_test.go
@@ -14,7 +14,7 @@
 	"pgregory.net/rapid"
 )
 
-// pack encodes a value with a library that is not ours.
+// pack encodes a value with another library.
 func pack(t testing.TB, v any) []byte {
 	t.Helper()
 	b, err := msgpack.Marshal(v)
@@ -33,7 +33,7 @@
 	return b
 }
 
-// readAll reads frames until an error, and copies what they hold.
+// readAll reads frames until an error, and copies their contents.
 func readAll(src io.Reader, limits Limits) (frames []Frame, err error) {
 	r := NewReader(src, limits)
 	for {
@@ -70,7 +70,7 @@
 	}
 }
 
-// Frames come in any pieces: many in one, one in pieces of a byte, and with the end of the stream behind the last byte.
+// Frames may arrive in any fragments: several at once, byte by byte, and with the end of the stream in the last read.
 func TestFragmentedFrames(t *testing.T) {
 	var stream []byte
 	for id := range uint32(20) {
@@ -94,7 +94,7 @@
 	}
 }
 
-// endless gives the same byte for ever, and counts.
+// repeatReader returns the same byte forever and counts the bytes.
 type repeatReader struct {
 	b byte
 	n int
@@ -108,7 +108,7 @@
 	return len(p), nil
 }
 
-// What no peer may send, and the error that it leads to.
+// Malformed frames and the errors they cause.
 func TestMalformedFrames(t *testing.T) {
 	for name, c := range map[string]struct {
 		hex  string
@@ -118,13 +118,13 @@
 		"an array of 4 G values":     {"94 00 01 a1 61 dd ffffffff", ErrTooLong},
 		"a map of 4 G pairs":         {"94 00 01 a1 61 91 df ffffffff", ErrTooLong},
 		"an ext of 4 GiB":            {"94 00 01 a1 61 91 c9 ffffffff 01", ErrTooLong},
-		"just beyond the limit":      {"94 00 01 a1 61 91 c5 ffff", ErrTooLong},
-		"nothing but a number":       {"07", ErrMalformed},
+		"beyond the limit":           {"94 00 01 a1 61 91 c5 ffff", ErrTooLong},
+		"number only":                {"07", ErrMalformed},
 		"HTTP":                       {"47 45 54 20 2f", ErrHTTP},
 		"an empty array":             {"90", ErrMalformed},
 		"an array of five":           {"95 00 01 a1 61 90 c0", ErrMalformed},
-		"kind 3":                     {"94 03 01 a1 61 90", ErrMalformed},
-		"a kind that is a string":    {"94 a1 30 01 a1 61 90", ErrMalformed},
+		"type 3":                     {"94 03 01 a1 61 90", ErrMalformed},
+		"a type that is a string":    {"94 a1 30 01 a1 61 90", ErrMalformed},
 		"a request of three":         {"93 00 01 a1 61", ErrMalformed},
 		"a notification of four":     {"94 02 a1 61 90 c0", ErrMalformed},
 		"an id of 2^32":              {"94 00 cf 0000000100000000 a1 61 90", ErrMalformed},
@@ -132,13 +132,13 @@
 		"an id below 0 in 64 bits":   {"94 00 d3 8000000000000000 a1 61 90", ErrMalformed},
 		"an id that is a float":      {"94 00 ca 3f800000 a1 61 90", ErrMalformed},
 		"a method that is a number":  {"94 00 01 05 90", ErrMalformed},
-		"a method that is no UTF-8":  {"94 00 01 a1 ff 90", ErrMalformed},
+		"a method that is not UTF-8": {"94 00 01 a1 ff 90", ErrMalformed},
 		"params that are a map":      {"94 00 01 a1 61 80", ErrMalformed},
 		"params that are nil":        {"94 00 01 a1 61 c0", ErrMalformed},
-		"the code that is not used":  {"94 00 01 a1 61 91 c1", ErrMalformed},
-		"cut within a string":        {"94 00 01 a5 61 62", io.ErrUnexpectedEOF},
-		"cut behind the kind":        {"94 00", io.ErrUnexpectedEOF},
-		"cut within an array header": {"dc 00", io.ErrUnexpectedEOF},
+		"the reserved code":          {"94 00 01 a1 61 91 c1", ErrMalformed},
+		"truncated string":           {"94 00 01 a5 61 62", io.ErrUnexpectedEOF},
+		"truncated after type":       {"94 00", io.ErrUnexpectedEOF},
+		"truncated array header":     {"dc 00", io.ErrUnexpectedEOF},
 	} {
 		frames, err := readAll(bytes.NewReader(unhex(t, c.hex)), Limits{})
 		if !errors.Is(err, c.want) || len(frames) > 0 {
@@ -151,7 +151,7 @@
 	}
 }
 
-// A hundred thousand arrays within one another end at the limit, and neither recursion nor memory follow them.
+// Deeply nested arrays fail at the depth limit, and cause neither recursion nor memory in proportion to them.
 func TestNestingLimit(t *testing.T) {
 	deep := append(unhex(t, "94 00 01 a1 61"), bytes.Repeat([]byte{0x91}, 100000)...)
 	if _, err := readAll(bytes.NewReader(deep), Limits{Frame: 1 << 20}); !errors.Is(err, ErrTooDeep) {
@@ -163,22 +163,22 @@
 	}
 }
 
-// A frame that is announced as long as the limit allows costs no more memory than what has come of it.
+// A frame whose announced length is at the limit uses no more memory than the bytes received.
 func TestMemoryBoundedByReceivedBytes(t *testing.T) {
 	r := NewReader(bytes.NewReader(unhex(t, "94 00 01 a1 61 91 c6 000fff00")), Limits{Frame: 1 << 20})
 	if _, err := r.Next(); !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Fatal(err)
 	}
 	if cap(r.buf) > initialBufferBytes {
-		t.Errorf("%d bytes are held for 11", cap(r.buf))
+		t.Errorf("%d bytes are allocated for 11", cap(r.buf))
 	}
 	e := &repeatReader{b: 0x91}
 	if _, err := NewReader(e, Limits{}).Next(); err == nil || e.n > 4096 {
-		t.Errorf("%d bytes are read of a stream without end, error %v", e.n, err)
+		t.Errorf("%d bytes were read of an endless stream, error %v", e.n, err)
 	}
 }
 
-// An error is final: the place in the stream is lost.
+// Errors are final, because the frame boundaries are lost.
 func TestErrorIsFinal(t *testing.T) {
 	stream := append([]byte{0x07}, AppendNotification(nil, "a", []byte{0x90})...)
 	r := NewReader(bytes.NewReader(stream), Limits{})
@@ -189,7 +189,8 @@
 	}
 }
 
-// Whatever is written is read again: every id, and params to the byte, repeated keys, NaN and ext types among them.
+// Frames that were written are read unchanged: any id, and params byte for byte, including repeated keys, NaN and ext
+// types.
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		params := rapid.SampledFrom([][]byte{
@@ -216,9 +217,9 @@
 	})
 }
 
-// A body that is to become params or a result has to be one whole value, or the frame round it would be none.
+// A body used as params or result has to be one complete value, or the frame around it would be malformed.
 func TestCheckValue(t *testing.T) {
-	for text, want := range map[string][2]bool{ // as a value, as params
+	for text, want := range map[string][2]bool{ // as value, as params
 		"92 01 a1 61": {true, true}, "90": {true, true}, "80": {true, false}, "c0": {true, false}, "a1 61": {true, false},
 		"": {}, "91": {}, "90 90": {}, "c1": {}, "dd ffffffff": {},
 	} {
@@ -229,7 +230,8 @@
 	}
 }
 
-// Whatever comes: no panic, no frame beyond the limits, and what is read is whole MessagePack to the library too.
+// For any input, the reader doesn't panic, returns no frame beyond the limits, and each value is complete MessagePack
+// for another library.
 func FuzzReader(f *testing.F) {
 	for _, v := range []any{
 		[]any{0, 7, "m", []any{1, "two", map[string]any{"three": []byte{4}}}}, []any{1, 1 << 31, nil, 3.5},
@@ -244,11 +246,11 @@
 		limits := Limits{Frame: 300, Depth: 8}
 		frames, err := readAll(bytes.NewReader(in), limits)
 		if err == nil {
-			t.Fatal("no end")
+			t.Fatal("no error at the end")
 		}
 		pieces, err2 := readAll(iotest.OneByteReader(bytes.NewReader(in)), limits)
 		if len(pieces) != len(frames) || err.Error() != err2.Error() {
-			t.Fatalf("%d frames and %v, in pieces %d and %v", len(frames), err, len(pieces), err2)
+			t.Fatalf("%d frames and %v, bytewise %d and %v", len(frames), err, len(pieces), err2)
 		}
 		for _, fr := range frames {
 			for _, value := range [][]byte{fr.Params, fr.Error, fr.Result} {
@@ -257,14 +259,14 @@
 				}
 				d := msgpack.NewDecoder(bytes.NewReader(value))
 				if err := d.Skip(); err != nil && !strings.Contains(err.Error(), "unknown ext") {
-					t.Fatalf("% x: the library says %v", value, err)
+					t.Fatalf("% x: library: %v", value, err)
 				}
 			}
 		}
 	})
 }
 
-// What the library encodes, the reader reads as one frame with the same bytes.
+// A frame that another library encoded is read as one frame with the same bytes.
 func FuzzAgainstLibrary(f *testing.F) {
 	f.Add(uint32(1), "m", int64(-5), 2.5, []byte("raw"), "text", true, uint8(3))
 	f.Add(uint32(math.MaxUint32), "", int64(math.MinInt64), math.Inf(1), []byte{}, strings.Repeat("x", 300), false, uint8(40))
--- a/msgpackrpc/scan.go
+++ b/msgpackrpc/scan.go
@@ -7,31 +7,31 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// The codes of MessagePack that this package names.
+// MessagePack codes used by name.
 const (
 	codeNil    = 0xc0
 	codeUnused = 0xc1
 )
 
-// element describes the value that begins with a byte.
+// element is the parsed header of a value.
 type element struct {
-	header   int    // bytes of code and length
-	payload  uint64 // bytes behind the header
-	children uint64 // values behind it
-	complete bool   // the header is there and allowed
+	header   int    // bytes of the code and length
+	payload  uint64 // bytes after the header
+	children uint64 // values after the header
+	complete bool   // the header was received completely
 }
 
-// lengths holds, for the codes that are followed by a length, how many bytes that has, what is fixed besides, and
-// whether it counts values (times so many) in place of bytes.
+// lengthFormats holds, for the codes followed by a length: the size of the length in bytes, the bytes to add to it, and,
+// if it counts values instead of bytes, how many values each one stands for.
 var lengthFormats = [256]struct{ size, extra, values uint8 }{
 	0xc4: {1, 0, 0}, 0xc5: {2, 0, 0}, 0xc6: {4, 0, 0}, // bin
-	0xc7: {1, 1, 0}, 0xc8: {2, 1, 0}, 0xc9: {4, 1, 0}, // ext: the type is a byte more
+	0xc7: {1, 1, 0}, 0xc8: {2, 1, 0}, 0xc9: {4, 1, 0}, // ext: one more byte for the type
 	0xd9: {1, 0, 0}, 0xda: {2, 0, 0}, 0xdb: {4, 0, 0}, // str
 	0xdc: {2, 0, 1}, 0xdd: {4, 0, 1}, // array
 	0xde: {2, 0, 2}, 0xdf: {4, 0, 2}, // map
 }
 
-// fixed holds the payload of the codes whose length is their own.
+// fixedPayloads holds the payload size of the codes with a fixed one.
 var fixedPayloads = [256]uint8{
 	0xca: 4, 0xcb: 8, // float
 	0xcc: 1, 0xcd: 2, 0xce: 4, 0xcf: 8, // uint
@@ -39,7 +39,7 @@
 	0xd4: 2, 0xd5: 3, 0xd6: 5, 0xd7: 9, 0xd8: 17, // fixext, with its type
 }
 
-// describe reads the header of a value; ok is false where more bytes are wanted.
+// parseHeader parses the header of a value. complete is false if more bytes are needed.
 func parseHeader(b []byte) (e element, err error) {
 	if len(b) == 0 {
 		return e, nil
@@ -48,7 +48,7 @@
 	e = element{header: 1, complete: true}
 	switch {
 	case code == codeUnused:
-		return e, fmt.Errorf("%w: code 0xc1, which is never used", ErrMalformed)
+		return e, fmt.Errorf("%w: code 0xc1 is never used", ErrMalformed)
 	case code <= 0x7f || code >= 0xe0: // fixint
 	case code <= 0x8f:
 		e.children = 2 * uint64(code&0x0f)
@@ -86,17 +86,16 @@
 	return binary.BigEndian.Uint64(b)
 }
 
-// scanner finds the end of a frame in bytes that come piece by piece. It holds a count for each open array or map and
-// never calls itself.
+// scanner finds the end of a frame incrementally. It keeps a count for each open array or map instead of recursing.
 type scanner struct {
 	limits   Limits
-	anyValue bool     // any one value, in place of a frame
-	offset   int      // where the next value begins; it may lie beyond what has come
-	pending  []uint64 // values yet to come, of each array and map that is open
+	anyValue bool     // accepts any single value instead of a frame
+	offset   int      // start of the next value; may exceed the bytes received
+	pending  []uint64 // outstanding values of each open array and map
 }
 
-// scan goes on over b, which holds the frame from its first byte, as far as it has come. It reports whether the whole
-// frame is there; its length is at. What cannot fit the limits is an error as soon as its header is there.
+// scan continues with b, all the bytes received of the frame, and reports whether the frame is complete; its length is
+// offset then. A header that announces more than the limits allow is an error at once.
 func (s *scanner) scan(b []byte) (done bool, err error) {
 	for {
 		if s.offset > 0 && len(s.pending) == 0 {
@@ -114,8 +113,8 @@
 				return false, err
 			}
 		}
-		// Each value takes a byte at least: an array that announces more of them than there is room for is too long
-		// before the first has come.
+		// Each value needs at least one byte, so an array that announces more values than the frame limit leaves bytes
+		// for is too long.
 		remaining := uint64(s.limits.Frame - s.offset)
 		if uint64(e.header)+e.payload > remaining || uint64(e.header)+e.children > remaining {
 			return false, ErrTooLong
@@ -136,22 +135,22 @@
 	}
 }
 
-// first checks how a frame begins: with an array of three or four.
+// checkFrameStart checks that a frame begins with an array of three or four elements.
 func checkFrameStart(b []byte) error {
 	n, _, err := msgp.ReadArrayHeaderBytes(b)
 	switch {
-	case err != nil && b[0] >= 'A' && b[0] <= 'Z': // a method, or the version in an answer
+	case err != nil && b[0] >= 'A' && b[0] <= 'Z': // an HTTP method, or the version in a response
 		return ErrHTTP
 	case err != nil:
-		return fmt.Errorf("%w: it begins with 0x%02x, which is no array", ErrMalformed, b[0])
+		return fmt.Errorf("%w: begins with 0x%02x, which is not an array", ErrMalformed, b[0])
 	case n != 3 && n != 4:
 		return fmt.Errorf("%w: an array of %d", ErrMalformed, n)
 	}
 	return nil
 }
 
-// CheckValue reports what is wrong with b as one whole value in MessagePack within the limits, of which Frame is for all
-// of it.
+// CheckValue returns an error unless b is exactly one complete MessagePack value within the limits. Limits.Frame applies
+// to the whole value.
 func CheckValue(b []byte, limits Limits) error {
 	s := scanner{limits: limits.withDefaults(), anyValue: true}
 	done, err := s.scan(b)
@@ -159,20 +158,20 @@
 	case err != nil:
 		return err
 	case !done:
-		return fmt.Errorf("%w: it ends early", ErrMalformed)
+		return fmt.Errorf("%w: value is incomplete", ErrMalformed)
 	case s.offset != len(b):
-		return fmt.Errorf("%w: %d bytes behind it", ErrMalformed, len(b)-s.offset)
+		return fmt.Errorf("%w: %d bytes after the value", ErrMalformed, len(b)-s.offset)
 	}
 	return nil
 }
 
-// CheckParams reports what is wrong with b as params: one whole array within the limits.
+// CheckParams returns an error unless b is exactly one complete array within the limits.
 func CheckParams(b []byte, limits Limits) error {
 	if err := CheckValue(b, limits); err != nil {
 		return err
 	}
 	if msgp.NextType(b) != msgp.ArrayType {
-		return fmt.Errorf("%w: params are no array", ErrMalformed)
+		return fmt.Errorf("%w: params are not an array", ErrMalformed)
 	}
 	return nil
 }
