--- a/internal/upstream/http/poll_linux_test.go
+++ b/internal/upstream/http/poll_linux_test.go
@@ -19,9 +19,9 @@
 	"firplank/internal/testbed"
 )
 
-func newPollSubject(t *testing.T, rest time.Duration) *subject {
+func newPollSubject(t *testing.T, reuseDelay time.Duration) *subject {
 	t.Helper()
-	b, err := NewPoll(t.Context(), Config{ConnectTimeout: testbed.Timeout, IdleTimeout: testbed.Timeout, ReuseDelay: rest, MaxConns: 64})
+	b, err := NewPoll(t.Context(), Config{ConnectTimeout: testbed.Timeout, IdleTimeout: testbed.Timeout, ReuseDelay: reuseDelay, MaxConns: 64})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,9 +76,9 @@
 
 // Bytes that arrive long after the response make the server a late sender; bytes within the reuse delay do not.
 func TestPolledLateData(t *testing.T) {
-	for name, rest := range map[string]time.Duration{"late": 0, "within the reuse delay": time.Hour} {
+	for name, reuseDelay := range map[string]time.Duration{"late": 0, "within the reuse delay": time.Hour} {
 		t.Run(name, func(t *testing.T) {
-			u := newPollSubject(t, rest)
+			u := newPollSubject(t, reuseDelay)
 			e, conns := silentServer(t, "s-1")
 			a := newAttempt(e, testbed.Timeout)
 			u.poll.Begin(a.Attempt)
@@ -99,7 +99,7 @@
 			u.pool.mu.Lock()
 			_, caught := u.pool.lateSenders[e]
 			u.pool.mu.Unlock()
-			if caught != (rest == 0) {
+			if caught != (reuseDelay == 0) {
 				t.Errorf("late sender: %v", caught)
 			}
 		})
--- a/internal/upstream/msgpackrpc/backend.go
+++ b/internal/upstream/msgpackrpc/backend.go
@@ -1,6 +1,6 @@
 // Package msgpackrpc is the upstream side of MessagePack-RPC. It makes attempts at servers: it pipelines requests over few
 // connections, with ids of its own, and reports for each attempt whether it may have been executed. Which server, and whether to
-// retry, is decided elsewhere; it knows no client. The codec is the package of the same name at the root.
+// retry, is decided elsewhere. Clients are unknown to it. The codec is the package of the same name at the root.
 //
 // backend.go keeps the connections of each server, conn.go has one connection, result.go interprets responses. Start reading at
 // Backend.
