--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -49,26 +49,26 @@
 
 func (h *host) handle(clock float64, rec wire.Record) (err error) {
 	defer func() {
-		if p := recover(); p != nil {
-			h.reply.Fault(rec.Instance, fmt.Sprintf("panic: %v\n%s", p, debug.Stack()))
+		if panicked := recover(); panicked != nil {
+			h.reply.Fault(rec.Instance, fmt.Sprintf("panic: %v\n%s", panicked, debug.Stack()))
 		}
 	}()
 	switch ev := rec.Event.(type) {
 	case wire.Begin:
-		told, err := settings.Parse(ev.Seed, ev.Settings)
+		parsed, err := settings.Parse(ev.Seed, ev.Settings)
 		if err != nil {
 			h.instances[rec.Instance] = nil // its further events are ignored
 			h.reply.Fault(rec.Instance, err.Error())
 			return nil
 		}
-		b := balance.New(told.Balance)
+		b := balance.New(parsed.Balance)
 		h.instances[rec.Instance] = b
 		h.reply.Add(rec.Instance, b.Start(clock))
 	case wire.Down:
 		delete(h.instances, rec.Instance)
 	case balance.Event:
-		b, begun := h.instances[rec.Instance]
-		if b == nil && begun {
+		b, known := h.instances[rec.Instance]
+		if b == nil && known {
 			return nil
 		}
 		if b == nil {
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -9,9 +9,9 @@
 )
 
 // script builds frames for the adapter.
-type script struct{ bytes.Buffer }
+type frameBuilder struct{ bytes.Buffer }
 
-func (s *script) frame(clock float64, records ...[]byte) {
+func (s *frameBuilder) writeFrame(clock float64, records ...[]byte) {
 	size := 16
 	for _, r := range records {
 		size += len(r)
@@ -32,14 +32,14 @@
 	return b.Bytes()
 }
 
-const profile = `{"classes": [{"effect": "read_like", "on_time_ms": 300, "hard_limit_ms": 1500}],
+const settingsJSON = `{"classes": [{"effect": "read_like", "on_time_ms": 300, "hard_limit_ms": 1500}],
 	"limits": {"max_attempts": 3}}`
 
-func begin(instance uint16, seed uint64, profile string) []byte {
-	return record(uint16(1070), instance, seed, uint32(len(profile)), []byte(profile))
+func beginRecord(instance uint16, seed uint64, settingsText string) []byte {
+	return record(uint16(1070), instance, seed, uint32(len(settingsText)), []byte(settingsText))
 }
 
-func sheet(n int) []byte {
+func serverTable(n int) []byte {
 	b := record(uint16(1000), uint16(0), uint32(n))
 	for i := range n {
 		b = append(b, record(0.0, uint8(0), uint32(i+1), uint16(80), float32(1), uint16(i), uint8(0), uint8(0))...)
@@ -47,15 +47,15 @@
 	return b
 }
 
-func cached(instance uint16) []byte {
+func cachedServerList(instance uint16) []byte {
 	return record(uint16(1040), instance, uint8(1), uint32(1), uint16(0))
 }
 
-func ask(instance uint16, id uint64) []byte {
+func requestRecord(instance uint16, id uint64) []byte {
 	return record(uint16(1010), instance, id, uint16(0), 0.0, uint16(0), uint64(0), 1500.0, uint16(0))
 }
 
-func mustRun(t *testing.T, s *script) []byte {
+func mustRun(t *testing.T, s *frameBuilder) []byte {
 	t.Helper()
 	var out bytes.Buffer
 	if err := run(&s.Buffer, &out); err != nil {
@@ -65,49 +65,49 @@
 }
 
 // sends counts the records of code 1000 in replies whose records are sends and timers only.
-func sends(t *testing.T, replies []byte) map[uint16]int {
+func countSends(t *testing.T, replies []byte) map[uint16]int {
 	t.Helper()
-	n := map[uint16]int{}
+	counts := map[uint16]int{}
 	for len(replies) > 0 {
 		size := binary.BigEndian.Uint32(replies)
-		for p := replies[4:size]; len(p) > 0; {
-			switch binary.BigEndian.Uint16(p) {
+		for rest := replies[4:size]; len(rest) > 0; {
+			switch binary.BigEndian.Uint16(rest) {
 			case 1000:
-				n[binary.BigEndian.Uint16(p[2:])]++
-				p = p[26:]
+				counts[binary.BigEndian.Uint16(rest[2:])]++
+				rest = rest[26:]
 			case 1040:
-				p = p[20:]
+				rest = rest[20:]
 			default:
-				t.Fatalf("unexpected action %d", binary.BigEndian.Uint16(p))
+				t.Fatalf("unexpected action %d", binary.BigEndian.Uint16(rest))
 			}
 		}
 		replies = replies[size:]
 	}
-	return n
+	return counts
 }
 
-func TestSameActionsInOneProcessAndInThree(t *testing.T) {
-	play := func(instances ...uint16) []byte {
-		s := &script{}
+func TestInstancesOfOneProcessAreIndependent(t *testing.T) {
+	replay := func(instances ...uint16) []byte {
+		s := &frameBuilder{}
 		var first [][]byte
 		for _, i := range instances {
-			first = append(first, begin(i, uint64(i)*7, profile), sheet(5), cached(i))
+			first = append(first, beginRecord(i, uint64(i)*7, settingsJSON), serverTable(5), cachedServerList(i))
 		}
-		s.frame(1000, first...)
+		s.writeFrame(1000, first...)
 		for id := range uint64(60) {
 			for _, i := range instances {
-				s.frame(1001+float64(id), ask(i, id))
+				s.writeFrame(1001+float64(id), requestRecord(i, id))
 			}
 		}
 		return mustRun(t, s)
 	}
-	together := play(1, 2, 3)
+	shared := replay(1, 2, 3)
 	for _, i := range []uint16{1, 2, 3} {
-		apart := play(i)
-		if n, m := sends(t, together)[i], sends(t, apart)[i]; n != 60 || m != 60 {
+		separate := replay(i)
+		if n, m := countSends(t, shared)[i], countSends(t, separate)[i]; n != 60 || m != 60 {
 			t.Fatalf("instance %d sent %d together, %d alone", i, n, m)
 		}
-		if !bytes.Equal(actionsOf(together, i), actionsOf(apart, i)) {
+		if !bytes.Equal(actionsOf(shared, i), actionsOf(separate, i)) {
 			t.Fatalf("instance %d acts differently in one process and in three", i)
 		}
 	}
@@ -118,46 +118,46 @@
 	var out []byte
 	for len(replies) > 0 {
 		size := binary.BigEndian.Uint32(replies)
-		for p := replies[4:size]; len(p) > 0; {
-			n := 20
-			if binary.BigEndian.Uint16(p) == 1000 {
-				n = 26
+		for rest := replies[4:size]; len(rest) > 0; {
+			recordBytes := 20
+			if binary.BigEndian.Uint16(rest) == 1000 {
+				recordBytes = 26
 			}
-			if binary.BigEndian.Uint16(p[2:]) == instance {
-				out = append(out, p[:n]...)
+			if binary.BigEndian.Uint16(rest[2:]) == instance {
+				out = append(out, rest[:recordBytes]...)
 			}
-			p = p[n:]
+			rest = rest[recordBytes:]
 		}
 		replies = replies[size:]
 	}
 	return out
 }
 
-func TestRestartWithinABatch(t *testing.T) {
-	s := &script{}
-	s.frame(1000, begin(1, 7, profile), sheet(3), cached(1), ask(1, 5),
-		record(uint16(1060), uint16(1)), begin(1, 8, profile), cached(1), ask(1, 6))
-	s.frame(1001, record(uint16(1020), uint16(1), uint64(5))) // a timer of the life before: ignored
-	if n := sends(t, mustRun(t, s)); n[1] != 2 {
+func TestInstanceRestartWithinOneFrame(t *testing.T) {
+	s := &frameBuilder{}
+	s.writeFrame(1000, beginRecord(1, 7, settingsJSON), serverTable(3), cachedServerList(1), requestRecord(1, 5),
+		record(uint16(1060), uint16(1)), beginRecord(1, 8, settingsJSON), cachedServerList(1), requestRecord(1, 6))
+	s.writeFrame(1001, record(uint16(1020), uint16(1), uint64(5))) // a timer of the life before: ignored
+	if n := countSends(t, mustRun(t, s)); n[1] != 2 {
 		t.Fatalf("%d sends, want one in each life", n[1])
 	}
 }
 
-func TestUnusableSettingsAreReported(t *testing.T) {
-	s := &script{}
-	s.frame(1000, begin(1, 7, `{"classes": []}`), sheet(1), cached(1))
+func TestInvalidSettingsAreReported(t *testing.T) {
+	s := &frameBuilder{}
+	s.writeFrame(1000, beginRecord(1, 7, `{"classes": []}`), serverTable(1), cachedServerList(1))
 	out := mustRun(t, s)
 	if len(out) < 8 || binary.BigEndian.Uint16(out[4:]) != 1090 || !strings.Contains(string(out), "no classes") {
 		t.Fatalf("reply %q", out)
 	}
 }
 
-func TestWrongInputEndsTheAdapter(t *testing.T) {
-	notBegun := &script{}
-	notBegun.frame(1000, ask(4, 1))
-	short := &script{}
-	short.frame(math.Inf(1))
-	for name, s := range map[string]*script{"instance not begun": notBegun, "clock": short} {
+func TestInvalidInputStopsTheAdapter(t *testing.T) {
+	notBegun := &frameBuilder{}
+	notBegun.writeFrame(1000, requestRecord(4, 1))
+	short := &frameBuilder{}
+	short.writeFrame(math.Inf(1))
+	for name, s := range map[string]*frameBuilder{"instance not begun": notBegun, "clock": short} {
 		var out bytes.Buffer
 		if err := run(&s.Buffer, &out); err == nil || out.Len() > 0 {
 			t.Errorf("%s: error %v, %d bytes of reply", name, err, out.Len())
--- a/cmd/adapter/replay_test.go
+++ b/cmd/adapter/replay_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-func unpack(t *testing.T, path string) []byte {
+func readGzip(t *testing.T, path string) []byte {
 	t.Helper()
 	packed, err := os.ReadFile(path)
 	if err != nil {
@@ -28,20 +28,20 @@
 
 // TestAnswersAsRecorded gives the adapter the frames that testdata/generator.go.txt made with commit 5126712, for five instances with
 // different settings, one of which is killed and begun anew and one of which can't be used, and wants its replies byte for byte.
-func TestAnswersAsRecorded(t *testing.T) {
-	in, want := unpack(t, "testdata/wire-5126712.in.gz"), unpack(t, "testdata/wire-5126712.out.gz")
+func TestRepliesEqualRecordedOnes(t *testing.T) {
+	in, want := readGzip(t, "testdata/wire-5126712.in.gz"), readGzip(t, "testdata/wire-5126712.out.gz")
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
 	got := out.Bytes()
 	frames := 0
-	for at := 0; at+4 <= len(want); frames++ {
-		size := int(binary.BigEndian.Uint32(want[at:]))
-		if end := min(at+size, len(got)); !bytes.Equal(got[min(at, len(got)):end], want[at:at+size]) {
-			t.Fatalf("reply %d at byte %d:\ngot  %x\nwant %x", frames, at, got[min(at, len(got)):end], want[at:at+size])
+	for offset := 0; offset+4 <= len(want); frames++ {
+		size := int(binary.BigEndian.Uint32(want[offset:]))
+		if end := min(offset+size, len(got)); !bytes.Equal(got[min(offset, len(got)):end], want[offset:offset+size]) {
+			t.Fatalf("reply %d at byte %d:\ngot  %x\nwant %x", frames, offset, got[min(offset, len(got)):end], want[offset:offset+size])
 		}
-		at += size
+		offset += size
 	}
 	if len(got) != len(want) || frames < 4000 {
 		t.Fatalf("%d bytes of replies, want %d; %d frames, want 4000 or more", len(got), len(want), frames)
--- a/cmd/firplank-lab/child.go
+++ b/cmd/firplank-lab/child.go
@@ -11,7 +11,7 @@
 )
 
 // child is this program in another role.
-func child(role string) (run.Program, error) {
+func childProgram(role string) (run.Program, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return run.Program{}, fmt.Errorf("find this program: %w", err)
--- a/cmd/firplank-lab/compare.go
+++ b/cmd/firplank-lab/compare.go
@@ -14,16 +14,16 @@
 )
 
 type compareCommand struct {
-	played
+	scenarioFlags
 	Seeds int `help:"How many seeds to play, from the scenario's on." default:"1"`
 }
 
 func (c *compareCommand) Run(ctx context.Context, out io.Writer) error {
-	s, err := c.open()
+	s, err := c.openScenario()
 	if err != nil {
 		return err
 	}
-	program, err := c.program()
+	program, err := c.sidecarProgram()
 	if err != nil {
 		return err
 	}
@@ -32,27 +32,27 @@
 	first := s.Seed
 	for seed := first; seed < first+uint64(max(1, c.Seeds)); seed++ {
 		s.Seed = seed
-		ours, err := play(ctx, s, run.Options{Program: program}, "firplank")
+		ours, err := playScenario(ctx, s, run.Options{Program: program}, "firplank")
 		if err != nil {
 			return err
 		}
-		c.line(t, s, ours, ours)
+		c.printRow(t, s, ours, ours)
 		for _, policy := range peer.Policies {
-			other, err := child(policy)
+			peerProgram, err := childProgram(policy)
 			if err != nil {
 				return err
 			}
-			theirs, err := play(ctx, s, run.Options{Program: other}, policy)
+			theirs, err := playScenario(ctx, s, run.Options{Program: peerProgram}, policy)
 			if err != nil {
 				return err
 			}
-			c.line(t, s, theirs, ours)
+			c.printRow(t, s, theirs, ours)
 		}
 	}
 	return t.Flush()
 }
 
-func (c *compareCommand) line(t *output.Table, s *scenario.Scenario, r, ours *run.Report) {
+func (c *compareCommand) printRow(t *output.Table, s *scenario.Scenario, r, ours *run.Report) {
 	ratio := "-"
 	if r.Total.Worth > 0 {
 		ratio = fmt.Sprintf("%.2f", ours.Total.Worth/r.Total.Worth)
@@ -77,11 +77,11 @@
 }
 
 func (c *throughputCommand) Run(ctx context.Context, out io.Writer) error {
-	program, err := (&played{Binary: c.Binary}).program()
+	program, err := (&scenarioFlags{Binary: c.Binary}).sidecarProgram()
 	if err != nil {
 		return err
 	}
-	proxy, err := child(peer.Policies[0])
+	proxy, err := childProgram(peer.Policies[0])
 	if err != nil {
 		return err
 	}
@@ -89,11 +89,11 @@
 	if c.Before != "" {
 		subjects = append(subjects, run.Subject{Name: "before", Program: run.Program{Args: []string{c.Before, "serve"}}})
 	}
-	fast, err := child(peer.Fast)
+	fastProgram, err := childProgram(peer.Fast)
 	if err != nil {
 		return err
 	}
-	subjects = append(subjects, run.Subject{Name: "proxy", Program: proxy}, run.Subject{Name: "fasthttp", Program: fast})
+	subjects = append(subjects, run.Subject{Name: "proxy", Program: proxy}, run.Subject{Name: "fasthttp", Program: fastProgram})
 	if len(c.Only) > 0 {
 		subjects = slices.DeleteFunc(subjects, func(s run.Subject) bool { return !slices.Contains(c.Only, s.Name) })
 	}
@@ -104,7 +104,7 @@
 		return err
 	}
 	if c.Bench != "" {
-		if err := toFile(c.Bench, func(w io.Writer) error { return run.ThroughputBench(w, all) }); err != nil {
+		if err := writeToFile(c.Bench, func(w io.Writer) error { return run.ThroughputBench(w, all) }); err != nil {
 			return err
 		}
 	}
@@ -118,7 +118,7 @@
 }
 
 func (c *reportingCommand) Run(ctx context.Context, out io.Writer) error {
-	program, err := (&played{Binary: c.Binary}).program()
+	program, err := (&scenarioFlags{Binary: c.Binary}).sidecarProgram()
 	if err != nil {
 		return err
 	}
--- a/cmd/firplank-lab/explore.go
+++ b/cmd/firplank-lab/explore.go
@@ -34,14 +34,14 @@
 }
 
 // plantedDefect is the search for one planted defect: where it was found, in the explorer's units, and as what; a nil breach: it was not.
-type plantedDefect struct {
-	name   string
-	at     any
-	breach error
+type defectResult struct {
+	name    string
+	foundAt any
+	breach  error
 }
 
 // reportDefects prints what became of each of count planted defects. It is an error that one was not found.
-func reportDefects(printer *output.Printer, unit string, count int, search func(i int) plantedDefect) error {
+func reportDefects(printer *output.Printer, unit string, count int, search func(i int) defectResult) error {
 	missed := 0
 	for i := range count {
 		d := search(i)
@@ -50,9 +50,9 @@
 			printer.Printf("%-70s NOT FOUND\n", d.name)
 			continue
 		}
-		printer.Printf("%-70s %s %v: %v\n", d.name, unit, d.at, d.breach)
+		printer.Printf("%-70s %s %v: %v\n", d.name, unit, d.foundAt, d.breach)
 	}
-	return missing(printer, missed)
+	return missedDefectsError(printer, missed)
 }
 
 type exploreRosterCommand struct {
@@ -90,15 +90,15 @@
 		seed, breach := register.Search(register.HardBounds, nil, c.Seed, c.Orders, c.Deep)
 		if breach != nil {
 			printer.Printf("order %d: %v\n", seed, breach)
-			return errExplored
+			return errExplorationFailed
 		}
 		printer.Printf("%d deep orders of up to %d steps, no breach\n", c.Orders, c.Deep)
 		return printer.Err()
 	}
-	return reportDefects(printer, "order", len(register.Defects), func(i int) plantedDefect {
+	return reportDefects(printer, "order", len(register.Defects), func(i int) defectResult {
 		d := &register.Defects[i]
 		seed, breach := register.Search(d.Bounds, d, c.Seed, c.Orders, c.Deep)
-		return plantedDefect{d.Name, seed, breach}
+		return defectResult{d.Name, seed, breach}
 	})
 }
 
@@ -120,13 +120,13 @@
 			if d.Seed > 0 {
 				seed = d.Seed
 			}
-			missed += found(printer, d.Name, explore.Random(lease.Start(lease.DefaultBounds, d), seed, c.Runs, c.Deep))
+			missed += reportDefect(printer, d.Name, explore.Random(lease.Start(lease.DefaultBounds, d), seed, c.Runs, c.Deep))
 		}
-		return missing(printer, missed)
+		return missedDefectsError(printer, missed)
 	}
-	one := lease.DefaultBounds
-	one.Faults = 1
-	return searched(printer, explore.Exhaust(lease.Start(one, nil), explore.Limits{Depth: c.Depth, States: 300_000}),
+	singleFault := lease.DefaultBounds
+	singleFault.Faults = 1
+	return reportSearches(printer, explore.Exhaust(lease.Start(singleFault, nil), explore.Limits{Depth: c.Depth, States: 300_000}),
 		explore.Random(lease.Start(lease.DefaultBounds, nil), c.Seed, c.Runs, c.Deep))
 }
 
@@ -147,35 +147,35 @@
 			if d.Seed > 0 {
 				seed = d.Seed
 			}
-			missed += found(printer, d.Name, explore.Random(rollouts.Start(rollouts.DefaultBounds, d), seed, c.Runs, c.Deep))
+			missed += reportDefect(printer, d.Name, explore.Random(rollouts.Start(rollouts.DefaultBounds, d), seed, c.Runs, c.Deep))
 		}
-		return missing(printer, missed)
+		return missedDefectsError(printer, missed)
 	}
 	result := explore.Random(rollouts.Start(rollouts.DefaultBounds, nil), c.Seed, c.Runs, c.Deep)
 	printer.Println("orders:", result)
 	if result.Breach != nil {
-		return errExplored
+		return errExplorationFailed
 	}
 	return printer.Err()
 }
 
 func (c *exploreFleetCommand) Run(_ context.Context, out io.Writer) error {
 	printer := output.New(out)
-	deep := talk.Bounds{Members: c.Members, Faults: 10 * c.Faults}
+	deepBounds := talk.Bounds{Members: c.Members, Faults: 10 * c.Faults}
 	if c.Defects {
 		missed := 0
 		for d := fleet.NoDefect + 1; d < fleet.DefectCount; d++ {
-			missed += found(printer, d.String(), explore.Random(talk.Start(deep, d), c.Seed, c.Runs, c.Deep))
+			missed += reportDefect(printer, d.String(), explore.Random(talk.Start(deepBounds, d), c.Seed, c.Runs, c.Deep))
 		}
-		return missing(printer, missed)
+		return missedDefectsError(printer, missed)
 	}
-	return searched(printer, explore.Exhaust(talk.Start(talk.Bounds{Members: c.Members, Faults: c.Faults}, 0),
+	return reportSearches(printer, explore.Exhaust(talk.Start(talk.Bounds{Members: c.Members, Faults: c.Faults}, 0),
 		explore.Limits{Depth: c.Depth, States: c.States}),
-		explore.Random(talk.Start(deep, 0), c.Seed, c.Runs, c.Deep))
+		explore.Random(talk.Start(deepBounds, 0), c.Seed, c.Runs, c.Deep))
 }
 
 // found tells whether a search has found a planted defect, and returns 1 if it has not.
-func found(printer *output.Printer, name string, r explore.Result) int {
+func reportDefect(printer *output.Printer, name string, r explore.Result) int {
 	if r.Breach == nil {
 		printer.Printf("%-70s NOT FOUND in %d steps\n", name, r.Steps)
 		return 1
@@ -185,36 +185,36 @@
 }
 
 // missing returns the error of planted defects that were not found, or else that of the output.
-func missing(printer *output.Printer, n int) error {
-	if n > 0 {
-		return errExplored
+func missedDefectsError(printer *output.Printer, missed int) error {
+	if missed > 0 {
+		return errExplorationFailed
 	}
 	return printer.Err()
 }
 
-func searched(printer *output.Printer, every, random explore.Result) error {
-	printer.Println("every order:", every)
+func reportSearches(printer *output.Printer, exhaustive, random explore.Result) error {
+	printer.Println("every order:", exhaustive)
 	printer.Println("deep orders:", random)
-	if every.Breach != nil || random.Breach != nil {
-		return errExplored
+	if exhaustive.Breach != nil || random.Breach != nil {
+		return errExplorationFailed
 	}
 	return printer.Err()
 }
 
-var errExplored = errors.New("an invariant can be broken, or a planted defect was not found")
+var errExplorationFailed = errors.New("an invariant can be broken, or a planted defect was not found")
 
 func (c *exploreRosterCommand) Run(_ context.Context, out io.Writer) error {
 	printer := output.New(out)
-	deep := lists.Bounds{Changes: 3 * c.Changes, Faults: 4 * c.Faults}
+	deepBounds := lists.Bounds{Changes: 3 * c.Changes, Faults: 4 * c.Faults}
 	if c.Defects {
 		missed := 0
 		for i := range lists.Defects {
 			d := &lists.Defects[i]
-			missed += found(printer, d.Name, explore.Random(lists.Start(deep, d), c.Seed, c.Runs, c.Deep))
+			missed += reportDefect(printer, d.Name, explore.Random(lists.Start(deepBounds, d), c.Seed, c.Runs, c.Deep))
 		}
-		return missing(printer, missed)
+		return missedDefectsError(printer, missed)
 	}
-	return searched(printer, explore.Exhaust(lists.Start(lists.Bounds{Changes: c.Changes, Faults: c.Faults}, nil),
+	return reportSearches(printer, explore.Exhaust(lists.Start(lists.Bounds{Changes: c.Changes, Faults: c.Faults}, nil),
 		explore.Limits{Depth: c.Depth, States: c.States}),
-		explore.Random(lists.Start(deep, nil), c.Seed, c.Runs, c.Deep))
+		explore.Random(lists.Start(deepBounds, nil), c.Seed, c.Runs, c.Deep))
 }
--- a/cmd/firplank-lab/explore_calls.go
+++ b/cmd/firplank-lab/explore_calls.go
@@ -22,14 +22,14 @@
 		seed, breach := calls.Search(calls.Usual, nil, c.Seed, c.Orders, c.Deep)
 		if breach != nil {
 			printer.Printf("order %d: %v\n", seed, breach)
-			return errExplored
+			return errExplorationFailed
 		}
 		printer.Printf("%d deep orders of up to %d steps, no breach\n", c.Orders, c.Deep)
 		return printer.Err()
 	}
-	return reportDefects(printer, "order", len(calls.Defects), func(i int) plantedDefect {
+	return reportDefects(printer, "order", len(calls.Defects), func(i int) defectResult {
 		d := &calls.Defects[i]
 		seed, breach := calls.Search(calls.Usual, d, c.Seed, c.Orders, c.Deep)
-		return plantedDefect{d.Name, seed, breach}
+		return defectResult{d.Name, seed, breach}
 	})
 }
--- a/cmd/firplank-lab/explore_catchup.go
+++ b/cmd/firplank-lab/explore_catchup.go
@@ -28,7 +28,7 @@
 		r := catchup.Run(p, seed)
 		printer.Printf("life %d: %v\n", seed, r)
 		if r.Breach != nil {
-			return errExplored
+			return errExplorationFailed
 		}
 	}
 	return printer.Err()
@@ -49,5 +49,5 @@
 			missed++
 		}
 	}
-	return missing(printer, missed)
+	return missedDefectsError(printer, missed)
 }
--- a/cmd/firplank-lab/explore_cutoff.go
+++ b/cmd/firplank-lab/explore_cutoff.go
@@ -21,14 +21,14 @@
 		played, day, breach := cutoff.Search(days, nil)
 		if breach != nil {
 			printer.Printf("%v: %v\n", day, breach)
-			return errExplored
+			return errExplorationFailed
 		}
 		printer.Printf("%d days, no breach\n", played)
 		return printer.Err()
 	}
-	return reportDefects(printer, "day", len(cutoff.Defects), func(i int) plantedDefect {
+	return reportDefects(printer, "day", len(cutoff.Defects), func(i int) defectResult {
 		d := &cutoff.Defects[i]
 		_, day, breach := cutoff.Search(days, d)
-		return plantedDefect{d.Name, day, breach}
+		return defectResult{d.Name, day, breach}
 	})
 }
--- a/cmd/firplank-lab/explore_members.go
+++ b/cmd/firplank-lab/explore_members.go
@@ -20,21 +20,21 @@
 func (c *exploreMembersCommand) Run(_ context.Context, out io.Writer) error {
 	printer := output.New(out)
 	if c.Defects {
-		return reportDefects(printer, "order", len(members.Defects), func(i int) plantedDefect {
+		return reportDefects(printer, "order", len(members.Defects), func(i int) defectResult {
 			d := &members.Defects[i]
 			seed, breach := members.Search(d.In, d, c.Seed, c.Orders)
-			return plantedDefect{d.Name, seed, breach}
+			return defectResult{d.Name, seed, breach}
 		})
 	}
-	for _, in := range members.Usual {
-		in.Faults = c.Faults
-		seed, breach := members.Search(in, nil, c.Seed, c.Orders)
+	for _, surroundings := range members.Usual {
+		surroundings.Faults = c.Faults
+		seed, breach := members.Search(surroundings, nil, c.Seed, c.Orders)
 		if breach != nil {
-			story, _ := members.Run(in, nil, seed)
-			printer.Printf("%+v, order %d: %v\n%s\n", in, seed, breach, strings.Join(story, "\n"))
-			return errExplored
+			trace, _ := members.Run(surroundings, nil, seed)
+			printer.Printf("%+v, order %d: %v\n%s\n", surroundings, seed, breach, strings.Join(trace, "\n"))
+			return errExplorationFailed
 		}
-		printer.Printf("%+v: %d orders, no breach\n", in, c.Orders)
+		printer.Printf("%+v: %d orders, no breach\n", surroundings, c.Orders)
 	}
 	return printer.Err()
 }
--- a/cmd/firplank-lab/explore_numbers.go
+++ b/cmd/firplank-lab/explore_numbers.go
@@ -36,16 +36,16 @@
 	seed, breach := numbers.Search(bounds, nil, c.Seed, c.Histories, c.Steps)
 	if breach != nil {
 		printer.Printf("history %d: %v\n", seed, breach)
-		return errExplored
+		return errExplorationFailed
 	}
 	printer.Printf("%d histories of %d operators over %d steps, no breach\n", c.Histories, c.Operators, c.Steps)
 	return printer.Err()
 }
 
 func (c *exploreNumbersCommand) runDefects(printer *output.Printer) error {
-	return reportDefects(printer, "history", len(numbers.Defects), func(i int) plantedDefect {
+	return reportDefects(printer, "history", len(numbers.Defects), func(i int) defectResult {
 		d := &numbers.Defects[i]
 		seed, breach := numbers.Search(d.Bounds, d, c.Seed, c.Histories, c.Steps)
-		return plantedDefect{d.Name, seed, breach}
+		return defectResult{d.Name, seed, breach}
 	})
 }
--- a/cmd/firplank-lab/main.go
+++ b/cmd/firplank-lab/main.go
@@ -36,7 +36,7 @@
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	err := command(ctx, os.Args[1:], os.Stdout)
+	err := execute(ctx, os.Args[1:], os.Stdout)
 	stop()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "firplank-lab:", err)
@@ -44,7 +44,7 @@
 	}
 }
 
-func command(ctx context.Context, args []string, out io.Writer) error {
+func execute(ctx context.Context, args []string, out io.Writer) error {
 	parser, err := kong.New(&commands{}, kong.Name("firplank-lab"), helpTexts, kong.BindTo(out, (*io.Writer)(nil)),
 		kong.BindTo(ctx, (*context.Context)(nil)), kong.Writers(out, os.Stderr),
 		kong.Description("A failure laboratory for firplank: stand-in servers, roster and clients on loopback, faults on a "+
--- a/cmd/firplank-lab/main_test.go
+++ b/cmd/firplank-lab/main_test.go
@@ -9,15 +9,15 @@
 	"testing"
 )
 
-func do(t *testing.T, args ...string) (string, error) {
+func executeLab(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
-	err := command(t.Context(), args, &out)
+	err := execute(t.Context(), args, &out)
 	return out.String(), err
 }
 
 func TestList(t *testing.T) {
-	out, err := do(t, "list")
+	out, err := executeLab(t, "list")
 	for _, want := range []string{"calm", "second-copy", "roster_restart"} {
 		if err != nil || !strings.Contains(out, want) {
 			t.Errorf("no %s in %q, %v", want, out, err)
@@ -26,17 +26,17 @@
 }
 
 func TestUnknownScenario(t *testing.T) {
-	if _, err := do(t, "run", "rain"); err == nil || !strings.Contains(err.Error(), "calm") {
+	if _, err := executeLab(t, "run", "rain"); err == nil || !strings.Contains(err.Error(), "calm") {
 		t.Errorf("error %v", err)
 	}
 	path := filepath.Join(t.TempDir(), "mine.toml")
 	if err := os.WriteFile(path, []byte("\nrain = 1\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := do(t, "run", path); err == nil || !strings.Contains(err.Error(), "mine.toml:2: unknown key rain") {
+	if _, err := executeLab(t, "run", path); err == nil || !strings.Contains(err.Error(), "mine.toml:2: unknown key rain") {
 		t.Errorf("error %v", err)
 	}
-	if _, err := do(t, "run", "calm", "--rate", "1e9"); err == nil || !strings.Contains(err.Error(), "rate") {
+	if _, err := executeLab(t, "run", "calm", "--rate", "1e9"); err == nil || !strings.Contains(err.Error(), "rate") {
 		t.Errorf("error %v", err)
 	}
 }
@@ -47,7 +47,7 @@
 	ctx, end := context.WithCancel(t.Context())
 	end()
 	var out bytes.Buffer
-	if err := command(ctx, []string{"stand", "calm", "--dir", dir}, &out); err != nil {
+	if err := execute(ctx, []string{"stand", "calm", "--dir", dir}, &out); err != nil {
 		t.Fatal(err)
 	}
 	if !strings.Contains(out.String(), "NODE_CONFIG="+dir) || !strings.Contains(out.String(), "server s-07") {
@@ -57,7 +57,7 @@
 		t.Error(err)
 	}
 	// Nobody listens there: the clients end and say so.
-	text, err := do(t, "clients", "calm", "--length", "0.2", "--rate", "50", "--to", "127.0.0.1:1")
+	text, err := executeLab(t, "clients", "calm", "--length", "0.2", "--rate", "50", "--to", "127.0.0.1:1")
 	if err != nil || !strings.Contains(text, "through the sidecars given") {
 		t.Errorf("%q, %v", text, err)
 	}
--- a/cmd/firplank-lab/mesh.go
+++ b/cmd/firplank-lab/mesh.go
@@ -19,7 +19,7 @@
 }
 
 // meshBill is the configuration that the mesh begins with.
-const meshBill = `{"edition":"00000001","caps":{},"gates":[{"depot":"plates.example","regulations":[
+const initialConfig = `{"edition":"00000001","caps":{},"gates":[{"depot":"plates.example","regulations":[
  {"name":"look","routeKind":"safe","targetS":0.5,"precedence":2,"sorting":{"lanePrefix":"/look/"},
   "dispatch":{"line":"records","deadlineS":2,"attempts":2}},
  {"name":"file","routeKind":"unsafe","targetS":0.5,"precedence":1,"sorting":{"lanePrefix":"/file/"},
@@ -46,14 +46,14 @@
 	}
 	defer m.Stop()
 	err = mesh.Await(10*time.Second, "the configuration is taken", func() bool {
-		status, err := m.Core[0].Put([]byte(meshBill))
+		status, err := m.Core[0].Put([]byte(initialConfig))
 		return err == nil && status == http.StatusOK
 	})
 	if err != nil {
 		return err
 	}
-	for _, x := range m.Branch {
-		if err := mesh.Await(10*time.Second, x.Name+" is ready", x.Ready); err != nil {
+	for _, sidecar := range m.Branch {
+		if err := mesh.Await(10*time.Second, sidecar.Name+" is ready", sidecar.Ready); err != nil {
 			return err
 		}
 	}
--- a/cmd/firplank-lab/reckon.go
+++ b/cmd/firplank-lab/reckon.go
@@ -7,7 +7,7 @@
 	"firplank/lab/scale"
 )
 
-const secondsOfDay = 24 * 3600
+const secondsPerDay = 24 * 3600
 
 type reckonCommand struct {
 	Sidecars   int     `help:"Sidecars." default:"8400"`
@@ -28,8 +28,8 @@
 func (c *reckonCommand) Run(out io.Writer) error {
 	printer := output.New(out)
 	s := scale.Shape{
-		Sidecars: c.Sidecars, Control: c.Control, Zones: c.Zones, Members: c.Members, Packed: c.Packed, ChangesS: c.Changes / secondsOfDay,
-		RestartsS: c.Restarts / secondsOfDay, Revisions: c.Revisions, Breadth: c.Breadth, Reached: c.Reached,
+		Sidecars: c.Sidecars, Control: c.Control, Zones: c.Zones, Members: c.Members, Packed: c.Packed, ChangesS: c.Changes / secondsPerDay,
+		RestartsS: c.Restarts / secondsPerDay, Revisions: c.Revisions, Breadth: c.Breadth, Reached: c.Reached,
 		Subset: c.Subset, Difference: c.Difference,
 	}
 	scale.WriteTerms(out, "as built", s.AsBuilt())
--- a/cmd/firplank-lab/run.go
+++ b/cmd/firplank-lab/run.go
@@ -15,46 +15,46 @@
 )
 
 type runCommand struct {
-	played
+	scenarioFlags
 	JSON string `help:"Write the report to a file in JSON." placeholder:"FILE" type:"path" name:"json"`
 	HTML string `help:"Write the report to a file as a page with plots." placeholder:"FILE" type:"path" name:"html"`
 
 	Graphite bool `help:"Have the sidecars report to a stand-in for Graphite, and plot what that was told."`
 }
 
-var errBroken = errors.New("rules were broken or sidecars crashed")
+var errRulesBroken = errors.New("rules were broken or sidecars crashed")
 
 func (c *runCommand) Run(ctx context.Context, out io.Writer) error {
-	s, err := c.open()
+	s, err := c.openScenario()
 	if err != nil {
 		return err
 	}
-	program, err := c.program()
+	program, err := c.sidecarProgram()
 	if err != nil {
 		return err
 	}
-	r, err := play(ctx, s, run.Options{Program: program, Graphite: c.Graphite}, "firplank")
+	r, err := playScenario(ctx, s, run.Options{Program: program, Graphite: c.Graphite}, "firplank")
 	if err != nil {
 		return err
 	}
 	err = r.Table(out)
 	if c.JSON != "" {
-		err = errors.Join(err, toFile(c.JSON, func(w io.Writer) error {
+		err = errors.Join(err, writeToFile(c.JSON, func(w io.Writer) error {
 			e := json.NewEncoder(w)
 			e.SetIndent("", " ")
 			return e.Encode(r)
 		}))
 	}
 	if c.HTML != "" {
-		err = errors.Join(err, toFile(c.HTML, r.HTML))
+		err = errors.Join(err, writeToFile(c.HTML, r.HTML))
 	}
 	if err == nil && !r.Good() {
-		err = errBroken
+		err = errRulesBroken
 	}
 	return err
 }
 
-func play(ctx context.Context, s *scenario.Scenario, opts run.Options, name string) (*run.Report, error) {
+func playScenario(ctx context.Context, s *scenario.Scenario, opts run.Options, name string) (*run.Report, error) {
 	if info, err := os.Stderr.Stat(); err == nil && info.Mode()&os.ModeCharDevice != 0 {
 		opts.Progress = func(p run.Progress) {
 			fmt.Fprintf(os.Stderr, "\r\x1b[K%s %s: %5.1f of %.0f s, %d asked, %d open  %s", s.Name, name, p.At.Seconds(),
@@ -69,7 +69,7 @@
 	return r, err
 }
 
-func toFile(path string, write func(io.Writer) error) error {
+func writeToFile(path string, write func(io.Writer) error) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return err
--- a/cmd/firplank-lab/scale.go
+++ b/cmd/firplank-lab/scale.go
@@ -29,7 +29,7 @@
 	Restart  float64       `help:"Share of the hollow sidecars that is restarted at once." default:"0.1"`
 	After    time.Duration `help:"How long after the restart is counted." default:"10s"`
 	Target   int           `help:"Number of sidecars that figures are carried on to." default:"8400"`
-	MostMB   int64         `name:"most-mb" help:"Memory of all processes together beyond which a run ends." default:"14000"`
+	MaxMB    int64         `name:"most-mb" help:"Memory of all processes together beyond which a run ends." default:"14000"`
 	Net      int           `help:"Second number of the addresses on loopback, 127.NET.x.y." default:"78"`
 	JSON     string        `name:"json" help:"File for all figures." type:"path"`
 	Add      []string      `help:"Files of earlier figures, whose runs count in the slopes, too." type:"existingfile"`
@@ -56,7 +56,7 @@
 		Sizes: c.Sizes, Repeats: c.Repeats, Control: c.Control, Real: c.Real, Zones: c.Zones, Services: c.Services,
 		Routes: c.Routes, PerS: c.PerS,
 		Settle: c.Settle, Quiet: c.Quiet, Changes: c.Changes, Every: c.Every, Restart: c.Restart, After: c.After, Target: c.Target,
-		MostRSS: c.MostMB * 1e6, Net: c.Net, Folder: filepath.Join(folder, "mesh"), Programs: folder, Lab: lab,
+		MostRSS: c.MaxMB * 1e6, Net: c.Net, Folder: filepath.Join(folder, "mesh"), Programs: folder, Lab: lab,
 	}
 	if err := plan.Check(); err != nil {
 		return err
@@ -95,7 +95,7 @@
 	plan := &report.Plan
 	for repeat := range plan.Repeats {
 		for _, size := range plan.Sizes {
-			began := time.Now()
+			start := time.Now()
 			run, err := scale.Play(ctx, plan, size, repeat+1)
 			if err != nil {
 				report.Failed = append(report.Failed, err.Error())
@@ -103,7 +103,7 @@
 				continue
 			}
 			report.Runs = append(report.Runs, run)
-			fmt.Fprintf(os.Stderr, "%d sidecars, run %d: played in %.0f s\n", size, repeat+1, time.Since(began).Seconds())
+			fmt.Fprintf(os.Stderr, "%d sidecars, run %d: played in %.0f s\n", size, repeat+1, time.Since(start).Seconds())
 		}
 	}
 }
--- a/cmd/firplank-lab/scenario.go
+++ b/cmd/firplank-lab/scenario.go
@@ -11,7 +11,7 @@
 )
 
 // played is how scenarios are named and changed.
-type played struct {
+type scenarioFlags struct {
 	Scenario string  `arg:"" help:"A built-in scenario, or a file in TOML."`
 	Seed     uint64  `help:"Seed in place of the scenario's."`
 	Length   float64 `help:"Length in seconds in place of the scenario's."`
@@ -25,8 +25,8 @@
 	NoContracts bool `help:"Do not tell the sidecars of the scenario's contracts."`
 }
 
-func (p *played) open() (*scenario.Scenario, error) {
-	s, err := open(p.Scenario)
+func (p *scenarioFlags) openScenario() (*scenario.Scenario, error) {
+	s, err := loadScenario(p.Scenario)
 	if err != nil {
 		return nil, err
 	}
@@ -54,7 +54,7 @@
 	return s, s.Check()
 }
 
-func open(name string) (*scenario.Scenario, error) {
+func loadScenario(name string) (*scenario.Scenario, error) {
 	if !strings.ContainsAny(name, "./") {
 		return scenario.Open(name)
 	}
@@ -65,11 +65,11 @@
 	return scenario.Parse(filepath.Base(name), text)
 }
 
-func (p *played) program() (run.Program, error) {
+func (p *scenarioFlags) sidecarProgram() (run.Program, error) {
 	if p.Binary != "" {
 		return run.Program{Args: []string{p.Binary, "serve"}, Options: p.Config}, nil
 	}
-	program, err := child("sidecar")
+	program, err := childProgram("sidecar")
 	program.Options = p.Config
 	return program, err
 }
--- a/cmd/firplank-lab/shed.go
+++ b/cmd/firplank-lab/shed.go
@@ -11,13 +11,13 @@
 )
 
 type shedCommand struct {
-	played
+	scenarioFlags
 	Seeds   int  `help:"How many seeds to play, from the scenario's on." default:"1"`
 	Retries *int `help:"Tries after the first one in place of the scenario's."`
 }
 
 func (c *shedCommand) Run(out io.Writer) error {
-	s, err := c.open()
+	s, err := c.openScenario()
 	if err != nil {
 		return err
 	}
@@ -40,13 +40,13 @@
 		}
 		for _, o := range all {
 			t.Printf("%d\t%s\t%.3f\t%.3f\t%.3f\t%d\t%d\t%d\t%d\t%s\t%s\t\n", s.Seed, o.Way, o.Share, o.OfMost, o.OfOmniscient, o.InAim, o.Late,
-				o.Refused, o.Tries, orNever(o.Recovered), orNever(o.NewServed))
+				o.Refused, o.Tries, formatRecovery(o.Recovered), formatRecovery(o.NewServed))
 		}
 	}
 	return t.Flush()
 }
 
-func orNever(d time.Duration) string {
+func formatRecovery(d time.Duration) string {
 	if d < 0 {
 		return "never"
 	}
--- a/cmd/firplank-lab/soak.go
+++ b/cmd/firplank-lab/soak.go
@@ -90,7 +90,7 @@
 }
 
 // maxPrinted bounds the violations of one rule that are printed; the list of events has all.
-const maxPrinted = 5
+const maxPrintedPerRule = 5
 
 func printReport(printer *output.Printer, r *soak.Report) {
 	n := &r.Counts
@@ -102,12 +102,12 @@
 		r.Stalls, len(r.Violations))
 	printed := map[string]int{}
 	for _, v := range r.Violations {
-		if printed[v.Rule]++; printed[v.Rule] <= maxPrinted {
+		if printed[v.Rule]++; printed[v.Rule] <= maxPrintedPerRule {
 			printer.Printf("  %8.3f %s: %s\n", v.At.Seconds(), v.Rule, v.What)
 		}
 	}
 	for rule, count := range printed {
-		if count > maxPrinted {
+		if count > maxPrintedPerRule {
 			printer.Printf("  %s: %d in all\n", rule, count)
 		}
 	}
--- a/cmd/firplank-lab/alone.go
+++ b/cmd/firplank-lab/standalone.go
@@ -75,7 +75,7 @@
 		return err
 	}
 	if c.JSON != "" {
-		if err := toFile(c.JSON, func(w io.Writer) error { return json.NewEncoder(w).Encode(r) }); err != nil {
+		if err := writeToFile(c.JSON, func(w io.Writer) error { return json.NewEncoder(w).Encode(r) }); err != nil {
 			return err
 		}
 	}
@@ -83,12 +83,12 @@
 }
 
 type standCommand struct {
-	played
+	scenarioFlags
 	Dir string `help:"Folder for the sidecars' configuration files." default:"." type:"existingdir"`
 }
 
 func (c *standCommand) Run(ctx context.Context, out io.Writer) error {
-	s, err := c.open()
+	s, err := c.openScenario()
 	if err != nil {
 		return err
 	}
@@ -96,12 +96,12 @@
 }
 
 type clientsCommand struct {
-	played
+	scenarioFlags
 	To []string `help:"Addresses of the sidecars." required:""`
 }
 
 func (c *clientsCommand) Run(ctx context.Context, out io.Writer) error {
-	s, err := c.open()
+	s, err := c.openScenario()
 	if err != nil {
 		return err
 	}
--- a/cmd/firplank/contracts.go
+++ b/cmd/firplank/contracts.go
@@ -26,7 +26,7 @@
 
 var errNoContracts = errors.New("the options name no contracts: want [broker] contracts = \"FOLDER\"")
 
-func (f *files) contracts() (*sidecar.Config, *contract.Set, error) {
+func (f *configFlags) loadContracts() (*sidecar.Config, *contract.Set, error) {
 	cfg, err := sidecar.LoadAll(os.Getenv, f.Config)
 	if err != nil {
 		return nil, nil, err
@@ -37,11 +37,11 @@
 	return cfg, cfg.Contracts(), nil
 }
 
-type contractsCheck struct{ files }
+type contractsCheck struct{ configFlags }
 
 func (c *contractsCheck) Run(out io.Writer) error {
 	printer := output.New(out)
-	_, set, err := c.contracts()
+	_, set, err := c.loadContracts()
 	if err != nil {
 		return err
 	}
@@ -49,11 +49,11 @@
 	return printer.Err()
 }
 
-type contractsShow struct{ files }
+type contractsShow struct{ configFlags }
 
 func (c *contractsShow) Run(out io.Writer) error {
 	printer := output.New(out)
-	cfg, set, err := c.contracts()
+	cfg, set, err := c.loadContracts()
 	if err != nil {
 		return err
 	}
@@ -72,15 +72,15 @@
 			classes = append(classes, text)
 		}
 		t.Printf("%s\t%g\t%g\t%s\t%s\t%s\t%g of first tries + %g/s\t%s\n", terms.Team, terms.WorthPerSecond, terms.Burst,
-			share(terms.GuaranteedShare), share(terms.MaxShare), overNames[terms.OverPolicy], terms.Retries.Share, terms.Retries.FloorPerSecond,
+			formatShare(terms.GuaranteedShare), formatShare(terms.MaxShare), overPolicyNames[terms.OverPolicy], terms.Retries.Share, terms.Retries.FloorPerSecond,
 			strings.Join(classes, ", "))
 	}
 	return t.Flush()
 }
 
-var overNames = map[contract.OverPolicy]string{contract.Refuse: "refuse", contract.Borrow: "borrow", contract.Degrade: "degrade"}
+var overPolicyNames = map[contract.OverPolicy]string{contract.Refuse: "refuse", contract.Borrow: "borrow", contract.Degrade: "degrade"}
 
-func share(v float64) string {
+func formatShare(v float64) string {
 	if v == 0 {
 		return "-"
 	}
@@ -88,7 +88,7 @@
 }
 
 type contractsExplain struct {
-	files
+	configFlags
 	Team    string        `required:"" help:"Whose requests."`
 	Class   string        `required:"" help:"Of which class."`
 	Rate    float64       `required:"" help:"How many a second reach this instance."`
@@ -97,10 +97,10 @@
 	For     time.Duration `help:"How long." default:"10s"`
 }
 
-const mostExplained = 5_000_000 // requests that are played
+const maxExplainedRequests = 5_000_000 // requests that are played
 
 func (c *contractsExplain) Run(out io.Writer) error {
-	cfg, set, err := c.contracts()
+	cfg, set, err := c.loadContracts()
 	if err != nil {
 		return err
 	}
@@ -111,73 +111,73 @@
 		return fmt.Errorf("no contract has a team %q", c.Team)
 	case !known:
 		return fmt.Errorf("the settings have no class %q", c.Class)
-	case !(c.Rate > 0) || c.For <= 0 || c.Rate*c.For.Seconds() > mostExplained || !(c.Retries >= 0 && c.Retries <= 1):
+	case !(c.Rate > 0) || c.For <= 0 || c.Rate*c.For.Seconds() > maxExplainedRequests || !(c.Retries >= 0 && c.Retries <= 1):
 		return fmt.Errorf("--rate %v for %v with --retries %v: want more than 0, at most %d in all, and 0 to 1", c.Rate,
-			c.For, c.Retries, mostExplained)
+			c.For, c.Retries, maxExplainedRequests)
 	}
-	count, first := c.play(set, team, class, cfg.Deployment())
+	counts, firsts := c.simulate(set, team, class, cfg.Deployment())
 	total := int64(0)
-	for _, n := range count {
+	for _, n := range counts {
 		total += n
 	}
-	reasons := make([]string, 0, len(count))
-	for r := range count {
+	reasons := make([]string, 0, len(counts))
+	for r := range counts {
 		reasons = append(reasons, r)
 	}
-	slices.SortFunc(reasons, func(a, b string) int { return cmp.Compare(count[b], count[a]) })
+	slices.SortFunc(reasons, func(a, b string) int { return cmp.Compare(counts[b], counts[a]) })
 	t := output.NewTable(out, 0, 0, 2, ' ', 0)
 	t.Println("clause\trequests\tshare\tthe first\tanswer")
 	for _, r := range reasons {
-		f := first[r]
-		t.Printf("%s\t%d\t%.3f\tafter %v\t%s\n", r, count[r], float64(count[r])/float64(total), f.at.Round(time.Millisecond), f.answer)
+		f := firsts[r]
+		t.Printf("%s\t%d\t%.3f\tafter %v\t%s\n", r, counts[r], float64(counts[r])/float64(total), f.after.Round(time.Millisecond), f.answer)
 	}
 	return t.Flush()
 }
 
 // told is the first decision for a reason.
-type told struct {
-	at     time.Duration
+type firstDecision struct {
+	after  time.Duration
 	answer string
 }
 
 // play asks the contracts for evenly spaced requests, in time that is not real.
-func (c *contractsExplain) play(set *contract.Set, team, class int, d contract.Deployment) (map[string]int64, map[string]told) {
-	b := contract.New(0, set)
-	count, first := map[string]int64{}, map[string]told{}
-	gap := time.Duration(float64(time.Second) / c.Rate)
+func (c *contractsExplain) simulate(set *contract.Set, team, class int, d contract.Deployment) (map[string]int64, map[string]firstDecision) {
+	brokerModel := contract.New(0, set)
+	counts, firsts := map[string]int64{}, map[string]firstDecision{}
+	interval := time.Duration(float64(time.Second) / c.Rate)
 	retries := 0.0
-	next := time.Duration(0) // of the others
-	for at := time.Duration(0); at < c.For; at += gap {
-		for ; c.Others == "busy" && next <= at; next += 5 * time.Millisecond {
-			busy(b, set, team, next)
+	nextOther := time.Duration(0) // of the others
+	for now := time.Duration(0); now < c.For; now += interval {
+		for ; c.Others == "busy" && nextOther <= now; nextOther += 5 * time.Millisecond {
+			saturate(brokerModel, set, team, nextOther)
 		}
 		retries += c.Retries
-		marked := retries >= 1
-		if marked {
+		markedRetry := retries >= 1
+		if markedRetry {
 			retries--
 		}
-		got := b.Admit(at, contract.Request{Team: team, Class: class, MarkedRetry: marked})
-		b.Release(at, got.Grant, true)
-		reason := got.Reason.String()
-		count[reason]++
-		if _, ok := first[reason]; !ok {
-			first[reason] = told{at, describe(got, d)}
+		decision := brokerModel.Admit(now, contract.Request{Team: team, Class: class, MarkedRetry: markedRetry})
+		brokerModel.Release(now, decision.Grant, true)
+		reason := decision.Reason.String()
+		counts[reason]++
+		if _, ok := firsts[reason]; !ok {
+			firsts[reason] = firstDecision{now, describeResponse(decision, d)}
 		}
 	}
-	return count, first
+	return counts, firsts
 }
 
 // busy lets every other team ask for more than it may have in some milliseconds.
-func busy(b *contract.Broker, set *contract.Set, but int, now time.Duration) {
+func saturate(b *contract.Broker, set *contract.Set, exceptTeam int, now time.Duration) {
 	for team := range set.TeamCount() {
-		if team == but {
+		if team == exceptTeam {
 			continue
 		}
 		for _, ct := range set.Terms(team).Classes {
 			for range 20 {
-				got := b.Admit(now, contract.Request{Team: team, Class: ct.Class})
-				b.Release(now, got.Grant, true)
-				if got.Verdict != contract.Admitted {
+				decision := b.Admit(now, contract.Request{Team: team, Class: ct.Class})
+				b.Release(now, decision.Grant, true)
+				if decision.Verdict != contract.Admitted {
 					break
 				}
 			}
@@ -186,16 +186,16 @@
 }
 
 // describe tells the form of an answer.
-func describe(got contract.Decision, d contract.Deployment) string {
-	if got.Verdict == contract.Admitted {
-		if got.Reason == contract.Degraded {
-			return "admitted as " + d.Classes[got.Class].Name
+func describeResponse(decision contract.Decision, d contract.Deployment) string {
+	if decision.Verdict == contract.Admitted {
+		if decision.Reason == contract.Degraded {
+			return "admitted as " + d.Classes[decision.Class].Name
 		}
 		return "admitted"
 	}
-	a := broker.Answer(got, true)
-	if a.Kind == core.Failed {
+	response := broker.Answer(decision, true)
+	if response.Kind == core.Failed {
 		return "403, or «denied» over MessagePack-RPC"
 	}
-	return fmt.Sprintf("429 with Retry-After: %.3f, or «refused» over MessagePack-RPC", a.RetryAfter.Seconds())
+	return fmt.Sprintf("429 with Retry-After: %.3f, or «refused» over MessagePack-RPC", response.RetryAfter.Seconds())
 }
--- a/cmd/firplank/contracts_test.go
+++ b/cmd/firplank/contracts_test.go
@@ -9,7 +9,7 @@
 )
 
 // contracts runs a command on a folder with one contract.
-func contracts(t *testing.T, text string, args ...string) (string, error) {
+func runContracts(t *testing.T, text string, args ...string) (string, error) {
 	t.Helper()
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -49,28 +49,28 @@
 name = "read"
 `
 
-func TestContracts(t *testing.T) {
-	if out, err := contracts(t, contractText, "check"); err != nil || out != "2 teams, no fault\n" {
+func TestContractsCommands(t *testing.T) {
+	if out, err := runContracts(t, contractText, "check"); err != nil || out != "2 teams, no fault\n" {
 		t.Errorf("check: %q, %v", out, err)
 	}
-	if _, err := contracts(t, strings.Replace(contractText, "12", "1", 1), "check"); err == nil ||
+	if _, err := runContracts(t, strings.Replace(contractText, "12", "1", 1), "check"); err == nil ||
 		!strings.Contains(err.Error(), "a.toml:6: team \"acme\": burst: 1 is less") {
 		t.Errorf("check of a bad one: %v", err)
 	}
-	if out, err := contracts(t, contractText, "show"); err != nil || !strings.Contains(out, "acme  30") || !strings.Contains(out, "borrow") {
+	if out, err := runContracts(t, contractText, "show"); err != nil || !strings.Contains(out, "acme  30") || !strings.Contains(out, "borrow") {
 		t.Errorf("show: %s, %v", out, err)
 	}
 	// 20 a second of worth 3, of which 10 are the budget.
-	out, err := contracts(t, contractText, "explain", "--team", "acme", "--class", "read", "--rate", "20")
+	out, err := runContracts(t, contractText, "explain", "--team", "acme", "--class", "read", "--rate", "20")
 	if err != nil || !strings.Contains(out, "over_budget") || !strings.Contains(out, "429 with Retry-After: 0.") ||
 		!strings.Contains(out, "guaranteed") {
 		t.Errorf("explain: %s, %v", out, err)
 	}
-	if out, err := contracts(t, contractText, "explain", "--team", "bolt", "--class", "read", "--rate", "60", "--others",
+	if out, err := runContracts(t, contractText, "explain", "--team", "bolt", "--class", "read", "--rate", "60", "--others",
 		"busy"); err != nil || !strings.Contains(out, "borrowed") {
 		t.Errorf("explain of a borrower: %s, %v", out, err)
 	}
-	if out, err := contracts(t, contractText, "explain", "--team", "acme", "--class", "pay", "--rate",
+	if out, err := runContracts(t, contractText, "explain", "--team", "acme", "--class", "pay", "--rate",
 		"1"); err != nil || !strings.Contains(out, "no_class") || !strings.Contains(out, "403") {
 		t.Errorf("explain of a class of others: %s, %v", out, err)
 	}
@@ -78,7 +78,7 @@
 		{"--team", "none", "--class", "read", "--rate", "1"}, {"--team", "acme", "--class", "none", "--rate", "1"},
 		{"--team", "acme", "--class", "read", "--rate", "1e9"}, {"--team", "acme", "--class", "read", "--rate", "0"},
 	} {
-		if out, err := contracts(t, contractText, append([]string{"explain"}, args...)...); err == nil || out != "" {
+		if out, err := runContracts(t, contractText, append([]string{"explain"}, args...)...); err == nil || out != "" {
 			t.Errorf("%v: %s", args, out)
 		}
 	}
--- a/cmd/firplank/deploy_test.go
+++ b/cmd/firplank/deploy_test.go
@@ -37,15 +37,15 @@
 	if err := toml.Unmarshal(text, &deploy); err != nil {
 		t.Fatal(err)
 	}
-	const link = "-ldflags=-linkmode=external"
-	if !strings.Contains(deploy.Build, "CGO_ENABLED=1 go build "+link) {
+	const linkFlag = "-ldflags=-linkmode=external"
+	if !strings.Contains(deploy.Build, "CGO_ENABLED=1 go build "+linkFlag) {
 		t.Errorf("build is %q", deploy.Build)
 	}
 	if !strings.HasPrefix(deploy.Run, "exec ") || strings.ContainsAny(deploy.Run, "&|;") {
 		t.Errorf("run is %q: want one process", deploy.Run)
 	}
 	program := filepath.Join(t.TempDir(), "firplank")
-	goTool(t, "build", link, "-o", program, ".")
+	goTool(t, "build", linkFlag, "-o", program, ".")
 	f, err := elf.Open(program)
 	if err != nil {
 		t.Fatal(err)
@@ -62,13 +62,13 @@
 
 // banned are calls that the fleet's days refuse: they start processes, or copy between descriptors inside the kernel, as
 // io.Copy does by itself where both ends are sockets or files. The exceptions drop what they read.
-var banned = map[string][]string{
+var bannedCalls = map[string][]string{
 	"os": {"StartProcess"}, "syscall": {"ForkExec", "StartProcess", "Exec", "Splice", "Sendfile"},
 	"unix": {"Splice", "Sendfile", "Exec"}, "io": {"Copy", "CopyBuffer", "CopyN"},
 }
 
 // No package of the program can start another, and none of its own copies from socket to socket.
-func TestNothingThatTheFleetRefuses(t *testing.T) {
+func TestNoBannedImportsOrCalls(t *testing.T) {
 	for _, pkg := range strings.Fields(goTool(t, "list", "-deps", ".")) {
 		if slices.Contains([]string{"os/exec", "plugin", "net/http/cgi", "net/http/fcgi"}, pkg) {
 			t.Errorf("the program imports %s", pkg)
@@ -86,10 +86,10 @@
 			if !ok {
 				return true
 			}
-			name, of := selected(call.Fun)
-			if slices.Contains(banned[of], name) {
-				if to, from := selected(call.Args[0]); of != "io" || from != "io" || to != "Discard" {
-					t.Errorf("%s: %s.%s", fset.Position(call.Pos()), of, name)
+			name, qualifier := selectedName(call.Fun)
+			if slices.Contains(bannedCalls[qualifier], name) {
+				if to, from := selectedName(call.Args[0]); qualifier != "io" || from != "io" || to != "Discard" {
+					t.Errorf("%s: %s.%s", fset.Position(call.Pos()), qualifier, name)
 				}
 			}
 			return true
@@ -98,7 +98,7 @@
 }
 
 // selected takes a name and its package out of an expression; empty where it is something else.
-func selected(e ast.Expr) (name, of string) {
+func selectedName(e ast.Expr) (name, qualifier string) {
 	if s, ok := e.(*ast.SelectorExpr); ok {
 		if x, ok := s.X.(*ast.Ident); ok {
 			return s.Sel.Name, x.Name
--- a/cmd/firplank/fleet.go
+++ b/cmd/firplank/fleet.go
@@ -23,7 +23,7 @@
 	JSON    bool   `help:"As JSON." name:"json"`
 }
 
-var errNoFleet = errors.New("the sidecar tells nobody anything: want [fleet] enabled = true in its options")
+var errFleetDisabled = errors.New("the sidecar tells nobody anything: want [fleet] enabled = true in its options")
 
 func (c *fleetShow) Run(out io.Writer) error {
 	client := http.Client{Timeout: 5 * time.Second}
@@ -35,7 +35,7 @@
 	switch resp.StatusCode {
 	case http.StatusOK:
 	case http.StatusNotFound:
-		return errNoFleet
+		return errFleetDisabled
 	default:
 		return fmt.Errorf("fleet: %s", resp.Status)
 	}
@@ -72,8 +72,8 @@
 			note = " TWO PROCESSES"
 		}
 		t.Printf("%d\t%s%s\t%s\t%s\t%s\t%d\t%s\t%s\n", m.Number, m.Reachability, note,
-			age(m.SinceDatagram), age(m.SinceHeartbeat), age(m.SinceComplete),
-			m.Received, m.Incarnation, row(m.ReceivesFrom, len(s.Members)))
+			formatAge(m.SinceDatagram), formatAge(m.SinceHeartbeat), formatAge(m.SinceComplete),
+			m.Received, m.Incarnation, formatReceivesFrom(m.ReceivesFrom, len(s.Members)))
 	}
 	t.Println("\nclass\ttenant\ttaken\tretried\tserved\tno room\tover budget\trefused\tfailed")
 	for _, c := range s.Sums.Cells {
@@ -91,7 +91,7 @@
 	return printer.Err()
 }
 
-func age(s float64) string {
+func formatAge(s float64) string {
 	if s < 0 {
 		return "never"
 	}
@@ -99,12 +99,12 @@
 }
 
 // row shows whom a member hears, a column each.
-func row(hears []int, members int) string {
-	if len(hears) == 0 {
+func formatReceivesFrom(receivesFrom []int, members int) string {
+	if len(receivesFrom) == 0 {
 		return "-"
 	}
 	b := []byte(strings.Repeat(".", members))
-	for _, i := range hears {
+	for _, i := range receivesFrom {
 		if i < members {
 			b[i] = 'x'
 		}
--- a/cmd/firplank/off_test.go
+++ b/cmd/firplank/fleet_disabled_test.go
@@ -19,27 +19,27 @@
 )
 
 // talkConfig writes a configuration with peers, that the settings allow to be talked to or not, and returns its path.
-func talkConfig(t *testing.T, mayTell bool) string {
+func writePeerConfig(t *testing.T, peersAllowed bool) string {
 	t.Helper()
 	text, err := os.ReadFile("../../internal/sidecar/testdata/config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var all map[string]any
-	if err := json.Unmarshal(text, &all); err != nil {
+	var document map[string]any
+	if err := json.Unmarshal(text, &document); err != nil {
 		t.Fatal(err)
 	}
-	free, err := net.ListenPacket("udp4", "127.0.0.1:0")
+	conn, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := free.LocalAddr().String()
-	_ = free.Close()
-	settings := all["settings"].(map[string]any)
-	settings["limits"].(map[string]any)["may_tell"] = mayTell
+	peerAddr := conn.LocalAddr().String()
+	_ = conn.Close()
+	settings := document["settings"].(map[string]any)
+	settings["limits"].(map[string]any)["may_tell"] = peersAllowed
 	settings["my_number"], settings["peers_total"] = 0, 2
-	all["listen"], all["peer_listen"], all["peers"] = "127.0.0.1:0", at, []string{at, "127.0.0.1:9"}
-	text, err = json.Marshal(all)
+	document["listen"], document["peer_listen"], document["peers"] = "127.0.0.1:0", peerAddr, []string{peerAddr, "127.0.0.1:9"}
+	text, err = json.Marshal(document)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,7 +51,7 @@
 }
 
 // datagramSockets counts those that a process holds.
-func datagramSockets(t *testing.T, pid int) (n int) {
+func countDatagramSockets(t *testing.T, pid int) (n int) {
 	t.Helper()
 	var tables string
 	for _, name := range []string{"udp", "udp6", "udplite", "unix"} {
@@ -75,7 +75,7 @@
 
 // What sidecars tell one another is off in what the platform runs, whatever the settings allow: exactly that is started here, and holds no
 // socket for datagrams. With the options file it does, so that the look would see one.
-func TestRunTalksToNobody(t *testing.T) {
+func TestDeployedSidecarOpensNoDatagramSocket(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -98,13 +98,13 @@
 		log := &testbed.Log{}
 		cmd := exec.Command("/bin/sh", "-c", c.run)
 		cmd.Dir, cmd.Stderr = root, log
-		cmd.Env = append(os.Environ(), "NODE_CONFIG="+talkConfig(t, c.mayTell), "TMPDIR="+t.TempDir())
+		cmd.Env = append(os.Environ(), "NODE_CONFIG="+writePeerConfig(t, c.mayTell), "TMPDIR="+t.TempDir())
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
 		}
 		testbed.Until(t, "the sidecar listens", func() bool { return log.Has("msg=listening") })
 		time.Sleep(300 * time.Millisecond) // what began late would have begun
-		if got := datagramSockets(t, cmd.Process.Pid); got != c.want {
+		if got := countDatagramSockets(t, cmd.Process.Pid); got != c.want {
 			t.Errorf("%s, may_tell %v: %d sockets for datagrams, want %d", c.run, c.mayTell, got, c.want)
 		}
 		_ = cmd.Process.Signal(syscall.SIGTERM)
@@ -115,8 +115,8 @@
 }
 
 // Where the settings forbid it, or the configuration lacks what it needs, check names the key and nothing starts.
-func TestTalkIsRefusedByKey(t *testing.T) {
-	t.Setenv("NODE_CONFIG", talkConfig(t, false))
+func TestFleetConfigErrorNamesTheKey(t *testing.T) {
+	t.Setenv("NODE_CONFIG", writePeerConfig(t, false))
 	var out bytes.Buffer
 	for _, command := range []string{"check", "serve"} {
 		if err := run([]string{command, "--config", "../../deploy/fleet.toml"}, &out); err == nil ||
@@ -129,7 +129,7 @@
 		"peers":       func(m map[string]any) { delete(m, "peers") },
 		"number 1":    func(m map[string]any) { m["peers"] = []string{"127.0.0.1:7", "nowhere"} },
 	} {
-		path := talkConfig(t, true)
+		path := writePeerConfig(t, true)
 		text, _ := os.ReadFile(path)
 		var all map[string]any
 		if err := json.Unmarshal(text, &all); err != nil {
--- a/cmd/firplank/main.go
+++ b/cmd/firplank/main.go
@@ -31,15 +31,15 @@
 }
 
 // files is what a sidecar is configured by, beside the NODE_ variables.
-type files struct {
+type configFlags struct {
 	Config string `help:"Options in TOML, for what is not part of the platform's configuration." placeholder:"FILE" type:"path"`
 }
 
-type serveCommand struct{ files }
+type serveCommand struct{ configFlags }
 
 func (c *serveCommand) Run() error { return sidecar.Main(os.Getenv, c.Config, os.Stderr) }
 
-type checkCommand struct{ files }
+type checkCommand struct{ configFlags }
 
 func (c *checkCommand) Run(out io.Writer) error {
 	printer := output.New(out)
--- a/cmd/firplank/main_test.go
+++ b/cmd/firplank/main_test.go
@@ -8,10 +8,10 @@
 	"testing"
 )
 
-const config = "../../internal/sidecar/testdata/config.json"
+const testConfig = "../../internal/sidecar/testdata/config.json"
 
 func TestCheck(t *testing.T) {
-	t.Setenv("NODE_CONFIG", config)
+	t.Setenv("NODE_CONFIG", testConfig)
 	var out bytes.Buffer
 	if err := run([]string{"check", "--config", "../../deploy/firplank.toml"}, &out); err != nil {
 		t.Fatal(err)
@@ -22,8 +22,8 @@
 }
 
 // What is wrong is named with its place, and nothing starts.
-func TestCheckNamesTheFault(t *testing.T) {
-	good, err := os.ReadFile(config)
+func TestCheckErrorNamesThePlace(t *testing.T) {
+	good, err := os.ReadFile(testConfig)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/firplank/metrics.go
+++ b/cmd/firplank/metrics.go
@@ -18,22 +18,22 @@
 
 // metricsCommand is about what monitoring is told.
 type metricsCommand struct {
-	Names namesCommand `cmd:"" help:"List every series that the configuration can bring, with its unit and meaning."`
-	Types typesCommand `cmd:"" help:"Print the lines that collectd's types.db needs."`
+	Names metricNamesCommand   `cmd:"" help:"List every series that the configuration can bring, with its unit and meaning."`
+	Types collectdTypesCommand `cmd:"" help:"Print the lines that collectd's types.db needs."`
 }
 
-type typesCommand struct{}
+type collectdTypesCommand struct{}
 
-func (typesCommand) Run(out io.Writer) error {
+func (collectdTypesCommand) Run(out io.Writer) error {
 	_, err := io.WriteString(out, collectd.TypesDB())
 	return err
 }
 
-type namesCommand struct{ files }
+type metricNamesCommand struct{ configFlags }
 
 // Run lists paths of Graphite's, and behind each what it stands for. What is only known in service has its label in angle
 // brackets.
-func (c *namesCommand) Run(out io.Writer) error {
+func (c *metricNamesCommand) Run(out io.Writer) error {
 	cfg, err := sidecar.LoadAll(os.Getenv, c.Config)
 	if err != nil {
 		return err
@@ -46,24 +46,24 @@
 	for _, f := range report.Families {
 		rows := [][]string{nil}
 		for _, label := range f.Labels {
-			rows = cross(rows, label, &shape)
+			rows = appendLabelValues(rows, label, &shape)
 		}
-		shown := len(f.Shown())
+		counterCount := len(f.Shown())
 		for _, labels := range rows {
-			of := ""
+			labelText := ""
 			for i, label := range labels { // escaped names may be cut
-				of += fmt.Sprintf("%s=%q ", f.Labels[i], label)
+				labelText += fmt.Sprintf("%s=%q ", f.Labels[i], label)
 			}
 			for i, field := range f.Fields() {
 				meaning := f.About + ": " + field.About
-				if i >= shown {
-					w.Printf("%s\tgauge\t%s\t%s\t%s\n", path(prefix, g.Tags, f, labels, field.Name, ""), field.Unit, of, meaning)
+				if i >= counterCount {
+					w.Printf("%s\tgauge\t%s\t%s\t%s\n", seriesPath(prefix, g.Tags, f, labels, field.Name, ""), field.Unit, labelText, meaning)
 					continue
 				}
 				w.Printf("%s\tcounter\t%s\t%s\t%s, since the process began\n",
-					path(prefix, g.Tags, f, labels, field.Name, graphite.Total), field.Unit, of, meaning)
-				w.Printf("%s\tgrowth\t%s\t%s\t%s, in the interval\n", path(prefix, g.Tags, f, labels, field.Name, graphite.Count),
-					field.Unit, of, meaning)
+					seriesPath(prefix, g.Tags, f, labels, field.Name, graphite.Total), field.Unit, labelText, meaning)
+				w.Printf("%s\tgrowth\t%s\t%s\t%s, in the interval\n", seriesPath(prefix, g.Tags, f, labels, field.Name, graphite.Count),
+					field.Unit, labelText, meaning)
 			}
 		}
 	}
@@ -71,7 +71,7 @@
 }
 
 // path leaves labels that stand for what is not known yet as they are.
-func path(prefix string, tagged bool, f *report.Family, labels []string, field, suffix string) string {
+func seriesPath(prefix string, tagged bool, f *report.Family, labels []string, field, suffix string) string {
 	if len(labels) > 0 && labels[0][0] == '<' {
 		parts := prefix + "." + f.Name
 		for _, l := range labels {
@@ -85,7 +85,7 @@
 	return graphite.Path(prefix, tagged, f, labels, field, suffix)
 }
 
-func cross(rows [][]string, label string, s *report.Shape) (all [][]string) {
+func appendLabelValues(rows [][]string, label string, s *report.Shape) (all [][]string) {
 	values := []string{"<" + label + ">"}
 	switch label {
 	case "class":
--- a/cmd/firplank/metrics_test.go
+++ b/cmd/firplank/metrics_test.go
@@ -7,7 +7,7 @@
 )
 
 // Every series has a line, and the types are those of the file for collectd.
-func TestMetrics(t *testing.T) {
+func TestMetricsCommands(t *testing.T) {
 	t.Setenv("NODE_CONFIG", "../../internal/sidecar/testdata/config.json")
 	var out bytes.Buffer
 	if err := run([]string{"metrics", "names", "--config", "../../deploy/monitoring/monitoring.toml"}, &out); err != nil {
--- a/cmd/firplankctl/client.go
+++ b/cmd/firplankctl/client.go
@@ -52,21 +52,21 @@
 }
 
 // answer is a control machine's answer to a request that changes something.
-type answer struct {
-	code   int
-	status string // the code with its text
-	reason []byte // the beginning of the body
+type response struct {
+	statusCode int
+	status     string // the code with its text
+	reason     []byte // the beginning of the body
 }
 
 // post sends JSON.
-func (c *client) post(path string, body []byte) (answer, error) {
+func (c *client) post(path string, body []byte) (response, error) {
 	resp, err := c.http.Post("http://"+c.addr+path, "application/json", bytes.NewReader(body))
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	defer func() { _ = resp.Body.Close() }()                           // only read from
 	reason, _ := io.ReadAll(io.LimitReader(resp.Body, maxReasonBytes)) // the status alone counts, where the body is cut off
-	return answer{code: resp.StatusCode, status: resp.Status, reason: reason}, nil
+	return response{statusCode: resp.StatusCode, status: resp.Status, reason: reason}, nil
 }
 
 // loadConfig reads a configuration from a file, or, where none is named, the one in force from a control machine. It returns its text, too.
--- a/cmd/firplankctl/config.go
+++ b/cmd/firplankctl/config.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	switch answer.code {
+	switch answer.statusCode {
 	case http.StatusOK:
 		printer.Printf("edition %08x, or a higher one, is on a majority of disks\n", cfg.Version)
 		return printer.Err()
--- a/cmd/firplankctl/fsck_test.go
+++ b/cmd/firplankctl/fsck_test.go
@@ -14,7 +14,7 @@
 )
 
 // fsck reports what a folder holds, changes nothing in it, and fails on damage.
-func TestFsckReportsAFolder(t *testing.T) {
+func TestFsckReportsContentAndDamage(t *testing.T) {
 	folder := t.TempDir()
 	store, _, err := storage.Open(folder)
 	if err != nil {
@@ -29,7 +29,7 @@
 	}
 	store.RecordSynced()
 	_ = store.Close()
-	before := files(t, folder)
+	before := readFiles(t, folder)
 	var out bytes.Buffer
 	if err := (&fsckCommand{Folder: folder}).Run(&out); err != nil {
 		t.Fatal(err)
@@ -39,7 +39,7 @@
 			t.Errorf("%q is not in\n%s", want, out.String())
 		}
 	}
-	if after := files(t, folder); !maps.EqualFunc(before, after, bytes.Equal) {
+	if after := readFiles(t, folder); !maps.EqualFunc(before, after, bytes.Equal) {
 		t.Error("the folder was changed")
 	}
 	logs, err := filepath.Glob(filepath.Join(folder, "register", "store-*", "*.log"))
@@ -57,7 +57,7 @@
 }
 
 // files returns the content of each file below a folder.
-func files(t *testing.T, folder string) map[string][]byte {
+func readFiles(t *testing.T, folder string) map[string][]byte {
 	all := map[string][]byte{}
 	err := filepath.WalkDir(folder, func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() {
--- a/cmd/firplankctl/main_test.go
+++ b/cmd/firplankctl/main_test.go
@@ -13,13 +13,13 @@
 	"github.com/go-faster/errors"
 )
 
-const configuration = `{"edition":"00000007","caps":{"envelopeBytes":16384,"contentsBytes":67108864,"envelopeS":3,"idleS":15},
+const configJSON = `{"edition":"00000007","caps":{"envelopeBytes":16384,"contentsBytes":67108864,"envelopeS":3,"idleS":15},
  "gates":[],"fleets":[]}`
 
 // The operator learns from each answer of a control machine what became of the configuration.
 func TestPutReportsTheOutcome(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "c.json")
-	if err := os.WriteFile(file, []byte(configuration), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(configJSON), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for status, want := range map[int]string{
@@ -27,10 +27,10 @@
 		http.StatusConflict:           "edition 00000007 is another operator's",
 		http.StatusServiceUnavailable: "the core answers 503",
 	} {
-		core := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) }))
+		controlMachine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) }))
 		var out bytes.Buffer
-		err := (&putCommand{File: file, ControlAddr: strings.TrimPrefix(core.URL, "http://")}).Run(&out)
-		core.Close()
+		err := (&putCommand{File: file, ControlAddr: strings.TrimPrefix(controlMachine.URL, "http://")}).Run(&out)
+		controlMachine.Close()
 		if err != nil {
 			out.WriteString(err.Error())
 		}
@@ -41,7 +41,7 @@
 }
 
 // The text of the commands is read by scripts, and named on the operators' pages.
-func TestCommandsPrintWhatOperatorsRead(t *testing.T) {
+func TestCommandOutputIsStable(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "c.json")
 	text := `{"edition":"00000009","gates":[{"depot":"a","regulations":[
 		{"name":"r1","routeKind":"safe","targetS":0.2,"precedence":2,"sorting":{"lanePrefix":"/x/"},
@@ -51,8 +51,8 @@
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	core := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		answer := configuration
+	controlMachine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		answer := configJSON
 		if r.URL.Path == "/Control.Status" {
 			answer = `{"self":"c1","members":["c1","c2"],"version":9,"ballot":"4.c1","machines":[
 				{"address":"c1","zone":"z","member":true,"voter":true,"linked":true,"heardS":0.25,"ballot":"4.c1"},
@@ -60,8 +60,8 @@
 		}
 		_, _ = io.WriteString(w, answer)
 	}))
-	defer core.Close()
-	addr := strings.TrimPrefix(core.URL, "http://")
+	defer controlMachine.Close()
+	addr := strings.TrimPrefix(controlMachine.URL, "http://")
 	for _, c := range []struct {
 		name    string
 		command interface{ Run(out io.Writer) error }
@@ -92,14 +92,14 @@
 	}
 }
 
-func TestRefusedReadIsAnError(t *testing.T) {
-	core := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+func TestRejectedReadIsAnError(t *testing.T) {
+	controlMachine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusServiceUnavailable)
-		_, _ = io.WriteString(w, configuration)
+		_, _ = io.WriteString(w, configJSON)
 	}))
-	defer core.Close()
+	defer controlMachine.Close()
 	var out bytes.Buffer
-	err := (&readCommand{ControlAddr: strings.TrimPrefix(core.URL, "http://")}).Run(&out)
+	err := (&readCommand{ControlAddr: strings.TrimPrefix(controlMachine.URL, "http://")}).Run(&out)
 	if err == nil || !strings.Contains(err.Error(), "answers 503") || out.Len() > 0 {
 		t.Errorf("%v, printed %q", err, out.String())
 	}
--- a/cmd/firplankctl/review.go
+++ b/cmd/firplankctl/review.go
@@ -23,11 +23,11 @@
 	var lines []explain.Line
 	skipped := 0
 	for _, path := range c.Logs {
-		read, others, err := readLog(path)
+		read, skippedInFile, err := readLog(path)
 		if err != nil {
 			return errors.Wrap(err, path)
 		}
-		lines, skipped = append(lines, read...), skipped+others
+		lines, skipped = append(lines, read...), skipped+skippedInFile
 	}
 	explain.Sort(lines)
 	if c.About != "" {
--- a/cmd/firplankctl/rollout.go
+++ b/cmd/firplankctl/rollout.go
@@ -27,7 +27,7 @@
 }
 
 // rolloutOrder is the body of an order, in the users' names.
-type rolloutOrder struct {
+type startRolloutRequest struct {
 	Service string  `json:"line"`
 	Target  string  `json:"toEdition"`
 	OverS   float64 `json:"overS"`
@@ -35,11 +35,11 @@
 
 // Run orders a rollout.
 func (c *startRolloutCommand) Run(out io.Writer) error {
-	body, err := json.Marshal(rolloutOrder{Service: c.Service, Target: c.Target, OverS: c.OverS})
+	body, err := json.Marshal(startRolloutRequest{Service: c.Service, Target: c.Target, OverS: c.OverS})
 	if err != nil {
 		return err
 	}
-	if err := postOrder(c.ControlAddr, api.StartRolloutPath, body); err != nil {
+	if err := postRolloutRequest(c.ControlAddr, api.StartRolloutPath, body); err != nil {
 		return err
 	}
 	printer := output.New(out)
@@ -54,7 +54,7 @@
 
 // Run recalls a rollout.
 func (c *recallCommand) Run(out io.Writer) error {
-	if err := postOrder(c.ControlAddr, api.RecallRolloutPath+"/"+url.PathEscape(c.Service), nil); err != nil {
+	if err := postRolloutRequest(c.ControlAddr, api.RecallRolloutPath+"/"+url.PathEscape(c.Service), nil); err != nil {
 		return err
 	}
 	printer := output.New(out)
@@ -63,12 +63,12 @@
 }
 
 // postOrder sends an order. An answer other than 200 is an error.
-func postOrder(addr, path string, body []byte) error {
+func postRolloutRequest(addr, path string, body []byte) error {
 	a, err := newClient(addr).post(path, body)
 	switch {
 	case err != nil:
 		return err
-	case a.code != http.StatusOK:
+	case a.statusCode != http.StatusOK:
 		return errors.Errorf("%s answers %s: %s", addr, a.status, a.reason)
 	}
 	return nil
