--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter hosts instances of the decision module for the simulator: frames
-// come in on standard input, one reply to each goes out on standard output.
+// Command adapter runs instances of the load balancer's decision module (package balance) for the simulator. It reads
+// frames from standard input and writes one reply to each frame to standard output.
 package main
 
 import (
@@ -22,7 +22,7 @@
 	}
 }
 
-// run answers frames until the input ends.
+// run replies to frames until the input ends. A malformed frame, or an event for an unknown instance, is an error.
 func run(in io.Reader, out io.Writer) error {
 	host := host{instances: map[uint16]*balance.Balancer{}}
 	reader := wire.NewReader(bufio.NewReaderSize(in, 1<<16))
@@ -41,12 +41,13 @@
 	}
 }
 
-// host keeps the instances of this process; they share nothing.
+// host holds the instances of this process by number. They share no state. A nil instance is one whose settings are invalid.
 type host struct {
 	instances map[uint16]*balance.Balancer
 	reply     wire.Reply
 }
 
+// handle passes one record to its instance and adds the resulting actions to the reply. A panic of the instance is reported in the reply.
 func (h *host) handle(clock float64, rec wire.Record) (err error) {
 	defer func() {
 		if panicked := recover(); panicked != nil {
@@ -72,7 +73,7 @@
 			return nil
 		}
 		if b == nil {
-			return fmt.Errorf("event for instance %d, which has not begun", rec.Instance)
+			return fmt.Errorf("event for instance %d, which was not started", rec.Instance)
 		}
 		actions, err := b.Handle(clock, ev)
 		if err != nil {
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// script builds frames for the adapter.
+// frameBuilder collects input frames for the adapter.
 type frameBuilder struct{ bytes.Buffer }
 
 func (s *frameBuilder) writeFrame(clock float64, records ...[]byte) {
@@ -23,7 +23,7 @@
 	}
 }
 
-// record packs its fields big-endian.
+// record encodes its fields in big-endian order.
 func record(fields ...any) []byte {
 	var b bytes.Buffer
 	for _, f := range fields {
@@ -64,7 +64,7 @@
 	return out.Bytes()
 }
 
-// sends counts the records of code 1000 in replies whose records are sends and timers only.
+// countSends returns the number of send records (code 1000) by instance. The replies may contain only sends and timers.
 func countSends(t *testing.T, replies []byte) map[uint16]int {
 	t.Helper()
 	counts := map[uint16]int{}
@@ -105,15 +105,15 @@
 	for _, i := range []uint16{1, 2, 3} {
 		separate := replay(i)
 		if n, m := countSends(t, shared)[i], countSends(t, separate)[i]; n != 60 || m != 60 {
-			t.Fatalf("instance %d sent %d together, %d alone", i, n, m)
+			t.Fatalf("instance %d sent %d in a shared process, %d in its own", i, n, m)
 		}
 		if !bytes.Equal(actionsOf(shared, i), actionsOf(separate, i)) {
-			t.Fatalf("instance %d acts differently in one process and in three", i)
+			t.Fatalf("instance %d acts differently in a shared process and in its own", i)
 		}
 	}
 }
 
-// actionsOf picks one instance's sends and timers out of replies.
+// actionsOf returns the encoded sends and timers of one instance.
 func actionsOf(replies []byte, instance uint16) []byte {
 	var out []byte
 	for len(replies) > 0 {
@@ -137,9 +137,9 @@
 	s := &frameBuilder{}
 	s.writeFrame(1000, beginRecord(1, 7, settingsJSON), serverTable(3), cachedServerList(1), requestRecord(1, 5),
 		record(uint16(1060), uint16(1)), beginRecord(1, 8, settingsJSON), cachedServerList(1), requestRecord(1, 6))
-	s.writeFrame(1001, record(uint16(1020), uint16(1), uint64(5))) // a timer of the life before: ignored
+	s.writeFrame(1001, record(uint16(1020), uint16(1), uint64(5))) // a timer of the stopped instance: ignored
 	if n := countSends(t, mustRun(t, s)); n[1] != 2 {
-		t.Fatalf("%d sends, want one in each life", n[1])
+		t.Fatalf("%d sends, want one before and one after the restart", n[1])
 	}
 }
 
--- a/cmd/adapter/replay_test.go
+++ b/cmd/adapter/replay_test.go
@@ -26,8 +26,9 @@
 	return all
 }
 
-// TestAnswersAsRecorded gives the adapter the frames that testdata/generator.go.txt made with commit 5126712, for five instances with
-// different settings, one of which is killed and begun anew and one of which can't be used, and wants its replies byte for byte.
+// TestRepliesEqualRecordedOnes guards against a change of the decisions or of their encoding. The recorded frames were made by
+// testdata/generator.go.txt at commit 5126712, for five instances with different settings, of which one is killed and restarted and
+// one has invalid settings. The replies must equal the recorded ones byte for byte.
 func TestRepliesEqualRecordedOnes(t *testing.T) {
 	in, want := readGzip(t, "testdata/wire-5126712.in.gz"), readGzip(t, "testdata/wire-5126712.out.gz")
 	var out bytes.Buffer
--- a/cmd/firplank-control/main.go
+++ b/cmd/firplank-control/main.go
@@ -1,4 +1,4 @@
-// Command firplank-control is the control plane's program, one on each control machine. All that it does is in package controlplane.
+// Command firplank-control is the program of a control machine of the mesh. It is a thin wrapper of package controlplane.
 package main
 
 import (
@@ -16,11 +16,11 @@
 
 var cli struct {
 	Settings string `help:"Settings file." env:"FIRPLANK_BOOT" default:""`
-	Debug    bool   `help:"Log more."`
+	Debug    bool   `help:"Log at level debug."`
 }
 
 func main() {
-	kong.Parse(&cli, kong.Name("firplank-control"), kong.Description("The control plane of the mesh: one on each core machine."))
+	kong.Parse(&cli, kong.Name("firplank-control"), kong.Description("The control plane of the mesh, one process on each control machine."))
 	log, _ := bootstrap.NewLog(os.Stderr, cli.Debug)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
@@ -30,7 +30,7 @@
 		err = controlplane.Run(ctx, s, log)
 	}
 	if err != nil {
-		// Log fails where standard error does, and there is no other place to write to.
+		// The logger writes to standard error. If that fails, the error cannot be reported anywhere else.
 		_ = level.Error(log).Log("msg", "control machine failed", "error", err)
 		os.Exit(1)
 	}
--- a/cmd/firplank-lab/child.go
+++ b/cmd/firplank-lab/child.go
@@ -10,16 +10,16 @@
 	"firplank/lab/run"
 )
 
-// child is this program in another role.
+// childProgram returns a program that runs this executable in another role.
 func childProgram(role string) (run.Program, error) {
 	self, err := os.Executable()
 	if err != nil {
-		return run.Program{}, fmt.Errorf("find this program: %w", err)
+		return run.Program{}, fmt.Errorf("find the path of this program: %w", err)
 	}
 	return run.Program{Args: []string{self, "child", role}}, nil
 }
 
-// childCommand is how this program starts itself as a sidecar or as one of the proxies that it is compared with.
+// childCommand runs this program as a sidecar or as one of the reverse proxies that sidecars are compared with. The laboratory starts it.
 type childCommand struct {
 	Role   string `arg:""`
 	Config string
--- a/cmd/firplank-lab/compare.go
+++ b/cmd/firplank-lab/compare.go
@@ -15,7 +15,7 @@
 
 type compareCommand struct {
 	scenarioFlags
-	Seeds int `help:"How many seeds to play, from the scenario's on." default:"1"`
+	Seeds int `help:"Number of seeds, from the scenario's on." default:"1"`
 }
 
 func (c *compareCommand) Run(ctx context.Context, out io.Writer) error {
@@ -28,7 +28,7 @@
 		return err
 	}
 	t := output.NewTable(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	t.Println("scenario\tseed\tthrough\tworth\tfirplank over it\tp99 ms\trefused\tfailed or unanswered\trules broken\tprocessor s\t")
+	t.Println("scenario\tseed\tprogram\tworth\tfirplank / program\tp99 ms\trefused\tfailed or unanswered\trules broken\tprocessor s\t")
 	first := s.Seed
 	for seed := first; seed < first+uint64(max(1, c.Seeds)); seed++ {
 		s.Seed = seed
@@ -52,6 +52,7 @@
 	return t.Flush()
 }
 
+// printRow prints the result of one program. ours is the result of firplank for the same seed.
 func (c *compareCommand) printRow(t *output.Table, s *scenario.Scenario, r, ours *run.Report) {
 	ratio := "-"
 	if r.Total.Worth > 0 {
@@ -66,14 +67,14 @@
 }
 
 type throughputCommand struct {
-	InFlight []int    `help:"Requests in flight." default:"1,32,256"`
-	Seconds  float64  `help:"How long each is measured." default:"3"`
-	Rounds   int      `help:"How often all take turns." default:"3"`
-	Idle     int      `help:"Idle connections, for the memory of each." default:"1000"`
-	Binary   string   `help:"The sidecar's program; without it this program serves as one." type:"path"`
-	Before   string   `help:"Another build of it, to compare with over HTTP." type:"path"`
-	Only     []string `help:"Of http, rpc, before, proxy and fasthttp."`
-	Bench    string   `help:"Write each round to a file in the form of Go's benchmarks, for benchstat." placeholder:"FILE" type:"path"`
+	InFlight []int    `help:"Numbers of requests in flight." default:"1,32,256"`
+	Seconds  float64  `help:"Seconds of each measurement." default:"3"`
+	Rounds   int      `help:"Rounds in which all programs are measured in turn." default:"3"`
+	Idle     int      `help:"Idle connections, to measure the memory of one." default:"1000"`
+	Binary   string   `help:"The sidecar's program; empty: this program." type:"path"`
+	Before   string   `help:"Another build of the sidecar, to compare with over HTTP." type:"path"`
+	Only     []string `help:"Subjects to measure, of http, rpc, before, proxy and fasthttp; empty: all."`
+	Bench    string   `help:"Write each round to a file in the Go benchmark format, for benchstat." placeholder:"FILE" type:"path"`
 }
 
 func (c *throughputCommand) Run(ctx context.Context, out io.Writer) error {
@@ -112,9 +113,9 @@
 }
 
 type reportingCommand struct {
-	Workers int     `help:"That ask one request after the other." default:"4"`
-	Seconds float64 `help:"How long is measured." default:"20"`
-	Binary  string  `help:"The sidecar's program; without it this program serves as one." type:"path"`
+	Workers int     `help:"Workers, each of which sends one request after the other." default:"4"`
+	Seconds float64 `help:"Seconds of the measurement." default:"20"`
+	Binary  string  `help:"The sidecar's program; empty: this program." type:"path"`
 }
 
 func (c *reportingCommand) Run(ctx context.Context, out io.Writer) error {
--- a/cmd/firplank-lab/explore.go
+++ b/cmd/firplank-lab/explore.go
@@ -23,24 +23,26 @@
 	Cutoff   exploreCutoffCommand   `cmd:"" help:"${cutoffHelp}"`
 	Members  exploreMembersCommand  `cmd:"" help:"${membersHelp}"`
 	Calls    exploreCallsCommand    `cmd:"" help:"${callsHelp}"`
-	Rollouts exploreRolloutsCommand `cmd:"" help:"Explore rollouts of versions, under cuts and restarts."`
+	Rollouts exploreRolloutsCommand `cmd:"" help:"Rollouts of versions, under partitions and restarts."`
 	Catchup  exploreCatchupCommand  `cmd:"" help:"${catchupHelp}"`
 	Roster   exploreRosterCommand   `cmd:"" help:"${rosterHelp}"`
 }
 
-// defectsFlag is the flag that all explorers have.
+// defectsFlag is the flag for a search of planted defects.
 type defectsFlag struct {
-	Defects bool `help:"Plant each known defect and search until it is found, in place of the program as it is."`
+	Defects bool `help:"Plant each known defect and search until it is found, instead of searching the unchanged program."`
 }
 
-// plantedDefect is the search for one planted defect: where it was found, in the explorer's units, and as what; a nil breach: it was not.
+// defectResult is the result of the search for one planted defect. foundAt is the seed or the scenario of the breach. A nil breach means
+// that the defect was not found.
 type defectResult struct {
 	name    string
 	foundAt any
 	breach  error
 }
 
-// reportDefects prints what became of each of count planted defects. It is an error that one was not found.
+// reportDefects searches for count planted defects and prints the result of each, with unit as the name of what foundAt numbers. A defect
+// that is not found is an error.
 func reportDefects(printer *output.Printer, unit string, count int, search func(i int) defectResult) error {
 	missed := 0
 	for i := range count {
@@ -56,31 +58,31 @@
 }
 
 type exploreRosterCommand struct {
-	Depth   int    `help:"Choices in a row of which every order is played." default:"10"`
-	States  int    `help:"States that are told apart at most." default:"2000000"`
+	Depth   int    `help:"Length of the orders of choices that are searched exhaustively." default:"10"`
+	States  int    `help:"Limit of distinct states in the exhaustive search." default:"2000000"`
 	Changes int    `help:"Changes of the list in an order." default:"1"`
 	Faults  int    `help:"Faults in an order." default:"2"`
-	Runs    int    `help:"Deep orders drawn at random besides." default:"20000"`
-	Deep    int    `help:"Choices in each of those." default:"120"`
-	Seed    uint64 `help:"Of the deep orders." default:"1"`
+	Runs    int    `help:"Random orders of choices in addition." default:"20000"`
+	Deep    int    `help:"Length of a random order." default:"120"`
+	Seed    uint64 `help:"Seed of the random orders." default:"1"`
 	defectsFlag
 }
 
 type exploreFleetCommand struct {
-	Depth   int    `help:"Choices in a row of which every order is played." default:"4"`
-	States  int    `help:"States that are told apart at most." default:"300000"`
+	Depth   int    `help:"Length of the orders of choices that are searched exhaustively." default:"4"`
+	States  int    `help:"Limit of distinct states in the exhaustive search." default:"300000"`
 	Members int    `help:"Members of the fleet." default:"3"`
-	Faults  int    `help:"Faults in an order; ten times as many in deep ones." default:"1"`
-	Runs    int    `help:"Deep orders drawn at random besides." default:"5000"`
-	Deep    int    `help:"Choices in each of those." default:"80"`
-	Seed    uint64 `help:"Of the deep orders." default:"1"`
+	Faults  int    `help:"Faults in an order; ten times as many in a random one." default:"1"`
+	Runs    int    `help:"Random orders of choices in addition." default:"5000"`
+	Deep    int    `help:"Length of a random order." default:"80"`
+	Seed    uint64 `help:"Seed of the random orders." default:"1"`
 	defectsFlag
 }
 
 type exploreRegisterCommand struct {
-	Orders uint64 `help:"Deep orders drawn at random." default:"20000"`
-	Deep   int    `help:"Choices in each." default:"200"`
-	Seed   uint64 `help:"Of the first order; each has one more." default:"1"`
+	Orders uint64 `help:"Random orders." default:"20000"`
+	Deep   int    `help:"Length of an order." default:"200"`
+	Seed   uint64 `help:"Seed of the first order; each next seed is one higher." default:"1"`
 	defectsFlag
 }
 
@@ -92,7 +94,7 @@
 			printer.Printf("order %d: %v\n", seed, breach)
 			return errExplorationFailed
 		}
-		printer.Printf("%d deep orders of up to %d steps, no breach\n", c.Orders, c.Deep)
+		printer.Printf("%d random orders of up to %d steps, no breach\n", c.Orders, c.Deep)
 		return printer.Err()
 	}
 	return reportDefects(printer, "order", len(register.Defects), func(i int) defectResult {
@@ -103,10 +105,10 @@
 }
 
 type exploreLeaseCommand struct {
-	Depth int    `help:"Choices in a row of which every order is played." default:"4"`
-	Runs  int    `help:"Deep orders drawn at random besides." default:"20000"`
-	Deep  int    `help:"Choices in each of those." default:"80"`
-	Seed  uint64 `help:"Of the deep orders." default:"1"`
+	Depth int    `help:"Length of the orders of choices that are searched exhaustively." default:"4"`
+	Runs  int    `help:"Random orders of choices in addition." default:"20000"`
+	Deep  int    `help:"Length of a random order." default:"80"`
+	Seed  uint64 `help:"Seed of the random orders." default:"1"`
 	defectsFlag
 }
 
@@ -131,9 +133,9 @@
 }
 
 type exploreRolloutsCommand struct {
-	Runs int    `help:"Orders drawn at random." default:"20000"`
-	Deep int    `help:"Choices in each of them." default:"40"`
-	Seed uint64 `help:"Of the orders." default:"1"`
+	Runs int    `help:"Random orders." default:"20000"`
+	Deep int    `help:"Length of an order." default:"40"`
+	Seed uint64 `help:"Seed of the orders." default:"1"`
 	defectsFlag
 }
 
@@ -174,7 +176,7 @@
 		explore.Random(talk.Start(deepBounds, 0), c.Seed, c.Runs, c.Deep))
 }
 
-// found tells whether a search has found a planted defect, and returns 1 if it has not.
+// reportDefect prints the result of the search for a planted defect. It returns the number of missed defects, 0 or 1.
 func reportDefect(printer *output.Printer, name string, r explore.Result) int {
 	if r.Breach == nil {
 		printer.Printf("%-70s NOT FOUND in %d steps\n", name, r.Steps)
@@ -184,7 +186,7 @@
 	return 0
 }
 
-// missing returns the error of planted defects that were not found, or else that of the output.
+// missedDefectsError returns an error if planted defects were missed, or else the error of the output.
 func missedDefectsError(printer *output.Printer, missed int) error {
 	if missed > 0 {
 		return errExplorationFailed
@@ -192,9 +194,10 @@
 	return printer.Err()
 }
 
+// reportSearches prints the results of an exhaustive and a random search. A breach in either is an error.
 func reportSearches(printer *output.Printer, exhaustive, random explore.Result) error {
 	printer.Println("every order:", exhaustive)
-	printer.Println("deep orders:", random)
+	printer.Println("random orders:", random)
 	if exhaustive.Breach != nil || random.Breach != nil {
 		return errExplorationFailed
 	}
--- a/cmd/firplank-lab/explore_calls.go
+++ b/cmd/firplank-lab/explore_calls.go
@@ -9,13 +9,13 @@
 )
 
 type exploreCallsCommand struct {
-	Orders uint64 `help:"Deep orders drawn at random." default:"100000"`
-	Deep   int    `help:"Choices in each." default:"50"`
-	Seed   uint64 `help:"Of the first order; each has one more." default:"1"`
+	Orders uint64 `help:"Random orders." default:"100000"`
+	Deep   int    `help:"Length of an order." default:"50"`
+	Seed   uint64 `help:"Seed of the first order; each next seed is one higher." default:"1"`
 	defectsFlag
 }
 
-// Run searches, for a breach or for each planted defect.
+// Run searches for a breach, or for each planted defect.
 func (c *exploreCallsCommand) Run(_ context.Context, out io.Writer) error {
 	printer := output.New(out)
 	if !c.Defects {
@@ -24,7 +24,7 @@
 			printer.Printf("order %d: %v\n", seed, breach)
 			return errExplorationFailed
 		}
-		printer.Printf("%d deep orders of up to %d steps, no breach\n", c.Orders, c.Deep)
+		printer.Printf("%d random orders of up to %d steps, no breach\n", c.Orders, c.Deep)
 		return printer.Err()
 	}
 	return reportDefects(printer, "order", len(calls.Defects), func(i int) defectResult {
--- a/cmd/firplank-lab/explore_cutoff.go
+++ b/cmd/firplank-lab/explore_cutoff.go
@@ -9,11 +9,11 @@
 )
 
 type exploreCutoffCommand struct {
-	Seeds uint64 `help:"Days of each kind." default:"4"`
+	Seeds uint64 `help:"Scenarios (days) of each kind." default:"4"`
 	defectsFlag
 }
 
-// Run carries it out.
+// Run searches for a breach, or for each planted defect.
 func (c *exploreCutoffCommand) Run(_ context.Context, out io.Writer) error {
 	printer := output.New(out)
 	days := cutoff.Scenarios(c.Seeds)
--- a/cmd/firplank-lab/explore_members.go
+++ b/cmd/firplank-lab/explore_members.go
@@ -10,13 +10,13 @@
 )
 
 type exploreMembersCommand struct {
-	Orders uint64 `help:"Orders in each of the usual surroundings." default:"400"`
-	Faults int    `help:"Faults in each order." default:"6"`
-	Seed   uint64 `help:"Of the first order; each has one more." default:"1"`
+	Orders uint64 `help:"Orders in each of the usual environments." default:"400"`
+	Faults int    `help:"Faults in an order." default:"6"`
+	Seed   uint64 `help:"Seed of the first order; each next seed is one higher." default:"1"`
 	defectsFlag
 }
 
-// Run carries it out.
+// Run searches for a breach, or for each planted defect.
 func (c *exploreMembersCommand) Run(_ context.Context, out io.Writer) error {
 	printer := output.New(out)
 	if c.Defects {
--- a/cmd/firplank-lab/explore_numbers.go
+++ b/cmd/firplank-lab/explore_numbers.go
@@ -11,9 +11,9 @@
 
 type exploreNumbersCommand struct {
 	Operators int    `help:"Operators, 2 to 8." default:"8"`
-	Histories uint64 `help:"Histories drawn at random." default:"5000"`
-	Steps     int    `help:"Steps in each, before all is well." default:"400"`
-	Seed      uint64 `help:"Of the first history; each has one more." default:"1"`
+	Histories uint64 `help:"Random histories." default:"5000"`
+	Steps     int    `help:"Steps in a history before all faults are repaired." default:"400"`
+	Seed      uint64 `help:"Seed of the first history; each next seed is one higher." default:"1"`
 	defectsFlag
 }
 
@@ -25,7 +25,7 @@
 	return nil
 }
 
-// Run carries it out.
+// Run searches for a breach, or for each planted defect.
 func (c *exploreNumbersCommand) Run(_ context.Context, out io.Writer) error {
 	printer := output.New(out)
 	if c.Defects {
--- a/cmd/firplank-lab/main_test.go
+++ b/cmd/firplank-lab/main_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// The stand-ins and the clients each run alone.
+// Guards against stand and clients depending on each other: each must work without the other.
 func TestStandAndClients(t *testing.T) {
 	dir := t.TempDir()
 	ctx, end := context.WithCancel(t.Context())
@@ -51,12 +51,12 @@
 		t.Fatal(err)
 	}
 	if !strings.Contains(out.String(), "NODE_CONFIG="+dir) || !strings.Contains(out.String(), "server s-07") {
-		t.Errorf("says %q", out.String())
+		t.Errorf("output %q", out.String())
 	}
 	if _, err := os.Stat(filepath.Join(dir, "n2.json")); err != nil {
 		t.Error(err)
 	}
-	// Nobody listens there: the clients end and say so.
+	// Nothing listens on this port. The clients must end with a report all the same.
 	text, err := executeLab(t, "clients", "calm", "--length", "0.2", "--rate", "50", "--to", "127.0.0.1:1")
 	if err != nil || !strings.Contains(text, "through the sidecars given") {
 		t.Errorf("%q, %v", text, err)
--- a/cmd/firplank-lab/mesh.go
+++ b/cmd/firplank-lab/mesh.go
@@ -13,12 +13,12 @@
 )
 
 type meshCommand struct {
-	Core   int           `help:"Core machines." default:"3"`
-	Branch int           `help:"Branch machines for each of the two services." default:"3"`
-	For    time.Duration `help:"How long it stands; 0: until it is interrupted." default:"0s"`
+	Core   int           `help:"Control machines." default:"3"`
+	Branch int           `help:"Machines with a server and a sidecar, for each of the two services." default:"3"`
+	For    time.Duration `help:"Run time; 0: until interrupted." default:"0s"`
 }
 
-// meshBill is the configuration that the mesh begins with.
+// initialConfig is the first configuration of the mesh.
 const initialConfig = `{"edition":"00000001","caps":{},"gates":[{"depot":"plates.example","regulations":[
  {"name":"look","routeKind":"safe","targetS":0.5,"precedence":2,"sorting":{"lanePrefix":"/look/"},
   "dispatch":{"line":"records","deadlineS":2,"attempts":2}},
@@ -26,14 +26,14 @@
   "dispatch":{"line":"registry","deadlineS":2,"attempts":2}}]}],
  "fleets":[{"name":"records","healthPath":"/health","maxConns":100},{"name":"registry","healthPath":"/health","maxConns":100}]}`
 
-// Run starts a whole small mesh on loopback and tells how it is spoken to.
+// Run runs a small mesh on loopback and prints example commands.
 func (c *meshCommand) Run(ctx context.Context, out io.Writer) error {
 	printer := output.New(out)
 	folder, err := os.MkdirTemp("", "firplank-mesh")
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.RemoveAll(folder) }() // a temporary folder, which may stay
+	defer func() { _ = os.RemoveAll(folder) }() // a leftover temporary folder does no harm
 	if err := mesh.Build(ctx, folder, false, "firplank/cmd/firplankctl"); err != nil {
 		return err
 	}
@@ -45,7 +45,7 @@
 		return err
 	}
 	defer m.Stop()
-	err = mesh.Await(10*time.Second, "the configuration is taken", func() bool {
+	err = mesh.Await(10*time.Second, "the configuration is committed", func() bool {
 		status, err := m.Core[0].Put([]byte(initialConfig))
 		return err == nil && status == http.StatusOK
 	})
@@ -57,7 +57,7 @@
 			return err
 		}
 	}
-	printer.Printf("%d core machines and %d branch machines stand; their settings, disks and logs are in %s\n",
+	printer.Printf("%d control machines and %d branch machines are running; their settings, disks and logs are in %s\n",
 		len(m.Core), len(m.Branch), folder)
 	printer.Printf("a request:          curl -H 'Host: plates.example' -H 'Try-Id: one' -H 'Deadline-Ms: 2000' "+
 		"http://%s:7304/look/1\n", m.Branch[0].IP)
--- a/cmd/firplank-lab/reckon.go
+++ b/cmd/firplank-lab/reckon.go
@@ -16,15 +16,15 @@
 	Members    int     `help:"Members of the register." default:"3"`
 	Packed     int     `help:"Bytes of the packed configuration." default:"33276"`
 	Changes    float64 `help:"Changes of the configuration a day." default:"7300"`
-	Restarts   float64 `help:"Sidecars that start anew or fail in a day." default:"2649"`
-	Revisions  float64 `help:"Changes of the directory that each of them causes." default:"8"`
+	Restarts   float64 `help:"Sidecars that restart or fail in a day." default:"2649"`
+	Revisions  float64 `help:"Changes of the directory that each restart or failure causes." default:"8"`
 	Breadth    float64 `help:"Children of a relay, as built." default:"5"`
 	Reached    int     `help:"Services that a sidecar calls (planned)." default:"12"`
-	Subset     int     `help:"Servers of each that it is told of (planned)." default:"24"`
-	Difference int     `help:"Bytes of a change sent as a difference." default:"600"`
+	Subset     int     `help:"Servers of each service that are sent to a sidecar (planned)." default:"24"`
+	Difference int     `help:"Bytes of a change sent as a delta." default:"600"`
 }
 
-// Run prints what each role sends and gets by construction, as built and as planned.
+// Run prints the calculated traffic of each role, as built and as planned.
 func (c *reckonCommand) Run(out io.Writer) error {
 	printer := output.New(out)
 	s := scale.Shape{
--- a/cmd/firplank-lab/run.go
+++ b/cmd/firplank-lab/run.go
@@ -17,9 +17,9 @@
 type runCommand struct {
 	scenarioFlags
 	JSON string `help:"Write the report to a file in JSON." placeholder:"FILE" type:"path" name:"json"`
-	HTML string `help:"Write the report to a file as a page with plots." placeholder:"FILE" type:"path" name:"html"`
+	HTML string `help:"Write the report to a file in HTML, with plots." placeholder:"FILE" type:"path" name:"html"`
 
-	Graphite bool `help:"Have the sidecars report to a stand-in for Graphite, and plot what that was told."`
+	Graphite bool `help:"Have the sidecars report to a stand-in for Graphite, and plot the reported metrics."`
 }
 
 var errRulesBroken = errors.New("rules were broken or sidecars crashed")
@@ -54,10 +54,11 @@
 	return err
 }
 
+// playScenario plays a scenario against a program of the given name, and shows the progress if standard error is a terminal.
 func playScenario(ctx context.Context, s *scenario.Scenario, opts run.Options, name string) (*run.Report, error) {
 	if info, err := os.Stderr.Stat(); err == nil && info.Mode()&os.ModeCharDevice != 0 {
 		opts.Progress = func(p run.Progress) {
-			fmt.Fprintf(os.Stderr, "\r\x1b[K%s %s: %5.1f of %.0f s, %d asked, %d open  %s", s.Name, name, p.At.Seconds(),
+			fmt.Fprintf(os.Stderr, "\r\x1b[K%s %s: %5.1f of %.0f s, %d sent, %d open  %s", s.Name, name, p.At.Seconds(),
 				p.Length.Seconds(), p.Sent, p.Sent-p.Answered, strings.Join(p.Faults, " "))
 		}
 		defer fmt.Fprint(os.Stderr, "\r\x1b[K")
--- a/cmd/firplank-lab/scale.go
+++ b/cmd/firplank-lab/scale.go
@@ -16,33 +16,33 @@
 type scaleCommand struct {
 	Sizes    []int         `help:"Numbers of sidecars." default:"100,300,1000"`
 	Repeats  int           `help:"Runs at each size." default:"2"`
-	Control  int           `help:"True control machines." default:"4"`
-	Real     int           `help:"True sidecars among them." default:"12"`
+	Control  int           `help:"Real control machines." default:"4"`
+	Real     int           `help:"Real sidecars among them." default:"12"`
 	Zones    int           `help:"Zones over which sidecars are spread." default:"8"`
 	Services int           `help:"Services of the configuration." default:"330"`
 	Routes   int           `help:"Routes of each service." default:"2"`
-	PerS     float64       `help:"Sidecars that start a second." default:"100"`
-	Settle   time.Duration `help:"From all ready to the quiet time." default:"8s"`
-	Quiet    time.Duration `help:"Length of the quiet time." default:"10s"`
+	PerS     float64       `help:"Sidecars started a second." default:"100"`
+	Settle   time.Duration `help:"Time from all sidecars ready to the quiet period." default:"8s"`
+	Quiet    time.Duration `help:"Length of the quiet period, without changes." default:"10s"`
 	Changes  int           `help:"Changes of the configuration." default:"5"`
-	Every    time.Duration `help:"From a change to the next." default:"3s"`
-	Restart  float64       `help:"Share of the hollow sidecars that is restarted at once." default:"0.1"`
-	After    time.Duration `help:"How long after the restart is counted." default:"10s"`
-	Target   int           `help:"Number of sidecars that figures are carried on to." default:"8400"`
-	MaxMB    int64         `name:"most-mb" help:"Memory of all processes together beyond which a run ends." default:"14000"`
-	Net      int           `help:"Second number of the addresses on loopback, 127.NET.x.y." default:"78"`
-	JSON     string        `name:"json" help:"File for all figures." type:"path"`
-	Add      []string      `help:"Files of earlier figures, whose runs count in the slopes, too." type:"existingfile"`
-	NoRuns   bool          `help:"Play nothing: only the figures that are added."`
+	Every    time.Duration `help:"Interval of the changes." default:"3s"`
+	Restart  float64       `help:"Share of the simulated sidecars that are restarted at once." default:"0.1"`
+	After    time.Duration `help:"Length of the measurement after the restart." default:"10s"`
+	Target   int           `help:"Number of sidecars to extrapolate to." default:"8400"`
+	MaxMB    int64         `name:"most-mb" help:"Memory of all processes, in MB, above which a run is stopped." default:"14000"`
+	Net      int           `help:"Second octet of the loopback addresses, 127.NET.x.y." default:"78"`
+	JSON     string        `name:"json" help:"Write all results to a file in JSON." type:"path"`
+	Add      []string      `help:"Files of earlier results, whose runs are included in the slopes." type:"existingfile"`
+	NoRuns   bool          `help:"Play nothing and use only the results of --add."`
 }
 
-// Run plays all sizes, the smallest first, and prints tables. A run that fails is told of, and the others go on.
+// Run plays all sizes in their order, repeated as planned, and prints tables. A failed run is reported, and the others are still played.
 func (c *scaleCommand) Run(ctx context.Context, out io.Writer) error {
 	folder, err := os.MkdirTemp("", "firplank-scale")
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.RemoveAll(folder) }() // a temporary folder, which may stay
+	defer func() { _ = os.RemoveAll(folder) }() // a leftover temporary folder does no harm
 	build := exec.CommandContext(ctx, "go", "build", "-o", folder+"/", "./cmd/firplank-proxy", "./cmd/firplank-control")
 	build.Stderr = os.Stderr
 	if err := build.Run(); err != nil {
@@ -50,7 +50,7 @@
 	}
 	lab, err := os.Executable()
 	if err != nil {
-		return fmt.Errorf("find this program: %w", err)
+		return fmt.Errorf("find the path of this program: %w", err)
 	}
 	plan := scale.Plan{
 		Sizes: c.Sizes, Repeats: c.Repeats, Control: c.Control, Real: c.Real, Zones: c.Zones, Services: c.Services,
@@ -73,7 +73,7 @@
 	return c.save(&report)
 }
 
-// add takes in the runs of earlier reports.
+// add appends the runs of earlier reports.
 func (c *scaleCommand) add(report *scale.Report) error {
 	for _, path := range c.Add {
 		text, err := os.ReadFile(path)
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// playAll plays all runs of the report's plan.
+// playAll plays all runs of the report's plan and adds their results, or their errors, to the report.
 func playAll(ctx context.Context, report *scale.Report) {
 	plan := &report.Plan
 	for repeat := range plan.Repeats {
@@ -108,6 +108,7 @@
 	}
 }
 
+// save writes the report if a file is named. Failed runs are an error.
 func (c *scaleCommand) save(report *scale.Report) error {
 	if c.JSON != "" {
 		text, err := json.Marshal(report)
@@ -124,10 +125,10 @@
 	return nil
 }
 
-// hollowCommand is a process of hollow sidecars, which the runs start.
+// hollowCommand runs a process with a group of simulated sidecars. The scale command starts it.
 type hollowCommand struct{}
 
-// Run serves orders until its input ends.
+// Run executes commands from standard input until it ends.
 func (hollowCommand) Run(ctx context.Context, out io.Writer) error {
 	return scale.RunGroup(ctx, os.Stdin, out)
 }
--- a/cmd/firplank-lab/scenario.go
+++ b/cmd/firplank-lab/scenario.go
@@ -10,21 +10,22 @@
 	"firplank/lab/scenario"
 )
 
-// played is how scenarios are named and changed.
+// scenarioFlags select a scenario and override its parameters.
 type scenarioFlags struct {
-	Scenario string  `arg:"" help:"A built-in scenario, or a file in TOML."`
-	Seed     uint64  `help:"Seed in place of the scenario's."`
-	Length   float64 `help:"Length in seconds in place of the scenario's."`
-	Rate     float64 `help:"First tries a second in place of the scenario's."`
-	Sidecars int     `help:"Number of sidecars in place of the scenario's."`
-	Surge    float64 `help:"Size of every surge in place of the scenario's."`
-	Cores    float64 `help:"Cores of each sidecar in place of the scenario's."`
-	Config   string  `help:"Options file in TOML for the sidecars." type:"existingfile" placeholder:"FILE"`
-	Binary   string  `help:"The sidecar's program; without it this program serves as one." type:"path"`
+	Scenario string  `arg:"" help:"Name of a built-in scenario, or a TOML file."`
+	Seed     uint64  `help:"Overrides the scenario's seed."`
+	Length   float64 `help:"Overrides the scenario's length in seconds."`
+	Rate     float64 `help:"Overrides the scenario's requests a second, not counting retries."`
+	Sidecars int     `help:"Overrides the scenario's number of sidecars."`
+	Surge    float64 `help:"Overrides the size of each surge in the scenario."`
+	Cores    float64 `help:"Overrides the number of cores of each sidecar."`
+	Config   string  `help:"Options file of the sidecars, in TOML." type:"existingfile" placeholder:"FILE"`
+	Binary   string  `help:"The sidecar's program; empty: this program." type:"path"`
 
-	NoContracts bool `help:"Do not tell the sidecars of the scenario's contracts."`
+	NoContracts bool `help:"Run the sidecars without the scenario's contracts."`
 }
 
+// openScenario loads the scenario, applies the overrides and checks the result.
 func (p *scenarioFlags) openScenario() (*scenario.Scenario, error) {
 	s, err := loadScenario(p.Scenario)
 	if err != nil {
@@ -54,6 +55,7 @@
 	return s, s.Check()
 }
 
+// loadScenario loads a built-in scenario, or a file if the name contains a dot or a slash.
 func loadScenario(name string) (*scenario.Scenario, error) {
 	if !strings.ContainsAny(name, "./") {
 		return scenario.Open(name)
@@ -65,6 +67,7 @@
 	return scenario.Parse(filepath.Base(name), text)
 }
 
+// sidecarProgram returns the program to run as sidecars: the one given, or else this program in that role.
 func (p *scenarioFlags) sidecarProgram() (run.Program, error) {
 	if p.Binary != "" {
 		return run.Program{Args: []string{p.Binary, "serve"}, Options: p.Config}, nil
--- a/cmd/firplank-lab/shed.go
+++ b/cmd/firplank-lab/shed.go
@@ -12,8 +12,8 @@
 
 type shedCommand struct {
 	scenarioFlags
-	Seeds   int  `help:"How many seeds to play, from the scenario's on." default:"1"`
-	Retries *int `help:"Tries after the first one in place of the scenario's."`
+	Seeds   int  `help:"Number of seeds, from the scenario's on." default:"1"`
+	Retries *int `help:"Overrides the scenario's number of retries."`
 }
 
 func (c *shedCommand) Run(out io.Writer) error {
@@ -28,7 +28,7 @@
 		}
 	}
 	t := output.NewTable(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	t.Println("seed\tway\tworth\tof the most by class\tof the most\tin aim\tlate\trefused\ttries\tback after s\tnew ones after s\t")
+	t.Println("seed\tway\tworth\tof bound by class\tof bound\tin time\tlate\trefused\tattempts\trecovered after s\tnew ones after s\t")
 	for first := s.Seed; s.Seed < first+uint64(max(1, c.Seeds)); s.Seed++ {
 		plan, err := s.Draw()
 		if err != nil {
@@ -46,6 +46,7 @@
 	return t.Flush()
 }
 
+// formatRecovery formats a recovery time in seconds; negative: never.
 func formatRecovery(d time.Duration) string {
 	if d < 0 {
 		return "never"
--- a/cmd/firplank-lab/soak.go
+++ b/cmd/firplank-lab/soak.go
@@ -16,31 +16,31 @@
 )
 
 type soakCommand struct {
-	Seed      uint64        `help:"The first seed." default:"1"`
-	Seeds     int           `help:"How many seeds, one after the other." default:"1"`
-	Length    time.Duration `help:"Of the time in which troubles begin, of each seed." default:"30s"`
+	Seed      uint64        `help:"First seed." default:"1"`
+	Seeds     int           `help:"Number of seeds, played one after the other." default:"1"`
+	Length    time.Duration `help:"Time in which faults are started, for each seed." default:"30s"`
 	Core      int           `help:"Control machines." default:"4"`
 	Tolerance int           `help:"Control machines that may lose their disks at once." default:"1"`
-	Branch    int           `help:"Branch machines of each of the two services." default:"3"`
+	Branch    int           `help:"Machines with a server and a sidecar, for each of the two services." default:"3"`
 	Clients   int           `help:"Clients of each branch machine." default:"3"`
-	Slow      int           `help:"Have every process run for one part in so much of the time only." default:"1"`
-	Only      []soak.Kind   `help:"Kinds of troubles; empty: all."`
-	Net       int           `help:"The second number of the addresses, 127.NET.0.0, so that several can run side by side." default:"90"`
+	Slow      int           `help:"Slow every process down to one part in this many of its run time." default:"1"`
+	Only      []soak.Kind   `help:"Kinds of faults; empty: all."`
+	Net       int           `help:"Second octet of the addresses, 127.NET.0.0. Concurrent runs need different ones." default:"90"`
 	Race      bool          `help:"Build the programs with the race detector."`
-	Keep      string        `help:"Folder that keeps settings, disks, logs and the list of events of each seed that broke a promise."`
+	Keep      string        `help:"Folder to keep the settings, disks, logs and events of each seed with a violation."`
 }
 
-// errPromisesBroken is the result of a soak that found something.
+// errPromisesBroken is the result of a run with violations.
 var errPromisesBroken = errors.New("promises were broken")
 
-// Run plays the seeds.
+// Run plays the seeds and prints a report for each.
 func (c *soakCommand) Run(ctx context.Context, out io.Writer) error {
 	printer := output.New(out)
 	folder, err := os.MkdirTemp("", "firplank-soak")
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.RemoveAll(folder) }() // a temporary folder, which may stay
+	defer func() { _ = os.RemoveAll(folder) }() // a leftover temporary folder does no harm
 	programs := filepath.Join(folder, "bin")
 	if err := mesh.Build(ctx, programs, c.Race); err != nil {
 		return err
@@ -56,7 +56,7 @@
 			broken++
 		}
 	}
-	printer.Printf("%d seeds, %d with a broken promise\n", c.Seeds, broken)
+	printer.Printf("%d seeds, %d with violations\n", c.Seeds, broken)
 	if err := printer.Err(); err != nil {
 		return err
 	}
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// play plays one seed in a folder, which is kept elsewhere if promises were broken.
+// play plays one seed in a folder. If it fails or has violations, the folder is copied to c.Keep, if set. The folder is removed.
 func (c *soakCommand) play(ctx context.Context, folder, programs string, seed uint64) (*soak.Report, error) {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return nil, err
@@ -89,13 +89,14 @@
 	return report, errors.Join(err, os.RemoveAll(folder))
 }
 
-// maxPrinted bounds the violations of one rule that are printed; the list of events has all.
+// maxPrintedPerRule bounds the violations of a rule that are printed. The list of events contains all of them.
 const maxPrintedPerRule = 5
 
+// printReport prints the counts of a run and its violations.
 func printReport(printer *output.Printer, r *soak.Report) {
 	n := &r.Counts
-	printer.Printf("seed %d: %d troubles (%d skipped), %d requests: %d served, %d refused, %d failed, "+
-		"%d broken off, %d expired, %d left, %d unreached; "+
+	printer.Printf("seed %d: %d faults (%d skipped), %d requests: %d served, %d refused, %d failed, "+
+		"%d aborted, %d expired, %d canceled, %d unreached; "+
 		"%d changes, %d acknowledged, %d reads; %d stalls; %d violations\n",
 		r.Seed, r.Troubles, r.Skipped, n.Requests, n.Served, n.Refused, n.Failed,
 		n.Broken, n.Expired, n.Left, n.Unreached, n.Changes, n.Acknowledged, n.Reads,
@@ -108,7 +109,7 @@
 	}
 	for rule, count := range printed {
 		if count > maxPrintedPerRule {
-			printer.Printf("  %s: %d in all\n", rule, count)
+			printer.Printf("  %s: %d in total\n", rule, count)
 		}
 	}
 }
--- a/cmd/firplank-lab/standalone.go
+++ b/cmd/firplank-lab/standalone.go
@@ -16,13 +16,13 @@
 )
 
 type countCommand struct {
-	Folder string        `arg:"" help:"Where the logs are, one a sidecar, in files that end in .log." type:"existingdir"`
-	Every  time.Duration `help:"Length of a step." default:"1s"`
+	Folder string        `arg:"" help:"Folder of the logs, one file for each sidecar, with the extension .log." type:"existingdir"`
+	Every  time.Duration `help:"Length of an interval." default:"1s"`
 }
 
 func (c *countCommand) Run(out io.Writer) error {
 	if c.Every < time.Millisecond {
-		return errors.New("a step is at least 1ms")
+		return errors.New("--every: want at least 1ms")
 	}
 	fleet, err := count.Folder(os.DirFS(c.Folder), c.Every)
 	if err != nil {
@@ -32,21 +32,21 @@
 }
 
 type loadCommand struct {
-	Addr        string   `arg:"" help:"Address of 127.0.0.0/8, with a port."`
-	Connections int      `help:"Connections held." default:"1000"`
-	Active      int      `help:"Of them, those that send requests; 0: all."`
-	Rate        float64  `help:"Requests a second, at random times." default:"100"`
-	Rush        bool     `help:"In place of a rate each active connection sends one request, evenly over the time."`
-	Seconds     float64  `help:"For which requests are begun." default:"10"`
-	Pace        float64  `help:"Connections opened a second; 0: as fast as they come up."`
-	Sources     int      `help:"Addresses of 127.0.0.0/8 that connections come from; 0: as many as they need."`
-	Wait        float64  `help:"Seconds that an answer is waited for." default:"5"`
-	Seed        uint64   `help:"Of the times." default:"1"`
-	Method      string   `help:"Of the requests." default:"GET"`
-	Path        string   `help:"Of the requests." default:"/api/lookup"`
-	Greet       string   `help:"Path that each connection asks for when it is up, so that the server knows it."`
+	Addr        string   `arg:"" help:"Address in 127.0.0.0/8, with a port."`
+	Connections int      `help:"Open connections." default:"1000"`
+	Active      int      `help:"Connections that send requests; 0: all."`
+	Rate        float64  `help:"Requests a second, with Poisson arrivals." default:"100"`
+	Rush        bool     `help:"Send one request on each active connection, spread evenly over the time, instead of at a rate."`
+	Seconds     float64  `help:"Seconds in which requests are sent." default:"10"`
+	Pace        float64  `help:"Connections opened a second; 0: as fast as possible."`
+	Sources     int      `help:"Source addresses in 127.0.0.0/8; 0: as many as the ports require."`
+	Wait        float64  `help:"Time-out of a response in seconds." default:"5"`
+	Seed        uint64   `help:"Seed of the arrival times." default:"1"`
+	Method      string   `help:"Method of the requests." default:"GET"`
+	Path        string   `help:"Path of the requests." default:"/api/lookup"`
+	Greet       string   `help:"Path of a request sent on each new connection, so that the server has seen the connection."`
 	Header      []string `help:"${headerHelp}" default:"X-Trace-Id:{n},X-Qos:lookup,X-Customer:north,X-Object:7f3a9c21e0b4d655"`
-	PID         int      `help:"The server's process, whose memory and processor time are told." name:"pid"`
+	PID         int      `help:"Process of the server, to measure its memory and processor time." name:"pid"`
 	JSON        string   `help:"Write the result to a file in JSON." placeholder:"FILE" type:"path" name:"json"`
 }
 
--- a/cmd/firplank-proxy/main.go
+++ b/cmd/firplank-proxy/main.go
@@ -1,4 +1,4 @@
-// Command firplank-proxy is the data plane's program, the sidecar of each server. All that it does is in package dataplane.
+// Command firplank-proxy is the sidecar of a server, the mesh's data plane. It is a thin wrapper of package dataplane.
 package main
 
 import (
@@ -16,18 +16,18 @@
 
 var cli struct {
 	Settings string `help:"Settings file." env:"FIRPLANK_BOOT" default:""`
-	Debug    bool   `help:"Log more."`
+	Debug    bool   `help:"Log at level debug."`
 }
 
 func main() {
-	reloads := make(chan os.Signal, 1) // of several at once one is enough
+	reloads := make(chan os.Signal, 1) // a pending reload covers later signals, as it reads the latest settings
 	signal.Notify(reloads, syscall.SIGHUP)
-	kong.Parse(&cli, kong.Name("firplank-proxy"), kong.Description("The data plane of the mesh: one beside each server."))
+	kong.Parse(&cli, kong.Name("firplank-proxy"), kong.Description("The data plane of the mesh, one sidecar beside each server."))
 	log, shared := bootstrap.NewLog(os.Stderr, cli.Debug)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	if err := dataplane.Run(ctx, cli.Settings, reloads, log, shared); err != nil {
-		// Log fails where standard error does, and there is no other place to write to.
+		// The logger writes to standard error. If that fails, the error cannot be reported anywhere else.
 		_ = level.Error(log).Log("msg", "sidecar failed", "error", err)
 		os.Exit(1)
 	}
--- a/cmd/firplank/contracts.go
+++ b/cmd/firplank/contracts.go
@@ -17,15 +17,16 @@
 	"firplank/internal/sidecar"
 )
 
-// contractsCommand is about the contracts that the options name.
+// contractsCommand groups the commands for the contracts that the options file names.
 type contractsCommand struct {
-	Check   contractsCheck   `cmd:"" help:"Read and check all contracts, and start nothing."`
-	Show    contractsShow    `cmd:"" help:"Show what each team was promised, and this instance's part."`
-	Explain contractsExplain `cmd:"" help:"Tell what becomes of a team's requests at a rate, and which clause decides."`
+	Check   contractsCheck   `cmd:"" help:"Check all contracts without starting the sidecar."`
+	Show    contractsShow    `cmd:"" help:"Show the terms of each team and this instance's share of the capacity."`
+	Explain contractsExplain `cmd:"" help:"Simulate a team's requests at a given rate and show which clause decides on them."`
 }
 
-var errNoContracts = errors.New("the options name no contracts: want [broker] contracts = \"FOLDER\"")
+var errNoContracts = errors.New("the options name no contracts: set [broker] contracts = \"FOLDER\"")
 
+// loadContracts loads the sidecar's configuration and its contracts. A configuration without contracts is errNoContracts.
 func (f *configFlags) loadContracts() (*sidecar.Config, *contract.Set, error) {
 	cfg, err := sidecar.LoadAll(os.Getenv, f.Config)
 	if err != nil {
@@ -45,7 +46,7 @@
 	if err != nil {
 		return err
 	}
-	printer.Printf("%d teams, no fault\n", set.TeamCount())
+	printer.Printf("%d teams, no errors\n", set.TeamCount())
 	return printer.Err()
 }
 
@@ -72,8 +73,8 @@
 			classes = append(classes, text)
 		}
 		t.Printf("%s\t%g\t%g\t%s\t%s\t%s\t%g of first tries + %g/s\t%s\n", terms.Team, terms.WorthPerSecond, terms.Burst,
-			formatShare(terms.GuaranteedShare), formatShare(terms.MaxShare), overPolicyNames[terms.OverPolicy], terms.Retries.Share, terms.Retries.FloorPerSecond,
-			strings.Join(classes, ", "))
+			formatShare(terms.GuaranteedShare), formatShare(terms.MaxShare), overPolicyNames[terms.OverPolicy], terms.Retries.Share,
+			terms.Retries.FloorPerSecond, strings.Join(classes, ", "))
 	}
 	return t.Flush()
 }
@@ -89,15 +90,15 @@
 
 type contractsExplain struct {
 	configFlags
-	Team    string        `required:"" help:"Whose requests."`
-	Class   string        `required:"" help:"Of which class."`
-	Rate    float64       `required:"" help:"How many a second reach this instance."`
-	Retries float64       `help:"The share of them that are marked as retries."`
-	Others  string        `help:"What the other teams do meanwhile: idle, or busy with all that they may." enum:"idle,busy" default:"idle"`
-	For     time.Duration `help:"How long." default:"10s"`
+	Team    string        `required:"" help:"Team that sends the requests."`
+	Class   string        `required:"" help:"Class of the requests."`
+	Rate    float64       `required:"" help:"Requests a second that reach this instance."`
+	Retries float64       `help:"Share of the requests that are marked as retries."`
+	Others  string        `help:"Load of the other teams: idle, or busy (each uses all that it may)." enum:"idle,busy" default:"idle"`
+	For     time.Duration `help:"Simulated time." default:"10s"`
 }
 
-const maxExplainedRequests = 5_000_000 // requests that are played
+const maxExplainedRequests = 5_000_000 // bounds the run time of a simulation
 
 func (c *contractsExplain) Run(out io.Writer) error {
 	cfg, set, err := c.loadContracts()
@@ -134,19 +135,20 @@
 	return t.Flush()
 }
 
-// told is the first decision for a reason.
+// firstDecision is the first decision with a given reason. Times are relative to the start of the simulation.
 type firstDecision struct {
 	after  time.Duration
 	answer string
 }
 
-// play asks the contracts for evenly spaced requests, in time that is not real.
-func (c *contractsExplain) simulate(set *contract.Set, team, class int, d contract.Deployment) (map[string]int64, map[string]firstDecision) {
+// simulate sends evenly spaced requests to a broker in virtual time. It returns, by reason, the number of decisions and the first one.
+func (c *contractsExplain) simulate(set *contract.Set, team, class int,
+	d contract.Deployment) (map[string]int64, map[string]firstDecision) {
 	brokerModel := contract.New(0, set)
 	counts, firsts := map[string]int64{}, map[string]firstDecision{}
 	interval := time.Duration(float64(time.Second) / c.Rate)
 	retries := 0.0
-	nextOther := time.Duration(0) // of the others
+	nextOther := time.Duration(0) // next burst of the other teams
 	for now := time.Duration(0); now < c.For; now += interval {
 		for ; c.Others == "busy" && nextOther <= now; nextOther += 5 * time.Millisecond {
 			saturate(brokerModel, set, team, nextOther)
@@ -167,7 +169,8 @@
 	return counts, firsts
 }
 
-// busy lets every other team ask for more than it may have in some milliseconds.
+// saturate sends requests of all other teams, each class until one is rejected or 20 are admitted, which is more than a budget allows
+// in the few milliseconds between two calls.
 func saturate(b *contract.Broker, set *contract.Set, exceptTeam int, now time.Duration) {
 	for team := range set.TeamCount() {
 		if team == exceptTeam {
@@ -185,7 +188,7 @@
 	}
 }
 
-// describe tells the form of an answer.
+// describeResponse names the response that a client gets for a decision.
 func describeResponse(decision contract.Decision, d contract.Deployment) string {
 	if decision.Verdict == contract.Admitted {
 		if decision.Reason == contract.Degraded {
--- a/cmd/firplank/contracts_test.go
+++ b/cmd/firplank/contracts_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// contracts runs a command on a folder with one contract.
+// runContracts runs a contracts subcommand on a folder with one contract file, and returns its output.
 func runContracts(t *testing.T, text string, args ...string) (string, error) {
 	t.Helper()
 	dir := t.TempDir()
@@ -50,17 +50,18 @@
 `
 
 func TestContractsCommands(t *testing.T) {
-	if out, err := runContracts(t, contractText, "check"); err != nil || out != "2 teams, no fault\n" {
+	if out, err := runContracts(t, contractText, "check"); err != nil || out != "2 teams, no errors\n" {
 		t.Errorf("check: %q, %v", out, err)
 	}
 	if _, err := runContracts(t, strings.Replace(contractText, "12", "1", 1), "check"); err == nil ||
 		!strings.Contains(err.Error(), "a.toml:6: team \"acme\": burst: 1 is less") {
-		t.Errorf("check of a bad one: %v", err)
+		t.Errorf("check of an invalid contract: %v", err)
 	}
-	if out, err := runContracts(t, contractText, "show"); err != nil || !strings.Contains(out, "acme  30") || !strings.Contains(out, "borrow") {
+	if out, err := runContracts(t, contractText, "show"); err != nil || !strings.Contains(out, "acme  30") ||
+		!strings.Contains(out, "borrow") {
 		t.Errorf("show: %s, %v", out, err)
 	}
-	// 20 a second of worth 3, of which 10 are the budget.
+	// 20 requests a second of worth 3 are 60 worth a second, twice the team's budget of 30.
 	out, err := runContracts(t, contractText, "explain", "--team", "acme", "--class", "read", "--rate", "20")
 	if err != nil || !strings.Contains(out, "over_budget") || !strings.Contains(out, "429 with Retry-After: 0.") ||
 		!strings.Contains(out, "guaranteed") {
--- a/cmd/firplank/deploy_test.go
+++ b/cmd/firplank/deploy_test.go
@@ -26,8 +26,8 @@
 	return string(out)
 }
 
-// The fleet's days load a library into the sidecar: what the deploy file builds is linked dynamically against the C library,
-// and what it runs is one process.
+// The fleet tests preload a library into the sidecar. This guards against a deployment that this does not work with: the build command of
+// the deploy file must link dynamically against the C library, and its run command must be a single process.
 func TestDeploymentLinksDynamically(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
@@ -56,18 +56,18 @@
 		t.Errorf("needs %q (%v): the C library is missing", libraries, err)
 	}
 	if f.Section(".interp") == nil {
-		t.Error("no dynamic loader is named")
+		t.Error("the program names no dynamic loader")
 	}
 }
 
-// banned are calls that the fleet's days refuse: they start processes, or copy between descriptors inside the kernel, as
-// io.Copy does by itself where both ends are sockets or files. The exceptions drop what they read.
+// bannedCalls are the functions that the fleet tests do not allow, by package. They start processes, or copy between file descriptors
+// inside the kernel, as io.Copy does if both ends are sockets or files. Copies to io.Discard are allowed.
 var bannedCalls = map[string][]string{
 	"os": {"StartProcess"}, "syscall": {"ForkExec", "StartProcess", "Exec", "Splice", "Sendfile"},
 	"unix": {"Splice", "Sendfile", "Exec"}, "io": {"Copy", "CopyBuffer", "CopyN"},
 }
 
-// No package of the program can start another, and none of its own copies from socket to socket.
+// Guards against imports that can start processes, and against banned calls in the module's own packages.
 func TestNoBannedImportsOrCalls(t *testing.T) {
 	for _, pkg := range strings.Fields(goTool(t, "list", "-deps", ".")) {
 		if slices.Contains([]string{"os/exec", "plugin", "net/http/cgi", "net/http/fcgi"}, pkg) {
@@ -97,7 +97,7 @@
 	}
 }
 
-// selected takes a name and its package out of an expression; empty where it is something else.
+// selectedName returns the name and the qualifier of a selector expression on an identifier, and empty strings for other expressions.
 func selectedName(e ast.Expr) (name, qualifier string) {
 	if s, ok := e.(*ast.SelectorExpr); ok {
 		if x, ok := s.X.(*ast.Ident); ok {
--- a/cmd/firplank/fleet.go
+++ b/cmd/firplank/fleet.go
@@ -13,17 +13,17 @@
 	"firplank/internal/peers"
 )
 
-// fleetCommand is about what sidecars tell one another.
+// fleetCommand groups the commands for the load reports that sidecars exchange.
 type fleetCommand struct {
-	Show fleetShow `cmd:"" help:"Show whom a sidecar hears, who hears whom by what it was told, and the fleet's sums as intervals."`
+	Show fleetShow `cmd:"" help:"Show which members a sidecar can reach, who receives from whom, and the fleet's totals as intervals."`
 }
 
 type fleetShow struct {
-	Address string `arg:"" help:"The sidecar's [operators] listen."`
-	JSON    bool   `help:"As JSON." name:"json"`
+	Address string `arg:"" help:"Address of the sidecar's operators listener ([operators] listen)."`
+	JSON    bool   `help:"Print JSON." name:"json"`
 }
 
-var errFleetDisabled = errors.New("the sidecar tells nobody anything: want [fleet] enabled = true in its options")
+var errFleetDisabled = errors.New("fleet reports are disabled in the sidecar: set [fleet] enabled = true in its options")
 
 func (c *fleetShow) Run(out io.Writer) error {
 	client := http.Client{Timeout: 5 * time.Second}
@@ -31,7 +31,7 @@
 	if err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
-	defer func() { _ = resp.Body.Close() }() // the body has been read, or is not wanted
+	defer func() { _ = resp.Body.Close() }() // the body was read or is not needed
 	switch resp.StatusCode {
 	case http.StatusOK:
 	case http.StatusNotFound:
@@ -53,18 +53,18 @@
 
 func showFleet(out io.Writer, s *peers.Status) error {
 	printer := output.New(out)
-	printer.Printf("member %d hears %.0f %% of %d", s.Number, 100*s.ReachableShare, len(s.Members))
+	printer.Printf("member %d: %.0f %% of %d members are reachable", s.Number, 100*s.ReachableShare, len(s.Members))
 	for _, f := range []struct {
 		on   bool
 		text string
-	}{{s.CutOff, "it hears nobody"}, {s.Stale, "it has stood still, and this is old"}} {
+	}{{s.CutOff, "cut off: it receives from no other member"}, {s.Stale, "stale: it was suspended and has received nothing since"}} {
 		if f.on {
 			printer.Printf("; %s", f.text)
 		}
 	}
 	printer.Println()
 	t := output.NewTable(out, 0, 0, 2, ' ', 0)
-	t.Println("member\tstanding\theard itself\tnew word\tknown until\ttaken\tlife\thears")
+	t.Println("member\treachability\tlast datagram\tlast heartbeat\tcomplete as of\treceived\tincarnation\treceives from")
 	for i := range s.Members {
 		m := &s.Members[i]
 		note := ""
@@ -75,7 +75,7 @@
 			formatAge(m.SinceDatagram), formatAge(m.SinceHeartbeat), formatAge(m.SinceComplete),
 			m.Received, m.Incarnation, formatReceivesFrom(m.ReceivesFrom, len(s.Members)))
 	}
-	t.Println("\nclass\ttenant\ttaken\tretried\tserved\tno room\tover budget\trefused\tfailed")
+	t.Println("\nclass\ttenant\treceived\tretried\tserved\tno capacity\tover budget\trejected\tfailed")
 	for _, c := range s.Sums.Cells {
 		t.Printf("%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", c.Class, c.Tenant, c.Received, c.Retried, c.Served, c.RefusedCapacity,
 			c.RefusedBudget, c.RefusedOther, c.Failed)
@@ -83,14 +83,15 @@
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	printer.Printf("each is at least that, and at most %d more (words up to %.1f s old)", s.Sums.Unreported, s.Sums.AgeS)
+	printer.Printf("each counter is at least the value shown and at most %d higher (reports up to %.1f s old)", s.Sums.Unreported, s.Sums.AgeS)
 	if s.Sums.UnboundedMembers > 0 {
-		printer.Printf("; of %d members nothing bounds what they did", s.Sums.UnboundedMembers)
+		printer.Printf("; the counters of %d members have no upper bound", s.Sums.UnboundedMembers)
 	}
 	printer.Println()
 	return printer.Err()
 }
 
+// formatAge formats an age in seconds; negative: never.
 func formatAge(s float64) string {
 	if s < 0 {
 		return "never"
@@ -98,7 +99,7 @@
 	return fmt.Sprintf("%.1f s", s)
 }
 
-// row shows whom a member hears, a column each.
+// formatReceivesFrom returns one column for each member: x if datagrams of that member are received, else a dot.
 func formatReceivesFrom(receivesFrom []int, members int) string {
 	if len(receivesFrom) == 0 {
 		return "-"
--- a/cmd/firplank/fleet_disabled_test.go
+++ b/cmd/firplank/fleet_disabled_test.go
@@ -18,7 +18,7 @@
 	"firplank/internal/testbed"
 )
 
-// talkConfig writes a configuration with peers, that the settings allow to be talked to or not, and returns its path.
+// writePeerConfig writes a configuration with two peers and returns its path. peersAllowed is the setting limits.may_tell.
 func writePeerConfig(t *testing.T, peersAllowed bool) string {
 	t.Helper()
 	text, err := os.ReadFile("../../internal/sidecar/testdata/config.json")
@@ -50,7 +50,7 @@
 	return path
 }
 
-// datagramSockets counts those that a process holds.
+// countDatagramSockets returns the number of open UDP and UDP-Lite sockets of a process.
 func countDatagramSockets(t *testing.T, pid int) (n int) {
 	t.Helper()
 	var tables string
@@ -73,8 +73,8 @@
 	return n
 }
 
-// What sidecars tell one another is off in what the platform runs, whatever the settings allow: exactly that is started here, and holds no
-// socket for datagrams. With the options file it does, so that the look would see one.
+// Guards against a deployed sidecar that sends load reports to peers: with the run command of the deploy file it must open no datagram
+// socket, whatever the settings allow. The last case enables the reports, to show that an open socket would be found.
 func TestDeployedSidecarOpensNoDatagramSocket(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
@@ -103,9 +103,9 @@
 			t.Fatal(err)
 		}
 		testbed.Until(t, "the sidecar listens", func() bool { return log.Has("msg=listening") })
-		time.Sleep(300 * time.Millisecond) // what began late would have begun
+		time.Sleep(300 * time.Millisecond) // allows a socket that is opened after the listener to show up
 		if got := countDatagramSockets(t, cmd.Process.Pid); got != c.want {
-			t.Errorf("%s, may_tell %v: %d sockets for datagrams, want %d", c.run, c.mayTell, got, c.want)
+			t.Errorf("%s, may_tell %v: %d datagram sockets, want %d", c.run, c.mayTell, got, c.want)
 		}
 		_ = cmd.Process.Signal(syscall.SIGTERM)
 		if err := cmd.Wait(); err != nil {
@@ -114,7 +114,8 @@
 	}
 }
 
-// Where the settings forbid it, or the configuration lacks what it needs, check names the key and nothing starts.
+// If the settings forbid fleet reports, or the configuration lacks a value that they need, check and serve must fail with an error that
+// names the key.
 func TestFleetConfigErrorNamesTheKey(t *testing.T) {
 	t.Setenv("NODE_CONFIG", writePeerConfig(t, false))
 	var out bytes.Buffer
--- a/cmd/firplank/main.go
+++ b/cmd/firplank/main.go
@@ -1,5 +1,5 @@
 // Command firplank is the sidecar: a client-side load balancer between one application and the servers that
-// discovery lists. It is configured by the NODE_ variables; see README.md.
+// discovery lists. It is configured by the NODE_ environment variables; see README.md.
 package main
 
 import (
@@ -18,21 +18,21 @@
 	"firplank/internal/sidecar"
 )
 
-// commands is the command line. Without arguments the sidecar serves.
+// commands is the command line. The default command is serve.
 type commands struct {
 	Serve     serveCommand     `cmd:"" default:"withargs" help:"Serve until SIGTERM (the default)."`
-	Check     checkCommand     `cmd:"" help:"Read and check the configuration, and start nothing."`
-	Call      callCommand      `cmd:"" help:"Make a request over HTTP or MessagePack-RPC and show the answer."`
-	Contracts contractsCommand `cmd:"" help:"Look at the contracts between teams."`
-	Fleet     fleetCommand     `cmd:"" help:"What sidecars tell one another."`
-	Metrics   metricsCommand   `cmd:"" help:"What monitoring is told."`
+	Check     checkCommand     `cmd:"" help:"Check the configuration without starting the sidecar."`
+	Call      callCommand      `cmd:"" help:"Send a request over HTTP or MessagePack-RPC and show the response."`
+	Contracts contractsCommand `cmd:"" help:"Check, show and explain the contracts of teams."`
+	Fleet     fleetCommand     `cmd:"" help:"Show the load reports that sidecars exchange."`
+	Metrics   metricsCommand   `cmd:"" help:"List the metrics that are reported to monitoring."`
 	Version   versionCommand   `cmd:"" help:"Show the version."`
 	Help      helpCommand      `cmd:"" help:"Show this help."`
 }
 
-// files is what a sidecar is configured by, beside the NODE_ variables.
+// configFlags are the flags for a sidecar's configuration, which supplement the NODE_ environment variables.
 type configFlags struct {
-	Config string `help:"Options in TOML, for what is not part of the platform's configuration." placeholder:"FILE" type:"path"`
+	Config string `help:"Options file in TOML, for options outside the platform's configuration." placeholder:"FILE" type:"path"`
 }
 
 type serveCommand struct{ configFlags }
@@ -53,20 +53,20 @@
 
 type callCommand struct {
 	To      *url.URL      `arg:"" help:"http://HOST:PORT/PATH, or msgpack-rpc://HOST:PORT."`
-	Method  string        `arg:"" optional:"" help:"The method, for MessagePack-RPC."`
-	Params  string        `arg:"" optional:"" help:"Its params, a JSON array."`
-	Class   string        `help:"The class, for HTTP."`
-	Tenant  string        `help:"The tenant, for HTTP."`
-	Key     string        `help:"The idempotency key, for HTTP."`
-	Object  string        `help:"What the request is about, for HTTP."`
-	Body    string        `help:"The body, for HTTP; without one and without a key it is a GET."`
-	Timeout time.Duration `help:"How long to wait." default:"5s"`
-	Count   int           `help:"So many requests at once." default:"1"`
+	Method  string        `arg:"" optional:"" help:"Method (MessagePack-RPC)."`
+	Params  string        `arg:"" optional:"" help:"Parameters of the method, a JSON array."`
+	Class   string        `help:"Class (HTTP)."`
+	Tenant  string        `help:"Tenant (HTTP)."`
+	Key     string        `help:"Idempotency key (HTTP)."`
+	Object  string        `help:"Object that the request concerns (HTTP)."`
+	Body    string        `help:"Body (HTTP). A request without a body and without a key is a GET."`
+	Timeout time.Duration `help:"Time to wait for the response." default:"5s"`
+	Count   int           `help:"Number of concurrent requests." default:"1"`
 }
 
 func (c *callCommand) Run(out io.Writer) error {
 	if c.Count < 1 || c.Count > 10000 || c.Timeout <= 0 {
-		return fmt.Errorf("--count is %d and --timeout %v: want 1 to 10000, and more than 0", c.Count, c.Timeout)
+		return fmt.Errorf("--count is %d and --timeout is %v: want a count of 1 to 10000 and a positive time-out", c.Count, c.Timeout)
 	}
 	return call.Do(context.Background(), &call.Request{
 		To: c.To, Method: c.Method, Params: c.Params, Class: c.Class, Tenant: c.Tenant, Key: c.Key, Object: c.Object,
@@ -89,7 +89,7 @@
 type helpCommand struct{}
 
 func (helpCommand) Run(k *kong.Kong) error {
-	// An empty line would be traced to the default command, and only that one be told of.
+	// kong resolves empty arguments to the default command and would print the help of that command only.
 	ctx := &kong.Context{Kong: k, Path: []*kong.Path{{App: k.Model, Flags: k.Model.Flags}}}
 	return ctx.PrintUsage(false)
 }
@@ -103,8 +103,8 @@
 
 func run(args []string, out io.Writer) error {
 	parser, err := kong.New(&commands{}, kong.Name("firplank"), kong.BindTo(out, (*io.Writer)(nil)), kong.Writers(out, os.Stderr),
-		kong.Description("A client-side load balancer beside one application. NODE_CONFIG names its configuration, a JSON file; "+
-			"NODE_NAME, NODE_LISTEN and NODE_DISCOVERY go before what that says."))
+		kong.Description("A client-side load balancer beside one application. NODE_CONFIG names its configuration, a JSON file. "+
+			"NODE_NAME, NODE_LISTEN and NODE_DISCOVERY override values of that file."))
 	if err != nil {
 		return err
 	}
--- a/cmd/firplank/main_test.go
+++ b/cmd/firplank/main_test.go
@@ -17,11 +17,11 @@
 		t.Fatal(err)
 	}
 	if !strings.Contains(out.String(), "3 classes, 2 tenants, 1 servers") {
-		t.Errorf("says %q", out.String())
+		t.Errorf("output %q", out.String())
 	}
 }
 
-// What is wrong is named with its place, and nothing starts.
+// Guards against errors of check that do not name the line, the key or the value that is wrong.
 func TestCheckErrorNamesThePlace(t *testing.T) {
 	good, err := os.ReadFile(testConfig)
 	if err != nil {
@@ -61,11 +61,11 @@
 		}
 	}
 	if err := run([]string{"sweep"}, &bytes.Buffer{}); err == nil {
-		t.Error("an unknown command is taken")
+		t.Error("an unknown command is accepted")
 	}
 }
 
-// Without arguments the sidecar serves, as the platform's run line has it: it wants its configuration.
+// The platform starts the program without arguments, which must serve. Here serve fails, because NODE_CONFIG is empty.
 func TestServeIsTheDefault(t *testing.T) {
 	t.Setenv("NODE_CONFIG", "")
 	if err := run(nil, &bytes.Buffer{}); err == nil || !strings.Contains(err.Error(), "NODE_CONFIG") {
--- a/cmd/firplank/metrics.go
+++ b/cmd/firplank/metrics.go
@@ -16,10 +16,10 @@
 	"firplank/report/graphite"
 )
 
-// metricsCommand is about what monitoring is told.
+// metricsCommand groups the commands for the metrics that are reported to monitoring.
 type metricsCommand struct {
-	Names metricNamesCommand   `cmd:"" help:"List every series that the configuration can bring, with its unit and meaning."`
-	Types collectdTypesCommand `cmd:"" help:"Print the lines that collectd's types.db needs."`
+	Names metricNamesCommand   `cmd:"" help:"List all series that the configuration can produce, with unit and meaning."`
+	Types collectdTypesCommand `cmd:"" help:"Print the lines to add to collectd's types.db."`
 }
 
 type collectdTypesCommand struct{}
@@ -31,8 +31,8 @@
 
 type metricNamesCommand struct{ configFlags }
 
-// Run lists paths of Graphite's, and behind each what it stands for. What is only known in service has its label in angle
-// brackets.
+// Run prints the Graphite path of each series with its kind, unit, labels and meaning. Label values that are known only at run time are
+// printed as the label's name in angle brackets.
 func (c *metricNamesCommand) Run(out io.Writer) error {
 	cfg, err := sidecar.LoadAll(os.Getenv, c.Config)
 	if err != nil {
@@ -51,7 +51,7 @@
 		counterCount := len(f.Shown())
 		for _, labels := range rows {
 			labelText := ""
-			for i, label := range labels { // escaped names may be cut
+			for i, label := range labels { // the path may contain shortened, escaped values
 				labelText += fmt.Sprintf("%s=%q ", f.Labels[i], label)
 			}
 			for i, field := range f.Fields() {
@@ -60,9 +60,9 @@
 					w.Printf("%s\tgauge\t%s\t%s\t%s\n", seriesPath(prefix, g.Tags, f, labels, field.Name, ""), field.Unit, labelText, meaning)
 					continue
 				}
-				w.Printf("%s\tcounter\t%s\t%s\t%s, since the process began\n",
+				w.Printf("%s\tcounter\t%s\t%s\t%s, since the process started\n",
 					seriesPath(prefix, g.Tags, f, labels, field.Name, graphite.Total), field.Unit, labelText, meaning)
-				w.Printf("%s\tgrowth\t%s\t%s\t%s, in the interval\n", seriesPath(prefix, g.Tags, f, labels, field.Name, graphite.Count),
+				w.Printf("%s\tincrease\t%s\t%s\t%s, in the interval\n", seriesPath(prefix, g.Tags, f, labels, field.Name, graphite.Count),
 					field.Unit, labelText, meaning)
 			}
 		}
@@ -70,7 +70,7 @@
 	return w.Flush()
 }
 
-// path leaves labels that stand for what is not known yet as they are.
+// seriesPath returns the Graphite path of a series. Placeholders such as <server> are left unescaped.
 func seriesPath(prefix string, tagged bool, f *report.Family, labels []string, field, suffix string) string {
 	if len(labels) > 0 && labels[0][0] == '<' {
 		parts := prefix + "." + f.Name
@@ -85,6 +85,7 @@
 	return graphite.Path(prefix, tagged, f, labels, field, suffix)
 }
 
+// appendLabelValues returns the rows of label values, each combined with every value of one more label.
 func appendLabelValues(rows [][]string, label string, s *report.Shape) (all [][]string) {
 	values := []string{"<" + label + ">"}
 	switch label {
--- a/cmd/firplank/metrics_test.go
+++ b/cmd/firplank/metrics_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Every series has a line, and the types are those of the file for collectd.
+// Guards against series that metrics names does not list, and against a changed types.db.
 func TestMetricsCommands(t *testing.T) {
 	t.Setenv("NODE_CONFIG", "../../internal/sidecar/testdata/config.json")
 	var out bytes.Buffer
@@ -22,7 +22,7 @@
 		}
 	}
 	if !strings.Contains(out.String(), `class="read" tenant="overflow" `) {
-		t.Error("no line says whose series it is")
+		t.Error("no line has the labels of its series")
 	}
 	out.Reset()
 	if err := run([]string{"metrics", "types"}, &out); err != nil || !strings.HasPrefix(out.String(), "firplank_requests ") {
--- a/cmd/firplankctl/client.go
+++ b/cmd/firplankctl/client.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// requestTimeout bounds a call to a control machine, its answer included.
+	// requestTimeout bounds a request to a control machine, including the read of the response.
 	requestTimeout = 8 * time.Second
-	// maxStatusBytes bounds the answer to a call for the status.
+	// maxStatusBytes bounds the response to a status request.
 	maxStatusBytes = 1 << 20
-	// maxReasonBytes bounds what is shown of an error's answer.
+	// maxReasonBytes bounds the part of an error response that is shown.
 	maxReasonBytes = 4 << 10
 
 	readConfigPath    = "/Timetable.Read"
 	replaceConfigPath = "/Timetable.Replace"
 )
 
-// client calls one control machine.
+// client sends requests to one control machine.
 type client struct {
 	addr string // host and port of its control address
 	http http.Client
@@ -34,13 +34,13 @@
 	return &client{addr: addr, http: http.Client{Timeout: requestTimeout}}
 }
 
-// get returns the body of an answer, up to a bound. An answer other than 200 is an error.
+// get returns at most maxBytes of the body of a response. A status other than 200 is an error.
 func (c *client) get(path string, maxBytes int64) ([]byte, error) {
 	resp, err := c.http.Get("http://" + c.addr + path)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = resp.Body.Close() }() // only read from
+	defer func() { _ = resp.Body.Close() }() // the body is only read
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBytes))
 	if err != nil {
 		return nil, err
@@ -51,25 +51,26 @@
 	return body, nil
 }
 
-// answer is a control machine's answer to a request that changes something.
+// response is a control machine's response to a POST.
 type response struct {
 	statusCode int
-	status     string // the code with its text
-	reason     []byte // the beginning of the body
+	status     string // status code and text
+	reason     []byte // the first maxReasonBytes of the body
 }
 
-// post sends JSON.
+// post sends a JSON body. Any status counts as a response, not as an error.
 func (c *client) post(path string, body []byte) (response, error) {
 	resp, err := c.http.Post("http://"+c.addr+path, "application/json", bytes.NewReader(body))
 	if err != nil {
 		return response{}, err
 	}
-	defer func() { _ = resp.Body.Close() }()                           // only read from
-	reason, _ := io.ReadAll(io.LimitReader(resp.Body, maxReasonBytes)) // the status alone counts, where the body is cut off
+	defer func() { _ = resp.Body.Close() }()                           // the body is only read
+	reason, _ := io.ReadAll(io.LimitReader(resp.Body, maxReasonBytes)) // the status suffices if the body is incomplete
 	return response{statusCode: resp.StatusCode, status: resp.Status, reason: reason}, nil
 }
 
-// loadConfig reads a configuration from a file, or, where none is named, the one in force from a control machine. It returns its text, too.
+// loadConfig reads a configuration from a file, or the one in force from a control machine if file is empty. It also
+// returns the text.
 func loadConfig(file, controlAddr string) (*config.Config, []byte, error) {
 	if file == "" {
 		text, err := newClient(controlAddr).get(readConfigPath, config.MaxBytes+1)
@@ -85,7 +86,7 @@
 	return parseConfig(file, text)
 }
 
-// parseConfig names the source in its error.
+// parseConfig parses and validates a configuration. Errors name the source.
 func parseConfig(source string, text []byte) (*config.Config, []byte, error) {
 	c, err := config.Parse(text)
 	if err != nil {
--- a/cmd/firplankctl/config.go
+++ b/cmd/firplankctl/config.go
@@ -10,7 +10,7 @@
 )
 
 type checkCommand struct {
-	File string `arg:"" help:"Configuration, as JSON."`
+	File string `arg:"" help:"Configuration file in JSON."`
 }
 
 // Run validates a configuration.
@@ -28,7 +28,7 @@
 }
 
 type readCommand struct {
-	ControlAddr string `arg:"" name:"core" help:"Control address of a core machine."`
+	ControlAddr string `arg:"" name:"core" help:"Control address of a control machine."`
 }
 
 // Run prints the configuration in force.
@@ -42,11 +42,11 @@
 }
 
 type putCommand struct {
-	File        string `arg:"" help:"Configuration, as JSON."`
-	ControlAddr string `arg:"" name:"core" help:"Control address of a core machine."`
+	File        string `arg:"" help:"Configuration file in JSON."`
+	ControlAddr string `arg:"" name:"core" help:"Control address of a control machine."`
 }
 
-// Run validates a configuration and writes it to a control machine.
+// Run validates a configuration and writes it to the control plane through a control machine.
 func (c *putCommand) Run(out io.Writer) error {
 	printer := output.New(out)
 	cfg, text, err := loadConfig(c.File, "")
@@ -62,10 +62,10 @@
 		printer.Printf("edition %08x, or a higher one, is on a majority of disks\n", cfg.Version)
 		return printer.Err()
 	case http.StatusConflict:
-		return errors.Errorf("edition %08x is another operator's: the core has taken that number with another content, and "+
-			"will not take %s under it. "+
-			"See what is in force (firplankctl read), plan yours anew and put it under a higher number.\nThe core says: %s",
+		return errors.Errorf("edition %08x is another operator's: the control plane has accepted other content under that number and "+
+			"rejects %s. Read the configuration in force (firplankctl read), plan your change again and put it under a higher number.\n"+
+			"Response of the control machine: %s",
 			cfg.Version, c.File, answer.reason)
 	}
-	return errors.Errorf("the core answers %s: %s", answer.status, answer.reason)
+	return errors.Errorf("the control machine answers %s: %s", answer.status, answer.reason)
 }
--- a/cmd/firplankctl/explain.go
+++ b/cmd/firplankctl/explain.go
@@ -10,11 +10,11 @@
 type explainCommand struct {
 	Host        string `arg:"" help:"Host of the request."`
 	Path        string `arg:"" help:"Path of the request."`
-	File        string `help:"Configuration, as a file." xor:"from" required:""`
-	ControlAddr string `name:"core" help:"... or the control address of a core machine, which is asked for it." xor:"from" required:""`
+	File        string `help:"Configuration file." xor:"from" required:""`
+	ControlAddr string `name:"core" help:"Control address of a control machine to read the configuration from." xor:"from" required:""`
 }
 
-// Run prints which route a request takes, and why.
+// Run prints the route that matches a request, and the reason.
 func (c *explainCommand) Run(out io.Writer) error {
 	printer := output.New(out)
 	cfg, _, err := loadConfig(c.File, c.ControlAddr)
@@ -35,7 +35,7 @@
 	return printer.Err()
 }
 
-// printRoute prints how requests of a route are handled.
+// printRoute prints the retry, latency and admission parameters of a route.
 func printRoute(printer *output.Printer, route *config.Route) {
 	retries := "it runs at most once for each try: it is sent on only where it is proven not to have run"
 	if route.Idempotent() {
--- a/cmd/firplankctl/fsck.go
+++ b/cmd/firplankctl/fsck.go
@@ -11,10 +11,10 @@
 )
 
 type fsckCommand struct {
-	Folder string `arg:"" type:"existingdir" help:"The data folder."`
+	Folder string `arg:"" type:"existingdir" help:"Data folder."`
 }
 
-// Run prints what the data folder of a control machine holds. It changes nothing, and fails on damage.
+// Run prints the content of a control machine's data folder, without changing it. A damaged folder is an error.
 func (c *fsckCommand) Run(out io.Writer) error {
 	printer := output.New(out)
 	found, err := storage.Read(c.Folder)
@@ -23,11 +23,11 @@
 	}
 	state := found.State
 	if state == nil {
-		printer.Println("the folder holds no register: with other members there, the machine reads it from them")
+		printer.Println("the folder holds no register: the machine copies it from the other members, if there are any")
 		return printer.Err()
 	}
 	if found.Generation == 0 {
-		printer.Println("format 1, which is rewritten when the machine starts")
+		printer.Println("format 1, which is converted when the machine starts")
 	} else {
 		printer.Printf("format 2, generation %d, after %d saves\n", found.Generation, found.Sequence)
 	}
@@ -37,10 +37,10 @@
 		value.Version, len(value.Body))
 	printer.Printf("members %v", value.Members)
 	if len(value.PriorMembers) > 0 {
-		printer.Printf(", before them %v (a change that is not through)", value.PriorMembers)
+		printer.Printf(", members before the unfinished change %v", value.PriorMembers)
 	}
-	printer.Printf("\nvoter %v, life %d\n", state.Voter, state.Incarnation)
-	printer.Printf("the contents of %d editions are remembered, all above %08x\n", len(value.History.Records), value.History.Floor)
+	printer.Printf("\nvoter %v, incarnation %d\n", state.Voter, state.Incarnation)
+	printer.Printf("the history records the contents of %d editions, all above %08x\n", len(value.History.Records), value.History.Floor)
 	if value.Version == 0 {
 		return printer.Err()
 	}
@@ -48,6 +48,6 @@
 	if err != nil {
 		return errors.Wrap(err, "the configuration")
 	}
-	printer.Printf("the configuration is whole: %d routes, %d services\n", cfg.RouteCount(), len(cfg.Services))
+	printer.Printf("the configuration is valid: %d routes, %d services\n", cfg.RouteCount(), len(cfg.Services))
 	return printer.Err()
 }
--- a/cmd/firplankctl/fsck_test.go
+++ b/cmd/firplankctl/fsck_test.go
@@ -13,7 +13,7 @@
 	"firplank/mesh/storage"
 )
 
-// fsck reports what a folder holds, changes nothing in it, and fails on damage.
+// Guards against an fsck that misreports or changes a data folder, or that misses a flipped bit in a log.
 func TestFsckReportsContentAndDamage(t *testing.T) {
 	folder := t.TempDir()
 	store, _, err := storage.Open(folder)
@@ -52,11 +52,11 @@
 		t.Fatal(err)
 	}
 	if err := (&fsckCommand{Folder: folder}).Run(&out); err == nil {
-		t.Error("damage passes")
+		t.Error("a damaged log is not reported")
 	}
 }
 
-// files returns the content of each file below a folder.
+// readFiles returns the content of each file below a folder, by path.
 func readFiles(t *testing.T, folder string) map[string][]byte {
 	all := map[string][]byte{}
 	err := filepath.WalkDir(folder, func(path string, d fs.DirEntry, err error) error {
--- a/cmd/firplankctl/help.go
+++ b/cmd/firplankctl/help.go
@@ -2,12 +2,12 @@
 
 import "github.com/alecthomas/kong"
 
-// helpTexts are the texts that would not fit into the lines of the structs of the command line.
+// helpTexts are the help texts that are too long for a struct tag on one line.
 var helpTexts = kong.Vars{
-	"statusHelp": "Show the control machines: members, voters, who has the newest version, who holds the lease, " +
+	"statusHelp": "Show the control machines: members, voters, which of them have the newest version, the holder of the lease, " +
 		"and whether all members have full copies.",
-	"fsckHelp": "Look at a core machine's data folder, while its process is down: what it holds, and whether it " +
-		"is whole.",
-	"logsHelp": "Logs, each of the program that its name without ending says; a line may begin with the name of " +
-		"its node. A single dash is standard input.",
+	"fsckHelp": "Show the content of a control machine's data folder and check it for damage. The machine's process must " +
+		"not be running.",
+	"logsHelp": "Log files. The node is the file's name without its extension, unless a line begins with a node's name. " +
+		"A single dash is standard input.",
 }
--- a/cmd/firplankctl/main.go
+++ b/cmd/firplankctl/main.go
@@ -1,5 +1,5 @@
-// Command firplankctl is the operators' command line. It plans changes of the configuration, explains where a request
-// goes, reads and writes the configuration at a control machine, and checks a control machine's disk.
+// Command firplankctl is the command line for operators of the mesh. It plans changes of the configuration, explains the routing of a
+// request, reads and writes the configuration, controls rollouts, reviews logs, and checks the data folder of a control machine.
 package main
 
 import (
@@ -10,14 +10,14 @@
 )
 
 type commands struct {
-	Check   checkCommand    `cmd:"" help:"Say whether a configuration is good, and else what is wrong with it and where."`
-	Plan    planCommand     `cmd:"" help:"Show what a change of the configuration would move. Nothing is changed."`
-	Explain explainCommand  `cmd:"" help:"Say which route a request takes by a configuration, and why."`
-	Read    readCommand     `cmd:"" help:"Read the configuration from the core."`
-	Put     putCommand      `cmd:"" help:"Write a configuration to the core, once it is checked."`
+	Check   checkCommand    `cmd:"" help:"Validate a configuration and show what is wrong and where."`
+	Plan    planCommand     `cmd:"" help:"Show which requests a change of the configuration would move, without applying it."`
+	Explain explainCommand  `cmd:"" help:"Show which route of a configuration a request takes, and why."`
+	Read    readCommand     `cmd:"" help:"Read the configuration in force from a control machine."`
+	Put     putCommand      `cmd:"" help:"Validate a configuration and write it to the control plane."`
 	Status  statusCommand   `cmd:"" help:"${statusHelp}"`
-	Rollout rolloutCommands `cmd:"" help:"Bring in a new version of a service, see how far it is, or recall it."`
-	Review  reviewCommand   `cmd:"" help:"Read the logs of many programs and tell what happened, why, and as a timeline."`
+	Rollout rolloutCommands `cmd:"" help:"Roll out a new version of a service, show its progress, or recall it."`
+	Review  reviewCommand   `cmd:"" help:"Read the logs of several programs and show what happened, the causes and a timeline."`
 	Fsck    fsckCommand     `cmd:"" help:"${fsckHelp}"`
 }
 
--- a/cmd/firplankctl/main_test.go
+++ b/cmd/firplankctl/main_test.go
@@ -16,7 +16,7 @@
 const configJSON = `{"edition":"00000007","caps":{"envelopeBytes":16384,"contentsBytes":67108864,"envelopeS":3,"idleS":15},
  "gates":[],"fleets":[]}`
 
-// The operator learns from each answer of a control machine what became of the configuration.
+// Guards against a put whose output does not tell a commit, a conflict and a failure apart.
 func TestPutReportsTheOutcome(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "c.json")
 	if err := os.WriteFile(file, []byte(configJSON), 0o600); err != nil {
@@ -25,7 +25,7 @@
 	for status, want := range map[int]string{
 		http.StatusOK:                 "edition 00000007, or a higher one, is on a majority",
 		http.StatusConflict:           "edition 00000007 is another operator's",
-		http.StatusServiceUnavailable: "the core answers 503",
+		http.StatusServiceUnavailable: "the control machine answers 503",
 	} {
 		controlMachine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) }))
 		var out bytes.Buffer
@@ -40,7 +40,7 @@
 	}
 }
 
-// The text of the commands is read by scripts, and named on the operators' pages.
+// Scripts parse the output of these commands, and the operators' pages quote it, so that it must not change.
 func TestCommandOutputIsStable(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "c.json")
 	text := `{"edition":"00000009","gates":[{"depot":"a","regulations":[
--- a/cmd/firplankctl/plan.go
+++ b/cmd/firplankctl/plan.go
@@ -8,12 +8,12 @@
 )
 
 type planCommand struct {
-	New         string `arg:"" help:"The configuration that is wanted."`
-	Old         string `help:"The configuration in force, as a file." xor:"old" required:""`
-	ControlAddr string `name:"core" help:"... or the control address of a core machine, which is asked for it." xor:"old" required:""`
+	New         string `arg:"" help:"New configuration file."`
+	Old         string `help:"File with the configuration in force." xor:"old" required:""`
+	ControlAddr string `name:"core" help:"Control address of a control machine to read the configuration in force from." xor:"old" required:""`
 }
 
-// Run prints what a change of the configuration would move. It changes nothing.
+// Run prints which requests a change of the configuration would move, without applying it.
 func (c *planCommand) Run(out io.Writer) error {
 	printer := output.New(out)
 	to, _, err := loadConfig(c.New, "")
@@ -25,8 +25,8 @@
 		return err
 	}
 	if to.Version <= from.Version {
-		printer.Printf("edition %08x is not above %08x: the core would change nothing; it would acknowledge the bytes that "+
-			"it took under that number, and refuse others\n",
+		printer.Printf("edition %08x is not above %08x: the control plane would change nothing. It would acknowledge the content that it "+
+			"accepted under that number and reject any other\n",
 			to.Version, from.Version)
 		return printer.Err()
 	}
--- a/cmd/firplankctl/review.go
+++ b/cmd/firplankctl/review.go
@@ -15,10 +15,10 @@
 
 type reviewCommand struct {
 	Logs  []string `arg:"" help:"${logsHelp}"`
-	About string   `help:"Show the lines that name this try, server or node, in place of what happened."`
+	About string   `help:"Show the lines that name this request, server or node, instead of the findings."`
 }
 
-// Run prints what happened by the logs, or the lines about one thing.
+// Run prints the findings and their timeline, or only the log lines that name c.About.
 func (c *reviewCommand) Run(out io.Writer) error {
 	var lines []explain.Line
 	skipped := 0
@@ -39,11 +39,11 @@
 		printer.Println(findings[i].String())
 	}
 	if len(findings) == 0 {
-		printer.Printf("%d lines, and nothing in them that tells of trouble\n", len(lines))
+		printer.Printf("no findings in %d lines\n", len(lines))
 	}
 	printer.Print(explain.Draw(findings))
 	if skipped > 0 {
-		printer.Printf("%d lines are no log lines and were passed over\n", skipped)
+		printer.Printf("skipped %d lines that are not log lines\n", skipped)
 	}
 	return printer.Err()
 }
@@ -60,7 +60,8 @@
 	return printer.Err()
 }
 
-// readLog reads a log, whose node is named by the file. A dash is standard input.
+// readLog reads a log file, whose name without extension is the default node. The path "-" is standard input. skipped counts the lines
+// that are not log lines.
 func readLog(path string) (lines []explain.Line, skipped int, err error) {
 	if path == "-" {
 		return explain.Read(os.Stdin, "stdin")
@@ -69,6 +70,6 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	defer func() { _ = f.Close() }() // only read from
+	defer func() { _ = f.Close() }() // the file is only read
 	return explain.Read(f, strings.TrimSuffix(filepath.Base(path), filepath.Ext(path)))
 }
--- a/cmd/firplankctl/rollout.go
+++ b/cmd/firplankctl/rollout.go
@@ -14,26 +14,26 @@
 
 // rolloutCommands are the commands for rollouts.
 type rolloutCommands struct {
-	Start  startRolloutCommand  `cmd:"" help:"Order a rollout: the new version takes over unless it is worse than the old one."`
-	Status rolloutStatusCommand `cmd:"" help:"Say how far the rollouts are, and why."`
-	Recall recallCommand        `cmd:"" help:"Recall a rollout that is under way: the old version serves all requests again."`
+	Start  startRolloutCommand  `cmd:"" help:"Start a rollout. The new version replaces the old one unless it performs worse."`
+	Status rolloutStatusCommand `cmd:"" help:"Show the stage of each rollout, and the reason."`
+	Recall recallCommand        `cmd:"" help:"Recall a rollout under way. The old version then serves all requests again."`
 }
 
 type startRolloutCommand struct {
 	ControlAddr string  `arg:"" name:"core" help:"Control address of a control machine."`
 	Service     string  `arg:"" help:"Name of the service."`
-	Target      string  `arg:"" help:"The new version, as its servers name it."`
-	OverS       float64 `default:"60" help:"Time in seconds within which the rollout is to end."`
+	Target      string  `arg:"" help:"New version, as reported by its servers."`
+	OverS       float64 `default:"60" help:"Seconds within which the rollout is to end."`
 }
 
-// rolloutOrder is the body of an order, in the users' names.
+// startRolloutRequest is the body of a request to start a rollout. Its JSON keys are part of the operators' API.
 type startRolloutRequest struct {
 	Service string  `json:"line"`
 	Target  string  `json:"toEdition"`
 	OverS   float64 `json:"overS"`
 }
 
-// Run orders a rollout.
+// Run starts a rollout.
 func (c *startRolloutCommand) Run(out io.Writer) error {
 	body, err := json.Marshal(startRolloutRequest{Service: c.Service, Target: c.Target, OverS: c.OverS})
 	if err != nil {
@@ -62,7 +62,7 @@
 	return printer.Err()
 }
 
-// postOrder sends an order. An answer other than 200 is an error.
+// postRolloutRequest sends a request to start or recall a rollout. A status other than 200 is an error.
 func postRolloutRequest(addr, path string, body []byte) error {
 	a, err := newClient(addr).post(path, body)
 	switch {
@@ -78,7 +78,7 @@
 	ControlAddr string `arg:"" name:"core" help:"Control address of a control machine."`
 }
 
-// Run prints the rollouts, as one control machine sees them.
+// Run prints the rollouts as known to one control machine.
 func (c *rolloutStatusCommand) Run(out io.Writer) error {
 	status, err := readStatus(c.ControlAddr)
 	if err != nil {
--- a/cmd/firplankctl/status.go
+++ b/cmd/firplankctl/status.go
@@ -16,10 +16,10 @@
 
 type statusCommand struct {
 	ControlAddr string `arg:"" name:"core" help:"Control address of a control machine."`
-	Full        bool   `help:"Fail unless all members have the newest value on their disks."`
+	Full        bool   `help:"Exit with an error unless all members have the newest value on their disks."`
 }
 
-// Run prints the status of the control plane, as one control machine sees it.
+// Run prints the status of the control plane as known to one control machine.
 func (c *statusCommand) Run(out io.Writer) error {
 	status, err := readStatus(c.ControlAddr)
 	if err != nil {
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// readStatus reads the status of the control plane at a control machine.
+// readStatus reads the status of the control plane from a control machine.
 func readStatus(controlAddr string) (*api.ControlStatus, error) {
 	body, err := newClient(controlAddr).get(api.StatusPath, maxStatusBytes)
 	if err != nil {
