--- a/cmd/firplank-lab/compare.go
+++ b/cmd/firplank-lab/compare.go
@@ -14,45 +14,46 @@
 )
 
 type compareCommand struct {
-	played
-	Seeds int `help:"How many seeds to play, from the scenario's on." default:"1"`
+	scenarioFlags
+	Seeds int `help:"Number of seeds, from the scenario's on." default:"1"`
 }
 
 func (c *compareCommand) Run(ctx context.Context, out io.Writer) error {
-	s, err := c.open()
+	s, err := c.openScenario()
 	if err != nil {
 		return err
 	}
-	program, err := c.program()
+	program, err := c.sidecarProgram()
 	if err != nil {
 		return err
 	}
 	t := output.NewTable(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	t.Println("scenario\tseed\tthrough\tworth\tfirplank over it\tp99 ms\trefused\tfailed or unanswered\trules broken\tprocessor s\t")
+	t.Println("scenario\tseed\tprogram\tworth\tfirplank / program\tp99 ms\trefused\tfailed or unanswered\trules broken\tprocessor s\t")
 	first := s.Seed
 	for seed := first; seed < first+uint64(max(1, c.Seeds)); seed++ {
 		s.Seed = seed
-		ours, err := play(ctx, s, run.Options{Program: program}, "firplank")
+		ours, err := playScenario(ctx, s, run.Options{Program: program}, "firplank")
 		if err != nil {
 			return err
 		}
-		c.line(t, s, ours, ours)
+		c.printRow(t, s, ours, ours)
 		for _, policy := range peer.Policies {
-			other, err := child(policy)
+			peerProgram, err := childProgram(policy)
 			if err != nil {
 				return err
 			}
-			theirs, err := play(ctx, s, run.Options{Program: other}, policy)
+			theirs, err := playScenario(ctx, s, run.Options{Program: peerProgram}, policy)
 			if err != nil {
 				return err
 			}
-			c.line(t, s, theirs, ours)
+			c.printRow(t, s, theirs, ours)
 		}
 	}
 	return t.Flush()
 }
 
-func (c *compareCommand) line(t *output.Table, s *scenario.Scenario, r, ours *run.Report) {
+// printRow prints the result of one program. ours is the result of firplank for the same seed.
+func (c *compareCommand) printRow(t *output.Table, s *scenario.Scenario, r, ours *run.Report) {
 	ratio := "-"
 	if r.Total.Worth > 0 {
 		ratio = fmt.Sprintf("%.2f", ours.Total.Worth/r.Total.Worth)
@@ -66,22 +67,22 @@
 }
 
 type throughputCommand struct {
-	InFlight []int    `help:"Requests in flight." default:"1,32,256"`
-	Seconds  float64  `help:"How long each is measured." default:"3"`
-	Rounds   int      `help:"How often all take turns." default:"3"`
-	Idle     int      `help:"Idle connections, for the memory of each." default:"1000"`
-	Binary   string   `help:"The sidecar's program; without it this program serves as one." type:"path"`
-	Before   string   `help:"Another build of it, to compare with over HTTP." type:"path"`
-	Only     []string `help:"Of http, rpc, before, proxy and fasthttp."`
-	Bench    string   `help:"Write each round to a file in the form of Go's benchmarks, for benchstat." placeholder:"FILE" type:"path"`
+	InFlight []int    `help:"Numbers of requests in flight." default:"1,32,256"`
+	Seconds  float64  `help:"Seconds of each measurement." default:"3"`
+	Rounds   int      `help:"Rounds in which all programs are measured in turn." default:"3"`
+	Idle     int      `help:"Idle connections, to measure the memory of one." default:"1000"`
+	Binary   string   `help:"The sidecar's program; empty: this program." type:"path"`
+	Before   string   `help:"Another build of the sidecar, to compare with over HTTP." type:"path"`
+	Only     []string `help:"Subjects to measure, of http, rpc, before, proxy and fasthttp; empty: all."`
+	Bench    string   `help:"Write each round to a file in the Go benchmark format, for benchstat." placeholder:"FILE" type:"path"`
 }
 
 func (c *throughputCommand) Run(ctx context.Context, out io.Writer) error {
-	program, err := (&played{Binary: c.Binary}).program()
+	program, err := (&scenarioFlags{Binary: c.Binary}).sidecarProgram()
 	if err != nil {
 		return err
 	}
-	proxy, err := child(peer.Policies[0])
+	proxy, err := childProgram(peer.Policies[0])
 	if err != nil {
 		return err
 	}
@@ -89,11 +90,11 @@
 	if c.Before != "" {
 		subjects = append(subjects, run.Subject{Name: "before", Program: run.Program{Args: []string{c.Before, "serve"}}})
 	}
-	fast, err := child(peer.Fast)
+	fastProgram, err := childProgram(peer.Fast)
 	if err != nil {
 		return err
 	}
-	subjects = append(subjects, run.Subject{Name: "proxy", Program: proxy}, run.Subject{Name: "fasthttp", Program: fast})
+	subjects = append(subjects, run.Subject{Name: "proxy", Program: proxy}, run.Subject{Name: "fasthttp", Program: fastProgram})
 	if len(c.Only) > 0 {
 		subjects = slices.DeleteFunc(subjects, func(s run.Subject) bool { return !slices.Contains(c.Only, s.Name) })
 	}
@@ -104,7 +105,7 @@
 		return err
 	}
 	if c.Bench != "" {
-		if err := toFile(c.Bench, func(w io.Writer) error { return run.ThroughputBench(w, all) }); err != nil {
+		if err := writeToFile(c.Bench, func(w io.Writer) error { return run.ThroughputBench(w, all) }); err != nil {
 			return err
 		}
 	}
@@ -112,13 +113,13 @@
 }
 
 type reportingCommand struct {
-	Workers int     `help:"That ask one request after the other." default:"4"`
-	Seconds float64 `help:"How long is measured." default:"20"`
-	Binary  string  `help:"The sidecar's program; without it this program serves as one." type:"path"`
+	Workers int     `help:"Workers, each of which sends one request after the other." default:"4"`
+	Seconds float64 `help:"Seconds of the measurement." default:"20"`
+	Binary  string  `help:"The sidecar's program; empty: this program." type:"path"`
 }
 
 func (c *reportingCommand) Run(ctx context.Context, out io.Writer) error {
-	program, err := (&played{Binary: c.Binary}).program()
+	program, err := (&scenarioFlags{Binary: c.Binary}).sidecarProgram()
 	if err != nil {
 		return err
 	}
--- a/cmd/firplank-lab/explore_cutoff.go
+++ b/cmd/firplank-lab/explore_cutoff.go
@@ -9,11 +9,11 @@
 )
 
 type exploreCutoffCommand struct {
-	Seeds uint64 `help:"Days of each kind." default:"4"`
+	Seeds uint64 `help:"Scenarios (days) of each kind." default:"4"`
 	defectsFlag
 }
 
-// Run carries it out.
+// Run searches for a breach, or for each planted defect.
 func (c *exploreCutoffCommand) Run(_ context.Context, out io.Writer) error {
 	printer := output.New(out)
 	days := cutoff.Scenarios(c.Seeds)
@@ -21,14 +21,14 @@
 		played, day, breach := cutoff.Search(days, nil)
 		if breach != nil {
 			printer.Printf("%v: %v\n", day, breach)
-			return errExplored
+			return errExplorationFailed
 		}
 		printer.Printf("%d days, no breach\n", played)
 		return printer.Err()
 	}
-	return reportDefects(printer, "day", len(cutoff.Defects), func(i int) plantedDefect {
+	return reportDefects(printer, "day", len(cutoff.Defects), func(i int) defectResult {
 		d := &cutoff.Defects[i]
 		_, day, breach := cutoff.Search(days, d)
-		return plantedDefect{d.Name, day, breach}
+		return defectResult{d.Name, day, breach}
 	})
 }
--- a/cmd/firplank-lab/reckon.go
+++ b/cmd/firplank-lab/reckon.go
@@ -7,7 +7,7 @@
 	"firplank/lab/scale"
 )
 
-const secondsOfDay = 24 * 3600
+const secondsPerDay = 24 * 3600
 
 type reckonCommand struct {
 	Sidecars   int     `help:"Sidecars." default:"8400"`
@@ -16,20 +16,20 @@
 	Members    int     `help:"Members of the register." default:"3"`
 	Packed     int     `help:"Bytes of the packed configuration." default:"33276"`
 	Changes    float64 `help:"Changes of the configuration a day." default:"7300"`
-	Restarts   float64 `help:"Sidecars that start anew or fail in a day." default:"2649"`
-	Revisions  float64 `help:"Changes of the directory that each of them causes." default:"8"`
+	Restarts   float64 `help:"Sidecars that restart or fail in a day." default:"2649"`
+	Revisions  float64 `help:"Changes of the directory that each restart or failure causes." default:"8"`
 	Breadth    float64 `help:"Children of a relay, as built." default:"5"`
 	Reached    int     `help:"Services that a sidecar calls (planned)." default:"12"`
-	Subset     int     `help:"Servers of each that it is told of (planned)." default:"24"`
-	Difference int     `help:"Bytes of a change sent as a difference." default:"600"`
+	Subset     int     `help:"Servers of each service that are sent to a sidecar (planned)." default:"24"`
+	Difference int     `help:"Bytes of a change sent as a delta." default:"600"`
 }
 
-// Run prints what each role sends and gets by construction, as built and as planned.
+// Run prints the calculated traffic of each role, as built and as planned.
 func (c *reckonCommand) Run(out io.Writer) error {
 	printer := output.New(out)
 	s := scale.Shape{
-		Sidecars: c.Sidecars, Control: c.Control, Zones: c.Zones, Members: c.Members, Packed: c.Packed, ChangesS: c.Changes / secondsOfDay,
-		RestartsS: c.Restarts / secondsOfDay, Revisions: c.Revisions, Breadth: c.Breadth, Reached: c.Reached,
+		Sidecars: c.Sidecars, Control: c.Control, Zones: c.Zones, Members: c.Members, Packed: c.Packed, ChangesS: c.Changes / secondsPerDay,
+		RestartsS: c.Restarts / secondsPerDay, Revisions: c.Revisions, Breadth: c.Breadth, Reached: c.Reached,
 		Subset: c.Subset, Difference: c.Difference,
 	}
 	scale.WriteTerms(out, "as built", s.AsBuilt())
--- a/cmd/firplank-lab/shed.go
+++ b/cmd/firplank-lab/shed.go
@@ -11,13 +11,13 @@
 )
 
 type shedCommand struct {
-	played
-	Seeds   int  `help:"How many seeds to play, from the scenario's on." default:"1"`
-	Retries *int `help:"Tries after the first one in place of the scenario's."`
+	scenarioFlags
+	Seeds   int  `help:"Number of seeds, from the scenario's on." default:"1"`
+	Retries *int `help:"Overrides the scenario's number of retries."`
 }
 
 func (c *shedCommand) Run(out io.Writer) error {
-	s, err := c.open()
+	s, err := c.openScenario()
 	if err != nil {
 		return err
 	}
@@ -28,7 +28,7 @@
 		}
 	}
 	t := output.NewTable(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	t.Println("seed\tway\tworth\tof the most by class\tof the most\tin aim\tlate\trefused\ttries\tback after s\tnew ones after s\t")
+	t.Println("seed\tway\tworth\tof bound by class\tof bound\tin time\tlate\trefused\tattempts\trecovered after s\tnew ones after s\t")
 	for first := s.Seed; s.Seed < first+uint64(max(1, c.Seeds)); s.Seed++ {
 		plan, err := s.Draw()
 		if err != nil {
@@ -40,13 +40,14 @@
 		}
 		for _, o := range all {
 			t.Printf("%d\t%s\t%.3f\t%.3f\t%.3f\t%d\t%d\t%d\t%d\t%s\t%s\t\n", s.Seed, o.Way, o.Share, o.OfMost, o.OfOmniscient, o.InAim, o.Late,
-				o.Refused, o.Tries, orNever(o.Recovered), orNever(o.NewServed))
+				o.Refused, o.Tries, formatRecovery(o.Recovered), formatRecovery(o.NewServed))
 		}
 	}
 	return t.Flush()
 }
 
-func orNever(d time.Duration) string {
+// formatRecovery formats a recovery time in seconds; negative: never.
+func formatRecovery(d time.Duration) string {
 	if d < 0 {
 		return "never"
 	}
--- a/cmd/firplank/contracts.go
+++ b/cmd/firplank/contracts.go
@@ -17,16 +17,17 @@
 	"firplank/internal/sidecar"
 )
 
-// contractsCommand is about the contracts that the options name.
+// contractsCommand groups the commands for the contracts that the options file names.
 type contractsCommand struct {
-	Check   contractsCheck   `cmd:"" help:"Read and check all contracts, and start nothing."`
-	Show    contractsShow    `cmd:"" help:"Show what each team was promised, and this instance's part."`
-	Explain contractsExplain `cmd:"" help:"Tell what becomes of a team's requests at a rate, and which clause decides."`
+	Check   contractsCheck   `cmd:"" help:"Check all contracts without starting the sidecar."`
+	Show    contractsShow    `cmd:"" help:"Show the terms of each team and this instance's share of the capacity."`
+	Explain contractsExplain `cmd:"" help:"Simulate a team's requests at a given rate and show which clause decides on them."`
 }
 
-var errNoContracts = errors.New("the options name no contracts: want [broker] contracts = \"FOLDER\"")
+var errNoContracts = errors.New("the options name no contracts: set [broker] contracts = \"FOLDER\"")
 
-func (f *files) contracts() (*sidecar.Config, *contract.Set, error) {
+// loadContracts loads the sidecar's configuration and its contracts. A configuration without contracts is errNoContracts.
+func (f *configFlags) loadContracts() (*sidecar.Config, *contract.Set, error) {
 	cfg, err := sidecar.LoadAll(os.Getenv, f.Config)
 	if err != nil {
 		return nil, nil, err
@@ -37,23 +38,23 @@
 	return cfg, cfg.Contracts(), nil
 }
 
-type contractsCheck struct{ files }
+type contractsCheck struct{ configFlags }
 
 func (c *contractsCheck) Run(out io.Writer) error {
 	printer := output.New(out)
-	_, set, err := c.contracts()
+	_, set, err := c.loadContracts()
 	if err != nil {
 		return err
 	}
-	printer.Printf("%d teams, no fault\n", set.TeamCount())
+	printer.Printf("%d teams, no errors\n", set.TeamCount())
 	return printer.Err()
 }
 
-type contractsShow struct{ files }
+type contractsShow struct{ configFlags }
 
 func (c *contractsShow) Run(out io.Writer) error {
 	printer := output.New(out)
-	cfg, set, err := c.contracts()
+	cfg, set, err := c.loadContracts()
 	if err != nil {
 		return err
 	}
@@ -72,15 +73,15 @@
 			classes = append(classes, text)
 		}
 		t.Printf("%s\t%g\t%g\t%s\t%s\t%s\t%g of first tries + %g/s\t%s\n", terms.Team, terms.WorthPerSecond, terms.Burst,
-			share(terms.GuaranteedShare), share(terms.MaxShare), overNames[terms.OverPolicy], terms.Retries.Share, terms.Retries.FloorPerSecond,
-			strings.Join(classes, ", "))
+			formatShare(terms.GuaranteedShare), formatShare(terms.MaxShare), overPolicyNames[terms.OverPolicy], terms.Retries.Share,
+			terms.Retries.FloorPerSecond, strings.Join(classes, ", "))
 	}
 	return t.Flush()
 }
 
-var overNames = map[contract.OverPolicy]string{contract.Refuse: "refuse", contract.Borrow: "borrow", contract.Degrade: "degrade"}
+var overPolicyNames = map[contract.OverPolicy]string{contract.Refuse: "refuse", contract.Borrow: "borrow", contract.Degrade: "degrade"}
 
-func share(v float64) string {
+func formatShare(v float64) string {
 	if v == 0 {
 		return "-"
 	}
@@ -88,19 +89,19 @@
 }
 
 type contractsExplain struct {
-	files
-	Team    string        `required:"" help:"Whose requests."`
-	Class   string        `required:"" help:"Of which class."`
-	Rate    float64       `required:"" help:"How many a second reach this instance."`
-	Retries float64       `help:"The share of them that are marked as retries."`
-	Others  string        `help:"What the other teams do meanwhile: idle, or busy with all that they may." enum:"idle,busy" default:"idle"`
-	For     time.Duration `help:"How long." default:"10s"`
+	configFlags
+	Team    string        `required:"" help:"Team that sends the requests."`
+	Class   string        `required:"" help:"Class of the requests."`
+	Rate    float64       `required:"" help:"Requests a second that reach this instance."`
+	Retries float64       `help:"Share of the requests that are marked as retries."`
+	Others  string        `help:"Load of the other teams: idle, or busy (each uses all that it may)." enum:"idle,busy" default:"idle"`
+	For     time.Duration `help:"Simulated time." default:"10s"`
 }
 
-const mostExplained = 5_000_000 // requests that are played
+const maxExplainedRequests = 5_000_000 // bounds the run time of a simulation
 
 func (c *contractsExplain) Run(out io.Writer) error {
-	cfg, set, err := c.contracts()
+	cfg, set, err := c.loadContracts()
 	if err != nil {
 		return err
 	}
@@ -111,73 +112,75 @@
 		return fmt.Errorf("no contract has a team %q", c.Team)
 	case !known:
 		return fmt.Errorf("the settings have no class %q", c.Class)
-	case !(c.Rate > 0) || c.For <= 0 || c.Rate*c.For.Seconds() > mostExplained || !(c.Retries >= 0 && c.Retries <= 1):
+	case !(c.Rate > 0) || c.For <= 0 || c.Rate*c.For.Seconds() > maxExplainedRequests || !(c.Retries >= 0 && c.Retries <= 1):
 		return fmt.Errorf("--rate %v for %v with --retries %v: want more than 0, at most %d in all, and 0 to 1", c.Rate,
-			c.For, c.Retries, mostExplained)
+			c.For, c.Retries, maxExplainedRequests)
 	}
-	count, first := c.play(set, team, class, cfg.Deployment())
+	counts, firsts := c.simulate(set, team, class, cfg.Deployment())
 	total := int64(0)
-	for _, n := range count {
+	for _, n := range counts {
 		total += n
 	}
-	reasons := make([]string, 0, len(count))
-	for r := range count {
+	reasons := make([]string, 0, len(counts))
+	for r := range counts {
 		reasons = append(reasons, r)
 	}
-	slices.SortFunc(reasons, func(a, b string) int { return cmp.Compare(count[b], count[a]) })
+	slices.SortFunc(reasons, func(a, b string) int { return cmp.Compare(counts[b], counts[a]) })
 	t := output.NewTable(out, 0, 0, 2, ' ', 0)
 	t.Println("clause\trequests\tshare\tthe first\tanswer")
 	for _, r := range reasons {
-		f := first[r]
-		t.Printf("%s\t%d\t%.3f\tafter %v\t%s\n", r, count[r], float64(count[r])/float64(total), f.at.Round(time.Millisecond), f.answer)
+		f := firsts[r]
+		t.Printf("%s\t%d\t%.3f\tafter %v\t%s\n", r, counts[r], float64(counts[r])/float64(total), f.after.Round(time.Millisecond), f.answer)
 	}
 	return t.Flush()
 }
 
-// told is the first decision for a reason.
-type told struct {
-	at     time.Duration
+// firstDecision is the first decision with a given reason. Times are relative to the start of the simulation.
+type firstDecision struct {
+	after  time.Duration
 	answer string
 }
 
-// play asks the contracts for evenly spaced requests, in time that is not real.
-func (c *contractsExplain) play(set *contract.Set, team, class int, d contract.Deployment) (map[string]int64, map[string]told) {
-	b := contract.New(0, set)
-	count, first := map[string]int64{}, map[string]told{}
-	gap := time.Duration(float64(time.Second) / c.Rate)
+// simulate sends evenly spaced requests to a broker in virtual time. It returns, by reason, the number of decisions and the first one.
+func (c *contractsExplain) simulate(set *contract.Set, team, class int,
+	d contract.Deployment) (map[string]int64, map[string]firstDecision) {
+	brokerModel := contract.New(0, set)
+	counts, firsts := map[string]int64{}, map[string]firstDecision{}
+	interval := time.Duration(float64(time.Second) / c.Rate)
 	retries := 0.0
-	next := time.Duration(0) // of the others
-	for at := time.Duration(0); at < c.For; at += gap {
-		for ; c.Others == "busy" && next <= at; next += 5 * time.Millisecond {
-			busy(b, set, team, next)
+	nextOther := time.Duration(0) // next burst of the other teams
+	for now := time.Duration(0); now < c.For; now += interval {
+		for ; c.Others == "busy" && nextOther <= now; nextOther += 5 * time.Millisecond {
+			saturate(brokerModel, set, team, nextOther)
 		}
 		retries += c.Retries
-		marked := retries >= 1
-		if marked {
+		markedRetry := retries >= 1
+		if markedRetry {
 			retries--
 		}
-		got := b.Admit(at, contract.Request{Team: team, Class: class, MarkedRetry: marked})
-		b.Release(at, got.Grant, true)
-		reason := got.Reason.String()
-		count[reason]++
-		if _, ok := first[reason]; !ok {
-			first[reason] = told{at, describe(got, d)}
+		decision := brokerModel.Admit(now, contract.Request{Team: team, Class: class, MarkedRetry: markedRetry})
+		brokerModel.Release(now, decision.Grant, true)
+		reason := decision.Reason.String()
+		counts[reason]++
+		if _, ok := firsts[reason]; !ok {
+			firsts[reason] = firstDecision{now, describeResponse(decision, d)}
 		}
 	}
-	return count, first
+	return counts, firsts
 }
 
-// busy lets every other team ask for more than it may have in some milliseconds.
-func busy(b *contract.Broker, set *contract.Set, but int, now time.Duration) {
+// saturate sends requests of all other teams, each class until one is rejected or 20 are admitted, which is more than a budget allows
+// in the few milliseconds between two calls.
+func saturate(b *contract.Broker, set *contract.Set, exceptTeam int, now time.Duration) {
 	for team := range set.TeamCount() {
-		if team == but {
+		if team == exceptTeam {
 			continue
 		}
 		for _, ct := range set.Terms(team).Classes {
 			for range 20 {
-				got := b.Admit(now, contract.Request{Team: team, Class: ct.Class})
-				b.Release(now, got.Grant, true)
-				if got.Verdict != contract.Admitted {
+				decision := b.Admit(now, contract.Request{Team: team, Class: ct.Class})
+				b.Release(now, decision.Grant, true)
+				if decision.Verdict != contract.Admitted {
 					break
 				}
 			}
@@ -185,17 +188,17 @@
 	}
 }
 
-// describe tells the form of an answer.
-func describe(got contract.Decision, d contract.Deployment) string {
-	if got.Verdict == contract.Admitted {
-		if got.Reason == contract.Degraded {
-			return "admitted as " + d.Classes[got.Class].Name
+// describeResponse names the response that a client gets for a decision.
+func describeResponse(decision contract.Decision, d contract.Deployment) string {
+	if decision.Verdict == contract.Admitted {
+		if decision.Reason == contract.Degraded {
+			return "admitted as " + d.Classes[decision.Class].Name
 		}
 		return "admitted"
 	}
-	a := broker.Answer(got, true)
-	if a.Kind == core.Failed {
+	response := broker.Answer(decision, true)
+	if response.Kind == core.Failed {
 		return "403, or «denied» over MessagePack-RPC"
 	}
-	return fmt.Sprintf("429 with Retry-After: %.3f, or «refused» over MessagePack-RPC", a.RetryAfter.Seconds())
+	return fmt.Sprintf("429 with Retry-After: %.3f, or «refused» over MessagePack-RPC", response.RetryAfter.Seconds())
 }
--- a/cmd/firplank/deploy_test.go
+++ b/cmd/firplank/deploy_test.go
@@ -26,8 +26,8 @@
 	return string(out)
 }
 
-// The fleet's days load a library into the sidecar: what the deploy file builds is linked dynamically against the C library,
-// and what it runs is one process.
+// The fleet tests preload a library into the sidecar. This guards against a deployment that this does not work with: the build command of
+// the deploy file must link dynamically against the C library, and its run command must be a single process.
 func TestDeploymentLinksDynamically(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
@@ -37,15 +37,15 @@
 	if err := toml.Unmarshal(text, &deploy); err != nil {
 		t.Fatal(err)
 	}
-	const link = "-ldflags=-linkmode=external"
-	if !strings.Contains(deploy.Build, "CGO_ENABLED=1 go build "+link) {
+	const linkFlag = "-ldflags=-linkmode=external"
+	if !strings.Contains(deploy.Build, "CGO_ENABLED=1 go build "+linkFlag) {
 		t.Errorf("build is %q", deploy.Build)
 	}
 	if !strings.HasPrefix(deploy.Run, "exec ") || strings.ContainsAny(deploy.Run, "&|;") {
 		t.Errorf("run is %q: want one process", deploy.Run)
 	}
 	program := filepath.Join(t.TempDir(), "firplank")
-	goTool(t, "build", link, "-o", program, ".")
+	goTool(t, "build", linkFlag, "-o", program, ".")
 	f, err := elf.Open(program)
 	if err != nil {
 		t.Fatal(err)
@@ -56,19 +56,19 @@
 		t.Errorf("needs %q (%v): the C library is missing", libraries, err)
 	}
 	if f.Section(".interp") == nil {
-		t.Error("no dynamic loader is named")
+		t.Error("the program names no dynamic loader")
 	}
 }
 
-// banned are calls that the fleet's days refuse: they start processes, or copy between descriptors inside the kernel, as
-// io.Copy does by itself where both ends are sockets or files. The exceptions drop what they read.
-var banned = map[string][]string{
+// bannedCalls are the functions that the fleet tests do not allow, by package. They start processes, or copy between file descriptors
+// inside the kernel, as io.Copy does if both ends are sockets or files. Copies to io.Discard are allowed.
+var bannedCalls = map[string][]string{
 	"os": {"StartProcess"}, "syscall": {"ForkExec", "StartProcess", "Exec", "Splice", "Sendfile"},
 	"unix": {"Splice", "Sendfile", "Exec"}, "io": {"Copy", "CopyBuffer", "CopyN"},
 }
 
-// No package of the program can start another, and none of its own copies from socket to socket.
-func TestNothingThatTheFleetRefuses(t *testing.T) {
+// Guards against imports that can start processes, and against banned calls in the module's own packages.
+func TestNoBannedImportsOrCalls(t *testing.T) {
 	for _, pkg := range strings.Fields(goTool(t, "list", "-deps", ".")) {
 		if slices.Contains([]string{"os/exec", "plugin", "net/http/cgi", "net/http/fcgi"}, pkg) {
 			t.Errorf("the program imports %s", pkg)
@@ -86,10 +86,10 @@
 			if !ok {
 				return true
 			}
-			name, of := selected(call.Fun)
-			if slices.Contains(banned[of], name) {
-				if to, from := selected(call.Args[0]); of != "io" || from != "io" || to != "Discard" {
-					t.Errorf("%s: %s.%s", fset.Position(call.Pos()), of, name)
+			name, qualifier := selectedName(call.Fun)
+			if slices.Contains(bannedCalls[qualifier], name) {
+				if to, from := selectedName(call.Args[0]); qualifier != "io" || from != "io" || to != "Discard" {
+					t.Errorf("%s: %s.%s", fset.Position(call.Pos()), qualifier, name)
 				}
 			}
 			return true
@@ -97,8 +97,8 @@
 	}
 }
 
-// selected takes a name and its package out of an expression; empty where it is something else.
-func selected(e ast.Expr) (name, of string) {
+// selectedName returns the name and the qualifier of a selector expression on an identifier, and empty strings for other expressions.
+func selectedName(e ast.Expr) (name, qualifier string) {
 	if s, ok := e.(*ast.SelectorExpr); ok {
 		if x, ok := s.X.(*ast.Ident); ok {
 			return s.Sel.Name, x.Name
--- a/cmd/firplank/metrics.go
+++ b/cmd/firplank/metrics.go
@@ -16,24 +16,24 @@
 	"firplank/report/graphite"
 )
 
-// metricsCommand is about what monitoring is told.
+// metricsCommand groups the commands for the metrics that are reported to monitoring.
 type metricsCommand struct {
-	Names namesCommand `cmd:"" help:"List every series that the configuration can bring, with its unit and meaning."`
-	Types typesCommand `cmd:"" help:"Print the lines that collectd's types.db needs."`
+	Names metricNamesCommand   `cmd:"" help:"List all series that the configuration can produce, with unit and meaning."`
+	Types collectdTypesCommand `cmd:"" help:"Print the lines to add to collectd's types.db."`
 }
 
-type typesCommand struct{}
+type collectdTypesCommand struct{}
 
-func (typesCommand) Run(out io.Writer) error {
+func (collectdTypesCommand) Run(out io.Writer) error {
 	_, err := io.WriteString(out, collectd.TypesDB())
 	return err
 }
 
-type namesCommand struct{ files }
+type metricNamesCommand struct{ configFlags }
 
-// Run lists paths of Graphite's, and behind each what it stands for. What is only known in service has its label in angle
-// brackets.
-func (c *namesCommand) Run(out io.Writer) error {
+// Run prints the Graphite path of each series with its kind, unit, labels and meaning. Label values that are known only at run time are
+// printed as the label's name in angle brackets.
+func (c *metricNamesCommand) Run(out io.Writer) error {
 	cfg, err := sidecar.LoadAll(os.Getenv, c.Config)
 	if err != nil {
 		return err
@@ -46,32 +46,32 @@
 	for _, f := range report.Families {
 		rows := [][]string{nil}
 		for _, label := range f.Labels {
-			rows = cross(rows, label, &shape)
+			rows = appendLabelValues(rows, label, &shape)
 		}
-		shown := len(f.Shown())
+		counterCount := len(f.Shown())
 		for _, labels := range rows {
-			of := ""
-			for i, label := range labels { // escaped names may be cut
-				of += fmt.Sprintf("%s=%q ", f.Labels[i], label)
+			labelText := ""
+			for i, label := range labels { // the path may contain shortened, escaped values
+				labelText += fmt.Sprintf("%s=%q ", f.Labels[i], label)
 			}
 			for i, field := range f.Fields() {
 				meaning := f.About + ": " + field.About
-				if i >= shown {
-					w.Printf("%s\tgauge\t%s\t%s\t%s\n", path(prefix, g.Tags, f, labels, field.Name, ""), field.Unit, of, meaning)
+				if i >= counterCount {
+					w.Printf("%s\tgauge\t%s\t%s\t%s\n", seriesPath(prefix, g.Tags, f, labels, field.Name, ""), field.Unit, labelText, meaning)
 					continue
 				}
-				w.Printf("%s\tcounter\t%s\t%s\t%s, since the process began\n",
-					path(prefix, g.Tags, f, labels, field.Name, graphite.Total), field.Unit, of, meaning)
-				w.Printf("%s\tgrowth\t%s\t%s\t%s, in the interval\n", path(prefix, g.Tags, f, labels, field.Name, graphite.Count),
-					field.Unit, of, meaning)
+				w.Printf("%s\tcounter\t%s\t%s\t%s, since the process started\n",
+					seriesPath(prefix, g.Tags, f, labels, field.Name, graphite.Total), field.Unit, labelText, meaning)
+				w.Printf("%s\tincrease\t%s\t%s\t%s, in the interval\n", seriesPath(prefix, g.Tags, f, labels, field.Name, graphite.Count),
+					field.Unit, labelText, meaning)
 			}
 		}
 	}
 	return w.Flush()
 }
 
-// path leaves labels that stand for what is not known yet as they are.
-func path(prefix string, tagged bool, f *report.Family, labels []string, field, suffix string) string {
+// seriesPath returns the Graphite path of a series. Placeholders such as <server> are left unescaped.
+func seriesPath(prefix string, tagged bool, f *report.Family, labels []string, field, suffix string) string {
 	if len(labels) > 0 && labels[0][0] == '<' {
 		parts := prefix + "." + f.Name
 		for _, l := range labels {
@@ -85,7 +85,8 @@
 	return graphite.Path(prefix, tagged, f, labels, field, suffix)
 }
 
-func cross(rows [][]string, label string, s *report.Shape) (all [][]string) {
+// appendLabelValues returns the rows of label values, each combined with every value of one more label.
+func appendLabelValues(rows [][]string, label string, s *report.Shape) (all [][]string) {
 	values := []string{"<" + label + ">"}
 	switch label {
 	case "class":
--- a/cmd/firplank/metrics_test.go
+++ b/cmd/firplank/metrics_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Every series has a line, and the types are those of the file for collectd.
-func TestMetrics(t *testing.T) {
+// Guards against series that metrics names does not list, and against a changed types.db.
+func TestMetricsCommands(t *testing.T) {
 	t.Setenv("NODE_CONFIG", "../../internal/sidecar/testdata/config.json")
 	var out bytes.Buffer
 	if err := run([]string{"metrics", "names", "--config", "../../deploy/monitoring/monitoring.toml"}, &out); err != nil {
@@ -22,7 +22,7 @@
 		}
 	}
 	if !strings.Contains(out.String(), `class="read" tenant="overflow" `) {
-		t.Error("no line says whose series it is")
+		t.Error("no line has the labels of its series")
 	}
 	out.Reset()
 	if err := run([]string{"metrics", "types"}, &out); err != nil || !strings.HasPrefix(out.String(), "firplank_requests ") {
--- a/cmd/firplankctl/fsck_test.go
+++ b/cmd/firplankctl/fsck_test.go
@@ -13,8 +13,8 @@
 	"firplank/mesh/storage"
 )
 
-// fsck reports what a folder holds, changes nothing in it, and fails on damage.
-func TestFsckReportsAFolder(t *testing.T) {
+// Guards against an fsck that misreports or changes a data folder, or that misses a flipped bit in a log.
+func TestFsckReportsContentAndDamage(t *testing.T) {
 	folder := t.TempDir()
 	store, _, err := storage.Open(folder)
 	if err != nil {
@@ -29,7 +29,7 @@
 	}
 	store.RecordSynced()
 	_ = store.Close()
-	before := files(t, folder)
+	before := readFiles(t, folder)
 	var out bytes.Buffer
 	if err := (&fsckCommand{Folder: folder}).Run(&out); err != nil {
 		t.Fatal(err)
@@ -39,7 +39,7 @@
 			t.Errorf("%q is not in\n%s", want, out.String())
 		}
 	}
-	if after := files(t, folder); !maps.EqualFunc(before, after, bytes.Equal) {
+	if after := readFiles(t, folder); !maps.EqualFunc(before, after, bytes.Equal) {
 		t.Error("the folder was changed")
 	}
 	logs, err := filepath.Glob(filepath.Join(folder, "register", "store-*", "*.log"))
@@ -52,12 +52,12 @@
 		t.Fatal(err)
 	}
 	if err := (&fsckCommand{Folder: folder}).Run(&out); err == nil {
-		t.Error("damage passes")
+		t.Error("a damaged log is not reported")
 	}
 }
 
-// files returns the content of each file below a folder.
-func files(t *testing.T, folder string) map[string][]byte {
+// readFiles returns the content of each file below a folder, by path.
+func readFiles(t *testing.T, folder string) map[string][]byte {
 	all := map[string][]byte{}
 	err := filepath.WalkDir(folder, func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() {
