--- a/cmd/firplank-lab/explore_numbers.go
+++ b/cmd/firplank-lab/explore_numbers.go
@@ -31,7 +31,7 @@
 	if c.Defects {
 		return c.runDefects(printer)
 	}
-	bounds := numbers.Crowd
+	bounds := numbers.ManyOperators
 	bounds.Operators = c.Operators
 	seed, breach := numbers.Search(bounds, nil, c.Seed, c.Histories, c.Steps)
 	if breach != nil {
--- a/lab/explore/lease/choices.go
+++ b/lab/explore/lease/choices.go
@@ -45,9 +45,9 @@
 
 // offerTime offers that time passes.
 func (w *world) offerTime() {
-	w.offer(func() { w.pass(step) }, "time passes")
-	w.offer(func() { w.passSteps(1) }, "time passes, and all messages arrive")
-	w.offer(func() { w.passSteps(manySteps) }, "%.1f s pass, and all messages arrive", (manySteps * step).Seconds())
+	w.offer(func() { w.advance(step) }, "time passes")
+	w.offer(func() { w.advanceSteps(1) }, "time passes, and all messages arrive")
+	w.offer(func() { w.advanceSteps(manySteps) }, "%.1f s pass, and all messages arrive", (manySteps * step).Seconds())
 	w.offer(w.deliverAll, "all messages arrive")
 	if w.steps%repairInterval == repairInterval-1 {
 		w.offer(w.repair, "all is repaired for long")
@@ -56,10 +56,10 @@
 
 // offerMessages offers that one of the oldest or the latest two messages arrives.
 func (w *world) offerMessages() {
-	for _, at := range []int{0, 1, len(w.inFlight) - 2, len(w.inFlight) - 1} {
-		if at >= 0 && at < len(w.inFlight) {
-			m := w.inFlight[at]
-			w.offer(func() { w.deliver(at, false) }, "%s receives a message of %s", m.To, m.From)
+	for _, index := range []int{0, 1, len(w.inFlight) - 2, len(w.inFlight) - 1} {
+		if index >= 0 && index < len(w.inFlight) {
+			m := w.inFlight[index]
+			w.offer(func() { w.deliver(index, false) }, "%s receives a message of %s", m.To, m.From)
 		}
 	}
 }
--- a/lab/explore/lease/defects.go
+++ b/lab/explore/lease/defects.go
@@ -15,12 +15,12 @@
 	Name string
 	Seed uint64 // of an order that finds it; 0: the first search does
 
-	noStartupDelay bool // a machine votes as soon as it has started
-	slowHolder     bool // a clock runs at half speed
-	denialAsVote   bool // a denied vote is read as granted
-	aloneInGroup   bool // one machine has itself as the only member
-	anyRequest     bool // a vote counts for the last request, whichever it was given to
-	fastVoters     bool // the voters' clocks run twice as fast
+	noStartupDelay       bool // a machine votes as soon as it has started
+	slowHolder           bool // a clock runs at half speed
+	denialAsVote         bool // a denied vote is read as granted
+	soleMember           bool // one machine has itself as the only member
+	countsForLastRequest bool // a vote counts for the last request, whichever it was given to
+	fastVoters           bool // the voters' clocks run twice as fast
 }
 
 // Defects are those that a search must find.
@@ -28,8 +28,8 @@
 	{Name: "a machine votes as soon as it has started", Seed: 70, noStartupDelay: true},
 	{Name: "a holder's clock runs at half speed", Seed: 299, slowHolder: true},
 	{Name: "a denied vote is read as granted", denialAsVote: true},
-	{Name: "a machine has itself as the only member", aloneInGroup: true},
-	{Name: "a vote counts for whatever was requested last", Seed: 13849, anyRequest: true},
+	{Name: "a machine has itself as the only member", soleMember: true},
+	{Name: "a vote counts for whatever was requested last", Seed: 13849, countsForLastRequest: true},
 	{Name: "the voters' clocks run twice as fast", Seed: 294, fastVoters: true},
 }
 
--- a/lab/explore/lease/lease_test.go
+++ b/lab/explore/lease/lease_test.go
@@ -7,7 +7,7 @@
 )
 
 // No two hold the lease at one moment, whatever links, clocks and processes do, and one does when all is repaired.
-func TestOneHolderAtMost(t *testing.T) {
+func TestAtMostOneLeaseHolder(t *testing.T) {
 	oneFault := Bounds{Machines: 3, Faults: 1, InFlight: 24}
 	if r := explore.Exhaust(Start(oneFault, nil), explore.Limits{Depth: 4, States: 100_000}); r.Breach != nil {
 		t.Error(r)
--- a/lab/explore/lease/world.go
+++ b/lab/explore/lease/world.go
@@ -25,7 +25,7 @@
 	// steadySteps is for how many steps its holder is then watched.
 	steadySteps = 20
 	// numberShift leaves room for the numbers of the requests of one start.
-	numberShift = 32
+	requestNumberShift = 32
 )
 
 var durations = timing.NewLease(timing.DefaultVoteDuration)
@@ -79,14 +79,14 @@
 	m := &w.machines[i]
 	m.starts++
 	m.started, m.frozen = w.now, false
-	startedAt, firstNumber := time.Duration(0), uint64(m.starts)<<numberShift
+	startedAt, firstNumber := time.Duration(0), uint64(m.starts)<<requestNumberShift
 	if w.defect.noStartupDelay {
 		startedAt = -durations.StartupDelay
 	}
 	m.lease, m.lastRequest = lease.New(m.name, startedAt, firstNumber, durations), firstNumber
 	var members []string
 	for j := range w.machines {
-		if !w.defect.aloneInGroup || i > 0 || j == 0 {
+		if !w.defect.soleMember || i > 0 || j == 0 {
 			members = append(members, w.machines[j].name)
 		}
 	}
@@ -113,7 +113,7 @@
 }
 
 // pass lets time pass at all machines that run.
-func (w *world) pass(d time.Duration) {
+func (w *world) advance(d time.Duration) {
 	w.now += d
 	for i := range w.machines {
 		m := &w.machines[i]
@@ -125,13 +125,13 @@
 			w.send(message)
 		}
 	}
-	w.check()
+	w.checkSingleHolder()
 }
 
 // passSteps lets steps pass, in each of which all messages arrive.
-func (w *world) passSteps(steps int) {
+func (w *world) advanceSteps(steps int) {
 	for range steps {
-		w.pass(step)
+		w.advance(step)
 		w.deliverAll()
 	}
 }
@@ -140,7 +140,7 @@
 func (w *world) delayInFlight(steps int) {
 	delayed := w.inFlight
 	w.inFlight = nil
-	w.passSteps(steps)
+	w.advanceSteps(steps)
 	w.inFlight = append(delayed, w.inFlight...)
 }
 
@@ -151,10 +151,10 @@
 }
 
 // deliver hands over a message; one that will come again stays under way.
-func (w *world) deliver(at int, again bool) {
-	message := w.inFlight[at]
-	if !again {
-		w.inFlight = slices.Delete(w.inFlight, at, at+1)
+func (w *world) deliver(index int, duplicate bool) {
+	message := w.inFlight[index]
+	if !duplicate {
+		w.inFlight = slices.Delete(w.inFlight, index, index+1)
 	}
 	i := slices.IndexFunc(w.machines, func(m machine) bool { return m.name == message.To })
 	m := &w.machines[i]
@@ -164,13 +164,13 @@
 	if message.Kind == lease.VoteResponse && w.defect.denialAsVote {
 		message.Granted = true
 	}
-	if message.Kind == lease.VoteResponse && w.defect.anyRequest {
+	if message.Kind == lease.VoteResponse && w.defect.countsForLastRequest {
 		message.Number = m.lastRequest
 	}
 	if response, ok := m.lease.Handle(w.clock(i), message); ok {
 		w.send(response)
 	}
-	w.check()
+	w.checkSingleHolder()
 }
 
 // deliverAll delivers all messages under way, with their responses.
@@ -189,10 +189,10 @@
 		}
 		w.machines[i].frozen = false
 	}
-	w.passSteps(recoveryLimit * int(durations.VoteDuration/step))
+	w.advanceSteps(recoveryLimit * int(durations.VoteDuration/step))
 	first := w.holders()
 	for range steadySteps {
-		w.passSteps(1)
+		w.advanceSteps(1)
 		if now := w.holders(); w.broken == nil && (len(first) != 1 || !slices.Equal(now, first)) {
 			w.broken = fmt.Errorf("%d vote durations after all was repaired %v hold the lease, and then %v", recoveryLimit, first, now)
 		}
@@ -209,7 +209,7 @@
 	return names
 }
 
-func (w *world) check() {
+func (w *world) checkSingleHolder() {
 	if holders := w.holders(); len(holders) > 1 && w.broken == nil {
 		w.broken = fmt.Errorf("%v hold the lease at the same moment", holders)
 	}
--- a/lab/explore/numbers/defects.go
+++ b/lab/explore/numbers/defects.go
@@ -8,13 +8,13 @@
 
 // Defect is a mistake planted in the surroundings of the register, as if the register or its machine made it.
 type Defect struct {
-	Name     string
-	Bounds   Bounds
-	Seed     uint64 // of a history that shows it
-	early    bool   // messages and answers leave before the disk has the state
-	firstAck bool   // a put is confirmed when the first other disk has it
+	Name               string
+	Bounds             Bounds
+	Seed               uint64 // of a history that shows it
+	repliesBeforeSync  bool   // messages and answers leave before the disk has the state
+	confirmsOnFirstAck bool   // a put is confirmed when the first other disk has it
 	// answerLocally answers a put from what its machine knows, without a round.
-	answerLocally func(*register.Replica, order) (answer, bool)
+	answerLocally func(*register.Replica, request) (answer, bool)
 	// alterMessage alters a message that leaves a machine.
 	alterMessage func(*register.Message)
 	// alterOutcome alters an outcome; second reports that the machine has settled another in the same moment.
@@ -23,64 +23,64 @@
 
 // Defects are those that a search must find, each with bounds in which it is found and the seed of a history that does.
 var Defects = []Defect{
-	{Name: "what settles a put compares numbers, never contents", Bounds: Pair, Seed: 1,
+	{Name: "what settles a put compares numbers, never contents", Bounds: TwoOperators, Seed: 1,
 		alterOutcome: func(number int, o *register.Outcome, _ bool) {
 			if int(o.Value.Version) >= number {
 				o.Result = register.Confirmed
 			}
 		}},
-	{Name: "a put is refused when a higher number holds", Bounds: Pair, Seed: 1, alterOutcome: func(number int, o *register.Outcome, _ bool) {
+	{Name: "a put is refused when a higher number holds", Bounds: TwoOperators, Seed: 1, alterOutcome: func(number int, o *register.Outcome, _ bool) {
 		if number > 0 && int(o.Value.Version) > number {
 			o.Result = register.Conflict
 		}
 	}},
-	{Name: "of two puts that wait at one machine both are confirmed", Bounds: Usual, Seed: 3,
+	{Name: "of two puts that wait at one machine both are confirmed", Bounds: DefaultBounds, Seed: 3,
 		alterOutcome: func(_ int, o *register.Outcome, second bool) {
 			if second {
 				o.Result = register.Confirmed
 			}
 		}},
-	{Name: "a proposer carries on the accepted number's content alone", Bounds: Pair, Seed: 1,
+	{Name: "a proposer carries on the accepted number's content alone", Bounds: TwoOperators, Seed: 1,
 		alterMessage: func(m *register.Message) { truncateHistory(m, 1, register.Accept, register.Commit) }},
-	{Name: "the history is cut to two numbers", Bounds: Usual, Seed: 6, alterMessage: func(m *register.Message) {
+	{Name: "the history is cut to two numbers", Bounds: DefaultBounds, Seed: 6, alterMessage: func(m *register.Message) {
 		truncateHistory(m, 2, register.Accept, register.Commit, register.Promise, register.ReadReply)
 	}},
-	{Name: "a full history forgets the highest number", Bounds: Full, Seed: 3, alterMessage: func(m *register.Message) {
+	{Name: "a full history forgets the highest number", Bounds: FullHistory, Seed: 3, alterMessage: func(m *register.Message) {
 		if m.Value != nil && m.Kind == register.Accept && len(m.Value.History.Records) == register.MaxRecords {
 			v := *m.Value
 			v.History.Records = v.History.Records[:register.MaxRecords-1]
 			m.Value = &v
 		}
 	}},
-	{Name: "a promise tells no history", Bounds: Pair, Seed: 14,
+	{Name: "a promise tells no history", Bounds: TwoOperators, Seed: 14,
 		alterMessage: func(m *register.Message) { truncateHistory(m, 0, register.Promise) }},
-	{Name: "a change of members forgets the history", Bounds: Usual, Seed: 40, alterMessage: func(m *register.Message) {
+	{Name: "a change of members forgets the history", Bounds: DefaultBounds, Seed: 40, alterMessage: func(m *register.Message) {
 		if m.Value != nil && len(m.Value.PriorMembers) > 0 {
 			truncateHistory(m, 0, register.Accept)
 		}
 	}},
-	{Name: "a machine that rejoins forgets the history", Bounds: Usual, Seed: 5,
+	{Name: "a machine that rejoins forgets the history", Bounds: DefaultBounds, Seed: 5,
 		alterMessage: func(m *register.Message) { truncateHistory(m, 0, register.RejoinReply) }},
-	{Name: "a conflict is answered from the machine's own disk", Bounds: Pair, Seed: 3016,
-		answerLocally: func(r *register.Replica, o order) (answer, bool) {
+	{Name: "a conflict is answered from the machine's own disk", Bounds: TwoOperators, Seed: 3016,
+		answerLocally: func(r *register.Replica, o request) (answer, bool) {
 			v := r.State().Value
 			standing := v.History.StateOf(uint32(o.number), register.ContentOf([]byte(o.content)))
 			return answer{refused: true}, standing == register.RecordedDifferent
 		}},
-	{Name: "a put is confirmed from the machine's own disk", Bounds: Pair, Seed: 385,
-		answerLocally: func(r *register.Replica, o order) (answer, bool) {
+	{Name: "a put is confirmed from the machine's own disk", Bounds: TwoOperators, Seed: 385,
+		answerLocally: func(r *register.Replica, o request) (answer, bool) {
 			v := r.State().Value
 			standing := v.History.StateOf(uint32(o.number), register.ContentOf([]byte(o.content)))
 			return answer{}, standing == register.RecordedSame
 		}},
-	{Name: "a lower number is confirmed and not remembered", Bounds: Pair, Seed: 2,
-		answerLocally: func(r *register.Replica, o order) (answer, bool) {
+	{Name: "a lower number is confirmed and not remembered", Bounds: TwoOperators, Seed: 2,
+		answerLocally: func(r *register.Replica, o request) (answer, bool) {
 			v, _, ok := r.Committed()
 			_, taken := v.History.Find(uint32(o.number))
 			return answer{}, ok && !taken && uint32(o.number) < v.Version
 		}},
-	{Name: "a put is confirmed by the first other disk", Bounds: Pair, Seed: 1, firstAck: true},
-	{Name: "answers leave before the disk has synced", Bounds: Lossy, Seed: 2184, early: true},
+	{Name: "a put is confirmed by the first other disk", Bounds: TwoOperators, Seed: 1, confirmsOnFirstAck: true},
+	{Name: "answers leave before the disk has synced", Bounds: ManyFaults, Seed: 2184, repliesBeforeSync: true},
 }
 
 // truncateHistory cuts the history of the value in a message of some kinds to its highest numbers.
--- a/lab/explore/numbers/linear.go
+++ b/lab/explore/numbers/linear.go
@@ -18,32 +18,32 @@
 
 // String tells the call in a few words.
 func (c Call) String() string {
-	what := fmt.Sprintf("put %d=%s", c.Number, c.Content)
+	text := fmt.Sprintf("put %d=%s", c.Number, c.Content)
 	switch {
 	case c.Read && c.Returned == 0:
-		what = "read"
+		text = "read"
 	case c.Read:
-		what = fmt.Sprintf("read %d=%s", c.Number, c.Content)
+		text = fmt.Sprintf("read %d=%s", c.Number, c.Content)
 	case c.Returned == 0:
-		what += ", no answer"
+		text += ", no answer"
 	case c.Refused:
-		what += ", refused"
+		text += ", refused"
 	default:
-		what += ", confirmed"
+		text += ", confirmed"
 	}
-	return fmt.Sprintf("%s [%d, %d]", what, c.Invoked, c.Returned)
+	return fmt.Sprintf("%s [%d, %d]", text, c.Invoked, c.Returned)
 }
 
 // The bounds of a history that can be checked.
 const (
-	mostCalls   = 64
-	mostNumbers = 16
+	maxCalls   = 64
+	maxNumbers = 16
 )
 
 // contents is the state of the register that the calls should have seen: for each number, in rising order, the content
 // that it was taken with; 0: none yet. A number's content never changes, and the highest that has one is what a read
 // returns.
-type contents [mostNumbers]uint8
+type contents [maxNumbers]uint8
 
 // checker searches for an order of the calls in which each has the answer that it got, and none goes before a call that
 // had returned when it was invoked: the search of Wing and Gong, with the states that were met remembered (Lowe).
@@ -51,24 +51,24 @@
 	calls   []Call
 	numbers []int
 	ids     map[string]uint8
-	failed  map[position]bool
+	failed  map[searchState]bool
 }
 
 // position is what is left of a search: the answered calls that have their place, and the state after them.
-type position struct {
-	placed uint64
-	state  contents
+type searchState struct {
+	placedCalls uint64
+	contents    contents
 }
 
 // Check returns an error where no order of the calls explains their answers; it names the call with which that begins.
 func Check(calls []Call) error {
-	if explained(calls, 0) {
+	if linearizable(calls, 0) {
 		return nil
 	}
 	answered := slices.DeleteFunc(slices.Clone(calls), func(c Call) bool { return c.Returned == 0 })
 	slices.SortFunc(answered, func(a, b Call) int { return cmp.Compare(a.Returned, b.Returned) })
 	for i := range answered {
-		if last := answered[i]; !explained(calls, last.Returned) {
+		if last := answered[i]; !linearizable(calls, last.Returned) {
 			return fmt.Errorf("no order explains %v after %v", last, answered[:i])
 		}
 	}
@@ -76,13 +76,13 @@
 }
 
 // explained reports whether an order explains the calls up to a step; 0: all of them.
-func explained(calls []Call, until int) bool {
-	c := &checker{ids: map[string]uint8{}, failed: map[position]bool{}}
+func linearizable(calls []Call, untilStep int) bool {
+	c := &checker{ids: map[string]uint8{}, failed: map[searchState]bool{}}
 	for _, call := range calls {
-		if until > 0 && call.Invoked > until {
+		if untilStep > 0 && call.Invoked > untilStep {
 			continue
 		}
-		if until > 0 && call.Returned > until {
+		if untilStep > 0 && call.Returned > untilStep {
 			call.Returned = 0
 		}
 		if call.Read && call.Returned == 0 {
@@ -96,32 +96,32 @@
 	}
 	slices.Sort(c.numbers)
 	c.numbers = slices.Compact(c.numbers)
-	if len(c.calls) > mostCalls || len(c.numbers) > mostNumbers {
+	if len(c.calls) > maxCalls || len(c.numbers) > maxNumbers {
 		panic(fmt.Sprintf("a history of %d calls with %d numbers", len(c.calls), len(c.numbers)))
 	}
-	return c.search(position{})
+	return c.search(searchState{})
 }
 
 // search reports whether what is left can be put in order.
-func (c *checker) search(at position) bool {
-	fits := true
-	for again := true; again; {
-		if at, again, fits = c.placeEffectless(at); !fits {
+func (c *checker) search(current searchState) bool {
+	possible := true
+	for placed := true; placed; {
+		if current, placed, possible = c.placeNonMutating(current); !possible {
 			return false
 		}
 	}
-	if c.failed[at] {
+	if c.failed[current] {
 		return false
 	}
-	limit, left := c.limit(at)
-	if !left {
+	limit, remaining := c.earliestReturn(current)
+	if !remaining {
 		return true
 	}
 	tried := map[contents]bool{}
 	for i := range c.calls {
 		call := &c.calls[i]
-		next := at.state
-		number := c.number(call)
+		next := current.contents
+		number := c.numberIndex(call)
 		if call.Read || call.Refused || call.Invoked > limit || next[number] != 0 {
 			continue
 		}
@@ -130,42 +130,42 @@
 			continue
 		}
 		tried[next] = true
-		if c.search(position{at.placed, next}) { // the call itself fits at once, now that it has no effect
+		if c.search(searchState{current.placedCalls, next}) { // the call itself fits at once, now that it has no effect
 			return true
 		}
 	}
-	c.failed[at] = true
+	c.failed[current] = true
 	return false
 }
 
 // placeEffectless places a call whose answer fits the state and which does not change it: nothing is gained by placing
 // it later. fits is false where a call can never have its answer any more.
-func (c *checker) placeEffectless(at position) (next position, again, fits bool) {
-	limit, _ := c.limit(at)
+func (c *checker) placeNonMutating(current searchState) (next searchState, placed, possible bool) {
+	limit, _ := c.earliestReturn(current)
 	for i := range c.calls {
 		call := &c.calls[i]
-		if call.Returned == 0 || at.placed&(1<<i) != 0 {
+		if call.Returned == 0 || current.placedCalls&(1<<i) != 0 {
 			continue
 		}
-		now, never := c.answer(call, &at.state)
-		if never {
-			return at, false, false
+		matches, impossible := c.checkAnswer(call, &current.contents)
+		if impossible {
+			return current, false, false
 		}
-		if now && call.Invoked <= limit {
-			at.placed |= 1 << i
-			return at, true, true
+		if matches && call.Invoked <= limit {
+			current.placedCalls |= 1 << i
+			return current, true, true
 		}
 	}
-	return at, false, true
+	return current, false, true
 }
 
 // answer tells whether a call has its answer in a state, without changing it, or in no later state.
-func (c *checker) answer(call *Call, state *contents) (now, never bool) {
-	taken := state[c.number(call)]
+func (c *checker) checkAnswer(call *Call, state *contents) (matches, impossible bool) {
+	taken := state[c.numberIndex(call)]
 	same := taken == c.ids[call.Content]
 	switch {
 	case call.Read:
-		higher := slices.IndexFunc(state[c.number(call)+1:], func(id uint8) bool { return id != 0 }) >= 0
+		higher := slices.IndexFunc(state[c.numberIndex(call)+1:], func(id uint8) bool { return id != 0 }) >= 0
 		none := call.Number == 0
 		return !higher && (same || none), higher || !none && taken != 0 && !same
 	case call.Refused:
@@ -174,18 +174,18 @@
 	return same, taken != 0 && !same
 }
 
-func (c *checker) number(call *Call) int {
+func (c *checker) numberIndex(call *Call) int {
 	i, _ := slices.BinarySearch(c.numbers, call.Number)
 	return i
 }
 
 // limit is the first step at which one of the answered calls that have no place had returned: whatever was invoked
 // later comes after it. left is false where all have their place.
-func (c *checker) limit(at position) (limit int, left bool) {
+func (c *checker) earliestReturn(current searchState) (limit int, remaining bool) {
 	for i := range c.calls {
-		if returned := c.calls[i].Returned; returned > 0 && at.placed&(1<<i) == 0 && (!left || returned < limit) {
-			limit, left = returned, true
+		if returned := c.calls[i].Returned; returned > 0 && current.placedCalls&(1<<i) == 0 && (!remaining || returned < limit) {
+			limit, remaining = returned, true
 		}
 	}
-	return limit, left
+	return limit, remaining
 }
--- a/lab/explore/numbers/machines.go
+++ b/lab/explore/numbers/machines.go
@@ -16,10 +16,10 @@
 )
 
 // othersAreWhole reports whether one more disk may be lost: fewer of the other machines than the tolerance are down, or without theirs.
-func (s *system) othersAreWhole(but int) bool {
+func (s *system) mayLoseDisk(except int) bool {
 	lost := 0
 	for i, m := range s.machines {
-		if i != but && (m.replica == nil || !m.replica.State().Voter || m.write != nil) {
+		if i != except && (m.replica == nil || !m.replica.State().Voter || m.pendingWrite != nil) {
 			lost++
 		}
 	}
@@ -29,11 +29,11 @@
 func (s *system) start(i int) {
 	m := s.machines[i]
 	m.incarnation++
-	s.run(m, register.New(m.name, s.seeds(), false, m.disk, uint64(i+1)+m.incarnation*1000))
+	s.startReplica(m, register.New(m.name, s.initialMembers(), false, m.disk, uint64(i+1)+m.incarnation*1000))
 }
 
 // run puts a machine's replica behind its disk, by the shipped parts of the control plane.
-func (s *system) run(m *machine, r *register.Replica) {
+func (s *system) startReplica(m *machine, r *register.Replica) {
 	onDisk := register.State{}
 	if m.disk != nil {
 		onDisk = *m.disk
@@ -41,7 +41,7 @@
 	m.replica = r
 	m.completedAt = -1
 	m.pipeline = persistence.New(r, onDisk, sink{s, m})
-	m.operations = operations.NewTable(alwaysInContact{m.pipeline}, func() uint64 { return s.proposing }, timing.Default())
+	m.operations = operations.NewTable(alwaysInContact{m.pipeline}, func() uint64 { return s.proposingID }, timing.Default())
 }
 
 // alwaysInContact is a pipeline in whose surroundings time is no measure of contact with a quorum: it passes when a
@@ -57,7 +57,7 @@
 func (s *system) kill(i int, wiped bool) {
 	s.bounds.Faults--
 	m := s.machines[i]
-	m.replica, m.pipeline, m.write = nil, nil, nil
+	m.replica, m.pipeline, m.pendingWrite = nil, nil, nil
 	if wiped {
 		s.bounds.Wipes--
 		m.disk = nil
@@ -70,7 +70,7 @@
 }
 
 func (s *system) changeMembers(i int) {
-	s.bounds.Changes--
+	s.bounds.MemberChanges--
 	members := []string{s.machines[0].name}
 	for _, m := range s.machines[2:] {
 		members = append(members, m.name)
@@ -84,8 +84,8 @@
 // sync ends the write that a machine's disk works on.
 func (s *system) sync(i int) {
 	m := s.machines[i]
-	w := m.write
-	m.disk, m.write = w.State, nil
+	w := m.pendingWrite
+	m.disk, m.pendingWrite = w.State, nil
 	m.pipeline.WriteCompleted(s.now, w.Number, nil)
 }
 
@@ -97,8 +97,8 @@
 
 // Write gives the disk a state to write. The defect of a disk that claims too early tells the pipeline at once that it has the state.
 func (k sink) Write(w persist.Write) {
-	k.m.write = &w
-	if k.s.defect.early {
+	k.m.pendingWrite = &w
+	if k.s.defect.repliesBeforeSync {
 		k.m.pipeline.WriteCompleted(k.s.now, w.Number, nil)
 	}
 }
@@ -110,10 +110,10 @@
 		s.defect.alterMessage(&m)
 	}
 	s.inFlight = append(s.inFlight, m)
-	if s.defect.firstAck && m.Kind == register.Accepted {
-		s.confirmAt(m.To)
+	if s.defect.confirmsOnFirstAck && m.Kind == register.Accepted {
+		s.confirmPutsAt(m.To)
 	}
-	if over := len(s.inFlight) - s.bounds.Flights; over > 0 {
+	if over := len(s.inFlight) - s.bounds.InFlight; over > 0 {
 		s.inFlight = slices.Delete(s.inFlight, 0, over)
 	}
 }
@@ -132,35 +132,35 @@
 }
 
 // caller sends the result of a call to its operator.
-type caller struct {
-	s    *system
-	call int
+type responder struct {
+	s         *system
+	callIndex int
 }
 
 // Respond implements operations.Responder. A call without an outcome has no answer.
-func (c caller) Respond(r operations.Result) {
+func (c responder) Respond(r operations.Result) {
 	var taken *operations.VersionTakenError
 	if r.Err != nil && !errors.As(r.Err, &taken) {
 		return
 	}
 	v := &r.Outcome.Value
-	c.s.answers = append(c.s.answers, answer{call: c.call, refused: taken != nil, number: int(v.Version), content: string(v.Body)})
+	c.s.answers = append(c.s.answers, answer{callIndex: c.callIndex, refused: taken != nil, number: int(v.Version), content: string(v.Body)})
 }
 
 // confirmAt is a defect's: it confirms what operators put at a machine.
-func (s *system) confirmAt(name string) {
+func (s *system) confirmPutsAt(name string) {
 	for _, o := range s.operators {
-		if o.waiting >= 0 && o.order.number > 0 && s.machines[o.at].name == name {
-			s.answers = append(s.answers, answer{call: o.waiting})
+		if o.pendingCall >= 0 && o.request.number > 0 && s.machines[o.machine].name == name {
+			s.answers = append(s.answers, answer{callIndex: o.pendingCall})
 		}
 	}
 }
 
 // deliver hands over a message; a machine that is down loses it.
-func (s *system) deliver(at int, once bool) {
-	message := s.inFlight[at]
-	if once {
-		s.inFlight = slices.Delete(s.inFlight, at, at+1)
+func (s *system) deliver(index int, remove bool) {
+	message := s.inFlight[index]
+	if remove {
+		s.inFlight = slices.Delete(s.inFlight, index, index+1)
 	}
 	i := slices.IndexFunc(s.machines, func(m *machine) bool { return m.name == message.To })
 	if i < 0 || s.machines[i].replica == nil {
@@ -171,7 +171,7 @@
 }
 
 // mostCalm bounds how many rounds of deliveries an answer may take once all is well.
-const mostCalm = 400
+const maxSettleRounds = 400
 
 // settle ends a history: all machines are up, nothing is lost any more, each order is sent once more and answered, and so is a read.
 func (s *system) settle() {
@@ -180,42 +180,42 @@
 			s.start(i)
 		}
 	}
-	last := &operator{}
-	s.operators, s.answers = []*operator{last}, nil
-	for _, wanted := range append(s.orders, order{}) {
-		last.order, last.waiting = &wanted, -1
-		for round := 0; last.order != nil; round++ {
-			if round == mostCalm {
-				s.broken = fmt.Errorf("%v is not answered though all is well", wanted)
+	finalOperator := &operator{}
+	s.operators, s.answers = []*operator{finalOperator}, nil
+	for _, wantedRequest := range append(s.requests, request{}) {
+		finalOperator.request, finalOperator.pendingCall = &wantedRequest, -1
+		for round := 0; finalOperator.request != nil; round++ {
+			if round == maxSettleRounds {
+				s.broken = fmt.Errorf("%v is not answered though all is well", wantedRequest)
 				return
 			}
 			s.step++
-			s.settleRound(last)
+			s.settleRound(finalOperator)
 		}
 	}
 }
 
 // settleRound lets everything happen that is due, in order.
-func (s *system) settleRound(last *operator) {
-	if last.waiting < 0 {
-		s.call(last, s.rng.IntN(len(s.machines)))
+func (s *system) settleRound(finalOperator *operator) {
+	if finalOperator.pendingCall < 0 {
+		s.sendCall(finalOperator, s.rng.IntN(len(s.machines)))
 	}
 	for i, m := range s.machines {
-		if m.write != nil {
+		if m.pendingWrite != nil {
 			s.sync(i)
 		}
 	}
 	for n := len(s.inFlight); n > 0 && len(s.inFlight) > 0; n-- {
 		s.deliver(0, true)
 		for i, m := range s.machines {
-			if m.write != nil {
+			if m.pendingWrite != nil {
 				s.sync(i)
 			}
 		}
 	}
 	for len(s.answers) > 0 {
 		s.step++
-		s.answered(0)
+		s.deliverAnswer(0)
 	}
 	if len(s.inFlight) > 0 {
 		return
--- a/lab/explore/numbers/numbers.go
+++ b/lab/explore/numbers/numbers.go
@@ -20,34 +20,34 @@
 
 // Bounds bound what may happen in one history.
 type Bounds struct {
-	Machines  int // that the register may run on
-	Members   int // of them, those that it begins with
-	Operators int // 2 to 8
-	Orders    int // of all operators
-	Calls     int // an order is sent once or more
-	Faults    int // messages and answers lost or repeated, kills, losses of power
-	Wipes     int
-	Tolerance int // disks that may be lost together; 0: one
-	Changes   int // of members
-	Flights   int // messages under way at most; beyond it the oldest is lost
-	Taken     int // numbers that are taken before the first order, which operators do not use again
+	Machines       int // that the register may run on
+	Members        int // of them, those that it begins with
+	Operators      int // 2 to 8
+	Requests       int // of all operators
+	Calls          int // an order is sent once or more
+	Faults         int // messages and answers lost or repeated, kills, losses of power
+	Wipes          int
+	Tolerance      int // disks that may be lost together; 0: one
+	MemberChanges  int // of members
+	InFlight       int // messages under way at most; beyond it the oldest is lost
+	InitialNumbers int // numbers that are taken before the first order, which operators do not use again
 }
 
 // The bounds of the tests, and of the command.
 var (
-	Usual = Bounds{Machines: 4, Members: 3, Operators: 4, Orders: 7, Calls: 14, Faults: 12, Wipes: 1, Changes: 1, Flights: 30}
-	Crowd = Bounds{Machines: 4, Members: 3, Operators: 8, Orders: 12, Calls: 30, Faults: 12, Wipes: 2, Changes: 1, Flights: 40}
-	Pair  = Bounds{Machines: 3, Members: 3, Operators: 2, Orders: 5, Calls: 12, Faults: 8, Flights: 24}
+	DefaultBounds = Bounds{Machines: 4, Members: 3, Operators: 4, Requests: 7, Calls: 14, Faults: 12, Wipes: 1, MemberChanges: 1, InFlight: 30}
+	ManyOperators = Bounds{Machines: 4, Members: 3, Operators: 8, Requests: 12, Calls: 30, Faults: 12, Wipes: 2, MemberChanges: 1, InFlight: 40}
+	TwoOperators  = Bounds{Machines: 3, Members: 3, Operators: 2, Requests: 5, Calls: 12, Faults: 8, InFlight: 24}
 	// Pairwise lets two disks of five be lost together.
-	Pairwise = Bounds{
-		Machines: 6, Members: 5, Operators: 4, Orders: 7, Calls: 14, Faults: 12, Wipes: 4, Tolerance: 2, Changes: 1, Flights: 40,
+	TwoDiskLosses = Bounds{
+		Machines: 6, Members: 5, Operators: 4, Requests: 7, Calls: 14, Faults: 12, Wipes: 4, Tolerance: 2, MemberChanges: 1, InFlight: 40,
 	}
 	// Lossy lets much go wrong between few calls.
-	Lossy = Bounds{Machines: 3, Members: 3, Operators: 4, Orders: 8, Calls: 8, Faults: 24, Flights: 24}
+	ManyFaults = Bounds{Machines: 3, Members: 3, Operators: 4, Requests: 8, Calls: 8, Faults: 24, InFlight: 24}
 	// Full begins with a history that soon forgets.
-	Full = Bounds{
-		Machines: 4, Members: 3, Operators: 4, Orders: 7, Calls: 14, Faults: 12, Wipes: 1, Changes: 1, Flights: 30,
-		Taken: register.MaxRecords - 2,
+	FullHistory = Bounds{
+		Machines: 4, Members: 3, Operators: 4, Requests: 7, Calls: 14, Faults: 12, Wipes: 1, MemberChanges: 1, InFlight: 30,
+		InitialNumbers: register.MaxRecords - 2,
 	}
 )
 
@@ -55,8 +55,8 @@
 const Steps = 400
 
 // Search plays histories of so many steps, one from each seed, and returns the first seed whose history breaks a promise, and how.
-func Search(b Bounds, d *Defect, from, histories uint64, steps int) (seed uint64, breach error) {
-	for seed = from; seed < from+histories; seed++ {
+func Search(b Bounds, d *Defect, firstSeed, histories uint64, steps int) (seed uint64, breach error) {
+	for seed = firstSeed; seed < firstSeed+histories; seed++ {
 		if s := play(b, d, seed, steps); s.broken != nil {
 			return seed, s.broken
 		}
@@ -84,11 +84,11 @@
 }
 
 type machine struct {
-	name        string
-	replica     *register.Replica // nil: it is down
-	disk        *register.State   // nil: it is empty
-	incarnation uint64
-	write       *persist.Write // that the disk works on
+	name         string
+	replica      *register.Replica // nil: it is down
+	disk         *register.State   // nil: it is empty
+	incarnation  uint64
+	pendingWrite *persist.Write // that the disk works on
 
 	pipeline    *persistence.Pipeline
 	operations  *operations.Table
@@ -96,72 +96,72 @@
 }
 
 // order is what an operator wants: a number taken with a content or, where the number is 0, to read.
-type order struct {
+type request struct {
 	number  int
 	content string
 }
 
 type operator struct {
-	order   *order
-	waiting int // index of the call in the history; below 0: the order is to be sent
-	at      int // machine that was called
+	request     *request
+	pendingCall int // index of the call in the history; below 0: the order is to be sent
+	machine     int // machine that was called
 }
 
 // answer is on its way to an operator.
 type answer struct {
-	call    int
-	refused bool
-	number  int
-	content string
+	callIndex int
+	refused   bool
+	number    int
+	content   string
 }
 
 type system struct {
-	bounds    Bounds
-	defect    *Defect
-	rng       *rand.Rand
-	machines  []*machine
-	operators []*operator
-	inFlight  []register.Message
-	answers   []answer
-	orders    []order
-	history   []Call
-	highest   int
-	now       time.Duration
-	step      int
-	broken    error
-	proposing uint64 // number of the operation that is being proposed
+	bounds        Bounds
+	defect        *Defect
+	rng           *rand.Rand
+	machines      []*machine
+	operators     []*operator
+	inFlight      []register.Message
+	answers       []answer
+	requests      []request
+	history       []Call
+	highestNumber int
+	now           time.Duration
+	step          int
+	broken        error
+	proposingID   uint64 // number of the operation that is being proposed
 }
 
 func newSystem(b Bounds, d *Defect, rng *rand.Rand) *system {
 	if d == nil {
 		d = &Defect{}
 	}
-	s := &system{bounds: b, defect: d, rng: rng, highest: b.Taken}
+	s := &system{bounds: b, defect: d, rng: rng, highestNumber: b.InitialNumbers}
 	for i := range b.Machines {
 		s.machines = append(s.machines, &machine{name: string(rune('a' + i))})
 	}
-	taken := s.taken()
+	taken := s.initialHistory()
 	for i, m := range s.machines {
-		replica := register.New(m.name, s.seeds(), true, nil, uint64(i+1))
+		replica := register.New(m.name, s.initialMembers(), true, nil, uint64(i+1))
 		first := replica.State()
-		if b.Taken > 0 {
-			first.Value.Version, first.Value.Body, first.Value.History = uint32(b.Taken), []byte("taken"), taken
-			replica = register.New(m.name, s.seeds(), false, &first, uint64(i+1))
+		if b.InitialNumbers > 0 {
+			first.Value.Version, first.Value.Body, first.Value.History = uint32(b.InitialNumbers), []byte("taken"), taken
+			replica = register.New(m.name, s.initialMembers(), false, &first, uint64(i+1))
 		}
 		m.disk = &first
-		s.run(m, replica)
+		s.startReplica(m, replica)
 	}
-	if b.Taken > 0 {
+	if b.InitialNumbers > 0 {
 		s.step = 1
-		s.history = append(s.history, Call{Number: b.Taken, Content: "taken", Invoked: s.step, Returned: s.step})
+		s.history = append(s.history, Call{Number: b.InitialNumbers, Content: "taken", Invoked: s.step, Returned: s.step})
 	}
 	for range b.Operators {
-		s.operators = append(s.operators, &operator{waiting: -1})
+		s.operators = append(s.operators, &operator{pendingCall: -1})
 	}
 	return s
 }
 
-func (s *system) seeds() (names []string) {
+func (s *system) initialMembers() (names []string) {
 	for _, m := range s.machines[:s.bounds.Members] {
 		names = append(names, m.name)
 	}
@@ -169,8 +169,8 @@
 }
 
 // taken is the history that the machines begin with.
-func (s *system) taken() (h register.History) {
-	for number := range s.bounds.Taken {
+func (s *system) initialHistory() (h register.History) {
+	for number := range s.bounds.InitialNumbers {
 		h = h.With(register.Record{Version: uint32(number + 1), Content: register.ContentOf([]byte("taken"))})
 	}
 	return h
@@ -192,26 +192,26 @@
 
 func (s *system) operatorChoices(add func(string, func())) {
 	for i := range s.answers {
-		add("an answer reaches its operator", func() { s.answered(i) })
+		add("an answer reaches its operator", func() { s.deliverAnswer(i) })
 	}
 	if len(s.answers) > 0 && s.bounds.Faults > 0 {
 		add("an answer is lost", func() { s.bounds.Faults--; s.answers = s.answers[1:] })
 	}
 	for _, o := range s.operators {
 		switch {
-		case o.order == nil && s.bounds.Orders > 0:
-			add("an operator has an order", func() { s.bounds.Orders--; o.order = s.draw() })
-		case o.order != nil && o.waiting < 0 && s.bounds.Calls > 0:
-			add("an operator sends its order", func() { s.bounds.Calls--; s.call(o, s.rng.IntN(len(s.machines))) })
-		case o.waiting >= 0 && s.step%impatient == 0:
+		case o.request == nil && s.bounds.Requests > 0:
+			add("an operator has an order", func() { s.bounds.Requests--; o.request = s.drawRequest() })
+		case o.request != nil && o.pendingCall < 0 && s.bounds.Calls > 0:
+			add("an operator sends its order", func() { s.bounds.Calls--; s.sendCall(o, s.rng.IntN(len(s.machines))) })
+		case o.pendingCall >= 0 && s.step%timeOutInterval == 0:
 			add("an operator waits no more", func() { s.timeOut(o) })
 		}
 	}
 }
 
 const (
-	slow      = 12 // in one of how many steps time may pass while messages are under way
-	impatient = 12 // ... and operators may count an answer as lost
+	tickInterval    = 12 // in one of how many steps time may pass while messages are under way
+	timeOutInterval = 12 // ... and operators may count an answer as lost
 )
 
 func (s *system) machineChoices(add func(string, func())) {
@@ -220,23 +220,23 @@
 		case m.replica == nil:
 			add("a machine starts", func() { s.start(i) })
 			continue
-		case m.write != nil:
+		case m.pendingWrite != nil:
 			for range 3 {
 				add("a disk has synced", func() { s.sync(i) })
 			}
-		case len(s.inFlight) == 0 || s.step%slow == 0:
+		case len(s.inFlight) == 0 || s.step%tickInterval == 0:
 			add("time passes", func() { s.tick(i) })
 		}
 		if s.bounds.Faults > 0 && s.step%3 == 0 {
 			add("a machine loses power", func() { s.kill(i, false) })
-			if m.write != nil {
+			if m.pendingWrite != nil {
 				add("a machine loses power once its disk has synced", func() { s.sync(i); s.kill(i, false) })
 			}
-			if s.bounds.Wipes > 0 && s.othersAreWhole(i) {
+			if s.bounds.Wipes > 0 && s.mayLoseDisk(i) {
 				add("a machine loses its disk", func() { s.kill(i, true) })
 			}
 		}
-		if s.bounds.Changes > 0 && s.bounds.Machines > s.bounds.Members {
+		if s.bounds.MemberChanges > 0 && s.bounds.Machines > s.bounds.Members {
 			add("the spare machine takes the place of another", func() { s.changeMembers(i) })
 		}
 	}
@@ -244,80 +244,80 @@
 
 // draw makes an order: mostly a new content under a number that rises, is the highest, or falls; at times one that was
 // sent before, or a read.
-func (s *system) draw() *order {
-	var o order
+func (s *system) drawRequest() *request {
+	var o request
 	switch s.rng.IntN(10) {
 	case 0, 1, 2:
-		o.number = s.highest + 1 + s.rng.IntN(2)
+		o.number = s.highestNumber + 1 + s.rng.IntN(2)
 	case 3, 4:
-		o.number = max(s.bounds.Taken+1, s.highest)
+		o.number = max(s.bounds.InitialNumbers+1, s.highestNumber)
 	case 5, 6:
-		o.number = s.bounds.Taken + 1 + s.rng.IntN(max(1, s.highest-s.bounds.Taken))
+		o.number = s.bounds.InitialNumbers + 1 + s.rng.IntN(max(1, s.highestNumber-s.bounds.InitialNumbers))
 	case 7:
-		if len(s.orders) > 0 {
-			o = s.orders[s.rng.IntN(len(s.orders))]
+		if len(s.requests) > 0 {
+			o = s.requests[s.rng.IntN(len(s.requests))]
 		}
 	}
 	if o.number == 0 {
 		return &o
 	}
-	s.highest = max(s.highest, o.number)
+	s.highestNumber = max(s.highestNumber, o.number)
 	if o.content == "" {
-		o.content = string(rune('A' + len(s.orders)))
-		s.orders = append(s.orders, o)
+		o.content = string(rune('A' + len(s.requests)))
+		s.requests = append(s.requests, o)
 	}
 	return &o
 }
 
 // call sends an operator's order to a machine; one that is down takes none.
-func (s *system) call(o *operator, at int) {
-	m := s.machines[at]
+func (s *system) sendCall(o *operator, machineIndex int) {
+	m := s.machines[machineIndex]
 	if m.replica == nil {
 		return
 	}
-	o.waiting, o.at = len(s.history), at
-	s.history = append(s.history, Call{Read: o.order.number == 0, Number: o.order.number, Content: o.order.content, Invoked: s.step})
-	s.proposing = uint64(len(s.history))
-	if o.order.number == 0 {
-		m.operations.Propose(s.now, operations.Read{}, caller{s, o.waiting})
+	o.pendingCall, o.machine = len(s.history), machineIndex
+	s.history = append(s.history, Call{Read: o.request.number == 0, Number: o.request.number, Content: o.request.content, Invoked: s.step})
+	s.proposingID = uint64(len(s.history))
+	if o.request.number == 0 {
+		m.operations.Propose(s.now, operations.Read{}, responder{s, o.pendingCall})
 		return
 	}
 	if s.defect.answerLocally != nil {
-		if a, ok := s.defect.answerLocally(m.replica, *o.order); ok {
-			a.call = o.waiting
+		if a, ok := s.defect.answerLocally(m.replica, *o.request); ok {
+			a.callIndex = o.pendingCall
 			s.answers = append(s.answers, a)
 			return
 		}
 	}
-	body := []byte(o.order.content)
-	write := operations.Write{Version: uint32(o.order.number), Content: register.ContentOf(body), Body: body}
-	m.operations.Propose(s.now, write, caller{s, o.waiting})
+	body := []byte(o.request.content)
+	write := operations.Write{Version: uint32(o.request.number), Content: register.ContentOf(body), Body: body}
+	m.operations.Propose(s.now, write, responder{s, o.pendingCall})
 }
 
 // timeOut has an operator count a call's answer as lost; its machine may be notified.
 func (s *system) timeOut(o *operator) {
-	if m := s.machines[o.at]; m.replica != nil && s.rng.IntN(2) == 0 {
-		m.operations.Cancel(uint64(o.waiting + 1))
+	if m := s.machines[o.machine]; m.replica != nil && s.rng.IntN(2) == 0 {
+		m.operations.Cancel(uint64(o.pendingCall + 1))
 	}
-	o.waiting = -1
-	if o.order.number == 0 {
-		o.order = nil
+	o.pendingCall = -1
+	if o.request.number == 0 {
+		o.request = nil
 	}
 }
 
 // answered takes in an answer, which may be one that nobody waits for any more.
-func (s *system) answered(i int) {
+func (s *system) deliverAnswer(i int) {
 	a := s.answers[i]
 	s.answers = append(s.answers[:i:i], s.answers[i+1:]...)
 	for _, o := range s.operators {
-		if o.waiting != a.call {
+		if o.pendingCall != a.callIndex {
 			continue
 		}
-		c := &s.history[a.call]
+		c := &s.history[a.callIndex]
 		c.Returned, c.Refused = s.step, a.refused
 		if c.Read {
 			c.Number, c.Content = a.number, a.content
 		}
-		o.order, o.waiting = nil, -1
+		o.request, o.pendingCall = nil, -1
 	}
 }
--- a/lab/explore/numbers/numbers_test.go
+++ b/lab/explore/numbers/numbers_test.go
@@ -3,29 +3,29 @@
 import "testing"
 
 // One number has one content, whatever operators, links, disks and machines do, and every order is answered once all is well.
-func TestOneNumberHasOneContent(t *testing.T) {
+func TestEachNumberHasOneContent(t *testing.T) {
 	for _, c := range []struct {
 		bounds    Bounds
 		histories uint64
-	}{{Pair, 50}, {Usual, 50}, {Crowd, 30}, {Full, 6}, {Pairwise, 30}} {
+	}{{TwoOperators, 50}, {DefaultBounds, 50}, {ManyOperators, 30}, {FullHistory, 6}, {TwoDiskLosses, 30}} {
 		if seed, breach := Search(c.bounds, nil, 1, c.histories, Steps); breach != nil {
-			t.Errorf("%d operators, %d numbers taken, history %d: %v", c.bounds.Operators, c.bounds.Taken, seed, breach)
+			t.Errorf("%d operators, %d numbers taken, history %d: %v", c.bounds.Operators, c.bounds.InitialNumbers, seed, breach)
 		}
 	}
 }
 
 // Histories that hold little prove little: orders are confirmed and refused, also under a higher number and when sent
 // again, before all is well.
-func TestHistoriesAreRich(t *testing.T) {
-	var confirmed, refused, again, lower int
+func TestHistoriesCoverConfirmationsAndRefusals(t *testing.T) {
+	var confirmed, refused, repeated, lower int
 	for seed := range uint64(60) {
-		s := play(Crowd, nil, seed, Steps)
-		highest, sent := 0, map[order]bool{}
+		s := play(ManyOperators, nil, seed, Steps)
+		highest, sent := 0, map[request]bool{}
 		for _, c := range s.history {
 			if c.Read || c.Invoked > Steps {
 				continue
 			}
-			o := order{c.Number, c.Content}
+			o := request{c.Number, c.Content}
 			switch {
 			case c.Returned == 0:
 			case c.Refused:
@@ -33,7 +33,7 @@
 			default:
 				confirmed++
 				if sent[o] {
-					again++
+					repeated++
 				}
 				if c.Number < highest {
 					lower++
@@ -43,8 +43,8 @@
 			highest = max(highest, c.Number)
 		}
 	}
-	t.Logf("%d puts confirmed, %d of them when sent again, %d under a lower number; %d refused", confirmed, again, lower, refused)
-	if confirmed < 150 || refused < 120 || again < 100 || lower < 90 {
+	t.Logf("%d puts confirmed, %d of them when sent again, %d under a lower number; %d refused", confirmed, repeated, lower, refused)
+	if confirmed < 150 || refused < 120 || repeated < 100 || lower < 90 {
 		t.Error("that is too little")
 	}
 }
--- a/lab/explore/register/choices.go
+++ b/lab/explore/register/choices.go
@@ -99,9 +99,9 @@
 }
 
 // othersIntact reports whether all other machines are up and have their disks: no more than one is lost at a time.
-func (s *system) othersIntact(lost int) bool {
+func (s *system) othersIntact(except int) bool {
 	for i, m := range s.machines {
-		if i != lost && (m.replica == nil || !m.replica.State().Voter || m.unsynced != nil) {
+		if i != except && (m.replica == nil || !m.replica.State().Voter || m.unsynced != nil) {
 			return false
 		}
 	}
--- a/lab/explore/register/history.go
+++ b/lab/explore/register/history.go
@@ -6,11 +6,11 @@
 
 // operation is a put or a read that an operator waits for.
 type operation struct {
-	id      uint64
-	isPut   bool
-	written write // of a put
-	began   int   // step
-	machine int   // index
+	id        uint64
+	isPut     bool
+	written   write // of a put
+	startStep int   // step
+	machine   int   // index
 }
 
 // write is a body under a version.
@@ -21,7 +21,7 @@
 
 // answer is the version that an operation was answered with.
 type answer struct {
-	ended   int // step
+	endStep int // step
 	version uint32
 }
 
@@ -71,11 +71,11 @@
 		h.confirm(o.written)
 	}
 	for _, earlier := range h.answers {
-		if earlier.ended < o.began && earlier.version > answered.version {
+		if earlier.endStep < o.startStep && earlier.version > answered.version {
 			h.fail("version %d was answered, and after it %d", earlier.version, answered.version)
 		}
 	}
-	h.answers = append(h.answers, answer{ended: step, version: answered.version})
+	h.answers = append(h.answers, answer{endStep: step, version: answered.version})
 }
 
 // confirm notes that a version has a body: the only one, and none that was rejected under it.
--- a/lab/explore/register/register_test.go
+++ b/lab/explore/register/register_test.go
@@ -7,9 +7,9 @@
 )
 
 // What was confirmed is never lost, reverted or changed, whatever links, disks and machines do, with one lost disk at a time.
-func TestRegisterKeepsWhatItConfirmed(t *testing.T) {
-	few := Bounds{Machines: 3, Members: 3, Puts: 1, Reads: 1, Faults: 1, InFlight: 8}
-	if r := explore.Exhaust(Start(few, nil), explore.Limits{Depth: 5, States: 200_000}); r.Breach != nil {
+func TestConfirmedVersionsAreNeverLost(t *testing.T) {
+	fewFaults := Bounds{Machines: 3, Members: 3, Puts: 1, Reads: 1, Faults: 1, InFlight: 8}
+	if r := explore.Exhaust(Start(fewFaults, nil), explore.Limits{Depth: 5, States: 200_000}); r.Breach != nil {
 		t.Error(r)
 	}
 	for seed := range uint64(3) {
@@ -20,16 +20,16 @@
 }
 
 // Orders that get far are mostly those in which little goes wrong: a register that never answers breaks no invariant.
-func TestRegisterAnswers(t *testing.T) {
-	few := Bounds{Machines: 4, Members: 3, Puts: 3, Reads: 3, Faults: 2, Wipes: 1, MemberChanges: 1, InFlight: 40}
-	done := 0
+func TestOperationsCompleteWithFewFaults(t *testing.T) {
+	fewFaults := Bounds{Machines: 4, Members: 3, Puts: 3, Reads: 3, Faults: 2, Wipes: 1, MemberChanges: 1, InFlight: 40}
+	answers := 0
 	for seed := range uint64(40) {
-		s := newSystem(few, nil)
+		s := newSystem(fewFaults, nil)
 		s.walk(seed, 400)
-		done += len(s.history.answers)
+		answers += len(s.history.answers)
 	}
-	if done < 80 {
-		t.Errorf("%d answers in 40 orders of up to 6 operations each", done)
+	if answers < 80 {
+		t.Errorf("%d answers in 40 orders of up to 6 operations each", answers)
 	}
 }
 
--- a/lab/explore/register/system.go
+++ b/lab/explore/register/system.go
@@ -54,7 +54,7 @@
 		s.machines = append(s.machines, &machine{name: string(rune('a' + i))})
 	}
 	for i, m := range s.machines {
-		m.replica = register.New(m.name, s.seeds(i), true, nil, uint64(i+1))
+		m.replica = register.New(m.name, s.initialMembers(i), true, nil, uint64(i+1))
 		state := m.replica.State()
 		m.disk = &state
 	}
@@ -62,7 +62,7 @@
 }
 
 // seeds returns the members that a machine begins with.
-func (s *system) seeds(i int) []string {
+func (s *system) initialMembers(i int) []string {
 	if s.defect.differentMembers && i%2 == 1 {
 		return []string{s.machines[i].name}
 	}
@@ -101,17 +101,17 @@
 	randomSeed := uint64(i+1) + uint64(m.restarts)*1000
 	switch {
 	case m.disk == nil && s.defect.votesWhenEmptied:
-		m.replica = register.New(m.name, s.seeds(i), true, nil, randomSeed)
+		m.replica = register.New(m.name, s.initialMembers(i), true, nil, randomSeed)
 	case m.disk == nil && s.defect.rejoinsFromOne:
-		m.replica = register.New(m.name, s.seeds(i), false, s.copyOfNeighbour(i), randomSeed)
+		m.replica = register.New(m.name, s.initialMembers(i), false, s.neighbourState(i), randomSeed)
 	default:
-		m.replica = register.New(m.name, s.seeds(i), false, m.disk, randomSeed)
+		m.replica = register.New(m.name, s.initialMembers(i), false, m.disk, randomSeed)
 	}
 }
 
 // copyOfNeighbour returns the state that a machine has which learns from one other.
-func (s *system) copyOfNeighbour(i int) *register.State {
-	state := register.State{Voter: true, Value: register.Value{Members: s.seeds(i)}}
+func (s *system) neighbourState(i int) *register.State {
+	state := register.State{Voter: true, Value: register.Value{Members: s.initialMembers(i)}}
 	if disk := s.machines[(i+1)%s.bounds.Members].disk; disk != nil {
 		state = *disk
 	}
@@ -132,7 +132,7 @@
 	case m.disk != nil && s.defect.losesPromise:
 		m.disk.Promised = m.disk.Accepted
 	case m.disk != nil && s.defect.losesAccepted:
-		m.disk.Accepted, m.disk.Value = register.Ballot{}, register.Value{Members: s.seeds(i)}
+		m.disk.Accepted, m.disk.Value = register.Ballot{}, register.Value{Members: s.initialMembers(i)}
 	}
 }
 
@@ -142,14 +142,14 @@
 	s.version = max(s.version, version)
 	s.lastID++
 	body := fmt.Appendf(nil, "%d by %d", version, s.lastID)
-	s.history.begin(operation{id: s.lastID, isPut: true, written: write{version, string(body)}, began: s.step, machine: i})
+	s.history.begin(operation{id: s.lastID, isPut: true, written: write{version, string(body)}, startStep: s.step, machine: i})
 	s.handle(i, register.Put{ID: s.lastID, Version: version, Content: register.ContentOf(body), Body: body})
 }
 
 func (s *system) read(i int) {
 	s.bounds.Reads--
 	s.lastID++
-	s.history.begin(operation{id: s.lastID, began: s.step, machine: i})
+	s.history.begin(operation{id: s.lastID, startStep: s.step, machine: i})
 	s.handle(i, register.LinearizableRead{ID: s.lastID})
 }
 
@@ -193,7 +193,7 @@
 	for _, message := range output.Messages {
 		s.defect.alter(&message)
 		s.inFlight = append(s.inFlight, message)
-		if s.defect.answersAfterOne && message.Kind == register.Accepted {
+		if s.defect.confirmsAfterFirstDisk && message.Kind == register.Accepted {
 			s.answerPuts(message.To)
 		}
 	}
@@ -228,16 +228,16 @@
 }
 
 // deliver hands over a message, which is lost where its receiver is down or its disk busy; one that comes again stays under way.
-func (s *system) deliver(at int, once bool) {
-	message := s.inFlight[at]
-	if once {
-		s.inFlight = slices.Delete(s.inFlight, at, at+1)
+func (s *system) deliver(index int, remove bool) {
+	message := s.inFlight[index]
+	if remove {
+		s.inFlight = slices.Delete(s.inFlight, index, index+1)
 	}
 	i := slices.IndexFunc(s.machines, func(m *machine) bool { return m.name == message.To })
 	if i < 0 || s.machines[i].replica == nil || s.machines[i].unsynced != nil {
 		return
 	}
-	if s.defect.raisesBallot && !once && message.Kind == register.Accept {
+	if s.defect.raisesBallot && !remove && message.Kind == register.Accept {
 		message.Ballot.Number++
 	}
 	s.now += linkDelay
@@ -246,8 +246,8 @@
 
 // Search plays orders of so many steps, one from each seed, and returns the first seed whose order breaks an invariant, and how. A nil
 // breach says that none does.
-func Search(b Bounds, d *Defect, from, orders uint64, steps int) (seed uint64, breach error) {
-	for seed = from; seed < from+orders; seed++ {
+func Search(b Bounds, d *Defect, firstSeed, orders uint64, steps int) (seed uint64, breach error) {
+	for seed = firstSeed; seed < firstSeed+orders; seed++ {
 		s := newSystem(b, d)
 		if s.walk(seed, steps); s.Broken() != nil {
 			return seed, s.Broken()
