--- a/cmd/firplank-lab/explore_members.go
+++ b/cmd/firplank-lab/explore_members.go
@@ -22,11 +22,11 @@
 	if c.Defects {
 		return reportDefects(printer, "order", len(members.Defects), func(i int) defectResult {
 			d := &members.Defects[i]
-			seed, breach := members.Search(d.In, d, c.Seed, c.Orders)
+			seed, breach := members.Search(d.Environment, d, c.Seed, c.Orders)
 			return defectResult{d.Name, seed, breach}
 		})
 	}
-	for _, surroundings := range members.Usual {
+	for _, surroundings := range members.DefaultEnvironments {
 		surroundings.Faults = c.Faults
 		seed, breach := members.Search(surroundings, nil, c.Seed, c.Orders)
 		if breach != nil {
--- a/lab/explore/lists/lists_test.go
+++ b/lab/explore/lists/lists_test.go
@@ -8,7 +8,7 @@
 
 // Nothing is sent by a list that lacks what counts as told, in whatever order discovery breaks, stops, falls silent,
 // turns away and answers.
-func TestNoListIsUsedPastWhatItLacks(t *testing.T) {
+func TestNoStaleListIsUsed(t *testing.T) {
 	r := explore.Exhaust(Start(Bounds{Changes: 1, Faults: 2}, nil), explore.Limits{Depth: 7, States: 300_000})
 	if t.Log(r); r.Breach != nil {
 		t.Error("broken")
--- a/lab/explore/liveness/liveness.go
+++ b/lab/explore/liveness/liveness.go
@@ -25,7 +25,7 @@
 )
 
 // Surroundings bound how slow a run is.
-type Surroundings struct {
+type Environment struct {
 	Machines int
 	Writers  int           // machines at which operators write, all at once
 	Link     time.Duration // a message takes so long at most
@@ -42,50 +42,50 @@
 	// step is the resolution of virtual time.
 	step = 5 * time.Millisecond
 	// changes is how many changes each operator writes, one after the other.
-	changes = 4
+	changesPerWriter = 4
 	// fastDisk is the part of Surroundings.Sync that other disks take.
-	fastDisk = 100
+	fastDiskDivisor = 100
 	// roundsPerChange is how many undisturbed rounds of the slowest kind one change may take for each operator.
 	roundsPerChange = 12
 	// leaseLimit is how many vote durations it may take until the lease is granted.
-	leaseLimit = 12
+	leaseGrantLimit = 12
 	// stream is the second half of the seeds.
-	stream = 11
+	randomStream = 11
 )
 
 // round is how long the slowest round takes that nobody disturbs: two phases that are written and one that is not. A write may have to wait
 // for the one before it.
-func (s Surroundings) round() time.Duration { return 3*2*s.Link + 2*2*s.Sync }
+func (s Environment) slowestRound() time.Duration { return 3*2*s.Link + 2*2*s.Sync }
 
 // limit is the time in which a run has to end.
-func (s Surroundings) limit() time.Duration {
-	return time.Second + time.Duration(changes*s.Writers*roundsPerChange)*(s.round()+timing.Default().Register.MinPhaseTimeout)
+func (s Environment) timeLimit() time.Duration {
+	return time.Second + time.Duration(changesPerWriter*s.Writers*roundsPerChange)*(s.slowestRound()+timing.Default().Register.MinPhaseTimeout)
 }
 
 // delivery is something that happens at a time.
-type delivery struct {
-	at time.Duration
-	do func()
+type scheduledEvent struct {
+	dueAt time.Duration
+	do    func()
 }
 
 // world is virtual time and what is to happen in it.
 type world struct {
-	in     Surroundings
-	random *rand.Rand
-	now    time.Duration
-	queue  []delivery
+	environment Environment
+	random      *rand.Rand
+	now         time.Duration
+	queue       []scheduledEvent
 }
 
 // delay is a random time up to a bound; half of all take the bound, or all of them in steady surroundings.
-func (w *world) delay(most time.Duration) time.Duration {
-	if most <= 0 || w.in.Steady || w.random.IntN(2) == 0 {
-		return most
+func (w *world) randomDelay(limit time.Duration) time.Duration {
+	if limit <= 0 || w.environment.Steady || w.random.IntN(2) == 0 {
+		return limit
 	}
-	return time.Duration(w.random.Int64N(int64(most)))
+	return time.Duration(w.random.Int64N(int64(limit)))
 }
 
-func (w *world) after(delay time.Duration, do func()) {
-	w.queue = append(w.queue, delivery{w.now + delay, do})
+func (w *world) schedule(delay time.Duration, do func()) {
+	w.queue = append(w.queue, scheduledEvent{w.now + delay, do})
 }
 
 // advance lets a step of time pass.
@@ -94,7 +94,7 @@
 	due := w.queue
 	w.queue = nil
 	for _, d := range due {
-		if d.at > w.now {
+		if d.dueAt > w.now {
 			w.queue = append(w.queue, d)
 			continue
 		}
@@ -104,49 +104,49 @@
 
 // machine is a control machine: the register behind its disk. It implements persistence.Sink.
 type machine struct {
-	world    *world
-	number   int
-	all      *[]*machine
-	pipeline *persistence.Pipeline
-	writes   bool // an operator writes here
-	left     int  // changes of that operator that are not answered
-	version  uint32
-	refusing time.Duration // how long it would have refused operations for want of a quorum, once it had one
+	world          *world
+	index          int
+	machines       *[]*machine
+	pipeline       *persistence.Pipeline
+	hasWriter      bool // an operator writes here
+	pendingChanges int  // changes of that operator that are not answered
+	version        uint32
+	refusingTime   time.Duration // how long it would have refused operations for want of a quorum, once it had one
 }
 
 // checkHealth notes whether the machine would refuse operations now.
 func (m *machine) checkHealth() {
 	contact := m.pipeline.Health(m.world.now).LastQuorum
-	if m.world.in.ContactByAge {
+	if m.world.environment.ContactByAge {
 		contact = m.pipeline.Committed().AsOf
 	}
 	if contact >= 0 && dissemination.QuorumLost(m.world.now, contact, quorumTimeout) {
-		m.refusing += step
+		m.refusingTime += step
 	}
 }
 
 // quorumTimeout is that of the deployments in service.
 var quorumTimeout = timing.Default().Dissemination.QuorumTimeout
 
-func name(number int) string { return fmt.Sprintf("m%02d", number) }
+func machineName(index int) string { return fmt.Sprintf("m%02d", index) }
 
 // Write implements persistence.Sink.
 func (m *machine) Write(w persist.Write) {
-	sync := m.world.in.Sync
-	if slow := m.world.in.SlowDisks; slow > 0 && m.number >= slow {
-		sync /= fastDisk
+	sync := m.world.environment.Sync
+	if slowDisks := m.world.environment.SlowDisks; slowDisks > 0 && m.index >= slowDisks {
+		sync /= fastDiskDivisor
 	}
-	m.world.after(m.world.delay(sync), func() { m.pipeline.WriteCompleted(m.world.now, w.Number, nil) })
+	m.world.schedule(m.world.randomDelay(sync), func() { m.pipeline.WriteCompleted(m.world.now, w.Number, nil) })
 }
 
 // Send implements persistence.Sink.
 func (m *machine) Send(message *register.Message) {
-	for _, to := range *m.all {
-		if name(to.number) != message.To {
+	for _, receiver := range *m.machines {
+		if machineName(receiver.index) != message.To {
 			continue
 		}
 		sent := *message
-		m.world.after(m.world.delay(m.world.in.Link), func() { to.pipeline.Apply(m.world.now, register.MessageReceived{Message: sent}) })
+		m.world.schedule(m.world.randomDelay(m.world.environment.Link), func() { receiver.pipeline.Apply(m.world.now, register.MessageReceived{Message: sent}) })
 	}
 }
 
@@ -155,75 +155,75 @@
 
 // Complete implements persistence.Sink: the operator writes the next change.
 func (m *machine) Complete(register.Outcome) {
-	if m.left--; m.left > 0 {
-		m.world.after(0, m.put)
+	if m.pendingChanges--; m.pendingChanges > 0 {
+		m.world.schedule(0, m.put)
 	}
 }
 
 // put has the operator write its next change.
 func (m *machine) put() {
-	m.version += uint32(m.world.in.Machines)
+	m.version += uint32(m.world.environment.Machines)
 	body := fmt.Appendf(nil, "change %d", m.version)
-	m.pipeline.Apply(m.world.now, register.Put{ID: uint64(m.left), Version: m.version, Content: register.ContentOf(body), Body: body})
+	m.pipeline.Apply(m.world.now, register.Put{ID: uint64(m.pendingChanges), Version: m.version, Content: register.ContentOf(body), Body: body})
 }
 
 // Rounds plays a run of the register with its timing, drawn from a seed, and returns how long it took until every change was answered. An
 // error says that it did not end in time.
-func Rounds(in Surroundings, t timing.Register, seed uint64) (took time.Duration, err error) {
-	w := &world{in: in, random: rand.New(rand.NewPCG(seed, stream))}
-	var all []*machine
+func RunRegister(environment Environment, t timing.Register, seed uint64) (duration time.Duration, err error) {
+	w := &world{environment: environment, random: rand.New(rand.NewPCG(seed, randomStream))}
+	var machines []*machine
 	var members []string
-	for i := range in.Machines {
-		members = append(members, name(i))
+	for i := range environment.Machines {
+		members = append(members, machineName(i))
 	}
-	for i := range in.Machines {
-		m := &machine{world: w, number: i, all: &all, version: uint32(i + 1), writes: i < in.Writers}
-		replica := register.New(name(i), members, true, nil, seed<<8+uint64(i))
+	for i := range environment.Machines {
+		m := &machine{world: w, index: i, machines: &machines, version: uint32(i + 1), hasWriter: i < environment.Writers}
+		replica := register.New(machineName(i), members, true, nil, seed<<8+uint64(i))
 		replica.SetTiming(t)
 		m.pipeline = persistence.New(replica, replica.State(), m)
-		all = append(all, m)
+		machines = append(machines, m)
 	}
-	for _, m := range all {
-		if m.writes {
-			m.left = changes
+	for _, m := range machines {
+		if m.hasWriter {
+			m.pendingChanges = changesPerWriter
 			m.put()
 		}
 	}
-	for w.now < in.limit() {
+	for w.now < environment.timeLimit() {
 		w.advance()
-		left := 0
-		for _, m := range all {
+		pendingChanges := 0
+		for _, m := range machines {
 			m.pipeline.Tick(w.now)
 			m.checkHealth()
-			left += max(0, m.left)
+			pendingChanges += max(0, m.pendingChanges)
 		}
-		if left == 0 {
-			return w.now, refusals(all)
+		if pendingChanges == 0 {
+			return w.now, checkRefusals(machines)
 		}
 	}
-	return w.now, errors.Errorf("%+v: not every change is answered after %v", in, w.now)
+	return w.now, errors.Errorf("%+v: not every change is answered after %v", environment, w.now)
 }
 
 // maxRefusing is the share of a run for which a machine may refuse operations, as a quorum's replies wait for slow disks or come late.
-const maxRefusing = 0.25
+const maxRefusingShare = 0.25
 
 // refusals returns an error if a machine, all of whose peers answer, refuses operations for want of a quorum.
-func refusals(all []*machine) error {
-	for _, m := range all {
-		if share := float64(m.refusing) / float64(m.world.now); share > maxRefusing {
-			return errors.Errorf("%+v: %s refuses operations for %.2f of the time, and all machines answer", m.world.in, name(m.number), share)
+func checkRefusals(machines []*machine) error {
+	for _, m := range machines {
+		if share := float64(m.refusingTime) / float64(m.world.now); share > maxRefusingShare {
+			return errors.Errorf("%+v: %s refuses operations for %.2f of the time, and all machines answer", m.world.environment, machineName(m.index), share)
 		}
 	}
 	return nil
 }
 
 // Leases plays a run of the lease, and returns how long it took until it was granted for the first time.
-func Leases(in Surroundings, t timing.Lease, seed uint64) (took time.Duration, err error) {
-	w := &world{in: in, random: rand.New(rand.NewPCG(seed, stream))}
+func RunLease(environment Environment, t timing.Lease, seed uint64) (duration time.Duration, err error) {
+	w := &world{environment: environment, random: rand.New(rand.NewPCG(seed, randomStream))}
 	leases := map[string]*lease.Lease{}
 	var members []string
-	for i := range in.Machines {
-		members = append(members, name(i))
+	for i := range environment.Machines {
+		members = append(members, machineName(i))
 	}
 	for _, self := range members {
 		leases[self] = lease.New(self, 0, 0, t)
@@ -231,13 +231,13 @@
 	}
 	var send func(lease.Message)
 	send = func(m lease.Message) {
-		w.after(w.delay(in.Link), func() {
+		w.schedule(w.randomDelay(environment.Link), func() {
 			if response, ok := leases[m.To].Handle(w.now, m); ok {
 				send(response)
 			}
 		})
 	}
-	for w.now < leaseLimit*t.VoteDuration {
+	for w.now < leaseGrantLimit*t.VoteDuration {
 		w.advance()
 		for _, self := range members {
 			for _, m := range leases[self].Tick(w.now) {
@@ -248,5 +248,5 @@
 			}
 		}
 	}
-	return w.now, errors.Errorf("%+v: the lease is not granted after %v", in, w.now)
+	return w.now, errors.Errorf("%+v: the lease is not granted after %v", environment, w.now)
 }
--- a/lab/explore/members/glue.go
+++ b/lab/explore/members/glue.go
@@ -15,8 +15,8 @@
 
 // Write implements persistence.Sink. The defect of a disk that claims too early tells the pipeline at once that it has the state.
 func (m *machine) Write(w persist.Write) {
-	m.write, m.synced = &w, m.world.now+m.world.syncTime()
-	if m.world.defect.early {
+	m.pendingWrite, m.syncedAt = &w, m.world.now+m.world.syncTime()
+	if m.world.defect.reportsBeforeSync {
 		m.pipeline.WriteCompleted(m.now(), w.Number, nil)
 	}
 }
@@ -48,7 +48,7 @@
 
 // DiskFailing implements reconcile.Register; some disks fail unnoticed.
 func (m *machine) DiskFailing(now time.Duration) bool {
-	return m.pipeline.DiskFailing(now) && !m.unnoticed
+	return m.pipeline.DiskFailing(now) && !m.faultUnnoticed
 }
 
 // OnDisk implements reconcile.Register.
@@ -63,7 +63,7 @@
 // ReplacementProposed implements reconcile.Sink.
 func (m *machine) ReplacementProposed(c replacement.Change) {
 	m.world.log("%s replaces %v by %v", m.name, c.Lost, c.Successors)
-	m.world.defect.usurpMembers(m, c)
+	m.world.defect.writeByNewMembers(m, c)
 }
 
 // HandoverProposed implements reconcile.Sink.
@@ -77,6 +77,6 @@
 // Depart implements reconcile.Sink.
 func (m *machine) Depart(reason error, _ bool) {
 	m.world.log("%s leaves (error: %v)", m.name, reason)
-	m.departedInOrder = reason == nil
-	m.down()
+	m.departedGracefully = reason == nil
+	m.stop()
 }
--- a/lab/explore/members/machine.go
+++ b/lab/explore/members/machine.go
@@ -16,18 +16,18 @@
 
 // machine is a control machine: the shipped decisions, driven as the control plane drives them, with a clock and a disk of its own.
 type machine struct {
-	world           *world
-	name            string
-	zone            string
-	rate            float64 // of its clock
-	started         time.Duration
-	incarnation     uint64
-	frozen          bool
-	cut             bool
-	stalled         bool // its disk takes nothing
-	unnoticed       bool // ... and it does not know
-	departedInOrder bool // it has left in order
-	removed         bool // for good
+	world              *world
+	name               string
+	zone               string
+	clockRate          float64 // of its clock
+	started            time.Duration
+	incarnation        uint64
+	frozen             bool
+	partitioned        bool
+	stalled            bool // its disk takes nothing
+	faultUnnoticed     bool // ... and it does not know
+	departedGracefully bool // it has left in order
+	removed            bool // for good
 
 	// The shipped parts of the control plane, in place of its event loop.
 	replica    *register.Replica // nil: it is down
@@ -40,17 +40,17 @@
 	lastID    uint64
 	nextHello time.Duration
 	inbox     []delivery
-	pending   map[uint64]wait // by the number of the operation
+	pending   map[uint64]pendingCall // by the number of the operation
 
-	disk   *register.State
-	write  *persist.Write // that the disk works on
-	synced time.Duration  // when it has it, by the world's time
+	disk         *register.State
+	pendingWrite *persist.Write // that the disk works on
+	syncedAt     time.Duration  // when it has it, by the world's time
 }
 
 // wait is an operator's call that waits for an answer.
-type wait struct {
-	until time.Duration // by the world's time
-	call  uint64        // its number in the history
+type pendingCall struct {
+	deadline  time.Duration // by the world's time
+	historyID uint64        // its number in the history
 }
 
 // hello is the status that a machine reports.
@@ -62,26 +62,28 @@
 func (m *machine) up() bool { return m.replica != nil }
 
 // now is its own time.
-func (m *machine) now() time.Duration { return time.Duration(float64(m.world.now-m.started) * m.rate) }
+func (m *machine) now() time.Duration {
+	return time.Duration(float64(m.world.now-m.started) * m.clockRate)
+}
 
 func (m *machine) start(first bool) {
 	w := m.world
 	m.incarnation++
-	m.started, m.frozen, m.cut, m.departedInOrder = w.now, false, false, false
-	m.inbox, m.write, m.pending, m.nextHello = nil, nil, map[uint64]wait{}, 0
+	m.started, m.frozen, m.partitioned, m.departedGracefully = w.now, false, false, false
+	m.inbox, m.pendingWrite, m.pending, m.nextHello = nil, nil, map[uint64]pendingCall{}, 0
 	m.timeouts = w.defect.timeouts()
 	m.peers = peers.New[string](m.name, m.zone)
 	var members []string
-	for _, x := range w.machines[:seeds] {
+	for _, x := range w.machines[:initialMembers] {
 		members = append(members, x.name)
 	}
-	m.replica = register.New(m.name, members, first || w.defect.innocent && m.disk == nil, m.disk, m.incarnation<<16+uint64(len(w.inFlight))+1)
-	m.replica.SetTiming(w.defect.rounds())
+	m.replica = register.New(m.name, members, first || w.defect.votesWhenEmptied && m.disk == nil, m.disk, m.incarnation<<16+uint64(len(w.inFlight))+1)
+	m.replica.SetTiming(w.defect.registerTiming())
 	if first {
 		s := m.replica.State()
 		m.disk = &s
 	}
-	m.putBehindDisk()
+	m.startPipeline()
 	config := reconcile.Config{
 		Self: m.name, Zone: m.zone, Timeouts: m.timeouts, Tolerance: w.defect.tolerance(w.tolerance), Seed: m.incarnation << 32,
 	}
@@ -89,7 +91,7 @@
 }
 
 // putBehindDisk puts the replica behind what the disk has.
-func (m *machine) putBehindDisk() {
+func (m *machine) startPipeline() {
 	onDisk := register.State{}
 	if m.disk != nil {
 		onDisk = *m.disk
@@ -108,11 +110,11 @@
 }
 
 // down ends the process; a write that is under way may have reached the disk or not.
-func (m *machine) down() {
-	if m.write != nil && m.world.rng.IntN(2) == 0 && !m.stalled {
-		m.disk = m.write.State
+func (m *machine) stop() {
+	if m.pendingWrite != nil && m.world.rng.IntN(2) == 0 && !m.stalled {
+		m.disk = m.pendingWrite.State
 	}
-	m.replica, m.write, m.inbox = nil, nil, nil
+	m.replica, m.pendingWrite, m.inbox = nil, nil, nil
 }
 
 // step does what is due.
@@ -121,8 +123,8 @@
 		return
 	}
 	now := m.now()
-	if w := m.write; w != nil && m.world.now >= m.synced && !m.stalled {
-		m.disk, m.write = w.State, nil
+	if w := m.pendingWrite; w != nil && m.world.now >= m.syncedAt && !m.stalled {
+		m.disk, m.pendingWrite = w.State, nil
 		m.pipeline.WriteCompleted(now, w.Number, nil)
 	}
 	if now >= m.nextHello {
@@ -130,7 +132,7 @@
 		m.broadcastHello(now)
 	}
 	if now >= m.reconciler.NextTick() {
-		m.followConnections(now)
+		m.updateConnections(now)
 		m.reconciler.Tick(now)
 		if !m.up() { // it has departed
 			return
@@ -139,22 +141,22 @@
 	}
 	m.receive(now)
 	m.pipeline.Tick(now)
-	m.expire()
+	m.expirePending()
 }
 
 // receive takes in what came.
 func (m *machine) receive(now time.Duration) {
 	inbox := m.inbox
 	m.inbox = nil
-	for _, l := range inbox {
-		switch body := l.body.(type) {
+	for _, message := range inbox {
+		switch body := message.body.(type) {
 		case hello:
-			m.peers.Record(l.from, body.zone, now)
-			m.peers.Get(l.from).Status = body.status
+			m.peers.Record(message.from, body.zone, now)
+			m.peers.Get(message.from).Status = body.status
 		case lease.Message:
 			m.reconciler.HandleLease(now, body)
 		case register.Message:
-			m.peers.Record(l.from, "", now)
+			m.peers.Record(message.from, "", now)
 			m.apply(register.MessageReceived{Message: body})
 		}
 	}
@@ -163,13 +165,13 @@
 func (m *machine) apply(ev register.Event) { m.pipeline.Apply(m.now(), ev) }
 
 // caller brings the result of an operation to its operator.
-type caller struct {
+type responder struct {
 	m  *machine
 	id uint64 // of the operator's call in the history
 }
 
 // Respond implements operations.Responder.
-func (c caller) Respond(r operations.Result) {
+func (c responder) Respond(r operations.Result) {
 	if r.Err != nil {
 		c.m.world.history.Expire(c.id)
 		return
@@ -179,16 +181,16 @@
 
 // propose hands it an operator's wish.
 func (m *machine) propose(r operations.Request, id uint64) {
-	if op := m.operations.Propose(m.now(), r, caller{m, id}); op > 0 {
-		m.pending[op] = wait{m.world.now + opExpires, id}
+	if op := m.operations.Propose(m.now(), r, responder{m, id}); op > 0 {
+		m.pending[op] = pendingCall{m.world.now + operationTimeout, id}
 	}
 }
 
-func (m *machine) expire() {
+func (m *machine) expirePending() {
 	for id, w := range m.pending {
-		if m.world.now > w.until {
+		if m.world.now > w.deadline {
 			delete(m.pending, id)
-			m.world.history.Expire(w.call)
+			m.world.history.Expire(w.historyID)
 			m.operations.Cancel(id)
 		}
 	}
@@ -197,12 +199,12 @@
 // broadcastHello sends the status to all machines, whose addresses hellos spread.
 func (m *machine) broadcastHello(now time.Duration) {
 	h := hello{zone: m.zone, status: m.reconciler.Status(now)}
-	if m.world.defect.deaf {
+	if m.world.defect.hidesStandByState {
 		h.status.Voter, h.status.DiskFailing = true, false
 	}
-	for _, x := range m.world.machines {
-		if x != m && x.incarnation > 0 && !x.removed {
-			m.world.send(m.name, x.name, h)
+	for _, other := range m.world.machines {
+		if other != m && other.incarnation > 0 && !other.removed {
+			m.world.send(m.name, other.name, h)
 		}
 	}
 	if seen := m.peers.Seen(); len(seen) > 0 {
@@ -212,13 +214,13 @@
 
 // followConnections makes connections to machines that are up and on this side of a cut, and loses the others. One that is frozen keeps its
 // connections: a new one is made at once in place of one that is closed as silent.
-func (m *machine) followConnections(now time.Duration) {
+func (m *machine) updateConnections(now time.Duration) {
 	for _, p := range m.peers.All() {
-		x := m.world.find(p.Addr)
-		switch linked := x.up() && x.cut == m.cut; {
-		case linked && !p.Connected():
+		other := m.world.machineNamed(p.Addr)
+		switch connectable := other.up() && other.partitioned == m.partitioned; {
+		case connectable && !p.Connected():
 			m.peers.SetConn(p.Addr, p.Addr, now)
-		case !linked && p.Connected():
+		case !connectable && p.Connected():
 			m.peers.SetConn(p.Addr, "", now)
 		}
 	}
@@ -229,13 +231,13 @@
 
 // beginDeparture is the request to end.
 func (m *machine) beginDeparture() {
-	if m.world.defect.rude {
-		m.departedInOrder = true
-		m.down()
+	if m.world.defect.leavesAtOnce {
+		m.departedGracefully = true
+		m.stop()
 		return
 	}
 	m.reconciler.BeginDeparture(m.now())
 	m.broadcastHello(m.now())
-	m.followConnections(m.now())
+	m.updateConnections(m.now())
 	m.reconciler.Tick(m.now())
 }
--- a/lab/explore/members/members.go
+++ b/lab/explore/members/members.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	step      = 5 * time.Millisecond
-	syncS     = 4 * time.Second // of the pages
-	graceS    = 6 * time.Second
-	seeds     = 3 // machines that are members at first
-	settling  = 8 * time.Second
-	opEvery   = 100 * time.Millisecond
-	opExpires = time.Second
+	step              = 5 * time.Millisecond
+	syncS             = 4 * time.Second // of the pages
+	graceS            = 6 * time.Second
+	initialMembers    = 3 // machines that are members at first
+	settleTime        = 8 * time.Second
+	operationInterval = 100 * time.Millisecond
+	operationTimeout  = time.Second
 )
 
 // MaxUnavailability is for how long operators may go without any answer: one fault, a restart of its machines and the
@@ -37,7 +37,7 @@
 	defect *Defect
 	// tolerance is how many machines may be lost at once, and sync the longest time of a disk's sync; 0: some milliseconds.
 	tolerance int
-	sync      time.Duration
+	maxSync   time.Duration
 	now       time.Duration
 	machines  []*machine
 	inFlight  []delivery
@@ -45,33 +45,33 @@
 	lastID    uint64
 	version   uint32
 	nextOp    time.Duration
-	closing   bool // operators only read
+	readOnly  bool // operators only read
 	events    []string
 }
 
 // delivery is a message on its way: a register's, a lease's, or a hello.
 type delivery struct {
-	at       time.Duration
+	dueAt    time.Duration
 	from, to string
 	body     any
 }
 
 // Run plays one order drawn from a seed and returns what broke, and how it came to it. A nil defect plants none.
-func Run(in Surroundings, d *Defect, seed uint64) (story []string, breach error) {
+func Run(environment Environment, d *Defect, seed uint64) (trace []string, breach error) {
 	if d == nil {
 		d = &Defect{}
 	}
-	w := &world{rng: rand.New(rand.NewPCG(seed, uint64(in.Machines))), defect: d, tolerance: max(1, in.Tolerance), sync: in.Sync}
-	for range in.Machines {
-		w.add()
+	w := &world{rng: rand.New(rand.NewPCG(seed, uint64(environment.Machines))), defect: d, tolerance: max(1, environment.Tolerance), maxSync: environment.Sync}
+	for range environment.Machines {
+		w.addMachine()
 	}
 	for i, m := range w.machines {
-		last := i == in.Machines-1
-		m.start(!last || !in.Blank)
-		m.stalled, m.unnoticed = last && (in.Stalled || in.Blank), in.Blank
+		last := i == environment.Machines-1
+		m.start(!last || !environment.Blank)
+		m.stalled, m.faultUnnoticed = last && (environment.Stalled || environment.Blank), environment.Blank
 	}
-	w.pass(settling)
-	for range in.Faults {
+	w.advance(settleTime)
+	for range environment.Faults {
 		if w.history.Broken == nil {
 			w.injectFault()
 		}
@@ -83,9 +83,9 @@
 }
 
 // Search plays so many orders in each surroundings and returns the first seed that breaks, and how.
-func Search(in Surroundings, d *Defect, from, orders uint64) (seed uint64, breach error) {
-	for seed = from; seed < from+orders; seed++ {
-		if _, breach = Run(in, d, seed); breach != nil {
+func Search(environment Environment, d *Defect, firstSeed, orders uint64) (seed uint64, breach error) {
+	for seed = firstSeed; seed < firstSeed+orders; seed++ {
+		if _, breach = Run(environment, d, seed); breach != nil {
 			return seed, breach
 		}
 	}
@@ -94,10 +94,10 @@
 
 // syncTime draws how long a disk takes for a sync.
 func (w *world) syncTime() time.Duration {
-	const least, usual = 1, 12
-	drawn := time.Duration(least+w.rng.IntN(usual)) * time.Millisecond
-	if w.sync > 0 {
-		drawn *= w.sync / (usual * time.Millisecond)
+	const minSync, usualSync = 1, 12
+	drawn := time.Duration(minSync+w.rng.IntN(usualSync)) * time.Millisecond
+	if w.maxSync > 0 {
+		drawn *= w.maxSync / (usualSync * time.Millisecond)
 	}
 	return drawn
 }
@@ -106,14 +106,14 @@
 	w.events = append(w.events, fmt.Sprintf("%7.2f  ", w.now.Seconds())+fmt.Sprintf(format, args...))
 }
 
-func (w *world) add() *machine {
+func (w *world) addMachine() *machine {
 	m := &machine{world: w, name: fmt.Sprintf("m%02d", len(w.machines)), zone: fmt.Sprintf("zone %d", len(w.machines)%3)}
-	m.rate = 1 + 0.0005*float64(w.rng.IntN(3)-1)
+	m.clockRate = 1 + 0.0005*float64(w.rng.IntN(3)-1)
 	w.machines = append(w.machines, m)
 	return m
 }
 
-func (w *world) find(name string) *machine {
+func (w *world) machineNamed(name string) *machine {
 	for _, m := range w.machines {
 		if m.name == name {
 			return m
@@ -123,7 +123,7 @@
 }
 
 // pass lets time pass, with operators at work.
-func (w *world) pass(d time.Duration) {
+func (w *world) advance(d time.Duration) {
 	for end := w.now + d; w.now < end && w.history.Broken == nil; {
 		w.now += step
 		w.deliver()
@@ -131,10 +131,10 @@
 			m.step()
 		}
 		if w.now >= w.nextOp {
-			w.nextOp = w.now + opEvery
+			w.nextOp = w.now + operationInterval
 			w.operate()
 		}
-		w.history.Watch(w.now, MaxUnavailability)
+		w.history.CheckAvailability(w.now, MaxUnavailability)
 	}
 }
 
@@ -147,35 +147,35 @@
 }
 
 func (w *world) deliver() {
-	mail := w.inFlight
+	inFlight := w.inFlight
 	w.inFlight = nil
-	for _, l := range mail {
-		to, from := w.find(l.to), w.find(l.from)
+	for _, message := range inFlight {
+		to, from := w.machineNamed(message.to), w.machineNamed(message.from)
 		switch {
-		case l.at > w.now || to.frozen:
-			w.inFlight = append(w.inFlight, l)
-		case !to.up() || to.cut != from.cut:
+		case message.dueAt > w.now || to.frozen:
+			w.inFlight = append(w.inFlight, message)
+		case !to.up() || to.partitioned != from.partitioned:
 		default:
-			to.inbox = append(to.inbox, l)
+			to.inbox = append(to.inbox, message)
 		}
 	}
 }
 
 // operate has an operator write or read at a machine by chance.
 func (w *world) operate() {
-	var able []*machine
+	var candidates []*machine
 	for _, m := range w.machines {
 		if m.up() && !m.frozen {
-			able = append(able, m)
+			candidates = append(candidates, m)
 		}
 	}
-	if len(able) == 0 {
+	if len(candidates) == 0 {
 		return
 	}
-	m := able[w.rng.IntN(len(able))]
+	m := candidates[w.rng.IntN(len(candidates))]
 	w.lastID++
 	// In every other second operators only read: a write would hide that the one before it was lost.
-	if writes := w.now/time.Second%2 == 0 && !w.closing; writes && w.rng.IntN(2) == 0 {
+	if writes := w.now/time.Second%2 == 0 && !w.readOnly; writes && w.rng.IntN(2) == 0 {
 		w.version++
 		w.history.Begin(w.lastID, w.version, w.now)
 		m.propose(operations.Write{Version: w.version, Body: []byte(fmt.Sprint(w.version))}, w.lastID)
--- a/lab/explore/rollouts/choices.go
+++ b/lab/explore/rollouts/choices.go
@@ -13,15 +13,15 @@
 // Choices implements explore.System.
 func (w *world) Choices() []string {
 	w.choices = w.choices[:0]
-	w.offer(w.pass, "time passes")
+	w.offer(w.advance, "time passes")
 	w.offer(func() {
 		for range manySteps {
-			w.pass()
+			w.advance()
 		}
 	}, "%v pass", manySteps*step)
 	for i, s := range w.sidecars {
-		w.offer(func() { w.tell(s, w.controls[0].set) }, "sidecar %d is updated", i)
-		w.offer(func() { s.long = true }, "the next request of sidecar %d is a long one", i)
+		w.offer(func() { w.updateSidecar(s, w.controls[0].set) }, "sidecar %d is updated", i)
+		w.offer(func() { s.nextIsLong = true }, "the next request of sidecar %d is a long one", i)
 	}
 	for i, c := range w.controls {
 		w.offer(func() { c.set = w.committed }, "control machine %d learns what is committed", i)
@@ -35,22 +35,22 @@
 // offerFaults offers cuts, restarts, late updates, another leader and a bad version.
 func (w *world) offerFaults() {
 	for i, s := range w.sidecars {
-		w.offerFault(func() { s.cut = !s.cut }, "sidecar %d is cut off, or joined again", i)
+		w.offerFault(func() { s.partitioned = !s.partitioned }, "sidecar %d is cut off, or joined again", i)
 		w.offerFault(func() { w.restart(i) }, "sidecar %d is killed and starts at once", i)
 	}
 	for i := range w.controls {
 		w.offerFault(func() { w.controls[i] = w.newControl(w.now) }, "control machine %d is killed and starts at once", i)
 	}
-	w.offerFault(func() { w.delayed = !w.delayed }, "updates are late, or no longer")
+	w.offerFault(func() { w.updatesDelayed = !w.updatesDelayed }, "updates are late, or no longer")
 	w.offerFault(func() { w.leader = (w.leader + 1) % len(w.controls) }, "another control machine holds the lease")
-	w.offerFault(func() { w.bad = true }, "the new version turns bad")
+	w.offerFault(func() { w.newVersionFails = true }, "the new version turns bad")
 }
 
 // restart starts a sidecar's process anew: it has confirmed nothing, serves once it has been updated, and its requests have ended with it.
 func (w *world) restart(i int) {
 	s := w.sidecars[i]
-	s.set, s.ready, s.confirmed, s.atOld, s.long = rollout.Set{}, w.defect.servesUntold, 0, nil, false
-	if w.defect.evidenceOutlives {
+	s.set, s.ready, s.confirmed, s.requestsAtOld, s.nextIsLong = rollout.Set{}, w.defect.servesBeforeUpdate, 0, nil, false
+	if w.defect.confirmationSurvivesRestart {
 		s.confirmed = w.committed.Revision
 	}
 }
--- a/lab/explore/rollouts/rollouts_test.go
+++ b/lab/explore/rollouts/rollouts_test.go
@@ -9,7 +9,7 @@
 // depth is how many choices an order has: a term and more, as some of them are of many steps.
 const depth = 40
 
-func TestDeliveredMeansThatNobodySendsToTheOldVersion(t *testing.T) {
+func TestNoRequestsToOldVersionAfterDelivery(t *testing.T) {
 	if r := explore.Random(Start(DefaultBounds, nil), 1, 1500, depth); r.Breach != nil {
 		t.Error(r)
 	} else {
--- a/lab/explore/rollouts/world.go
+++ b/lab/explore/rollouts/world.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	service = "one"
-	old     = "v1"
-	target  = "v2"
+	service    = "one"
+	oldVersion = "v1"
+	newVersion = "v2"
 	// step is how much time passes at once, and term that of the rollout.
 	step = 250 * time.Millisecond
 	term = 8 * time.Second
@@ -32,14 +32,14 @@
 	shortRequest = step
 	longRequest  = 3 * time.Second
 	// lostAfter is the silence after which a control machine holds a sidecar for lost.
-	lostAfter = 3 * time.Second
+	lostTimeout = 3 * time.Second
 	// exposureShare and exposureSlack are what a bad version may get.
 	exposureShare = 0.1
 	exposureSlack = 8
 	// slots are those of each server.
 	slots = 4
 	// failing is the share of requests that the new version fails once it is bad, as one in so many.
-	failing = 2
+	failureInterval = 2
 )
 
 // durations are those of a deployment in which a sidecar counts as lost well before it is out of touch.
@@ -47,21 +47,21 @@
 
 // sidecar is a branch machine: it sends, and has a server of one version.
 type sidecar struct {
-	version   string
-	set       rollout.Set // by which it sends
-	ready     bool
-	cut       bool // from all control machines
-	contactAt time.Duration
-	split     rollout.Split
-	start     float64 // of the split
-	confirmed uint32
-	behind    bool            // it was out of contact for long as the rollout was delivered, and has had no update since
-	atOld     []time.Duration // ends of its requests at servers of the old version
-	long      bool            // its next request is a long one
+	version       string
+	set           rollout.Set // by which it sends
+	ready         bool
+	partitioned   bool // from all control machines
+	contactAt     time.Duration
+	split         rollout.Split
+	splitOffset   float64 // of the split
+	confirmed     uint32
+	stale         bool            // it was out of contact for long as the rollout was delivered, and has had no update since
+	requestsAtOld []time.Duration // ends of its requests at servers of the old version
+	nextIsLong    bool            // its next request is a long one
 
-	chosen, requests int // in the canary
-	counted          rollout.Statistics
-	order            uint32
+	canaryRequests, requests int // in the canary
+	statistics               rollout.Statistics
+	order                    uint32
 }
 
 // control is a control machine.
@@ -77,15 +77,15 @@
 	bounds Bounds
 	defect *Defect
 
-	now       time.Duration
-	committed rollout.Set
-	sidecars  []*sidecar
-	controls  []*control
-	leader    int
-	bad       bool // the new version fails
-	delayed   bool // control machines learn of commits, and sidecars of those, only by choices
-	faults    int
-	failures  int // requests of the new version since it is bad
+	now                  time.Duration
+	committed            rollout.Set
+	sidecars             []*sidecar
+	controls             []*control
+	leader               int
+	newVersionFails      bool // the new version fails
+	updatesDelayed       bool // control machines learn of commits, and sidecars of those, only by choices
+	faults               int
+	requestsWhileFailing int // requests of the new version since it is bad
 
 	deliveredAt time.Duration // 0: it is not
 	outcome     rollout.Stage
@@ -101,12 +101,12 @@
 	}
 	return func() explore.System {
 		w := &world{bounds: b, defect: d, now: time.Minute}
-		w.committed = w.committed.Start(rollout.Order{Service: service, Target: target, Term: term})
+		w.committed = w.committed.Start(rollout.Order{Service: service, Target: newVersion, Term: term})
 		for i := range b.Machines {
-			s := &sidecar{version: old, set: w.committed, ready: true, contactAt: w.now, order: 1, counted: rollout.Statistics{Class: 1}}
-			s.start = float64(i) / float64(b.Machines)
+			s := &sidecar{version: oldVersion, set: w.committed, ready: true, contactAt: w.now, order: 1, statistics: rollout.Statistics{Class: 1}}
+			s.splitOffset = float64(i) / float64(b.Machines)
 			if i >= b.Machines/2 {
-				s.version = target
+				s.version = newVersion
 			}
 			w.sidecars = append(w.sidecars, s)
 		}
@@ -142,7 +142,7 @@
 }
 
 // pass lets a step pass: requests are made and end, sidecars report, control machines decide, and what was committed spreads.
-func (w *world) pass() {
+func (w *world) advance() {
 	w.now += step
 	for _, s := range w.sidecars {
 		s.endRequests(w.now)
@@ -152,21 +152,21 @@
 	for i := range w.controls {
 		w.decide(i)
 	}
-	if !w.delayed {
-		w.spread()
+	if !w.updatesDelayed {
+		w.propagate()
 	}
-	w.check()
+	w.checkCanaryShare()
 }
 
 // endRequests drops the requests that have ended.
 func (s *sidecar) endRequests(now time.Duration) {
-	remaining := s.atOld[:0]
-	for _, end := range s.atOld {
+	remaining := s.requestsAtOld[:0]
+	for _, end := range s.requestsAtOld {
 		if end > now {
 			remaining = append(remaining, end)
 		}
 	}
-	s.atOld = remaining
+	s.requestsAtOld = remaining
 }
 
 // send makes the requests of a step.
@@ -176,11 +176,11 @@
 	}
 	r, known := s.set.Find(service)
 	if known && r.Stage == rollout.Canary {
-		plan := w.plan(&r)
+		plan := w.canaryPlan(&r)
 		if w.defect.doublesShare {
 			plan.Share *= 2
 		}
-		s.split.Begin(w.now, plan, s.start)
+		s.split.Begin(w.now, plan, s.splitOffset)
 	} else {
 		s.split.Stop()
 	}
@@ -193,19 +193,19 @@
 	chosen := s.split.Next(w.now)
 	toOld, toTarget := rollout.Eligible, rollout.Eligible
 	if known {
-		toOld, toTarget = r.Eligibility(old, false), r.Eligibility(target, false)
+		toOld, toTarget = r.Eligibility(oldVersion, false), r.Eligibility(newVersion, false)
 	}
 	stale := w.now-s.contactAt > durations.LostSidecarWait
 	if known && r.Stage == rollout.Canary {
 		s.requests++
 		if chosen {
-			s.chosen++
+			s.canaryRequests++
 		}
 		if stale {
 			toTarget = rollout.Eligible
 		}
 	}
-	if w.defect.keepsOld && toOld == rollout.NotEligible && r.Stage == rollout.Delivered {
+	if w.defect.sendsToOldAfterDelivery && toOld == rollout.NotEligible && r.Stage == rollout.Delivered {
 		toOld = rollout.Eligible
 	}
 	switch {
@@ -219,25 +219,25 @@
 // runAtTarget runs a request at one of the servers of the new version.
 func (w *world) runAtTarget() {
 	failed := false
-	if w.bad {
-		w.failures++
-		failed = w.failures%failing == 0
+	if w.newVersionFails {
+		w.requestsWhileFailing++
+		failed = w.requestsWhileFailing%failureInterval == 0
 	}
 	first := w.bounds.Machines / 2
-	w.sidecars[first+w.failures%(w.bounds.Machines-first)].counted.Record(failed, false, shortRequest)
+	w.sidecars[first+w.requestsWhileFailing%(w.bounds.Machines-first)].statistics.Record(failed, false, shortRequest)
 }
 
 // runAtOld runs a request of a sidecar at a server of the old version. Once a rollout is delivered there is none.
 func (w *world) runAtOld(s *sidecar) {
-	if w.deliveredAt > 0 && !s.behind && w.broken == nil {
+	if w.deliveredAt > 0 && !s.stale && w.broken == nil {
 		w.broken = fmt.Errorf("%v after the delivery a sidecar in contact sends to the old version", w.now-w.deliveredAt)
 	}
-	took := shortRequest
-	if s.long {
-		took, s.long = longRequest, false
+	duration := shortRequest
+	if s.nextIsLong {
+		duration, s.nextIsLong = longRequest, false
 	}
-	s.atOld = append(s.atOld, w.now+took)
-	w.sidecars[0].counted.Record(false, false, shortRequest)
+	s.requestsAtOld = append(s.requestsAtOld, w.now+duration)
+	w.sidecars[0].statistics.Record(false, false, shortRequest)
 }
 
 // report brings what sidecars report to the control machines.
@@ -246,20 +246,20 @@
 		w.confirm(s)
 		for _, c := range w.controls {
 			m := c.machines[i]
-			if !s.cut {
+			if !s.partitioned {
 				s.contactAt = w.now
 				m = rollout.Machine{
 					Node: fmt.Sprint("branch-", i), Service: service, Version: s.version, Accepting: true, Slots: slots,
-					LastSeen: c.clock(w.now), Confirmed: s.confirmed, Order: s.order, Classes: []rollout.Statistics{s.counted},
+					LastSeen: c.clock(w.now), Confirmed: s.confirmed, Order: s.order, Classes: []rollout.Statistics{s.statistics},
 				}
-				if w.defect.confirmsUnseen {
+				if w.defect.confirmsUnreceived {
 					m.Confirmed = c.set.Revision
 				}
 			} else if m.Service == "" && !w.learnFromPeers(c, i, &m) {
 				continue // no control machine knows the sidecar
 			}
-			m.Lost = c.clock(w.now)-m.LastSeen > lostAfter
-			if m.Lost && w.defect.lostIsGone {
+			m.Lost = c.clock(w.now)-m.LastSeen > lostTimeout
+			if m.Lost && w.defect.ignoresLostSidecars {
 				m.LastSeen = -time.Hour
 			}
 			c.machines[i] = m
@@ -282,8 +282,8 @@
 // confirm has a sidecar confirm what it sends by, once nothing is in flight that it forbids.
 func (w *world) confirm(s *sidecar) {
 	r, known := s.set.Find(service)
-	forbidsOld := known && r.Eligibility(old, false) == rollout.NotEligible
-	if s.ready && (!forbidsOld || len(s.atOld) == 0 || w.defect.confirmsBusy) {
+	forbidsOld := known && r.Eligibility(oldVersion, false) == rollout.NotEligible
+	if s.ready && (!forbidsOld || len(s.requestsAtOld) == 0 || w.defect.confirmsWithRequestsInFlight) {
 		s.confirmed = s.set.Revision
 	}
 }
@@ -301,7 +301,7 @@
 		}
 	}
 	now := c.clock(w.now)
-	if w.defect.knowsAllAtStart {
+	if w.defect.decidesAtStart {
 		now += time.Hour
 		for j := range view.Machines {
 			view.Machines[j].LastSeen += time.Hour
@@ -335,43 +335,43 @@
 	}
 	w.deliveredAt = w.now
 	for _, s := range w.sidecars {
-		s.behind = s.cut && w.now-s.contactAt > durations.LostSidecarWait
-		if len(s.atOld) > 0 && !s.behind && w.broken == nil {
-			w.broken = fmt.Errorf("%d requests are held at the old version as the rollout is delivered", len(s.atOld))
+		s.stale = s.partitioned && w.now-s.contactAt > durations.LostSidecarWait
+		if len(s.requestsAtOld) > 0 && !s.stale && w.broken == nil {
+			w.broken = fmt.Errorf("%d requests are held at the old version as the rollout is delivered", len(s.requestsAtOld))
 		}
 	}
 }
 
 // spread brings what is committed to all control machines, and what these know to the sidecars in contact.
-func (w *world) spread() {
+func (w *world) propagate() {
 	for i := range w.controls {
 		w.controls[i].set = w.committed
 	}
 	for _, s := range w.sidecars {
-		w.tell(s, w.committed)
+		w.updateSidecar(s, w.committed)
 	}
 }
 
 // tell brings a set to a sidecar, which is ready with it.
-func (w *world) tell(s *sidecar, set rollout.Set) {
-	if s.cut || set.Revision < s.set.Revision {
+func (w *world) updateSidecar(s *sidecar, set rollout.Set) {
+	if s.partitioned || set.Revision < s.set.Revision {
 		return
 	}
-	s.set, s.ready, s.contactAt, s.behind = set, true, w.now, false
+	s.set, s.ready, s.contactAt, s.stale = set, true, w.now, false
 }
 
 // plan is each sidecar's for the canary of a rollout.
-func (w *world) plan(r *rollout.Rollout) rollout.Plan {
+func (w *world) canaryPlan(r *rollout.Rollout) rollout.Plan {
 	return rollout.CanaryPlan(r, exposureShare, exposureSlack, len(w.sidecars))
 }
 
 // check looks at the canary's share: no sidecar gives it more than its plan and its start allow.
-func (w *world) check() {
+func (w *world) checkCanaryShare() {
 	r, _ := w.committed.Find(service)
-	plan := w.plan(&r)
+	plan := w.canaryPlan(&r)
 	for i, s := range w.sidecars {
-		if most := s.start + plan.Extra + plan.Share*float64(s.requests); float64(s.chosen) > most && w.broken == nil {
-			w.broken = fmt.Errorf("sidecar %d gave the canary %d of %d requests, %.2f allowed", i, s.chosen, s.requests, most)
+		if allowed := s.splitOffset + plan.Extra + plan.Share*float64(s.requests); float64(s.canaryRequests) > allowed && w.broken == nil {
+			w.broken = fmt.Errorf("sidecar %d gave the canary %d of %d requests, %.2f allowed", i, s.canaryRequests, s.requests, allowed)
 		}
 	}
 }
