--- a/lab/explore/lease/choices.go
+++ b/lab/explore/lease/choices.go
@@ -7,10 +7,10 @@
 	"firplank/lab/explore"
 )
 
-// Steps that pass at once in a choice.
+// manySteps is the number of steps that one choice may advance the time by.
 const manySteps = 15
 
-// delaySteps are how many steps messages may be delayed by: those of a vote duration and more.
+// delaySteps are the numbers of steps that messages may be delayed by: a vote duration and more.
 var delaySteps = []int{21, 25, 29}
 
 // Choices implements explore.System.
@@ -43,7 +43,7 @@
 	}, format, args...)
 }
 
-// offerTime offers that time passes.
+// offerTime adds the choices in which time passes.
 func (w *world) offerTime() {
 	w.offer(func() { w.advance(step) }, "time passes")
 	w.offer(func() { w.advanceSteps(1) }, "time passes, and all messages arrive")
@@ -54,7 +54,7 @@
 	}
 }
 
-// offerMessages offers that one of the oldest or the latest two messages arrives.
+// offerMessages adds the delivery of one of the two oldest or two latest messages.
 func (w *world) offerMessages() {
 	for _, index := range []int{0, 1, len(w.inFlight) - 2, len(w.inFlight) - 1} {
 		if index >= 0 && index < len(w.inFlight) {
@@ -64,7 +64,7 @@
 	}
 }
 
-// offerDelays offers a partition, and that messages arrive late.
+// offerDelays adds partitions and late messages.
 func (w *world) offerDelays() {
 	w.offerFault(func() { w.partition = !w.partition }, "a is partitioned, or joined again")
 	for _, steps := range delaySteps {
@@ -84,7 +84,7 @@
 	}
 }
 
-// offerLosses offers that messages are lost or repeated.
+// offerLosses adds lost and duplicated messages.
 func (w *world) offerLosses() {
 	if len(w.inFlight) == 0 {
 		return
@@ -93,7 +93,7 @@
 	w.offerFault(func() { w.inFlight = w.inFlight[:0] }, "all messages under way are lost")
 }
 
-// offerMachineFaults offers that machines are killed, start and freeze.
+// offerMachineFaults adds kills, starts and freezes of machines.
 func (w *world) offerMachineFaults() {
 	for i := range w.machines {
 		m := &w.machines[i]
--- a/lab/explore/lease/defects.go
+++ b/lab/explore/lease/defects.go
@@ -1,29 +1,29 @@
 package lease
 
-// Bounds bound what may happen in one order.
+// Bounds limits the events of one order.
 type Bounds struct {
 	Machines int
 	Faults   int
-	InFlight int // messages under way at most; beyond it the oldest is lost
+	InFlight int // maximum number of messages in flight; the oldest is dropped beyond it
 }
 
-// DefaultBounds are those of the tests.
+// DefaultBounds are the bounds that the tests use.
 var DefaultBounds = Bounds{Machines: 3, Faults: 8, InFlight: 24}
 
-// Defect is a mistake planted in the surroundings, as if the machines made it.
+// Defect is a fault planted in the simulated environment. It acts like a bug of the machines.
 type Defect struct {
 	Name string
-	Seed uint64 // of an order that finds it; 0: the first search does
+	Seed uint64 // seed of an order that finds the defect; 0 if a search from seed 1 finds it
 
 	noStartupDelay       bool // a machine votes as soon as it has started
 	slowHolder           bool // a clock runs at half speed
-	denialAsVote         bool // a denied vote is read as granted
-	soleMember           bool // one machine has itself as the only member
-	countsForLastRequest bool // a vote counts for the last request, whichever it was given to
-	fastVoters           bool // the voters' clocks run twice as fast
+	denialAsVote         bool // a denied vote is handled as granted
+	soleMember           bool // one machine is its own only member
+	countsForLastRequest bool // a vote counts for the latest request, whichever request it answers
+	fastVoters           bool // the voters' clocks run at double speed
 }
 
-// Defects are those that a search must find.
+// Defects are the planted defects that a search must find.
 var Defects = []Defect{
 	{Name: "a machine votes as soon as it has started", Seed: 70, noStartupDelay: true},
 	{Name: "a holder's clock runs at half speed", Seed: 299, slowHolder: true},
@@ -33,7 +33,7 @@
 	{Name: "the voters' clocks run twice as fast", Seed: 294, fastVoters: true},
 }
 
-// clockRate returns how fast a machine's clock runs: clocks differ by 500 parts in a million each way.
+// clockRate returns the speed of a machine's clock relative to real time. Clocks drift by up to 500 parts per million either way.
 func (d *Defect) clockRate(machine int) float64 {
 	const drift = 0.0005
 	switch {
--- a/lab/explore/lease/lease_test.go
+++ b/lab/explore/lease/lease_test.go
@@ -6,7 +6,8 @@
 	"firplank/lab/explore"
 )
 
-// No two hold the lease at one moment, whatever links, clocks and processes do, and one does when all is repaired.
+// Two machines never hold the lease at the same time under any faults of links, clocks and processes, and one machine holds it after all
+// faults are repaired.
 func TestAtMostOneLeaseHolder(t *testing.T) {
 	oneFault := Bounds{Machines: 3, Faults: 1, InFlight: 24}
 	if r := explore.Exhaust(Start(oneFault, nil), explore.Limits{Depth: 4, States: 100_000}); r.Breach != nil {
@@ -19,7 +20,7 @@
 	}
 }
 
-// A search that finds nothing has to be one that would.
+// The explorer must be able to find faults: every planted defect breaks an invariant.
 func TestPlantedDefectsAreFound(t *testing.T) {
 	for i := range Defects {
 		seed, orders := uint64(1), 4000
--- a/lab/explore/lease/world.go
+++ b/lab/explore/lease/world.go
@@ -1,6 +1,6 @@
-// Package lease explores package mesh/lease: links that lose, delay, repeat and reorder messages, processes that are killed, restart and
-// freeze, clocks that differ in speed. It checks that no two machines hold the lease at one moment, and that one does when all is repaired.
-// It is independent of how a lease is granted.
+// Package lease is an explorer of package mesh/lease: links lose, delay, duplicate and reorder messages, processes are killed, restart and
+// freeze, and clocks differ in speed. It checks that two machines never hold the lease at the same time, and that one machine holds it
+// after all faults are repaired. The check is independent of how a lease is granted.
 //
 // Start reading at Start.
 package lease
@@ -16,15 +16,15 @@
 )
 
 const (
-	// step is how much time passes at once.
+	// step is the resolution of virtual time.
 	step = 100 * time.Millisecond
-	// repairInterval is the number of steps of which one offers that all is repaired.
+	// repairInterval is the number of steps after which all faults may be repaired.
 	repairInterval = 32
-	// recoveryLimit is the number of vote durations within which a lease is granted after that.
+	// recoveryLimit is the number of vote durations within which a lease must be granted after the repair.
 	recoveryLimit = 3
-	// steadySteps is for how many steps its holder is then watched.
+	// steadySteps is the number of steps for which the holder must then stay the same.
 	steadySteps = 20
-	// numberShift leaves room for the numbers of the requests of one start.
+	// requestNumberShift is the number of low bits of a request number that count the requests since a start. The start count is above them.
 	requestNumberShift = 32
 )
 
@@ -33,7 +33,7 @@
 // machine is a control machine.
 type machine struct {
 	name        string
-	lease       *lease.Lease // nil: it is down
+	lease       *lease.Lease // nil while the machine is down
 	started     time.Duration
 	frozen      bool
 	starts      int
@@ -49,15 +49,15 @@
 	inFlight  []lease.Message
 	faults    int
 	steps     int
-	partition bool // between the first machine and the others
-	repaired  bool // this is the end
+	partition bool // the first machine is partitioned from the others
+	repaired  bool // the order ends after a repair
 	broken    error
 
 	fingerprint explore.OrderFingerprint
 	choices     []explore.Choice
 }
 
-// Start returns a function that makes a new system; a nil defect plants none.
+// Start returns a function that creates a new system. No defect is planted if d is nil.
 func Start(b Bounds, d *Defect) func() explore.System {
 	if d == nil {
 		d = &Defect{}
@@ -74,7 +74,7 @@
 	}
 }
 
-// start starts a machine, whatever it did before.
+// start starts or restarts a machine.
 func (w *world) start(i int) {
 	m := &w.machines[i]
 	m.starts++
@@ -93,7 +93,7 @@
 	m.lease.SetMembers(members)
 }
 
-// clock returns a machine's own time.
+// clock returns a machine's local time.
 func (w *world) clock(i int) time.Duration {
 	return time.Duration(float64(w.now-w.machines[i].started) * w.defect.clockRate(i))
 }
@@ -101,7 +101,7 @@
 // Broken implements explore.System.
 func (w *world) Broken() error { return w.broken }
 
-// State implements explore.System: no two orders are taken for the same.
+// State implements explore.System. Every order counts as a state of its own.
 func (w *world) State() uint64 { return uint64(w.fingerprint) }
 
 // Do implements explore.System.
@@ -112,7 +112,7 @@
 	w.choices[choice].Do()
 }
 
-// pass lets time pass at all machines that run.
+// advance advances the time at all running machines.
 func (w *world) advance(d time.Duration) {
 	w.now += d
 	for i := range w.machines {
@@ -128,7 +128,7 @@
 	w.checkSingleHolder()
 }
 
-// passSteps lets steps pass, in each of which all messages arrive.
+// advanceSteps advances the time by a number of steps and delivers all messages after each.
 func (w *world) advanceSteps(steps int) {
 	for range steps {
 		w.advance(step)
@@ -136,7 +136,7 @@
 	}
 }
 
-// delayInFlight lets steps pass, in which all messages arrive but those that are under way now.
+// delayInFlight advances the time by a number of steps and delivers all messages except those that are in flight at the call.
 func (w *world) delayInFlight(steps int) {
 	delayed := w.inFlight
 	w.inFlight = nil
@@ -150,7 +150,7 @@
 	}
 }
 
-// deliver hands over a message; one that will come again stays under way.
+// deliver delivers a message, which stays in flight if duplicate is set.
 func (w *world) deliver(index int, duplicate bool) {
 	message := w.inFlight[index]
 	if !duplicate {
@@ -173,14 +173,14 @@
 	w.checkSingleHolder()
 }
 
-// deliverAll delivers all messages under way, with their responses.
+// deliverAll delivers all messages in flight and the responses to them.
 func (w *world) deliverAll() {
 	for n := 3 * len(w.inFlight); n > 0 && len(w.inFlight) > 0; n-- {
 		w.deliver(0, false)
 	}
 }
 
-// repair starts and connects all machines. Within recoveryLimit one holds the lease, and keeps it.
+// repair starts and connects all machines, and checks that one of them holds the lease within recoveryLimit and keeps it.
 func (w *world) repair() {
 	w.repaired, w.partition = true, false
 	for i := range w.machines {
@@ -194,12 +194,12 @@
 	for range steadySteps {
 		w.advanceSteps(1)
 		if now := w.holders(); w.broken == nil && (len(first) != 1 || !slices.Equal(now, first)) {
-			w.broken = fmt.Errorf("%d vote durations after all was repaired %v hold the lease, and then %v", recoveryLimit, first, now)
+			w.broken = fmt.Errorf("%d vote durations after the repair %v hold the lease, and then %v", recoveryLimit, first, now)
 		}
 	}
 }
 
-// holders returns the machines that act as holders of the lease.
+// holders returns the machines that act as lease holders.
 func (w *world) holders() (names []string) {
 	for i := range w.machines {
 		if m := &w.machines[i]; m.lease != nil && !m.frozen && m.lease.HeldAt(w.clock(i)) {
@@ -211,6 +211,6 @@
 
 func (w *world) checkSingleHolder() {
 	if holders := w.holders(); len(holders) > 1 && w.broken == nil {
-		w.broken = fmt.Errorf("%v hold the lease at the same moment", holders)
+		w.broken = fmt.Errorf("%v hold the lease at the same time", holders)
 	}
 }
--- a/lab/explore/lists/lists.go
+++ b/lab/explore/lists/lists.go
@@ -1,6 +1,7 @@
-// Package lists explores how a sidecar follows the list of servers: a follow.Plan against a discovery that answers, breaks off, falls
-// silent, turns away, changes the list or waits, in any order, and a process that stands still. Held against it is judge.Telling, the
-// page's rule on when news count as told: a sidecar that may send by its list holds all that counts as told.
+// Package lists explores how a sidecar follows the list of servers: a follow.Plan with a discovery that responds, truncates responses,
+// stops responding, rejects calls, changes the list or waits, in any order, and a sidecar process that freezes. The oracle is
+// judge.Telling, which implements the documented rule on when a change counts as delivered: a list that the sidecar may still use contains
+// all changes that count as delivered.
 package lists
 
 import (
@@ -15,15 +16,15 @@
 
 const (
 	refreshLimit     = 10 * time.Second
-	rejectionTimeout = 2 * time.Second // a discovery that has not answered a call by then turns it away
+	rejectionTimeout = 2 * time.Second // time after which discovery rejects a call that it has not responded to
 	stallDuration    = 3 * time.Second
 	forever          = time.Duration(1<<63 - 1)
 )
 
-// Bounds say how much may happen in a run; without, most orders would be of faults alone.
+// Bounds limits the events of a run. Without bounds, most orders would consist of faults only.
 type Bounds struct{ Changes, Faults int }
 
-// Defect alters what passes between a plan and its surroundings, as a plan with that mistake would. The zero value has none.
+// Defect alters the input and output of a plan so that it acts like a plan with a bug. The zero value is no defect.
 type Defect struct {
 	Name          string
 	alterAction   func(follow.Action) follow.Action
@@ -31,7 +32,7 @@
 	alterValidity func(w *world, until, lapsed time.Duration) (time.Duration, time.Duration)
 }
 
-// Defects are mistakes that a search has to find.
+// Defects are the planted defects that a search must find.
 var Defects = []Defect{
 	{Name: "a spoilt answer is taken for a call that was turned away", alterEvent: func(_ *world, ev follow.Event) follow.Event {
 		if ev.Kind == follow.Truncated {
@@ -53,18 +54,20 @@
 		}
 		return until, lapsed
 	}},
-	{Name: "each failed call puts the deadline off", alterValidity: func(w *world, until, lapsed time.Duration) (time.Duration, time.Duration) {
-		if w.consecutiveRejections > 0 {
-			return until + time.Duration(w.consecutiveRejections)*rejectionTimeout, lapsed
-		}
-		return until, lapsed
-	}},
-	{Name: "the deadline is looked at half a second late", alterValidity: func(_ *world, until, lapsed time.Duration) (time.Duration, time.Duration) {
-		if until == forever {
+	{Name: "each failed call puts the deadline off",
+		alterValidity: func(w *world, until, lapsed time.Duration) (time.Duration, time.Duration) {
+			if w.consecutiveRejections > 0 {
+				return until + time.Duration(w.consecutiveRejections)*rejectionTimeout, lapsed
+			}
 			return until, lapsed
-		}
-		return until + 500*time.Millisecond, lapsed
-	}},
+		}},
+	{Name: "the deadline is looked at half a second late",
+		alterValidity: func(_ *world, until, lapsed time.Duration) (time.Duration, time.Duration) {
+			if until == forever {
+				return until, lapsed
+			}
+			return until + 500*time.Millisecond, lapsed
+		}},
 	{Name: "watches are asked to wait for three seconds", alterAction: func(a follow.Action) follow.Action {
 		if a.Hold > 3*time.Second {
 			a.Hold = 3 * time.Second
@@ -77,12 +80,13 @@
 		}
 		return ev
 	}},
-	{Name: "a deadline that has passed is forgotten", alterValidity: func(w *world, until, lapsed time.Duration) (time.Duration, time.Duration) {
-		if until <= w.now {
-			return forever, forever
-		}
-		return until, lapsed
-	}},
+	{Name: "a deadline that has passed is forgotten",
+		alterValidity: func(w *world, until, lapsed time.Duration) (time.Duration, time.Duration) {
+			if until <= w.now {
+				return forever, forever
+			}
+			return until, lapsed
+		}},
 }
 
 type discoveryCall struct {
@@ -90,11 +94,11 @@
 	hold           time.Duration
 	fromRevision   int64
 	startedAt      time.Duration
-	readyAt        time.Duration // since when it has something to tell; forever: not yet
-	silent         bool          // nothing comes on it any more
+	readyAt        time.Duration // time from which discovery can respond
+	silent         bool          // no more data arrives on the call
 }
 
-// world is a plan in its surroundings.
+// world is a plan with its simulated environment.
 type world struct {
 	bounds                Bounds
 	defect                *Defect
@@ -102,17 +106,17 @@
 	oracle                judge.Telling
 	now                   time.Duration
 	calls                 []discoveryCall
-	changes               int // made so far; the revision is that and epoch's base
-	receivedChanges       int // changes that the sidecar has taken in
+	changes               int // number of changes so far; the revision is baseRevision plus this
+	receivedChanges       int // number of changes that the sidecar has received
 	baseRevision          int64
 	faults                int
-	consecutiveRejections int // calls turned away in a row
+	consecutiveRejections int // calls rejected in a row
 	stalls                int
 	breach                error
 	choices               []explore.Choice
 }
 
-// Start returns what Exhaust and Random begin at.
+// Start returns a function that creates a new system. No defect is planted if d is nil.
 func Start(b Bounds, d *Defect) func() explore.System {
 	if d == nil {
 		d = &Defect{}
@@ -129,11 +133,12 @@
 
 func (w *world) Broken() error { return w.breach }
 
-// State prints all that there is, with absolute times: what is met again by another order of the same instants is told.
+// State hashes the complete state with absolute times, so only states that other orders reach at the same times are recognized.
 func (w *world) State() uint64 {
 	h := fnv.New64a()
-	// A hash's Write does not fail.
-	_, _ = fmt.Fprint(h, w.plan, w.oracle, w.now, w.calls, w.changes, w.receivedChanges, w.baseRevision, w.faults, w.consecutiveRejections, w.stalls)
+	// Write to a hash never fails.
+	_, _ = fmt.Fprint(h, w.plan, w.oracle, w.now, w.calls, w.changes, w.receivedChanges, w.baseRevision,
+		w.faults, w.consecutiveRejections, w.stalls)
 	return h.Sum64()
 }
 
@@ -180,7 +185,7 @@
 
 func (w *world) revision() int64 { return w.baseRevision + int64(w.changes) }
 
-// next is when the plan wants to be told of the time, or discovery has to end a call.
+// nextEvent returns the time of the next tick of the plan or the next end of a call by discovery, at most 5 s ahead.
 func (w *world) nextEvent() time.Duration {
 	next := min(w.plan.Next(), w.now+5*time.Second)
 	for i := range w.calls {
@@ -189,7 +194,8 @@
 	return max(next, w.now)
 }
 
-// due is when discovery ends a call by itself: what waits in vain is answered at the end of its wait, what is not served turned away.
+// endsAt returns when discovery ends a call by itself. A watch without changes is answered at the end of its hold time, and a call that
+// has a response but does not get it is rejected after rejectionTimeout.
 func (w *world) endsAt(c *discoveryCall) time.Duration {
 	if c.silent {
 		return forever
@@ -200,7 +206,7 @@
 	return c.readyAt
 }
 
-// pass lets time go by. A process that stands still hears of nothing in between, and of all of it before it sends again.
+// advance advances the time. A frozen process handles no events in between, but handles all of them before it sends again.
 func (w *world) advance(until time.Duration, running bool) {
 	if running {
 		w.checkStaleness(until)
@@ -209,18 +215,18 @@
 	for i := 0; i < len(w.calls); i++ {
 		if c := &w.calls[i]; !c.silent && c.readyAt < until && c.readyAt+rejectionTimeout <= until {
 			w.rejectCall(i)
-			i = -1 // what the plan did then may have changed them all
+			i = -1 // the plan's reaction may have changed all calls
 		}
 	}
 	w.handle(follow.Event{Kind: follow.Tick})
 }
 
-// check looks for a moment before until at which the sidecar may send by its list, and something has been told that it does not hold.
+// checkStaleness looks for a time before until at which the sidecar may use its list although a change that it lacks counts as delivered.
 func (w *world) checkStaleness(until time.Duration) {
 	valid, _ := w.valid()
 	for c := w.receivedChanges; c < w.changes; c++ {
 		if told := w.oracle.ToldAt(c); max(told, w.now) < min(valid, until) && w.breach == nil {
-			w.breach = fmt.Errorf("change %d counts as told from %.3f s, and the list without it is used until %.3f s",
+			w.breach = fmt.Errorf("change %d counts as delivered from %.3f s, but the list without it is used until %.3f s",
 				c, told.Seconds(), min(valid, until).Seconds())
 		}
 	}
@@ -234,7 +240,7 @@
 	return until, lapsed
 }
 
-// tell tells the plan and does what it wants.
+// handle passes an event to the plan and carries out its actions.
 func (w *world) handle(ev follow.Event) {
 	if w.defect.alterEvent != nil {
 		ev = w.defect.alterEvent(w, ev)
@@ -247,7 +253,7 @@
 		case follow.StartCall:
 			c := discoveryCall{id: a.Call, hold: a.Hold, fromRevision: a.From, startedAt: w.now, readyAt: w.now + a.Hold}
 			c.oracleCall = w.oracle.Called(w.now, a.Hold, a.From >= 0)
-			if a.From != w.revision() { // also where discovery has lost its place
+			if a.From != w.revision() { // also if the revision is one from before a reset
 				c.readyAt = w.now
 			}
 			w.calls = append(w.calls, c)
@@ -271,7 +277,7 @@
 	}
 }
 
-// restart begins the revisions anew, below those of before: what a call asks from means nothing any more.
+// resetRevisions restarts discovery's revisions below the earlier ones, so that the revision that a call starts from is meaningless.
 func (w *world) resetRevisions() {
 	w.faults++
 	w.baseRevision = -int64(w.changes) + 1
@@ -289,7 +295,7 @@
 func (w *world) answerCall(i int) {
 	c := w.removeCall(i)
 	w.consecutiveRejections = 0
-	// From a place that discovery has lost it tells what changed since its own beginning, which is not all.
+	// For a revision from before a reset, discovery returns only the changes since the reset, which is incomplete.
 	lost := c.fromRevision > w.revision()
 	ev := follow.Event{Kind: follow.ListReceived, Call: c.id, Revision: w.revision(), Complete: c.fromRevision < 0}
 	if !lost {
@@ -311,7 +317,7 @@
 	w.handle(follow.Event{Kind: kind, Call: c.id})
 }
 
-// stop writes part of an answer and then nothing.
+// stallAnswer writes part of a response and then nothing more.
 func (w *world) stallAnswer(i int) {
 	w.faults++
 	c := &w.calls[i]
--- a/lab/explore/lists/lists_test.go
+++ b/lab/explore/lists/lists_test.go
@@ -6,19 +6,19 @@
 	"firplank/lab/explore"
 )
 
-// Nothing is sent by a list that lacks what counts as told, in whatever order discovery breaks, stops, falls silent,
-// turns away and answers.
+// A sidecar never uses a list that lacks a change which counts as delivered, in whatever order discovery responds, truncates or stalls
+// responses, stops responding and rejects calls.
 func TestNoStaleListIsUsed(t *testing.T) {
 	r := explore.Exhaust(Start(Bounds{Changes: 1, Faults: 2}, nil), explore.Limits{Depth: 7, States: 300_000})
 	if t.Log(r); r.Breach != nil {
-		t.Error("broken")
+		t.Error("an invariant was broken")
 	}
 	if r := explore.Random(Start(Bounds{Changes: 6, Faults: 12}, nil), 1, 500, 80); r.Breach != nil {
 		t.Error(r)
 	}
 }
 
-// A search that finds nothing has to be one that would.
+// The explorer must be able to find faults: every planted defect breaks an invariant.
 func TestPlantedDefectsAreFound(t *testing.T) {
 	for i := range Defects {
 		d := &Defects[i]
--- a/lab/explore/liveness/liveness.go
+++ b/lab/explore/liveness/liveness.go
@@ -1,12 +1,12 @@
-// Package liveness explores whether the control machines come to an end on machines that are slow: every message and every sync of a disk
-// takes some time up to a bound, which the program is not told and which may be far above what it expects. Operators write at several
-// machines at once, so that proposers compete, and nothing else goes wrong. It plays the shipped register behind the shipped queue of what
-// waits for the disk (package persistence), and the shipped lease, each in virtual time.
+// Package liveness explores whether the control machines make progress when machines are slow: every message and every sync of a disk
+// takes a time up to a bound, which the program does not know and which may be far above what it expects. Operators write at several
+// machines at the same time, so that proposers compete. There are no other faults. The explorer runs the shipped register with the
+// shipped queue of writes (package persistence), and the shipped lease, each in virtual time.
 //
-// The checks are that every change is answered, and that the lease is granted, within a stated number of the slowest round-trips. Safety is
-// explored elsewhere (lab/explore/register, lab/explore/lease).
+// It checks that every change completes, and that the lease is granted, within a stated number of the slowest round trips. Safety is
+// explored by lab/explore/register and lab/explore/lease.
 //
-// Start reading at Rounds and Leases.
+// Start reading at RunRegister and RunLease.
 package liveness
 
 import (
@@ -24,51 +24,51 @@
 	"firplank/mesh/timing"
 )
 
-// Surroundings bound how slow a run is.
+// Environment describes the machines of a run and bounds how slow they are.
 type Environment struct {
 	Machines int
-	Writers  int           // machines at which operators write, all at once
-	Link     time.Duration // a message takes so long at most
-	Sync     time.Duration // a sync of a disk does
-	// SlowDisks is how many disks are that slow; 0: all are. The others take a hundredth of it.
+	Writers  int           // number of machines at which operators write at the same time
+	Link     time.Duration // maximum delay of a message
+	Sync     time.Duration // maximum duration of a disk's sync
+	// SlowDisks is the number of disks that are that slow; 0 means all. The others take a hundredth of the time.
 	SlowDisks int
-	// Steady: messages and syncs take just as long as they may, always.
+	// Steady makes all messages and syncs take the maximum time.
 	Steady bool
-	// ContactByAge plants a defect: contact with a quorum counts from the beginning of the round that was completed last.
+	// ContactByAge plants a defect: the last contact with a quorum is taken to be the start of the round that was completed last.
 	ContactByAge bool
 }
 
 const (
 	// step is the resolution of virtual time.
 	step = 5 * time.Millisecond
-	// changes is how many changes each operator writes, one after the other.
+	// changesPerWriter is the number of changes that each operator writes, one after the other.
 	changesPerWriter = 4
-	// fastDisk is the part of Surroundings.Sync that other disks take.
+	// fastDiskDivisor divides Environment.Sync for disks that are not slow.
 	fastDiskDivisor = 100
-	// roundsPerChange is how many undisturbed rounds of the slowest kind one change may take for each operator.
+	// roundsPerChange is the number of slowest undisturbed rounds that one change may take for each operator.
 	roundsPerChange = 12
-	// leaseLimit is how many vote durations it may take until the lease is granted.
+	// leaseGrantLimit is the number of vote durations within which the lease must be granted.
 	leaseGrantLimit = 12
-	// stream is the second half of the seeds.
+	// randomStream is the second half of the random generator's seed.
 	randomStream = 11
 )
 
-// round is how long the slowest round takes that nobody disturbs: two phases that are written and one that is not. A write may have to wait
-// for the one before it.
+// slowestRound returns the duration of the slowest round without competing proposers: two phases with a write and one without. A write may
+// have to wait for the write before it.
 func (s Environment) slowestRound() time.Duration { return 3*2*s.Link + 2*2*s.Sync }
 
-// limit is the time in which a run has to end.
+// timeLimit returns the time within which a run must complete.
 func (s Environment) timeLimit() time.Duration {
 	return time.Second + time.Duration(changesPerWriter*s.Writers*roundsPerChange)*(s.slowestRound()+timing.Default().Register.MinPhaseTimeout)
 }
 
-// delivery is something that happens at a time.
+// scheduledEvent is an event at a point of virtual time.
 type scheduledEvent struct {
 	dueAt time.Duration
 	do    func()
 }
 
-// world is virtual time and what is to happen in it.
+// world is the virtual time and the events that are scheduled.
 type world struct {
 	environment Environment
 	random      *rand.Rand
@@ -76,7 +76,7 @@
 	queue       []scheduledEvent
 }
 
-// delay is a random time up to a bound; half of all take the bound, or all of them in steady surroundings.
+// randomDelay returns a random delay up to a limit. Half of the delays, or all of them in a steady environment, equal the limit.
 func (w *world) randomDelay(limit time.Duration) time.Duration {
 	if limit <= 0 || w.environment.Steady || w.random.IntN(2) == 0 {
 		return limit
@@ -88,7 +88,7 @@
 	w.queue = append(w.queue, scheduledEvent{w.now + delay, do})
 }
 
-// advance lets a step of time pass.
+// advance advances the time by a step and runs the events that are due.
 func (w *world) advance() {
 	w.now += step
 	due := w.queue
@@ -102,19 +102,19 @@
 	}
 }
 
-// machine is a control machine: the register behind its disk. It implements persistence.Sink.
+// machine is a control machine with a register and a disk. It implements persistence.Sink.
 type machine struct {
 	world          *world
 	index          int
 	machines       *[]*machine
 	pipeline       *persistence.Pipeline
-	hasWriter      bool // an operator writes here
-	pendingChanges int  // changes of that operator that are not answered
+	hasWriter      bool // an operator writes at this machine
+	pendingChanges int  // changes of that operator that have not completed
 	version        uint32
-	refusingTime   time.Duration // how long it would have refused operations for want of a quorum, once it had one
+	refusingTime   time.Duration // total time for which it would have refused operations for lack of a quorum, after its first contact
 }
 
-// checkHealth notes whether the machine would refuse operations now.
+// checkHealth adds a step to refusingTime if the machine would refuse operations now.
 func (m *machine) checkHealth() {
 	contact := m.pipeline.Health(m.world.now).LastQuorum
 	if m.world.environment.ContactByAge {
@@ -125,7 +125,7 @@
 	}
 }
 
-// quorumTimeout is that of the deployments in service.
+// quorumTimeout is the time-out of a deployment with the default settings.
 var quorumTimeout = timing.Default().Dissemination.QuorumTimeout
 
 func machineName(index int) string { return fmt.Sprintf("m%02d", index) }
@@ -146,14 +146,16 @@
 			continue
 		}
 		sent := *message
-		m.world.schedule(m.world.randomDelay(m.world.environment.Link), func() { receiver.pipeline.Apply(m.world.now, register.MessageReceived{Message: sent}) })
+		m.world.schedule(m.world.randomDelay(m.world.environment.Link), func() {
+			receiver.pipeline.Apply(m.world.now, register.MessageReceived{Message: sent})
+		})
 	}
 }
 
 // Publish implements persistence.Sink.
 func (m *machine) Publish(persist.Committed) {}
 
-// Complete implements persistence.Sink: the operator writes the next change.
+// Complete implements persistence.Sink. The operator then writes the next change.
 func (m *machine) Complete(register.Outcome) {
 	if m.pendingChanges--; m.pendingChanges > 0 {
 		m.world.schedule(0, m.put)
@@ -164,11 +166,13 @@
 func (m *machine) put() {
 	m.version += uint32(m.world.environment.Machines)
 	body := fmt.Appendf(nil, "change %d", m.version)
-	m.pipeline.Apply(m.world.now, register.Put{ID: uint64(m.pendingChanges), Version: m.version, Content: register.ContentOf(body), Body: body})
+	m.pipeline.Apply(m.world.now, register.Put{
+		ID: uint64(m.pendingChanges), Version: m.version, Content: register.ContentOf(body), Body: body,
+	})
 }
 
-// Rounds plays a run of the register with its timing, drawn from a seed, and returns how long it took until every change was answered. An
-// error says that it did not end in time.
+// RunRegister runs the register with the given timing and random delays drawn from a seed. It returns the virtual time until every change
+// was completed, or an error if they did not complete in time or a machine refused operations.
 func RunRegister(environment Environment, t timing.Register, seed uint64) (duration time.Duration, err error) {
 	w := &world{environment: environment, random: rand.New(rand.NewPCG(seed, randomStream))}
 	var machines []*machine
@@ -201,23 +205,26 @@
 			return w.now, checkRefusals(machines)
 		}
 	}
-	return w.now, errors.Errorf("%+v: not every change is answered after %v", environment, w.now)
+	return w.now, errors.Errorf("%+v: not every change has completed after %v", environment, w.now)
 }
 
-// maxRefusing is the share of a run for which a machine may refuse operations, as a quorum's replies wait for slow disks or come late.
+// maxRefusingShare is the share of a run for which a machine may refuse operations, because slow disks and messages delay a quorum's
+// replies.
 const maxRefusingShare = 0.25
 
-// refusals returns an error if a machine, all of whose peers answer, refuses operations for want of a quorum.
+// checkRefusals returns an error if a machine refuses operations for lack of a quorum for too long, although all machines respond.
 func checkRefusals(machines []*machine) error {
 	for _, m := range machines {
 		if share := float64(m.refusingTime) / float64(m.world.now); share > maxRefusingShare {
-			return errors.Errorf("%+v: %s refuses operations for %.2f of the time, and all machines answer", m.world.environment, machineName(m.index), share)
+			return errors.Errorf("%+v: %s refuses operations for %.2f of the time although all machines respond",
+				m.world.environment, machineName(m.index), share)
 		}
 	}
 	return nil
 }
 
-// Leases plays a run of the lease, and returns how long it took until it was granted for the first time.
+// RunLease runs the lease with the given timing and random delays drawn from a seed. It returns the virtual time until the lease was first
+// granted, or an error if it was not granted in time.
 func RunLease(environment Environment, t timing.Lease, seed uint64) (duration time.Duration, err error) {
 	w := &world{environment: environment, random: rand.New(rand.NewPCG(seed, randomStream))}
 	leases := map[string]*lease.Lease{}
@@ -248,5 +255,5 @@
 			}
 		}
 	}
-	return w.now, errors.Errorf("%+v: the lease is not granted after %v", environment, w.now)
+	return w.now, errors.Errorf("%+v: the lease is not granted within %v", environment, w.now)
 }
--- a/lab/explore/liveness/liveness_test.go
+++ b/lab/explore/liveness/liveness_test.go
@@ -9,19 +9,21 @@
 
 const ms = time.Millisecond
 
-// durations are those of a deployment in service, and short those of one whose syncS is 2 s: its phases begin with 140 ms.
+// durations are the timings of a deployment with the default settings. shortReplacement is the timing of one whose syncS is 2 s, in which
+// the first time-out of a phase is 140 ms.
 var (
 	durations        = timing.Default()
 	shortReplacement = timing.NewReplacement(2*time.Second, 6*time.Second)
 )
 
-// steadyDisks are all slower than a phase that begins with 350 ms, and rivals are writers whose rounds all take as long.
+// In steadySlowDisks all syncs take longer than a phase's first time-out of 350 ms. In competingWriters the rounds of all writers take the
+// same time.
 var (
 	steadySlowDisks  = Environment{Machines: 3, Writers: 1, Sync: 400 * ms, Steady: true}
 	competingWriters = Environment{Machines: 5, Writers: 5, Sync: 100 * ms, Link: 40 * ms, Steady: true}
 )
 
-// slow are runs in which messages or disks are slower than the program expects.
+// slowEnvironments are environments in which messages or disks are slower than the program expects.
 var slowEnvironments = []Environment{
 	{Machines: 3, Writers: 1, Sync: 400 * ms},
 	{Machines: 3, Writers: 2, Sync: 150 * ms, Link: 5 * ms},
@@ -34,7 +36,7 @@
 	competingWriters,
 }
 
-// However slow messages and disks are, within the longest phase: every change is answered.
+// Every change completes as long as messages and disks are fast enough for the longest time-out of a phase.
 func TestChangesCompleteOnSlowMachines(t *testing.T) {
 	for _, environment := range slowEnvironments {
 		for _, registerTiming := range []timing.Register{durations.Register, shortPhases()} {
@@ -46,33 +48,33 @@
 				}
 				longest = max(longest, duration)
 			}
-			t.Logf("%+v, phases from %v: %v at most", environment, registerTiming.MinPhaseTimeout, longest)
+			t.Logf("%+v, phase time-outs from %v: %v at most", environment, registerTiming.MinPhaseTimeout, longest)
 		}
 	}
 }
 
-// shortPhases is the timing of rounds in a deployment whose syncS is 2 s.
+// shortPhases returns the timing of rounds in a deployment whose syncS is 2 s.
 func shortPhases() timing.Register {
 	r := durations.Register
 	r.MinPhaseTimeout = shortReplacement.PhaseTimeout
 	return r
 }
 
-// A phase that ends after a fixed time is begun anew for ever where its replies take longer.
+// A phase with a fixed time-out is restarted forever if its replies take longer than that.
 func TestFixedPhaseTimeoutsStarve(t *testing.T) {
 	fixed := durations.Register
 	fixed.MaxPhaseTimeout = fixed.MinPhaseTimeout
 	if took, err := RunRegister(steadySlowDisks, fixed, 1); err == nil {
-		t.Errorf("every change is answered after %v", took)
+		t.Errorf("every change completes after %v", took)
 	}
 	fixed = shortPhases()
 	fixed.MaxPhaseTimeout = fixed.MinPhaseTimeout
 	if took, err := RunRegister(competingWriters, fixed, 1); err == nil {
-		t.Errorf("short phases: every change is answered after %v", took)
+		t.Errorf("short phases: every change completes after %v", took)
 	}
 }
 
-// Proposers that pause for as short a time as a single failure wants starve each other.
+// Competing proposers starve each other if their backoff is as short as a single failure requires and does not grow.
 func TestShortBackoffStarvesProposers(t *testing.T) {
 	shortBackoff := durations.Register
 	shortBackoff.MinBackoff, shortBackoff.BackoffJitter, shortBackoff.MaxPhaseTimeout = ms, ms, shortBackoff.MinPhaseTimeout
@@ -80,16 +82,16 @@
 		if _, err := RunRegister(competingWriters, shortBackoff, seed); err != nil {
 			t.Logf("seed %d: %v", seed, err)
 			if _, err := RunRegister(competingWriters, durations.Register, seed); err != nil {
-				t.Errorf("seed %d, pauses that grow: %v", seed, err)
+				t.Errorf("seed %d, growing backoff: %v", seed, err)
 			}
 			return
 		}
 	}
-	t.Error("no run of them fails")
+	t.Error("no run with the short backoff fails")
 }
 
-// A machine that takes the age of what it knows for the time of its last contact refuses operations while all machines answer: no round
-// on slow machines is as young as that.
+// A machine that measures its contact with a quorum by the age of its last committed state refuses operations although all machines
+// respond, because rounds on slow machines take longer than the quorum time-out.
 func TestContactByAgeRefusesOperations(t *testing.T) {
 	environment := competingWriters
 	environment.ContactByAge = true
@@ -100,11 +102,11 @@
 	}
 }
 
-// The lease is granted wherever a vote can be counted within half of its duration, also where that takes longer than expected.
+// The lease is granted whenever votes arrive within half of the vote duration, even if that takes longer than expected.
 func TestLeaseIsGrantedWithSlowVotes(t *testing.T) {
 	for _, environment := range []Environment{{Machines: 3, Link: 40 * ms}, {Machines: 5, Link: 60 * ms}, {Machines: 5, Link: 70 * ms}} {
 		fixed, starved := shortReplacement.Lease, 0
-		fixed.VoteTimeout, fixed.MaxVoteTimeout = 60*ms, 60*ms // as derived before
+		fixed.VoteTimeout, fixed.MaxVoteTimeout = 60*ms, 60*ms // the former derived values
 		for seed := range uint64(20) {
 			if _, err := RunLease(environment, shortReplacement.Lease, seed); err != nil {
 				t.Errorf("seed %d: %v", seed, err)
@@ -114,7 +116,7 @@
 			}
 		}
 		if starved == 0 && environment.Link > 60*ms {
-			t.Errorf("%+v: votes that are waited for no longer than 60 ms are enough", environment)
+			t.Errorf("%+v: a fixed vote time-out of 60 ms is enough", environment)
 		}
 		t.Logf("%+v: fixed time-outs starve in %d of 20 runs", environment, starved)
 	}
--- a/lab/explore/members/defects.go
+++ b/lab/explore/members/defects.go
@@ -8,51 +8,59 @@
 	"firplank/mesh/timing"
 )
 
-// Surroundings are what an order is played in.
+// Environment describes the machines of an order and the faults that may occur in it.
 type Environment struct {
 	Machines, Faults int
-	Tolerance        int           // machines that may be lost at once; 0: one
-	Stalled          bool          // the last machine, a stand-by, has a disk that takes nothing, and reports so
-	Sync             time.Duration // a sync of a disk takes so long at most, in place of some milliseconds
-	Blank            bool          // the same, but its disk is empty, so that it is no voter, and the fault of the disk goes unnoticed
+	Tolerance        int           // number of machines that may be lost at the same time; 0 means one
+	Stalled          bool          // the disk of the last machine, a stand-by, completes no write, and the machine reports it
+	Sync             time.Duration // maximum duration of a disk's sync, in place of some milliseconds
+	Blank            bool          // as Stalled, but the disk is empty, so the machine is no voter, and it does not detect the fault
 }
 
-// Usual surroundings are those of the tests.
+// DefaultEnvironments are the environments that the tests and the command use.
 var DefaultEnvironments = []Environment{{Machines: 3, Faults: 4}, {Machines: 4, Faults: 4}, {Machines: 5, Faults: 4},
 	{Machines: 5, Faults: 3, Stalled: true}, {Machines: 5, Faults: 3, Blank: true}, {Machines: 7, Faults: 3, Tolerance: 2}}
 
-// Defect is a mistake planted in the surroundings, as if the program made it.
+// Defect is a fault planted in the simulated environment. It acts like a bug of the program.
 type Defect struct {
 	Name        string
 	Environment Environment
-	Seed        uint64 // of an order that finds it
-	LosesData   bool   // what breaks is that a confirmed version is lost; else that operators are answered no more
+	Seed        uint64 // seed of an order that finds the defect
+	LosesData   bool   // the defect loses a confirmed version; otherwise it makes operators wait for too long
 
-	formerTimings        bool // timings are the constants of before
-	reportsBeforeSync    bool // a machine reports what its disk has not
-	leavesAtOnce         bool // a machine that is asked to leave ends at once
-	votesWhenEmptied     bool // an emptied disk is a voter at once
-	hidesStandByState    bool // a stand-by is taken for a sound voter, whatever it reports
-	newMembersWriteAlone bool // a change of members is written by the new members alone
-	ignoresTolerance     bool // the members are three, whatever the tolerance
+	formerTimings        bool // timings are the former constants
+	reportsBeforeSync    bool // a machine reports state that its disk does not have yet
+	leavesAtOnce         bool // a machine that is asked to leave stops at once
+	votesWhenEmptied     bool // a machine with an emptied disk votes at once
+	hidesStandByState    bool // all machines report that they are voters with a working disk
+	newMembersWriteAlone bool // a change of members is written only by the new members
+	ignoresTolerance     bool // there are three members whatever the tolerance is
 }
 
-// Defects are those that a search must find.
+// Defects are the planted defects that a search must find.
 var Defects = []Defect{
-	{Name: "timings are constants that take no account of syncS", Environment: Environment{Machines: 3, Faults: 6}, Seed: 8, formerTimings: true},
-	{Name: "a copy counts before the disk has it", Environment: Environment{Machines: 3, Faults: 4}, Seed: 117, reportsBeforeSync: true, LosesData: true},
-	{Name: "a machine that is asked to leave ends at once", Environment: Environment{Machines: 4, Faults: 6}, Seed: 2, leavesAtOnce: true},
-	{Name: "an emptied disk is a voter at once", Environment: Environment{Machines: 3, Faults: 4}, Seed: 225, votesWhenEmptied: true, LosesData: true},
-	{Name: "a stand-by whose disk fails is taken in", Environment: Environment{Machines: 5, Faults: 6, Stalled: true}, Seed: 2, hidesStandByState: true},
-	{Name: "a stand-by that is no voter is taken in", Environment: Environment{Machines: 5, Faults: 6, Blank: true}, hidesStandByState: true},
-	{Name: "a change of members is written by the new members alone", Environment: Environment{Machines: 4, Faults: 6}, newMembersWriteAlone: true},
-	{Name: "the members are three, whatever the tolerance", Environment: Environment{Machines: 7, Faults: 3, Tolerance: 2}, ignoresTolerance: true},
+	{Name: "timings are constants that take no account of syncS",
+		Environment: Environment{Machines: 3, Faults: 6}, Seed: 8, formerTimings: true},
+	{Name: "a copy counts before the disk has it",
+		Environment: Environment{Machines: 3, Faults: 4}, Seed: 117, reportsBeforeSync: true, LosesData: true},
+	{Name: "a machine that is asked to leave ends at once",
+		Environment: Environment{Machines: 4, Faults: 6}, Seed: 2, leavesAtOnce: true},
+	{Name: "an emptied disk is a voter at once",
+		Environment: Environment{Machines: 3, Faults: 4}, Seed: 225, votesWhenEmptied: true, LosesData: true},
+	{Name: "a stand-by whose disk fails is taken in",
+		Environment: Environment{Machines: 5, Faults: 6, Stalled: true}, Seed: 2, hidesStandByState: true},
+	{Name: "a stand-by that is no voter is taken in",
+		Environment: Environment{Machines: 5, Faults: 6, Blank: true}, hidesStandByState: true},
+	{Name: "a change of members is written by the new members alone",
+		Environment: Environment{Machines: 4, Faults: 6}, newMembersWriteAlone: true},
+	{Name: "the members are three, whatever the tolerance",
+		Environment: Environment{Machines: 7, Faults: 3, Tolerance: 2}, ignoresTolerance: true},
 }
 
-// durations are those of a deployment with the pages' settings.
+// durations are the timings of a deployment with the default settings.
 var durations = timing.Default()
 
-// timeouts are the program's, or what they were when they were constants.
+// timeouts returns the program's time-outs, or with formerTimings the former constants.
 func (d *Defect) timeouts() timing.Replacement {
 	t := durations.Replacement
 	if d.formerTimings {
@@ -63,10 +71,10 @@
 	return t
 }
 
-// rounds is the timing of the register's rounds.
+// registerTiming returns the timing of the register's rounds.
 func (d *Defect) registerTiming() timing.Register { return durations.Register }
 
-// tolerance is what the machines are told of the surroundings' tolerance.
+// tolerance returns the tolerance that machines are configured with.
 func (d *Defect) tolerance(actual int) int {
 	if d.ignoresTolerance {
 		return 1
@@ -74,7 +82,7 @@
 	return actual
 }
 
-// usurpMembers writes a change on the disks of the machine that asks for it and of the successors, and nowhere else.
+// writeByNewMembers writes a change to the disks of the proposing machine and of the successors only, if the defect is planted.
 func (d *Defect) writeByNewMembers(m *machine, c replacement.Change) {
 	if !d.newMembersWriteAlone || m.disk == nil {
 		return
--- a/lab/explore/members/faults.go
+++ b/lab/explore/members/faults.go
@@ -7,7 +7,8 @@
 	"firplank/mesh/controlplane/operations"
 )
 
-// fault hits one machine or all. It returns the moment at which all counts as repaired again, so that the next may come.
+// fault affects one, several or all machines. do injects the fault and returns the time at which it counts as repaired, from which the
+// next fault may occur.
 type fault struct {
 	name string
 	do   func(w *world) (repaired time.Duration)
@@ -25,13 +26,13 @@
 	{"one leaves while another is cut off, and then a third loses its disk", (*world).leaveDuringCut},
 }
 
-// faultsOfSeveral come besides where more than one machine may be lost at once.
+// multipleLossFaults are additional faults if more than one machine may be lost at the same time.
 var multipleLossFaults = []fault{
 	{"as many as tolerated lose their disks", (*world).wipeSeveral},
 	{"as many as tolerated lose their disks as all are killed", (*world).wipeSeveralOfAll},
 }
 
-// injectFault lets a fault come, and time pass until the next may.
+// injectFault injects a random fault and waits until the next fault may occur.
 func (w *world) injectFault() {
 	possible := faults
 	if w.tolerance > 1 {
@@ -44,12 +45,12 @@
 	}
 }
 
-// between returns a time by chance.
+// randomDuration returns a random duration of at least minimum and less than maximum.
 func (w *world) randomDuration(minimum, maximum time.Duration) time.Duration {
 	return minimum + time.Duration(w.rng.Int64N(int64(maximum-minimum)))
 }
 
-// member is a machine that is up and, as far as others know, a member; most often one that was not struck before.
+// randomMember returns a random machine that is up and a member by its own list, or nil if there is none. Machines in except are left out.
 func (w *world) randomMember(except ...*machine) *machine {
 	var candidates []*machine
 	for _, m := range w.machines {
@@ -84,16 +85,16 @@
 	return false
 }
 
-// successor starts a machine with an empty disk at a new address.
+// addEmptyMachine starts a machine with an empty disk at a new address.
 func (w *world) addEmptyMachine() {
 	m := w.addMachine()
 	m.start(false)
-	w.log("%s comes", m.name)
+	w.log("%s starts with an empty disk", m.name)
 }
 
 func (w *world) remove() time.Duration {
 	m := w.randomMember()
-	w.log("%s is gone", m.name)
+	w.log("%s is removed", m.name)
 	m.stop()
 	m.removed = true
 	w.advance(w.randomDuration(step, 1500*time.Millisecond))
@@ -101,7 +102,7 @@
 	return w.now + syncS
 }
 
-// leaveWithin asks a machine to leave, and kills it when its time is over.
+// departOrKill asks a machine to leave, and kills it if it has not left within graceS.
 func (w *world) departOrKill(m *machine) {
 	w.log("%s is asked to leave", m.name)
 	m.beginDeparture()
@@ -131,7 +132,7 @@
 	return w.now + syncS
 }
 
-// several returns as many members as are tolerated to be lost.
+// randomVictims returns as many random members as may be lost at the same time.
 func (w *world) randomVictims() (victims []*machine) {
 	for range w.tolerance {
 		if m := w.randomMember(victims...); m != nil {
@@ -141,7 +142,7 @@
 	return victims
 }
 
-// lose takes machines down, and their disks.
+// loseDisks stops machines and empties their disks.
 func (w *world) loseDisks(victims []*machine) {
 	for _, m := range victims {
 		w.log("%s loses its disk", m.name)
@@ -167,7 +168,7 @@
 	return w.now + syncS
 }
 
-// restartAll kills all machines that are up, and starts them and others that are down, with some time between.
+// restartAll kills all machines that are up, and starts these and the given stopped machines one after the other.
 func (w *world) restartAll(stopped []*machine, maxDelay time.Duration) {
 	all := slices.Clone(stopped)
 	for _, m := range w.machines {
@@ -193,7 +194,7 @@
 
 func (w *world) freeze() time.Duration {
 	m := w.randomMember()
-	w.log("%s stands still", m.name)
+	w.log("%s freezes", m.name)
 	m.frozen = true
 	w.advance(w.randomDuration(200*time.Millisecond, 4*time.Second))
 	m.frozen = false
@@ -222,9 +223,9 @@
 	return w.now + syncS
 }
 
-// leaveDuringCut has one member cut off, another leave, which is planned work and no loss, and a third lose its disk as
-// soon as the first is back. It wants a machine to hand over to; where the leaver finds none in time, the third is
-// spared.
+// leaveDuringCut partitions one member, has another leave, which is planned and counts as no loss, and has a third lose its disk as soon
+// as the first is connected again. The leaving member needs a machine to hand over to. If it finds none in time, the third member keeps
+// its disk.
 func (w *world) leaveDuringCut() time.Duration {
 	lagging := w.randomMember()
 	leaver := w.randomMember(lagging)
@@ -248,13 +249,14 @@
 	return w.now + syncS
 }
 
-// powerOff takes the power from all right after a confirmed write, at times with one disk lost, and reads at each machine in the end.
+// powerOff cuts the power of all machines right after a confirmed write, sometimes with the loss of as many disks as are tolerated, and
+// finally reads at each machine.
 func (w *world) powerOff() {
 	began := w.now
 	for w.now < began+syncS && !w.history.Confirmed(began) && w.history.Broken == nil {
 		w.advance(step)
 	}
-	w.log("power is lost everywhere")
+	w.log("all machines lose power")
 	w.readOnly = true
 	disksSpared := w.rng.IntN(2) == 0
 	var victims []*machine
--- a/lab/explore/members/glue.go
+++ b/lab/explore/members/glue.go
@@ -13,7 +13,7 @@
 	"firplank/mesh/replacement"
 )
 
-// Write implements persistence.Sink. The defect of a disk that claims too early tells the pipeline at once that it has the state.
+// Write implements persistence.Sink. With the defect reportsBeforeSync it reports the write as completed at once.
 func (m *machine) Write(w persist.Write) {
 	m.pendingWrite, m.syncedAt = &w, m.world.now+m.world.syncTime()
 	if m.world.defect.reportsBeforeSync {
@@ -21,7 +21,8 @@
 	}
 }
 
-// Violated implements invariant.Reporter: a violation is a breach, where no defect is planted that is to be found by the operators.
+// Violated implements invariant.Reporter: a violation counts as a breach. It is only used if no defect is planted, because a defect must
+// be found through the responses to operators.
 func (m *machine) Violated(name invariant.Name, explanation ...any) {
 	if m.world.history.Broken == nil {
 		m.world.history.Broken = errors.Errorf("invariant %s at %s: %v", name, m.name, explanation)
@@ -46,7 +47,7 @@
 // Cancel implements reconcile.Register.
 func (m *machine) Cancel(id uint64) { m.pipeline.Cancel(id) }
 
-// DiskFailing implements reconcile.Register; some disks fail unnoticed.
+// DiskFailing implements reconcile.Register. Some disk faults go undetected.
 func (m *machine) DiskFailing(now time.Duration) bool {
 	return m.pipeline.DiskFailing(now) && !m.faultUnnoticed
 }
@@ -68,7 +69,7 @@
 
 // HandoverProposed implements reconcile.Sink.
 func (m *machine) HandoverProposed(c replacement.Change) {
-	m.world.log("%s hands its place to %v", m.name, c.Successors)
+	m.world.log("%s hands over to %v", m.name, c.Successors)
 }
 
 // RepairCompleted implements reconcile.Sink.
--- a/lab/explore/members/history.go
+++ b/lab/explore/members/history.go
@@ -7,24 +7,24 @@
 	"github.com/go-faster/errors"
 )
 
-// ErrLost and ErrSilence are the two ways in which a history breaks.
+// ErrLost and ErrUnavailable are the two kinds of breaches.
 var (
-	ErrLost        = errors.New("something confirmed is lost")
-	ErrUnavailable = errors.New("operators are not answered any more")
+	ErrLost        = errors.New("a confirmed version is lost")
+	ErrUnavailable = errors.New("operators receive no responses")
 )
 
-// History is what operators did and were answered. It knows nothing of how the machines work.
+// History records the operations of operators and the responses, and checks them. It is independent of how the machines work.
 type History struct {
 	Broken     error
 	pending    map[uint64]operation
 	answers    []answer
-	lastAnswer time.Duration // when an operator was last answered
-	lastWrite  time.Duration // ... a write
+	lastAnswer time.Duration // time of the last response to an operator
+	lastWrite  time.Duration // time of the last confirmed write
 }
 
 // operation is a write of a version, or a read.
 type operation struct {
-	version uint32 // 0: a read
+	version uint32 // 0 for a read
 	beganAt time.Duration
 }
 
@@ -33,7 +33,7 @@
 	endedAt time.Duration
 }
 
-// Begin notes that an operator has asked.
+// Begin records that an operator has started a write of a version, or a read if version is 0.
 func (h *History) Begin(id uint64, version uint32, now time.Duration) {
 	if h.pending == nil {
 		h.pending = map[uint64]operation{}
@@ -41,8 +41,8 @@
 	h.pending[id] = operation{version, now}
 }
 
-// End notes the answer: the version that holds. It must not be below the one that was written, nor below any that was answered before the
-// operator asked.
+// End records the response, which is the current version. It must not be below the version that was written, nor below any version that
+// was returned before the operation began.
 func (h *History) End(id uint64, version uint32, now time.Duration) {
 	o, ok := h.pending[id]
 	if !ok {
@@ -50,12 +50,12 @@
 	}
 	delete(h.pending, id)
 	if version < o.version {
-		h.fail(ErrLost, "%v: version %d was confirmed, and %d holds", now, o.version, version)
+		h.fail(ErrLost, "%v: version %d was confirmed, but the current version is %d", now, o.version, version)
 	}
 	for i := len(h.answers) - 1; i >= 0; i-- {
 		if a := h.answers[i]; a.endedAt < o.beganAt {
 			if a.version > version {
-				h.fail(ErrLost, "%v: version %d was answered at %v, and after it %d", now, a.version, a.endedAt, version)
+				h.fail(ErrLost, "%v: version %d was returned at %v, and %d after it", now, a.version, a.endedAt, version)
 			}
 			break
 		}
@@ -65,21 +65,21 @@
 	}
 	highest := version
 	if n := len(h.answers); n > 0 {
-		highest = max(highest, h.answers[n-1].version) // so that the last of those that ended before is the highest of them
+		highest = max(highest, h.answers[n-1].version) // versions never decrease, so that the last answer before a time is the highest
 	}
 	h.answers, h.lastAnswer = append(h.answers, answer{highest, now}), now
 }
 
-// Expire forgets an operation whose operator waits no more.
+// Expire removes an operation whose operator does not wait any longer.
 func (h *History) Expire(id uint64) { delete(h.pending, id) }
 
 // Confirmed reports whether a write has been confirmed since a time.
 func (h *History) Confirmed(since time.Duration) bool { return h.lastWrite > since }
 
-// Watch breaks where operators were not answered for too long.
+// CheckAvailability records a breach if no operator has received a response for longer than maxUnavailability.
 func (h *History) CheckAvailability(now, maxUnavailability time.Duration) {
 	if now-h.lastAnswer > maxUnavailability && now > settleTime {
-		h.fail(ErrUnavailable, "%v: no operator was answered for %v", now, now-h.lastAnswer)
+		h.fail(ErrUnavailable, "%v: no operator received a response for %v", now, now-h.lastAnswer)
 	}
 }
 
--- a/lab/explore/members/machine.go
+++ b/lab/explore/members/machine.go
@@ -14,23 +14,23 @@
 	"firplank/mesh/timing"
 )
 
-// machine is a control machine: the shipped decisions, driven as the control plane drives them, with a clock and a disk of its own.
+// machine is a control machine: the shipped decisions, driven as by the control plane, with a simulated clock and disk.
 type machine struct {
 	world              *world
 	name               string
 	zone               string
-	clockRate          float64 // of its clock
+	clockRate          float64 // speed of its clock relative to real time
 	started            time.Duration
 	incarnation        uint64
 	frozen             bool
 	partitioned        bool
-	stalled            bool // its disk takes nothing
-	faultUnnoticed     bool // ... and it does not know
-	departedGracefully bool // it has left in order
-	removed            bool // for good
+	stalled            bool // its disk completes no write
+	faultUnnoticed     bool // ... and the machine does not detect it
+	departedGracefully bool // the machine has handed over its work before it left
+	removed            bool // the machine does not come back
 
 	// The shipped parts of the control plane, in place of its event loop.
-	replica    *register.Replica // nil: it is down
+	replica    *register.Replica // nil while the machine is down
 	pipeline   *persistence.Pipeline
 	operations *operations.Table
 	peers      *peers.Table[string] // a connection is the other machine's name
@@ -40,17 +40,17 @@
 	lastID    uint64
 	nextHello time.Duration
 	inbox     []delivery
-	pending   map[uint64]pendingCall // by the number of the operation
+	pending   map[uint64]pendingCall // by operation ID
 
 	disk         *register.State
-	pendingWrite *persist.Write // that the disk works on
-	syncedAt     time.Duration  // when it has it, by the world's time
+	pendingWrite *persist.Write // write that the disk has not completed; nil if there is none
+	syncedAt     time.Duration  // when the disk completes the write, in the world's time
 }
 
-// wait is an operator's call that waits for an answer.
+// pendingCall is an operator's call that has no response yet.
 type pendingCall struct {
-	deadline  time.Duration // by the world's time
-	historyID uint64        // its number in the history
+	deadline  time.Duration // in the world's time
+	historyID uint64        // its ID in the history
 }
 
 // hello is the status that a machine reports.
@@ -61,7 +61,7 @@
 
 func (m *machine) up() bool { return m.replica != nil }
 
-// now is its own time.
+// now returns the machine's local time.
 func (m *machine) now() time.Duration {
 	return time.Duration(float64(m.world.now-m.started) * m.clockRate)
 }
@@ -77,7 +77,8 @@
 	for _, x := range w.machines[:initialMembers] {
 		members = append(members, x.name)
 	}
-	m.replica = register.New(m.name, members, first || w.defect.votesWhenEmptied && m.disk == nil, m.disk, m.incarnation<<16+uint64(len(w.inFlight))+1)
+	m.replica = register.New(m.name, members, first || w.defect.votesWhenEmptied && m.disk == nil, m.disk,
+		m.incarnation<<16+uint64(len(w.inFlight))+1)
 	m.replica.SetTiming(w.defect.registerTiming())
 	if first {
 		s := m.replica.State()
@@ -90,7 +91,7 @@
 	m.reconciler = reconcile.New(config, m, m.peers, m, m.nextID)
 }
 
-// putBehindDisk puts the replica behind what the disk has.
+// startPipeline creates the pipeline and the operations of the replica, with the state that is on disk.
 func (m *machine) startPipeline() {
 	onDisk := register.State{}
 	if m.disk != nil {
@@ -109,7 +110,7 @@
 	return m.lastID
 }
 
-// down ends the process; a write that is under way may have reached the disk or not.
+// stop ends the process. A pending write may have reached the disk or not.
 func (m *machine) stop() {
 	if m.pendingWrite != nil && m.world.rng.IntN(2) == 0 && !m.stalled {
 		m.disk = m.pendingWrite.State
@@ -117,7 +118,7 @@
 	m.replica, m.pendingWrite, m.inbox = nil, nil, nil
 }
 
-// step does what is due.
+// step does all work that is due.
 func (m *machine) step() {
 	if !m.up() || m.frozen {
 		return
@@ -144,7 +145,7 @@
 	m.expirePending()
 }
 
-// receive takes in what came.
+// receive handles the messages in the inbox.
 func (m *machine) receive(now time.Duration) {
 	inbox := m.inbox
 	m.inbox = nil
@@ -164,10 +165,10 @@
 
 func (m *machine) apply(ev register.Event) { m.pipeline.Apply(m.now(), ev) }
 
-// caller brings the result of an operation to its operator.
+// responder passes the result of an operation to its operator.
 type responder struct {
 	m  *machine
-	id uint64 // of the operator's call in the history
+	id uint64 // ID of the operator's call in the history
 }
 
 // Respond implements operations.Responder.
@@ -179,7 +180,7 @@
 	c.m.world.history.End(c.id, r.Outcome.Value.Version, c.m.world.now)
 }
 
-// propose hands it an operator's wish.
+// propose passes an operator's request to the machine.
 func (m *machine) propose(r operations.Request, id uint64) {
 	if op := m.operations.Propose(m.now(), r, responder{m, id}); op > 0 {
 		m.pending[op] = pendingCall{m.world.now + operationTimeout, id}
@@ -196,7 +197,7 @@
 	}
 }
 
-// broadcastHello sends the status to all machines, whose addresses hellos spread.
+// broadcastHello sends the status to all machines. The hellos also spread the machines' addresses.
 func (m *machine) broadcastHello(now time.Duration) {
 	h := hello{zone: m.zone, status: m.reconciler.Status(now)}
 	if m.world.defect.hidesStandByState {
@@ -212,8 +213,8 @@
 	}
 }
 
-// followConnections makes connections to machines that are up and on this side of a cut, and loses the others. One that is frozen keeps its
-// connections: a new one is made at once in place of one that is closed as silent.
+// updateConnections connects to machines that are up and on the same side of a partition, and disconnects from the others. A frozen
+// machine stays connected: a connection that is closed because of silence is replaced by a new one at once.
 func (m *machine) updateConnections(now time.Duration) {
 	for _, p := range m.peers.All() {
 		other := m.world.machineNamed(p.Addr)
@@ -229,7 +230,7 @@
 	}
 }
 
-// beginDeparture is the request to end.
+// beginDeparture asks the machine to leave.
 func (m *machine) beginDeparture() {
 	if m.world.defect.leavesAtOnce {
 		m.departedGracefully = true
--- a/lab/explore/members/members.go
+++ b/lab/explore/members/members.go
@@ -1,10 +1,10 @@
-// Package members explores how the control machines keep a majority and lose nothing while one of them after the other
-// is lost. It plays the shipped decisions of packages register, lease and replacement together, each machine with its
-// clock, its links and its disk, over faults that come at the earliest moment that the tolerance and syncS allow:
-// machines removed, wiped, killed, frozen, cut off or asked to leave, and power lost everywhere in the end.
+// Package members explores whether the control machines keep a quorum and lose no data while machines are lost one after the other.
+// It runs the shipped decisions of packages register, lease and replacement together, with simulated clocks, links and disks, under
+// faults that occur as early as the tolerance and syncS allow: machines are removed, wiped, killed, frozen, partitioned or asked to leave,
+// and finally all machines lose power.
 //
-// It checks what operators were answered, and nothing else (History): a confirmed version is never lost, and operators are answered again
-// within a stated time after each fault.
+// It checks only the responses to operators (History): a confirmed version is never lost, and operators receive responses again within
+// MaxUnavailability after each fault.
 //
 // Start reading at Run.
 package members
@@ -19,23 +19,24 @@
 
 const (
 	step              = 5 * time.Millisecond
-	syncS             = 4 * time.Second // of the pages
+	syncS             = 4 * time.Second // default of the setting: how long a machine counts as lost after its return
 	graceS            = 6 * time.Second
-	initialMembers    = 3 // machines that are members at first
+	initialMembers    = 3 // the first machines are members
 	settleTime        = 8 * time.Second
 	operationInterval = 100 * time.Millisecond
 	operationTimeout  = time.Second
 )
 
-// MaxUnavailability is for how long operators may go without any answer: one fault, a restart of its machines and the
-// repair of rounds under way.
+// MaxUnavailability is the longest time for which no operator receives a response. It covers one fault, the restart of its machines and
+// the repair of rounds in progress.
 const MaxUnavailability = 3 * time.Second
 
-// world is all machines, their links, and the operators.
+// world contains all machines, their links and the operators.
 type world struct {
 	rng    *rand.Rand
 	defect *Defect
-	// tolerance is how many machines may be lost at once, and sync the longest time of a disk's sync; 0: some milliseconds.
+	// tolerance is the number of machines that may be lost at the same time. maxSync is the maximum duration of a disk's sync; 0 means some
+	// milliseconds.
 	tolerance int
 	maxSync   time.Duration
 	now       time.Duration
@@ -49,19 +50,23 @@
 	events    []string
 }
 
-// delivery is a message on its way: a register's, a lease's, or a hello.
+// delivery is a message in flight: of the register, of the lease, or a hello.
 type delivery struct {
 	dueAt    time.Duration
 	from, to string
 	body     any
 }
 
-// Run plays one order drawn from a seed and returns what broke, and how it came to it. A nil defect plants none.
+// Run runs one random order drawn from a seed and returns its events and the breach of an invariant, if any. No defect is planted if d
+// is nil.
 func Run(environment Environment, d *Defect, seed uint64) (trace []string, breach error) {
 	if d == nil {
 		d = &Defect{}
 	}
-	w := &world{rng: rand.New(rand.NewPCG(seed, uint64(environment.Machines))), defect: d, tolerance: max(1, environment.Tolerance), maxSync: environment.Sync}
+	w := &world{
+		rng: rand.New(rand.NewPCG(seed, uint64(environment.Machines))), defect: d,
+		tolerance: max(1, environment.Tolerance), maxSync: environment.Sync,
+	}
 	for range environment.Machines {
 		w.addMachine()
 	}
@@ -82,7 +87,8 @@
 	return w.events, w.history.Broken
 }
 
-// Search plays so many orders in each surroundings and returns the first seed that breaks, and how.
+// Search runs one order for each seed, from firstSeed on, and returns the first seed whose order breaks an invariant, and the breach,
+// which is nil if no order breaks one.
 func Search(environment Environment, d *Defect, firstSeed, orders uint64) (seed uint64, breach error) {
 	for seed = firstSeed; seed < firstSeed+orders; seed++ {
 		if _, breach = Run(environment, d, seed); breach != nil {
@@ -92,7 +98,7 @@
 	return seed, nil
 }
 
-// syncTime draws how long a disk takes for a sync.
+// syncTime returns a random duration of a disk's sync.
 func (w *world) syncTime() time.Duration {
 	const minSync, usualSync = 1, 12
 	drawn := time.Duration(minSync+w.rng.IntN(usualSync)) * time.Millisecond
@@ -122,7 +128,7 @@
 	return nil
 }
 
-// pass lets time pass, with operators at work.
+// advance advances the time while operators send requests.
 func (w *world) advance(d time.Duration) {
 	for end := w.now + d; w.now < end && w.history.Broken == nil; {
 		w.now += step
@@ -141,7 +147,7 @@
 func (w *world) send(from, to string, body any) {
 	delay := time.Millisecond + time.Duration(w.rng.IntN(15))*time.Millisecond
 	if w.rng.IntN(200) == 0 {
-		delay += 200 * time.Millisecond // one segment lost and sent again
+		delay += 200 * time.Millisecond // a segment is lost and retransmitted
 	}
 	w.inFlight = append(w.inFlight, delivery{w.now + delay, from, to, body})
 }
@@ -161,7 +167,7 @@
 	}
 }
 
-// operate has an operator write or read at a machine by chance.
+// operate has an operator write or read at a random machine.
 func (w *world) operate() {
 	var candidates []*machine
 	for _, m := range w.machines {
@@ -174,7 +180,7 @@
 	}
 	m := candidates[w.rng.IntN(len(candidates))]
 	w.lastID++
-	// In every other second operators only read: a write would hide that the one before it was lost.
+	// Operators only read in every other second, because a write would hide the loss of the write before it.
 	if writes := w.now/time.Second%2 == 0 && !w.readOnly; writes && w.rng.IntN(2) == 0 {
 		w.version++
 		w.history.Begin(w.lastID, w.version, w.now)
--- a/lab/explore/members/members_test.go
+++ b/lab/explore/members/members_test.go
@@ -9,7 +9,8 @@
 	"github.com/go-faster/errors"
 )
 
-// Whatever one machine after the other suffers, as soon as it may, operators go on being answered and nothing confirmed is lost.
+// Operators keep receiving responses and no confirmed version is lost while machines fail one after the other, as soon as the tolerance
+// allows.
 func TestConfirmedWritesSurviveSuccessiveLosses(t *testing.T) {
 	for _, environment := range DefaultEnvironments {
 		for seed := range uint64(3) {
@@ -20,7 +21,7 @@
 	}
 }
 
-// A search that finds nothing has to be one that would.
+// The explorer must be able to find faults: every planted defect causes the expected breach.
 func TestPlantedDefectsAreFound(t *testing.T) {
 	for i := range Defects {
 		d := &Defects[i]
@@ -29,18 +30,18 @@
 		case breach == nil:
 			t.Errorf("%s: not found", d.Name)
 		case d.LosesData != errors.Is(breach, ErrLost):
-			t.Errorf("%s: found by another breach than it stands for: %v", d.Name, breach)
+			t.Errorf("%s: found by an unexpected kind of breach: %v", d.Name, breach)
 		default:
 			t.Logf("%s: %v", d.Name, breach)
 		}
 		if _, breach := Run(d.Environment, nil, d.Seed); breach != nil {
-			t.Errorf("%s: the same order breaks without the defect: %v", d.Name, breach)
+			t.Errorf("%s: the same order breaks an invariant without the defect: %v", d.Name, breach)
 		}
 	}
 }
 
-// On disks that take up to 150 ms for a sync nothing is lost, and all but a few machines that are asked to leave do so in order within
-// their time. Operators may have to wait for longer than MaxUnavailability there, which is why these orders are not among the usual ones.
+// If a disk's sync takes up to 150 ms, no confirmed version is lost, and all but a few machines that are asked to leave do so gracefully
+// within their time. Operators may wait for longer than MaxUnavailability, so this is not among the default environments.
 func TestDeparturesOnSlowDisks(t *testing.T) {
 	environment := Environment{Machines: 5, Faults: 3, Sync: 150 * time.Millisecond}
 	inOrder, late := 0, 0
@@ -54,12 +55,12 @@
 		graceful := strings.Count(joinedTrace, " leaves (error: <nil>")
 		inOrder, late = inOrder+graceful, late+departures-graceful
 	}
-	if t.Logf("%d departures in order, %d not", inOrder, late); inOrder < 15 || 8*late > inOrder {
-		t.Errorf("%d departures in order, %d not", inOrder, late)
+	if t.Logf("%d graceful departures, %d others", inOrder, late); inOrder < 15 || 8*late > inOrder {
+		t.Errorf("%d graceful departures, %d others", inOrder, late)
 	}
 }
 
-// The same seed plays the same order.
+// The same seed produces the same order, so that a breach can be reproduced.
 func TestRunsAreReproducible(t *testing.T) {
 	for seed := range uint64(3) {
 		first, _ := Run(DefaultEnvironments[1], nil, seed)
@@ -69,7 +70,7 @@
 	}
 }
 
-// Orders have to get somewhere: in each, operators are answered all the time, and members are replaced.
+// Orders must reach replacements of members, on average at least one in each.
 func TestRunsReplaceMembers(t *testing.T) {
 	replaced := 0
 	for seed := range uint64(3) {
--- a/lab/explore/numbers/defects.go
+++ b/lab/explore/numbers/defects.go
@@ -6,22 +6,22 @@
 	"firplank/mesh/register"
 )
 
-// Defect is a mistake planted in the surroundings of the register, as if the register or its machine made it.
+// Defect is a fault planted in the simulated environment. It acts like a bug of the register or its machine.
 type Defect struct {
 	Name               string
 	Bounds             Bounds
-	Seed               uint64 // of a history that shows it
-	repliesBeforeSync  bool   // messages and answers leave before the disk has the state
-	confirmsOnFirstAck bool   // a put is confirmed when the first other disk has it
-	// answerLocally answers a put from what its machine knows, without a round.
+	Seed               uint64 // seed of a history that shows the defect
+	repliesBeforeSync  bool   // messages and responses are sent before the state is on disk
+	confirmsOnFirstAck bool   // a put is confirmed once the first other disk has the value
+	// answerLocally responds to a put from the local state of its machine, without a round of the protocol.
 	answerLocally func(*register.Replica, request) (answer, bool)
-	// alterMessage alters a message that leaves a machine.
+	// alterMessage alters a message that a machine sends.
 	alterMessage func(*register.Message)
-	// alterOutcome alters an outcome; second reports that the machine has settled another in the same moment.
+	// alterOutcome alters an outcome. second is set if the machine has completed another operation at the same time.
 	alterOutcome func(number int, o *register.Outcome, second bool)
 }
 
-// Defects are those that a search must find, each with bounds in which it is found and the seed of a history that does.
+// Defects are the planted defects that a search must find, each with bounds and the seed of a history in which it is found.
 var Defects = []Defect{
 	{Name: "what settles a put compares numbers, never contents", Bounds: TwoOperators, Seed: 1,
 		alterOutcome: func(number int, o *register.Outcome, _ bool) {
@@ -29,11 +29,12 @@
 				o.Result = register.Confirmed
 			}
 		}},
-	{Name: "a put is refused when a higher number holds", Bounds: TwoOperators, Seed: 1, alterOutcome: func(number int, o *register.Outcome, _ bool) {
-		if number > 0 && int(o.Value.Version) > number {
-			o.Result = register.Conflict
-		}
-	}},
+	{Name: "a put is refused when a higher number holds", Bounds: TwoOperators, Seed: 1,
+		alterOutcome: func(number int, o *register.Outcome, _ bool) {
+			if number > 0 && int(o.Value.Version) > number {
+				o.Result = register.Conflict
+			}
+		}},
 	{Name: "of two puts that wait at one machine both are confirmed", Bounds: DefaultBounds, Seed: 3,
 		alterOutcome: func(_ int, o *register.Outcome, second bool) {
 			if second {
@@ -83,7 +84,7 @@
 	{Name: "answers leave before the disk has synced", Bounds: ManyFaults, Seed: 2184, repliesBeforeSync: true},
 }
 
-// truncateHistory cuts the history of the value in a message of some kinds to its highest numbers.
+// truncateHistory limits the history in a message's value to the given count of highest numbers, if the message is of one of the kinds.
 func truncateHistory(m *register.Message, numbers int, kinds ...register.Kind) {
 	if m.Value == nil || !slices.Contains(kinds, m.Kind) {
 		return
--- a/lab/explore/numbers/linear.go
+++ b/lab/explore/numbers/linear.go
@@ -6,17 +6,17 @@
 	"slices"
 )
 
-// Call is one call of an operator, as the operator saw it. A call that is sent again is another Call.
+// Call is one call of an operator, with the response as the operator received it. A retry is another Call.
 type Call struct {
 	Read     bool
-	Number   int    // that was put; of an answered read, the highest
-	Content  string // ... and its content
-	Invoked  int    // step
-	Returned int    // step; 0: there was no answer, and the call may take effect at any later time, or never
-	Refused  bool   // a put was refused, as its number has another content
+	Number   int    // number that was put or, for a completed read, the highest number
+	Content  string // content of that number
+	Invoked  int    // step of the invocation
+	Returned int    // step of the response; 0 if there was none: the call may take effect at any later time, or never
+	Refused  bool   // the put was rejected because its number has another content
 }
 
-// String tells the call in a few words.
+// String returns a short description of the call.
 func (c Call) String() string {
 	text := fmt.Sprintf("put %d=%s", c.Number, c.Content)
 	switch {
@@ -34,19 +34,18 @@
 	return fmt.Sprintf("%s [%d, %d]", text, c.Invoked, c.Returned)
 }
 
-// The bounds of a history that can be checked.
+// Limits of a history that can be checked.
 const (
 	maxCalls   = 64
 	maxNumbers = 16
 )
 
-// contents is the state of the register that the calls should have seen: for each number, in rising order, the content
-// that it was taken with; 0: none yet. A number's content never changes, and the highest that has one is what a read
-// returns.
+// contents is the state of the specified register: the identifier of each number's content, in ascending order of the numbers, or 0 if
+// the number has none yet. A number's content never changes, and a read returns the highest number that has one.
 type contents [maxNumbers]uint8
 
-// checker searches for an order of the calls in which each has the answer that it got, and none goes before a call that
-// had returned when it was invoked: the search of Wing and Gong, with the states that were met remembered (Lowe).
+// checker searches for a linearization: an order of the calls that explains each response, and in which no call comes before one that
+// had returned when it was invoked. It is the algorithm of Wing and Gong, with Lowe's memory of the failed states.
 type checker struct {
 	calls   []Call
 	numbers []int
@@ -54,13 +53,13 @@
 	failed  map[searchState]bool
 }
 
-// position is what is left of a search: the answered calls that have their place, and the state after them.
+// searchState is a state of the search: the completed calls that are placed, and the contents after them.
 type searchState struct {
 	placedCalls uint64
 	contents    contents
 }
 
-// Check returns an error where no order of the calls explains their answers; it names the call with which that begins.
+// Check returns an error if the calls are not linearizable. The error names the first call whose response no order explains.
 func Check(calls []Call) error {
 	if linearizable(calls, 0) {
 		return nil
@@ -75,7 +74,7 @@
 	return fmt.Errorf("no order explains %v", answered)
 }
 
-// explained reports whether an order explains the calls up to a step; 0: all of them.
+// linearizable reports whether some order explains the calls up to a step, or all calls if untilStep is 0.
 func linearizable(calls []Call, untilStep int) bool {
 	c := &checker{ids: map[string]uint8{}, failed: map[searchState]bool{}}
 	for _, call := range calls {
@@ -102,7 +101,7 @@
 	return c.search(searchState{})
 }
 
-// search reports whether what is left can be put in order.
+// search reports whether the remaining calls can be ordered.
 func (c *checker) search(current searchState) bool {
 	possible := true
 	for placed := true; placed; {
@@ -126,11 +125,11 @@
 			continue
 		}
 		next[number] = c.ids[call.Content]
-		if tried[next] { // by a call with the same effect
+		if tried[next] { // a call with the same effect was tried
 			continue
 		}
 		tried[next] = true
-		if c.search(searchState{current.placedCalls, next}) { // the call itself fits at once, now that it has no effect
+		if c.search(searchState{current.placedCalls, next}) { // the next level places the call itself, which has no effect any more
 			return true
 		}
 	}
@@ -138,8 +137,8 @@
 	return false
 }
 
-// placeEffectless places a call whose answer fits the state and which does not change it: nothing is gained by placing
-// it later. fits is false where a call can never have its answer any more.
+// placeNonMutating places a call whose response matches the contents and which does not change them, since placing it later gains
+// nothing. possible is false if the response of some call can not be explained any more.
 func (c *checker) placeNonMutating(current searchState) (next searchState, placed, possible bool) {
 	limit, _ := c.earliestReturn(current)
 	for i := range c.calls {
@@ -159,7 +158,7 @@
 	return current, false, true
 }
 
-// answer tells whether a call has its answer in a state, without changing it, or in no later state.
+// checkAnswer reports whether a call's response matches the contents without a change of them, and whether no later contents can match.
 func (c *checker) checkAnswer(call *Call, state *contents) (matches, impossible bool) {
 	taken := state[c.numberIndex(call)]
 	same := taken == c.ids[call.Content]
@@ -179,8 +178,8 @@
 	return i
 }
 
-// limit is the first step at which one of the answered calls that have no place had returned: whatever was invoked
-// later comes after it. left is false where all have their place.
+// earliestReturn returns the first step at which a completed call that is not placed yet returned. Calls that were invoked later come
+// after that call. remaining is false if all completed calls are placed.
 func (c *checker) earliestReturn(current searchState) (limit int, remaining bool) {
 	for i := range c.calls {
 		if returned := c.calls[i].Returned; returned > 0 && current.placedCalls&(1<<i) == 0 && (!remaining || returned < limit) {
--- a/lab/explore/numbers/linear_test.go
+++ b/lab/explore/numbers/linear_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// The checker tells what operators may see from what they may not.
+// The checker accepts exactly the histories that a linearizable register can produce.
 func TestCheck(t *testing.T) {
 	put := func(number int, content string, invoked, returned int) Call {
 		return Call{Number: number, Content: content, Invoked: invoked, Returned: returned}
--- a/lab/explore/numbers/machines.go
+++ b/lab/explore/numbers/machines.go
@@ -15,7 +15,8 @@
 	"firplank/mesh/timing"
 )
 
-// othersAreWhole reports whether one more disk may be lost: fewer of the other machines than the tolerance are down, or without theirs.
+// mayLoseDisk reports whether one more disk may be lost: fewer other machines than the tolerance are down, are no voters or have a write
+// pending.
 func (s *system) mayLoseDisk(except int) bool {
 	lost := 0
 	for i, m := range s.machines {
@@ -32,7 +33,7 @@
 	s.startReplica(m, register.New(m.name, s.initialMembers(), false, m.disk, uint64(i+1)+m.incarnation*1000))
 }
 
-// run puts a machine's replica behind its disk, by the shipped parts of the control plane.
+// startReplica connects a replica with its machine's disk by the shipped parts of the control plane.
 func (s *system) startReplica(m *machine, r *register.Replica) {
 	onDisk := register.State{}
 	if m.disk != nil {
@@ -44,8 +45,8 @@
 	m.operations = operations.NewTable(alwaysInContact{m.pipeline}, func() uint64 { return s.proposingID }, timing.Default())
 }
 
-// alwaysInContact is a pipeline in whose surroundings time is no measure of contact with a quorum: it passes when a
-// machine's tick is played. That machines without contact propose nothing is for package cutoff.
+// alwaysInContact is a pipeline that always reports contact with a quorum. Time only advances with the ticks of this explorer and is no
+// measure of contact. Package cutoff explores that machines without a quorum propose nothing.
 type alwaysInContact struct{ *persistence.Pipeline }
 
 // Health implements operations.Register.
@@ -78,10 +79,10 @@
 	s.handle(i, register.ChangeMembers{ID: 1 << 32, Members: members[:s.bounds.Members]})
 }
 
-// handle lets a machine handle an event.
+// handle passes an event to a machine.
 func (s *system) handle(i int, ev register.Event) { s.machines[i].pipeline.Apply(s.now, ev) }
 
-// sync ends the write that a machine's disk works on.
+// sync completes a machine's pending write.
 func (s *system) sync(i int) {
 	m := s.machines[i]
 	w := m.pendingWrite
@@ -89,13 +90,13 @@
 	m.pipeline.WriteCompleted(s.now, w.Number, nil)
 }
 
-// sink is what a machine's pipeline acts on. It implements persistence.Sink.
+// sink receives the output of a machine's pipeline. It implements persistence.Sink.
 type sink struct {
 	s *system
 	m *machine
 }
 
-// Write gives the disk a state to write. The defect of a disk that claims too early tells the pipeline at once that it has the state.
+// Write starts a write of the state. With the defect repliesBeforeSync it reports the write as completed at once.
 func (k sink) Write(w persist.Write) {
 	k.m.pendingWrite = &w
 	if k.s.defect.repliesBeforeSync {
@@ -103,7 +104,7 @@
 	}
 }
 
-// Send puts a message on its way.
+// Send adds a message to those in flight.
 func (k sink) Send(message *register.Message) {
 	s, m := k.s, *message
 	if s.defect.alterMessage != nil {
@@ -121,7 +122,7 @@
 // Publish does nothing: there are no sidecars.
 func (k sink) Publish(persist.Committed) {}
 
-// Complete brings an outcome to the operation that waits for it; that of a change of members to none.
+// Complete passes an outcome to the operation that waits for it. No operation waits for a change of members.
 func (k sink) Complete(o register.Outcome) {
 	s := k.s
 	if s.defect.alterOutcome != nil && o.ID <= uint64(len(s.history)) {
@@ -131,13 +132,13 @@
 	k.m.operations.Complete(s.now, o, dissemination.Unconstrained)
 }
 
-// caller sends the result of a call to its operator.
+// responder sends the result of a call to its operator.
 type responder struct {
 	s         *system
 	callIndex int
 }
 
-// Respond implements operations.Responder. A call without an outcome has no answer.
+// Respond implements operations.Responder. A call without an outcome gets no response.
 func (c responder) Respond(r operations.Result) {
 	var taken *operations.VersionTakenError
 	if r.Err != nil && !errors.As(r.Err, &taken) {
@@ -147,7 +148,7 @@
 	c.s.answers = append(c.s.answers, answer{callIndex: c.callIndex, refused: taken != nil, number: int(v.Version), content: string(v.Body)})
 }
 
-// confirmAt is a defect's: it confirms what operators put at a machine.
+// confirmPutsAt implements a defect: it confirms all pending puts at a machine.
 func (s *system) confirmPutsAt(name string) {
 	for _, o := range s.operators {
 		if o.pendingCall >= 0 && o.request.number > 0 && s.machines[o.machine].name == name {
@@ -156,7 +157,7 @@
 	}
 }
 
-// deliver hands over a message; a machine that is down loses it.
+// deliver delivers a message, which is lost if the receiver is down. The message stays in flight unless remove is set.
 func (s *system) deliver(index int, remove bool) {
 	message := s.inFlight[index]
 	if remove {
@@ -170,10 +171,10 @@
 	s.handle(i, register.MessageReceived{Message: message})
 }
 
-// mostCalm bounds how many rounds of deliveries an answer may take once all is well.
+// maxSettleRounds is the maximum number of rounds of deliveries until a response once there are no more faults.
 const maxSettleRounds = 400
 
-// settle ends a history: all machines are up, nothing is lost any more, each order is sent once more and answered, and so is a read.
+// settle ends a history without further faults: all machines are up, and each request and a read are sent once more and must complete.
 func (s *system) settle() {
 	for i, m := range s.machines {
 		if m.replica == nil {
@@ -186,7 +187,7 @@
 		finalOperator.request, finalOperator.pendingCall = &wantedRequest, -1
 		for round := 0; finalOperator.request != nil; round++ {
 			if round == maxSettleRounds {
-				s.broken = fmt.Errorf("%v is not answered though all is well", wantedRequest)
+				s.broken = fmt.Errorf("%v does not complete after the last fault", wantedRequest)
 				return
 			}
 			s.step++
@@ -195,7 +196,8 @@
 	}
 }
 
-// settleRound lets everything happen that is due, in order.
+// settleRound sends the operator's request if there is no pending call, completes all writes and delivers all messages and responses.
+// The time advances if no messages are left.
 func (s *system) settleRound(finalOperator *operator) {
 	if finalOperator.pendingCall < 0 {
 		s.sendCall(finalOperator, s.rng.IntN(len(s.machines)))
--- a/lab/explore/numbers/numbers.go
+++ b/lab/explore/numbers/numbers.go
@@ -1,8 +1,8 @@
-// Package numbers explores what operators see of package mesh/register: two to eight of them send orders under numbers
-// that rise, fall and are taken, lose answers and send again, to other machines, while links lose, delay, repeat and
-// reorder, processes are killed, machines lose power before or after a sync, disks come back empty and members change.
-// At the end of each history all is well, every order is sent once more and has to be answered. The answers are then
-// checked to be those of one register that takes each number once (linear.go), which knows nothing of package register.
+// Package numbers is an explorer of package mesh/register as operators see it. Two to eight operators put contents under version numbers
+// that rise, fall or are in use already, and retry at other machines when responses are lost. Meanwhile links lose, delay, duplicate and
+// reorder messages, processes are killed, machines lose power before or after a sync, disks come back empty and members change.
+// At the end of each history faults cease, and every request is sent once more and must complete. The responses are then checked to be
+// linearizable against a register in which a number's content never changes (linear.go). The check is independent of package register.
 //
 // Start reading at Search, then system.choices.
 package numbers
@@ -18,43 +18,46 @@
 	"firplank/mesh/register"
 )
 
-// Bounds bound what may happen in one history.
+// Bounds limits the events of one history.
 type Bounds struct {
-	Machines       int // that the register may run on
-	Members        int // of them, those that it begins with
+	Machines       int // control machines
+	Members        int // the control machines that are the register's initial members
 	Operators      int // 2 to 8
-	Requests       int // of all operators
-	Calls          int // an order is sent once or more
-	Faults         int // messages and answers lost or repeated, kills, losses of power
+	Requests       int // requests of all operators together
+	Calls          int // calls of all operators; a request may take several
+	Faults         int // lost and duplicated messages, lost responses, kills and power losses
 	Wipes          int
-	Tolerance      int // disks that may be lost together; 0: one
-	MemberChanges  int // of members
-	InFlight       int // messages under way at most; beyond it the oldest is lost
-	InitialNumbers int // numbers that are taken before the first order, which operators do not use again
+	Tolerance      int // number of disks that may be lost at the same time; 0 means one
+	MemberChanges  int // changes of members
+	InFlight       int // maximum number of messages in flight; the oldest is dropped beyond it
+	InitialNumbers int // numbers that have a content before the first request; operators do not use them
 }
 
-// The bounds of the tests, and of the command.
+// Bounds that the tests and the command use.
 var (
 	DefaultBounds = Bounds{Machines: 4, Members: 3, Operators: 4, Requests: 7, Calls: 14, Faults: 12, Wipes: 1, MemberChanges: 1, InFlight: 30}
-	ManyOperators = Bounds{Machines: 4, Members: 3, Operators: 8, Requests: 12, Calls: 30, Faults: 12, Wipes: 2, MemberChanges: 1, InFlight: 40}
-	TwoOperators  = Bounds{Machines: 3, Members: 3, Operators: 2, Requests: 5, Calls: 12, Faults: 8, InFlight: 24}
-	// Pairwise lets two disks of five be lost together.
+	ManyOperators = Bounds{
+		Machines: 4, Members: 3, Operators: 8, Requests: 12, Calls: 30, Faults: 12, Wipes: 2, MemberChanges: 1, InFlight: 40,
+	}
+	TwoOperators = Bounds{Machines: 3, Members: 3, Operators: 2, Requests: 5, Calls: 12, Faults: 8, InFlight: 24}
+	// TwoDiskLosses allows two disks of five to be lost at the same time.
 	TwoDiskLosses = Bounds{
 		Machines: 6, Members: 5, Operators: 4, Requests: 7, Calls: 14, Faults: 12, Wipes: 4, Tolerance: 2, MemberChanges: 1, InFlight: 40,
 	}
-	// Lossy lets much go wrong between few calls.
+	// ManyFaults allows many faults between few calls.
 	ManyFaults = Bounds{Machines: 3, Members: 3, Operators: 4, Requests: 8, Calls: 8, Faults: 24, InFlight: 24}
-	// Full begins with a history that soon forgets.
+	// FullHistory starts with an almost full history of the register, which soon drops its oldest records.
 	FullHistory = Bounds{
 		Machines: 4, Members: 3, Operators: 4, Requests: 7, Calls: 14, Faults: 12, Wipes: 1, MemberChanges: 1, InFlight: 30,
 		InitialNumbers: register.MaxRecords - 2,
 	}
 )
 
-// Steps is how many steps a history has before all is well.
+// Steps is the number of steps of a history before faults cease.
 const Steps = 400
 
-// Search plays histories of so many steps, one from each seed, and returns the first seed whose history breaks a promise, and how.
+// Search runs one history of the given number of steps for each seed, from firstSeed on. It returns the first seed whose history breaks
+// an invariant, and the breach, which is nil if no history breaks one.
 func Search(b Bounds, d *Defect, firstSeed, histories uint64, steps int) (seed uint64, breach error) {
 	for seed = firstSeed; seed < firstSeed+histories; seed++ {
 		if s := play(b, d, seed, steps); s.broken != nil {
@@ -64,7 +67,7 @@
 	return seed, nil
 }
 
-// play plays one history drawn from a seed.
+// play runs one random history drawn from a seed.
 func play(b Bounds, d *Defect, seed uint64, steps int) *system {
 	rng := rand.New(rand.NewPCG(seed, 49))
 	s := newSystem(b, d, rng)
@@ -85,17 +88,17 @@
 
 type machine struct {
 	name         string
-	replica      *register.Replica // nil: it is down
-	disk         *register.State   // nil: it is empty
+	replica      *register.Replica // nil while the machine is down
+	disk         *register.State   // nil if the disk is empty
 	incarnation  uint64
-	pendingWrite *persist.Write // that the disk works on
+	pendingWrite *persist.Write // write that the disk has not completed; nil if there is none
 
 	pipeline    *persistence.Pipeline
 	operations  *operations.Table
-	completedAt time.Duration // when an operation was last completed
+	completedAt time.Duration // time of the last completed operation
 }
 
-// order is what an operator wants: a number taken with a content or, where the number is 0, to read.
+// request is a put of a content under a number, or a read if the number is 0.
 type request struct {
 	number  int
 	content string
@@ -103,11 +106,11 @@
 
 type operator struct {
 	request     *request
-	pendingCall int // index of the call in the history; below 0: the order is to be sent
-	machine     int // machine that was called
+	pendingCall int // index of the call in the history; negative if the request has yet to be sent
+	machine     int // index of the machine that was called
 }
 
-// answer is on its way to an operator.
+// answer is a response in flight to an operator.
 type answer struct {
 	callIndex int
 	refused   bool
@@ -129,7 +132,7 @@
 	now           time.Duration
 	step          int
 	broken        error
-	proposingID   uint64 // number of the operation that is being proposed
+	proposingID   uint64 // ID of the operation that is being proposed
 }
 
 func newSystem(b Bounds, d *Defect, rng *rand.Rand) *system {
@@ -168,7 +171,7 @@
 	return names
 }
 
-// taken is the history that the machines begin with.
+// initialHistory returns the history that the machines start with.
 func (s *system) initialHistory() (h register.History) {
 	for number := range s.bounds.InitialNumbers {
 		h = h.With(register.Record{Version: uint32(number + 1), Content: register.ContentOf([]byte("taken"))})
@@ -210,8 +213,8 @@
 }
 
 const (
-	tickInterval    = 12 // in one of how many steps time may pass while messages are under way
-	timeOutInterval = 12 // ... and operators may count an answer as lost
+	tickInterval    = 12 // number of steps after which time may pass while messages are in flight
+	timeOutInterval = 12 // number of steps after which an operator may stop waiting for a response
 )
 
 func (s *system) machineChoices(add func(string, func())) {
@@ -242,8 +245,8 @@
 	}
 }
 
-// draw makes an order: mostly a new content under a number that rises, is the highest, or falls; at times one that was
-// sent before, or a read.
+// drawRequest returns a random request: mostly a new content under a number above, at or below the highest, otherwise an earlier request
+// or a read.
 func (s *system) drawRequest() *request {
 	var o request
 	switch s.rng.IntN(10) {
@@ -269,7 +272,7 @@
 	return &o
 }
 
-// call sends an operator's order to a machine; one that is down takes none.
+// sendCall sends an operator's request to a machine. It does nothing if the machine is down.
 func (s *system) sendCall(o *operator, machineIndex int) {
 	m := s.machines[machineIndex]
 	if m.replica == nil {
@@ -294,7 +297,7 @@
 	m.operations.Propose(s.now, write, responder{s, o.pendingCall})
 }
 
-// timeOut has an operator count a call's answer as lost; its machine may be notified.
+// timeOut ends an operator's wait for a response. The machine may be notified. A read is not retried.
 func (s *system) timeOut(o *operator) {
 	if m := s.machines[o.machine]; m.replica != nil && s.rng.IntN(2) == 0 {
 		m.operations.Cancel(uint64(o.pendingCall + 1))
@@ -305,7 +308,7 @@
 	}
 }
 
-// answered takes in an answer, which may be one that nobody waits for any more.
+// deliverAnswer delivers a response to the operator that waits for it, if there is one.
 func (s *system) deliverAnswer(i int) {
 	a := s.answers[i]
 	s.answers = append(s.answers[:i:i], s.answers[i+1:]...)
--- a/lab/explore/numbers/numbers_test.go
+++ b/lab/explore/numbers/numbers_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// One number has one content, whatever operators, links, disks and machines do, and every order is answered once all is well.
+// A number never has two contents under any behaviour of operators, links, disks and machines, and every request completes after faults
+// cease.
 func TestEachNumberHasOneContent(t *testing.T) {
 	for _, c := range []struct {
 		bounds    Bounds
@@ -14,8 +15,8 @@
 	}
 }
 
-// Histories that hold little prove little: orders are confirmed and refused, also under a higher number and when sent
-// again, before all is well.
+// Histories must cover enough cases before faults cease: puts that are confirmed and rejected, also below a higher number and when
+// retried. Without them, a search that finds no breach shows nothing.
 func TestHistoriesCoverConfirmationsAndRefusals(t *testing.T) {
 	var confirmed, refused, repeated, lower int
 	for seed := range uint64(60) {
@@ -45,11 +46,11 @@
 	}
 	t.Logf("%d puts confirmed, %d of them when sent again, %d under a lower number; %d refused", confirmed, repeated, lower, refused)
 	if confirmed < 150 || refused < 120 || repeated < 100 || lower < 90 {
-		t.Error("that is too little")
+		t.Error("the histories cover too few cases")
 	}
 }
 
-// A search that finds nothing has to be one that would.
+// The explorer must be able to find faults: every planted defect breaks an invariant.
 func TestPlantedDefectsAreFound(t *testing.T) {
 	for i := range Defects {
 		d := &Defects[i]
@@ -59,7 +60,7 @@
 			t.Logf("%s: %v", d.Name, breach)
 		}
 		if _, breach := Search(d.Bounds, nil, d.Seed, 1, Steps); breach != nil {
-			t.Errorf("%s: the same history breaks it without the defect: %v", d.Name, breach)
+			t.Errorf("%s: the same history breaks an invariant without the defect: %v", d.Name, breach)
 		}
 	}
 }
--- a/lab/explore/register/choices.go
+++ b/lab/explore/register/choices.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// tickInterval is the number of steps of which one offers that time passes while messages are under way. Were it
-	// offered more often, hardly a round would end.
+	// tickInterval is the number of steps after which time may pass while messages are in flight. More frequent ticks would let
+	// hardly any round complete.
 	tickInterval = 9
-	// killInterval and lossInterval are the numbers of steps of which one offers kills, and losses and repeats of messages.
+	// killInterval and lossInterval are the numbers of steps after which machines may be killed, and messages lost or duplicated.
 	killInterval, lossInterval = 3, 2
-	// syncWeight is how many times as probable as other choices it is that a disk syncs.
+	// syncWeight is the probability that a disk completes its sync, relative to any other choice.
 	syncWeight = 3
 )
 
-// choices returns what may happen next.
+// choices returns the events that may happen next.
 func (s *system) choices() []explore.Choice {
 	var all []explore.Choice
 	for i, m := range s.machines {
@@ -42,7 +42,7 @@
 	return all
 }
 
-// eventChoices returns what a machine that is up and whose disk is idle may be given to handle.
+// eventChoices returns the events that a running machine with an idle disk may handle.
 func (s *system) eventChoices(i int) (all []explore.Choice) {
 	add := func(name string, do func()) { all = append(all, explore.Choice{Name: name, Do: do}) }
 	m := s.machines[i]
@@ -67,7 +67,7 @@
 	return all
 }
 
-// killChoices returns how a machine may fail.
+// killChoices returns the ways in which a machine may fail.
 func (s *system) killChoices(i int) []explore.Choice {
 	name := s.machines[i].name
 	all := []explore.Choice{{Name: name + " is killed", Do: func() { s.kill(i, false) }}}
@@ -77,7 +77,7 @@
 	return all
 }
 
-// messageChoices returns what may happen to a message that is under way.
+// messageChoices returns what may happen to a message in flight.
 func (s *system) messageChoices(i int) []explore.Choice {
 	name := ""
 	if m := &s.inFlight[i]; s.namesWanted {
@@ -98,7 +98,7 @@
 		}})
 }
 
-// othersIntact reports whether all other machines are up and have their disks: no more than one is lost at a time.
+// othersIntact reports whether all other machines are up, are voters and have no write pending. At most one disk is lost at a time.
 func (s *system) othersIntact(except int) bool {
 	for i, m := range s.machines {
 		if i != except && (m.replica == nil || !m.replica.State().Voter || m.unsynced != nil) {
--- a/lab/explore/register/defects.go
+++ b/lab/explore/register/defects.go
@@ -1,24 +1,24 @@
 package register
 
-// Bounds bound what may happen in one order.
+// Bounds limits the events of one order.
 type Bounds struct {
 	Machines      int // control machines
-	Members       int // of them, those that the register begins with
+	Members       int // the control machines that are the register's initial members
 	Puts          int
 	Reads         int
-	Faults        int // messages lost or repeated, kills, losses of power
-	Wipes         int // disks that come back empty; each is a fault, too
+	Faults        int // lost and duplicated messages, kills and power losses
+	Wipes         int // disks that come back empty; each also counts as a fault
 	MemberChanges int
-	InFlight      int // messages under way at most; beyond it the oldest is lost
+	InFlight      int // maximum number of messages in flight; the oldest is dropped beyond it
 }
 
-// DefaultBounds are those of the tests.
+// DefaultBounds are the bounds that the tests use.
 var DefaultBounds = Bounds{Machines: 4, Members: 3, Puts: 4, Reads: 4, Faults: 10, Wipes: 2, MemberChanges: 1, InFlight: 24}
 
-// HardBounds let more go wrong.
+// HardBounds allow more operations and faults.
 var HardBounds = Bounds{Machines: 4, Members: 3, Puts: 5, Reads: 5, Faults: 16, Wipes: 3, MemberChanges: 1, InFlight: 30}
 
-// Bounds in which few things go wrong, so that they often do so together.
+// Bounds with few kinds of faults, which therefore often occur in combination.
 var (
 	killBounds       = Bounds{Machines: 3, Members: 3, Puts: 3, Reads: 2, Faults: 6, InFlight: 16}
 	contentionBounds = Bounds{Machines: 3, Members: 3, Puts: 3, Faults: 2, InFlight: 12}
@@ -27,29 +27,29 @@
 	wipedBounds      = Bounds{Machines: 3, Members: 3, Puts: 2, Reads: 1, Faults: 3, Wipes: 2, InFlight: 30}
 )
 
-// Steps is the number of steps of the orders by which defects are known to be found.
+// Steps is the length of the orders that are known to find the defects.
 const Steps = 200
 
-// Defect is a mistake planted in the surroundings, as if the register or its disk made it.
+// Defect is a fault planted in the simulated environment. It acts like a bug of the register or a fault of its disk.
 type Defect struct {
 	Name   string
-	Bounds Bounds // in which it is found
-	Seed   uint64 // of an order of Steps steps that finds it; 0: none is known
+	Bounds Bounds // with which the defect is found
+	Seed   uint64 // seed of an order of Steps steps that finds the defect; 0 if none is known
 
-	sendsBeforeSync        bool // messages and answers leave before the state is on disk
-	losesPromise           bool // on a kill
-	losesAccepted          bool // on a kill
-	votesWhenEmptied       bool // a disk that came back empty votes at once
-	rejoinsFromOne         bool // ... once one other machine has replied
-	ignoresIncarnations    bool // replies of earlier incarnations still count
-	differentMembers       bool // machines begin with different members
-	nackAsAccepted         bool // a Nack is read as Accepted
-	raisesBallot           bool // a repeated Accept has a higher ballot
-	confirmsAfterFirstDisk bool // a Put is answered when the first disk has it
-	emptyPromise           bool // a Promise hides what was accepted
+	sendsBeforeSync        bool // messages and responses are sent before the state is on disk
+	losesPromise           bool // a kill loses the promised ballot
+	losesAccepted          bool // a kill loses the accepted value
+	votesWhenEmptied       bool // a machine whose disk came back empty votes at once
+	rejoinsFromOne         bool // ... votes after the reply of a single machine
+	ignoresIncarnations    bool // replies to earlier incarnations still count
+	differentMembers       bool // machines start with different members
+	nackAsAccepted         bool // a Nack is handled as Accepted
+	raisesBallot           bool // a duplicated Accept carries a higher ballot
+	confirmsAfterFirstDisk bool // a Put is confirmed once the first disk has the value
+	emptyPromise           bool // a Promise omits the accepted value
 }
 
-// Defects are those that a search must find.
+// Defects are the planted defects that a search must find.
 var Defects = []Defect{
 	{Name: "answers leave before the disk has synced", sendsBeforeSync: true, Bounds: killBounds, Seed: 19028},
 	{Name: "a promise is not on disk after a kill", losesPromise: true, Bounds: contentionBounds, Seed: 355},
--- a/lab/explore/register/doc.go
+++ b/lab/explore/register/doc.go
@@ -1,6 +1,6 @@
-// Package register explores package mesh/register: links that lose, delay, repeat and reorder messages, processes that are killed, machines
-// that lose power before or after a sync, disks that come back empty, members that are replaced. The check sees the history of the
-// answers that operators got, and is independent of the protocol.
+// Package register is an explorer of package mesh/register: links lose, delay, duplicate and reorder messages, processes are killed,
+// machines lose power before or after a sync, disks come back empty, and members are replaced. The check sees only the history of the
+// responses that operators received, and is independent of the protocol.
 //
-// Start reading at Start, which makes a system, and Search, which plays orders of the events in it.
+// Start reading at Start, which creates a system, and Search, which runs random orders of events in it.
 package register
--- a/lab/explore/register/history.go
+++ b/lab/explore/register/history.go
@@ -4,45 +4,45 @@
 	"fmt"
 )
 
-// operation is a put or a read that an operator waits for.
+// operation is a put or read whose response an operator is waiting for.
 type operation struct {
 	id        uint64
 	isPut     bool
-	written   write // of a put
-	startStep int   // step
-	machine   int   // index
+	written   write // body and version of a put
+	startStep int
+	machine   int // index of the machine that handles it
 }
 
-// write is a body under a version.
+// write is a version and its body.
 type write struct {
 	version uint32
 	body    string
 }
 
-// answer is the version that an operation was answered with.
+// answer is the version that was returned for an operation.
 type answer struct {
-	endStep int // step
+	endStep int
 	version uint32
 }
 
-// history checks what operators are answered: a version has one body, which is never refused and then confirmed or the other way round,
-// and no answer is older than one that had been given when its operation began.
+// history checks the responses to operators: each version has one body, a body is never both rejected and confirmed, and no operation
+// returns an older version than one that was returned before the operation began.
 type history struct {
 	pending  map[uint64]operation
 	answers  []answer
-	bodies   map[uint32]string // of versions that were read or confirmed
+	bodies   map[uint32]string // bodies of the versions that were read or confirmed
 	rejected map[write]bool
-	breach   error // the first
+	breach   error // first breach of an invariant
 }
 
 func newHistory() history {
 	return history{pending: map[uint64]operation{}, bodies: map[uint32]string{}, rejected: map[write]bool{}}
 }
 
-// begin notes an operation.
+// begin records that an operation has started.
 func (h *history) begin(o operation) { h.pending[o.id] = o }
 
-// abandon drops the operations at a machine that was killed: they may have taken effect or not.
+// abandon discards the pending operations at a killed machine, which may have taken effect or not.
 func (h *history) abandon(machine int) {
 	for id, o := range h.pending {
 		if o.machine == machine {
@@ -51,7 +51,7 @@
 	}
 }
 
-// end checks the answer of an operation. Its body is empty where the answer names none.
+// end checks the response to an operation. The body is empty if the response has none.
 func (h *history) end(id uint64, step int, conflict bool, answered write) {
 	o, ok := h.pending[id]
 	if !ok {
@@ -59,7 +59,7 @@
 	}
 	delete(h.pending, id)
 	if o.isPut && answered.version < o.written.version {
-		h.fail("an operator's version %d was answered with %d", o.written.version, answered.version)
+		h.fail("a put of version %d returned version %d", o.written.version, answered.version)
 	}
 	if answered.body != "" {
 		h.confirm(answered)
@@ -72,13 +72,13 @@
 	}
 	for _, earlier := range h.answers {
 		if earlier.endStep < o.startStep && earlier.version > answered.version {
-			h.fail("version %d was answered, and after it %d", earlier.version, answered.version)
+			h.fail("version %d was returned, and %d after it", earlier.version, answered.version)
 		}
 	}
 	h.answers = append(h.answers, answer{endStep: step, version: answered.version})
 }
 
-// confirm notes that a version has a body: the only one, and none that was rejected under it.
+// confirm records the body of a version and checks that the version has no other body and that this body was not rejected.
 func (h *history) confirm(w write) {
 	if other, ok := h.bodies[w.version]; ok && other != w.body {
 		h.fail("version %d was %q and is %q", w.version, other, w.body)
@@ -89,7 +89,7 @@
 	h.bodies[w.version] = w.body
 }
 
-// reject notes that a version will never have a body.
+// reject records that a version will never have this body.
 func (h *history) reject(w write) {
 	if h.bodies[w.version] == w.body {
 		h.fail("version %d is %q, which is rejected", w.version, w.body)
--- a/lab/explore/register/register_test.go
+++ b/lab/explore/register/register_test.go
@@ -6,7 +6,7 @@
 	"firplank/lab/explore"
 )
 
-// What was confirmed is never lost, reverted or changed, whatever links, disks and machines do, with one lost disk at a time.
+// A confirmed version is never lost, reverted or changed under any faults of links, disks and machines, if one disk is lost at a time.
 func TestConfirmedVersionsAreNeverLost(t *testing.T) {
 	fewFaults := Bounds{Machines: 3, Members: 3, Puts: 1, Reads: 1, Faults: 1, InFlight: 8}
 	if r := explore.Exhaust(Start(fewFaults, nil), explore.Limits{Depth: 5, States: 200_000}); r.Breach != nil {
@@ -19,7 +19,7 @@
 	}
 }
 
-// Orders that get far are mostly those in which little goes wrong: a register that never answers breaks no invariant.
+// A register that never responds breaks no invariant. Operations must therefore complete in orders with few faults.
 func TestOperationsCompleteWithFewFaults(t *testing.T) {
 	fewFaults := Bounds{Machines: 4, Members: 3, Puts: 3, Reads: 3, Faults: 2, Wipes: 1, MemberChanges: 1, InFlight: 40}
 	answers := 0
@@ -29,11 +29,11 @@
 		answers += len(s.history.answers)
 	}
 	if answers < 80 {
-		t.Errorf("%d answers in 40 orders of up to 6 operations each", answers)
+		t.Errorf("%d operations completed in 40 orders of up to 6 operations each", answers)
 	}
 }
 
-// A search that finds nothing has to be one that would.
+// The explorer must be able to find faults: every planted defect with a known seed breaks an invariant.
 func TestPlantedDefectsAreFound(t *testing.T) {
 	known := 0
 	for i := range Defects {
@@ -48,7 +48,7 @@
 			t.Logf("%s: %v", d.Name, breach)
 		}
 		if _, breach := Search(d.Bounds, nil, d.Seed, 1, Steps); breach != nil {
-			t.Errorf("%s: the same order breaks it without the defect: %v", d.Name, breach)
+			t.Errorf("%s: the same order breaks an invariant without the defect: %v", d.Name, breach)
 		}
 	}
 	if known < 8 {
--- a/lab/explore/register/system.go
+++ b/lab/explore/register/system.go
@@ -11,36 +11,36 @@
 )
 
 const (
-	// linkDelay passes with each delivery.
+	// linkDelay is the time that each delivery takes.
 	linkDelay = time.Millisecond
 )
 
 // machine is a control machine and its disk.
 type machine struct {
 	name     string
-	replica  *register.Replica // nil: it is down
-	disk     *register.State   // nil: it is empty
+	replica  *register.Replica // nil while the machine is down
+	disk     *register.State   // nil if the disk is empty
 	restarts int
-	unsynced *register.Output // waits for the disk; nil: nothing does
+	unsynced *register.Output // output that waits for the disk; nil if there is none
 }
 
 // system is a group of control machines with its operators, links and faults. It implements explore.System.
 type system struct {
-	bounds   Bounds // what may still happen
+	bounds   Bounds // events that remain
 	defect   *Defect
 	machines []*machine
 	inFlight []register.Message
 	now      time.Duration
 	step     int
 	lastID   uint64
-	version  uint32 // the highest that was put
+	version  uint32 // highest version that was put
 	history  history
 
 	fingerprint explore.OrderFingerprint
-	namesWanted bool // choices get names, which costs more than all the rest
+	namesWanted bool // choices are named only on request, because naming costs more than all other work
 }
 
-// Start returns a function that makes a new system; a nil defect plants none.
+// Start returns a function that creates a new system. No defect is planted if d is nil.
 func Start(b Bounds, d *Defect) func() explore.System {
 	return func() explore.System { return newSystem(b, d) }
 }
@@ -61,7 +61,7 @@
 	return s
 }
 
-// seeds returns the members that a machine begins with.
+// initialMembers returns the members that a machine starts with.
 func (s *system) initialMembers(i int) []string {
 	if s.defect.differentMembers && i%2 == 1 {
 		return []string{s.machines[i].name}
@@ -76,7 +76,7 @@
 // Broken implements explore.System.
 func (s *system) Broken() error { return s.history.breach }
 
-// State implements explore.System: no two orders are taken for the same.
+// State implements explore.System. Every order counts as a state of its own.
 func (s *system) State() uint64 { return uint64(s.fingerprint) }
 
 // Choices implements explore.System.
@@ -94,7 +94,7 @@
 	next.Do()
 }
 
-// start starts a machine that is down.
+// start starts a stopped machine.
 func (s *system) start(i int) {
 	m := s.machines[i]
 	m.restarts++
@@ -109,7 +109,7 @@
 	}
 }
 
-// copyOfNeighbour returns the state that a machine has which learns from one other.
+// neighbourState returns the state that a machine has if it restores its state from a single other machine.
 func (s *system) neighbourState(i int) *register.State {
 	state := register.State{Voter: true, Value: register.Value{Members: s.initialMembers(i)}}
 	if disk := s.machines[(i+1)%s.bounds.Members].disk; disk != nil {
@@ -119,7 +119,7 @@
 	return &state
 }
 
-// kill ends a machine's process; what waited for the disk is lost, and with it the disk if it is wiped.
+// kill ends a machine's process. The output that waits for the disk is lost, and so is the disk's content if wiped is set.
 func (s *system) kill(i int, wiped bool) {
 	s.bounds.Faults--
 	m := s.machines[i]
@@ -136,7 +136,7 @@
 	}
 }
 
-// put lets an operator put a version, with a body of its own.
+// put has an operator put a version with a unique body.
 func (s *system) put(i int, version uint32) {
 	s.bounds.Puts--
 	s.version = max(s.version, version)
@@ -153,7 +153,7 @@
 	s.handle(i, register.LinearizableRead{ID: s.lastID})
 }
 
-// changeMembers replaces the second machine by a spare one.
+// changeMembers replaces the second machine by the spare one.
 func (s *system) changeMembers(i int) {
 	s.bounds.MemberChanges--
 	members := []string{s.machines[0].name}
@@ -164,7 +164,7 @@
 	s.handle(i, register.ChangeMembers{ID: s.lastID, Members: members[:s.bounds.Members]})
 }
 
-// handle gives a machine an event. What has to wait for the disk does so until sync.
+// handle passes an event to a machine. If the event changes the state, messages and outcomes are held back until sync.
 func (s *system) handle(i int, event register.Event) {
 	output := s.machines[i].replica.Handle(s.now, event)
 	if output.State == nil || s.defect.sendsBeforeSync {
@@ -178,7 +178,7 @@
 	}
 }
 
-// sync ends a machine's write.
+// sync completes a machine's write.
 func (s *system) sync(i int) {
 	m := s.machines[i]
 	output := m.unsynced
@@ -188,7 +188,7 @@
 	s.release(output)
 }
 
-// release sends the messages of an output and gives operators their answers.
+// release sends the messages of an output and returns the outcomes to operators.
 func (s *system) release(output *register.Output) {
 	for _, message := range output.Messages {
 		s.defect.alter(&message)
@@ -205,7 +205,7 @@
 	}
 }
 
-// alter makes the defect's change to a message that is sent.
+// alter applies the defect to a message that is being sent.
 func (d *Defect) alter(m *register.Message) {
 	if d.ignoresIncarnations {
 		m.Incarnations = nil
@@ -218,7 +218,7 @@
 	}
 }
 
-// answerPuts answers the puts that wait at a machine.
+// answerPuts confirms the pending puts at a machine.
 func (s *system) answerPuts(name string) {
 	for id, o := range s.history.pending {
 		if o.isPut && s.machines[o.machine].name == name {
@@ -227,7 +227,7 @@
 	}
 }
 
-// deliver hands over a message, which is lost where its receiver is down or its disk busy; one that comes again stays under way.
+// deliver delivers a message, which is lost if the receiver is down or its disk is busy. The message stays in flight unless remove is set.
 func (s *system) deliver(index int, remove bool) {
 	message := s.inFlight[index]
 	if remove {
@@ -244,8 +244,8 @@
 	s.handle(i, register.MessageReceived{Message: message})
 }
 
-// Search plays orders of so many steps, one from each seed, and returns the first seed whose order breaks an invariant, and how. A nil
-// breach says that none does.
+// Search runs one order of the given number of steps for each seed, from firstSeed on. It returns the first seed whose order breaks an
+// invariant, and the breach, which is nil if no order breaks one.
 func Search(b Bounds, d *Defect, firstSeed, orders uint64, steps int) (seed uint64, breach error) {
 	for seed = firstSeed; seed < firstSeed+orders; seed++ {
 		s := newSystem(b, d)
@@ -256,10 +256,10 @@
 	return seed, nil
 }
 
-// orderStream is the second half of the seed of an order's random numbers.
+// orderStream is the second half of the random generator's seed.
 const orderStream = 7
 
-// walk plays one order drawn from a seed.
+// walk runs one random order drawn from a seed.
 func (s *system) walk(seed uint64, steps int) {
 	random := rand.New(rand.NewPCG(seed, orderStream))
 	for range steps {
--- a/lab/explore/rollouts/choices.go
+++ b/lab/explore/rollouts/choices.go
@@ -7,7 +7,7 @@
 	"firplank/mesh/rollout"
 )
 
-// manySteps pass at once in a choice.
+// manySteps is the number of steps that one choice may advance the time by.
 const manySteps = 8
 
 // Choices implements explore.System.
@@ -32,7 +32,7 @@
 	return explore.Names(w.choices)
 }
 
-// offerFaults offers cuts, restarts, late updates, another leader and a bad version.
+// offerFaults adds partitions, restarts, late updates, another leader and a new version that starts to fail.
 func (w *world) offerFaults() {
 	for i, s := range w.sidecars {
 		w.offerFault(func() { s.partitioned = !s.partitioned }, "sidecar %d is cut off, or joined again", i)
@@ -46,7 +46,7 @@
 	w.offerFault(func() { w.newVersionFails = true }, "the new version turns bad")
 }
 
-// restart starts a sidecar's process anew: it has confirmed nothing, serves once it has been updated, and its requests have ended with it.
+// restart restarts a sidecar's process. It has confirmed nothing, serves only after its first update, and its requests in flight are gone.
 func (w *world) restart(i int) {
 	s := w.sidecars[i]
 	s.set, s.ready, s.confirmed, s.requestsAtOld, s.nextIsLong = rollout.Set{}, w.defect.servesBeforeUpdate, 0, nil, false
--- a/lab/explore/rollouts/rollouts_test.go
+++ b/lab/explore/rollouts/rollouts_test.go
@@ -6,7 +6,7 @@
 	"firplank/lab/explore"
 )
 
-// depth is how many choices an order has: a term and more, as some of them are of many steps.
+// depth is the number of choices of an order. Since some choices take many steps, an order covers the rollout's term and more.
 const depth = 40
 
 func TestNoRequestsToOldVersionAfterDelivery(t *testing.T) {
@@ -17,7 +17,7 @@
 	}
 }
 
-// A search that finds nothing has to be one that would.
+// The explorer must be able to find faults: every planted defect breaks an invariant.
 func TestPlantedDefectsAreFound(t *testing.T) {
 	for i := range Defects {
 		seed, orders := uint64(1), 1500
--- a/lab/explore/rollouts/world.go
+++ b/lab/explore/rollouts/world.go
@@ -1,10 +1,11 @@
-// Package rollouts explores package mesh/rollout: sidecars that send by the updates that they have, control machines that decide on what
-// sidecars have reported, and a register between them, under cuts, restarts, late updates, long requests and a version that turns bad. It
-// checks that nobody in contact sends to the old version once a rollout is delivered, that nothing is held there then, that the canary
-// never gets more than its share, and that a rollout has one outcome. The register is taken for linearizable (lab/explore/register).
+// Package rollouts is an explorer of package mesh/rollout: sidecars route by the updates that they have received, control machines decide
+// by the sidecars' reports, and a register connects them, under partitions, restarts, late updates, long requests and a new version that
+// starts to fail. It checks that no sidecar in contact sends to the old version after a rollout is delivered, that no requests are in
+// flight there at the delivery, that the canary never gets more than its share, and that a rollout has one outcome. The register is
+// assumed to be linearizable, which lab/explore/register checks.
 //
-// The decisions are the shipped ones (Set, Controller, Judge, Split, Eligibility); what a sidecar does between them is written here anew,
-// as docs/design/rollout.md has it.
+// The decisions are the shipped ones (Set, Controller, Judge, Split, Eligibility). The rest of a sidecar is reimplemented here from
+// docs/design/rollout.md.
 //
 // Start reading at Start.
 package rollouts
@@ -23,43 +24,43 @@
 	service    = "one"
 	oldVersion = "v1"
 	newVersion = "v2"
-	// step is how much time passes at once, and term that of the rollout.
+	// step is the resolution of virtual time, and term the term of the rollout.
 	step = 250 * time.Millisecond
 	term = 8 * time.Second
-	// requestsPerStep are those of each sidecar.
+	// requestsPerStep is the number of requests of each sidecar in a step.
 	requestsPerStep = 12
-	// shortRequest and longRequest are how long requests take.
+	// shortRequest and longRequest are durations of requests.
 	shortRequest = step
 	longRequest  = 3 * time.Second
-	// lostAfter is the silence after which a control machine holds a sidecar for lost.
+	// lostTimeout is the time without contact after which a control machine considers a sidecar lost.
 	lostTimeout = 3 * time.Second
-	// exposureShare and exposureSlack are what a bad version may get.
+	// exposureShare and exposureSlack limit the requests that a faulty new version may get.
 	exposureShare = 0.1
 	exposureSlack = 8
-	// slots are those of each server.
+	// slots is the number of slots of each server.
 	slots = 4
-	// failing is the share of requests that the new version fails once it is bad, as one in so many.
+	// failureInterval is the number of requests of which the new version fails one, once it is faulty.
 	failureInterval = 2
 )
 
-// durations are those of a deployment in which a sidecar counts as lost well before it is out of touch.
+// durations are the timings of a deployment in which a sidecar counts as lost well before it stops routing by the rollout.
 var durations = timing.DefaultWith(func(b *bootstrap.Bounds) { b.SettleTime = 5 * time.Second }).Rollouts
 
-// sidecar is a branch machine: it sends, and has a server of one version.
+// sidecar is the sidecar of a branch machine. It sends requests, and its machine has a server of one version.
 type sidecar struct {
 	version       string
-	set           rollout.Set // by which it sends
+	set           rollout.Set // rollouts that it routes by
 	ready         bool
 	partitioned   bool // from all control machines
 	contactAt     time.Duration
 	split         rollout.Split
-	splitOffset   float64 // of the split
+	splitOffset   float64 // initial offset of the split
 	confirmed     uint32
-	stale         bool            // it was out of contact for long as the rollout was delivered, and has had no update since
-	requestsAtOld []time.Duration // ends of its requests at servers of the old version
+	stale         bool            // it had been out of contact for too long when the rollout was delivered, and has received no update since
+	requestsAtOld []time.Duration // end times of its requests at servers of the old version
 	nextIsLong    bool            // its next request is a long one
 
-	canaryRequests, requests int // in the canary
+	canaryRequests, requests int // during the canary stage
 	statistics               rollout.Statistics
 	order                    uint32
 }
@@ -68,7 +69,7 @@
 type control struct {
 	startedAt  time.Duration
 	controller *rollout.Controller
-	set        rollout.Set // the newest that it knows to be committed
+	set        rollout.Set // the newest committed rollouts that it has received
 	machines   map[int]rollout.Machine
 }
 
@@ -83,18 +84,19 @@
 	controls             []*control
 	leader               int
 	newVersionFails      bool // the new version fails
-	updatesDelayed       bool // control machines learn of commits, and sidecars of those, only by choices
+	updatesDelayed       bool // commits reach control machines and sidecars only by explicit choices
 	faults               int
-	requestsWhileFailing int // requests of the new version since it is bad
+	requestsWhileFailing int // requests to the new version since it became faulty
 
-	deliveredAt time.Duration // 0: it is not
+	deliveredAt time.Duration // 0 until the rollout is delivered
 	outcome     rollout.Stage
 	broken      error
 	fingerprint explore.OrderFingerprint
 	choices     []explore.Choice
 }
 
-// Start returns a function that makes a new system; a nil defect plants none. A rollout was ordered, and all sidecars know it.
+// Start returns a function that creates a new system, in which a rollout was ordered and has reached all sidecars. No defect is planted
+// if d is nil.
 func Start(b Bounds, d *Defect) func() explore.System {
 	if d == nil {
 		d = &Defect{}
@@ -118,7 +120,7 @@
 	}
 }
 
-// newControl returns a control machine whose process started at a time.
+// newControl returns a control machine whose process started at the given time.
 func (w *world) newControl(startedAt time.Duration) *control {
 	return &control{
 		startedAt:  startedAt,
@@ -131,7 +133,7 @@
 // Broken implements explore.System.
 func (w *world) Broken() error { return w.broken }
 
-// State implements explore.System: no two orders are taken for the same.
+// State implements explore.System. Every order counts as a state of its own.
 func (w *world) State() uint64 { return uint64(w.fingerprint) }
 
 // Do implements explore.System.
@@ -141,7 +143,7 @@
 	w.choices[choice].Do()
 }
 
-// pass lets a step pass: requests are made and end, sidecars report, control machines decide, and what was committed spreads.
+// advance runs one step: requests end and start, sidecars report, control machines decide, and commits are propagated.
 func (w *world) advance() {
 	w.now += step
 	for _, s := range w.sidecars {
@@ -158,7 +160,7 @@
 	w.checkCanaryShare()
 }
 
-// endRequests drops the requests that have ended.
+// endRequests removes the requests that have ended.
 func (s *sidecar) endRequests(now time.Duration) {
 	remaining := s.requestsAtOld[:0]
 	for _, end := range s.requestsAtOld {
@@ -169,7 +171,7 @@
 	s.requestsAtOld = remaining
 }
 
-// send makes the requests of a step.
+// send sends a sidecar's requests of a step.
 func (w *world) send(s *sidecar) {
 	if !s.ready {
 		return
@@ -227,7 +229,8 @@
 	w.sidecars[first+w.requestsWhileFailing%(w.bounds.Machines-first)].statistics.Record(failed, false, shortRequest)
 }
 
-// runAtOld runs a request of a sidecar at a server of the old version. Once a rollout is delivered there is none.
+// runAtOld runs a sidecar's request at a server of the old version. After the delivery such a request is a breach, unless the sidecar is
+// stale.
 func (w *world) runAtOld(s *sidecar) {
 	if w.deliveredAt > 0 && !s.stale && w.broken == nil {
 		w.broken = fmt.Errorf("%v after the delivery a sidecar in contact sends to the old version", w.now-w.deliveredAt)
@@ -240,7 +243,7 @@
 	w.sidecars[0].statistics.Record(false, false, shortRequest)
 }
 
-// report brings what sidecars report to the control machines.
+// report delivers the sidecars' reports to the control machines.
 func (w *world) report() {
 	for i, s := range w.sidecars {
 		w.confirm(s)
@@ -267,7 +270,8 @@
 	}
 }
 
-// learnFromPeers has a control machine that does not know a sidecar learn of it by another one's hello.
+// learnFromPeers copies the state of an unknown sidecar from another control machine, as its hello would. It reports whether any knows
+// the sidecar.
 func (w *world) learnFromPeers(c *control, i int, m *rollout.Machine) bool {
 	for _, peer := range w.controls {
 		if known, ok := peer.machines[i]; ok {
@@ -279,7 +283,7 @@
 	return false
 }
 
-// confirm has a sidecar confirm what it sends by, once nothing is in flight that it forbids.
+// confirm has a sidecar confirm the revision that it routes by, once no request that this forbids is in flight.
 func (w *world) confirm(s *sidecar) {
 	r, known := s.set.Find(service)
 	forbidsOld := known && r.Eligibility(oldVersion, false) == rollout.NotEligible
@@ -288,10 +292,10 @@
 	}
 }
 
-// clock is a control machine's own time, from the start of its process.
+// clock returns a control machine's local time, which starts with its process.
 func (c *control) clock(now time.Duration) time.Duration { return now - c.startedAt }
 
-// decide has a control machine decide, and commits what it proposes.
+// decide runs a control machine's decision and commits the proposed transitions.
 func (w *world) decide(i int) {
 	c := w.controls[i]
 	view := rollout.View{Self: fmt.Sprint("control-", i), Leader: i == w.leader, Set: c.set}
@@ -312,7 +316,7 @@
 	}
 }
 
-// commit makes a transition in the register.
+// commit applies a transition in the register.
 func (w *world) commit(t rollout.Transition) {
 	if w.defect.anyStage {
 		r, _ := w.committed.Find(service)
@@ -337,12 +341,12 @@
 	for _, s := range w.sidecars {
 		s.stale = s.partitioned && w.now-s.contactAt > durations.LostSidecarWait
 		if len(s.requestsAtOld) > 0 && !s.stale && w.broken == nil {
-			w.broken = fmt.Errorf("%d requests are held at the old version as the rollout is delivered", len(s.requestsAtOld))
+			w.broken = fmt.Errorf("%d requests are in flight at the old version when the rollout is delivered", len(s.requestsAtOld))
 		}
 	}
 }
 
-// spread brings what is committed to all control machines, and what these know to the sidecars in contact.
+// propagate sends the committed rollouts to all control machines and to the sidecars in contact.
 func (w *world) propagate() {
 	for i := range w.controls {
 		w.controls[i].set = w.committed
@@ -352,7 +356,7 @@
 	}
 }
 
-// tell brings a set to a sidecar, which is ready with it.
+// updateSidecar delivers a set to a sidecar, which is then ready. A partitioned sidecar gets none, and older sets are ignored.
 func (w *world) updateSidecar(s *sidecar, set rollout.Set) {
 	if s.partitioned || set.Revision < s.set.Revision {
 		return
@@ -360,18 +364,18 @@
 	s.set, s.ready, s.contactAt, s.stale = set, true, w.now, false
 }
 
-// plan is each sidecar's for the canary of a rollout.
+// canaryPlan returns each sidecar's plan for the canary of a rollout.
 func (w *world) canaryPlan(r *rollout.Rollout) rollout.Plan {
 	return rollout.CanaryPlan(r, exposureShare, exposureSlack, len(w.sidecars))
 }
 
-// check looks at the canary's share: no sidecar gives it more than its plan and its start allow.
+// checkCanaryShare checks that no sidecar sends more requests to the canary than its plan and its offset allow.
 func (w *world) checkCanaryShare() {
 	r, _ := w.committed.Find(service)
 	plan := w.canaryPlan(&r)
 	for i, s := range w.sidecars {
 		if allowed := s.splitOffset + plan.Extra + plan.Share*float64(s.requests); float64(s.canaryRequests) > allowed && w.broken == nil {
-			w.broken = fmt.Errorf("sidecar %d gave the canary %d of %d requests, %.2f allowed", i, s.canaryRequests, s.requests, allowed)
+			w.broken = fmt.Errorf("sidecar %d sent %d of %d requests to the canary, %.2f allowed", i, s.canaryRequests, s.requests, allowed)
 		}
 	}
 }
