--- a/lab/explore/lists/lists.go
+++ b/lab/explore/lists/lists.go
@@ -225,9 +225,9 @@
 func (w *world) checkStaleness(until time.Duration) {
 	valid, _ := w.valid()
 	for c := w.receivedChanges; c < w.changes; c++ {
-		if told := w.oracle.ToldAt(c); max(told, w.now) < min(valid, until) && w.breach == nil {
+		if deliveredAt := w.oracle.ToldAt(c); max(deliveredAt, w.now) < min(valid, until) && w.breach == nil {
 			w.breach = fmt.Errorf("change %d counts as delivered from %.3f s, but the list without it is used until %.3f s",
-				c, told.Seconds(), min(valid, until).Seconds())
+				c, deliveredAt.Seconds(), min(valid, until).Seconds())
 		}
 	}
 }
--- a/lab/explore/liveness/liveness_test.go
+++ b/lab/explore/liveness/liveness_test.go
@@ -64,13 +64,13 @@
 func TestFixedPhaseTimeoutsStarve(t *testing.T) {
 	fixed := durations.Register
 	fixed.MaxPhaseTimeout = fixed.MinPhaseTimeout
-	if took, err := RunRegister(steadySlowDisks, fixed, 1); err == nil {
-		t.Errorf("every change completes after %v", took)
+	if duration, err := RunRegister(steadySlowDisks, fixed, 1); err == nil {
+		t.Errorf("every change completes after %v", duration)
 	}
 	fixed = shortPhases()
 	fixed.MaxPhaseTimeout = fixed.MinPhaseTimeout
-	if took, err := RunRegister(competingWriters, fixed, 1); err == nil {
-		t.Errorf("short phases: every change completes after %v", took)
+	if duration, err := RunRegister(competingWriters, fixed, 1); err == nil {
+		t.Errorf("short phases: every change completes after %v", duration)
 	}
 }
 
--- a/lab/explore/numbers/defects.go
+++ b/lab/explore/numbers/defects.go
@@ -63,22 +63,22 @@
 	{Name: "a machine that rejoins forgets the history", Bounds: DefaultBounds, Seed: 5,
 		alterMessage: func(m *register.Message) { truncateHistory(m, 0, register.RejoinReply) }},
 	{Name: "a conflict is answered from the machine's own disk", Bounds: TwoOperators, Seed: 3016,
-		answerLocally: func(r *register.Replica, o request) (answer, bool) {
+		answerLocally: func(r *register.Replica, put request) (answer, bool) {
 			v := r.State().Value
-			standing := v.History.StateOf(uint32(o.number), register.ContentOf([]byte(o.content)))
-			return answer{refused: true}, standing == register.RecordedDifferent
+			recorded := v.History.StateOf(uint32(put.number), register.ContentOf([]byte(put.content)))
+			return answer{refused: true}, recorded == register.RecordedDifferent
 		}},
 	{Name: "a put is confirmed from the machine's own disk", Bounds: TwoOperators, Seed: 385,
-		answerLocally: func(r *register.Replica, o request) (answer, bool) {
+		answerLocally: func(r *register.Replica, put request) (answer, bool) {
 			v := r.State().Value
-			standing := v.History.StateOf(uint32(o.number), register.ContentOf([]byte(o.content)))
-			return answer{}, standing == register.RecordedSame
+			recorded := v.History.StateOf(uint32(put.number), register.ContentOf([]byte(put.content)))
+			return answer{}, recorded == register.RecordedSame
 		}},
 	{Name: "a lower number is confirmed and not remembered", Bounds: TwoOperators, Seed: 2,
-		answerLocally: func(r *register.Replica, o request) (answer, bool) {
+		answerLocally: func(r *register.Replica, put request) (answer, bool) {
 			v, _, ok := r.Committed()
-			_, taken := v.History.Find(uint32(o.number))
-			return answer{}, ok && !taken && uint32(o.number) < v.Version
+			_, taken := v.History.Find(uint32(put.number))
+			return answer{}, ok && !taken && uint32(put.number) < v.Version
 		}},
 	{Name: "a put is confirmed by the first other disk", Bounds: TwoOperators, Seed: 1, confirmsOnFirstAck: true},
 	{Name: "answers leave before the disk has synced", Bounds: ManyFaults, Seed: 2184, repliesBeforeSync: true},
--- a/lab/explore/numbers/linear_test.go
+++ b/lab/explore/numbers/linear_test.go
@@ -14,9 +14,9 @@
 		return Call{Read: true, Number: number, Content: content, Invoked: invoked, Returned: returned}
 	}
 	for _, c := range []struct {
-		name  string
-		calls []Call
-		good  bool
+		name         string
+		calls        []Call
+		linearizable bool
 	}{
 		{"nothing was put", []Call{read(0, "", 1, 2)}, true},
 		{"two contents at once, one refused", []Call{put(7, "x", 1, 5), refused(7, "y", 2, 4)}, true},
@@ -36,7 +36,7 @@
 		{"a read of what was refused", []Call{put(7, "x", 1, 0), refused(7, "y", 2, 3), read(7, "y", 4, 5)}, false},
 		{"all is lost", []Call{put(7, "x", 1, 2), read(0, "", 3, 4)}, false},
 	} {
-		if err := Check(c.calls); (err == nil) != c.good {
+		if err := Check(c.calls); (err == nil) != c.linearizable {
 			t.Errorf("%s: %v", c.name, err)
 		}
 	}
--- a/lab/explore/numbers/numbers.go
+++ b/lab/explore/numbers/numbers.go
@@ -248,28 +248,28 @@
 // drawRequest returns a random request: mostly a new content under a number above, at or below the highest, otherwise an earlier request
 // or a read.
 func (s *system) drawRequest() *request {
-	var o request
+	var drawn request
 	switch s.rng.IntN(10) {
 	case 0, 1, 2:
-		o.number = s.highestNumber + 1 + s.rng.IntN(2)
+		drawn.number = s.highestNumber + 1 + s.rng.IntN(2)
 	case 3, 4:
-		o.number = max(s.bounds.InitialNumbers+1, s.highestNumber)
+		drawn.number = max(s.bounds.InitialNumbers+1, s.highestNumber)
 	case 5, 6:
-		o.number = s.bounds.InitialNumbers + 1 + s.rng.IntN(max(1, s.highestNumber-s.bounds.InitialNumbers))
+		drawn.number = s.bounds.InitialNumbers + 1 + s.rng.IntN(max(1, s.highestNumber-s.bounds.InitialNumbers))
 	case 7:
 		if len(s.requests) > 0 {
-			o = s.requests[s.rng.IntN(len(s.requests))]
+			drawn = s.requests[s.rng.IntN(len(s.requests))]
 		}
 	}
-	if o.number == 0 {
-		return &o
+	if drawn.number == 0 {
+		return &drawn
 	}
-	s.highestNumber = max(s.highestNumber, o.number)
-	if o.content == "" {
-		o.content = string(rune('A' + len(s.requests)))
-		s.requests = append(s.requests, o)
+	s.highestNumber = max(s.highestNumber, drawn.number)
+	if drawn.content == "" {
+		drawn.content = string(rune('A' + len(s.requests)))
+		s.requests = append(s.requests, drawn)
 	}
-	return &o
+	return &drawn
 }
 
 // sendCall sends an operator's request to a machine. It does nothing if the machine is down.
