--- a/lab/explore/rollouts/world.go
+++ b/lab/explore/rollouts/world.go
@@ -43,7 +43,7 @@
 	failureInterval = 2
 )
 
-// durations are the timings of a deployment in which a sidecar counts as lost well before it stops routing by the rollout.
+// durations are the timings of a deployment in which a sidecar counts as lost well before it has been out of contact for too long.
 var durations = timing.DefaultWith(func(b *bootstrap.Bounds) { b.SettleTime = 5 * time.Second }).Rollouts
 
 // sidecar is the sidecar of a branch machine. It sends requests, and its machine has a server of one version.
