--- a/internal/sidecar/bench_test.go
+++ b/internal/sidecar/bench_test.go
@@ -18,12 +18,12 @@
 // that allocate nothing for a request, so that what is counted is the sidecar's.
 func BenchmarkRequests(b *testing.B) {
 	for _, n := range []int{1, 32, 256} {
-		b.Run(fmt.Sprintf("http/inflight=%d", n), func(b *testing.B) { benchmark(b, n, false) })
-		b.Run(fmt.Sprintf("rpc/inflight=%d", n), func(b *testing.B) { benchmark(b, n, true) })
+		b.Run(fmt.Sprintf("http/inflight=%d", n), func(b *testing.B) { benchmarkRequests(b, n, false) })
+		b.Run(fmt.Sprintf("rpc/inflight=%d", n), func(b *testing.B) { benchmarkRequests(b, n, true) })
 	}
 }
 
-func benchmark(b *testing.B, inFlight int, rpc bool) {
+func benchmarkRequests(b *testing.B, inFlight int, rpc bool) {
 	server := benchListen(b)
 	go func() {
 		for {
@@ -32,34 +32,34 @@
 				return
 			}
 			if rpc {
-				go benchFrames(c)
+				go benchRPCServer(c)
 			} else {
-				go benchHTTP(c)
+				go benchHTTPServer(c)
 			}
 		}
 	}()
 	cfg := benchConfig(b, server.Addr().String(), rpc)
-	on := listeners{http: benchListen(b)}
+	lns := listeners{http: benchListen(b)}
 	if rpc {
-		on.rpc = benchListen(b)
+		lns.rpc = benchListen(b)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- serve(ctx, cfg, on, nil, slog.New(slog.DiscardHandler)) }()
+	done := make(chan error, 1)
+	go func() { done <- serve(ctx, cfg, lns, nil, slog.New(slog.DiscardHandler)) }()
 	b.ReportAllocs()
 	b.ResetTimer()
 	if rpc {
-		benchCalls(b, on.rpc.Addr().String(), inFlight)
+		benchRPCClient(b, lns.rpc.Addr().String(), inFlight)
 	} else {
-		var all sync.WaitGroup
+		var clients sync.WaitGroup
 		for i := range inFlight {
-			all.Go(func() { benchAsks(b, on.http.Addr().String(), i, b.N/inFlight+1) })
+			clients.Go(func() { benchHTTPClient(b, lns.http.Addr().String(), i, b.N/inFlight+1) })
 		}
-		all.Wait()
+		clients.Wait()
 	}
 	b.StopTimer()
 	stop()
-	if err := <-ended; err != nil {
+	if err := <-done; err != nil {
 		b.Error(err)
 	}
 }
@@ -74,7 +74,7 @@
 }
 
 func benchConfig(b *testing.B, addr string, rpc bool) *Config {
-	cfg, err := Load(onlyPath("testdata/config.json"))
+	cfg, err := Load(configPathEnv("testdata/config.json"))
 	if err == nil {
 		cfg.Listen, cfg.Discovery, cfg.acceptGrace = "127.0.0.1:0", "127.0.0.1:9", 0
 		cfg.Known.Members = cfg.Known.Members[:1]
@@ -95,7 +95,7 @@
 	return cfg
 }
 
-func benchFrames(c net.Conn) {
+func benchRPCServer(c net.Conn) {
 	in := codec.NewReader(c, codec.Limits{})
 	var out []byte
 	for {
@@ -110,7 +110,7 @@
 	}
 }
 
-func benchCalls(b *testing.B, addr string, inFlight int) {
+func benchRPCClient(b *testing.B, addr string, inFlight int) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		b.Fatal(err)
@@ -119,12 +119,12 @@
 	in := codec.NewReader(c, codec.Limits{})
 	var out []byte
 	id := uint32(0)
-	next := func() {
+	appendRequest := func() {
 		out = codec.AppendRequest(out, id, "m", []byte{0x90})
 		id++
 	}
 	for range inFlight {
-		next()
+		appendRequest()
 	}
 	for range b.N {
 		if len(out) > 0 && in.Buffered() == 0 {
@@ -136,12 +136,12 @@
 			b.Errorf("answered %s, %v", f.Error, err)
 			return
 		}
-		next()
+		appendRequest()
 	}
 }
 
-func benchHTTP(c net.Conn) {
-	answer := []byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+func benchHTTPServer(c net.Conn) {
+	response := []byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	for in := bufio.NewReader(c); ; {
 		for {
 			line, err := in.ReadSlice('\n')
@@ -152,13 +152,13 @@
 				break
 			}
 		}
-		_, _ = c.Write(answer)
+		_, _ = c.Write(response)
 	}
 }
 
-func benchAsks(b *testing.B, addr string, number, times int) {
+func benchHTTPClient(b *testing.B, addr string, client, times int) {
 	request := []byte("GET /api HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 0000000000000000\r\nX-Qos: read\r\nX-Customer: acme\r\n\r\n")
-	at := bytes.Index(request, []byte("0000000000000000"))
+	traceIDOffset := bytes.Index(request, []byte("0000000000000000"))
 	for count := 0; count < times; {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -167,18 +167,18 @@
 		}
 		for in := bufio.NewReader(c); count < times; count++ {
 			for i := range 8 { // hexadecimal, without allocating
-				request[at+i] = "0123456789abcdef"[number>>(4*i)&15]
-				request[at+8+i] = "0123456789abcdef"[count>>(4*i)&15]
+				request[traceIDOffset+i] = "0123456789abcdef"[client>>(4*i)&15]
+				request[traceIDOffset+8+i] = "0123456789abcdef"[count>>(4*i)&15]
 			}
 			_, _ = c.Write(request)
-			last := false
+			closing := false
 			for {
 				line, err := in.ReadSlice('\n')
 				if err != nil {
 					b.Error(err)
 					return
 				}
-				last = last || bytes.HasPrefix(line, []byte("Connection: close"))
+				closing = closing || bytes.HasPrefix(line, []byte("Connection: close"))
 				if len(line) == 2 {
 					break
 				}
@@ -188,7 +188,7 @@
 				return
 			}
 			_, _ = in.Discard(2)
-			if last {
+			if closing {
 				count++
 				break
 			}
--- a/internal/sidecar/components.go
+++ b/internal/sidecar/components.go
@@ -43,14 +43,14 @@
 	idleTimeout  time.Duration  // after which a connection without a request is closed
 	peersAtStart handover.Peers // the sidecar's other processes
 	budget       connBudget
-	polled       bool              // connections are served by the kernel's readiness, not by a goroutine each
+	usesPoller   bool              // connections are served by the kernel's readiness, not by a goroutine each
 	shedder      *loadshed.Shedder // nil: no load shedding
 	counts       *report.Counts
 
-	back          httpBack
-	rpcBack       *rpcback.Backend        // nil without servers that speak MessagePack-RPC
-	backsByFlavor map[string]core.Backend // of the flavors that do
-	evictIdle     func() bool             // closes an idle connection to a server, of any back
+	httpBackend     httpBackend
+	rpcBackend      *rpcback.Backend        // nil without servers that speak MessagePack-RPC
+	backendByFlavor map[string]core.Backend // of the flavors that do
+	evictIdle       func() bool             // closes an idle connection to a server, of any back
 
 	gate     *broker.Gate // nil without contracts
 	fleet    *fleetLink   // nil: no datagrams between sidecars
@@ -64,23 +64,23 @@
 }
 
 // newComponents creates what depends on the configuration alone. It scales cfg.Balance.ConnIdle down.
-func newComponents(cfg *Config, on *listeners, log *slog.Logger) *components {
-	c := &components{cfg: cfg, listeners: on, log: log}
-	idle := millis(cfg.Balance.ConnIdle * idleTimeoutShare)
-	if idle > 0 {
-		cfg.Balance.ConnIdle *= idleTimeoutShare // the balancer has to know how long connections stay open
+func newComponents(cfg *Config, lns *listeners, log *slog.Logger) *components {
+	c := &components{cfg: cfg, listeners: lns, log: log}
+	idleTimeout := millis(cfg.Balance.ConnIdle * idleTimeoutFraction)
+	if idleTimeout > 0 {
+		cfg.Balance.ConnIdle *= idleTimeoutFraction // the balancer has to know how long connections stay open
 	}
-	c.idleTimeout = cmp.Or(idle, defaultIdleTimeout)
+	c.idleTimeout = cmp.Or(idleTimeout, defaultIdleTimeout)
 	c.shedder = newShedder(cfg)
-	if on.instance != nil {
-		c.peersAtStart = on.instance.Peers()
+	if lns.instance != nil {
+		c.peersAtStart = lns.instance.Peers()
 	}
 	c.budget = cfg.connBudget(processCount(c.peersAtStart))
-	c.polled = !cfg.Options.HTTP.Standard
-	if c.polled {
-		if err := cfg.readiness(); err != nil {
+	c.usesPoller = !cfg.Options.HTTP.Standard
+	if c.usesPoller {
+		if err := cfg.checkPoller(); err != nil {
 			log.Warn("a goroutine for each connection and attempt", "why", err)
-			c.polled = false
+			c.usesPoller = false
 		}
 	}
 	c.started, c.counts = time.Now(), report.New(cfg.Shape())
@@ -101,43 +101,43 @@
 }
 
 // openBacks creates the upstream sides, one a protocol, and starts them.
-func (c *components) openBacks(ctx context.Context) {
+func (c *components) startBackends(ctx context.Context) {
 	cfg := c.cfg
-	c.back = newHTTPBack(ctx, c.polled, httpback.Config{
+	c.httpBackend = newHTTPBackend(ctx, c.usesPoller, httpback.Config{
 		ConnectTimeout: cmp.Or(millis(cfg.Balance.ConnectTimeout), defaultConnectTimeout),
 		IdleTimeout:    c.idleTimeout,
 		ReuseDelay:     cfg.reuseDelay,
 		MaxConns:       c.budget.servers,
-		ReportFields:   cfg.fields,
+		ReportFields:   cfg.loadReportFields,
 		ProbeForReport: cfg.Balance.Reports != balance.ReportNone,
 		OnLateData: func(e *core.Endpoint) {
 			c.log.Warn("a server sends more than its answers, and late", "server", e.Name())
 		},
 	}, c.log)
-	c.tasks.Go(func() { c.back.Run(ctx) })
-	c.backsByFlavor, c.evictIdle = map[string]core.Backend{}, c.back.Evict
+	c.tasks.Go(func() { c.httpBackend.Run(ctx) })
+	c.backendByFlavor, c.evictIdle = map[string]core.Backend{}, c.httpBackend.Evict
 	rpc := &cfg.Options.MsgpackRPC
 	if len(rpc.Flavors) == 0 {
 		return
 	}
-	c.rpcBack = newRPCBack(ctx, cfg, c.budget.rpcServers, c.idleTimeout, c.log)
-	c.tasks.Go(func() { c.rpcBack.Run(ctx) })
+	c.rpcBackend = newRPCBackend(ctx, cfg, c.budget.rpcServers, c.idleTimeout, c.log)
+	c.tasks.Go(func() { c.rpcBackend.Run(ctx) })
 	for _, flavor := range rpc.Flavors {
-		c.backsByFlavor[flavor] = c.rpcBack
+		c.backendByFlavor[flavor] = c.rpcBackend
 	}
-	c.evictIdle = func() bool { return c.back.Evict() || c.rpcBack.Evict() }
+	c.evictIdle = func() bool { return c.httpBackend.Evict() || c.rpcBackend.Evict() }
 }
 
 // closeBacks closes all connections to servers, after the exchange has ended.
-func (c *components) closeBacks() {
-	c.back.Close()
-	if c.rpcBack != nil {
-		c.rpcBack.Close()
+func (c *components) closeBackends() {
+	c.httpBackend.Close()
+	if c.rpcBackend != nil {
+		c.rpcBackend.Close()
 	}
 }
 
 // openExchange creates the exchange, its part in the fleet, and the follower of discovery's list.
-func (c *components) openExchange(ctx context.Context) error {
+func (c *components) createExchange(ctx context.Context) error {
 	cfg := c.cfg
 	c.gate = cfg.newGate()
 	coreCfg := core.Config{
@@ -149,7 +149,7 @@
 		Log:              c.log,
 		Counts:           c.counts,
 		RequireFreshList: c.peersAtStart.Older,
-		Backend:          c.backOf,
+		Backend:          c.backendFor,
 		UpdatesPending:   func() bool { return c.follower.Behind() },
 	}
 	if c.gate != nil {
@@ -179,16 +179,16 @@
 }
 
 // backOf returns the back for servers of a flavor.
-func (c *components) backOf(flavor string) core.Backend {
-	if special := c.backsByFlavor[flavor]; special != nil {
-		return special
+func (c *components) backendFor(flavor string) core.Backend {
+	if backend := c.backendByFlavor[flavor]; backend != nil {
+		return backend
 	}
-	return c.back
+	return c.httpBackend
 }
 
 // openFronts creates the downstream sides, one a protocol, and what depends on them: hot restart, operators' calls and reports.
-func (c *components) openFronts() {
-	cfg, on := c.cfg, c.listeners
+func (c *components) createFronts() {
+	cfg, lns := c.cfg, c.listeners
 	httpCfg := httpfront.Config{
 		Catalog:         cfg.catalog,
 		Shedder:         c.shedder,
@@ -205,26 +205,26 @@
 		cfg.methods.Claims = c.gate != nil
 		httpCfg.Method = cfg.methods.ByPath
 	}
-	c.fronts = []front{newHTTPFront(c.polled, httpCfg, c.exchange, &c.tasks, c.log)}
-	if on.rpc != nil || on.openDeferred != nil && cfg.Options.MsgpackRPC.Listen != "" {
+	c.fronts = []front{newHTTPFront(c.usesPoller, httpCfg, c.exchange, &c.tasks, c.log)}
+	if lns.rpc != nil || lns.openDeferred != nil && cfg.Options.MsgpackRPC.Listen != "" {
 		c.fronts = append(c.fronts, newRPCFront(cfg, c.budget.rpcClients, c.shedder, c.evictIdle, c.exchange, c.log))
 	}
 	c.restart = &hotRestart{
-		cfg:      cfg,
-		exchange: c.exchange,
-		fronts:   c.fronts,
-		back:     c.back,
-		instance: on.instance,
-		log:      c.log,
+		cfg:         cfg,
+		exchange:    c.exchange,
+		fronts:      c.fronts,
+		httpBackend: c.httpBackend,
+		instance:    lns.instance,
+		log:         c.log,
 	}
 	c.calls = &operatorCalls{
 		catalog:  cfg.catalog,
 		exchange: c.exchange,
 		fronts:   c.fronts,
-		instance: on.instance,
+		instance: lns.instance,
 		counts:   c.counts,
 	}
-	if on.instance != nil {
+	if lns.instance != nil {
 		c.restart.loadEjected()
 	}
 	c.reporter = newReporter(cfg, c.counts, c.exchange, c.gate, c.started, c.log)
@@ -245,15 +245,15 @@
 	}
 	c.tasks.Go(func() {
 		r := reloader{
-			cfg:       c.cfg,
-			follower:  c.follower,
-			contracts: func() { c.cfg.reloadContracts(c.exchange, c.gate, c.log) },
-			counts:    &c.calls.reloads,
-			log:       c.log,
+			cfg:             c.cfg,
+			follower:        c.follower,
+			reloadContracts: func() { c.cfg.reloadContracts(c.exchange, c.gate, c.log) },
+			counts:          &c.calls.reloads,
+			log:             c.log,
 		}
 		r.run(ctx, reloads)
 	})
-	if admin := c.listeners.admin; admin != nil {
+	if admin := c.listeners.console; admin != nil {
 		c.log.Info("listening for operators' calls", "admin_address", admin.Addr().String())
 		c.tasks.Go(func() {
 			if err := operators.NewConsole(operators.SidecarCalls(c.calls), c.log).Serve(ctx, admin); err != nil {
@@ -269,25 +269,25 @@
 // announce logs the listeners, offers them to a later process, starts the operators' pages and returns the listeners of the
 // fronts, in the fronts' order.
 func (c *components) announce(ctx context.Context) []net.Listener {
-	on := c.listeners
-	c.log.Info("listening", "address", on.http.Addr().String())
-	if on.instance != nil {
-		if err := on.instance.ServeListeners(on.byName()); err != nil {
+	lns := c.listeners
+	c.log.Info("listening", "address", lns.http.Addr().String())
+	if lns.instance != nil {
+		if err := lns.instance.ServeListeners(lns.byName()); err != nil {
 			c.log.Warn("listeners cannot be offered to a later process", "error", err)
 		}
 	}
-	serveOn := []net.Listener{on.http}
-	if on.rpc != nil {
-		c.log.Info("listening for MessagePack-RPC", "rpc_address", on.rpc.Addr().String())
-		serveOn = append(serveOn, on.rpc)
+	frontListeners := []net.Listener{lns.http}
+	if lns.rpc != nil {
+		c.log.Info("listening for MessagePack-RPC", "rpc_address", lns.rpc.Addr().String())
+		frontListeners = append(frontListeners, lns.rpc)
 	}
-	if pagesOn := on.operators; pagesOn != nil {
-		c.log.Info("listening for operators' pages", "operators_address", pagesOn.Addr().String())
+	if pages := lns.pages; pages != nil {
+		c.log.Info("listening for operators' pages", "operators_address", pages.Addr().String())
 		c.tasks.Go(func() {
-			if err := operators.Serve(ctx, pagesOn, statusPages(c.exchange, c.gate, c.fleet), c.log); err != nil {
+			if err := operators.Serve(ctx, pages, statusPages(c.exchange, c.gate, c.fleet), c.log); err != nil {
 				c.log.Error("serving operators' pages failed", "error", err)
 			}
 		})
 	}
-	return serveOn
+	return frontListeners
 }
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -27,7 +27,7 @@
 )
 
 // idleTimeoutShare is the part of the time after which a server closes an idle connection after which the sidecar closes it.
-const idleTimeoutShare = 0.8
+const idleTimeoutFraction = 0.8
 
 // Config is the checked configuration of one sidecar: the file that NODE_CONFIG names, options, settings and contracts.
 type Config struct {
@@ -41,16 +41,16 @@
 	Known      roster.List // the servers as last listed, which may be stale
 	Options    options.File
 
-	Balance   balance.Config
-	catalog   *core.Catalog
-	methods   *rpcfront.Methods // of MessagePack-RPC; nil where that is off
-	contracts *contract.Set     // nil without any
-	zones     map[string]int
-	kinds     map[string]int
-	fields    []string // the figures of a load report, in the balancer's order
+	Balance          balance.Config
+	catalog          *core.Catalog
+	methods          *rpcfront.Methods // of MessagePack-RPC; nil where that is off
+	contracts        *contract.Set     // nil without any
+	zones            map[string]int
+	kinds            map[string]int
+	loadReportFields []string // the figures of a load report, in the balancer's order
 
-	reread    func() (*Config, error) // reads the file again, which then overrides the environment
-	readiness func() error            // whether the kernel's readiness is available: poller.Check
+	rereadFile  func() (*Config, error) // reads the file again, which then overrides the environment
+	checkPoller func() error            // whether the kernel's readiness is available: poller.Check
 
 	reuseDelay     time.Duration // how long a connection to a server rests between two requests
 	acceptGrace    time.Duration // how long new connections are accepted after the signal to end
@@ -67,7 +67,7 @@
 
 // heapShare is the part of the memory limit that the Go runtime gets; the rest is for what it does not count: the program's
 // text and the kernel's socket buffers.
-const heapShare = 0.75
+const heapFraction = 0.75
 
 // Apply sets the Go runtime's limits to the part of one of so many processes of the sidecar.
 func (l Limits) Apply(processes int) {
@@ -75,7 +75,7 @@
 		runtime.GOMAXPROCS(max(1, int(math.Ceil(l.Cores))))
 	}
 	if l.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(l.MemoryMB * heapShare * (1 << 20) / float64(processes)))
+		debug.SetMemoryLimit(int64(l.MemoryMB * heapFraction * (1 << 20) / float64(processes)))
 	}
 }
 
@@ -93,12 +93,12 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "configuration %s", path)
 	}
-	cfg.reread = func() (*Config, error) { return Load(onlyPath(path)) }
+	cfg.rereadFile = func() (*Config, error) { return Load(configPathEnv(path)) }
 	return cfg, nil
 }
 
 // onlyPath is an environment that names the configuration's file and nothing else.
-func onlyPath(path string) func(string) string {
+func configPathEnv(path string) func(string) string {
 	return func(name string) string {
 		if name == "NODE_CONFIG" {
 			return path
@@ -122,7 +122,7 @@
 		Settings   json.RawMessage `json:"settings"`
 	}
 	if err := json.Unmarshal(text, &file); err != nil {
-		return nil, withLine(text, err)
+		return nil, addLineNumber(text, err)
 	}
 	cfg := &Config{
 		Name:           cmp.Or(getenv("NODE_NAME"), file.Name),
@@ -133,7 +133,7 @@
 		Peers:          file.Peers,
 		Limits:         file.Limits,
 		Known:          file.Known,
-		readiness:      poller.Check,
+		checkPoller:    poller.Check,
 		reuseDelay:     defaultReuseDelay,
 		acceptGrace:    defaultAcceptGrace,
 		maxDrain:       defaultMaxDrain,
@@ -154,20 +154,20 @@
 }
 
 // withLine adds the line to an error of the JSON decoder, where it has the offset.
-func withLine(text []byte, err error) error {
-	var syntax *json.SyntaxError
-	var kind *json.UnmarshalTypeError
-	at := int64(-1)
+func addLineNumber(text []byte, err error) error {
+	var syntaxErr *json.SyntaxError
+	var typeErr *json.UnmarshalTypeError
+	offset := int64(-1)
 	switch {
-	case errors.As(err, &syntax):
-		at = syntax.Offset
-	case errors.As(err, &kind):
-		at = kind.Offset
+	case errors.As(err, &syntaxErr):
+		offset = syntaxErr.Offset
+	case errors.As(err, &typeErr):
+		offset = typeErr.Offset
 	}
-	if at < 0 || at > int64(len(text)) {
+	if offset < 0 || offset > int64(len(text)) {
 		return err
 	}
-	return errors.Wrapf(err, "line %d", 1+bytes.Count(text[:at], []byte("\n")))
+	return errors.Wrapf(err, "line %d", 1+bytes.Count(text[:offset], []byte("\n")))
 }
 
 // check checks the addresses and limits, and sets the default of the latter.
@@ -200,7 +200,7 @@
 
 // bindNames sets the names that protocols use for what the balancer numbers: zones, kinds, classes, tenants, load figures.
 func (c *Config) bindNames(s *settings.Settings) (err error) {
-	c.zones, c.kinds, c.fields = core.IndexByName(s.Zones), core.IndexByName(s.Kinds), s.Fields
+	c.zones, c.kinds, c.loadReportFields = core.IndexByName(s.Zones), core.IndexByName(s.Kinds), s.Fields
 	c.catalog, err = core.NewCatalog(c.Balance.Classes, s.Classes, s.Tenants)
 	return err
 }
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -26,7 +26,7 @@
 }
 
 // A bad configuration is one plain line, whatever is wrong with it.
-func TestBadConfig(t *testing.T) {
+func TestRejectsInvalidConfig(t *testing.T) {
 	good, err := os.ReadFile("testdata/config.json")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/connbudget.go
+++ b/internal/sidecar/connbudget.go
@@ -11,7 +11,7 @@
 	reservedSockets = 24
 	// rpcShare is the part of the sockets to servers, one in so many, that MessagePack-RPC may hold: its connections carry many
 	// requests.
-	rpcShare = 4
+	rpcSocketsDivisor = 4
 )
 
 // connBudget is how many connections each protocol may hold on each side.
@@ -20,20 +20,20 @@
 // connBudget divides the descriptors that all processes of the sidecar have together, of which each process needs some for
 // itself.
 func (c *Config) connBudget(processes int) connBudget {
-	reserved := reservedSockets + c.Options.Receivers()
+	reservedPerProcess := reservedSockets + c.Options.Receivers()
 	if c.Admin != "" {
-		reserved += operators.MaxCallers
+		reservedPerProcess += operators.MaxCallers
 	}
-	all := max(minSockets-reservedSockets, c.Limits.Sockets-processes*reserved)
-	b := connBudget{servers: all / 2}
-	b.clients = all - b.servers
+	available := max(minSockets-reservedSockets, c.Limits.Sockets-processes*reservedPerProcess)
+	budget := connBudget{servers: available / 2}
+	budget.clients = available - budget.servers
 	if c.Options.MsgpackRPC.Listen != "" {
-		b.rpcClients = min(c.Options.MsgpackRPC.Connections, b.clients/2)
-		b.clients -= b.rpcClients
+		budget.rpcClients = min(c.Options.MsgpackRPC.Connections, budget.clients/2)
+		budget.clients -= budget.rpcClients
 	}
 	if len(c.Options.MsgpackRPC.Flavors) > 0 {
-		b.rpcServers = max(1, b.servers/rpcShare)
-		b.servers -= b.rpcServers
+		budget.rpcServers = max(1, budget.servers/rpcSocketsDivisor)
+		budget.servers -= budget.rpcServers
 	}
-	return b
+	return budget
 }
--- a/internal/sidecar/connections_test.go
+++ b/internal/sidecar/connections_test.go
@@ -13,7 +13,7 @@
 	"firplank/internal/testbed"
 )
 
-func (n *node) dial() net.Conn {
+func (n *testSidecar) dial() net.Conn {
 	n.t.Helper()
 	c, err := net.Dial("tcp", n.addr)
 	if err != nil {
@@ -24,7 +24,7 @@
 	return c
 }
 
-func (n *node) say(c net.Conn, text string) {
+func (n *testSidecar) send(c net.Conn, text string) {
 	n.t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
 		n.t.Fatal(err)
@@ -32,12 +32,12 @@
 }
 
 // raw is a request of a class as it goes over the wire, with some more header lines before its end.
-func (n *node) raw(class string, lines ...string) string {
+func (n *testSidecar) rawRequest(class string, headers ...string) string {
 	req := n.request(class)
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s /api HTTP/1.1\r\nHost: app.svc\r\n", req.Method)
 	_ = req.Header.Write(&text)
-	for _, line := range lines {
+	for _, line := range headers {
 		text.WriteString(line + "\r\n")
 	}
 	return text.String() + "\r\n"
@@ -45,20 +45,20 @@
 
 // Connections that say nothing, or asked once and stay, must not take what others need, and those with an open
 // request are never the ones to go.
-func TestSilentClientsGoFirst(t *testing.T) {
+func TestIdleClientsAreEvictedFirst(t *testing.T) {
 	started, release := make(chan bool, 1), make(chan bool)
-	s := testbed.NewScriptedServer(t, hold(started, release), testbed.Respond(200, "served"))
-	cfg := testConfig(t, ready("s-1", s.Addr))
+	s := testbed.NewScriptedServer(t, holdResponse(started, release), testbed.Respond(200, "served"))
+	cfg := testConfig(t, readyMember("s-1", s.Addr))
 	cfg.Limits.Sockets = 64 // 20 of them for clients
-	n := startNode(t, cfg)
+	n := startSidecar(t, cfg)
 	open := n.dial()
-	n.say(open, n.raw("read"))
+	n.send(open, n.rawRequest("read"))
 	testbed.Next(t, started)
 	for range 100 {
 		n.dial()
-		once := n.dial()
-		n.say(once, n.raw("read"))
-		resp, err := http.ReadResponse(bufio.NewReader(once), nil)
+		idle := n.dial()
+		n.send(idle, n.rawRequest("read"))
+		resp, err := http.ReadResponse(bufio.NewReader(idle), nil)
 		if err != nil || resp.StatusCode != 200 {
 			t.Fatalf("a client after many that stay: %v %v", resp, err)
 		}
@@ -72,15 +72,15 @@
 
 // Clients that ask once and keep their connections use up the application's own descriptors, long before those
 // of the sidecar are short. Only some are kept; the others end with their answer, as HTTP has it.
-func TestKeepsSomeIdleConnections(t *testing.T) {
+func TestLimitsIdleClientConnections(t *testing.T) {
 	s := testbed.NewScriptedServer(t, testbed.Respond(200, "served"))
-	cfg := testConfig(t, ready("s-1", s.Addr))
+	cfg := testConfig(t, readyMember("s-1", s.Addr))
 	cfg.Limits.Sockets = 224 // 100 of them for clients, 25 to be kept
-	n := startNode(t, cfg)
+	n := startSidecar(t, cfg)
 	kept := 0
 	for range 60 {
 		c := n.dial()
-		n.say(c, n.raw("read"))
+		n.send(c, n.rawRequest("read"))
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil || resp.StatusCode != 200 {
 			t.Fatalf("%v %v", resp, err)
@@ -96,14 +96,14 @@
 }
 
 // Clients that send a little now and then must not hold every place: of requests on their way the slowest goes.
-func TestSlowRequestsGo(t *testing.T) {
+func TestSlowestRequestsAreEvicted(t *testing.T) {
 	s := testbed.NewScriptedServer(t, testbed.Respond(200, "served"))
-	cfg := testConfig(t, ready("s-1", s.Addr))
+	cfg := testConfig(t, readyMember("s-1", s.Addr))
 	cfg.Limits.Sockets = 64 // 20 of them for clients
-	n := startNode(t, cfg)
+	n := startSidecar(t, cfg)
 	for i := range 60 {
-		half := n.raw("pay", "Content-Length: 100") + "half"
-		n.say(n.dial(), half[:len(half)-40*(i%2)]) // half a head, or half a body
+		half := n.rawRequest("pay", "Content-Length: 100") + "half"
+		n.send(n.dial(), half[:len(half)-40*(i%2)]) // half a head, or half a body
 		if resp, _ := n.do(n.request("read")); resp.StatusCode != 200 {
 			t.Fatalf("after %d: answered %d", i, resp.StatusCode)
 		}
@@ -112,18 +112,18 @@
 }
 
 // Whoever stops in the middle is owed an answer or a close within 3 s, and so is who says nothing at all.
-func TestStalledClientsAreLetGo(t *testing.T) {
+func TestStalledClientsTimeOut(t *testing.T) {
 	s := testbed.NewScriptedServer(t, testbed.Respond(200, "served"))
-	n := startNode(t, testConfig(t, ready("s-1", s.Addr)))
+	n := startSidecar(t, testConfig(t, readyMember("s-1", s.Addr)))
 	for name, text := range map[string]string{
 		"nothing": "", "half a head": "POST /api HTTP/1.1\r\nX-Qos: p",
-		"half a body":  n.raw("pay", "Content-Length: 100") + "half",
-		"half a chunk": n.raw("pay", "Transfer-Encoding: chunked") + "10\r\nhalf",
+		"half a body":  n.rawRequest("pay", "Content-Length: 100") + "half",
+		"half a chunk": n.rawRequest("pay", "Transfer-Encoding: chunked") + "10\r\nhalf",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := n.dial()
-			n.say(c, text)
+			n.send(c, text)
 			start := time.Now()
 			got, err := io.ReadAll(c)
 			if err != nil || strings.HasPrefix(string(got), "HTTP/1.1 200") {
@@ -135,7 +135,7 @@
 		})
 	}
 	t.Cleanup(func() {
-		if got := requestsOf(s); len(got) != 0 {
+		if got := receivedRequests(s); len(got) != 0 {
 			t.Errorf("%d of them went on", len(got))
 		}
 	})
@@ -143,39 +143,39 @@
 
 // A request must reach a server neither with two lengths nor when it stood inside the body of another, and what
 // has more behind it than it announced is not the request that it seems.
-func TestNothingPassesHidden(t *testing.T) {
+func TestRejectsRequestSmuggling(t *testing.T) {
 	s := testbed.NewScriptedServer(t, testbed.Respond(200, "served"))
-	n := startNode(t, testConfig(t, ready("s-1", s.Addr)))
+	n := startSidecar(t, testConfig(t, readyMember("s-1", s.Addr)))
 	for name, text := range map[string]string{
-		"two lengths":         n.raw("pay", "Content-Length: 5", "Transfer-Encoding: chunked") + "0\r\n\r\n" + n.raw("read"),
-		"two lengths, turned": n.raw("pay", "Transfer-Encoding: chunked", "Content-Length: 5") + "0\r\n\r\n" + n.raw("read"),
-		"behind the body":     n.raw("pay", "Content-Length: 2") + "ab" + n.raw("read"),
-		"too short a length":  n.raw("pay", "Content-Length: 2") + "abcdef",
-		"body of a read":      n.raw("read", "Content-Length: 2") + "ab",
-		"behind a bad one":    n.raw("none") + n.raw("read"),
+		"two lengths":         n.rawRequest("pay", "Content-Length: 5", "Transfer-Encoding: chunked") + "0\r\n\r\n" + n.rawRequest("read"),
+		"two lengths, turned": n.rawRequest("pay", "Transfer-Encoding: chunked", "Content-Length: 5") + "0\r\n\r\n" + n.rawRequest("read"),
+		"behind the body":     n.rawRequest("pay", "Content-Length: 2") + "ab" + n.rawRequest("read"),
+		"too short a length":  n.rawRequest("pay", "Content-Length: 2") + "abcdef",
+		"body of a read":      n.rawRequest("read", "Content-Length: 2") + "ab",
+		"behind a bad one":    n.rawRequest("none") + n.rawRequest("read"),
 	} {
 		c := n.dial()
-		n.say(c, text)
+		n.send(c, text)
 		got, err := io.ReadAll(c)
 		if !strings.HasPrefix(string(got), "HTTP/1.1 400") || strings.Contains(string(got), " 200 ") {
 			t.Errorf("%s: got %q, %v", name, got, err)
 		}
 	}
-	if got := requestsOf(s); len(got) != 0 {
+	if got := receivedRequests(s); len(got) != 0 {
 		t.Errorf("%d of them went on", len(got))
 	}
 }
 
 // A second request under the id of an open one is turned away, and the first gets its own answer.
-func TestIdOfAnOpenRequest(t *testing.T) {
+func TestRejectsIDOfOpenRequest(t *testing.T) {
 	started, release := make(chan bool, 1), make(chan bool)
-	s := testbed.NewScriptedServer(t, hold(started, release), testbed.Respond(200, "again"))
-	n := startNode(t, testConfig(t, ready("s-1", s.Addr)))
-	text := n.raw("pay", "Content-Length: 2") + "ab"
+	s := testbed.NewScriptedServer(t, holdResponse(started, release), testbed.Respond(200, "again"))
+	n := startSidecar(t, testConfig(t, readyMember("s-1", s.Addr)))
+	text := n.rawRequest("pay", "Content-Length: 2") + "ab"
 	first, second := n.dial(), n.dial()
-	n.say(first, text)
+	n.send(first, text)
 	testbed.Next(t, started)
-	n.say(second, strings.Replace(text, "ab", "xy", 1))
+	n.send(second, strings.Replace(text, "ab", "xy", 1))
 	if got, _ := io.ReadAll(second); !strings.HasPrefix(string(got), "HTTP/1.1 409") {
 		t.Errorf("the second got %q", got)
 	}
@@ -187,7 +187,7 @@
 	if body, _ := io.ReadAll(resp.Body); string(body) != "held" {
 		t.Errorf("the first was served with %q", body)
 	}
-	n.say(first, text) // it is over: the id says no more
+	n.send(first, text) // it is over: the id says no more
 	if resp, err := http.ReadResponse(bufio.NewReader(first), nil); err != nil || resp.StatusCode != 200 {
 		t.Errorf("after the first: %v, %v", resp, err)
 	}
--- a/internal/sidecar/contracts.go
+++ b/internal/sidecar/contracts.go
@@ -64,21 +64,21 @@
 
 // statusPages returns the operators' pages of the components that are on, by path.
 func statusPages(exchange *core.Loop, gate *broker.Gate, fleet *fleetLink) map[string]operators.Page {
-	all := map[string]operators.Page{}
+	pages := map[string]operators.Page{}
 	if fleet != nil {
-		all["/fleet"] = fleet.peers.Status
+		pages["/fleet"] = fleet.peers.Status
 	}
 	if gate != nil {
-		all["/broker"] = func(ctx context.Context) (any, error) {
-			read := make(chan contract.Report, 1) // the exchange never waits, also when ctx has ended
-			exchange.Inspect(func(now time.Duration) { read <- gate.Report(now) })
+		pages["/broker"] = func(ctx context.Context) (any, error) {
+			reports := make(chan contract.Report, 1) // the exchange never waits, also when ctx has ended
+			exchange.Inspect(func(now time.Duration) { reports <- gate.Report(now) })
 			select {
-			case r := <-read:
+			case r := <-reports:
 				return r, nil
 			case <-ctx.Done():
 				return nil, ctx.Err()
 			}
 		}
 	}
-	return all
+	return pages
 }
--- a/internal/sidecar/contracts_test.go
+++ b/internal/sidecar/contracts_test.go
@@ -48,17 +48,17 @@
 	if cfg.contracts, err = cfg.loadContracts(); err != nil {
 		t.Fatal(err)
 	}
-	cfg.reread = func() (*Config, error) { return cfg, nil }
+	cfg.rereadFile = func() (*Config, error) { return cfg, nil }
 	return rewrite
 }
 
 // Beyond its budget a team is told 429 and when to come back, at once; what is not in its contract is 403. Neither reaches
 // a server. MessagePack-RPC says the same.
-func TestContractsOnTheWire(t *testing.T) {
+func TestContractRejections(t *testing.T) {
 	s := testbed.NewScriptedServer(t, testbed.Respond(200, "ok"))
-	cfg := rpcConfig(t, false, ready("s-1", s.Addr))
+	cfg := rpcConfig(t, false, readyMember("s-1", s.Addr))
 	withContracts(t, cfg, acmeContract)
-	n := startNode(t, cfg)
+	n := startSidecar(t, cfg)
 	if resp, body := n.do(n.request("reserve")); resp.StatusCode != 200 {
 		t.Fatalf("within: %d %q", resp.StatusCode, body)
 	}
@@ -87,59 +87,59 @@
 	if err != nil || !strings.Contains(string(f.Error), "refused") || !strings.Contains(string(f.Error), "retry_after_ms") {
 		t.Errorf("over MessagePack-RPC: %q, %v", f.Error, err)
 	}
-	if got := len(requestsOf(s)); got != 1 {
+	if got := len(receivedRequests(s)); got != 1 {
 		t.Errorf("%d requests reached the server", got)
 	}
 }
 
 // Contracts change ten times a second with requests in flight, and at last their team is gone: each gets its own answer,
 // the new terms hold for the next request, and a bad file changes nothing.
-func TestContractsChangeInFlight(t *testing.T) {
+func TestContractReloadKeepsRequestsInFlight(t *testing.T) {
 	started, release := make(chan bool, 100), make(chan bool)
-	s := testbed.NewScriptedServer(t, hold(started, release))
-	cfg := testConfig(t, ready("s-1", s.Addr))
+	s := testbed.NewScriptedServer(t, holdResponse(started, release))
+	cfg := testConfig(t, readyMember("s-1", s.Addr))
 	generous := strings.Replace(acmeContract, "burst = 8", "burst = 100", 1)
 	rewrite := withContracts(t, cfg, generous)
-	n := startNode(t, cfg)
-	answers := make(chan int, 10)
+	n := startSidecar(t, cfg)
+	statuses := make(chan int, 10)
 	for range 5 {
 		req := n.request("read")
 		go func() {
 			resp, err := n.client.Do(req)
 			if err != nil {
-				answers <- 0
+				statuses <- 0
 				return
 			}
 			_ = resp.Body.Close()
-			answers <- resp.StatusCode
+			statuses <- resp.StatusCode
 		}()
 		testbed.Next(t, started)
 	}
-	change := func(text string) {
+	reload := func(text string) {
 		rewrite(text)
 		n.reloads <- syscall.SIGHUP
 		time.Sleep(100 * time.Millisecond)
 	}
 	for i := range 5 {
 		if i%2 == 0 {
-			change(strings.Replace(generous, "24", "1e-9", 1))
+			reload(strings.Replace(generous, "24", "1e-9", 1))
 		} else {
-			change(generous)
+			reload(generous)
 		}
 	}
-	change("[[team]]\nname = 7\n") // the old one stays
-	change(strings.Replace(acmeContract, "acme", "bolt", 2))
+	reload("[[team]]\nname = 7\n") // the old one stays
+	reload(strings.Replace(acmeContract, "acme", "bolt", 2))
 	testbed.Until(t, "its team is gone", func() bool {
 		resp, _ := n.do(n.request("read"))
 		return resp.StatusCode == 403
 	})
 	close(release)
 	for range 5 {
-		if status := testbed.Next(t, answers); status != 200 {
+		if status := testbed.Next(t, statuses); status != 200 {
 			t.Errorf("one in flight was answered %d", status)
 		}
 	}
-	change(acmeContract)
+	reload(acmeContract)
 	testbed.Until(t, "it is back", func() bool {
 		resp, _ := n.do(n.request("read"))
 		return resp.StatusCode == 200
@@ -147,13 +147,13 @@
 }
 
 // Operators see every team's account, on an address of their own.
-func TestOperatorsPage(t *testing.T) {
+func TestBrokerPage(t *testing.T) {
 	s := testbed.NewScriptedServer(t, testbed.Respond(200, "ok"))
-	cfg := testConfig(t, ready("s-1", s.Addr))
+	cfg := testConfig(t, readyMember("s-1", s.Addr))
 	withContracts(t, cfg, acmeContract)
-	n := startNode(t, cfg)
+	n := startSidecar(t, cfg)
 	n.do(n.request("reserve"))
-	resp, err := http.Get("http://" + n.operators + "/broker")
+	resp, err := http.Get("http://" + n.pagesAddr + "/broker")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -45,18 +45,18 @@
 	if err := c.checkFleet(); err != nil {
 		return nil, err
 	}
-	l := &fleetLink{tally: c.newTally()}
+	link := &fleetLink{tally: c.newTally()}
 	var err error
-	l.peers, err = peers.Open(peers.Config{
+	link.peers, err = peers.Open(peers.Config{
 		Listen: c.PeerListen,
 		Peers:  c.Peers,
-		Tally:  l.tally,
+		Tally:  link.tally,
 		Log:    log,
 		Fleet: fleet.Config{
 			Number:      c.Balance.Index,
 			Members:     len(c.Peers),
 			Seed:        c.Balance.Seed,
-			Cells:       l.tally.Cells(),
+			Cells:       link.tally.Cells(),
 			MaxRate:     c.Options.Fleet.Most,
 			Incarnation: fleet.NewIncarnation(time.Now(), c.Balance.Seed),
 		},
@@ -65,5 +65,5 @@
 		return nil, errors.Wrap(err, "fleet")
 	}
 	log.Info("exchanging state with other sidecars", "peer_listen", c.PeerListen, "members", len(c.Peers))
-	return l, nil
+	return link, nil
 }
--- a/internal/sidecar/helpers_test.go
+++ b/internal/sidecar/helpers_test.go
@@ -16,7 +16,7 @@
 	"firplank/internal/testbed"
 )
 
-func noEnv(string) string { return "" }
+func emptyEnv(string) string { return "" }
 
 func testConfig(t *testing.T, servers ...roster.Member) *Config {
 	t.Helper()
@@ -24,66 +24,66 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg, err := parseConfig(text, noEnv)
+	cfg, err := parseConfig(text, emptyEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
 	cfg.Known.Members, cfg.acceptGrace, cfg.reuseDelay = servers, 0, 0
-	cfg.readiness = func() error { return nil } // looked for by a test of its own; it costs a busy machine some of the start
+	cfg.checkPoller = func() error { return nil } // looked for by a test of its own; it costs a busy machine some of the start
 	return cfg
 }
 
-func ready(id, addr string) roster.Member {
+func readyMember(id, addr string) roster.Member {
 	return roster.Member{ID: id, HostPort: addr, Locality: "room-1", Flavor: "small", Cell: 1, Phase: "ready", Size: 1}
 }
 
 // node is a sidecar under test.
-type node struct {
+type testSidecar struct {
 	t         *testing.T
 	addr      string
-	operators string // of the operators' pages, where there are contracts
-	rpc       string // of MessagePack-RPC, where that is on
+	pagesAddr string // of the operators' pages, where there are contracts
+	rpcAddr   string // of MessagePack-RPC, where that is on
 	roster    *testbed.DiscoveryServer
-	end       context.CancelFunc // as SIGTERM does
-	ended     chan error
+	stop      context.CancelFunc // as SIGTERM does
+	done      chan error
 	client    *http.Client
 
 	reloads chan os.Signal // SIGHUP
 }
 
-func startNode(t *testing.T, cfg *Config) *node {
+func startSidecar(t *testing.T, cfg *Config) *testSidecar {
 	t.Helper()
-	n := &node{t: t, roster: testbed.NewDiscoveryServer(t), ended: make(chan error, 1), reloads: make(chan os.Signal, 1), client: &http.Client{
+	n := &testSidecar{t: t, roster: testbed.NewDiscoveryServer(t), done: make(chan error, 1), reloads: make(chan os.Signal, 1), client: &http.Client{
 		Transport: &http.Transport{}, Timeout: testbed.Timeout,
 	}}
 	cfg.Discovery = n.roster.Addr
 	ln := testbed.Listen(t)
 	n.addr = ln.Addr().String()
-	on := listeners{http: ln}
+	lns := listeners{http: ln}
 	if cfg.contracts != nil {
-		on.operators = testbed.Listen(t)
-		n.operators = on.operators.Addr().String()
+		lns.pages = testbed.Listen(t)
+		n.pagesAddr = lns.pages.Addr().String()
 	}
 	if cfg.methods != nil {
-		on.rpc = testbed.Listen(t)
-		n.rpc = on.rpc.Addr().String()
+		lns.rpc = testbed.Listen(t)
+		n.rpcAddr = lns.rpc.Addr().String()
 	}
-	ctx, end := context.WithCancel(context.Background())
-	n.end = end
-	go func() { n.ended <- serve(ctx, cfg, on, n.reloads, slog.New(slog.DiscardHandler)) }()
+	ctx, stop := context.WithCancel(context.Background())
+	n.stop = stop
+	go func() { n.done <- serve(ctx, cfg, lns, n.reloads, slog.New(slog.DiscardHandler)) }()
 	t.Cleanup(func() {
 		n.client.CloseIdleConnections()
-		endsWell(t, end, n.ended)
+		stopAndWait(t, stop, n.done)
 	})
 	return n
 }
 
 // endsWell ends a sidecar and waits for it.
-func endsWell(t *testing.T, end context.CancelFunc, ended <-chan error) {
+func stopAndWait(t *testing.T, stop context.CancelFunc, done <-chan error) {
 	t.Helper()
-	end()
+	stop()
 	select {
-	case err := <-ended:
+	case err := <-done:
 		if err != nil {
 			t.Errorf("the sidecar ended with %v", err)
 		}
@@ -92,10 +92,10 @@
 	}
 }
 
-var traces atomic.Int64
+var lastTraceID atomic.Int64
 
 // request makes a request of a class, with the headers that it wants.
-func (n *node) request(class string) *http.Request {
+func (n *testSidecar) request(class string) *http.Request {
 	method := http.MethodPost
 	var body io.Reader = strings.NewReader("order 7")
 	if class == "read" {
@@ -106,7 +106,7 @@
 		n.t.Fatal(err)
 	}
 	req.Header = http.Header{
-		"X-Trace-Id": {fmt.Sprintf("%016x", traces.Add(1))}, "X-Qos": {class}, "X-Customer": {"acme"}, "X-Expires-In": {"15000m"},
+		"X-Trace-Id": {fmt.Sprintf("%016x", lastTraceID.Add(1))}, "X-Qos": {class}, "X-Customer": {"acme"}, "X-Expires-In": {"15000m"},
 	}
 	if class == "reserve" {
 		req.Header.Set("Idempotency-Key", "5c0f6e1a")
@@ -114,7 +114,7 @@
 	return req
 }
 
-func (n *node) do(req *http.Request) (*http.Response, string) {
+func (n *testSidecar) do(req *http.Request) (*http.Response, string) {
 	n.t.Helper()
 	resp, err := n.client.Do(req)
 	if err != nil {
@@ -128,7 +128,7 @@
 	return resp, string(body)
 }
 
-func requestsOf(s *testbed.ScriptedServer) []*http.Request {
+func receivedRequests(s *testbed.ScriptedServer) []*http.Request {
 	r, _, _ := s.Received()
 	return r
 }
--- a/internal/sidecar/hotrestart.go
+++ b/internal/sidecar/hotrestart.go
@@ -27,7 +27,7 @@
 )
 
 // sharedFolder is the folder in which processes of this sidecar find each other. Each sidecar of a machine has its own.
-func (c *Config) sharedFolder() string {
+func (c *Config) sharedDir() string {
 	h := fnv.New64a()
 	_, _ = fmt.Fprintf(h, "%s\x00%s", c.Name, c.Listen) // a hash's Write does not fail
 	return filepath.Join(os.TempDir(), fmt.Sprintf("firplank-%016x", h.Sum64()))
@@ -46,16 +46,16 @@
 // waits for readiness. Its methods are not safe for concurrent use: while watchPeers runs, only markReady and handOver may be
 // called beside it.
 type hotRestart struct {
-	cfg      *Config
-	exchange *core.Loop
-	fronts   []front
-	back     httpBack
-	instance *handover.Instance // nil: no other process can take over
-	log      *slog.Logger
-
-	draining       atomic.Bool
-	sharers        int      // processes that share the limits, as last applied
-	ejectedVersion [2]int64 // of the ejections applied last
+	cfg         *Config
+	exchange    *core.Loop
+	fronts      []front
+	httpBackend httpBackend
+	instance    *handover.Instance // nil: no other process can take over
+	log         *slog.Logger
+
+	draining         atomic.Bool
+	appliedProcesses int      // processes that share the limits, as last applied
+	ejectedVersion   [2]int64 // of the ejections applied last
 }
 
 // loadEjected applies the ejections that operators have made so far, before the exchange runs.
@@ -70,10 +70,10 @@
 }
 
 // watchPeers follows the other processes of the sidecar until ctx ends.
-func (r *hotRestart) watchPeers(ctx context.Context, before handover.Peers) {
+func (r *hotRestart) watchPeers(ctx context.Context, previous handover.Peers) {
 	tick := time.NewTicker(peerPollInterval)
 	defer tick.Stop()
-	r.applyShare(before)
+	r.applyShare(previous)
 	for {
 		select {
 		case <-tick.C:
@@ -81,14 +81,14 @@
 			return
 		}
 		r.refreshEjected()
-		now := r.instance.Peers()
-		if processCount(now) != processCount(before) {
-			r.log.Info("processes of this sidecar", "older", now.Older, "younger", now.Younger)
+		current := r.instance.Peers()
+		if processCount(current) != processCount(previous) {
+			r.log.Info("processes of this sidecar", "older", current.Older, "younger", current.Younger)
 		}
-		if processCount(now) == 2 || processCount(before) == 2 {
-			r.applyShare(now)
+		if processCount(current) == 2 || processCount(previous) == 2 {
+			r.applyShare(current)
 		}
-		before = now
+		previous = current
 	}
 }
 
@@ -109,13 +109,13 @@
 
 // applyShare limits this process to its part of memory and connections.
 func (r *hotRestart) applyShare(peers handover.Peers) {
-	n := processCount(peers)
-	if n != r.sharers {
-		r.sharers = n
-		r.cfg.Limits.Apply(n)
+	processes := processCount(peers)
+	if processes != r.appliedProcesses {
+		r.appliedProcesses = processes
+		r.cfg.Limits.Apply(processes)
 	}
-	budget := r.cfg.connBudget(n)
-	if n > 1 {
+	budget := r.cfg.connBudget(processes)
+	if processes > 1 {
 		own := r.usage()
 		r.instance.PublishUsage(own)
 		budget.clients = connectionShare(budget.clients, own.Clients, peers.Usage.Clients, own.Draining, peers.Usage.Draining)
@@ -123,13 +123,13 @@
 	}
 	r.fronts[0].Resize(budget.clients)
 	if len(r.fronts) > 1 {
-		r.fronts[1].Resize(budget.rpcClients / n)
+		r.fronts[1].Resize(budget.rpcClients / processes)
 	}
-	r.back.Resize(budget.servers)
+	r.httpBackend.Resize(budget.servers)
 }
 
 func (r *hotRestart) usage() handover.Usage {
-	return handover.Usage{Clients: r.fronts[0].Open(), Servers: r.back.Open(), Draining: r.draining.Load()}
+	return handover.Usage{Clients: r.fronts[0].Open(), Servers: r.httpBackend.Open(), Draining: r.draining.Load()}
 }
 
 // connectionShare is how many connections this process may hold of total: its own, and half of those that no process holds,
--- a/internal/sidecar/hotrestart_test.go
+++ b/internal/sidecar/hotrestart_test.go
@@ -22,11 +22,11 @@
 
 // process is a sidecar as Run starts it, with calls for operators and a folder that others may share.
 type process struct {
-	t     *testing.T
-	addr  string
-	admin string
-	end   context.CancelFunc
-	ended chan error
+	t           *testing.T
+	addr        string
+	consoleAddr string
+	stop        context.CancelFunc
+	done        chan error
 }
 
 // startProcess starts one that listens at addr; empty: at an address of its own.
@@ -40,33 +40,33 @@
 		_ = ln.Close()
 	}
 	cfg.Listen = addr
-	admin := testbed.Listen(t)
+	console := testbed.Listen(t)
 	instance, err := handover.Join(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	log := slog.New(slog.DiscardHandler)
-	on := listeners{admin: admin, instance: instance, openDeferred: cfg.openFronts, log: log}
+	lns := listeners{console: console, instance: instance, openDeferred: cfg.openListeners, log: log}
 	if !instance.Peers().Older {
-		if err := on.openDeferred(&on); err != nil {
+		if err := lns.openDeferred(&lns); err != nil {
 			t.Fatal(err)
 		}
-		on.openDeferred = nil
+		lns.openDeferred = nil
 	}
-	ctx, end := context.WithCancel(context.Background())
-	p := &process{t: t, addr: addr, admin: admin.Addr().String(), end: end, ended: make(chan error, 1)}
+	ctx, stop := context.WithCancel(context.Background())
+	p := &process{t: t, addr: addr, consoleAddr: console.Addr().String(), stop: stop, done: make(chan error, 1)}
 	go func() {
-		err := serve(ctx, cfg, on, nil, log)
+		err := serve(ctx, cfg, lns, nil, log)
 		instance.Leave()
-		p.ended <- err
+		p.done <- err
 	}()
-	t.Cleanup(func() { endsWell(t, end, p.ended) })
+	t.Cleanup(func() { stopAndWait(t, stop, p.done) })
 	return p
 }
 
 func (p *process) call(line string) string {
 	p.t.Helper()
-	c, err := net.Dial("tcp", p.admin)
+	c, err := net.Dial("tcp", p.consoleAddr)
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -80,7 +80,7 @@
 	return strings.TrimSuffix(string(got), "\n")
 }
 
-func (p *process) figure(name string) int {
+func (p *process) metric(name string) int {
 	p.t.Helper()
 	for _, line := range strings.Split(p.call("METRICS"), "\n") {
 		if v, ok := strings.CutPrefix(line, "sidecar."+name+"="); ok {
@@ -98,7 +98,7 @@
 // get makes a request on a client of its own.
 func (p *process) get(client *http.Client) string {
 	p.t.Helper()
-	n := node{t: p.t, addr: p.addr, client: client}
+	n := testSidecar{t: p.t, addr: p.addr, client: client}
 	resp, body := n.do(n.request("read"))
 	if resp.StatusCode != 200 {
 		return resp.Status
@@ -114,17 +114,17 @@
 
 func twoServers(t *testing.T) (*Config, roster.List) {
 	one, two := testbed.NewScriptedServer(t, testbed.Respond(200, "one")), testbed.NewScriptedServer(t, testbed.Respond(200, "two"))
-	list := roster.List{Revision: 42, Complete: true, Members: []roster.Member{ready("s-1", one.Addr), ready("s-2", two.Addr)}}
+	list := roster.List{Revision: 42, Complete: true, Members: []roster.Member{readyMember("s-1", one.Addr), readyMember("s-2", two.Addr)}}
 	return testConfig(t, list.Members...), list
 }
 
 // A server that is out by hand gets nothing, whatever the list says and whichever process serves, until it is put back.
-func TestServersOutByHand(t *testing.T) {
+func TestManuallyEjectedServersReceiveNothing(t *testing.T) {
 	cfg, list := twoServers(t)
 	dir := filepath.Join(t.TempDir(), "shared")
 	discovery := testbed.NewDiscoveryServer(t)
 	p, client := startProcess(t, cfg, dir, "", discovery), newClient(t)
-	only := func(p *process, what, want string) {
+	wantServedBy := func(p *process, what, want string) {
 		t.Helper()
 		for range 6 {
 			if got := p.get(client); got != want {
@@ -140,8 +140,8 @@
 			t.Fatalf("answered %q", got)
 		}
 	}
-	only(p, "out", "two")
-	if size, avoided := p.figure("cluster_size"), p.figure("cluster_unhealthy"); size != 2 || avoided != 1 {
+	wantServedBy(p, "out", "two")
+	if size, avoided := p.metric("cluster_size"), p.metric("cluster_unhealthy"); size != 2 || avoided != 1 {
 		t.Errorf("%d servers, %d avoided", size, avoided)
 	}
 	testbed.Next(t, discovery.Queries)
@@ -151,7 +151,7 @@
 	testbed.Next(t, discovery.Queries)
 	discovery.Responses <- roster.List{Revision: 44, Members: list.Members[:1]}
 	testbed.Next(t, discovery.Queries)
-	only(p, "listed again", "two")
+	wantServedBy(p, "listed again", "two")
 
 	next, _ := twoServers(t)
 	next.Known = cfg.Known
@@ -160,10 +160,10 @@
 	list.Revision = 45
 	discovery.Responses <- list
 	testbed.Until(t, "the second process serves", func() bool { return q.call("STATUS") == "+OK" })
-	p.end()
-	p.ended <- testbed.Next(t, p.ended) // for the clean-up
+	p.stop()
+	p.done <- testbed.Next(t, p.done) // for the clean-up
 	client.CloseIdleConnections()
-	only(q, "after an upgrade", "two")
+	wantServedBy(q, "after an upgrade", "two")
 	if got := q.call("RESTORE s-1"); got != "+OK" {
 		t.Fatalf("answered %q", got)
 	}
@@ -171,7 +171,7 @@
 }
 
 // While one process follows the other no request runs into a closed door, on kept connections or new ones.
-func TestUpgradeLosesNothing(t *testing.T) {
+func TestHotRestartLosesNoRequests(t *testing.T) {
 	cfg, list := twoServers(t)
 	dir := t.TempDir()
 	discovery := testbed.NewDiscoveryServer(t)
@@ -189,7 +189,7 @@
 					return
 				default:
 				}
-				n := node{t: t, addr: addr}
+				n := testSidecar{t: t, addr: addr}
 				resp, err := client.Do(n.request("read"))
 				if err == nil {
 					_, err = io.ReadAll(resp.Body)
@@ -212,8 +212,8 @@
 		list.Revision += int64(i) + 1
 		discovery.Responses <- list // to whichever asks: the first has all of it
 		testbed.Until(t, "the next process serves", func() bool { return q.call("STATUS") == "+OK" })
-		p.end()
-		p.ended <- testbed.Next(t, p.ended)
+		p.stop()
+		p.done <- testbed.Next(t, p.done)
 		p = q
 	}
 	close(stop)
@@ -225,7 +225,7 @@
 }
 
 // Told to send clients away, the sidecar says so, serves what comes, keeps no connection, and takes clients again.
-func TestDrainByHand(t *testing.T) {
+func TestPauseAndResume(t *testing.T) {
 	bothFronts(t, func(t *testing.T, config func(...*testbed.ScriptedServer) *Config) {
 		s := testbed.NewScriptedServer(t, testbed.Respond(200, "one"))
 		p := startProcess(t, config(s), t.TempDir(), "", testbed.NewDiscoveryServer(t))
@@ -259,7 +259,7 @@
 		if got := up(); got != 503 {
 			t.Errorf("/up: %d", got)
 		}
-		n := node{t: t, addr: p.addr, client: client}
+		n := testSidecar{t: t, addr: p.addr, client: client}
 		if resp, body := n.do(n.request("read")); body != "one" || !resp.Close {
 			t.Errorf("a request: %q, closing: %v", body, resp.Close)
 		}
@@ -274,10 +274,10 @@
 }
 
 // The figures agree with what clients saw, to the request.
-func TestFigures(t *testing.T) {
+func TestMetricsMatchResponses(t *testing.T) {
 	s := testbed.NewScriptedServer(t, testbed.Respond(200, "one"), testbed.Respond(500, ""), testbed.Respond(503, "", "X-Never-Ran: 1"))
-	p := startProcess(t, testConfig(t, ready("s-1", s.Addr)), t.TempDir(), "", testbed.NewDiscoveryServer(t))
-	n := node{t: t, addr: p.addr, client: newClient(t)}
+	p := startProcess(t, testConfig(t, readyMember("s-1", s.Addr)), t.TempDir(), "", testbed.NewDiscoveryServer(t))
+	n := testSidecar{t: t, addr: p.addr, client: newClient(t)}
 	for _, want := range []int{200, 502, 503} {
 		req := n.request("pay")
 		req.Header.Set("X-Expires-In", "300m")
@@ -288,11 +288,11 @@
 	for name, want := range map[string]int{
 		"answered.pay": 1, "errored.pay": 1, "deferred.pay": 1, "answered.read": 0, "current": 0, "conf_loaded": 0,
 	} {
-		if got := p.figure(name); got != want {
+		if got := p.metric(name); got != want {
 			t.Errorf("%s is %d, want %d", name, got, want)
 		}
 	}
-	if got, _, _ := s.Received(); p.figure("sends") != len(got) {
-		t.Errorf("%d sends, the server has seen %d", p.figure("sends"), len(got))
+	if got, _, _ := s.Received(); p.metric("sends") != len(got) {
+		t.Errorf("%d sends, the server has seen %d", p.metric("sends"), len(got))
 	}
 }
--- a/internal/sidecar/listeners.go
+++ b/internal/sidecar/listeners.go
@@ -12,9 +12,9 @@
 
 // Names under which processes of a sidecar pass listeners to each other. Two releases share them during an upgrade.
 const (
-	httpListener      = "http"
-	rpcListener       = "MessagePack-RPC"
-	operatorsListener = "operators"
+	httpListener  = "http"
+	rpcListener   = "MessagePack-RPC"
+	pagesListener = "operators"
 )
 
 // listeners are the sockets that a sidecar serves on.
@@ -22,27 +22,27 @@
 	http net.Listener
 	rpc  net.Listener // nil: no MessagePack-RPC for clients
 
-	operators net.Listener // nil: no operators' pages
-	admin     net.Listener // nil: no operators' calls
-	instance  *handover.Instance
-	log       *slog.Logger
+	pages    net.Listener // nil: no operators' pages
+	console  net.Listener // nil: no operators' calls
+	instance *handover.Instance
+	log      *slog.Logger
 	// openDeferred opens the first three once this process can serve; nil: they are open.
 	openDeferred func(*listeners) error
 }
 
 // byName returns the listeners that a later process can inherit.
 func (l *listeners) byName() map[string]net.Listener {
-	all := map[string]net.Listener{httpListener: l.http, rpcListener: l.rpc, operatorsListener: l.operators}
-	for name, ln := range all {
+	byName := map[string]net.Listener{httpListener: l.http, rpcListener: l.rpc, pagesListener: l.pages}
+	for name, ln := range byName {
 		if ln == nil {
-			delete(all, name)
+			delete(byName, name)
 		}
 	}
-	return all
+	return byName
 }
 
 func (l *listeners) close() {
-	for _, ln := range []net.Listener{l.http, l.rpc, l.operators, l.admin} {
+	for _, ln := range []net.Listener{l.http, l.rpc, l.pages, l.console} {
 		if ln != nil {
 			_ = ln.Close() // accepting ends either way
 		}
@@ -51,35 +51,35 @@
 
 // openFronts opens the listeners of the fronts and of the operators' pages: those of the previous process, where there is one
 // and the address is the same. With admin_addr set, a later process may listen beside this one.
-func (c *Config) openFronts(l *listeners) error {
+func (c *Config) openListeners(l *listeners) error {
 	inherited := l.inherit()
 	defer func() {
 		for _, ln := range inherited { // those whose address has changed
 			_ = ln.Close() // accepting ends either way
 		}
 	}()
-	for _, want := range []struct {
+	for _, target := range []struct {
 		addr string
 		ln   *net.Listener
 		name string
 	}{
 		{c.Listen, &l.http, httpListener},
 		{c.Options.MsgpackRPC.Listen, &l.rpc, rpcListener},
-		{c.Options.Operators.Listen, &l.operators, operatorsListener},
+		{c.Options.Operators.Listen, &l.pages, pagesListener},
 	} {
-		if want.addr == "" {
+		if target.addr == "" {
 			continue
 		}
-		if ln := inherited[want.name]; ln != nil && ln.Addr().String() == want.addr {
-			delete(inherited, want.name)
-			*want.ln = ln
+		if ln := inherited[target.name]; ln != nil && ln.Addr().String() == target.addr {
+			delete(inherited, target.name)
+			*target.ln = ln
 			continue
 		}
-		ln, err := socket.Listen(want.addr, c.Admin != "")
+		ln, err := socket.Listen(target.addr, c.Admin != "")
 		if err != nil {
-			return errors.Wrapf(err, "listen for %s", want.name)
+			return errors.Wrapf(err, "listen for %s", target.name)
 		}
-		*want.ln = ln
+		*target.ln = ln
 	}
 	return nil
 }
--- a/internal/sidecar/msgpackrpc.go
+++ b/internal/sidecar/msgpackrpc.go
@@ -17,14 +17,14 @@
 )
 
 // rpcMethods checks the table of methods against the settings; nil without one.
-func rpcMethods(o *options.MsgpackRPC, catalog *core.Catalog) (*rpcfront.Methods, error) {
-	if !o.Enabled() {
+func rpcMethods(opts *options.MsgpackRPC, catalog *core.Catalog) (*rpcfront.Methods, error) {
+	if !opts.Enabled() {
 		return nil, nil
 	}
 	var table []rpcfront.Method
 	var errs []error
-	for i := range o.Methods {
-		m := &o.Methods[i]
+	for i := range opts.Methods {
+		m := &opts.Methods[i]
 		param := func(key string, v any) rpcfront.Param {
 			p, err := rpcParam(v)
 			if err != nil {
@@ -74,23 +74,23 @@
 	return rpcfront.Param{}, errors.Errorf("%v is neither a position nor a key", v)
 }
 
-func rpcLimits(o *options.MsgpackRPC) codec.Limits {
-	return codec.Limits{Frame: o.MaxFrame, Depth: o.MaxDepth}
+func rpcLimits(opts *options.MsgpackRPC) codec.Limits {
+	return codec.Limits{Frame: opts.MaxFrame, Depth: opts.MaxDepth}
 }
 
 // newRPCBack returns the back for servers that speak MessagePack-RPC.
-func newRPCBack(ctx context.Context, cfg *Config, sockets int, idle time.Duration, log *slog.Logger) *rpcback.Backend {
-	o := &cfg.Options.MsgpackRPC
+func newRPCBackend(ctx context.Context, cfg *Config, sockets int, idle time.Duration, log *slog.Logger) *rpcback.Backend {
+	opts := &cfg.Options.MsgpackRPC
 	return rpcback.New(ctx, rpcback.Config{
 		ConnectTimeout:    cmp.Or(millis(cfg.Balance.ConnectTimeout), defaultConnectTimeout),
 		IdleTimeout:       idle,
-		MaxConnsPerServer: o.ServerConnections,
+		MaxConnsPerServer: opts.ServerConnections,
 		MaxConns:          sockets,
-		MaxOpenPerConn:    o.ServerOpen,
-		Limits:            rpcLimits(o),
-		NeverRan:          o.NeverRan,
-		ApplicationErrors: o.Answers,
-		Probe:             o.Probe,
+		MaxOpenPerConn:    opts.ServerOpen,
+		Limits:            rpcLimits(opts),
+		NeverRan:          opts.NeverRan,
+		ApplicationErrors: opts.Answers,
+		Probe:             opts.Probe,
 		Log:               log,
 	})
 }
@@ -99,11 +99,11 @@
 func newRPCFront(
 	cfg *Config, connections int, shedder *loadshed.Shedder, evict func() bool, exchange *core.Loop, log *slog.Logger,
 ) *rpcfront.Front {
-	o := &cfg.Options.MsgpackRPC
+	opts := &cfg.Options.MsgpackRPC
 	return rpcfront.New(rpcfront.Config{
 		Methods:     cfg.methods,
-		Limits:      rpcLimits(o),
-		MaxOpen:     o.MaxOpen,
+		Limits:      rpcLimits(opts),
+		MaxOpen:     opts.MaxOpen,
 		Connections: connections,
 		Shedder:     shedder,
 		AcceptGrace: cfg.acceptGrace,
--- a/internal/sidecar/msgpackrpc_test.go
+++ b/internal/sidecar/msgpackrpc_test.go
@@ -53,8 +53,8 @@
 type rpcServer struct {
 	addr string
 
-	mu   sync.Mutex
-	came []time.Time
+	mu       sync.Mutex
+	arrivals []time.Time
 }
 
 func newRPCServer(t *testing.T, answer func(f codec.Frame) (failure, result []byte)) *rpcServer {
@@ -82,7 +82,7 @@
 			return
 		}
 		s.mu.Lock()
-		s.came = append(s.came, time.Now())
+		s.arrivals = append(s.arrivals, time.Now())
 		s.mu.Unlock()
 		f.Method, f.Params = bytes.Clone(f.Method), bytes.Clone(f.Params)
 		go func() {
@@ -94,15 +94,15 @@
 	}
 }
 
-func (s *rpcServer) times() []time.Time {
+func (s *rpcServer) arrivalTimes() []time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]time.Time(nil), s.came...)
+	return append([]time.Time(nil), s.arrivals...)
 }
 
-func (n *node) dialRPC() (net.Conn, *codec.Reader) {
+func (n *testSidecar) dialRPC() (net.Conn, *codec.Reader) {
 	n.t.Helper()
-	c, err := net.Dial("tcp", n.rpc)
+	c, err := net.Dial("tcp", n.rpcAddr)
 	if err != nil {
 		n.t.Fatal(err)
 	}
@@ -112,7 +112,7 @@
 }
 
 // requests are so many of them for lookups, with ids from first on.
-func requests(count, first uint32, params func(id uint32) []byte) []byte {
+func lookupRequests(count, first uint32, params func(id uint32) []byte) []byte {
 	var all []byte
 	for id := first; id < first+count; id++ {
 		all = codec.AppendRequest(all, id, "plate.lookup", params(id))
@@ -122,59 +122,59 @@
 
 // A client pipelines 500 requests on one connection while a server drains partway through. After the grace nothing new
 // reaches that one, what it holds is still answered, and every id is answered once.
-func TestPipelinedThroughADrain(t *testing.T) {
+func TestDrainAnswersPipelinedRequests(t *testing.T) {
 	release := make(chan struct{})
 	draining := newRPCServer(t, func(codec.Frame) ([]byte, []byte) { <-release; return nil, []byte{1} })
 	staying := newRPCServer(t, func(codec.Frame) ([]byte, []byte) { return nil, []byte{2} })
-	a, b := ready("s-1", draining.addr), ready("s-2", staying.addr)
-	n := startNode(t, rpcConfig(t, true, a, b))
+	a, b := readyMember("s-1", draining.addr), readyMember("s-2", staying.addr)
+	n := startSidecar(t, rpcConfig(t, true, a, b))
 	c, in := n.dialRPC()
 	testbed.Next(t, n.roster.Queries)
-	_, _ = c.Write(requests(250, 0, func(id uint32) []byte { return []byte{0x91, 0xcd, 1, byte(id)} }))
-	testbed.Until(t, "the draining one holds some", func() bool { return len(draining.times()) >= 10 })
+	_, _ = c.Write(lookupRequests(250, 0, func(id uint32) []byte { return []byte{0x91, 0xcd, 1, byte(id)} }))
+	testbed.Until(t, "the draining one holds some", func() bool { return len(draining.arrivalTimes()) >= 10 })
 	a.Phase = "draining"
 	n.roster.Responses <- roster.List{Revision: 42, Members: []roster.Member{a}}
-	told := time.Now()
+	drainTime := time.Now()
 	testbed.Next(t, n.roster.Queries)
-	_, _ = c.Write(requests(250, 250, func(uint32) []byte { return []byte{0x90} }))
-	var answered [500]int
-	var by [3]int
-	read := func(count int) {
+	_, _ = c.Write(lookupRequests(250, 250, func(uint32) []byte { return []byte{0x90} }))
+	var responses [500]int
+	var responsesByServer [3]int
+	readResponses := func(count int) {
 		for range count {
 			f, err := in.Next()
 			if err != nil {
 				t.Fatal(err)
 			}
-			answered[f.ID]++
+			responses[f.ID]++
 			if !f.Failed() {
-				by[f.Result[0]]++
+				responsesByServer[f.Result[0]]++
 			}
 		}
 	}
 	time.Sleep(300 * time.Millisecond) // more than the grace: whatever is still to reach it has done so
-	before := len(draining.times())
+	receivedBefore := len(draining.arrivalTimes())
 	close(release)
-	read(500)
-	for id, times := range answered {
+	readResponses(500)
+	for id, times := range responses {
 		if times != 1 {
 			t.Errorf("id %d was answered %d times", id, times)
 		}
 	}
-	for _, at := range draining.times() {
-		if late := at.Sub(told); late > 250*time.Millisecond {
-			t.Errorf("a request reached the draining server %v after the news", late)
+	for _, at := range draining.arrivalTimes() {
+		if delay := at.Sub(drainTime); delay > 250*time.Millisecond {
+			t.Errorf("a request reached the draining server %v after the news", delay)
 		}
 	}
-	if by[1] == 0 || by[2] < 250 || before != len(draining.times()) {
-		t.Errorf("%d answers of the draining one, which got %d, and %d of the other", by[1], before, by[2])
+	if responsesByServer[1] == 0 || responsesByServer[2] < 250 || receivedBefore != len(draining.arrivalTimes()) {
+		t.Errorf("%d answers of the draining one, which got %d, and %d of the other", responsesByServer[1], receivedBefore, responsesByServer[2])
 	}
 }
 
 // A request and its answer cross between the protocols, both ways.
-func TestAcrossProtocols(t *testing.T) {
+func TestTranslatesBetweenProtocols(t *testing.T) {
 	t.Run("RPC to HTTP", func(t *testing.T) {
 		s := testbed.NewScriptedServer(t, testbed.Respond(200, "\x91\x07", "Content-Type: application/msgpack"), testbed.Respond(200, "plate 7"))
-		n := startNode(t, rpcConfig(t, false, ready("s-1", s.Addr)))
+		n := startSidecar(t, rpcConfig(t, false, readyMember("s-1", s.Addr)))
 		c, in := n.dialRPC()
 		for id, want := range []string{"\x91\x07", "\xa7plate 7"} {
 			_, _ = c.Write(codec.AppendRequest(nil, uint32(id), "plate.reserve", []byte("\x92\xa3k-1\xa3t-1")))
@@ -196,7 +196,7 @@
 	t.Run("HTTP to RPC", func(t *testing.T) {
 		got := make(chan codec.Frame, 10)
 		s := newRPCServer(t, func(f codec.Frame) ([]byte, []byte) { got <- f; return nil, []byte("\xa2ok") })
-		n := startNode(t, rpcConfig(t, true, ready("s-1", s.addr)))
+		n := startSidecar(t, rpcConfig(t, true, readyMember("s-1", s.addr)))
 		req := n.request("read")
 		req.Method, req.URL.Path, req.URL.RawQuery = "POST", "/api/lookup", ""
 		req.Header.Set("Content-Type", "application/msgpack")
@@ -219,15 +219,15 @@
 }
 
 // A server's word that it never ran lets even a request go elsewhere that must not run twice; another error does not.
-func TestNeverRanGoesElsewhere(t *testing.T) {
+func TestRetriesRequestThatNeverRan(t *testing.T) {
 	busy := newRPCServer(t, func(codec.Frame) ([]byte, []byte) { return []byte("\x81\xa4code\xa4busy"), nil })
-	well := newRPCServer(t, func(codec.Frame) ([]byte, []byte) { return nil, []byte{7} })
-	n := startNode(t, rpcConfig(t, true, ready("s-1", busy.addr), ready("s-2", well.addr)))
+	healthy := newRPCServer(t, func(codec.Frame) ([]byte, []byte) { return nil, []byte{7} })
+	n := startSidecar(t, rpcConfig(t, true, readyMember("s-1", busy.addr), readyMember("s-2", healthy.addr)))
 	for range 50 {
 		if resp, body := n.do(n.request("pay")); resp.StatusCode != 200 || body != "\x07" {
 			t.Fatalf("answered %d %q", resp.StatusCode, body)
 		}
-		if len(busy.times()) > 0 {
+		if len(busy.arrivalTimes()) > 0 {
 			return
 		}
 	}
@@ -235,8 +235,8 @@
 }
 
 // A peer on the wrong port gets an answer or a close in its own protocol's sense, at once.
-func TestWrongPort(t *testing.T) {
-	n := startNode(t, rpcConfig(t, false, ready("s-1", "127.0.0.1:9")))
+func TestRPCOnHTTPPort(t *testing.T) {
+	n := startSidecar(t, rpcConfig(t, false, readyMember("s-1", "127.0.0.1:9")))
 	c := n.dial()
 	_, _ = c.Write(codec.AppendRequest(nil, 1, "plate.lookup", []byte{0x90}))
 	_ = c.(*net.TCPConn).CloseWrite()
@@ -246,7 +246,7 @@
 }
 
 // The table of methods is checked against the settings at load, and the error names the key.
-func TestBadRPCOptions(t *testing.T) {
+func TestRejectsInvalidRPCOptions(t *testing.T) {
 	cfg := testConfig(t)
 	for text, want := range map[string]string{
 		"name = \"a\"\nclass = \"none\"":                                      "class: the settings have no class",
--- a/internal/sidecar/operatorcalls.go
+++ b/internal/sidecar/operatorcalls.go
@@ -42,10 +42,10 @@
 func (o *operatorCalls) Ready() bool { return o.serving.Load() && o.exchange.Ready() }
 
 // inspect calls do on the exchange's goroutine and waits for it.
-func (o *operatorCalls) inspect(ctx context.Context, do func()) error {
+func (o *operatorCalls) inspect(ctx context.Context, fn func()) error {
 	done := make(chan struct{})
 	o.exchange.Inspect(func(time.Duration) {
-		do()
+		fn()
 		close(done)
 	})
 	select {
@@ -60,23 +60,23 @@
 
 // Metrics implements operators.Sidecar.
 func (o *operatorCalls) Metrics(ctx context.Context) ([]string, error) {
-	var cluster core.ServerCounts
-	if err := o.inspect(ctx, func() { cluster = o.exchange.CountServers() }); err != nil {
+	var servers core.ServerCounts
+	if err := o.inspect(ctx, func() { servers = o.exchange.CountServers() }); err != nil {
 		return nil, err
 	}
-	s := o.counts.Snapshot()
+	snapshot := o.counts.Snapshot()
 	var lines []string
 	add := func(name string, v int64) { lines = append(lines, fmt.Sprintf("sidecar.%s=%d", name, v)) }
 	for i, name := range o.catalog.ClassNames() {
-		c := &s.Classes[i]
+		c := &snapshot.Classes[i]
 		add("answered."+name, c.Served)
 		add("deferred."+name, c.Refused)
 		add("errored."+name, c.Failed)
 	}
-	add("sends", s.Sends)
-	add("current", s.Open)
-	add("cluster_size", int64(cluster.Size))
-	add("cluster_unhealthy", int64(cluster.Unhealthy))
+	add("sends", snapshot.Sends)
+	add("current", snapshot.Open)
+	add("cluster_size", int64(servers.Size))
+	add("cluster_unhealthy", int64(servers.Unhealthy))
 	add("conf_loaded", o.reloads.loaded.Load())
 	add("conf_invalid", o.reloads.invalid.Load())
 	return lines, nil
@@ -89,11 +89,11 @@
 		return err
 	}
 	ejected, err := o.updateEjected(func(all handover.Ejected) error {
-		_, was := all[id]
+		_, alreadyEjected := all[id]
 		switch {
-		case !listed && !was:
+		case !listed && !alreadyEjected:
 			return &unknownServerError{id}
-		case eject && !was:
+		case eject && !alreadyEjected:
 			all[id] = time.Now()
 		case !eject:
 			delete(all, id)
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -14,11 +14,11 @@
 
 // reloader applies a configuration that has changed while the sidecar runs.
 type reloader struct {
-	cfg       *Config
-	follower  *roster.Follower
-	contracts func() // reads the contracts again
-	counts    *reloadCounts
-	log       *slog.Logger
+	cfg             *Config
+	follower        *roster.Follower
+	reloadContracts func() // reads the contracts again
+	counts          *reloadCounts
+	log             *slog.Logger
 }
 
 // run reads the contracts and the configuration's file again with each signal, until ctx ends. Of the configuration, only the
@@ -27,7 +27,7 @@
 	for {
 		select {
 		case <-signals:
-			r.contracts()
+			r.reloadContracts()
 			r.reload()
 		case <-ctx.Done():
 			return
@@ -36,7 +36,7 @@
 }
 
 func (r *reloader) reload() {
-	next, err := r.cfg.reread()
+	next, err := r.cfg.rereadFile()
 	if err != nil {
 		r.counts.invalid.Add(1)
 		r.log.Error("configuration not reloaded: unchanged", "error", err)
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -37,10 +37,10 @@
 }
 
 // name puts another address of discovery into the file.
-func (f *configFile) name(addr string) {
+func (f *configFile) setDiscovery(addr string) {
 	f.t.Helper()
-	was, now := []byte(`"discovery": "127.0.0.1:9"`), []byte(`"discovery": "`+addr+`"`)
-	f.write(string(bytes.Replace([]byte(f.text), was, now, 1)))
+	oldText, newText := []byte(`"discovery": "127.0.0.1:9"`), []byte(`"discovery": "`+addr+`"`)
+	f.write(string(bytes.Replace([]byte(f.text), oldText, newText, 1)))
 }
 
 func (f *configFile) load(env map[string]string) *Config {
@@ -58,21 +58,21 @@
 }
 
 // A new file goes before the environment, or a moved discovery would never be heard.
-func TestReloadPrefersTheFile(t *testing.T) {
+func TestReloadPrefersFileOverEnvironment(t *testing.T) {
 	f := newConfigFile(t)
 	cfg := f.load(map[string]string{"NODE_DISCOVERY": "127.0.0.1:1"})
 	if cfg.Discovery != "127.0.0.1:1" {
 		t.Errorf("starts with %s", cfg.Discovery)
 	}
-	f.name("127.0.0.1:2")
+	f.setDiscovery("127.0.0.1:2")
 	for range 2 {
-		next, err := cfg.reread()
+		next, err := cfg.rereadFile()
 		if err != nil || next.Discovery != "127.0.0.1:2" {
 			t.Fatalf("goes on with %v, %v", next, err)
 		}
 	}
 	f.write("{")
-	if _, err := cfg.reread(); err == nil {
+	if _, err := cfg.rereadFile(); err == nil {
 		t.Error("took what is no configuration")
 	}
 }
@@ -83,8 +83,8 @@
 	one, two := testbed.NewScriptedServer(t, testbed.Respond(200, "one")), testbed.NewScriptedServer(t, testbed.Respond(200, "two"))
 	f := newConfigFile(t)
 	cfg := f.load(nil)
-	cfg.Known.Members, cfg.acceptGrace = []roster.Member{ready("s-1", one.Addr)}, 0
-	n := startNode(t, cfg)
+	cfg.Known.Members, cfg.acceptGrace = []roster.Member{readyMember("s-1", one.Addr)}, 0
+	n := startSidecar(t, cfg)
 	testbed.Next(t, n.roster.Queries) // the watch at the old address
 	f.write("{")
 	n.reloads <- syscall.SIGHUP
@@ -92,13 +92,13 @@
 		t.Errorf("after a bad file: served by %q", body)
 	}
 	other := testbed.NewDiscoveryServer(t)
-	f.name(other.Addr)
+	f.setDiscovery(other.Addr)
 	n.reloads <- syscall.SIGHUP // taken only after the bad file was
 	if got := testbed.Next(t, other.Queries); got != "" {
 		t.Errorf("first call at the new address: %q", got)
 	}
 	testbed.Next(t, n.roster.Cancelled)
-	other.Responses <- roster.List{Revision: 3, Complete: true, Members: []roster.Member{ready("s-2", two.Addr)}}
+	other.Responses <- roster.List{Revision: 3, Complete: true, Members: []roster.Member{readyMember("s-2", two.Addr)}}
 	if got := testbed.Next(t, other.Queries); !strings.HasPrefix(got, "from=3&hold_ms=") {
 		t.Errorf("second call at the new address: %q", got)
 	}
@@ -107,6 +107,6 @@
 			t.Errorf("served by %q", body)
 		}
 	}
-	n.end()
+	n.stop()
 	n.reloads <- syscall.SIGHUP // harmless
 }
--- a/internal/sidecar/reporting.go
+++ b/internal/sidecar/reporting.go
@@ -13,8 +13,8 @@
 
 // Bounds of the time for the last report, after all requests have ended. Even the lower one ends before the platform kills.
 const (
-	minFinalReport = 30 * time.Millisecond
-	maxFinalReport = 300 * time.Millisecond
+	minFinalReportTimeout = 30 * time.Millisecond
+	maxFinalReportTimeout = 300 * time.Millisecond
 )
 
 // Shape returns the classes and tenants by which requests are counted.
@@ -34,9 +34,9 @@
 
 // newReporter returns the reporter to the receivers that the options name; nil without any.
 func newReporter(
-	c *Config, counts *report.Counts, exchange *core.Loop, gate *broker.Gate, started time.Time, log *slog.Logger,
+	cfg *Config, counts *report.Counts, exchange *core.Loop, gate *broker.Gate, started time.Time, log *slog.Logger,
 ) *reporting.Reporter {
-	receivers := reporting.Receivers(&c.Options, c.Name, started)
+	receivers := reporting.Receivers(&cfg.Options, cfg.Name, started)
 	if len(receivers) == 0 {
 		return nil
 	}
@@ -53,7 +53,7 @@
 
 // readState fills in what the exchange's goroutine owns: servers, teams and how many servers are avoided.
 func readState(ctx context.Context, exchange *core.Loop, gate *broker.Gate, st *report.State) error {
-	read := make(chan report.State, 1) // the exchange never waits, also when ctx has ended
+	states := make(chan report.State, 1) // the exchange never waits, also when ctx has ended
 	exchange.Inspect(func(now time.Duration) {
 		s := report.State{Avoided: exchange.CountServers().Unhealthy}
 		for _, server := range exchange.Servers() {
@@ -64,10 +64,10 @@
 				s.Teams = append(s.Teams, report.TeamState{Name: team.Team, Requests: team.Requests})
 			}
 		}
-		read <- s
+		states <- s
 	})
 	select {
-	case s := <-read:
+	case s := <-states:
 		st.Servers, st.Teams, st.Avoided = s.Servers, s.Teams, s.Avoided
 		return nil
 	case <-ctx.Done():
--- a/internal/sidecar/reporting_test.go
+++ b/internal/sidecar/reporting_test.go
@@ -19,15 +19,15 @@
 )
 
 // receivers are stand-ins for all that can be reported to.
-type receivers struct {
+type testReceivers struct {
 	plain, pickled *receiver.Carbon
 	network        *receiver.Network
 	socket         *receiver.Socket
 }
 
-func startReceivers(t *testing.T) *receivers {
+func startReceivers(t *testing.T) *testReceivers {
 	t.Helper()
-	r := &receivers{}
+	r := &testReceivers{}
 	var errs [4]error
 	r.plain, errs[0] = receiver.NewCarbon(false)
 	r.pickled, errs[1] = receiver.NewCarbon(true)
@@ -46,7 +46,7 @@
 }
 
 // reportTo gives a sidecar options in words.
-func reportTo(t *testing.T, cfg *Config, text string) *Config {
+func setOptions(t *testing.T, cfg *Config, text string) *Config {
 	t.Helper()
 	o, err := options.Parse("test.toml", []byte(text))
 	if err != nil {
@@ -58,7 +58,7 @@
 }
 
 // outage is how long receivers are away: FIRPLANK_OUTAGE, or some intervals.
-func outage(t *testing.T) time.Duration {
+func outageDuration(t *testing.T) time.Duration {
 	text := os.Getenv("FIRPLANK_OUTAGE")
 	if text == "" {
 		return 2500 * time.Millisecond
@@ -70,14 +70,14 @@
 	return d
 }
 
-const graphiteTo = "[graphite]\ninterval_s = 1\nprefix = \"f\"\naddress = %q\nprotocol = %q\n"
+const graphiteOptions = "[graphite]\ninterval_s = 1\nprefix = \"f\"\naddress = %q\nprotocol = %q\n"
 
 // ends counts how requests ended, by class: served, refused and failed.
-type ends [3]map[string]int64
+type outcomeCounts [3]map[string]int64
 
 // loadOf sends requests of three classes until it is stopped, which returns how they ended.
-func (n *node) loadOf(classes ...string) (stop func() ends) {
-	var counted ends
+func (n *testSidecar) startLoad(classes ...string) (stop func() outcomeCounts) {
+	var counted outcomeCounts
 	for i := range counted {
 		counted[i] = map[string]int64{}
 	}
@@ -95,20 +95,20 @@
 				req := n.request(class)
 				req.Header.Set("X-Expires-In", "300m") // or one that no server takes would wait for long
 				resp, _ := n.do(req)
-				kind := 2
+				outcome := 2
 				switch resp.StatusCode {
 				case 200:
-					kind = 0
+					outcome = 0
 				case 503:
-					kind = 1
+					outcome = 1
 				}
 				mu.Lock()
-				counted[kind][class]++
+				counted[outcome][class]++
 				mu.Unlock()
 			}
 		})
 	}
-	return func() ends {
+	return func() outcomeCounts {
 		close(stopped)
 		clients.Wait()
 		return counted
@@ -116,14 +116,14 @@
 }
 
 // breakOff stops the receivers of a sidecar, starts them after an outage, and breaks the carbon's connection once more.
-func (r *receivers) breakOff(t *testing.T, carbon *receiver.Carbon, socket bool) {
+func (r *testReceivers) interrupt(t *testing.T, carbon *receiver.Carbon, socket bool) {
 	t.Helper()
 	testbed.Until(t, "an interval has come", func() bool { return carbon.Last("f.reporting.graphite.intervals.total") >= 1 })
 	carbon.Stop()
 	if socket {
 		r.socket.Stop()
 	}
-	time.Sleep(outage(t))
+	time.Sleep(outageDuration(t))
 	carbon.ResetAfter(700) // once more, in the middle of a line
 	if err := carbon.Start(); err != nil {
 		t.Error(err)
@@ -140,12 +140,12 @@
 }
 
 // agreeOverNetwork waits until collectd's network plugin has the totals.
-func (r *receivers) agreeOverNetwork(t *testing.T, counted ends) {
+func (r *testReceivers) waitForNetworkTotals(t *testing.T, counted outcomeCounts) {
 	t.Helper()
-	for i, at := range []int{1, 3, 4} {
+	for i, index := range []int{1, 3, 4} {
 		for class, want := range counted[i] {
 			id := "h-pickle/firplank-" + class + "/firplank_requests"
-			testbed.Until(t, fmt.Sprintf("%s comes to %d", id, want), func() bool { return int64(r.network.Last(id, at)) == want })
+			testbed.Until(t, fmt.Sprintf("%s comes to %d", id, want), func() bool { return int64(r.network.Last(id, index)) == want })
 		}
 	}
 	if count, longest := r.network.Packets(); count < 6 || longest > 1452 {
@@ -154,10 +154,10 @@
 }
 
 // agree waits until carbon, and collectd's socket where that is used, have the totals and the sums of the intervals.
-func (r *receivers) agree(t *testing.T, carbon *receiver.Carbon, socket bool, counted ends) {
+func (r *testReceivers) waitForTotals(t *testing.T, carbon *receiver.Carbon, socket bool, counted outcomeCounts) {
 	t.Helper()
 	for i, field := range []string{"served", "refused", "failed"} {
-		at := map[string]int{"served": 1, "refused": 3, "failed": 4}[field]
+		index := map[string]int{"served": 1, "refused": 3, "failed": 4}[field]
 		for class, want := range counted[i] {
 			path := "f.requests." + class + "." + field
 			// What was written last may yet be on its way.
@@ -166,7 +166,7 @@
 			})
 			id := "h-plaintext/firplank-" + class + "/firplank_requests"
 			if socket {
-				testbed.Until(t, fmt.Sprintf("%s comes to %d", id, want), func() bool { return int64(r.socket.Last(id, at)) == want })
+				testbed.Until(t, fmt.Sprintf("%s comes to %d", id, want), func() bool { return int64(r.socket.Last(id, index)) == want })
 			}
 		}
 	}
@@ -180,11 +180,11 @@
 
 // While receivers stop and come back, and a third of the packets to collectd's network plugin gets lost, load goes on. In the
 // end all totals agree to the request with what the clients counted, and so do the sums of the intervals.
-func TestTotalsAgreeThroughOutages(t *testing.T) {
+func TestTotalsAgreeAfterReceiverOutages(t *testing.T) {
 	r := startReceivers(t)
-	var came atomic.Int64
+	var requests atomic.Int64
 	server := testbed.ServeHTTP(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		switch n := came.Add(1); {
+		switch n := requests.Add(1); {
 		case n%5 == 0:
 			w.WriteHeader(500)
 		case n%7 == 0:
@@ -195,42 +195,42 @@
 	for name, carbon := range map[string]*receiver.Carbon{"plaintext": r.plain, "pickle": r.pickled} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			text := fmt.Sprintf(graphiteTo, carbon.Addr(), name) + fmt.Sprintf("[collectd]\ninterval_s = 1\nhost = \"h-%s\"\n", name)
+			text := fmt.Sprintf(graphiteOptions, carbon.Addr(), name) + fmt.Sprintf("[collectd]\ninterval_s = 1\nhost = \"h-%s\"\n", name)
 			socket := name == "plaintext"
 			if socket {
 				text += fmt.Sprintf("unix_socket = %q\n", r.socket.Addr())
 			} else {
 				text += fmt.Sprintf("network = %q\n", r.network.Addr())
 			}
-			cfg := reportTo(t, testConfig(t, ready("s-1", server)), text)
+			cfg := setOptions(t, testConfig(t, readyMember("s-1", server)), text)
 			cfg.Options.Collectd.Security, cfg.Options.Collectd.User = options.Encrypt, "monitor"
-			n := startNode(t, cfg)
-			stop := n.loadOf("read", "reserve", "pay")
-			r.breakOff(t, carbon, socket)
+			n := startSidecar(t, cfg)
+			stop := n.startLoad("read", "reserve", "pay")
+			r.interrupt(t, carbon, socket)
 			counted := stop()
 			if len(counted[0]) != 3 || len(counted[1]) == 0 || len(counted[2]) == 0 {
 				t.Errorf("not all ends occurred: %v", counted)
 			}
 			if !socket { // whatever was lost, a later total tells it: the sidecar goes on
-				r.agreeOverNetwork(t, counted)
+				r.waitForNetworkTotals(t, counted)
 			}
-			n.end()
-			n.ended <- testbed.Next(t, n.ended)
-			r.agree(t, carbon, socket, counted)
+			n.stop()
+			n.done <- testbed.Next(t, n.done)
+			r.waitForTotals(t, carbon, socket, counted)
 		})
 	}
 }
 
 // A receiver that takes connections and never reads, or stops in the middle of a line, holds nothing up but itself.
-func TestAStalledReceiverSlowsNobody(t *testing.T) {
+func TestStalledReceiverDelaysNoRequests(t *testing.T) {
 	for name, stall := range map[string]func(*receiver.Carbon){
 		"at once": func(c *receiver.Carbon) { c.Stall(true) }, "in a line": func(c *receiver.Carbon) { c.StallAfter(300) },
 	} {
-		t.Run(name, func(t *testing.T) { besideAStalledOne(t, stall) })
+		t.Run(name, func(t *testing.T) { testStalledReceiver(t, stall) })
 	}
 }
 
-func besideAStalledOne(t *testing.T, stall func(*receiver.Carbon)) {
+func testStalledReceiver(t *testing.T, stall func(*receiver.Carbon)) {
 	stalled, err := receiver.NewCarbon(false)
 	if err != nil {
 		t.Fatal(err)
@@ -243,14 +243,14 @@
 	}
 	t.Cleanup(socket.Stop)
 	server := testbed.NewScriptedServer(t, testbed.Respond(200, "one"))
-	cfg := reportTo(t, testConfig(t, ready("s-1", server.Addr)), fmt.Sprintf(graphiteTo, stalled.Addr(), "plaintext")+
+	cfg := setOptions(t, testConfig(t, readyMember("s-1", server.Addr)), fmt.Sprintf(graphiteOptions, stalled.Addr(), "plaintext")+
 		fmt.Sprintf("[collectd]\ninterval_s = 1\nhost = \"h\"\nunix_socket = %q\n", socket.Addr()))
-	n := startNode(t, cfg)
+	n := startSidecar(t, cfg)
 	var slow atomic.Int64
 	for range 200 {
-		began := time.Now()
+		start := time.Now()
 		n.do(n.request("read"))
-		if time.Since(began) > time.Second {
+		if time.Since(start) > time.Second {
 			slow.Add(1)
 		}
 	}
@@ -261,19 +261,19 @@
 }
 
 // Told to end, a sidecar sends the interval that is open, though it is not over for a long time.
-func TestTheLastIntervalIsSent(t *testing.T) {
+func TestShutdownSendsOpenInterval(t *testing.T) {
 	carbon, err := receiver.NewCarbon(true)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(carbon.Stop)
 	server := testbed.NewScriptedServer(t, testbed.Respond(200, "one"))
-	text := strings.Replace(fmt.Sprintf(graphiteTo, carbon.Addr(), "pickle"), "interval_s = 1", "interval_s = 3600", 1)
-	n := startNode(t, reportTo(t, testConfig(t, ready("s-1", server.Addr)), text))
+	text := strings.Replace(fmt.Sprintf(graphiteOptions, carbon.Addr(), "pickle"), "interval_s = 1", "interval_s = 3600", 1)
+	n := startSidecar(t, setOptions(t, testConfig(t, readyMember("s-1", server.Addr)), text))
 	for range 7 {
 		n.do(n.request("read"))
 	}
-	n.end()
-	n.ended <- testbed.Next(t, n.ended)
+	n.stop()
+	n.done <- testbed.Next(t, n.done)
 	testbed.Until(t, "the last interval tells of all requests", func() bool { return carbon.Last("f.requests.read.served.total") == 7 })
 }
--- a/internal/sidecar/serve_test.go
+++ b/internal/sidecar/serve_test.go
@@ -17,9 +17,9 @@
 	"firplank/internal/testbed"
 )
 
-func TestServesAndPassesOn(t *testing.T) {
+func TestForwardsRequests(t *testing.T) {
 	s := testbed.NewScriptedServer(t, testbed.Respond(200, "plate 7", "Endpoint-Load-Metrics: TEXT util=0.5, qps=3"))
-	n := startNode(t, testConfig(t, ready("s-1", s.Addr)))
+	n := startSidecar(t, testConfig(t, readyMember("s-1", s.Addr)))
 	var ids []string
 	for _, class := range []string{"read", "reserve", "pay"} {
 		req := n.request(class)
@@ -40,8 +40,8 @@
 		if r.RequestURI != "/api?item=a%2Fb" || r.Header.Get("X-Trace-Id") != ids[i] {
 			t.Errorf("went on as %s with id %q", r.RequestURI, r.Header.Get("X-Trace-Id"))
 		}
-		left, err := strconv.Atoi(strings.TrimSuffix(r.Header.Get("X-Expires-In"), "u"))
-		if err != nil || left <= 0 || left > 15_000_000 {
+		remaining, err := strconv.Atoi(strings.TrimSuffix(r.Header.Get("X-Expires-In"), "u"))
+		if err != nil || remaining <= 0 || remaining > 15_000_000 {
 			t.Errorf("X-Expires-In went on as %q: %v", r.Header.Get("X-Expires-In"), err)
 		}
 		if want := map[bool]string{true: "", false: "order 7"}[r.Method == "GET"]; bodies[i] != want {
@@ -54,29 +54,29 @@
 }
 
 // Where the runtime is not told of an epoll set within another, nothing would ever be served through one: goroutines serve.
-func TestServesWhereReadinessIsNotToBeHad(t *testing.T) {
+func TestServesWithoutPoller(t *testing.T) {
 	s := testbed.NewScriptedServer(t, testbed.Respond(200, "plate 7"))
-	cfg := testConfig(t, ready("s-1", s.Addr))
-	asked := 0
-	cfg.readiness = func() error { asked++; return errors.New("untold") }
-	n := startNode(t, cfg)
+	cfg := testConfig(t, readyMember("s-1", s.Addr))
+	checks := 0
+	cfg.checkPoller = func() error { checks++; return errors.New("untold") }
+	n := startSidecar(t, cfg)
 	if resp, body := n.do(n.request("pay")); resp.StatusCode != 200 || body != "plate 7" {
 		t.Errorf("%d %q", resp.StatusCode, body)
 	}
-	if asked != 1 {
-		t.Errorf("asked %d times", asked)
+	if checks != 1 {
+		t.Errorf("asked %d times", checks)
 	}
 }
 
 // The outcome decides whether an unsafe request may be tried again.
-func TestOutcomes(t *testing.T) {
-	never := "X-Never-Ran: 1"
+func TestRetriesUnsafeRequestsByOutcome(t *testing.T) {
+	neverRan := "X-Never-Ran: 1"
 	for name, c := range map[string]struct {
 		first  testbed.Step
 		status int
 	}{
-		"turned away":           {testbed.Respond(503, "", never), 200},
-		"over already":          {testbed.Respond(504, "", never), 200},
+		"turned away":           {testbed.Respond(503, "", neverRan), 200},
+		"over already":          {testbed.Respond(504, "", neverRan), 200},
 		"503 that may have run": {testbed.Respond(503, ""), 502},
 		"error":                 {testbed.Respond(500, ""), 502},
 		"reset":                 {testbed.WriteAndClose(""), 502},
@@ -84,9 +84,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			failing, serving := testbed.NewScriptedServer(t, c.first), testbed.NewScriptedServer(t, testbed.Respond(200, "done"))
-			n := startNode(t, testConfig(t, ready("s-1", failing.Addr), ready("s-2", serving.Addr)))
+			n := startSidecar(t, testConfig(t, readyMember("s-1", failing.Addr), readyMember("s-2", serving.Addr)))
 			resp, _ := n.do(n.request("pay"))
-			for len(requestsOf(failing)) == 0 { // the other one had the first turn
+			for len(receivedRequests(failing)) == 0 { // the other one had the first turn
 				resp, _ = n.do(n.request("pay"))
 			}
 			if resp.StatusCode != c.status {
@@ -96,9 +96,9 @@
 	}
 }
 
-func TestBadRequests(t *testing.T) {
+func TestRejectsInvalidRequests(t *testing.T) {
 	s := testbed.NewScriptedServer(t, testbed.Respond(200, "served"))
-	n := startNode(t, testConfig(t, ready("s-1", s.Addr)))
+	n := startSidecar(t, testConfig(t, readyMember("s-1", s.Addr)))
 	set := func(name, value string) func(*http.Request) {
 		return func(r *http.Request) { r.Header.Set(name, value) }
 	}
@@ -141,13 +141,13 @@
 	if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 413 {
 		t.Errorf("long body: answered %v, %v", resp, err)
 	}
-	if got := len(requestsOf(s)); got != 0 {
+	if got := len(receivedRequests(s)); got != 0 {
 		t.Errorf("%d of the bad requests went on", got)
 	}
 }
 
 // hold answers a request when told to.
-func hold(started chan<- bool, release <-chan bool) testbed.Step {
+func holdResponse(started chan<- bool, release <-chan bool) testbed.Step {
 	return func(c net.Conn) bool {
 		started <- true
 		<-release
@@ -156,12 +156,12 @@
 }
 
 // On SIGTERM new connections are still taken for a while, and what was taken before is answered.
-func TestEndsWithAllAnswered(t *testing.T) {
+func TestShutdownAnswersAcceptedRequests(t *testing.T) {
 	started, release := make(chan bool, 1), make(chan bool)
-	s := testbed.NewScriptedServer(t, hold(started, release), testbed.Respond(200, "late"))
-	cfg := testConfig(t, ready("s-1", s.Addr))
+	s := testbed.NewScriptedServer(t, holdResponse(started, release), testbed.Respond(200, "late"))
+	cfg := testConfig(t, readyMember("s-1", s.Addr))
 	cfg.acceptGrace = 3 * time.Second
-	n := startNode(t, cfg)
+	n := startSidecar(t, cfg)
 	held := make(chan *http.Response, 1)
 	go func() {
 		resp, err := n.client.Do(n.request("pay"))
@@ -171,7 +171,7 @@
 		held <- resp
 	}()
 	testbed.Next(t, started)
-	n.end()
+	n.stop()
 	up, err := http.NewRequest("GET", "http://"+n.addr+"/up", nil)
 	if err != nil {
 		t.Fatal(err)
@@ -192,11 +192,11 @@
 
 // An application that ends its sending has gone, as far as can be told, but may still read: it gets one final answer.
 // net/http would end the handler with an empty 200, which says served although no server made it.
-func TestEndOfSendingFailsTheRequest(t *testing.T) {
+func TestClientHalfCloseFailsRequest(t *testing.T) {
 	started, release := make(chan bool, 1), make(chan bool)
-	s := testbed.NewScriptedServer(t, hold(started, release))
+	s := testbed.NewScriptedServer(t, holdResponse(started, release))
 	defer close(release)
-	n := startNode(t, testConfig(t, ready("s-1", s.Addr)))
+	n := startSidecar(t, testConfig(t, readyMember("s-1", s.Addr)))
 	c, err := net.Dial("tcp", n.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -216,9 +216,9 @@
 
 // A client that has gone by the time that its request is read, as all have that a stopped sidecar finds when it goes on,
 // has nothing sent for it.
-func TestGoneBeforeItBeganIsNotSent(t *testing.T) {
+func TestRequestOfClosedClientIsNotSent(t *testing.T) {
 	s := testbed.NewScriptedServer(t, testbed.Respond(200, "one"))
-	n := startNode(t, testConfig(t, ready("s-1", s.Addr)))
+	n := startSidecar(t, testConfig(t, readyMember("s-1", s.Addr)))
 	c, err := net.Dial("tcp", n.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -251,25 +251,25 @@
 }
 
 // What discovery has told holds for the next request.
-func TestFollowsTheList(t *testing.T) {
+func TestAppliesDiscoveryUpdates(t *testing.T) {
 	one, two := testbed.NewScriptedServer(t, testbed.Respond(200, "one")), testbed.NewScriptedServer(t, testbed.Respond(200, "two"))
-	n := startNode(t, testConfig(t))
+	n := startSidecar(t, testConfig(t))
 	if resp, err := n.client.Get("http://" + n.addr + "/up"); err != nil || resp.StatusCode != 503 {
 		t.Fatalf("/up without servers: %v %v", resp, err)
 	}
-	tell := func(l roster.List) {
+	sendList := func(l roster.List) {
 		t.Helper()
 		testbed.Next(t, n.roster.Queries)
 		n.roster.Responses <- l
 	}
-	tell(roster.List{Revision: 42, Complete: true, Members: []roster.Member{ready("s-1", one.Addr)}})
+	sendList(roster.List{Revision: 42, Complete: true, Members: []roster.Member{readyMember("s-1", one.Addr)}})
 	testbed.Next(t, n.roster.Queries) // the list before has reached the loop
 	if _, body := n.do(n.request("read")); body != "one" {
 		t.Errorf("served by %q", body)
 	}
-	draining := ready("s-1", one.Addr)
+	draining := readyMember("s-1", one.Addr)
 	draining.Phase = "draining"
-	n.roster.Responses <- roster.List{Revision: 43, Members: []roster.Member{draining, ready("s-2", two.Addr)}}
+	n.roster.Responses <- roster.List{Revision: 43, Members: []roster.Member{draining, readyMember("s-2", two.Addr)}}
 	testbed.Next(t, n.roster.Queries)
 	for range 3 {
 		if _, body := n.do(n.request("read")); body != "two" {
@@ -279,9 +279,9 @@
 }
 
 // A refused client is told when to come back, which it may do without harm.
-func TestRefusalsSayWhenToComeBack(t *testing.T) {
+func TestRejectionsSetRetryAfter(t *testing.T) {
 	s := testbed.NewScriptedServer(t, testbed.Respond(503, "", "X-Never-Ran: 1"))
-	n := startNode(t, testConfig(t, ready("s-1", s.Addr)))
+	n := startSidecar(t, testConfig(t, readyMember("s-1", s.Addr)))
 	req := n.request("pay")
 	req.Header.Set("X-Expires-In", "300m")
 	resp, _ := n.do(req)
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -17,13 +17,13 @@
 )
 
 // soon shortens the end of a sidecar, after which it may not stay.
-func soon(cfg *Config) *Config {
+func withShortDrain(cfg *Config) *Config {
 	cfg.maxDrain = 300 * time.Millisecond
 	return cfg
 }
 
 // write sends a request, or the part of it up to some bytes before its end, on a connection of its own.
-func (n *node) write(req *http.Request, without int) (net.Conn, *bytes.Buffer) {
+func (n *testSidecar) sendPart(req *http.Request, omittedBytes int) (net.Conn, *bytes.Buffer) {
 	n.t.Helper()
 	c, err := net.Dial("tcp", n.addr)
 	if err != nil {
@@ -35,11 +35,11 @@
 	if err := req.Write(&text); err != nil {
 		n.t.Fatal(err)
 	}
-	_, _ = c.Write(text.Next(text.Len() - without))
+	_, _ = c.Write(text.Next(text.Len() - omittedBytes))
 	return c, &text
 }
 
-func read(t *testing.T, c net.Conn) *http.Response {
+func readResponse(t *testing.T, c net.Conn) *http.Response {
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -53,21 +53,21 @@
 
 // Requests whose deadlines lie beyond the end have their final answers before it: failed, or refused where that does no
 // harm.
-func TestEndAnswersLongDeadlines(t *testing.T) {
+func TestShutdownAnswersLongDeadlines(t *testing.T) {
 	bothFronts(t, func(t *testing.T, config func(...*testbed.ScriptedServer) *Config) {
 		started, release := make(chan bool, 8), make(chan bool)
 		defer close(release)
-		s := testbed.NewScriptedServer(t, hold(started, release))
-		n := startNode(t, soon(config(s)))
+		s := testbed.NewScriptedServer(t, holdResponse(started, release))
+		n := startSidecar(t, withShortDrain(config(s)))
 		want := map[string]int{"read": 503, "reserve": 502, "pay": 502}
 		conns := map[string]net.Conn{}
 		for class := range want {
-			conns[class], _ = n.write(n.request(class), 0)
+			conns[class], _ = n.sendPart(n.request(class), 0)
 			testbed.Next(t, started)
 		}
-		n.end()
+		n.stop()
 		for class, status := range want {
-			resp := read(t, conns[class])
+			resp := readResponse(t, conns[class])
 			after, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 			if resp.StatusCode != status || !resp.Close || (after > 0) != (status == 503) {
 				t.Errorf("%s: %d, Retry-After %v, closing: %v", class, resp.StatusCode, after, resp.Close)
@@ -80,43 +80,43 @@
 }
 
 // A client that reads nothing until the sidecar has gone finds its answer whole.
-func TestEndAnswersSlowReaders(t *testing.T) {
+func TestShutdownAnswersSlowReaders(t *testing.T) {
 	started, release := make(chan bool, 1), make(chan bool)
 	defer close(release)
-	s := testbed.NewScriptedServer(t, hold(started, release))
-	n := startNode(t, soon(testConfig(t, ready("s-1", s.Addr))))
-	c, _ := n.write(n.request("pay"), 0)
+	s := testbed.NewScriptedServer(t, holdResponse(started, release))
+	n := startSidecar(t, withShortDrain(testConfig(t, readyMember("s-1", s.Addr))))
+	c, _ := n.sendPart(n.request("pay"), 0)
 	testbed.Next(t, started)
-	n.end()
-	n.ended <- testbed.Next(t, n.ended) // for the clean-up
-	if resp := read(t, c); resp.StatusCode != 502 {
+	n.stop()
+	n.done <- testbed.Next(t, n.done) // for the clean-up
+	if resp := readResponse(t, c); resp.StatusCode != 502 {
 		t.Errorf("answered %d", resp.StatusCode)
 	}
 }
 
 // A request that comes whole when the last answers are being given, on a connection from before, is refused and not sent,
 // and so is one that never comes whole.
-func TestEndAnswersTheLastRequest(t *testing.T) {
+func TestShutdownRejectsLateRequest(t *testing.T) {
 	bothFronts(t, func(t *testing.T, config func(...*testbed.ScriptedServer) *Config) {
 		started, release := make(chan bool, 8), make(chan bool)
 		defer close(release)
-		s := testbed.NewScriptedServer(t, hold(started, release))
+		s := testbed.NewScriptedServer(t, holdResponse(started, release))
 		cfg := config(s)
 		cfg.maxDrain, cfg.responseMargin = testbed.Timeout, testbed.Timeout
-		n := startNode(t, cfg)
-		held, _ := n.write(n.request("pay"), 0)
+		n := startSidecar(t, cfg)
+		held, _ := n.sendPart(n.request("pay"), 0)
 		testbed.Next(t, started)
 		expecting := n.request("pay")
 		expecting.Header.Set("Expect", "100-continue")
-		late, body := n.write(expecting, len("order 7"))
-		const goOn = "HTTP/1.1 100 Continue\r\n\r\n" // so that the front has the head
-		if _, err := io.ReadFull(late, make([]byte, len(goOn))); err != nil {
+		late, rest := n.sendPart(expecting, len("order 7"))
+		const continueHead = "HTTP/1.1 100 Continue\r\n\r\n" // so that the front has the head
+		if _, err := io.ReadFull(late, make([]byte, len(continueHead))); err != nil {
 			t.Fatal(err)
 		}
-		n.end()
-		read(t, held)
-		_, _ = late.Write(body.Bytes())
-		if resp := read(t, late); resp.StatusCode != 503 {
+		n.stop()
+		readResponse(t, held)
+		_, _ = late.Write(rest.Bytes())
+		if resp := readResponse(t, late); resp.StatusCode != 503 {
 			t.Errorf("answered %d", resp.StatusCode)
 		}
 		if requests, _, _ := s.Received(); len(requests) != 1 {
@@ -126,30 +126,30 @@
 }
 
 // A request of which the rest does not come is refused at the end: nothing can have run.
-func TestEndAnswersPartOfARequest(t *testing.T) {
-	n := startNode(t, soon(testConfig(t, ready("s-1", testbed.NewScriptedServer(t, testbed.Respond(200, "one")).Addr))))
-	c, _ := n.write(n.request("pay"), 3)
-	n.end()
-	if resp := read(t, c); resp.StatusCode != 503 {
+func TestShutdownRejectsIncompleteRequest(t *testing.T) {
+	n := startSidecar(t, withShortDrain(testConfig(t, readyMember("s-1", testbed.NewScriptedServer(t, testbed.Respond(200, "one")).Addr))))
+	c, _ := n.sendPart(n.request("pay"), 3)
+	n.stop()
+	if resp := readResponse(t, c); resp.StatusCode != 503 {
 		t.Errorf("answered %d", resp.StatusCode)
 	}
 }
 
 // A long body that is still coming when the sidecar has to go gets an answer while it comes.
-func TestEndAnswersUploads(t *testing.T) {
+func TestShutdownAnswersUploads(t *testing.T) {
 	bothFronts(t, func(t *testing.T, config func(...*testbed.ScriptedServer) *Config) {
 		began := make(chan bool, 1)
 		addr := testbed.ServeHTTP(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 			began <- true
 			_, _ = io.Copy(io.Discard, r.Body)
 		}))
-		cfg := soon(config())
-		cfg.Known.Members = append(cfg.Known.Members, ready("s-1", addr))
-		n := startNode(t, cfg)
+		cfg := withShortDrain(config())
+		cfg.Known.Members = append(cfg.Known.Members, readyMember("s-1", addr))
+		n := startSidecar(t, cfg)
 		req := n.request("pay")
 		stop := make(chan bool)
 		defer close(stop)
-		part := &trickle{part: body(20000), stop: stop}
+		part := &slowBody{chunk: randomBody(20000), stop: stop}
 		req.Body, req.ContentLength = io.NopCloser(part), 8<<20
 		answered := make(chan string, 1)
 		go func() {
@@ -162,7 +162,7 @@
 			answered <- resp.Status
 		}()
 		testbed.Next(t, began)
-		n.end()
+		n.stop()
 		if got := testbed.Next(t, answered); !strings.HasPrefix(got, "502") {
 			t.Errorf("answered %s", got)
 		}
@@ -170,34 +170,34 @@
 }
 
 // trickle is a body that comes slowly and never ends by itself.
-type trickle struct {
-	part []byte
-	stop chan bool
+type slowBody struct {
+	chunk []byte
+	stop  chan bool
 }
 
-func (b *trickle) Read(p []byte) (int, error) {
+func (b *slowBody) Read(p []byte) (int, error) {
 	select {
 	case <-time.After(20 * time.Millisecond):
-		return copy(p, b.part), nil
+		return copy(p, b.chunk), nil
 	case <-b.stop:
 		return 0, io.ErrUnexpectedEOF
 	}
 }
 
 // Over MessagePack-RPC every id has its answer before the end.
-func TestEndAnswersRPC(t *testing.T) {
+func TestShutdownAnswersRPC(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
 	server := newRPCServer(t, func(codec.Frame) ([]byte, []byte) { <-release; return nil, []byte{1} })
-	n := startNode(t, soon(rpcConfig(t, true, ready("s-1", server.addr))))
+	n := startSidecar(t, withShortDrain(rpcConfig(t, true, readyMember("s-1", server.addr))))
 	c, in := n.dialRPC()
 	const calls = 20
 	for id := range uint32(calls) {
 		params := []byte(fmt.Sprintf("\x92\xa4k-%02d\xa4t-%02d", id, id))
 		_, _ = c.Write(codec.AppendRequest(nil, id, "plate.reserve", params))
 	}
-	testbed.Until(t, "all are out", func() bool { return len(server.times()) == calls })
-	n.end()
+	testbed.Until(t, "all are out", func() bool { return len(server.arrivalTimes()) == calls })
+	n.stop()
 	for range calls {
 		f, err := in.Next()
 		if err != nil {
@@ -210,14 +210,14 @@
 }
 
 // The process that another one follows answers what it has taken, too.
-func TestEndAnswersOverAnUpgrade(t *testing.T) {
+func TestHotRestartAnswersAcceptedRequests(t *testing.T) {
 	started, release := make(chan bool, 1), make(chan bool)
 	defer close(release)
-	s := testbed.NewScriptedServer(t, hold(started, release))
-	cfg, dir, discovery := soon(testConfig(t, ready("s-1", s.Addr))), t.TempDir(), testbed.NewDiscoveryServer(t)
+	s := testbed.NewScriptedServer(t, holdResponse(started, release))
+	cfg, dir, discovery := withShortDrain(testConfig(t, readyMember("s-1", s.Addr))), t.TempDir(), testbed.NewDiscoveryServer(t)
 	p := startProcess(t, cfg, dir, "", discovery)
-	n := &node{t: t, addr: p.addr}
-	c, _ := n.write(n.request("pay"), 0)
+	n := &testSidecar{t: t, addr: p.addr}
+	c, _ := n.sendPart(n.request("pay"), 0)
 	testbed.Next(t, started)
 	next := testConfig(t, cfg.Known.Members...)
 	q := startProcess(t, next, dir, p.addr, discovery)
@@ -225,8 +225,8 @@
 	list.Revision, list.Complete = 42, true
 	discovery.Responses <- list
 	testbed.Until(t, "the next process serves", func() bool { return q.call("STATUS") == "+OK" })
-	p.end()
-	if resp := read(t, c); resp.StatusCode != 502 {
+	p.stop()
+	if resp := readResponse(t, c); resp.StatusCode != 502 {
 		t.Errorf("answered %d", resp.StatusCode)
 	}
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -36,26 +36,26 @@
 // Run serves until ctx ends, and then until all accepted requests are answered. With each signal of reloads it reads the
 // configuration's file again. It returns when all of its goroutines have ended.
 func Run(ctx context.Context, cfg *Config, reloads <-chan os.Signal, log *slog.Logger) error {
-	on := listeners{openDeferred: cfg.openFronts, log: log}
+	lns := listeners{openDeferred: cfg.openListeners, log: log}
 	if cfg.Admin != "" {
 		var err error
-		if on.admin, err = net.Listen("tcp", cfg.Admin); err != nil {
+		if lns.console, err = net.Listen("tcp", cfg.Admin); err != nil {
 			return errors.Wrap(err, "listen for operators' calls")
 		}
-		if on.instance, err = handover.Join(cfg.sharedFolder()); err != nil {
+		if lns.instance, err = handover.Join(cfg.sharedDir()); err != nil {
 			log.Warn("hot restart is not available", "error", err)
 		} else {
-			defer on.instance.Leave()
+			defer lns.instance.Leave()
 		}
 	}
-	if on.instance == nil || !on.instance.Peers().Older { // a successor listens only once it is ready
-		if err := on.openDeferred(&on); err != nil {
-			on.close()
+	if lns.instance == nil || !lns.instance.Peers().Older { // a successor listens only once it is ready
+		if err := lns.openDeferred(&lns); err != nil {
+			lns.close()
 			return err
 		}
-		on.openDeferred = nil
+		lns.openDeferred = nil
 	}
-	return serve(ctx, cfg, on, reloads, log)
+	return serve(ctx, cfg, lns, reloads, log)
 }
 
 // front is the downstream side of one protocol. Its methods are safe for concurrent use.
@@ -77,38 +77,38 @@
 }
 
 // serve assembles a sidecar, runs it until ctx ends or a front fails, and shuts it down in order.
-func serve(ctx context.Context, cfg *Config, ln listeners, reloads <-chan os.Signal, log *slog.Logger) error {
-	inner, stop := context.WithCancel(context.Background()) // outlives ctx by the shutdown
-	c := newComponents(cfg, &ln, log)
-	c.openBacks(inner)
-	defer c.closeBacks()
+func serve(ctx context.Context, cfg *Config, lns listeners, reloads <-chan os.Signal, log *slog.Logger) error {
+	runCtx, stop := context.WithCancel(context.Background()) // outlives ctx by the shutdown
+	c := newComponents(cfg, &lns, log)
+	c.startBackends(runCtx)
+	defer c.closeBackends()
 	defer c.tasks.Wait()
 	defer stop()
-	if err := c.openExchange(inner); err != nil {
+	if err := c.createExchange(runCtx); err != nil {
 		return err
 	}
-	c.openFronts()
-	c.run(inner, reloads)
-	if ln.openDeferred != nil {
+	c.createFronts()
+	c.run(runCtx, reloads)
+	if lns.openDeferred != nil {
 		if c.restart.waitUntilReady(ctx); ctx.Err() != nil {
 			return nil
 		}
-		if err := ln.openDeferred(&ln); err != nil {
-			ln.close()
+		if err := lns.openDeferred(&lns); err != nil {
+			lns.close()
 			return err
 		}
 	}
-	serveOn := c.announce(inner)
-	within := min(millis(cfg.catalog.MaxDeadline()), cfg.maxDrain) + drainMargin
-	began, err := c.serveFronts(ctx, serveOn, within)
+	frontListeners := c.announce(runCtx)
+	drainTimeout := min(millis(cfg.catalog.MaxDeadline()), cfg.maxDrain) + drainMargin
+	drainStart, err := c.serveFronts(ctx, frontListeners, drainTimeout)
 	if c.reporter != nil { // all requests have ended by now
-		c.reporter.Flush(max(minFinalReport, min(maxFinalReport, time.Until(began.Add(within)))))
+		c.reporter.Flush(max(minFinalReportTimeout, min(maxFinalReportTimeout, time.Until(drainStart.Add(drainTimeout)))))
 	}
 	return err
 }
 
 // httpBack is the upstream side of HTTP: it makes attempts at servers and pools connections to them.
-type httpBack interface {
+type httpBackend interface {
 	core.Backend
 	Run(context.Context)
 	Evict() bool
@@ -119,28 +119,28 @@
 
 // newHTTPBack returns the back on the kernel's readiness or, where that is off or not available, the one with a goroutine for
 // each attempt.
-func newHTTPBack(ctx context.Context, polled bool, c httpback.Config, log *slog.Logger) httpBack {
-	if !polled {
-		return httpback.New(ctx, c)
+func newHTTPBackend(ctx context.Context, usePoller bool, cfg httpback.Config, log *slog.Logger) httpBackend {
+	if !usePoller {
+		return httpback.New(ctx, cfg)
 	}
-	b, err := httpback.NewPoll(ctx, c)
+	backend, err := httpback.NewPoll(ctx, cfg)
 	if err != nil {
 		log.Warn("no readiness for attempts: a goroutine for each", "why", err)
-		return httpback.New(ctx, c)
+		return httpback.New(ctx, cfg)
 	}
-	return b
+	return backend
 }
 
 // newHTTPFront returns the front on the kernel's readiness or, where that is off or not available, the one on the standard
 // library's server.
-func newHTTPFront(polled bool, c httpfront.Config, exchange *core.Loop, tasks *sync.WaitGroup, log *slog.Logger) front {
-	if !polled {
-		return httpfront.New(c, exchange)
+func newHTTPFront(usePoller bool, cfg httpfront.Config, exchange *core.Loop, tasks *sync.WaitGroup, log *slog.Logger) front {
+	if !usePoller {
+		return httpfront.New(cfg, exchange)
 	}
-	f, err := httpfront.NewPoll(c, exchange)
+	f, err := httpfront.NewPoll(cfg, exchange)
 	if err != nil {
 		log.Warn("no readiness for connections: serving with net/http", "why", err)
-		return httpfront.New(c, exchange)
+		return httpfront.New(cfg, exchange)
 	}
 	tasks.Go(func() {
 		<-exchange.Done()
@@ -151,23 +151,23 @@
 
 // serveFronts serves until ctx ends or a front fails, and then drains all fronts together, within a time. It returns when the
 // drain began.
-func (c *components) serveFronts(ctx context.Context, on []net.Listener, within time.Duration) (began time.Time, err error) {
+func (c *components) serveFronts(ctx context.Context, lns []net.Listener, drainTimeout time.Duration) (drainStart time.Time, err error) {
 	for i, f := range c.fronts {
-		f.Serve(on[i])
+		f.Serve(lns[i])
 	}
 	c.calls.serving.Store(true)
 	c.restart.markReady()
-	failure := waitForEnd(ctx, c.fronts)
-	began = time.Now()
-	c.exchange.Shutdown(began.Add(within - c.cfg.responseMargin))
+	failure := waitForShutdown(ctx, c.fronts)
+	drainStart = time.Now()
+	c.exchange.Shutdown(drainStart.Add(drainTimeout - c.cfg.responseMargin))
 	c.restart.handOver()
-	return began, errors.Join(append(c.drainFronts(within), failure)...)
+	return drainStart, errors.Join(append(c.drainFronts(drainTimeout), failure)...)
 }
 
 // waitForEnd returns when ctx ends or a front fails, with the failure if there is one.
-func waitForEnd(ctx context.Context, fronts []front) error {
+func waitForShutdown(ctx context.Context, fronts []front) error {
 	failures := make(chan error, len(fronts))
-	over, stop := context.WithCancel(ctx)
+	watchCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	var watchers sync.WaitGroup
 	for _, f := range fronts {
@@ -176,7 +176,7 @@
 			case err := <-f.Failed():
 				failures <- errors.Wrap(err, "serve")
 				stop()
-			case <-over.Done():
+			case <-watchCtx.Done():
 			}
 		})
 	}
@@ -190,13 +190,13 @@
 }
 
 // drainFronts ends all fronts together, within a time, and returns their errors.
-func (c *components) drainFronts(within time.Duration) []error {
-	var ends sync.WaitGroup
+func (c *components) drainFronts(timeout time.Duration) []error {
+	var wg sync.WaitGroup
 	errs := make([]error, len(c.fronts))
 	for i, f := range c.fronts {
-		ends.Go(func() { errs[i] = f.End(within) })
+		wg.Go(func() { errs[i] = f.End(timeout) })
 	}
-	ends.Wait()
+	wg.Wait()
 	return errs
 }
 
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -19,14 +19,14 @@
 )
 
 // body is so many bytes that are the same each time.
-func body(n int) []byte {
+func randomBody(n int) []byte {
 	b := make([]byte, n)
 	r := rand.NewChaCha8([32]byte{7})
 	_, _ = r.Read(b)
 	return b
 }
 
-func sum(b []byte) string { return fmt.Sprintf("%x", sha256.Sum256(b)) }
+func hexDigest(b []byte) string { return fmt.Sprintf("%x", sha256.Sum256(b)) }
 
 // bothFronts runs a test on the front on readiness and on the portable one.
 func bothFronts(t *testing.T, do func(t *testing.T, cfg func(servers ...*testbed.ScriptedServer) *Config)) {
@@ -35,7 +35,7 @@
 			do(t, func(servers ...*testbed.ScriptedServer) *Config {
 				cfg := testConfig(t)
 				for i, s := range servers {
-					cfg.Known.Members = append(cfg.Known.Members, ready("s-"+strconv.Itoa(i+1), s.Addr))
+					cfg.Known.Members = append(cfg.Known.Members, readyMember("s-"+strconv.Itoa(i+1), s.Addr))
 				}
 				cfg.Options.HTTP.Standard = standard
 				return cfg
@@ -45,26 +45,26 @@
 }
 
 // pieces gives a body in pieces of odd sizes.
-type pieces struct {
-	r    io.Reader
-	wait time.Duration
+type slowReader struct {
+	r     io.Reader
+	delay time.Duration
 }
 
-func (p *pieces) Read(b []byte) (int, error) {
-	time.Sleep(p.wait)
+func (p *slowReader) Read(b []byte) (int, error) {
+	time.Sleep(p.delay)
 	return p.r.Read(b[:min(len(b), 9973)])
 }
 
 // A long body reaches the server as it was sent, with its length or in chunks.
-func TestLongRequestsPassThrough(t *testing.T) {
+func TestForwardsLongRequestBodies(t *testing.T) {
 	bothFronts(t, func(t *testing.T, config func(...*testbed.ScriptedServer) *Config) {
 		s := testbed.NewScriptedServer(t, testbed.Respond(200, "stored"))
-		n := startNode(t, config(s))
-		long := body(3 << 20)
+		n := startSidecar(t, config(s))
+		long := randomBody(3 << 20)
 		for _, length := range []int64{int64(len(long)), -1} {
 			for _, class := range []string{"reserve", "pay"} {
 				req := n.request(class)
-				req.Body, req.ContentLength = io.NopCloser(&pieces{r: bytes.NewReader(long)}), length
+				req.Body, req.ContentLength = io.NopCloser(&slowReader{r: bytes.NewReader(long)}), length
 				resp, got := n.do(req)
 				if resp.StatusCode != 200 || got != "stored" {
 					t.Errorf("%s, length %d: %d %q, closing: %v", class, length, resp.StatusCode, got, resp.Close)
@@ -76,7 +76,7 @@
 			t.Fatalf("%d requests", len(bodies))
 		}
 		for i, b := range bodies {
-			if sum([]byte(b)) != sum(long) {
+			if hexDigest([]byte(b)) != hexDigest(long) {
 				t.Errorf("body %d: %d bytes, not those that were sent", i, len(b))
 			}
 		}
@@ -84,7 +84,7 @@
 }
 
 // sayLong answers with a body, by length or in chunks, in pieces.
-func sayLong(b []byte, chunked bool, wrote *atomic.Int64) testbed.Step {
+func respondInPieces(b []byte, chunked bool, written *atomic.Int64) testbed.Step {
 	return func(c net.Conn) bool {
 		head := "Content-Length: " + strconv.Itoa(len(b))
 		if chunked {
@@ -101,8 +101,8 @@
 			if _, err := c.Write(piece); err != nil {
 				return false
 			}
-			if wrote != nil {
-				wrote.Add(int64(n))
+			if written != nil {
+				written.Add(int64(n))
 			}
 		}
 		if chunked {
@@ -113,15 +113,15 @@
 }
 
 // A long answer reaches the client as the server gave it, and both connections go on.
-func TestLongAnswersPassThrough(t *testing.T) {
+func TestForwardsLongResponseBodies(t *testing.T) {
 	bothFronts(t, func(t *testing.T, config func(...*testbed.ScriptedServer) *Config) {
-		long := body(3 << 20)
-		s := testbed.NewScriptedServer(t, sayLong(long, false, nil), sayLong(long, true, nil), sayLong(long[:100], true, nil),
+		long := randomBody(3 << 20)
+		s := testbed.NewScriptedServer(t, respondInPieces(long, false, nil), respondInPieces(long, true, nil), respondInPieces(long[:100], true, nil),
 			testbed.Respond(200, "short"))
-		n := startNode(t, config(s))
+		n := startSidecar(t, config(s))
 		for i, want := range [][]byte{long, long, long[:100], []byte("short")} {
 			resp, got := n.do(n.request("read"))
-			if resp.StatusCode != 200 || sum([]byte(got)) != sum(want) {
+			if resp.StatusCode != 200 || hexDigest([]byte(got)) != hexDigest(want) {
 				t.Errorf("answer %d: %d with %d bytes, want %d", i, resp.StatusCode, len(got), len(want))
 			}
 		}
@@ -132,12 +132,12 @@
 }
 
 // A client that reads nothing holds the server back: what is on its way must not pile up in memory.
-func TestSlowReaderHoldsTheServerBack(t *testing.T) {
+func TestSlowReaderCausesBackpressure(t *testing.T) {
 	bothFronts(t, func(t *testing.T, config func(...*testbed.ScriptedServer) *Config) {
-		var wrote atomic.Int64
-		long := body(32 << 20)
-		s := testbed.NewScriptedServer(t, sayLong(long, false, &wrote))
-		n := startNode(t, config(s))
+		var written atomic.Int64
+		long := randomBody(32 << 20)
+		s := testbed.NewScriptedServer(t, respondInPieces(long, false, &written))
+		n := startSidecar(t, config(s))
 		c, err := net.Dial("tcp", n.addr)
 		if err != nil {
 			t.Fatal(err)
@@ -154,7 +154,7 @@
 		}
 		before := int64(-1)
 		testbed.Until(t, "the server is held back", func() bool {
-			now := wrote.Load()
+			now := written.Load()
 			same := now == before
 			before = now
 			time.Sleep(50 * time.Millisecond)
@@ -164,7 +164,7 @@
 			t.Fatal("the server has written all although the client reads nothing")
 		}
 		got, err := io.ReadAll(resp.Body)
-		if err != nil || sum(got) != sum(long) {
+		if err != nil || hexDigest(got) != hexDigest(long) {
 			t.Errorf("then %d bytes, %v", len(got), err)
 		}
 	})
@@ -172,12 +172,12 @@
 
 // An answer that breaks off has failed, and the client can tell, however it is framed; one that breaks off before the client
 // has any of it is asked for again.
-func TestBrokenLongAnswers(t *testing.T) {
+func TestTruncatedResponsesFail(t *testing.T) {
 	bothFronts(t, func(t *testing.T, config func(...*testbed.ScriptedServer) *Config) {
 		cut := func(head string) testbed.Step {
 			return func(c net.Conn) bool {
 				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n"+head+"\r\n\r\n")
-				_, _ = c.Write(body(70 << 10))
+				_, _ = c.Write(randomBody(70 << 10))
 				return false
 			}
 		}
@@ -185,7 +185,7 @@
 			"length": cut("Content-Length: 200000"), "chunks": cut("Transfer-Encoding: chunked\r\n\r\n20000"),
 		} {
 			s := testbed.NewScriptedServer(t, step)
-			n := startNode(t, config(s))
+			n := startSidecar(t, config(s))
 			resp, err := n.client.Do(n.request("pay"))
 			if err != nil {
 				continue // cut before its head was whole
@@ -200,8 +200,8 @@
 			return false
 		}
 		one, two := testbed.NewScriptedServer(t, early), testbed.NewScriptedServer(t, testbed.Respond(200, "whole"))
-		n := startNode(t, config(one, two))
-		for len(requestsOf(one)) == 0 {
+		n := startSidecar(t, config(one, two))
+		for len(receivedRequests(one)) == 0 {
 			if resp, got := n.do(n.request("read")); resp.StatusCode != 200 || got != "whole" {
 				t.Errorf("broken off early: %d %q", resp.StatusCode, got)
 			}
@@ -210,15 +210,15 @@
 }
 
 // A client that leaves an answer or a request in the middle frees the server's connection.
-func TestLeavingInTheMiddle(t *testing.T) {
+func TestClientDisconnectClosesServerConnection(t *testing.T) {
 	bothFronts(t, func(t *testing.T, config func(...*testbed.ScriptedServer) *Config) {
 		ended := make(chan bool, 2)
 		s := testbed.NewScriptedServer(t, func(c net.Conn) bool {
-			ok := sayLong(body(32<<20), false, nil)(c)
+			ok := respondInPieces(randomBody(32<<20), false, nil)(c)
 			ended <- ok
 			return ok
 		})
-		n := startNode(t, config(s))
+		n := startSidecar(t, config(s))
 		c, err := net.Dial("tcp", n.addr)
 		if err != nil {
 			t.Fatal(err)
@@ -237,7 +237,7 @@
 			t.Fatal(err)
 		}
 		req := n.request("pay")
-		req.Body, req.ContentLength = io.NopCloser(io.MultiReader(bytes.NewReader(body(200<<10)), breaking{c})), 1<<20
+		req.Body, req.ContentLength = io.NopCloser(io.MultiReader(bytes.NewReader(randomBody(200<<10)), closingReader{c})), 1<<20
 		if err := req.Write(c); err == nil {
 			t.Fatal("the body was written whole")
 		}
@@ -249,27 +249,27 @@
 }
 
 // breaking ends its connection when the body comes to it.
-type breaking struct{ c net.Conn }
+type closingReader struct{ c net.Conn }
 
-func (b breaking) Read([]byte) (int, error) {
+func (b closingReader) Read([]byte) (int, error) {
 	_ = b.c.Close()
 	return 0, io.ErrUnexpectedEOF
 }
 
 // The time of a request counts from its last byte: a body that takes longer than the deadline is not late.
-func TestTimeCountsFromTheLastByte(t *testing.T) {
+func TestDeadlineStartsAtLastByte(t *testing.T) {
 	s := testbed.NewScriptedServer(t, testbed.Respond(200, "stored"))
-	n := startNode(t, testConfig(t, ready("s-1", s.Addr)))
+	n := startSidecar(t, testConfig(t, readyMember("s-1", s.Addr)))
 	req := n.request("pay")
 	req.Header.Set("X-Expires-In", "300m")
-	long := body(100 << 10)
-	req.Body, req.ContentLength = io.NopCloser(&pieces{bytes.NewReader(long), 60 * time.Millisecond}), int64(len(long))
+	long := randomBody(100 << 10)
+	req.Body, req.ContentLength = io.NopCloser(&slowReader{bytes.NewReader(long), 60 * time.Millisecond}), int64(len(long))
 	if resp, got := n.do(req); resp.StatusCode != 200 || got != "stored" {
 		t.Errorf("answered %d %q", resp.StatusCode, got)
 	}
 	got, _, _ := s.Received()
-	left, err := strconv.Atoi(strings.TrimSuffix(got[0].Header.Get("X-Expires-In"), "u"))
-	if err != nil || left < 250_000 || left > 300_000 {
+	remaining, err := strconv.Atoi(strings.TrimSuffix(got[0].Header.Get("X-Expires-In"), "u"))
+	if err != nil || remaining < 250_000 || remaining > 300_000 {
 		t.Errorf("X-Expires-In went on as %q", got[0].Header.Get("X-Expires-In"))
 	}
 }
