--- a/internal/handover/instance.go
+++ b/internal/handover/instance.go
@@ -61,30 +61,30 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	p := &Instance{dir: dir}
-	err := p.withLock(func() error {
-		others, err := p.instanceFiles()
+	inst := &Instance{dir: dir}
+	err := inst.withLock(func() error {
+		files, err := inst.instanceFiles()
 		if err != nil {
 			return err
 		}
-		for _, o := range others {
-			p.number = max(p.number, o.number)
+		for _, o := range files {
+			inst.number = max(inst.number, o.number)
 			if !o.alive {
 				_ = os.Remove(filepath.Join(dir, o.name)) // it may have been removed already
 			}
 		}
-		p.number++
-		p.lockPath = filepath.Join(dir, "n-"+strconv.Itoa(p.number))
-		if p.lockFile, err = os.OpenFile(p.lockPath, os.O_CREATE|os.O_EXCL|os.O_RDWR, 0o600); err != nil {
+		inst.number++
+		inst.lockPath = filepath.Join(dir, "n-"+strconv.Itoa(inst.number))
+		if inst.lockFile, err = os.OpenFile(inst.lockPath, os.O_CREATE|os.O_EXCL|os.O_RDWR, 0o600); err != nil {
 			return err
 		}
-		return unix.Flock(int(p.lockFile.Fd()), unix.LOCK_EX|unix.LOCK_NB)
+		return unix.Flock(int(inst.lockFile.Fd()), unix.LOCK_EX|unix.LOCK_NB)
 	})
 	if err != nil {
-		p.Leave()
+		inst.Leave()
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	return p, nil
+	return inst, nil
 }
 
 // Leave removes this process from the folder and stops serving listeners.
@@ -128,44 +128,44 @@
 
 // PublishUsage writes this process's usage for the others. A failed write is made good by the next change.
 func (i *Instance) PublishUsage(u Usage) {
-	leaving := 0
+	draining := 0
 	if u.Draining {
-		leaving = 1
+		draining = 1
 	}
-	_, _ = i.lockFile.WriteAt(fmt.Appendf(nil, "%8d %8d %d\n", u.Clients, u.Servers, leaving), 0)
+	_, _ = i.lockFile.WriteAt(fmt.Appendf(nil, "%8d %8d %d\n", u.Clients, u.Servers, draining), 0)
 }
 
 // readUsage reads the usage that the process of a file has published; zero where it has not.
 func (i *Instance) readUsage(name string) (u Usage) {
 	text, err := os.ReadFile(filepath.Join(i.dir, name))
-	leaving := 0
+	draining := 0
 	if err == nil {
-		if n, _ := fmt.Sscan(string(text), &u.Clients, &u.Servers, &leaving); n < 3 {
+		if n, _ := fmt.Sscan(string(text), &u.Clients, &u.Servers, &draining); n < 3 {
 			return Usage{}
 		}
 	}
-	u.Draining = leaving == 1
+	u.Draining = draining == 1
 	return u
 }
 
 // Peers returns the state of the other processes. Files that cannot be read count as no process.
 func (i *Instance) Peers() Peers {
-	var o Peers
+	var peers Peers
 	others, err := i.instanceFiles()
 	if err != nil {
-		return o
+		return peers
 	}
-	for _, x := range others {
-		if x.alive && x.number != i.number {
-			o.Older = o.Older || x.number < i.number
-			o.Younger = o.Younger || x.number > i.number
-			o.ReadyYounger = o.ReadyYounger || x.number > i.number && x.ready
-			u := i.readUsage(x.name)
-			o.Usage.Clients, o.Usage.Servers = o.Usage.Clients+max(0, u.Clients), o.Usage.Servers+max(0, u.Servers)
-			o.Usage.Draining = u.Draining
+	for _, other := range others {
+		if other.alive && other.number != i.number {
+			peers.Older = peers.Older || other.number < i.number
+			peers.Younger = peers.Younger || other.number > i.number
+			peers.ReadyYounger = peers.ReadyYounger || other.number > i.number && other.ready
+			u := i.readUsage(other.name)
+			peers.Usage.Clients, peers.Usage.Servers = peers.Usage.Clients+max(0, u.Clients), peers.Usage.Servers+max(0, u.Servers)
+			peers.Usage.Draining = u.Draining
 		}
 	}
-	return o
+	return peers
 }
 
 type instanceFile struct {
@@ -179,7 +179,7 @@
 	if err != nil {
 		return nil, err
 	}
-	var all []instanceFile
+	var files []instanceFile
 	for _, e := range entries {
 		text, ok := strings.CutPrefix(e.Name(), "n-")
 		text, ready := strings.CutSuffix(text, readySuffix)
@@ -187,9 +187,9 @@
 		if !ok || err != nil {
 			continue
 		}
-		all = append(all, instanceFile{name: e.Name(), number: n, ready: ready, alive: n == i.number || i.isLocked(e.Name())})
+		files = append(files, instanceFile{name: e.Name(), number: n, ready: ready, alive: n == i.number || i.isLocked(e.Name())})
 	}
-	return all, nil
+	return files, nil
 }
 
 // isLocked reports whether the process of a file still holds its lock, and so is alive.
@@ -203,24 +203,24 @@
 }
 
 // withLock runs do under the lock that all processes of the folder share.
-func (i *Instance) withLock(do func() error) error {
+func (i *Instance) withLock(fn func() error) error {
 	f, err := os.OpenFile(filepath.Join(i.dir, lockFileName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = f.Close() }() // only read from
-	if err := flock(int(f.Fd())); err != nil {
+	if err := acquireLock(int(f.Fd())); err != nil {
 		return err
 	}
-	return do()
+	return fn()
 }
 
 // flock acquires an exclusive lock. The lock is held only for moments, but its holder may be a stopped process, so the wait
 // is bounded by lockTimeout.
-func flock(fd int) error {
-	for end := time.Now().Add(lockTimeout); ; time.Sleep(lockRetryInterval) {
+func acquireLock(fd int) error {
+	for deadline := time.Now().Add(lockTimeout); ; time.Sleep(lockRetryInterval) {
 		err := unix.Flock(fd, unix.LOCK_EX|unix.LOCK_NB)
-		if err != unix.EWOULDBLOCK && err != unix.EINTR || time.Now().After(end) {
+		if err != unix.EWOULDBLOCK && err != unix.EINTR || time.Now().After(deadline) {
 			return err
 		}
 	}
@@ -231,19 +231,19 @@
 
 // UpdateEjected changes the ejected servers: do is given the present state and changes it. What Change returns is in force
 // for all processes once it returns; on an error nothing has changed.
-func (i *Instance) UpdateEjected(do func(Ejected) error) (Ejected, error) {
-	var out Ejected
+func (i *Instance) UpdateEjected(update func(Ejected) error) (Ejected, error) {
+	var ejected Ejected
 	err := i.withLock(func() (err error) {
-		if out, err = i.Ejected(); err != nil {
+		if ejected, err = i.Ejected(); err != nil {
 			return err
 		}
-		if err := do(out); err != nil {
+		if err := update(ejected); err != nil {
 			return err
 		}
-		if len(out) > MaxEjected {
+		if len(ejected) > MaxEjected {
 			return ErrTooManyEjected
 		}
-		text, err := json.Marshal(out)
+		text, err := json.Marshal(ejected)
 		if err != nil {
 			return err
 		}
@@ -256,7 +256,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("update ejected servers: %w", err)
 	}
-	return out, nil
+	return ejected, nil
 }
 
 // Ejected reads the ejected servers.
@@ -276,11 +276,11 @@
 	if err != nil {
 		return nil, err
 	}
-	out := Ejected{}
-	if err := json.Unmarshal(text, &out); err != nil {
+	ejected := Ejected{}
+	if err := json.Unmarshal(text, &ejected); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return out, nil
+	return ejected, nil
 }
 
 // EjectedVersion is what changes when Out does.
--- a/internal/handover/listeners.go
+++ b/internal/handover/listeners.go
@@ -69,7 +69,7 @@
 		}
 		fd := -1
 		// Fails only on a closed listener, which leaves fd at -1.
-		_ = raw.Control(func(own uintptr) { fd, err = unix.FcntlInt(own, unix.F_DUPFD_CLOEXEC, 0) })
+		_ = raw.Control(func(listenerFD uintptr) { fd, err = unix.FcntlInt(listenerFD, unix.F_DUPFD_CLOEXEC, 0) })
 		if err != nil || fd < 0 {
 			continue
 		}
@@ -84,12 +84,12 @@
 // InheritListeners returns the listeners of the latest process before this one, by name, or ErrNoPredecessor. The caller
 // closes them.
 func (i *Instance) InheritListeners() (map[string]net.Listener, error) {
-	others, err := i.instanceFiles()
+	files, err := i.instanceFiles()
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	predecessor := 0
-	for _, o := range others {
+	for _, o := range files {
 		if o.alive && o.number < i.number {
 			predecessor = max(predecessor, o.number)
 		}
@@ -113,13 +113,13 @@
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	names := strings.Fields(string(text[:textLen]))
-	all := map[string]net.Listener{}
+	listeners := map[string]net.Listener{}
 	for n, fd := range fds {
 		f := os.NewFile(uintptr(fd), "listener")
 		ln, err := net.FileListener(f)
 		_ = f.Close() // net.FileListener has a descriptor of its own
 		if err != nil || n >= len(names) {
-			for _, got := range all {
+			for _, got := range listeners {
 				_ = got.Close() // accepting ends either way
 			}
 			for _, rest := range fds[n+1:] {
@@ -127,9 +127,9 @@
 			}
 			return nil, errors.Join(errors.New("handover: received descriptor is not a listener"), err)
 		}
-		all[names[n]] = ln
+		listeners[names[n]] = ln
 	}
-	return all, nil
+	return listeners, nil
 }
 
 // parseDescriptors returns the descriptors in a message's ancillary data.
--- a/internal/handover/succession_test.go
+++ b/internal/handover/succession_test.go
@@ -22,7 +22,7 @@
 	return p
 }
 
-func TestWhoLives(t *testing.T) {
+func TestPeersReportsLiveProcesses(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "shared")
 	one := join(t, dir)
 	if got := one.Peers(); got != (Peers{}) {
@@ -54,7 +54,7 @@
 }
 
 // What operators decide holds for the others, and for those that come later; what cannot be done changes nothing.
-func TestOut(t *testing.T) {
+func TestEjectedServersOutliveProcesses(t *testing.T) {
 	dir := t.TempDir()
 	one, two := join(t, dir), join(t, dir)
 	before := one.EjectedVersion()
@@ -65,8 +65,8 @@
 	if one.EjectedVersion() == before {
 		t.Error("the first is not told")
 	}
-	refusal := errors.New("no")
-	if _, err := one.UpdateEjected(func(o Ejected) error { o["s-2"] = at; return refusal }); !errors.Is(err, refusal) {
+	rejection := errors.New("no")
+	if _, err := one.UpdateEjected(func(o Ejected) error { o["s-2"] = at; return rejection }); !errors.Is(err, rejection) {
 		t.Errorf("refused with %v", err)
 	}
 	if _, err := one.UpdateEjected(func(o Ejected) error {
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestUnreadableOut(t *testing.T) {
+func TestUpdateEjectedRejectsDamagedFile(t *testing.T) {
 	dir := t.TempDir()
 	p := join(t, dir)
 	for name, text := range map[string]string{"cut": `{"s-1":"2026-`, "long": string(make([]byte, maxEjectedFileSize+1))} {
@@ -98,7 +98,7 @@
 }
 
 // A connection that came before the old process closes is the new one's.
-func TestHandedOverSocketsLoseNothing(t *testing.T) {
+func TestInheritedListenerAcceptsPendingConnection(t *testing.T) {
 	dir := t.TempDir()
 	one := join(t, dir)
 	ln := testbed.Listen(t)
@@ -120,13 +120,13 @@
 	_, _ = io.WriteString(c, "hello")
 	_ = ln.Close()
 	one.Leave()
-	taken, err := got["http"].Accept()
+	conn, err := got["http"].Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = taken.Close() }()
+	defer func() { _ = conn.Close() }()
 	text := make([]byte, 5)
-	if _, err := io.ReadFull(taken, text); err != nil || string(text) != "hello" {
+	if _, err := io.ReadFull(conn, text); err != nil || string(text) != "hello" {
 		t.Errorf("%q, %v", text, err)
 	}
 	if _, err := join(t, dir).InheritListeners(); err == nil {
--- a/internal/operators/console.go
+++ b/internal/operators/console.go
@@ -19,7 +19,7 @@
 const (
 	// MaxCallers bounds the connections of a console. Where all are in use, the one that has been silent for longest is closed:
 	// some callers only hold a connection.
-	MaxCallers = 16
+	MaxConsoleConnections = 16
 
 	readTimeout     = 2 * time.Second        // of a call's line
 	responseTimeout = 900 * time.Millisecond // a response is due within a second
@@ -65,7 +65,7 @@
 
 // SidecarCalls returns the calls of the operators' pages for a sidecar.
 func SidecarCalls(s Sidecar) Calls {
-	suspend := func(out bool) Call {
+	setEjected := func(out bool) Call {
 		return func(ctx context.Context, id string) ([]string, error) {
 			if id == "" || strings.ContainsAny(id, " \t") {
 				return nil, errors.New("want the id of one server")
@@ -73,7 +73,7 @@
 			return nil, s.SetEjected(ctx, id, out)
 		}
 	}
-	pause := func(on bool) Call {
+	setPaused := func(on bool) Call {
 		return withoutArgument(func(context.Context) ([]string, error) {
 			s.Pause(on)
 			return nil, nil
@@ -90,10 +90,10 @@
 			lines, err := s.Metrics(ctx)
 			return append(lines, "."), err
 		}),
-		"SUSPEND": suspend(true),
-		"RESTORE": suspend(false),
-		"PAUSE":   pause(true),
-		"RESUME":  pause(false),
+		"SUSPEND": setEjected(true),
+		"RESTORE": setEjected(false),
+		"PAUSE":   setPaused(true),
+		"RESUME":  setPaused(false),
 	}
 }
 
@@ -103,9 +103,9 @@
 	calls Calls
 	log   *slog.Logger
 
-	mu     sync.Mutex
-	silent []net.Conn // callers whose line has not arrived, oldest first
-	open   int
+	mu   sync.Mutex
+	idle []net.Conn // callers whose line has not arrived, oldest first
+	open int
 }
 
 // NewConsole returns a console for calls.
@@ -115,8 +115,8 @@
 func (co *Console) Serve(ctx context.Context, ln net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { _ = ln.Close() }) // accepting ends either way
 	defer stop()
-	var callers sync.WaitGroup
-	defer callers.Wait()
+	var handlers sync.WaitGroup
+	defer handlers.Wait()
 	for {
 		c, err := socket.Accept(ln, co.evict)
 		if ctx.Err() != nil {
@@ -132,10 +132,10 @@
 			_ = c.Close() // the connection is released even where this fails
 			continue
 		}
-		callers.Go(func() {
+		handlers.Go(func() {
 			// Fails only on a closed connection, as the next call on it does.
-			gone := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Now().Add(responseTimeout)) })
-			defer gone()
+			stopDeadline := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Now().Add(responseTimeout)) })
+			defer stopDeadline()
 			co.serveCall(ctx, c)
 		})
 	}
@@ -144,15 +144,15 @@
 // admit adds a caller, for which a silent one may be closed, and reports whether there was room.
 func (co *Console) admit(c net.Conn) bool {
 	co.mu.Lock()
-	full := co.open >= MaxCallers
+	atCapacity := co.open >= MaxConsoleConnections
 	co.mu.Unlock()
-	if full && !co.evict() {
+	if atCapacity && !co.evict() {
 		return false
 	}
 	co.mu.Lock()
 	defer co.mu.Unlock()
 	co.open++
-	co.silent = append(co.silent, c)
+	co.idle = append(co.idle, c)
 	return true
 }
 
@@ -160,21 +160,21 @@
 func (co *Console) evict() bool {
 	co.mu.Lock()
 	defer co.mu.Unlock()
-	if len(co.silent) == 0 {
+	if len(co.idle) == 0 {
 		return false
 	}
-	_ = co.silent[0].Close() // the connection is released even where this fails
-	co.silent = co.silent[1:]
+	_ = co.idle[0].Close() // the connection is released even where this fails
+	co.idle = co.idle[1:]
 	return true
 }
 
 // lineReceived removes a caller from the silent ones.
-func (co *Console) lineReceived(c net.Conn) {
+func (co *Console) removeIdle(c net.Conn) {
 	co.mu.Lock()
 	defer co.mu.Unlock()
-	for i, w := range co.silent {
-		if w == c {
-			co.silent = append(co.silent[:i:i], co.silent[i+1:]...)
+	for i, idle := range co.idle {
+		if idle == c {
+			co.idle = append(co.idle[:i:i], co.idle[i+1:]...)
 			return
 		}
 	}
@@ -183,7 +183,7 @@
 // serveCall reads a call from a caller, executes it, responds, and closes the connection.
 func (co *Console) serveCall(ctx context.Context, c net.Conn) {
 	defer func() {
-		co.lineReceived(c)
+		co.removeIdle(c)
 		_ = c.Close() // the connection is released even where this fails
 		co.mu.Lock()
 		co.open--
@@ -191,23 +191,23 @@
 	}()
 	_ = c.SetDeadline(time.Now().Add(readTimeout)) // fails only on a closed connection, as the next call on it does
 	line, err := bufio.NewReaderSize(io.LimitReader(c, maxCallBytes), maxCallBytes).ReadString('\n')
-	co.lineReceived(c)
+	co.removeIdle(c)
 	if err != nil && line == "" {
 		return
 	}
 	_ = c.SetDeadline(time.Now().Add(readTimeout)) // fails only on a closed connection, as the next call on it does
 	if err != nil {                                // an incomplete line may be part of another call: nothing is executed
 		respond(c, "-ERR a line that does not end\n")
-		drain(c)
+		closeWriteAndDiscard(c)
 		return
 	}
-	word, arg, _ := strings.Cut(strings.TrimSpace(line), " ")
-	respond(c, co.execute(ctx, word, strings.TrimSpace(arg)))
+	name, arg, _ := strings.Cut(strings.TrimSpace(line), " ")
+	respond(c, co.execute(ctx, name, strings.TrimSpace(arg)))
 }
 
 // execute executes a call and returns its response.
-func (co *Console) execute(ctx context.Context, word, arg string) string {
-	call := co.calls[strings.ToUpper(word)]
+func (co *Console) execute(ctx context.Context, name, arg string) string {
+	call := co.calls[strings.ToUpper(name)]
 	if call == nil {
 		return "-ERR no such call\n"
 	}
@@ -215,11 +215,11 @@
 	defer cancel()
 	lines, err := call(ctx, arg)
 	if err != nil {
-		co.log.Info("operator's call failed", "call", word, "error", err)
+		co.log.Info("operator's call failed", "call", name, "error", err)
 		return fmt.Sprintf("-ERR %s\n", strings.ReplaceAll(err.Error(), "\n", " "))
 	}
-	if word = strings.ToUpper(word); word != callMetrics && word != callStatus { // monitoring makes those all the time
-		co.log.Info("operator's call", "call", word, "arg", arg)
+	if name = strings.ToUpper(name); name != callMetrics && name != callStatus { // monitoring makes those all the time
+		co.log.Info("operator's call", "call", name, "arg", arg)
 	}
 	return strings.Join(append([]string{"+OK"}, lines...), "\n") + "\n"
 }
@@ -231,7 +231,7 @@
 
 // drain ends sending and discards what is left to read: closed with unread bytes, the connection would be reset and the response
 // lost.
-func drain(c net.Conn) {
+func closeWriteAndDiscard(c net.Conn) {
 	if half, ok := c.(interface{ CloseWrite() error }); ok {
 		_ = half.CloseWrite()                             // fails only where the connection is closed already
 		_, _ = io.CopyN(io.Discard, c, maxDiscardedBytes) // only to empty the receive buffer
--- a/internal/operators/console_test.go
+++ b/internal/operators/console_test.go
@@ -19,32 +19,32 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // sidecar notes what it is asked for.
-type sidecar struct {
+type fakeSidecar struct {
 	mu    sync.Mutex
-	asked []string
+	calls []string
 	ready bool
 }
 
-func (s *sidecar) note(what string) {
+func (s *fakeSidecar) record(what string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.asked = append(s.asked, what)
+	s.calls = append(s.calls, what)
 }
 
-func (s *sidecar) Ready() bool { return s.ready }
-func (s *sidecar) Metrics(context.Context) ([]string, error) {
+func (s *fakeSidecar) Ready() bool { return s.ready }
+func (s *fakeSidecar) Metrics(context.Context) ([]string, error) {
 	return []string{"sidecar.current=1"}, nil
 }
-func (s *sidecar) SetEjected(_ context.Context, id string, out bool) error {
+func (s *fakeSidecar) SetEjected(_ context.Context, id string, out bool) error {
 	if id == "none" {
 		return errors.New("never\nlisted")
 	}
-	s.note(map[bool]string{true: "out ", false: "in "}[out] + id)
+	s.record(map[bool]string{true: "out ", false: "in "}[out] + id)
 	return nil
 }
-func (s *sidecar) Pause(on bool) { s.note(map[bool]string{true: "pause", false: "resume"}[on]) }
+func (s *fakeSidecar) Pause(on bool) { s.record(map[bool]string{true: "pause", false: "resume"}[on]) }
 
-func startConsole(t *testing.T, s *sidecar) string {
+func startConsole(t *testing.T, s *fakeSidecar) string {
 	ln := testbed.Listen(t)
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -69,7 +69,7 @@
 	return c
 }
 
-func ask(t *testing.T, addr, line string) string {
+func call(t *testing.T, addr, line string) string {
 	t.Helper()
 	c := dial(t, addr)
 	_, _ = io.WriteString(c, line)
@@ -81,7 +81,7 @@
 }
 
 func TestCalls(t *testing.T) {
-	s := &sidecar{}
+	s := &fakeSidecar{}
 	addr := startConsole(t, s)
 	for _, c := range []struct{ line, want string }{
 		{"STATUS\n", "-ERR not ready\n"},
@@ -98,18 +98,18 @@
 		{"\n", "-ERR no such call\n"},
 		{strings.Repeat("x", 2*maxCallBytes) + "\n", "-ERR a line that does not end\n"},
 	} {
-		if got := ask(t, addr, c.line); got != c.want {
+		if got := call(t, addr, c.line); got != c.want {
 			t.Errorf("%.20q: answered %q, want %q", c.line, got, c.want)
 		}
 	}
-	if got := strings.Join(s.asked, ","); got != "out s-1,in s-1,pause,resume" {
+	if got := strings.Join(s.calls, ","); got != "out s-1,in s-1,pause,resume" {
 		t.Errorf("done: %s", got)
 	}
 }
 
 // Half a call does nothing, also when its caller leaves.
-func TestHalfACall(t *testing.T) {
-	s := &sidecar{}
+func TestIncompleteCallIsNotExecuted(t *testing.T) {
+	s := &fakeSidecar{}
 	addr := startConsole(t, s)
 	c := dial(t, addr)
 	_, _ = io.WriteString(c, "SUSPEND s-1")
@@ -117,20 +117,20 @@
 	if got, _ := io.ReadAll(c); string(got) != "-ERR a line that does not end\n" {
 		t.Errorf("answered %q", got)
 	}
-	if len(s.asked) > 0 {
-		t.Errorf("done: %v", s.asked)
+	if len(s.calls) > 0 {
+		t.Errorf("done: %v", s.calls)
 	}
 }
 
 // Callers that only sit there take nobody's place.
-func TestSilentCallersMakeRoom(t *testing.T) {
-	s := &sidecar{ready: true}
+func TestIdleConnectionsAreEvicted(t *testing.T) {
+	s := &fakeSidecar{ready: true}
 	addr := startConsole(t, s)
-	for range 3 * MaxCallers {
+	for range 3 * MaxConsoleConnections {
 		dial(t, addr)
 	}
 	start := time.Now()
-	if got := ask(t, addr, "STATUS\n"); got != "+OK\n" {
+	if got := call(t, addr, "STATUS\n"); got != "+OK\n" {
 		t.Errorf("answered %q", got)
 	}
 	if took := time.Since(start); took > responseTimeout {
--- a/internal/output/output_test.go
+++ b/internal/output/output_test.go
@@ -10,21 +10,21 @@
 var errFull = errors.New("full")
 
 // limited takes a number of writes, and fails after them.
-type limited struct {
+type limitedWriter struct {
 	strings.Builder
-	left int
+	writesLeft int
 }
 
-func (l *limited) Write(text []byte) (int, error) {
-	if l.left == 0 {
+func (l *limitedWriter) Write(text []byte) (int, error) {
+	if l.writesLeft == 0 {
 		return 0, errFull
 	}
-	l.left--
+	l.writesLeft--
 	return l.Builder.Write(text)
 }
 
 func TestPrinterKeepsTheFirstError(t *testing.T) {
-	to := &limited{left: 2}
+	to := &limitedWriter{writesLeft: 2}
 	p := New(to)
 	p.Printf("%d of %d\n", 1, 2)
 	p.Println("two")
@@ -32,7 +32,7 @@
 		t.Fatal(p.Err())
 	}
 	p.Print("three")
-	to.left = 1
+	to.writesLeft = 1
 	p.Print("four")
 	if !errors.Is(p.Err(), errFull) || to.String() != "1 of 2\ntwo\n" {
 		t.Errorf("%v, wrote %q", p.Err(), to.String())
@@ -40,14 +40,14 @@
 }
 
 func TestTableAlignsAndReportsItsError(t *testing.T) {
-	to := &limited{left: 100}
+	to := &limitedWriter{writesLeft: 100}
 	table := NewTable(to, 0, 8, 2, ' ', tabwriter.AlignRight)
 	table.Println("a\tbb\t")
 	table.Printf("%s\t%d\t\n", "long", 1)
 	if err := table.Flush(); err != nil || to.String() != "     a  bb\n  long   1\n" {
 		t.Errorf("%v, wrote %q", err, to.String())
 	}
-	full := NewTable(&limited{}, 0, 8, 2, ' ', 0)
+	full := NewTable(&limitedWriter{}, 0, 8, 2, ' ', 0)
 	full.Println("a\tb")
 	if err := full.Flush(); !errors.Is(err, errFull) {
 		t.Errorf("a table on a full writer: %v", err)
--- a/internal/sidecar/connbudget.go
+++ b/internal/sidecar/connbudget.go
@@ -22,7 +22,7 @@
 func (c *Config) connBudget(processes int) connBudget {
 	reservedPerProcess := reservedSockets + c.Options.Receivers()
 	if c.Admin != "" {
-		reservedPerProcess += operators.MaxCallers
+		reservedPerProcess += operators.MaxConsoleConnections
 	}
 	available := max(minSockets-reservedSockets, c.Limits.Sockets-processes*reservedPerProcess)
 	budget := connBudget{servers: available / 2}
