--- a/internal/sidecar/components.go
+++ b/internal/sidecar/components.go
@@ -27,12 +27,12 @@
 )
 
 const (
-	defaultIdleTimeout    = time.Minute // of connections to servers, where the settings have none
-	defaultConnectTimeout = time.Second // to a server, where the settings have none
+	defaultIdleTimeout    = time.Minute // of connections to servers, if the settings specify none
+	defaultConnectTimeout = time.Second // to a server, if the settings specify none
 )
 
-// components are what a sidecar is made of. serve owns them; each goroutine that they start ends with the context that it was
-// given, and tasks waits for all of them.
+// components holds the parts of a running sidecar. It is owned by serve. Each goroutine that a component starts ends when the
+// context passed to it ends; tasks waits for all of these goroutines.
 type components struct {
 	cfg       *Config
 	listeners *listeners
@@ -40,35 +40,35 @@
 	started   time.Time
 	tasks     sync.WaitGroup
 
-	idleTimeout  time.Duration  // after which a connection without a request is closed
-	peersAtStart handover.Peers // the sidecar's other processes
+	idleTimeout  time.Duration  // a connection without a request is closed after this time
+	peersAtStart handover.Peers // the sidecar's other processes when this one started
 	budget       connBudget
-	usesPoller   bool              // connections are served by the kernel's readiness, not by a goroutine each
+	usesPoller   bool              // connections are served by an event loop on epoll, not by a goroutine each
 	shedder      *loadshed.Shedder // nil: no load shedding
 	counts       *report.Counts
 
 	httpBackend     httpBackend
-	rpcBackend      *rpcback.Backend        // nil without servers that speak MessagePack-RPC
-	backendByFlavor map[string]core.Backend // of the flavors that do
-	evictIdle       func() bool             // closes an idle connection to a server, of any back
+	rpcBackend      *rpcback.Backend        // nil if no server speaks MessagePack-RPC
+	backendByFlavor map[string]core.Backend // flavors whose servers speak MessagePack-RPC
+	evictIdle       func() bool             // closes an idle connection to a server, of any backend
 
-	gate     *broker.Gate // nil without contracts
-	fleet    *fleetLink   // nil: no datagrams between sidecars
+	gate     *broker.Gate // nil: no contracts
+	fleet    *fleetLink   // nil: no state is exchanged with other sidecars
 	exchange *core.Loop
 	follower *roster.Follower
 
 	fronts   []front
 	restart  *hotRestart
 	calls    *operatorCalls
-	reporter *reporting.Reporter // nil without receivers
+	reporter *reporting.Reporter // nil: no receivers of reports
 }
 
-// newComponents creates what depends on the configuration alone. It scales cfg.Balance.ConnIdle down.
+// newComponents creates the components that depend only on the configuration. It scales cfg.Balance.ConnIdle down.
 func newComponents(cfg *Config, lns *listeners, log *slog.Logger) *components {
 	c := &components{cfg: cfg, listeners: lns, log: log}
 	idleTimeout := millis(cfg.Balance.ConnIdle * idleTimeoutFraction)
 	if idleTimeout > 0 {
-		cfg.Balance.ConnIdle *= idleTimeoutFraction // the balancer has to know how long connections stay open
+		cfg.Balance.ConnIdle *= idleTimeoutFraction // the balancer must use the same time as the connection pool
 	}
 	c.idleTimeout = cmp.Or(idleTimeout, defaultIdleTimeout)
 	c.shedder = newShedder(cfg)
@@ -79,7 +79,7 @@
 	c.usesPoller = !cfg.Options.HTTP.Standard
 	if c.usesPoller {
 		if err := cfg.checkPoller(); err != nil {
-			log.Warn("a goroutine for each connection and attempt", "why", err)
+			log.Warn("poller unavailable: using a goroutine for each connection and attempt", "why", err)
 			c.usesPoller = false
 		}
 	}
@@ -87,7 +87,7 @@
 	return c
 }
 
-// newShedder returns the load shedder; nil where the options have none.
+// newShedder returns the load shedder, or nil if the options disable it.
 func newShedder(cfg *Config) *loadshed.Shedder {
 	if !cfg.Options.Door.Enabled {
 		return nil
@@ -100,7 +100,7 @@
 	return loadshed.NewShedder(cfg.Limits.Cores, classes)
 }
 
-// openBacks creates the upstream sides, one a protocol, and starts them.
+// startBackends creates and starts the backends, one for each upstream protocol.
 func (c *components) startBackends(ctx context.Context) {
 	cfg := c.cfg
 	c.httpBackend = newHTTPBackend(ctx, c.usesPoller, httpback.Config{
@@ -111,7 +111,7 @@
 		ReportFields:   cfg.loadReportFields,
 		ProbeForReport: cfg.Balance.Reports != balance.ReportNone,
 		OnLateData: func(e *core.Endpoint) {
-			c.log.Warn("a server sends more than its answers, and late", "server", e.Name())
+			c.log.Warn("a server sent data after the end of its response", "server", e.Name())
 		},
 	}, c.log)
 	c.tasks.Go(func() { c.httpBackend.Run(ctx) })
@@ -128,7 +128,7 @@
 	c.evictIdle = func() bool { return c.httpBackend.Evict() || c.rpcBackend.Evict() }
 }
 
-// closeBacks closes all connections to servers, after the exchange has ended.
+// closeBackends closes all connections to servers. It is called after the exchange has ended.
 func (c *components) closeBackends() {
 	c.httpBackend.Close()
 	if c.rpcBackend != nil {
@@ -136,7 +136,7 @@
 	}
 }
 
-// openExchange creates the exchange, its part in the fleet, and the follower of discovery's list.
+// createExchange creates the exchange, the link to other sidecars, and the follower of the server list in discovery.
 func (c *components) createExchange(ctx context.Context) error {
 	cfg := c.cfg
 	c.gate = cfg.newGate()
@@ -164,7 +164,7 @@
 	}
 	c.exchange = core.New(ctx, coreCfg)
 	known := &cfg.Known
-	if c.peersAtStart.Older { // an empty list makes the follower ask for a complete one at once
+	if c.peersAtStart.Older { // an empty list makes the follower request a complete one immediately
 		known = &roster.List{}
 	}
 	c.follower = roster.New(roster.Config{
@@ -178,7 +178,7 @@
 	return nil
 }
 
-// backOf returns the back for servers of a flavor.
+// backendFor returns the backend for servers of a flavor.
 func (c *components) backendFor(flavor string) core.Backend {
 	if backend := c.backendByFlavor[flavor]; backend != nil {
 		return backend
@@ -186,7 +186,8 @@
 	return c.httpBackend
 }
 
-// openFronts creates the downstream sides, one a protocol, and what depends on them: hot restart, operators' calls and reports.
+// createFronts creates the fronts, one for each downstream protocol, and the components that depend on them: hot restart,
+// operators' calls and the reporter.
 func (c *components) createFronts() {
 	cfg, lns := c.cfg, c.listeners
 	httpCfg := httpfront.Config{
@@ -230,7 +231,7 @@
 	c.reporter = newReporter(cfg, c.counts, c.exchange, c.gate, c.started, c.log)
 }
 
-// run starts the goroutines of all components but the fronts.
+// run starts the goroutines of all components except the fronts.
 func (c *components) run(ctx context.Context, reloads <-chan os.Signal) {
 	if c.reporter != nil {
 		c.tasks.Go(func() { c.reporter.Run(ctx) })
@@ -266,14 +267,14 @@
 	}
 }
 
-// announce logs the listeners, offers them to a later process, starts the operators' pages and returns the listeners of the
-// fronts, in the fronts' order.
+// announce logs the listeners, offers them to a successor process and starts serving the operators' pages. It returns the
+// listeners of the fronts, in the order of the fronts.
 func (c *components) announce(ctx context.Context) []net.Listener {
 	lns := c.listeners
 	c.log.Info("listening", "address", lns.http.Addr().String())
 	if lns.instance != nil {
 		if err := lns.instance.ServeListeners(lns.byName()); err != nil {
-			c.log.Warn("listeners cannot be offered to a later process", "error", err)
+			c.log.Warn("offering the listeners to a successor process failed", "error", err)
 		}
 	}
 	frontListeners := []net.Listener{lns.http}
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -26,50 +26,52 @@
 	"firplank/settings"
 )
 
-// idleTimeoutShare is the part of the time after which a server closes an idle connection after which the sidecar closes it.
+// idleTimeoutFraction is the sidecar's idle timeout as a fraction of the server's, so that the sidecar closes an idle connection
+// before the server does.
 const idleTimeoutFraction = 0.8
 
-// Config is the checked configuration of one sidecar: the file that NODE_CONFIG names, options, settings and contracts.
+// Config is the validated configuration of one sidecar: the file named by NODE_CONFIG, options, settings and contracts.
 type Config struct {
 	Name       string
 	Listen     string
 	Discovery  string
-	Admin      string   // address of operators' calls; empty: none
+	Admin      string   // address of the operators' console; empty: none
 	PeerListen string   // address for datagrams of other sidecars
-	Peers      []string // their addresses, by number
+	Peers      []string // addresses of the sidecars by index, for datagrams
 	Limits     Limits
-	Known      roster.List // the servers as last listed, which may be stale
+	Known      roster.List // the last known server list, which may be stale
 	Options    options.File
 
 	Balance          balance.Config
 	catalog          *core.Catalog
-	methods          *rpcfront.Methods // of MessagePack-RPC; nil where that is off
-	contracts        *contract.Set     // nil without any
+	methods          *rpcfront.Methods // of MessagePack-RPC; nil if that is disabled
+	contracts        *contract.Set     // nil: none
 	zones            map[string]int
 	kinds            map[string]int
-	loadReportFields []string // the figures of a load report, in the balancer's order
+	loadReportFields []string // names of the values in a load report, in the balancer's order
 
-	rereadFile  func() (*Config, error) // reads the file again, which then overrides the environment
-	checkPoller func() error            // whether the kernel's readiness is available: poller.Check
+	rereadFile  func() (*Config, error) // reads the file again, ignoring the environment's overrides
+	checkPoller func() error            // poller.Check; returns an error if the poller cannot be used
 
-	reuseDelay     time.Duration // how long a connection to a server rests between two requests
-	acceptGrace    time.Duration // how long new connections are accepted after the signal to end
-	maxDrain       time.Duration // the longest deadline that a drain waits for: the platform kills whoever takes longer
-	responseMargin time.Duration // how long before the end of a drain the last response is written, so that it can be read
+	reuseDelay     time.Duration // minimum time between two requests on a connection to a server
+	acceptGrace    time.Duration // new connections are accepted for this time after the shutdown signal
+	maxDrain       time.Duration // longest deadline that a drain waits for: the platform kills processes that take longer
+	responseMargin time.Duration // the last response is written this long before the end of a drain, so that clients can read it
 }
 
-// Limits bound what all processes of the sidecar may use of the machine. Zero is no limit or, of sockets, the default.
+// Limits bounds the machine's resources that all processes of the sidecar may use together. Zero means no limit or, for
+// Sockets, the default.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// heapShare is the part of the memory limit that the Go runtime gets; the rest is for what it does not count: the program's
-// text and the kernel's socket buffers.
+// heapFraction is the fraction of the memory limit that is set as the Go runtime's limit. The rest is for memory that the
+// runtime does not count: the program's text and the kernel's socket buffers.
 const heapFraction = 0.75
 
-// Apply sets the Go runtime's limits to the part of one of so many processes of the sidecar.
+// Apply sets the limits of the Go runtime. The memory limit is divided by the number of processes of the sidecar.
 func (l Limits) Apply(processes int) {
 	if l.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(math.Ceil(l.Cores))))
@@ -79,7 +81,7 @@
 	}
 }
 
-// Load reads the configuration that NODE_CONFIG names. The other NODE_ variables override the file.
+// Load reads the configuration file named by NODE_CONFIG. The other NODE_ variables override values in the file.
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv("NODE_CONFIG")
 	if path == "" {
@@ -97,7 +99,7 @@
 	return cfg, nil
 }
 
-// onlyPath is an environment that names the configuration's file and nothing else.
+// configPathEnv returns an environment in which only NODE_CONFIG is set.
 func configPathEnv(path string) func(string) string {
 	return func(name string) string {
 		if name == "NODE_CONFIG" {
@@ -107,7 +109,7 @@
 	}
 }
 
-// parseConfig reads a configuration's text, which the NODE_ variables of getenv override.
+// parseConfig parses and validates the text of a configuration file. The NODE_ variables of getenv override its values.
 func parseConfig(text []byte, getenv func(string) string) (*Config, error) {
 	var file struct {
 		Name       string          `json:"name"`
@@ -153,7 +155,7 @@
 	return cfg, cfg.bindNames(parsed)
 }
 
-// withLine adds the line to an error of the JSON decoder, where it has the offset.
+// addLineNumber adds the line number to an error of the JSON decoder that contains an offset.
 func addLineNumber(text []byte, err error) error {
 	var syntaxErr *json.SyntaxError
 	var typeErr *json.UnmarshalTypeError
@@ -170,7 +172,7 @@
 	return errors.Wrapf(err, "line %d", 1+bytes.Count(text[:offset], []byte("\n")))
 }
 
-// check checks the addresses and limits, and sets the default of the latter.
+// check validates the addresses, limits and known servers, and sets the default number of sockets.
 func (c *Config) check() error {
 	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
 		return errors.Wrapf(err, "listen address %q", c.Listen)
@@ -184,7 +186,7 @@
 		}
 	}
 	if l := c.Limits; l.Cores < 0 || l.MemoryMB < 0 || l.Sockets < 0 {
-		return errors.Errorf("a limit below 0: %+v", l)
+		return errors.Errorf("negative limit: %+v", l)
 	}
 	if c.Limits.Sockets == 0 {
 		c.Limits.Sockets = defaultSockets
@@ -198,14 +200,14 @@
 	return nil
 }
 
-// bindNames sets the names that protocols use for what the balancer numbers: zones, kinds, classes, tenants, load figures.
+// bindNames sets the names that protocols use for the balancer's indexes of zones, kinds, classes, tenants and load-report values.
 func (c *Config) bindNames(s *settings.Settings) (err error) {
 	c.zones, c.kinds, c.loadReportFields = core.IndexByName(s.Zones), core.IndexByName(s.Kinds), s.Fields
 	c.catalog, err = core.NewCatalog(c.Balance.Classes, s.Classes, s.Tenants)
 	return err
 }
 
-// parseSeed reads the seed as a hexadecimal number, or hashes any other text.
+// parseSeed parses the seed as a hexadecimal number. Any other text is hashed.
 func parseSeed(text string) uint64 {
 	if seed, err := strconv.ParseUint(text, 16, 64); err == nil {
 		return seed
--- a/internal/sidecar/connbudget.go
+++ b/internal/sidecar/connbudget.go
@@ -7,18 +7,17 @@
 const (
 	defaultSockets = 1024
 	minSockets     = 32
-	// reservedSockets are for listeners, discovery, the poller and the standard streams.
+	// reservedSockets is the number of descriptors kept for listeners, discovery, the poller and the standard streams.
 	reservedSockets = 24
-	// rpcShare is the part of the sockets to servers, one in so many, that MessagePack-RPC may hold: its connections carry many
+	// rpcSocketsDivisor limits MessagePack-RPC to a quarter of the sockets to servers: each of its connections carries many
 	// requests.
 	rpcSocketsDivisor = 4
 )
 
-// connBudget is how many connections each protocol may hold on each side.
+// connBudget is the maximum number of connections to servers and clients, for HTTP and for MessagePack-RPC.
 type connBudget struct{ servers, clients, rpcServers, rpcClients int }
 
-// connBudget divides the descriptors that all processes of the sidecar have together, of which each process needs some for
-// itself.
+// connBudget divides the descriptors that all processes of the sidecar may use together, less those reserved for each process.
 func (c *Config) connBudget(processes int) connBudget {
 	reservedPerProcess := reservedSockets + c.Options.Receivers()
 	if c.Admin != "" {
--- a/internal/sidecar/contracts.go
+++ b/internal/sidecar/contracts.go
@@ -11,8 +11,8 @@
 	"firplank/internal/operators"
 )
 
-// Deployment returns what contracts are checked against: the classes of the settings, and this sidecar's share of the
-// capacity. Without a configured share that is an equal part for each sidecar.
+// Deployment returns the values that contracts are checked against: the classes of the settings, the capacity and this
+// sidecar's share of it. If no share is configured, all sidecars have equal shares.
 func (c *Config) Deployment() contract.Deployment {
 	o := &c.Options.Broker
 	d := contract.Deployment{Capacity: o.Capacity, InstanceShare: o.Part}
@@ -26,13 +26,13 @@
 	return d
 }
 
-// Catalog returns the names of the classes and tenants, by their numbers.
+// Catalog returns the names of the classes and tenants by index.
 func (c *Config) Catalog() *core.Catalog { return c.catalog }
 
-// Contracts returns the contracts as loaded at the start; nil without any.
+// Contracts returns the contracts loaded at startup, or nil if there are none.
 func (c *Config) Contracts() *contract.Set { return c.contracts }
 
-// loadContracts reads the contracts that the options name; nil without any.
+// loadContracts reads the contracts named by the options. It returns nil if they name none.
 func (c *Config) loadContracts() (*contract.Set, error) {
 	if c.Options.Broker.Contracts == "" {
 		return nil, nil
@@ -40,7 +40,7 @@
 	return broker.Load(c.Options.Broker.Contracts, c.Deployment(), c.catalog)
 }
 
-// newGate returns the gate of the loaded contracts; nil without any.
+// newGate returns the gate that enforces the loaded contracts, or nil if there are none.
 func (c *Config) newGate() *broker.Gate {
 	if c.contracts == nil {
 		return nil
@@ -48,21 +48,21 @@
 	return broker.New(c.contracts, c.catalog, c.Balance.RetryAfter)
 }
 
-// reloadContracts loads the contracts again and applies them as one version; an invalid one changes nothing.
+// reloadContracts reads the contracts again and replaces all of them at once. If they are invalid, the present ones are kept.
 func (c *Config) reloadContracts(exchange *core.Loop, gate *broker.Gate, log *slog.Logger) {
 	if gate == nil {
 		return
 	}
 	set, err := c.loadContracts()
 	if err != nil {
-		log.Error("contracts not reloaded: unchanged", "error", err)
+		log.Error("reloading contracts failed: the present ones are kept", "error", err)
 		return
 	}
 	exchange.Inspect(func(now time.Duration) { gate.Swap(now, set) })
 	log.Info("contracts reloaded", "teams", set.TeamCount())
 }
 
-// statusPages returns the operators' pages of the components that are on, by path.
+// statusPages returns the operators' pages of the enabled components, by path.
 func statusPages(exchange *core.Loop, gate *broker.Gate, fleet *fleetLink) map[string]operators.Page {
 	pages := map[string]operators.Page{}
 	if fleet != nil {
@@ -70,7 +70,7 @@
 	}
 	if gate != nil {
 		pages["/broker"] = func(ctx context.Context) (any, error) {
-			reports := make(chan contract.Report, 1) // the exchange never waits, also when ctx has ended
+			reports := make(chan contract.Report, 1) // buffered: the exchange must not block if ctx has ended
 			exchange.Inspect(func(now time.Duration) { reports <- gate.Report(now) })
 			select {
 			case r := <-reports:
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -10,13 +10,13 @@
 	"firplank/internal/peers"
 )
 
-// fleetLink is this sidecar's part in the exchange of state between sidecars; nil where that is off.
+// fleetLink exchanges state with other sidecars. It is nil if the option fleet.enabled is off.
 type fleetLink struct {
 	peers *peers.Agent
 	tally *peers.Tally
 }
 
-// checkFleet checks what the option fleet.enabled requires; nil where it is off.
+// checkFleet validates the values that the option fleet.enabled requires. It returns nil if the option is off.
 func (c *Config) checkFleet() error {
 	if !c.Options.Fleet.Enabled {
 		return nil
@@ -37,7 +37,7 @@
 	return peers.NewTally(c.catalog.ClassNames(), c.catalog.TenantNames(), c.Options.Fleet.Most)
 }
 
-// openFleet opens the socket to other sidecars; nil where the option is off.
+// openFleet opens the socket for datagrams of other sidecars. It returns nil if the option fleet.enabled is off.
 func (c *Config) openFleet(log *slog.Logger) (*fleetLink, error) {
 	if !c.Options.Fleet.Enabled {
 		return nil, nil
--- a/internal/sidecar/helpers_test.go
+++ b/internal/sidecar/helpers_test.go
@@ -53,9 +53,10 @@
 
 func startSidecar(t *testing.T, cfg *Config) *testSidecar {
 	t.Helper()
-	n := &testSidecar{t: t, roster: testbed.NewDiscoveryServer(t), done: make(chan error, 1), reloads: make(chan os.Signal, 1), client: &http.Client{
-		Transport: &http.Transport{}, Timeout: testbed.Timeout,
-	}}
+	n := &testSidecar{
+		t: t, roster: testbed.NewDiscoveryServer(t), done: make(chan error, 1), reloads: make(chan os.Signal, 1),
+		client: &http.Client{Transport: &http.Transport{}, Timeout: testbed.Timeout},
+	}
 	cfg.Discovery = n.roster.Addr
 	ln := testbed.Listen(t)
 	n.addr = ln.Addr().String()
--- a/internal/sidecar/hotrestart.go
+++ b/internal/sidecar/hotrestart.go
@@ -15,25 +15,26 @@
 )
 
 const (
-	// peerPollInterval is how often a process looks at the other processes of its sidecar.
+	// peerPollInterval is the interval at which a process reads the state of the sidecar's other processes.
 	peerPollInterval = 100 * time.Millisecond
-	// readyPollInterval is how often a process that takes over checks whether it is ready.
+	// readyPollInterval is the interval at which a successor process checks whether it is ready.
 	readyPollInterval = 5 * time.Millisecond
-	// freshListTimeout bounds the wait of a process that takes over for a list from discovery. After it the list of its
-	// configuration has to do.
+	// freshListTimeout bounds how long a successor process waits for a list from discovery. After that it uses the list in
+	// its configuration.
 	freshListTimeout = 1500 * time.Millisecond
-	// minConnections is how many connections of a kind a process may always hold, whatever its peers use.
+	// minConnections is the number of connections to clients and to servers that a process may always hold, however many
+	// the other process uses.
 	minConnections = 8
 )
 
-// sharedFolder is the folder in which processes of this sidecar find each other. Each sidecar of a machine has its own.
+// sharedDir returns the directory that is shared by the processes of this sidecar. Each sidecar on a machine has its own.
 func (c *Config) sharedDir() string {
 	h := fnv.New64a()
 	_, _ = fmt.Fprintf(h, "%s\x00%s", c.Name, c.Listen) // a hash's Write does not fail
 	return filepath.Join(os.TempDir(), fmt.Sprintf("firplank-%016x", h.Sum64()))
 }
 
-// processCount is how many processes share the sidecar's limits.
+// processCount returns the number of processes that share the sidecar's limits.
 func processCount(peers handover.Peers) int {
 	if peers.Older || peers.Younger {
 		return 2
@@ -42,9 +43,9 @@
 }
 
 // hotRestart coordinates this process with the other processes of its sidecar while one replaces the other: they share
-// ejections by hand, memory and connections, and the younger takes over the address. Where there is no instance it only
-// waits for readiness. Its methods are not safe for concurrent use: while watchPeers runs, only markReady and handOver may be
-// called beside it.
+// manual ejections, memory and connection limits, and the younger process takes over the address. Without an instance, only
+// waitUntilReady has an effect. The methods are not safe for concurrent use, except that markReady and handOver may be called
+// while watchPeers runs.
 type hotRestart struct {
 	cfg         *Config
 	exchange    *core.Loop
@@ -54,22 +55,22 @@
 	log         *slog.Logger
 
 	draining         atomic.Bool
-	appliedProcesses int      // processes that share the limits, as last applied
-	ejectedVersion   [2]int64 // of the ejections applied last
+	appliedProcesses int      // number of processes for which the limits were last applied
+	ejectedVersion   [2]int64 // version of the ejections that were last applied
 }
 
-// loadEjected applies the ejections that operators have made so far, before the exchange runs.
+// loadEjected applies the manual ejections made so far. It must be called before the exchange runs.
 func (r *hotRestart) loadEjected() {
 	r.ejectedVersion = r.instance.EjectedVersion()
 	ejected, err := r.instance.Ejected()
 	if err != nil {
-		r.log.Error("ejected servers cannot be read", "error", err)
+		r.log.Error("reading the ejected servers failed", "error", err)
 		return
 	}
 	r.exchange.SetExcluded(ejected)
 }
 
-// watchPeers follows the other processes of the sidecar until ctx ends.
+// watchPeers polls the state of the sidecar's other processes until ctx ends, and applies changes of ejections and limits.
 func (r *hotRestart) watchPeers(ctx context.Context, previous handover.Peers) {
 	tick := time.NewTicker(peerPollInterval)
 	defer tick.Stop()
@@ -92,7 +93,7 @@
 	}
 }
 
-// refreshEjected applies the ejections that another process has changed.
+// refreshEjected applies the manual ejections if they have changed.
 func (r *hotRestart) refreshEjected() {
 	version := r.instance.EjectedVersion()
 	if version == r.ejectedVersion {
@@ -101,13 +102,13 @@
 	r.ejectedVersion = version
 	ejected, err := r.instance.Ejected()
 	if err != nil {
-		r.log.Error("ejected servers cannot be read: unchanged", "error", err)
+		r.log.Error("reading the ejected servers failed: the present ones are kept", "error", err)
 		return
 	}
 	r.exchange.Inspect(func(time.Duration) { r.exchange.SetExcluded(ejected) })
 }
 
-// applyShare limits this process to its part of memory and connections.
+// applyShare limits this process to its share of memory and connections.
 func (r *hotRestart) applyShare(peers handover.Peers) {
 	processes := processCount(peers)
 	if processes != r.appliedProcesses {
@@ -132,8 +133,8 @@
 	return handover.Usage{Clients: r.fronts[0].Open(), Servers: r.httpBackend.Open(), Draining: r.draining.Load()}
 }
 
-// connectionShare is how many connections this process may hold of total: its own, and half of those that no process holds,
-// or all of them where the others accept no more. A process that drains gets none beyond its own.
+// connectionShare returns how many of total connections this process may hold: those that it has open and half of the free
+// ones, or all free ones if the other process is draining. A draining process gets no free ones.
 func connectionShare(total, own, others int, draining, othersDraining bool) int {
 	free := max(0, total-own-others)
 	switch {
@@ -145,7 +146,7 @@
 	return max(own+free, minConnections)
 }
 
-// waitUntilReady returns when this process can take over, or ctx ends.
+// waitUntilReady blocks until this process is ready to take over or ctx ends.
 func (r *hotRestart) waitUntilReady(ctx context.Context) {
 	tick := time.NewTicker(readyPollInterval)
 	defer tick.Stop()
@@ -154,7 +155,7 @@
 		select {
 		case <-tick.C:
 		case <-timeout:
-			r.log.Warn("no list from discovery in time: starting with the configured servers", "timeout", freshListTimeout)
+			r.log.Warn("no list from discovery before the timeout: starting with the configured servers", "timeout", freshListTimeout)
 			r.exchange.Inspect(func(time.Duration) { r.exchange.AcceptStaleList() })
 		case <-ctx.Done():
 			return
@@ -162,17 +163,17 @@
 	}
 }
 
-// markReady publishes to the other processes that this one serves.
+// markReady notifies the other processes that this one serves requests.
 func (r *hotRestart) markReady() {
 	if r.instance == nil {
 		return
 	}
 	if err := r.instance.MarkReady(); err != nil {
-		r.log.Error("readiness not published to the previous process", "error", err)
+		r.log.Error("notifying the previous process of readiness failed", "error", err)
 	}
 }
 
-// handOver leaves the address to a younger process that serves, where there is one.
+// handOver leaves the address to a younger process, if there is one that serves requests.
 func (r *hotRestart) handOver() {
 	if r.instance == nil || !r.instance.Peers().ReadyYounger {
 		return
--- a/internal/sidecar/listeners.go
+++ b/internal/sidecar/listeners.go
@@ -10,14 +10,15 @@
 	"firplank/internal/socket"
 )
 
-// Names under which processes of a sidecar pass listeners to each other. Two releases share them during an upgrade.
+// Names under which processes of a sidecar pass listeners to each other. They must not change between releases, because the
+// two processes may be of different releases during an upgrade.
 const (
 	httpListener  = "http"
 	rpcListener   = "MessagePack-RPC"
 	pagesListener = "operators"
 )
 
-// listeners are the sockets that a sidecar serves on.
+// listeners holds the listening sockets of a sidecar.
 type listeners struct {
 	http net.Listener
 	rpc  net.Listener // nil: no MessagePack-RPC for clients
@@ -26,11 +27,11 @@
 	console  net.Listener // nil: no operators' calls
 	instance *handover.Instance
 	log      *slog.Logger
-	// openDeferred opens the first three once this process can serve; nil: they are open.
+	// openDeferred opens http, rpc and pages once this process is ready; nil: they are already open.
 	openDeferred func(*listeners) error
 }
 
-// byName returns the listeners that a later process can inherit.
+// byName returns the listeners that a successor process can inherit, by name.
 func (l *listeners) byName() map[string]net.Listener {
 	byName := map[string]net.Listener{httpListener: l.http, rpcListener: l.rpc, pagesListener: l.pages}
 	for name, ln := range byName {
@@ -49,12 +50,12 @@
 	}
 }
 
-// openFronts opens the listeners of the fronts and of the operators' pages: those of the previous process, where there is one
-// and the address is the same. With admin_addr set, a later process may listen beside this one.
+// openListeners opens the listeners of the fronts and of the operators' pages. A listener of the previous process is inherited
+// if its address is the same. If admin_addr is set, a later process may listen on the same addresses at the same time.
 func (c *Config) openListeners(l *listeners) error {
 	inherited := l.inherit()
 	defer func() {
-		for _, ln := range inherited { // those whose address has changed
+		for _, ln := range inherited { // listeners whose address is no longer configured
 			_ = ln.Close() // accepting ends either way
 		}
 	}()
@@ -84,14 +85,15 @@
 	return nil
 }
 
-// inherit returns the listeners of the previous process by name; none where there is no such process or it does not pass them.
+// inherit returns the listeners of the previous process by name. It returns none if there is no previous process or they
+// cannot be received from it.
 func (l *listeners) inherit() map[string]net.Listener {
 	if l.instance == nil || !l.instance.Peers().Older {
 		return nil
 	}
 	inherited, err := l.instance.InheritListeners()
 	if err != nil {
-		l.log.Warn("new connections may be lost when the previous process ends", "error", err)
+		l.log.Warn("inheriting listeners failed: new connections may be lost when the previous process ends", "error", err)
 	}
 	return inherited
 }
--- a/internal/sidecar/main.go
+++ b/internal/sidecar/main.go
@@ -14,10 +14,10 @@
 	"firplank/internal/options"
 )
 
-// Main serves by the configuration that NODE_CONFIG names and the options file, until SIGTERM or an interrupt. It is the
-// program without its command line.
+// Main runs a sidecar with the configuration named by NODE_CONFIG and the options file, until SIGTERM or an interrupt. It is
+// called by package main after the command line is parsed.
 func Main(getenv func(string) string, optionsPath string, log io.Writer) error {
-	// Registered first: an unhandled SIGHUP ends the process. Of several pending ones, one is enough.
+	// Registered first, because an unhandled SIGHUP ends the process. A buffer of one is enough: pending signals are merged.
 	reloads := make(chan os.Signal, 1)
 	signal.Notify(reloads, syscall.SIGHUP)
 	cfg, err := LoadAll(getenv, optionsPath)
@@ -30,7 +30,8 @@
 	return Run(ctx, cfg, reloads, slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: cfg.Options.Log.Level})))
 }
 
-// LoadAll reads and checks configuration, options and contracts without starting anything. The error joins all faults found.
+// LoadAll reads and validates configuration, options and contracts without starting anything. Errors in the method table,
+// the contracts and the fleet options are joined.
 func LoadAll(getenv func(string) string, optionsPath string) (*Config, error) {
 	opts, err := options.Load(optionsPath)
 	if err != nil {
@@ -51,7 +52,7 @@
 	return cfg, nil
 }
 
-// Summary describes a checked configuration in one line.
+// Summary describes a validated configuration in one line.
 func (c *Config) Summary() string {
 	classes, tenants := c.catalog.Sizes()
 	return fmt.Sprintf("%s: %d classes, %d tenants, %d servers known, %d descriptors, listens on %s, discovery at %s",
--- a/internal/sidecar/msgpackrpc.go
+++ b/internal/sidecar/msgpackrpc.go
@@ -16,7 +16,7 @@
 	codec "firplank/msgpackrpc"
 )
 
-// rpcMethods checks the table of methods against the settings; nil without one.
+// rpcMethods validates the table of methods against the settings. It returns nil if MessagePack-RPC is disabled.
 func rpcMethods(opts *options.MsgpackRPC, catalog *core.Catalog) (*rpcfront.Methods, error) {
 	if !opts.Enabled() {
 		return nil, nil
@@ -54,10 +54,10 @@
 	return methods, nil
 }
 
-// maxParamPosition bounds the position of a parameter in a call.
+// maxParamPosition is the highest configurable position of a parameter in a call.
 const maxParamPosition = 1<<16 - 1
 
-// rpcParam reads where a parameter is found: by position in an array, by key in a map, or nowhere.
+// rpcParam parses the location of a parameter: its position in an array, its key in a map, or nil if it is absent.
 func rpcParam(v any) (rpcfront.Param, error) {
 	switch v := v.(type) {
 	case nil:
@@ -78,7 +78,7 @@
 	return codec.Limits{Frame: opts.MaxFrame, Depth: opts.MaxDepth}
 }
 
-// newRPCBack returns the back for servers that speak MessagePack-RPC.
+// newRPCBackend returns the backend for servers that speak MessagePack-RPC.
 func newRPCBackend(ctx context.Context, cfg *Config, sockets int, idle time.Duration, log *slog.Logger) *rpcback.Backend {
 	opts := &cfg.Options.MsgpackRPC
 	return rpcback.New(ctx, rpcback.Config{
--- a/internal/sidecar/operatorcalls.go
+++ b/internal/sidecar/operatorcalls.go
@@ -15,33 +15,33 @@
 	"firplank/report"
 )
 
-// errShuttingDown rejects a call that comes after the exchange has ended. Operators' tools see its text.
+// errShuttingDown rejects a call that is received after the exchange has ended. Its text is sent to operators' tools.
 var errShuttingDown = errors.New("the sidecar ends")
 
-// unknownServerError rejects an ejection of a server that discovery never listed. Operators' tools see its text.
+// unknownServerError rejects the ejection of a server that discovery never listed. Its text is sent to operators' tools.
 type unknownServerError struct{ id string }
 
 func (e *unknownServerError) Error() string { return fmt.Sprintf("no server %q was ever listed", e.id) }
 
-// operatorCalls implements operators.Sidecar: readiness, counters, ejections by hand and draining on request. It is safe for
+// operatorCalls implements operators.Sidecar: readiness, metrics, manual ejections and draining on request. It is safe for
 // concurrent use.
 type operatorCalls struct {
 	catalog  *core.Catalog
 	exchange *core.Loop
 	fronts   []front
-	instance *handover.Instance // nil: ejections end with this process
+	instance *handover.Instance // nil: manual ejections are lost when this process ends
 	counts   *report.Counts
 	reloads  reloadCounts
 	serving  atomic.Bool // the fronts accept connections
 
 	mu      sync.Mutex
-	ejected handover.Ejected // used where there is no instance
+	ejected handover.Ejected // used if instance is nil
 }
 
 // Ready implements operators.Sidecar.
 func (o *operatorCalls) Ready() bool { return o.serving.Load() && o.exchange.Ready() }
 
-// inspect calls do on the exchange's goroutine and waits for it.
+// inspect calls fn on the exchange's goroutine and waits until it returns.
 func (o *operatorCalls) inspect(ctx context.Context, fn func()) error {
 	done := make(chan struct{})
 	o.exchange.Inspect(func(time.Duration) {
@@ -106,7 +106,7 @@
 	return o.inspect(ctx, func() { o.exchange.SetExcluded(ejected) })
 }
 
-// updateEjected changes the servers ejected by hand, and returns all of them.
+// updateEjected changes the set of manually ejected servers and returns the new set.
 func (o *operatorCalls) updateEjected(update func(handover.Ejected) error) (handover.Ejected, error) {
 	if o.instance != nil {
 		return o.instance.UpdateEjected(update)
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -9,20 +9,20 @@
 	"firplank/internal/roster"
 )
 
-// reloadCounts counts the configurations that a signal had read again: those applied, and those rejected.
+// reloadCounts counts configuration reloads: those applied and those rejected as invalid.
 type reloadCounts struct{ loaded, invalid atomic.Int64 }
 
-// reloader applies a configuration that has changed while the sidecar runs.
+// reloader applies changed contracts and configuration to the running sidecar.
 type reloader struct {
 	cfg             *Config
 	follower        *roster.Follower
-	reloadContracts func() // reads the contracts again
+	reloadContracts func() // reads and applies the contracts
 	counts          *reloadCounts
 	log             *slog.Logger
 }
 
-// run reads the contracts and the configuration's file again with each signal, until ctx ends. Of the configuration, only the
-// address of discovery changes before a restart; an invalid file changes nothing.
+// run reads the contracts and the configuration file again on each signal, until ctx ends. Only the address of discovery is
+// applied from the configuration; other changes need a restart. An invalid file changes nothing.
 func (r *reloader) run(ctx context.Context, signals <-chan os.Signal) {
 	for {
 		select {
@@ -39,7 +39,7 @@
 	next, err := r.cfg.rereadFile()
 	if err != nil {
 		r.counts.invalid.Add(1)
-		r.log.Error("configuration not reloaded: unchanged", "error", err)
+		r.log.Error("reloading the configuration failed: the present one is kept", "error", err)
 		return
 	}
 	r.counts.loaded.Add(1)
--- a/internal/sidecar/reporting.go
+++ b/internal/sidecar/reporting.go
@@ -11,13 +11,14 @@
 	"firplank/report"
 )
 
-// Bounds of the time for the last report, after all requests have ended. Even the lower one ends before the platform kills.
+// Bounds of the time for the last report, after all requests have ended. The lower bound is short enough that the report ends
+// before the platform kills the process.
 const (
 	minFinalReportTimeout = 30 * time.Millisecond
 	maxFinalReportTimeout = 300 * time.Millisecond
 )
 
-// Shape returns the classes and tenants by which requests are counted.
+// Shape returns the classes and tenants for which requests are counted.
 func (c *Config) Shape() report.Shape {
 	s := report.Shape{Tenants: c.catalog.TenantNames(), Pairs: c.Options.Reporting.Pairs}
 	for i, name := range c.catalog.ClassNames() {
@@ -32,7 +33,7 @@
 	return s
 }
 
-// newReporter returns the reporter to the receivers that the options name; nil without any.
+// newReporter returns a reporter to the receivers named by the options, or nil if they name none.
 func newReporter(
 	cfg *Config, counts *report.Counts, exchange *core.Loop, gate *broker.Gate, started time.Time, log *slog.Logger,
 ) *reporting.Reporter {
@@ -51,9 +52,9 @@
 	})
 }
 
-// readState fills in what the exchange's goroutine owns: servers, teams and how many servers are avoided.
+// readState sets the fields of st that are owned by the exchange's goroutine: servers, teams and the number of avoided servers.
 func readState(ctx context.Context, exchange *core.Loop, gate *broker.Gate, st *report.State) error {
-	states := make(chan report.State, 1) // the exchange never waits, also when ctx has ended
+	states := make(chan report.State, 1) // buffered: the exchange must not block if ctx has ended
 	exchange.Inspect(func(now time.Duration) {
 		s := report.State{Avoided: exchange.CountServers().Unhealthy}
 		for _, server := range exchange.Servers() {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -1,9 +1,11 @@
-// Package sidecar assembles the program: it reads the configuration, starts the exchange with its fronts, its backs and the
-// follower of discovery's list, and shuts them down in order. It owns no protocol and no decision.
+// Package sidecar assembles the sidecar: it reads the configuration, starts the exchange with its fronts, its backends and the
+// follower of the server list in discovery, and shuts them down in order. Protocols and load-balancing decisions are
+// implemented in other packages.
 //
-// main.go is the entry of the command line, sidecar.go starts and shuts down, components.go creates the components, config.go
-// reads the configuration and reload.go reads it again, listeners.go opens sockets, hotrestart.go coordinates two processes of
-// one sidecar, operatorcalls.go answers operators, connbudget.go divides descriptors. Start reading at Run.
+// main.go is the entry point for the command line, sidecar.go starts and shuts down, components.go creates the components,
+// config.go reads the configuration and reload.go reads it again, listeners.go opens sockets, hotrestart.go coordinates two
+// processes of one sidecar, operatorcalls.go implements operators' calls, connbudget.go divides descriptors. Start reading at
+// Run.
 package sidecar
 
 import (
@@ -23,18 +25,18 @@
 )
 
 const (
-	// defaultReuseDelay is Config.reuseDelay. A server may send more than the response, in a packet of its own; what arrives
-	// after the next request was written would be taken for the response to that.
+	// defaultReuseDelay is the default of Config.reuseDelay. A server may send data after the end of its response, in a
+	// separate packet. If that arrived after the next request was written, it would be read as the response to that request.
 	defaultReuseDelay     = 3 * time.Millisecond
 	defaultAcceptGrace    = 500 * time.Millisecond // Config.acceptGrace
 	defaultMaxDrain       = 3 * time.Second        // Config.maxDrain
 	defaultResponseMargin = 200 * time.Millisecond // Config.responseMargin
-	// drainMargin is the time beyond the longest deadline by which all requests must have ended.
+	// drainMargin is added to the longest deadline for the total time of a drain. All requests must have ended by then.
 	drainMargin = 650 * time.Millisecond
 )
 
-// Run serves until ctx ends, and then until all accepted requests are answered. With each signal of reloads it reads the
-// configuration's file again. It returns when all of its goroutines have ended.
+// Run serves until ctx ends and then drains: it returns after all accepted requests are answered and all of its goroutines
+// have ended. Each signal on reloads makes it read the contracts and the configuration file again.
 func Run(ctx context.Context, cfg *Config, reloads <-chan os.Signal, log *slog.Logger) error {
 	lns := listeners{openDeferred: cfg.openListeners, log: log}
 	if cfg.Admin != "" {
@@ -48,7 +50,7 @@
 			defer lns.instance.Leave()
 		}
 	}
-	if lns.instance == nil || !lns.instance.Peers().Older { // a successor listens only once it is ready
+	if lns.instance == nil || !lns.instance.Peers().Older { // a successor process listens only once it is ready
 		if err := lns.openDeferred(&lns); err != nil {
 			lns.close()
 			return err
@@ -60,25 +62,25 @@
 
 // front is the downstream side of one protocol. Its methods are safe for concurrent use.
 type front interface {
-	// Serve accepts connections on a listener, which it closes in the end, without waiting.
+	// Serve starts accepting connections on a listener and returns immediately. The front closes the listener.
 	Serve(net.Listener)
 	// Failed delivers the error that ended accepting.
 	Failed() <-chan error
-	// Pause starts or ends a drain by an operator.
+	// Pause starts or ends a drain requested by an operator.
 	Pause(on bool)
-	// Resize changes how many connections clients may have.
+	// Resize changes the maximum number of connections from clients.
 	Resize(connections int)
-	// Open is the number of open connections.
+	// Open returns the number of open connections.
 	Open() int
-	// HandOver notifies, before End, that another process serves at the address.
+	// HandOver notifies the front that another process serves at the address. It is called before End.
 	HandOver()
-	// End answers all accepted requests, within a time, and closes.
+	// End answers all accepted requests within a time and closes all connections.
 	End(within time.Duration) error
 }
 
 // serve assembles a sidecar, runs it until ctx ends or a front fails, and shuts it down in order.
 func serve(ctx context.Context, cfg *Config, lns listeners, reloads <-chan os.Signal, log *slog.Logger) error {
-	runCtx, stop := context.WithCancel(context.Background()) // outlives ctx by the shutdown
+	runCtx, stop := context.WithCancel(context.Background()) // ends only after the shutdown that follows the end of ctx
 	c := newComponents(cfg, &lns, log)
 	c.startBackends(runCtx)
 	defer c.closeBackends()
@@ -107,7 +109,7 @@
 	return err
 }
 
-// httpBack is the upstream side of HTTP: it makes attempts at servers and pools connections to them.
+// httpBackend is the upstream side of HTTP: it sends attempts to servers and pools connections to them.
 type httpBackend interface {
 	core.Backend
 	Run(context.Context)
@@ -117,29 +119,29 @@
 	Close()
 }
 
-// newHTTPBack returns the back on the kernel's readiness or, where that is off or not available, the one with a goroutine for
-// each attempt.
+// newHTTPBackend returns the backend that uses a poller or, if usePoller is false or the poller fails to start, the one with a
+// goroutine for each attempt.
 func newHTTPBackend(ctx context.Context, usePoller bool, cfg httpback.Config, log *slog.Logger) httpBackend {
 	if !usePoller {
 		return httpback.New(ctx, cfg)
 	}
 	backend, err := httpback.NewPoll(ctx, cfg)
 	if err != nil {
-		log.Warn("no readiness for attempts: a goroutine for each", "why", err)
+		log.Warn("poller for attempts failed to start: using a goroutine for each attempt", "why", err)
 		return httpback.New(ctx, cfg)
 	}
 	return backend
 }
 
-// newHTTPFront returns the front on the kernel's readiness or, where that is off or not available, the one on the standard
-// library's server.
+// newHTTPFront returns the front that uses a poller or, if usePoller is false or the poller fails to start, the one on the
+// standard library's server.
 func newHTTPFront(usePoller bool, cfg httpfront.Config, exchange *core.Loop, tasks *sync.WaitGroup, log *slog.Logger) front {
 	if !usePoller {
 		return httpfront.New(cfg, exchange)
 	}
 	f, err := httpfront.NewPoll(cfg, exchange)
 	if err != nil {
-		log.Warn("no readiness for connections: serving with net/http", "why", err)
+		log.Warn("poller for connections failed to start: serving with net/http", "why", err)
 		return httpfront.New(cfg, exchange)
 	}
 	tasks.Go(func() {
@@ -149,8 +151,8 @@
 	return f
 }
 
-// serveFronts serves until ctx ends or a front fails, and then drains all fronts together, within a time. It returns when the
-// drain began.
+// serveFronts serves until ctx ends or a front fails, and then drains all fronts concurrently within drainTimeout. It returns
+// the time at which the drain started.
 func (c *components) serveFronts(ctx context.Context, lns []net.Listener, drainTimeout time.Duration) (drainStart time.Time, err error) {
 	for i, f := range c.fronts {
 		f.Serve(lns[i])
@@ -164,7 +166,7 @@
 	return drainStart, errors.Join(append(c.drainFronts(drainTimeout), failure)...)
 }
 
-// waitForEnd returns when ctx ends or a front fails, with the failure if there is one.
+// waitForShutdown blocks until ctx ends or a front fails, and returns the failure if there is one.
 func waitForShutdown(ctx context.Context, fronts []front) error {
 	failures := make(chan error, len(fronts))
 	watchCtx, stop := context.WithCancel(ctx)
@@ -189,7 +191,7 @@
 	}
 }
 
-// drainFronts ends all fronts together, within a time, and returns their errors.
+// drainFronts ends all fronts concurrently within timeout and returns their errors.
 func (c *components) drainFronts(timeout time.Duration) []error {
 	var wg sync.WaitGroup
 	errs := make([]error, len(c.fronts))
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -116,8 +116,8 @@
 func TestForwardsLongResponseBodies(t *testing.T) {
 	bothFronts(t, func(t *testing.T, config func(...*testbed.ScriptedServer) *Config) {
 		long := randomBody(3 << 20)
-		s := testbed.NewScriptedServer(t, respondInPieces(long, false, nil), respondInPieces(long, true, nil), respondInPieces(long[:100], true, nil),
-			testbed.Respond(200, "short"))
+		s := testbed.NewScriptedServer(t, respondInPieces(long, false, nil), respondInPieces(long, true, nil),
+			respondInPieces(long[:100], true, nil), testbed.Respond(200, "short"))
 		n := startSidecar(t, config(s))
 		for i, want := range [][]byte{long, long, long[:100], []byte("short")} {
 			resp, got := n.do(n.request("read"))
