--- a/internal/handover/listeners.go
+++ b/internal/handover/listeners.go
@@ -114,20 +114,20 @@
 	}
 	names := strings.Fields(string(text[:textLen]))
 	listeners := map[string]net.Listener{}
-	for n, fd := range fds {
+	for index, fd := range fds {
 		f := os.NewFile(uintptr(fd), "listener")
 		ln, err := net.FileListener(f)
 		_ = f.Close() // net.FileListener has a descriptor of its own
-		if err != nil || n >= len(names) {
+		if err != nil || index >= len(names) {
 			for _, got := range listeners {
 				_ = got.Close() // accepting ends either way
 			}
-			for _, rest := range fds[n+1:] {
+			for _, rest := range fds[index+1:] {
 				_ = unix.Close(rest) // the descriptor is released even where this fails
 			}
 			return nil, errors.Join(errors.New("handover: received descriptor is not a listener"), err)
 		}
-		listeners[names[n]] = ln
+		listeners[names[index]] = ln
 	}
 	return listeners, nil
 }
@@ -140,11 +140,11 @@
 	}
 	var fds []int
 	for i := range messages {
-		got, err := unix.ParseUnixRights(&messages[i])
+		messageFDs, err := unix.ParseUnixRights(&messages[i])
 		if err != nil {
 			return nil, err
 		}
-		fds = slices.Concat(fds, got)
+		fds = slices.Concat(fds, messageFDs)
 	}
 	return fds, nil
 }
--- a/internal/operators/console.go
+++ b/internal/operators/console.go
@@ -58,19 +58,19 @@
 	// Metrics returns the counters, each as name=value.
 	Metrics(ctx context.Context) ([]string, error)
 	// SetEjected ejects a server, or ends its ejection, from its return on. A server that was never listed is an error.
-	SetEjected(ctx context.Context, id string, out bool) error
+	SetEjected(ctx context.Context, id string, eject bool) error
 	// Pause starts or ends a drain.
 	Pause(on bool)
 }
 
 // SidecarCalls returns the calls of the operators' pages for a sidecar.
 func SidecarCalls(s Sidecar) Calls {
-	setEjected := func(out bool) Call {
+	setEjected := func(eject bool) Call {
 		return func(ctx context.Context, id string) ([]string, error) {
 			if id == "" || strings.ContainsAny(id, " \t") {
 				return nil, errors.New("want the id of one server")
 			}
-			return nil, s.SetEjected(ctx, id, out)
+			return nil, s.SetEjected(ctx, id, eject)
 		}
 	}
 	setPaused := func(on bool) Call {
--- a/internal/operators/console_test.go
+++ b/internal/operators/console_test.go
@@ -35,11 +35,11 @@
 func (s *fakeSidecar) Metrics(context.Context) ([]string, error) {
 	return []string{"sidecar.current=1"}, nil
 }
-func (s *fakeSidecar) SetEjected(_ context.Context, id string, out bool) error {
+func (s *fakeSidecar) SetEjected(_ context.Context, id string, eject bool) error {
 	if id == "none" {
 		return errors.New("never\nlisted")
 	}
-	s.record(map[bool]string{true: "out ", false: "in "}[out] + id)
+	s.record(map[bool]string{true: "out ", false: "in "}[eject] + id)
 	return nil
 }
 func (s *fakeSidecar) Pause(on bool) { s.record(map[bool]string{true: "pause", false: "resume"}[on]) }
--- a/internal/sidecar/hotrestart_test.go
+++ b/internal/sidecar/hotrestart_test.go
@@ -178,7 +178,7 @@
 	p := startProcess(t, cfg, dir, "", discovery)
 	stop, addr := make(chan bool), p.addr
 	var clients sync.WaitGroup
-	failed := make(chan error, 100)
+	failures := make(chan error, 100)
 	for i := range 4 {
 		clients.Go(func() {
 			client := newClient(t)
@@ -199,7 +199,7 @@
 					}
 				}
 				if err != nil {
-					failed <- err
+					failures <- err
 					return
 				}
 			}
@@ -218,8 +218,8 @@
 	}
 	close(stop)
 	clients.Wait()
-	close(failed)
-	for err := range failed {
+	close(failures)
+	for err := range failures {
 		t.Error(err)
 	}
 }
--- a/internal/sidecar/msgpackrpc_test.go
+++ b/internal/sidecar/msgpackrpc_test.go
@@ -75,7 +75,7 @@
 }
 
 func (s *rpcServer) serve(c net.Conn, answer func(codec.Frame) (failure, result []byte)) {
-	var writing sync.Mutex
+	var writeMu sync.Mutex
 	for in := codec.NewReader(c, codec.Limits{}); ; {
 		f, err := in.Next()
 		if err != nil {
@@ -87,8 +87,8 @@
 		f.Method, f.Params = bytes.Clone(f.Method), bytes.Clone(f.Params)
 		go func() {
 			failure, result := answer(f)
-			writing.Lock()
-			defer writing.Unlock()
+			writeMu.Lock()
+			defer writeMu.Unlock()
 			_, _ = c.Write(codec.AppendResponse(nil, f.ID, failure, result))
 		}()
 	}
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -104,19 +104,19 @@
 		cfg := config(s)
 		cfg.maxDrain, cfg.responseMargin = testbed.Timeout, testbed.Timeout
 		n := startSidecar(t, cfg)
-		held, _ := n.sendPart(n.request("pay"), 0)
+		heldConn, _ := n.sendPart(n.request("pay"), 0)
 		testbed.Next(t, started)
 		expecting := n.request("pay")
 		expecting.Header.Set("Expect", "100-continue")
-		late, rest := n.sendPart(expecting, len("order 7"))
+		lateConn, rest := n.sendPart(expecting, len("order 7"))
 		const continueHead = "HTTP/1.1 100 Continue\r\n\r\n" // so that the front has the head
-		if _, err := io.ReadFull(late, make([]byte, len(continueHead))); err != nil {
+		if _, err := io.ReadFull(lateConn, make([]byte, len(continueHead))); err != nil {
 			t.Fatal(err)
 		}
 		n.stop()
-		readResponse(t, held)
-		_, _ = late.Write(rest.Bytes())
-		if resp := readResponse(t, late); resp.StatusCode != 503 {
+		readResponse(t, heldConn)
+		_, _ = lateConn.Write(rest.Bytes())
+		if resp := readResponse(t, lateConn); resp.StatusCode != 503 {
 			t.Errorf("answered %d", resp.StatusCode)
 		}
 		if requests, _, _ := s.Received(); len(requests) != 1 {
@@ -138,9 +138,9 @@
 // A long body that is still coming when the sidecar has to go gets an answer while it comes.
 func TestShutdownAnswersUploads(t *testing.T) {
 	bothFronts(t, func(t *testing.T, config func(...*testbed.ScriptedServer) *Config) {
-		began := make(chan bool, 1)
+		started := make(chan bool, 1)
 		addr := testbed.ServeHTTP(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-			began <- true
+			started <- true
 			_, _ = io.Copy(io.Discard, r.Body)
 		}))
 		cfg := withShortDrain(config())
@@ -149,8 +149,8 @@
 		req := n.request("pay")
 		stop := make(chan bool)
 		defer close(stop)
-		part := &slowBody{chunk: randomBody(20000), stop: stop}
-		req.Body, req.ContentLength = io.NopCloser(part), 8<<20
+		body := &slowBody{chunk: randomBody(20000), stop: stop}
+		req.Body, req.ContentLength = io.NopCloser(body), 8<<20
 		answered := make(chan string, 1)
 		go func() {
 			resp, err := n.client.Do(req)
@@ -161,7 +161,7 @@
 			_ = resp.Body.Close()
 			answered <- resp.Status
 		}()
-		testbed.Next(t, began)
+		testbed.Next(t, started)
 		n.stop()
 		if got := testbed.Next(t, answered); !strings.HasPrefix(got, "502") {
 			t.Errorf("answered %s", got)
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -75,7 +75,7 @@
 	// HandOver notifies the front that another process serves at the address. It is called before End.
 	HandOver()
 	// End answers all accepted requests within a time and closes all connections.
-	End(within time.Duration) error
+	End(timeout time.Duration) error
 }
 
 // serve assembles a sidecar, runs it until ctx ends or a front fails, and shuts it down in order.
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -174,7 +174,7 @@
 // has any of it is asked for again.
 func TestTruncatedResponsesFail(t *testing.T) {
 	bothFronts(t, func(t *testing.T, config func(...*testbed.ScriptedServer) *Config) {
-		cut := func(head string) testbed.Step {
+		cutResponse := func(head string) testbed.Step {
 			return func(c net.Conn) bool {
 				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n"+head+"\r\n\r\n")
 				_, _ = c.Write(randomBody(70 << 10))
@@ -182,7 +182,7 @@
 			}
 		}
 		for name, step := range map[string]testbed.Step{
-			"length": cut("Content-Length: 200000"), "chunks": cut("Transfer-Encoding: chunked\r\n\r\n20000"),
+			"length": cutResponse("Content-Length: 200000"), "chunks": cutResponse("Transfer-Encoding: chunked\r\n\r\n20000"),
 		} {
 			s := testbed.NewScriptedServer(t, step)
 			n := startSidecar(t, config(s))
@@ -195,11 +195,11 @@
 			}
 			_ = resp.Body.Close()
 		}
-		early := func(c net.Conn) bool {
+		cutEarly := func(c net.Conn) bool {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nplate")
 			return false
 		}
-		one, two := testbed.NewScriptedServer(t, early), testbed.NewScriptedServer(t, testbed.Respond(200, "whole"))
+		one, two := testbed.NewScriptedServer(t, cutEarly), testbed.NewScriptedServer(t, testbed.Respond(200, "whole"))
 		n := startSidecar(t, config(one, two))
 		for len(receivedRequests(one)) == 0 {
 			if resp, got := n.do(n.request("read")); resp.StatusCode != 200 || got != "whole" {
