--- a/internal/sidecar/bench_test.go
+++ b/internal/sidecar/bench_test.go
@@ -14,8 +14,8 @@
 	codec "firplank/msgpackrpc"
 )
 
-// BenchmarkRequests passes requests through a sidecar in this process, with a number in flight. Client and server are loops
-// that allocate nothing for a request, so that what is counted is the sidecar's.
+// BenchmarkRequests sends requests through a sidecar in this process, with a fixed number in flight. Client and server loops
+// allocate nothing per request, so that all counted allocations are the sidecar's.
 func BenchmarkRequests(b *testing.B) {
 	for _, n := range []int{1, 32, 256} {
 		b.Run(fmt.Sprintf("http/inflight=%d", n), func(b *testing.B) { benchmarkRequests(b, n, false) })
@@ -166,7 +166,7 @@
 			return
 		}
 		for in := bufio.NewReader(c); count < times; count++ {
-			for i := range 8 { // hexadecimal, without allocating
+			for i := range 8 { // in hexadecimal, without allocating
 				request[traceIDOffset+i] = "0123456789abcdef"[client>>(4*i)&15]
 				request[traceIDOffset+8+i] = "0123456789abcdef"[count>>(4*i)&15]
 			}
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -16,7 +16,7 @@
 		t.Fatal(err)
 	}
 	if cfg.Name != "n7" || cfg.Listen != "127.0.0.1:7" || cfg.Discovery != "127.0.0.1:8" {
-		t.Errorf("the environment does not go first: %q %q %q", cfg.Name, cfg.Listen, cfg.Discovery)
+		t.Errorf("the environment does not override the file: %q %q %q", cfg.Name, cfg.Listen, cfg.Discovery)
 	}
 	class, _ := cfg.catalog.Class("pay")
 	tenant, _ := cfg.catalog.Tenant("bolt")
@@ -25,7 +25,7 @@
 	}
 }
 
-// A bad configuration is one plain line, whatever is wrong with it.
+// Each kind of invalid configuration is rejected, with an error on one line.
 func TestRejectsInvalidConfig(t *testing.T) {
 	good, err := os.ReadFile("testdata/config.json")
 	if err != nil {
@@ -43,7 +43,7 @@
 		}
 		_, err := Load(func(name string) string { return map[string]string{"NODE_CONFIG": path}[name] })
 		if err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s for %s: %v", change[1], change[0], err)
+			t.Errorf("%s in place of %s: %v", change[1], change[0], err)
 		}
 	}
 	for _, path := range []string{"", "testdata/none.json"} {
--- a/internal/sidecar/connections_test.go
+++ b/internal/sidecar/connections_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// raw is a request of a class as it goes over the wire, with some more header lines before its end.
+// rawRequest returns the text of a request of a class as it is sent, with additional header lines.
 func (n *testSidecar) rawRequest(class string, headers ...string) string {
 	req := n.request(class)
 	var text strings.Builder
@@ -43,8 +43,8 @@
 	return text.String() + "\r\n"
 }
 
-// Connections that say nothing, or asked once and stay, must not take what others need, and those with an open
-// request are never the ones to go.
+// Idle connections, with no request yet or with one answered request, must not use up the limit of connections: they are
+// evicted for new clients. A connection with an open request is never evicted.
 func TestIdleClientsAreEvictedFirst(t *testing.T) {
 	started, release := make(chan bool, 1), make(chan bool)
 	s := testbed.NewScriptedServer(t, holdResponse(started, release), testbed.Respond(200, "served"))
@@ -60,7 +60,7 @@
 		n.send(idle, n.rawRequest("read"))
 		resp, err := http.ReadResponse(bufio.NewReader(idle), nil)
 		if err != nil || resp.StatusCode != 200 {
-			t.Fatalf("a client after many that stay: %v %v", resp, err)
+			t.Fatalf("a client beside many idle connections: %v %v", resp, err)
 		}
 		_, _ = io.Copy(io.Discard, resp.Body)
 	}
@@ -70,8 +70,8 @@
 	}
 }
 
-// Clients that ask once and keep their connections use up the application's own descriptors, long before those
-// of the sidecar are short. Only some are kept; the others end with their answer, as HTTP has it.
+// Clients that send one request and keep their connections use up the application's descriptors long before those of the
+// sidecar run short. Therefore only some connections stay open; others are closed after the response, as HTTP allows.
 func TestLimitsIdleClientConnections(t *testing.T) {
 	s := testbed.NewScriptedServer(t, testbed.Respond(200, "served"))
 	cfg := testConfig(t, readyMember("s-1", s.Addr))
@@ -95,7 +95,7 @@
 	}
 }
 
-// Clients that send a little now and then must not hold every place: of requests on their way the slowest goes.
+// Clients that send requests slowly must not use up the limit of connections: the slowest incomplete request is evicted.
 func TestSlowestRequestsAreEvicted(t *testing.T) {
 	s := testbed.NewScriptedServer(t, testbed.Respond(200, "served"))
 	cfg := testConfig(t, readyMember("s-1", s.Addr))
@@ -111,7 +111,7 @@
 	}
 }
 
-// Whoever stops in the middle is owed an answer or a close within 3 s, and so is who says nothing at all.
+// A client that stops in the middle of a request, or sends nothing, gets an answer or a close within 3 s.
 func TestStalledClientsTimeOut(t *testing.T) {
 	s := testbed.NewScriptedServer(t, testbed.Respond(200, "served"))
 	n := startSidecar(t, testConfig(t, readyMember("s-1", s.Addr)))
@@ -130,19 +130,19 @@
 				t.Errorf("got %q, %v", got, err)
 			}
 			if took := time.Since(start); took < 2*time.Second || took > testbed.Timeout/2 {
-				t.Errorf("let go after %v", took)
+				t.Errorf("closed after %v", took)
 			}
 		})
 	}
 	t.Cleanup(func() {
 		if got := receivedRequests(s); len(got) != 0 {
-			t.Errorf("%d of them went on", len(got))
+			t.Errorf("%d of them were forwarded", len(got))
 		}
 	})
 }
 
-// A request must reach a server neither with two lengths nor when it stood inside the body of another, and what
-// has more behind it than it announced is not the request that it seems.
+// Guards against request smuggling: a request with two lengths, with more data than its announced length, or inside the body
+// of another request must not be forwarded to a server.
 func TestRejectsRequestSmuggling(t *testing.T) {
 	s := testbed.NewScriptedServer(t, testbed.Respond(200, "served"))
 	n := startSidecar(t, testConfig(t, readyMember("s-1", s.Addr)))
@@ -162,11 +162,11 @@
 		}
 	}
 	if got := receivedRequests(s); len(got) != 0 {
-		t.Errorf("%d of them went on", len(got))
+		t.Errorf("%d of them were forwarded", len(got))
 	}
 }
 
-// A second request under the id of an open one is turned away, and the first gets its own answer.
+// A second request with the id of an open one is rejected, and the first gets its own response.
 func TestRejectsIDOfOpenRequest(t *testing.T) {
 	started, release := make(chan bool, 1), make(chan bool)
 	s := testbed.NewScriptedServer(t, holdResponse(started, release), testbed.Respond(200, "again"))
@@ -185,10 +185,10 @@
 		t.Fatalf("the first got %v, %v", resp, err)
 	}
 	if body, _ := io.ReadAll(resp.Body); string(body) != "held" {
-		t.Errorf("the first was served with %q", body)
+		t.Errorf("the first got the body %q", body)
 	}
-	n.send(first, text) // it is over: the id says no more
+	n.send(first, text) // the first has ended, so its id can be used again
 	if resp, err := http.ReadResponse(bufio.NewReader(first), nil); err != nil || resp.StatusCode != 200 {
-		t.Errorf("after the first: %v, %v", resp, err)
+		t.Errorf("same id after the first ended: %v, %v", resp, err)
 	}
 }
--- a/internal/sidecar/connshare_test.go
+++ b/internal/sidecar/connshare_test.go
@@ -9,12 +9,12 @@
 		draining, othersDraining bool
 		want                     int
 	}{
-		{"half of what is free", 20, 30, false, false, 45},
-		{"all that is free where the others drain", 20, 30, false, true, 70},
-		{"nothing more while draining", 20, 30, true, false, 20},
-		{"nothing more while both drain", 20, 30, true, true, 20},
-		{"the minimum while the others hold all", 0, 100, false, false, minConnections},
-		{"its own while more are open than there are", 60, 60, false, true, 60},
+		{"half of the free ones", 20, 30, false, false, 45},
+		{"all free ones while the other drains", 20, 30, false, true, 70},
+		{"no free ones while draining", 20, 30, true, false, 20},
+		{"no free ones while both drain", 20, 30, true, true, 20},
+		{"the minimum while the other holds all", 0, 100, false, false, minConnections},
+		{"its own while more are open than the total", 60, 60, false, true, 60},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := connectionShare(100, c.own, c.others, c.draining, c.othersDraining); got != c.want {
--- a/internal/sidecar/contracts_test.go
+++ b/internal/sidecar/contracts_test.go
@@ -28,7 +28,8 @@
 name = "read"
 `
 
-// withContracts puts contracts into a configuration, all of every budget, and returns what rewrites them.
+// withContracts adds contracts to a configuration, with the full share of each budget. It returns a function that replaces
+// their file.
 func withContracts(t *testing.T, cfg *Config, text string) (rewrite func(text string)) {
 	t.Helper()
 	dir := t.TempDir()
@@ -52,34 +53,34 @@
 	return rewrite
 }
 
-// Beyond its budget a team is told 429 and when to come back, at once; what is not in its contract is 403. Neither reaches
-// a server. MessagePack-RPC says the same.
+// A request beyond its team's budget is answered with 429 and Retry-After, and one that no contract covers with 403. Neither
+// is forwarded to a server. MessagePack-RPC returns the equivalent error.
 func TestContractRejections(t *testing.T) {
 	s := testbed.NewScriptedServer(t, testbed.Respond(200, "ok"))
 	cfg := rpcConfig(t, false, readyMember("s-1", s.Addr))
 	withContracts(t, cfg, acmeContract)
 	n := startSidecar(t, cfg)
 	if resp, body := n.do(n.request("reserve")); resp.StatusCode != 200 {
-		t.Fatalf("within: %d %q", resp.StatusCode, body)
+		t.Fatalf("within the budget: %d %q", resp.StatusCode, body)
 	}
 	req := n.request("reserve")
 	req.Header.Set("Idempotency-Key", "other")
 	resp, body := n.do(req)
 	if resp.StatusCode != 429 || !strings.HasPrefix(resp.Header.Get("Retry-After"), "0.3") || !strings.Contains(body, "over_budget") {
-		t.Errorf("beyond: %d, Retry-After %q, %q", resp.StatusCode, resp.Header.Get("Retry-After"), body)
+		t.Errorf("beyond the budget: %d, Retry-After %q, %q", resp.StatusCode, resp.Header.Get("Retry-After"), body)
 	}
 	if resp, body := n.do(n.request("pay")); resp.StatusCode != 403 || !strings.Contains(body, "no_class") {
-		t.Errorf("not in the contract: %d %q", resp.StatusCode, body)
+		t.Errorf("class not in the contract: %d %q", resp.StatusCode, body)
 	}
 	bolt := n.request("read")
 	bolt.Header.Set("X-Customer", "bolt")
 	if resp, body := n.do(bolt); resp.StatusCode != 403 || !strings.Contains(body, "no_team") {
-		t.Errorf("nobody's: %d %q", resp.StatusCode, body)
+		t.Errorf("tenant without a team: %d %q", resp.StatusCode, body)
 	}
 	token := n.request("read")
 	token.Header.Set("Authorization", "Bearer guess")
 	if resp, _ := n.do(token); resp.StatusCode != 403 {
-		t.Errorf("a wrong token: %d", resp.StatusCode)
+		t.Errorf("invalid token: %d", resp.StatusCode)
 	}
 	c, in := n.dialRPC()
 	_, _ = c.Write(codec.AppendRequest(nil, 1, "plate.reserve", []byte("\x92\xa3k-9\xa3t-1")))
@@ -92,8 +93,8 @@
 	}
 }
 
-// Contracts change ten times a second with requests in flight, and at last their team is gone: each gets its own answer,
-// the new terms hold for the next request, and a bad file changes nothing.
+// Contracts are reloaded ten times a second with requests in flight, and finally without their team: each request in flight
+// gets its own response, new contracts apply to the next request, and an invalid file changes nothing.
 func TestContractReloadKeepsRequestsInFlight(t *testing.T) {
 	started, release := make(chan bool, 100), make(chan bool)
 	s := testbed.NewScriptedServer(t, holdResponse(started, release))
@@ -127,26 +128,26 @@
 			reload(generous)
 		}
 	}
-	reload("[[team]]\nname = 7\n") // the old one stays
+	reload("[[team]]\nname = 7\n") // invalid: the present contracts are kept
 	reload(strings.Replace(acmeContract, "acme", "bolt", 2))
-	testbed.Until(t, "its team is gone", func() bool {
+	testbed.Until(t, "the team is removed", func() bool {
 		resp, _ := n.do(n.request("read"))
 		return resp.StatusCode == 403
 	})
 	close(release)
 	for range 5 {
 		if status := testbed.Next(t, statuses); status != 200 {
-			t.Errorf("one in flight was answered %d", status)
+			t.Errorf("a request in flight was answered %d", status)
 		}
 	}
 	reload(acmeContract)
-	testbed.Until(t, "it is back", func() bool {
+	testbed.Until(t, "the team is added again", func() bool {
 		resp, _ := n.do(n.request("read"))
 		return resp.StatusCode == 200
 	})
 }
 
-// Operators see every team's account, on an address of their own.
+// The operators' page /broker has the counts of each team, on the address of the operators' pages.
 func TestBrokerPage(t *testing.T) {
 	s := testbed.NewScriptedServer(t, testbed.Respond(200, "ok"))
 	cfg := testConfig(t, readyMember("s-1", s.Addr))
--- a/internal/sidecar/helpers_test.go
+++ b/internal/sidecar/helpers_test.go
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	cfg.Known.Members, cfg.acceptGrace, cfg.reuseDelay = servers, 0, 0
-	cfg.checkPoller = func() error { return nil } // looked for by a test of its own; it costs a busy machine some of the start
+	cfg.checkPoller = func() error { return nil } // tested by TestServesWithoutPoller; the real check delays the start on a busy machine
 	return cfg
 }
 
@@ -37,14 +37,14 @@
 	return roster.Member{ID: id, HostPort: addr, Locality: "room-1", Flavor: "small", Cell: 1, Phase: "ready", Size: 1}
 }
 
-// node is a sidecar under test.
+// testSidecar is a running sidecar under test.
 type testSidecar struct {
 	t         *testing.T
 	addr      string
-	pagesAddr string // of the operators' pages, where there are contracts
-	rpcAddr   string // of MessagePack-RPC, where that is on
+	pagesAddr string // of the operators' pages, if there are contracts
+	rpcAddr   string // of MessagePack-RPC, if that is enabled
 	roster    *testbed.DiscoveryServer
-	stop      context.CancelFunc // as SIGTERM does
+	stop      context.CancelFunc // has the effect of SIGTERM
 	done      chan error
 	client    *http.Client
 
@@ -79,7 +79,7 @@
 	return n
 }
 
-// endsWell ends a sidecar and waits for it.
+// stopAndWait shuts a sidecar down and waits until it has ended without an error.
 func stopAndWait(t *testing.T, stop context.CancelFunc, done <-chan error) {
 	t.Helper()
 	stop()
@@ -89,13 +89,13 @@
 			t.Errorf("the sidecar ended with %v", err)
 		}
 	case <-time.After(testbed.Timeout):
-		t.Error("the sidecar does not end")
+		t.Error("the sidecar has not ended")
 	}
 }
 
 var lastTraceID atomic.Int64
 
-// request makes a request of a class, with the headers that it wants.
+// request returns a request of a class, with the headers that the class requires.
 func (n *testSidecar) request(class string) *http.Request {
 	method := http.MethodPost
 	var body io.Reader = strings.NewReader("order 7")
--- a/internal/sidecar/hotrestart_test.go
+++ b/internal/sidecar/hotrestart_test.go
@@ -20,7 +20,7 @@
 	"firplank/internal/testbed"
 )
 
-// process is a sidecar as Run starts it, with calls for operators and a folder that others may share.
+// process is a sidecar as started by Run, with an operators' console and a directory that other processes may share.
 type process struct {
 	t           *testing.T
 	addr        string
@@ -29,7 +29,7 @@
 	done        chan error
 }
 
-// startProcess starts one that listens at addr; empty: at an address of its own.
+// startProcess starts a process that listens on addr or, if that is empty, on a new address.
 func startProcess(t *testing.T, cfg *Config, dir, addr string, discovery *testbed.DiscoveryServer) *process {
 	t.Helper()
 	cfg.Discovery = discovery.Addr
@@ -91,11 +91,11 @@
 			return n
 		}
 	}
-	p.t.Fatalf("no figure %s", name)
+	p.t.Fatalf("no metric %s", name)
 	return 0
 }
 
-// get makes a request on a client of its own.
+// get sends a request with client and returns the body or, unless the status is 200, the status.
 func (p *process) get(client *http.Client) string {
 	p.t.Helper()
 	n := testSidecar{t: p.t, addr: p.addr, client: client}
@@ -118,7 +118,8 @@
 	return testConfig(t, list.Members...), list
 }
 
-// A server that is out by hand gets nothing, whatever the list says and whichever process serves, until it is put back.
+// A manually ejected server receives no requests until it is restored, even after discovery lists it again and after a hot
+// restart.
 func TestManuallyEjectedServersReceiveNothing(t *testing.T) {
 	cfg, list := twoServers(t)
 	dir := filepath.Join(t.TempDir(), "shared")
@@ -133,7 +134,7 @@
 		}
 	}
 	if got := p.call("SUSPEND s-9"); !strings.HasPrefix(got, "-ERR ") {
-		t.Errorf("one that was never listed: %q", got)
+		t.Errorf("a server that was never listed: %q", got)
 	}
 	for range 2 {
 		if got := p.call("SUSPEND s-1"); got != "+OK" {
@@ -156,21 +157,21 @@
 	next, _ := twoServers(t)
 	next.Known = cfg.Known
 	q := startProcess(t, next, dir, p.addr, discovery)
-	testbed.Next(t, discovery.Queries) // it wants a whole list first
+	testbed.Next(t, discovery.Queries) // the second process requests a complete list first
 	list.Revision = 45
 	discovery.Responses <- list
 	testbed.Until(t, "the second process serves", func() bool { return q.call("STATUS") == "+OK" })
 	p.stop()
-	p.done <- testbed.Next(t, p.done) // for the clean-up
+	p.done <- testbed.Next(t, p.done) // for the cleanup
 	client.CloseIdleConnections()
-	wantServedBy(q, "after an upgrade", "two")
+	wantServedBy(q, "after a hot restart", "two")
 	if got := q.call("RESTORE s-1"); got != "+OK" {
 		t.Fatalf("answered %q", got)
 	}
-	testbed.Until(t, "it serves again", func() bool { return q.get(client) == "one" })
+	testbed.Until(t, "the restored server serves again", func() bool { return q.get(client) == "one" })
 }
 
-// While one process follows the other no request runs into a closed door, on kept connections or new ones.
+// No request fails while one process replaces the other, whether clients reuse connections or open new ones.
 func TestHotRestartLosesNoRequests(t *testing.T) {
 	cfg, list := twoServers(t)
 	dir := t.TempDir()
@@ -210,7 +211,7 @@
 		next.Known = cfg.Known
 		q := startProcess(t, next, dir, addr, discovery)
 		list.Revision += int64(i) + 1
-		discovery.Responses <- list // to whichever asks: the first has all of it
+		discovery.Responses <- list // for either process: the first has this list already
 		testbed.Until(t, "the next process serves", func() bool { return q.call("STATUS") == "+OK" })
 		p.stop()
 		p.done <- testbed.Next(t, p.done)
@@ -224,7 +225,8 @@
 	}
 }
 
-// Told to send clients away, the sidecar says so, serves what comes, keeps no connection, and takes clients again.
+// PAUSE drains the sidecar: the health check fails, requests are still served, idle connections are closed and each response
+// closes its connection. RESUME ends the drain.
 func TestPauseAndResume(t *testing.T) {
 	bothFronts(t, func(t *testing.T, config func(...*testbed.ScriptedServer) *Config) {
 		s := testbed.NewScriptedServer(t, testbed.Respond(200, "one"))
@@ -261,7 +263,7 @@
 		}
 		n := testSidecar{t: t, addr: p.addr, client: client}
 		if resp, body := n.do(n.request("read")); body != "one" || !resp.Close {
-			t.Errorf("a request: %q, closing: %v", body, resp.Close)
+			t.Errorf("request while paused: %q, closing: %v", body, resp.Close)
 		}
 		_ = idle.SetReadDeadline(time.Now().Add(testbed.Timeout))
 		if _, err := in.ReadByte(); err != io.EOF {
@@ -273,7 +275,7 @@
 	})
 }
 
-// The figures agree with what clients saw, to the request.
+// The metrics match the responses that clients received exactly.
 func TestMetricsMatchResponses(t *testing.T) {
 	s := testbed.NewScriptedServer(t, testbed.Respond(200, "one"), testbed.Respond(500, ""), testbed.Respond(503, "", "X-Never-Ran: 1"))
 	p := startProcess(t, testConfig(t, readyMember("s-1", s.Addr)), t.TempDir(), "", testbed.NewDiscoveryServer(t))
@@ -293,6 +295,6 @@
 		}
 	}
 	if got, _, _ := s.Received(); p.metric("sends") != len(got) {
-		t.Errorf("%d sends, the server has seen %d", p.metric("sends"), len(got))
+		t.Errorf("%d sends, the server received %d", p.metric("sends"), len(got))
 	}
 }
--- a/internal/sidecar/msgpackrpc_test.go
+++ b/internal/sidecar/msgpackrpc_test.go
@@ -15,7 +15,7 @@
 	codec "firplank/msgpackrpc"
 )
 
-// rpcConfig is the tests' configuration with MessagePack-RPC for clients and, if wanted, for all servers.
+// rpcConfig returns the test configuration with MessagePack-RPC for clients and, if servers is set, for all servers.
 func rpcConfig(t *testing.T, servers bool, known ...roster.Member) *Config {
 	t.Helper()
 	cfg := testConfig(t, known...)
@@ -49,7 +49,7 @@
 	return cfg
 }
 
-// rpcServer is a server that answers each request with what its test says, on a goroutine of its own.
+// rpcServer is a server that answers each request with the result of a function, on a separate goroutine.
 type rpcServer struct {
 	addr string
 
@@ -111,7 +111,7 @@
 	return c, codec.NewReader(c, codec.Limits{})
 }
 
-// requests are so many of them for lookups, with ids from first on.
+// lookupRequests returns count encoded lookup requests, with ids from first on.
 func lookupRequests(count, first uint32, params func(id uint32) []byte) []byte {
 	var all []byte
 	for id := first; id < first+count; id++ {
@@ -120,8 +120,8 @@
 	return all
 }
 
-// A client pipelines 500 requests on one connection while a server drains partway through. After the grace nothing new
-// reaches that one, what it holds is still answered, and every id is answered once.
+// A client pipelines 500 requests on one connection while a server starts draining. After the grace period no new request
+// reaches that server, its requests in flight are still answered, and each id is answered exactly once.
 func TestDrainAnswersPipelinedRequests(t *testing.T) {
 	release := make(chan struct{})
 	draining := newRPCServer(t, func(codec.Frame) ([]byte, []byte) { <-release; return nil, []byte{1} })
@@ -131,7 +131,7 @@
 	c, in := n.dialRPC()
 	testbed.Next(t, n.roster.Queries)
 	_, _ = c.Write(lookupRequests(250, 0, func(id uint32) []byte { return []byte{0x91, 0xcd, 1, byte(id)} }))
-	testbed.Until(t, "the draining one holds some", func() bool { return len(draining.arrivalTimes()) >= 10 })
+	testbed.Until(t, "the draining server has requests in flight", func() bool { return len(draining.arrivalTimes()) >= 10 })
 	a.Phase = "draining"
 	n.roster.Responses <- roster.List{Revision: 42, Members: []roster.Member{a}}
 	drainTime := time.Now()
@@ -151,7 +151,7 @@
 			}
 		}
 	}
-	time.Sleep(300 * time.Millisecond) // more than the grace: whatever is still to reach it has done so
+	time.Sleep(300 * time.Millisecond) // longer than the grace period, so that no further request is on its way to it
 	receivedBefore := len(draining.arrivalTimes())
 	close(release)
 	readResponses(500)
@@ -162,15 +162,16 @@
 	}
 	for _, at := range draining.arrivalTimes() {
 		if delay := at.Sub(drainTime); delay > 250*time.Millisecond {
-			t.Errorf("a request reached the draining server %v after the news", delay)
+			t.Errorf("a request reached the draining server %v after it was listed as draining", delay)
 		}
 	}
 	if responsesByServer[1] == 0 || responsesByServer[2] < 250 || receivedBefore != len(draining.arrivalTimes()) {
-		t.Errorf("%d answers of the draining one, which got %d, and %d of the other", responsesByServer[1], receivedBefore, responsesByServer[2])
+		t.Errorf("%d responses of the draining server, which received %d requests, and %d of the other",
+			responsesByServer[1], receivedBefore, responsesByServer[2])
 	}
 }
 
-// A request and its answer cross between the protocols, both ways.
+// Requests and responses are translated between HTTP and MessagePack-RPC, in both directions.
 func TestTranslatesBetweenProtocols(t *testing.T) {
 	t.Run("RPC to HTTP", func(t *testing.T) {
 		s := testbed.NewScriptedServer(t, testbed.Respond(200, "\x91\x07", "Content-Type: application/msgpack"), testbed.Respond(200, "plate 7"))
@@ -187,7 +188,7 @@
 		h := requests[0].Header
 		if h.Get("X-Trace-Id") != "t-1" || h.Get("Idempotency-Key") != "k-1" || h.Get("X-Qos") != "reserve" || h.Get("X-Expires-In") == "" ||
 			h.Get("Content-Type") != "application/msgpack" || requests[0].Method != "POST" || requests[0].RequestURI != "/api/plate.reserve" {
-			t.Errorf("the server saw %s %s %v", requests[0].Method, requests[0].RequestURI, h)
+			t.Errorf("the server received %s %s %v", requests[0].Method, requests[0].RequestURI, h)
 		}
 		if bodies[0] != "\x92\xa3k-1\xa3t-1" {
 			t.Errorf("body %q", bodies[0])
@@ -206,19 +207,20 @@
 			t.Errorf("answered %d %q %v", resp.StatusCode, body, resp.Header)
 		}
 		if f := testbed.Next(t, got); string(f.Method) != "plate.lookup" || string(f.Params) != "\x91\x05" {
-			t.Errorf("the server saw %q % x", f.Method, f.Params)
+			t.Errorf("the server received %q % x", f.Method, f.Params)
 		}
 		plain := n.request("pay")
 		if resp, _ := n.do(plain); resp.StatusCode != 200 {
-			t.Errorf("a body of another kind: %d", resp.StatusCode)
+			t.Errorf("body of another content type: %d", resp.StatusCode)
 		}
 		if f := testbed.Next(t, got); string(f.Params) != "\x91\xc4\x07order 7" {
-			t.Errorf("the server saw % x", f.Params)
+			t.Errorf("the server received % x", f.Params)
 		}
 	})
 }
 
-// A server's word that it never ran lets even a request go elsewhere that must not run twice; another error does not.
+// If a server reports that a request never ran, the request is retried at another server even if it is not idempotent. Other
+// errors do not permit that.
 func TestRetriesRequestThatNeverRan(t *testing.T) {
 	busy := newRPCServer(t, func(codec.Frame) ([]byte, []byte) { return []byte("\x81\xa4code\xa4busy"), nil })
 	healthy := newRPCServer(t, func(codec.Frame) ([]byte, []byte) { return nil, []byte{7} })
@@ -231,10 +233,10 @@
 			return
 		}
 	}
-	t.Error("the busy one was never tried")
+	t.Error("no request was sent to the busy server")
 }
 
-// A peer on the wrong port gets an answer or a close in its own protocol's sense, at once.
+// A MessagePack-RPC client on the HTTP port gets an HTTP error immediately.
 func TestRPCOnHTTPPort(t *testing.T) {
 	n := startSidecar(t, rpcConfig(t, false, readyMember("s-1", "127.0.0.1:9")))
 	c := n.dial()
@@ -245,7 +247,7 @@
 	}
 }
 
-// The table of methods is checked against the settings at load, and the error names the key.
+// The method table is validated against the settings when it is loaded, and the error names the option.
 func TestRejectsInvalidRPCOptions(t *testing.T) {
 	cfg := testConfig(t)
 	for text, want := range map[string]string{
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -12,7 +12,7 @@
 	"firplank/internal/testbed"
 )
 
-// configFile is a copy of the tests' configuration that can be replaced.
+// configFile is a copy of the test configuration that a test can change.
 type configFile struct {
 	t          *testing.T
 	path, text string
@@ -36,7 +36,7 @@
 	}
 }
 
-// name puts another address of discovery into the file.
+// setDiscovery writes the file with another address of discovery.
 func (f *configFile) setDiscovery(addr string) {
 	f.t.Helper()
 	oldText, newText := []byte(`"discovery": "127.0.0.1:9"`), []byte(`"discovery": "`+addr+`"`)
@@ -57,28 +57,28 @@
 	return cfg
 }
 
-// A new file goes before the environment, or a moved discovery would never be heard.
+// A reloaded file overrides the environment; otherwise a changed address of discovery would have no effect.
 func TestReloadPrefersFileOverEnvironment(t *testing.T) {
 	f := newConfigFile(t)
 	cfg := f.load(map[string]string{"NODE_DISCOVERY": "127.0.0.1:1"})
 	if cfg.Discovery != "127.0.0.1:1" {
-		t.Errorf("starts with %s", cfg.Discovery)
+		t.Errorf("discovery at the start: %s", cfg.Discovery)
 	}
 	f.setDiscovery("127.0.0.1:2")
 	for range 2 {
 		next, err := cfg.rereadFile()
 		if err != nil || next.Discovery != "127.0.0.1:2" {
-			t.Fatalf("goes on with %v, %v", next, err)
+			t.Fatalf("after the change: %v, %v", next, err)
 		}
 	}
 	f.write("{")
 	if _, err := cfg.rereadFile(); err == nil {
-		t.Error("took what is no configuration")
+		t.Error("an invalid file was accepted")
 	}
 }
 
-// SIGHUP moves the sidecar to another discovery: the watch at the old one is cut, the whole list of the new one
-// holds, and a file that cannot be used changes nothing.
+// SIGHUP switches the sidecar to another discovery address: the watch at the old address is cancelled, the complete list of the
+// new one applies, and an invalid file changes nothing.
 func TestReloadMovesDiscovery(t *testing.T) {
 	one, two := testbed.NewScriptedServer(t, testbed.Respond(200, "one")), testbed.NewScriptedServer(t, testbed.Respond(200, "two"))
 	f := newConfigFile(t)
@@ -89,11 +89,11 @@
 	f.write("{")
 	n.reloads <- syscall.SIGHUP
 	if _, body := n.do(n.request("read")); body != "one" {
-		t.Errorf("after a bad file: served by %q", body)
+		t.Errorf("after an invalid file: served by %q", body)
 	}
 	other := testbed.NewDiscoveryServer(t)
 	f.setDiscovery(other.Addr)
-	n.reloads <- syscall.SIGHUP // taken only after the bad file was
+	n.reloads <- syscall.SIGHUP // received only after the invalid file was read
 	if got := testbed.Next(t, other.Queries); got != "" {
 		t.Errorf("first call at the new address: %q", got)
 	}
@@ -108,5 +108,5 @@
 		}
 	}
 	n.stop()
-	n.reloads <- syscall.SIGHUP // harmless
+	n.reloads <- syscall.SIGHUP // has no effect during shutdown
 }
--- a/internal/sidecar/reporting_test.go
+++ b/internal/sidecar/reporting_test.go
@@ -18,7 +18,7 @@
 	"firplank/lab/receiver"
 )
 
-// receivers are stand-ins for all that can be reported to.
+// testReceivers holds a stand-in for each kind of receiver of reports.
 type testReceivers struct {
 	plain, pickled *receiver.Carbon
 	network        *receiver.Network
@@ -45,7 +45,7 @@
 	return r
 }
 
-// reportTo gives a sidecar options in words.
+// setOptions sets a configuration's options from their TOML text, with a password for collectd.
 func setOptions(t *testing.T, cfg *Config, text string) *Config {
 	t.Helper()
 	o, err := options.Parse("test.toml", []byte(text))
@@ -57,7 +57,7 @@
 	return cfg
 }
 
-// outage is how long receivers are away: FIRPLANK_OUTAGE, or some intervals.
+// outageDuration returns how long receivers are unavailable: FIRPLANK_OUTAGE, or a few intervals by default.
 func outageDuration(t *testing.T) time.Duration {
 	text := os.Getenv("FIRPLANK_OUTAGE")
 	if text == "" {
@@ -72,10 +72,10 @@
 
 const graphiteOptions = "[graphite]\ninterval_s = 1\nprefix = \"f\"\naddress = %q\nprotocol = %q\n"
 
-// ends counts how requests ended, by class: served, refused and failed.
+// outcomeCounts counts requests by class for each outcome: served, rejected and failed.
 type outcomeCounts [3]map[string]int64
 
-// loadOf sends requests of three classes until it is stopped, which returns how they ended.
+// startLoad sends requests of the given classes until stop is called, which returns their outcomes.
 func (n *testSidecar) startLoad(classes ...string) (stop func() outcomeCounts) {
 	var counted outcomeCounts
 	for i := range counted {
@@ -93,7 +93,7 @@
 				case <-time.After(time.Duration(3+i) * time.Millisecond):
 				}
 				req := n.request(class)
-				req.Header.Set("X-Expires-In", "300m") // or one that no server takes would wait for long
+				req.Header.Set("X-Expires-In", "300m") // otherwise a request that every server rejects would wait until its long deadline
 				resp, _ := n.do(req)
 				outcome := 2
 				switch resp.StatusCode {
@@ -115,16 +115,16 @@
 	}
 }
 
-// breakOff stops the receivers of a sidecar, starts them after an outage, and breaks the carbon's connection once more.
+// interrupt stops the receivers of a sidecar, starts them again after an outage, and resets the connection to carbon once more.
 func (r *testReceivers) interrupt(t *testing.T, carbon *receiver.Carbon, socket bool) {
 	t.Helper()
-	testbed.Until(t, "an interval has come", func() bool { return carbon.Last("f.reporting.graphite.intervals.total") >= 1 })
+	testbed.Until(t, "an interval was received", func() bool { return carbon.Last("f.reporting.graphite.intervals.total") >= 1 })
 	carbon.Stop()
 	if socket {
 		r.socket.Stop()
 	}
 	time.Sleep(outageDuration(t))
-	carbon.ResetAfter(700) // once more, in the middle of a line
+	carbon.ResetAfter(700) // one more reset, in the middle of a line
 	if err := carbon.Start(); err != nil {
 		t.Error(err)
 	}
@@ -134,12 +134,12 @@
 			t.Error(err)
 		}
 	}
-	testbed.Until(t, "the receiver has heard of two breaks", func() bool {
+	testbed.Until(t, "two breaks were reported to the receiver", func() bool {
 		return carbon.Last("f.reporting.graphite.breaks.total") >= 2 || t.Failed()
 	})
 }
 
-// agreeOverNetwork waits until collectd's network plugin has the totals.
+// waitForNetworkTotals waits until collectd's network plugin has received the totals.
 func (r *testReceivers) waitForNetworkTotals(t *testing.T, counted outcomeCounts) {
 	t.Helper()
 	for i, index := range []int{1, 3, 4} {
@@ -153,14 +153,15 @@
 	}
 }
 
-// agree waits until carbon, and collectd's socket where that is used, have the totals and the sums of the intervals.
+// waitForTotals waits until carbon and, if socket is set, collectd's Unix socket have received the totals and intervals whose
+// sums are equal to them.
 func (r *testReceivers) waitForTotals(t *testing.T, carbon *receiver.Carbon, socket bool, counted outcomeCounts) {
 	t.Helper()
 	for i, field := range []string{"served", "refused", "failed"} {
 		index := map[string]int{"served": 1, "refused": 3, "failed": 4}[field]
 		for class, want := range counted[i] {
 			path := "f.requests." + class + "." + field
-			// What was written last may yet be on its way.
+			// The receiver may not have read the last report yet.
 			testbed.Until(t, fmt.Sprintf("%s comes to %d in totals and in intervals", path, want), func() bool {
 				return int64(carbon.Last(path+".total")) == want && int64(carbon.Sum(path+".count")) == want
 			})
@@ -174,12 +175,12 @@
 		t.Error(bad)
 	}
 	if _, other := carbon.Overwritten(); other > 0 {
-		t.Errorf("%d points were told twice with different values", other)
+		t.Errorf("%d points were sent twice with different values", other)
 	}
 }
 
-// While receivers stop and come back, and a third of the packets to collectd's network plugin gets lost, load goes on. In the
-// end all totals agree to the request with what the clients counted, and so do the sums of the intervals.
+// Receivers stop and restart under load, and a third of the packets to collectd's network plugin is lost. In the end all totals
+// and the sums of the intervals are exactly equal to the clients' counts.
 func TestTotalsAgreeAfterReceiverOutages(t *testing.T) {
 	r := startReceivers(t)
 	var requests atomic.Int64
@@ -209,9 +210,9 @@
 			r.interrupt(t, carbon, socket)
 			counted := stop()
 			if len(counted[0]) != 3 || len(counted[1]) == 0 || len(counted[2]) == 0 {
-				t.Errorf("not all ends occurred: %v", counted)
+				t.Errorf("not all outcomes occurred: %v", counted)
 			}
-			if !socket { // whatever was lost, a later total tells it: the sidecar goes on
+			if !socket { // lost packets are made up for by later totals, so the sidecar must still run
 				r.waitForNetworkTotals(t, counted)
 			}
 			n.stop()
@@ -221,7 +222,8 @@
 	}
 }
 
-// A receiver that takes connections and never reads, or stops in the middle of a line, holds nothing up but itself.
+// A receiver that accepts connections and never reads, or stops reading in the middle of a line, delays neither requests nor
+// reports to other receivers.
 func TestStalledReceiverDelaysNoRequests(t *testing.T) {
 	for name, stall := range map[string]func(*receiver.Carbon){
 		"at once": func(c *receiver.Carbon) { c.Stall(true) }, "in a line": func(c *receiver.Carbon) { c.StallAfter(300) },
@@ -254,13 +256,13 @@
 			slow.Add(1)
 		}
 	}
-	testbed.Until(t, "collectd is told all the same", func() bool { return socket.Last("h/firplank-read/firplank_requests", 1) == 200 })
+	testbed.Until(t, "collectd has received the total", func() bool { return socket.Last("h/firplank-read/firplank_requests", 1) == 200 })
 	if slow.Load() > 0 {
 		t.Errorf("%d requests took more than a second", slow.Load())
 	}
 }
 
-// Told to end, a sidecar sends the interval that is open, though it is not over for a long time.
+// During shutdown the sidecar sends the open interval, although it would end much later.
 func TestShutdownSendsOpenInterval(t *testing.T) {
 	carbon, err := receiver.NewCarbon(true)
 	if err != nil {
@@ -275,5 +277,5 @@
 	}
 	n.stop()
 	n.done <- testbed.Next(t, n.done)
-	testbed.Until(t, "the last interval tells of all requests", func() bool { return carbon.Last("f.requests.read.served.total") == 7 })
+	testbed.Until(t, "the last interval has all requests", func() bool { return carbon.Last("f.requests.read.served.total") == 7 })
 }
--- a/internal/sidecar/serve_test.go
+++ b/internal/sidecar/serve_test.go
@@ -38,22 +38,23 @@
 	}
 	for i, r := range requests {
 		if r.RequestURI != "/api?item=a%2Fb" || r.Header.Get("X-Trace-Id") != ids[i] {
-			t.Errorf("went on as %s with id %q", r.RequestURI, r.Header.Get("X-Trace-Id"))
+			t.Errorf("forwarded as %s with id %q", r.RequestURI, r.Header.Get("X-Trace-Id"))
 		}
 		remaining, err := strconv.Atoi(strings.TrimSuffix(r.Header.Get("X-Expires-In"), "u"))
 		if err != nil || remaining <= 0 || remaining > 15_000_000 {
-			t.Errorf("X-Expires-In went on as %q: %v", r.Header.Get("X-Expires-In"), err)
+			t.Errorf("X-Expires-In forwarded as %q: %v", r.Header.Get("X-Expires-In"), err)
 		}
 		if want := map[bool]string{true: "", false: "order 7"}[r.Method == "GET"]; bodies[i] != want {
-			t.Errorf("body went on as %q", bodies[i])
+			t.Errorf("body forwarded as %q", bodies[i])
 		}
 	}
 	if key := requests[1].Header.Get("Idempotency-Key"); key != "5c0f6e1a" {
-		t.Errorf("Idempotency-Key went on as %q", key)
+		t.Errorf("Idempotency-Key forwarded as %q", key)
 	}
 }
 
-// Where the runtime is not told of an epoll set within another, nothing would ever be served through one: goroutines serve.
+// If the runtime is not notified of events in a nested epoll set, nothing would be served through the poller. The sidecar then
+// uses goroutines.
 func TestServesWithoutPoller(t *testing.T) {
 	s := testbed.NewScriptedServer(t, testbed.Respond(200, "plate 7"))
 	cfg := testConfig(t, readyMember("s-1", s.Addr))
@@ -64,19 +65,19 @@
 		t.Errorf("%d %q", resp.StatusCode, body)
 	}
 	if checks != 1 {
-		t.Errorf("asked %d times", checks)
+		t.Errorf("poller checked %d times, want 1", checks)
 	}
 }
 
-// The outcome decides whether an unsafe request may be tried again.
+// An unsafe request is retried only if the first attempt's outcome shows that it has not run.
 func TestRetriesUnsafeRequestsByOutcome(t *testing.T) {
 	neverRan := "X-Never-Ran: 1"
 	for name, c := range map[string]struct {
 		first  testbed.Step
 		status int
 	}{
-		"turned away":           {testbed.Respond(503, "", neverRan), 200},
-		"over already":          {testbed.Respond(504, "", neverRan), 200},
+		"rejected, never ran":   {testbed.Respond(503, "", neverRan), 200},
+		"expired, never ran":    {testbed.Respond(504, "", neverRan), 200},
 		"503 that may have run": {testbed.Respond(503, ""), 502},
 		"error":                 {testbed.Respond(500, ""), 502},
 		"reset":                 {testbed.WriteAndClose(""), 502},
@@ -86,7 +87,7 @@
 			failing, serving := testbed.NewScriptedServer(t, c.first), testbed.NewScriptedServer(t, testbed.Respond(200, "done"))
 			n := startSidecar(t, testConfig(t, readyMember("s-1", failing.Addr), readyMember("s-2", serving.Addr)))
 			resp, _ := n.do(n.request("pay"))
-			for len(receivedRequests(failing)) == 0 { // the other one had the first turn
+			for len(receivedRequests(failing)) == 0 { // the other server got the first request
 				resp, _ = n.do(n.request("pay"))
 			}
 			if resp.StatusCode != c.status {
@@ -142,11 +143,11 @@
 		t.Errorf("long body: answered %v, %v", resp, err)
 	}
 	if got := len(receivedRequests(s)); got != 0 {
-		t.Errorf("%d of the bad requests went on", got)
+		t.Errorf("%d of the invalid requests were forwarded", got)
 	}
 }
 
-// hold answers a request when told to.
+// holdResponse returns a step that signals started and responds when release is closed or receives a value.
 func holdResponse(started chan<- bool, release <-chan bool) testbed.Step {
 	return func(c net.Conn) bool {
 		started <- true
@@ -155,7 +156,7 @@
 	}
 }
 
-// On SIGTERM new connections are still taken for a while, and what was taken before is answered.
+// After SIGTERM new connections are still accepted for acceptGrace, and all accepted requests are answered.
 func TestShutdownAnswersAcceptedRequests(t *testing.T) {
 	started, release := make(chan bool, 1), make(chan bool)
 	s := testbed.NewScriptedServer(t, holdResponse(started, release), testbed.Respond(200, "late"))
@@ -176,22 +177,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	testbed.Until(t, "the sidecar starts to end", func() bool {
+	testbed.Until(t, "the sidecar starts its shutdown", func() bool {
 		resp, _ := n.do(up)
 		return resp.StatusCode == 503
 	})
 	resp, body := n.do(n.request("pay"))
 	if resp.StatusCode != 200 || body != "late" || !resp.Close {
-		t.Errorf("on a new connection: %d %q, closing: %v", resp.StatusCode, body, resp.Close)
+		t.Errorf("request on a new connection: %d %q, closing: %v", resp.StatusCode, body, resp.Close)
 	}
 	close(release)
 	if resp := testbed.Next(t, held); resp != nil && (resp.StatusCode != 200 || !resp.Close) {
-		t.Errorf("what was held: %d, closing: %v", resp.StatusCode, resp.Close)
+		t.Errorf("held request: %d, closing: %v", resp.StatusCode, resp.Close)
 	}
 }
 
-// An application that ends its sending has gone, as far as can be told, but may still read: it gets one final answer.
-// net/http would end the handler with an empty 200, which says served although no server made it.
+// A client that half-closes its connection cannot be distinguished from one that has gone, but may still read: it gets one
+// final error response. net/http would end the handler with an empty 200 although no server has sent a response.
 func TestClientHalfCloseFailsRequest(t *testing.T) {
 	started, release := make(chan bool, 1), make(chan bool)
 	s := testbed.NewScriptedServer(t, holdResponse(started, release))
@@ -214,8 +215,8 @@
 	}
 }
 
-// A client that has gone by the time that its request is read, as all have that a stopped sidecar finds when it goes on,
-// has nothing sent for it.
+// If the client has closed its connection by the time its request is read, the request is not sent to a server. This occurs
+// for all queued requests when a stopped sidecar process is resumed.
 func TestRequestOfClosedClientIsNotSent(t *testing.T) {
 	s := testbed.NewScriptedServer(t, testbed.Respond(200, "one"))
 	n := startSidecar(t, testConfig(t, readyMember("s-1", s.Addr)))
@@ -228,7 +229,7 @@
 	if err := n.request("pay").Write(&request); err != nil {
 		t.Fatal(err)
 	}
-	// The last byte and the end of sending come together, as from a buffer of the kernel's.
+	// The last byte and the FIN arrive together, as if read from the kernel's buffer after a pause.
 	whole := request.Bytes()
 	_, _ = c.Write(whole[:len(whole)-1])
 	tcp := c.(*net.TCPConn)
@@ -236,7 +237,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = raw.Control(func(fd uintptr) { // corked until the end of sending flushes it
+	_ = raw.Control(func(fd uintptr) { // corked until the half-close flushes it
 		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_CORK, 1)
 	})
 	_, _ = c.Write(whole[len(whole)-1:])
@@ -250,7 +251,7 @@
 	}
 }
 
-// What discovery has told holds for the next request.
+// A received update of the server list applies to the next request.
 func TestAppliesDiscoveryUpdates(t *testing.T) {
 	one, two := testbed.NewScriptedServer(t, testbed.Respond(200, "one")), testbed.NewScriptedServer(t, testbed.Respond(200, "two"))
 	n := startSidecar(t, testConfig(t))
@@ -263,7 +264,7 @@
 		n.roster.Responses <- l
 	}
 	sendList(roster.List{Revision: 42, Complete: true, Members: []roster.Member{readyMember("s-1", one.Addr)}})
-	testbed.Next(t, n.roster.Queries) // the list before has reached the loop
+	testbed.Next(t, n.roster.Queries) // the exchange has received the previous list
 	if _, body := n.do(n.request("read")); body != "one" {
 		t.Errorf("served by %q", body)
 	}
@@ -278,7 +279,7 @@
 	}
 }
 
-// A refused client is told when to come back, which it may do without harm.
+// A rejected request, which is safe to retry, is answered with Retry-After.
 func TestRejectionsSetRetryAfter(t *testing.T) {
 	s := testbed.NewScriptedServer(t, testbed.Respond(503, "", "X-Never-Ran: 1"))
 	n := startSidecar(t, testConfig(t, readyMember("s-1", s.Addr)))
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -16,13 +16,14 @@
 	codec "firplank/msgpackrpc"
 )
 
-// soon shortens the end of a sidecar, after which it may not stay.
+// withShortDrain sets a short maximum drain time.
 func withShortDrain(cfg *Config) *Config {
 	cfg.maxDrain = 300 * time.Millisecond
 	return cfg
 }
 
-// write sends a request, or the part of it up to some bytes before its end, on a connection of its own.
+// sendPart sends a request without its last omittedBytes bytes on a new connection. It returns the connection and the bytes
+// that were not sent.
 func (n *testSidecar) sendPart(req *http.Request, omittedBytes int) (net.Conn, *bytes.Buffer) {
 	n.t.Helper()
 	c, err := net.Dial("tcp", n.addr)
@@ -43,16 +44,16 @@
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
-		t.Fatalf("no whole answer: %v", err)
+		t.Fatalf("read response: %v", err)
 	}
 	if _, err := io.ReadAll(resp.Body); err != nil {
-		t.Fatalf("no whole answer: %v", err)
+		t.Fatalf("read response body: %v", err)
 	}
 	return resp
 }
 
-// Requests whose deadlines lie beyond the end have their final answers before it: failed, or refused where that does no
-// harm.
+// Requests whose deadlines are later than the end of the drain get their final answers before it: 502, or 503 if a retry is
+// safe.
 func TestShutdownAnswersLongDeadlines(t *testing.T) {
 	bothFronts(t, func(t *testing.T, config func(...*testbed.ScriptedServer) *Config) {
 		started, release := make(chan bool, 8), make(chan bool)
@@ -79,7 +80,7 @@
 	})
 }
 
-// A client that reads nothing until the sidecar has gone finds its answer whole.
+// A client that reads nothing until the sidecar has ended still receives its complete response.
 func TestShutdownAnswersSlowReaders(t *testing.T) {
 	started, release := make(chan bool, 1), make(chan bool)
 	defer close(release)
@@ -88,14 +89,14 @@
 	c, _ := n.sendPart(n.request("pay"), 0)
 	testbed.Next(t, started)
 	n.stop()
-	n.done <- testbed.Next(t, n.done) // for the clean-up
+	n.done <- testbed.Next(t, n.done) // for the cleanup
 	if resp := readResponse(t, c); resp.StatusCode != 502 {
 		t.Errorf("answered %d", resp.StatusCode)
 	}
 }
 
-// A request that comes whole when the last answers are being given, on a connection from before, is refused and not sent,
-// and so is one that never comes whole.
+// A request on an existing connection that becomes complete while the last responses are written is rejected and not sent to a
+// server. So is a request that never becomes complete.
 func TestShutdownRejectsLateRequest(t *testing.T) {
 	bothFronts(t, func(t *testing.T, config func(...*testbed.ScriptedServer) *Config) {
 		started, release := make(chan bool, 8), make(chan bool)
@@ -109,7 +110,7 @@
 		expecting := n.request("pay")
 		expecting.Header.Set("Expect", "100-continue")
 		lateConn, rest := n.sendPart(expecting, len("order 7"))
-		const continueHead = "HTTP/1.1 100 Continue\r\n\r\n" // so that the front has the head
+		const continueHead = "HTTP/1.1 100 Continue\r\n\r\n" // received once the front has read the head
 		if _, err := io.ReadFull(lateConn, make([]byte, len(continueHead))); err != nil {
 			t.Fatal(err)
 		}
@@ -125,7 +126,7 @@
 	})
 }
 
-// A request of which the rest does not come is refused at the end: nothing can have run.
+// A request that is still incomplete at the end is rejected with 503: it cannot have run.
 func TestShutdownRejectsIncompleteRequest(t *testing.T) {
 	n := startSidecar(t, withShortDrain(testConfig(t, readyMember("s-1", testbed.NewScriptedServer(t, testbed.Respond(200, "one")).Addr))))
 	c, _ := n.sendPart(n.request("pay"), 3)
@@ -135,7 +136,7 @@
 	}
 }
 
-// A long body that is still coming when the sidecar has to go gets an answer while it comes.
+// A request whose body is still being uploaded at the end of the drain gets an answer during the upload.
 func TestShutdownAnswersUploads(t *testing.T) {
 	bothFronts(t, func(t *testing.T, config func(...*testbed.ScriptedServer) *Config) {
 		started := make(chan bool, 1)
@@ -169,7 +170,7 @@
 	})
 }
 
-// trickle is a body that comes slowly and never ends by itself.
+// slowBody is a body that is sent slowly and ends only when stop is closed.
 type slowBody struct {
 	chunk []byte
 	stop  chan bool
@@ -184,7 +185,7 @@
 	}
 }
 
-// Over MessagePack-RPC every id has its answer before the end.
+// Over MessagePack-RPC every id is answered before the end of the drain.
 func TestShutdownAnswersRPC(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
@@ -196,12 +197,12 @@
 		params := []byte(fmt.Sprintf("\x92\xa4k-%02d\xa4t-%02d", id, id))
 		_, _ = c.Write(codec.AppendRequest(nil, id, "plate.reserve", params))
 	}
-	testbed.Until(t, "all are out", func() bool { return len(server.arrivalTimes()) == calls })
+	testbed.Until(t, "all calls have reached the server", func() bool { return len(server.arrivalTimes()) == calls })
 	n.stop()
 	for range calls {
 		f, err := in.Next()
 		if err != nil {
-			t.Fatalf("no answer: %v", err)
+			t.Fatalf("read response: %v", err)
 		}
 		if !f.Failed() {
 			t.Errorf("id %d is answered %x", f.ID, f.Result)
@@ -209,7 +210,7 @@
 	}
 }
 
-// The process that another one follows answers what it has taken, too.
+// A process that is replaced in a hot restart answers the requests that it has accepted.
 func TestHotRestartAnswersAcceptedRequests(t *testing.T) {
 	started, release := make(chan bool, 1), make(chan bool)
 	defer close(release)
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -18,7 +18,7 @@
 	"firplank/internal/testbed"
 )
 
-// body is so many bytes that are the same each time.
+// randomBody returns n pseudorandom bytes, the same in each call.
 func randomBody(n int) []byte {
 	b := make([]byte, n)
 	r := rand.NewChaCha8([32]byte{7})
@@ -28,7 +28,7 @@
 
 func hexDigest(b []byte) string { return fmt.Sprintf("%x", sha256.Sum256(b)) }
 
-// bothFronts runs a test on the front on readiness and on the portable one.
+// bothFronts runs a test with the front that uses a poller and with the portable one.
 func bothFronts(t *testing.T, do func(t *testing.T, cfg func(servers ...*testbed.ScriptedServer) *Config)) {
 	for name, standard := range map[string]bool{"readiness": false, "standard": true} {
 		t.Run(name, func(t *testing.T) {
@@ -44,7 +44,7 @@
 	}
 }
 
-// pieces gives a body in pieces of odd sizes.
+// slowReader returns at most 9973 bytes in each read, after a delay.
 type slowReader struct {
 	r     io.Reader
 	delay time.Duration
@@ -55,7 +55,7 @@
 	return p.r.Read(b[:min(len(b), 9973)])
 }
 
-// A long body reaches the server as it was sent, with its length or in chunks.
+// A long request body is forwarded to the server unchanged, with a Content-Length and in chunks.
 func TestForwardsLongRequestBodies(t *testing.T) {
 	bothFronts(t, func(t *testing.T, config func(...*testbed.ScriptedServer) *Config) {
 		s := testbed.NewScriptedServer(t, testbed.Respond(200, "stored"))
@@ -77,13 +77,14 @@
 		}
 		for i, b := range bodies {
 			if hexDigest([]byte(b)) != hexDigest(long) {
-				t.Errorf("body %d: %d bytes, not those that were sent", i, len(b))
+				t.Errorf("body %d: %d bytes, which differ from those sent", i, len(b))
 			}
 		}
 	})
 }
 
-// sayLong answers with a body, by length or in chunks, in pieces.
+// respondInPieces returns a step that responds with a body in pieces, with a Content-Length or in chunks. It adds the number of
+// bytes written to written unless that is nil.
 func respondInPieces(b []byte, chunked bool, written *atomic.Int64) testbed.Step {
 	return func(c net.Conn) bool {
 		head := "Content-Length: " + strconv.Itoa(len(b))
@@ -112,7 +113,7 @@
 	}
 }
 
-// A long answer reaches the client as the server gave it, and both connections go on.
+// A long response body is forwarded to the client unchanged, and both connections are reused.
 func TestForwardsLongResponseBodies(t *testing.T) {
 	bothFronts(t, func(t *testing.T, config func(...*testbed.ScriptedServer) *Config) {
 		long := randomBody(3 << 20)
@@ -122,7 +123,7 @@
 		for i, want := range [][]byte{long, long, long[:100], []byte("short")} {
 			resp, got := n.do(n.request("read"))
 			if resp.StatusCode != 200 || hexDigest([]byte(got)) != hexDigest(want) {
-				t.Errorf("answer %d: %d with %d bytes, want %d", i, resp.StatusCode, len(got), len(want))
+				t.Errorf("response %d: %d with %d bytes, want %d", i, resp.StatusCode, len(got), len(want))
 			}
 		}
 		if _, _, conns := s.Received(); conns != 1 {
@@ -131,7 +132,7 @@
 	})
 }
 
-// A client that reads nothing holds the server back: what is on its way must not pile up in memory.
+// A client that does not read causes backpressure to the server, so that the response is not buffered in memory.
 func TestSlowReaderCausesBackpressure(t *testing.T) {
 	bothFronts(t, func(t *testing.T, config func(...*testbed.ScriptedServer) *Config) {
 		var written atomic.Int64
@@ -153,7 +154,7 @@
 			t.Fatal(err)
 		}
 		before := int64(-1)
-		testbed.Until(t, "the server is held back", func() bool {
+		testbed.Until(t, "the server stops writing", func() bool {
 			now := written.Load()
 			same := now == before
 			before = now
@@ -161,17 +162,17 @@
 			return same
 		})
 		if before >= int64(len(long)) {
-			t.Fatal("the server has written all although the client reads nothing")
+			t.Fatal("the server has written the whole response although the client reads nothing")
 		}
 		got, err := io.ReadAll(resp.Body)
 		if err != nil || hexDigest(got) != hexDigest(long) {
-			t.Errorf("then %d bytes, %v", len(got), err)
+			t.Errorf("read %d bytes, %v", len(got), err)
 		}
 	})
 }
 
-// An answer that breaks off has failed, and the client can tell, however it is framed; one that breaks off before the client
-// has any of it is asked for again.
+// A truncated response has failed, and the client can detect that with either framing. If it is truncated before the client
+// has received any of it, the request is retried.
 func TestTruncatedResponsesFail(t *testing.T) {
 	bothFronts(t, func(t *testing.T, config func(...*testbed.ScriptedServer) *Config) {
 		cutResponse := func(head string) testbed.Step {
@@ -188,10 +189,10 @@
 			n := startSidecar(t, config(s))
 			resp, err := n.client.Do(n.request("pay"))
 			if err != nil {
-				continue // cut before its head was whole
+				continue // the connection was closed before the end of the response's head
 			}
 			if _, err := io.ReadAll(resp.Body); resp.StatusCode == 200 && err == nil {
-				t.Errorf("%s: the client holds it to be whole", name)
+				t.Errorf("%s: the client received a complete response", name)
 			}
 			_ = resp.Body.Close()
 		}
@@ -203,13 +204,13 @@
 		n := startSidecar(t, config(one, two))
 		for len(receivedRequests(one)) == 0 {
 			if resp, got := n.do(n.request("read")); resp.StatusCode != 200 || got != "whole" {
-				t.Errorf("broken off early: %d %q", resp.StatusCode, got)
+				t.Errorf("first response truncated early: %d %q", resp.StatusCode, got)
 			}
 		}
 	})
 }
 
-// A client that leaves an answer or a request in the middle frees the server's connection.
+// If a client disconnects in the middle of a response or a request, the connection to the server is released.
 func TestClientDisconnectClosesServerConnection(t *testing.T) {
 	bothFronts(t, func(t *testing.T, config func(...*testbed.ScriptedServer) *Config) {
 		ended := make(chan bool, 2)
@@ -229,7 +230,7 @@
 		_, _ = io.ReadFull(c, make([]byte, 100<<10))
 		_ = c.Close()
 		if testbed.Next(t, ended) {
-			t.Error("the server could write all of it")
+			t.Error("the server could write the whole response")
 		}
 
 		c, err = net.Dial("tcp", n.addr)
@@ -239,16 +240,16 @@
 		req := n.request("pay")
 		req.Body, req.ContentLength = io.NopCloser(io.MultiReader(bytes.NewReader(randomBody(200<<10)), closingReader{c})), 1<<20
 		if err := req.Write(c); err == nil {
-			t.Fatal("the body was written whole")
+			t.Fatal("the whole body was written")
 		}
-		n.do(n.request("read")) // what was left would have come by now
+		n.do(n.request("read")) // a request with an incomplete body would have reached the server before this one
 		if got, _, _ := s.Received(); len(got) != 2 {
-			t.Errorf("%d requests reached the server: want the two that were sent whole", len(got))
+			t.Errorf("%d requests reached the server: want the two complete ones", len(got))
 		}
 	})
 }
 
-// breaking ends its connection when the body comes to it.
+// closingReader closes its connection when it is read.
 type closingReader struct{ c net.Conn }
 
 func (b closingReader) Read([]byte) (int, error) {
@@ -256,7 +257,7 @@
 	return 0, io.ErrUnexpectedEOF
 }
 
-// The time of a request counts from its last byte: a body that takes longer than the deadline is not late.
+// The deadline of a request starts at its last byte: a request whose body takes longer than the deadline is not late.
 func TestDeadlineStartsAtLastByte(t *testing.T) {
 	s := testbed.NewScriptedServer(t, testbed.Respond(200, "stored"))
 	n := startSidecar(t, testConfig(t, readyMember("s-1", s.Addr)))
@@ -270,6 +271,6 @@
 	got, _, _ := s.Received()
 	remaining, err := strconv.Atoi(strings.TrimSuffix(got[0].Header.Get("X-Expires-In"), "u"))
 	if err != nil || remaining < 250_000 || remaining > 300_000 {
-		t.Errorf("X-Expires-In went on as %q", got[0].Header.Get("X-Expires-In"))
+		t.Errorf("X-Expires-In forwarded as %q", got[0].Header.Get("X-Expires-In"))
 	}
 }
