--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -26,34 +26,34 @@
 	dir := filepath.Join(t.TempDir(), "shared")
 	one := join(t, dir)
 	if got := one.Peers(); got != (Peers{}) {
-		t.Errorf("alone: %+v", got)
+		t.Errorf("without other processes: %+v", got)
 	}
 	two := join(t, dir)
 	if got := one.Peers(); !got.Younger || got.ReadyYounger || got.Older {
-		t.Errorf("before the second serves: %+v", got)
+		t.Errorf("before the second is ready: %+v", got)
 	}
 	if err := two.MarkReady(); err != nil {
 		t.Fatal(err)
 	}
 	two.PublishUsage(Usage{Clients: 7, Servers: 5, Draining: true})
 	if got := one.Peers(); !got.ReadyYounger || got.Usage != (Usage{7, 5, true}) {
-		t.Errorf("when it serves: %+v", got)
+		t.Errorf("when the second is ready: %+v", got)
 	}
 	if got := two.Peers(); !got.Older || got.Younger || got.ReadyYounger {
-		t.Errorf("the second sees %+v", got)
+		t.Errorf("peers of the second: %+v", got)
 	}
-	// A process that dies leaves its file; the kernel takes its lock.
+	// A killed process leaves its file; the kernel releases the lock.
 	_ = two.lockFile.Close()
 	two.lockFile = nil
 	if got := one.Peers(); got != (Peers{}) {
-		t.Errorf("after its death: %+v", got)
+		t.Errorf("after the second was killed: %+v", got)
 	}
 	if three := join(t, dir); three.number <= two.number {
 		t.Errorf("the third is number %d, after %d", three.number, two.number)
 	}
 }
 
-// What operators decide holds for the others, and for those that come later; what cannot be done changes nothing.
+// Manual ejections apply to the other processes and to later ones. A rejected update changes nothing.
 func TestEjectedServersOutliveProcesses(t *testing.T) {
 	dir := t.TempDir()
 	one, two := join(t, dir), join(t, dir)
@@ -63,11 +63,11 @@
 		t.Fatal(err)
 	}
 	if one.EjectedVersion() == before {
-		t.Error("the first is not told")
+		t.Error("the version has not changed for the first process")
 	}
 	rejection := errors.New("no")
 	if _, err := one.UpdateEjected(func(o Ejected) error { o["s-2"] = at; return rejection }); !errors.Is(err, rejection) {
-		t.Errorf("refused with %v", err)
+		t.Errorf("rejected update: %v", err)
 	}
 	if _, err := one.UpdateEjected(func(o Ejected) error {
 		for i := range MaxEjected + 1 {
@@ -75,12 +75,12 @@
 		}
 		return nil
 	}); err == nil {
-		t.Error("no bound")
+		t.Error("more than MaxEjected servers were accepted")
 	}
 	one.Leave()
 	two.Leave()
 	if got, err := join(t, dir).Ejected(); err != nil || len(got) != 1 || !got["s-1"].Equal(at) {
-		t.Errorf("afterwards: %v, %v", got, err)
+		t.Errorf("read by a later process: %v, %v", got, err)
 	}
 }
 
@@ -92,12 +92,12 @@
 			t.Fatal(err)
 		}
 		if _, err := p.UpdateEjected(func(Ejected) error { return nil }); err == nil {
-			t.Errorf("%s: taken for an empty one", name)
+			t.Errorf("%s: the damaged file was read as empty", name)
 		}
 	}
 }
 
-// A connection that came before the old process closes is the new one's.
+// A connection that is pending when the old process closes its listener is accepted by the new process.
 func TestInheritedListenerAcceptsPendingConnection(t *testing.T) {
 	dir := t.TempDir()
 	one := join(t, dir)
@@ -130,6 +130,6 @@
 		t.Errorf("%q, %v", text, err)
 	}
 	if _, err := join(t, dir).InheritListeners(); err == nil {
-		t.Error("sockets of a process that offers none")
+		t.Error("received listeners of a process that serves none")
 	}
 }
--- a/internal/handover/instance.go
+++ b/internal/handover/instance.go
@@ -1,11 +1,13 @@
-// Package handover is the hot restart of a sidecar: a new process starts beside the running one, takes duplicates of its
-// listeners, and replaces it. It owns a folder that all processes of one sidecar share: which of them are alive and ready,
-// and which servers operators have ejected by hand, which has to outlive each process. It knows nothing of HTTP or of
-// servers' state. Peers are polled; the only goroutine is that of ServeListeners, which ends with Leave.
+// Package handover implements the hot restart of a sidecar: a new process starts beside the running one, receives duplicates
+// of its listeners, and replaces it. The processes of one sidecar share a directory. It records which of them are alive and
+// ready, and which servers operators have ejected manually, because ejections must outlive each process. The package does not
+// depend on HTTP or on the state of servers. Peers are polled; the only goroutine is started by ServeListeners and ends with
+// Leave.
 //
-// Files: n-N is one process, with an advisory lock (flock(2)) that the kernel releases when the process ends, however that
-// happens; N rises. The suffix .ready marks a process that serves. s-N is the Unix socket of its listeners. out.json has the
-// ejected servers; it is replaced by rename, under the lock of the file named lock.
+// The directory has these files. n-N represents process number N, which increases with each process. The process holds an
+// advisory lock on it (flock(2)) that the kernel releases however the process ends. The suffix .ready marks a process that
+// serves requests. s-N is the Unix socket from which others receive the listeners of process N. out.json contains the ejected
+// servers; it is replaced by rename while the lock of the file named lock is held.
 //
 // Start reading at Join.
 package handover
@@ -30,33 +32,33 @@
 	ejectedFileName = "out.json"
 	readySuffix     = ".ready"
 
-	// MaxEjected bounds the servers that operators may eject.
+	// MaxEjected bounds the number of manually ejected servers.
 	MaxEjected = 1024
-	// lockTimeout and lockRetryInterval are those of the folder's lock.
+	// lockTimeout and lockRetryInterval are used to acquire the directory's lock.
 	lockTimeout       = 500 * time.Millisecond
 	lockRetryInterval = time.Millisecond
-	// maxEjectedFileSize bounds the file of ejected servers, in bytes.
+	// maxEjectedFileSize bounds the size of out.json, in bytes.
 	maxEjectedFileSize = 1 << 20
 )
 
-// ErrNoPredecessor says that no earlier process of the sidecar is alive.
+// ErrNoPredecessor is returned if no earlier process of the sidecar is alive.
 var ErrNoPredecessor = errors.New("handover: no earlier process is alive")
 
-// ErrTooManyEjected says that operators may eject no more servers.
+// ErrTooManyEjected is returned if more than MaxEjected servers would be ejected.
 var ErrTooManyEjected = fmt.Errorf("more than %d servers ejected", MaxEjected)
 
-// Instance is this process among those of its sidecar. Its methods are not safe for concurrent use, but for UpdateEjected,
-// Ejected and EjectedVersion.
+// Instance represents this process among those of its sidecar. Its methods are not safe for concurrent use, except
+// UpdateEjected, Ejected and EjectedVersion.
 type Instance struct {
 	dir            string
 	number         int
 	lockFile       *os.File
-	lockPath       string            // of own
+	lockPath       string            // of lockFile
 	listenerSocket *net.UnixListener // nil: none
 }
 
-// Join registers this process in a folder, which is created if missing, with the next number. Files of processes that have
-// ended are removed.
+// Join registers this process in a directory under the next number. It creates the directory if it is missing, and removes the
+// files of processes that have ended.
 func Join(dir string) (*Instance, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
@@ -87,7 +89,7 @@
 	return inst, nil
 }
 
-// Leave removes this process from the folder and stops serving listeners.
+// Leave removes this process from the directory and stops serving listeners.
 func (i *Instance) Leave() {
 	if i.listenerSocket != nil {
 		_ = i.listenerSocket.Close() // accepting ends either way
@@ -95,7 +97,7 @@
 	}
 	if i.lockFile != nil {
 		_ = os.Remove(i.lockPath) // it may have been removed already
-		_ = i.lockFile.Close()    // its lock goes with the descriptor
+		_ = i.lockFile.Close()    // closing the descriptor releases the lock
 		i.lockFile = nil
 	}
 }
@@ -112,21 +114,21 @@
 	return nil
 }
 
-// Peers summarizes the other processes of the sidecar that are alive.
+// Peers summarizes the other live processes of the sidecar.
 type Peers struct {
-	Older        bool  // at least one started before this process
-	Younger      bool  // at least one started after it
-	ReadyYounger bool  // a younger one serves requests
-	Usage        Usage // the sum over all of them, as last published
+	Older        bool  // at least one was started before this process
+	Younger      bool  // at least one was started after this process
+	ReadyYounger bool  // at least one younger process serves requests
+	Usage        Usage // the sum of their last published usage
 }
 
-// Usage is a process's part of the limits that the processes share.
+// Usage is how much of the shared limits a process uses.
 type Usage struct {
 	Clients, Servers int  // open connections
-	Draining         bool // it accepts no more connections
+	Draining         bool // the process accepts no more connections
 }
 
-// PublishUsage writes this process's usage for the others. A failed write is made good by the next change.
+// PublishUsage writes this process's usage for the others. Errors are ignored, because the next call writes it again.
 func (i *Instance) PublishUsage(u Usage) {
 	draining := 0
 	if u.Draining {
@@ -135,7 +137,7 @@
 	_, _ = i.lockFile.WriteAt(fmt.Appendf(nil, "%8d %8d %d\n", u.Clients, u.Servers, draining), 0)
 }
 
-// readUsage reads the usage that the process of a file has published; zero where it has not.
+// readUsage reads the usage published in a process's file. It returns zero if there is none.
 func (i *Instance) readUsage(name string) (u Usage) {
 	text, err := os.ReadFile(filepath.Join(i.dir, name))
 	draining := 0
@@ -148,7 +150,8 @@
 	return u
 }
 
-// Peers returns the state of the other processes. Files that cannot be read count as no process.
+// Peers returns the state of the other processes. A process whose file cannot be read is not counted; if the directory cannot be
+// read, none is.
 func (i *Instance) Peers() Peers {
 	var peers Peers
 	others, err := i.instanceFiles()
@@ -192,7 +195,7 @@
 	return files, nil
 }
 
-// isLocked reports whether the process of a file still holds its lock, and so is alive.
+// isLocked reports whether a process's file is still locked, which means that the process is alive.
 func (i *Instance) isLocked(name string) bool {
 	f, err := os.Open(filepath.Join(i.dir, name))
 	if err != nil {
@@ -202,7 +205,7 @@
 	return errors.Is(unix.Flock(int(f.Fd()), unix.LOCK_SH|unix.LOCK_NB), unix.EWOULDBLOCK)
 }
 
-// withLock runs do under the lock that all processes of the folder share.
+// withLock calls fn while it holds the directory's lock.
 func (i *Instance) withLock(fn func() error) error {
 	f, err := os.OpenFile(filepath.Join(i.dir, lockFileName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -215,8 +218,8 @@
 	return fn()
 }
 
-// flock acquires an exclusive lock. The lock is held only for moments, but its holder may be a stopped process, so the wait
-// is bounded by lockTimeout.
+// acquireLock acquires an exclusive lock. The lock is normally held only briefly, but a process could be stopped while it holds
+// the lock, so the wait is bounded by lockTimeout.
 func acquireLock(fd int) error {
 	for deadline := time.Now().Add(lockTimeout); ; time.Sleep(lockRetryInterval) {
 		err := unix.Flock(fd, unix.LOCK_EX|unix.LOCK_NB)
@@ -226,11 +229,11 @@
 	}
 }
 
-// Ejected is the servers that operators have ejected, by id, with the time of each ejection. It is marshalled as out.json.
+// Ejected maps the ids of manually ejected servers to the times of their ejection. It is encoded in out.json.
 type Ejected map[string]time.Time
 
-// UpdateEjected changes the ejected servers: do is given the present state and changes it. What Change returns is in force
-// for all processes once it returns; on an error nothing has changed.
+// UpdateEjected calls update with the present ejected servers, stores the servers as changed by update, and returns them. All
+// processes read the stored set from then on. On an error nothing has changed.
 func (i *Instance) UpdateEjected(update func(Ejected) error) (Ejected, error) {
 	var ejected Ejected
 	err := i.withLock(func() (err error) {
@@ -259,7 +262,7 @@
 	return ejected, nil
 }
 
-// Ejected reads the ejected servers.
+// Ejected reads the ejected servers. The set is empty if there is no file.
 func (i *Instance) Ejected() (Ejected, error) {
 	path := filepath.Join(i.dir, ejectedFileName)
 	info, err := os.Stat(path)
@@ -283,7 +286,8 @@
 	return ejected, nil
 }
 
-// EjectedVersion is what changes when Out does.
+// EjectedVersion returns a value that changes whenever the stored ejected servers change: the inode number and modification time
+// of their file.
 func (i *Instance) EjectedVersion() (version [2]int64) {
 	var st unix.Stat_t
 	if unix.Stat(filepath.Join(i.dir, ejectedFileName), &st) == nil {
--- a/internal/handover/listeners.go
+++ b/internal/handover/listeners.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// handoverTimeout bounds the wait for another process's listeners.
+	// handoverTimeout bounds the time for sending or receiving listeners.
 	handoverTimeout = 300 * time.Millisecond
-	// maxListeners bounds the listeners of one process; maxNamesLength their names together, in bytes.
+	// maxListeners bounds the listeners of one process; maxNamesLength bounds the total length of their names in bytes.
 	maxListeners   = 8
 	maxNamesLength = 256
 )
 
-// ServeListeners sends duplicates of this process's listeners, by name, to every later process that connects to its Unix
-// socket. Both processes then accept from the same kernel queue, so that no connection is lost when either closes its
+// ServeListeners starts sending duplicates of this process's listeners, by name, to each later process that connects to its
+// Unix socket. Both processes then accept from the same kernel queue, so that no connection is lost when either closes its
 // listener. Serving ends with Leave.
 func (i *Instance) ServeListeners(listeners map[string]net.Listener) error {
 	if len(listeners) > maxListeners {
@@ -53,7 +53,7 @@
 	return filepath.Join(i.dir, "s-"+strconv.Itoa(number))
 }
 
-// sendListeners writes the names of listeners, one a line, with their descriptors as ancillary data (unix(7), SCM_RIGHTS).
+// sendListeners writes the names of listeners, one per line, with their descriptors as ancillary data (unix(7), SCM_RIGHTS).
 func sendListeners(c *net.UnixConn, listeners map[string]net.Listener) {
 	var names []string
 	var fds []int
@@ -62,7 +62,8 @@
 		if !ok {
 			continue
 		}
-		// TCPListener.File would set the socket, which all processes share, to blocking mode, and block Accept here.
+		// TCPListener.File is not used: it would set the socket, which all processes share, to blocking mode, so that Accept
+		// would block here.
 		raw, err := l.SyscallConn()
 		if err != nil {
 			continue
@@ -77,7 +78,7 @@
 		names, fds = append(names, name), append(fds, fd)
 	}
 	_ = c.SetDeadline(time.Now().Add(handoverTimeout)) // fails only on a closed connection, as the next call on it does
-	// A process that receives nothing opens listeners of its own.
+	// A process that receives no listeners opens new ones.
 	_, _, _ = c.WriteMsgUnix([]byte(strings.Join(names, "\n")+"\n"), unix.UnixRights(fds...), nil)
 }
 
@@ -117,7 +118,7 @@
 	for index, fd := range fds {
 		f := os.NewFile(uintptr(fd), "listener")
 		ln, err := net.FileListener(f)
-		_ = f.Close() // net.FileListener has a descriptor of its own
+		_ = f.Close() // net.FileListener duplicates the descriptor
 		if err != nil || index >= len(names) {
 			for _, got := range listeners {
 				_ = got.Close() // accepting ends either way
--- a/internal/operators/console.go
+++ b/internal/operators/console.go
@@ -17,31 +17,31 @@
 )
 
 const (
-	// MaxCallers bounds the connections of a console. Where all are in use, the one that has been silent for longest is closed:
-	// some callers only hold a connection.
+	// MaxConsoleConnections bounds the connections of a console. If all are in use, the one that has been idle for longest is
+	// closed, because some clients only hold a connection open.
 	MaxConsoleConnections = 16
 
-	readTimeout     = 2 * time.Second        // of a call's line
+	readTimeout     = 2 * time.Second        // for the line of a call
 	responseTimeout = 900 * time.Millisecond // a response is due within a second
 	maxCallBytes    = 512
-	// maxDiscardedBytes is how much is read and dropped behind a line that is too long.
+	// maxDiscardedBytes bounds how much is read and discarded after a line that is too long.
 	maxDiscardedBytes = 64 << 10
 )
 
-// Call executes a call of operators. arg is the rest of its line. It returns the lines of the response, or an error whose text is
-// the response. It is called concurrently.
+// Call executes one call of the console. arg is the rest of its line. It returns the lines of the response, or an error whose
+// text is sent as the response. It must be safe for concurrent use.
 type Call func(ctx context.Context, arg string) ([]string, error)
 
-// Calls that monitoring makes.
+// Calls made regularly by monitoring; they are not logged.
 const (
 	callStatus  = "STATUS"
 	callMetrics = "METRICS"
 )
 
-// Calls are the calls of a console by name, in capitals.
+// Calls maps the names of a console's calls, in upper case, to their functions.
 type Calls map[string]Call
 
-// withoutArgument makes a call that rejects arguments.
+// withoutArgument returns a call that rejects arguments.
 func withoutArgument(do func(ctx context.Context) ([]string, error)) Call {
 	return func(ctx context.Context, arg string) ([]string, error) {
 		if arg != "" {
@@ -51,19 +51,20 @@
 	}
 }
 
-// Sidecar executes the console's calls. It is called concurrently.
+// Sidecar executes the console's calls. Its methods must be safe for concurrent use.
 type Sidecar interface {
-	// Ready reports whether this process can serve.
+	// Ready reports whether this process can serve requests.
 	Ready() bool
-	// Metrics returns the counters, each as name=value.
+	// Metrics returns the metrics, each as name=value.
 	Metrics(ctx context.Context) ([]string, error)
-	// SetEjected ejects a server, or ends its ejection, from its return on. A server that was never listed is an error.
+	// SetEjected ejects a server or ends its ejection. The change is in effect when it returns. It returns an error for a
+	// server that was never listed.
 	SetEjected(ctx context.Context, id string, eject bool) error
 	// Pause starts or ends a drain.
 	Pause(on bool)
 }
 
-// SidecarCalls returns the calls of the operators' pages for a sidecar.
+// SidecarCalls returns the console's calls for a sidecar.
 func SidecarCalls(s Sidecar) Calls {
 	setEjected := func(eject bool) Call {
 		return func(ctx context.Context, id string) ([]string, error) {
@@ -97,14 +98,14 @@
 	}
 }
 
-// Console serves operators' calls: one line a connection, answered by a line that begins with +OK or -ERR, and lines of the
-// call's own. It is safe for concurrent use.
+// Console serves operators' calls: one line per connection, answered by a line that begins with +OK or -ERR and by further lines
+// that depend on the call. It is safe for concurrent use.
 type Console struct {
 	calls Calls
 	log   *slog.Logger
 
 	mu   sync.Mutex
-	idle []net.Conn // callers whose line has not arrived, oldest first
+	idle []net.Conn // connections whose line has not been received, oldest first
 	open int
 }
 
@@ -141,7 +142,7 @@
 	}
 }
 
-// admit adds a caller, for which a silent one may be closed, and reports whether there was room.
+// admit adds a connection and reports whether there was room for it. At the limit the longest idle connection is closed.
 func (co *Console) admit(c net.Conn) bool {
 	co.mu.Lock()
 	atCapacity := co.open >= MaxConsoleConnections
@@ -156,7 +157,7 @@
 	return true
 }
 
-// evict closes the connection of the caller that has been silent for longest; its goroutine then ends.
+// evict closes the longest idle connection, whose goroutine then ends. It returns false if no connection is idle.
 func (co *Console) evict() bool {
 	co.mu.Lock()
 	defer co.mu.Unlock()
@@ -168,7 +169,7 @@
 	return true
 }
 
-// lineReceived removes a caller from the silent ones.
+// removeIdle removes a connection from the idle ones.
 func (co *Console) removeIdle(c net.Conn) {
 	co.mu.Lock()
 	defer co.mu.Unlock()
@@ -180,7 +181,7 @@
 	}
 }
 
-// serveCall reads a call from a caller, executes it, responds, and closes the connection.
+// serveCall reads a call, executes it, writes the response and closes the connection.
 func (co *Console) serveCall(ctx context.Context, c net.Conn) {
 	defer func() {
 		co.removeIdle(c)
@@ -218,7 +219,7 @@
 		co.log.Info("operator's call failed", "call", name, "error", err)
 		return fmt.Sprintf("-ERR %s\n", strings.ReplaceAll(err.Error(), "\n", " "))
 	}
-	if name = strings.ToUpper(name); name != callMetrics && name != callStatus { // monitoring makes those all the time
+	if name = strings.ToUpper(name); name != callMetrics && name != callStatus { // monitoring makes these too often to log
 		co.log.Info("operator's call", "call", name, "arg", arg)
 	}
 	return strings.Join(append([]string{"+OK"}, lines...), "\n") + "\n"
@@ -226,14 +227,14 @@
 
 // respond writes a response.
 func respond(c net.Conn, text string) {
-	_, _ = io.WriteString(c, text) // the caller may be gone
+	_, _ = io.WriteString(c, text) // the client may have closed the connection
 }
 
-// drain ends sending and discards what is left to read: closed with unread bytes, the connection would be reset and the response
-// lost.
+// closeWriteAndDiscard half-closes the connection and discards unread input. Closing a connection with unread input would reset
+// it, and the response would be lost.
 func closeWriteAndDiscard(c net.Conn) {
 	if half, ok := c.(interface{ CloseWrite() error }); ok {
-		_ = half.CloseWrite()                             // fails only where the connection is closed already
+		_ = half.CloseWrite()                             // fails only if the connection is already closed
 		_, _ = io.CopyN(io.Discard, c, maxDiscardedBytes) // only to empty the receive buffer
 	}
 }
--- a/internal/operators/console_test.go
+++ b/internal/operators/console_test.go
@@ -18,7 +18,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// sidecar notes what it is asked for.
+// fakeSidecar records the calls that it receives.
 type fakeSidecar struct {
 	mu    sync.Mutex
 	calls []string
@@ -88,7 +88,7 @@
 		{"METRICS\r\n", "+OK\nsidecar.current=1\n.\n"},
 		{"SUSPEND s-1\n", "+OK\n"},
 		{"restore s-1\n", "+OK\n"},
-		{"SUSPEND none\n", "-ERR never listed\n"}, // on one line, whatever the reason holds
+		{"SUSPEND none\n", "-ERR never listed\n"}, // newlines in the error are replaced
 		{"SUSPEND\n", "-ERR want the id of one server\n"},
 		{"SUSPEND s-1 s-2\n", "-ERR want the id of one server\n"},
 		{"PAUSE now\n", "-ERR this call takes nothing more\n"},
@@ -103,11 +103,11 @@
 		}
 	}
 	if got := strings.Join(s.calls, ","); got != "out s-1,in s-1,pause,resume" {
-		t.Errorf("done: %s", got)
+		t.Errorf("executed calls: %s", got)
 	}
 }
 
-// Half a call does nothing, also when its caller leaves.
+// A call without its newline is not executed, even if the client half-closes the connection after it.
 func TestIncompleteCallIsNotExecuted(t *testing.T) {
 	s := &fakeSidecar{}
 	addr := startConsole(t, s)
@@ -118,11 +118,11 @@
 		t.Errorf("answered %q", got)
 	}
 	if len(s.calls) > 0 {
-		t.Errorf("done: %v", s.calls)
+		t.Errorf("executed calls: %v", s.calls)
 	}
 }
 
-// Callers that only sit there take nobody's place.
+// Idle connections do not prevent new ones from being served.
 func TestIdleConnectionsAreEvicted(t *testing.T) {
 	s := &fakeSidecar{ready: true}
 	addr := startConsole(t, s)
@@ -134,6 +134,6 @@
 		t.Errorf("answered %q", got)
 	}
 	if took := time.Since(start); took > responseTimeout {
-		t.Errorf("after %v", took)
+		t.Errorf("answered after %v", took)
 	}
 }
--- a/internal/operators/pages.go
+++ b/internal/operators/pages.go
@@ -1,5 +1,6 @@
-// Package operators serves operators: status pages as JSON over HTTP, and a console of calls, one line a connection, each on an
-// address of its own. It owns listeners, routes and bounds; what a page or call does comes from its caller.
+// Package operators serves the operators' interfaces of a sidecar: status pages as JSON over HTTP, and a console of one-line
+// calls, each on a separate address. It implements serving, routing and limits; the contents of pages and the effects of calls
+// are supplied by its users.
 //
 // pages.go serves pages, console.go calls.
 package operators
@@ -17,33 +18,35 @@
 	"golang.org/x/net/netutil"
 )
 
-// Page returns the contents of a page, which are written as JSON, or an error where ctx ends first. It is called concurrently.
+// Page returns the contents of a page, which are encoded as JSON, or an error if ctx ends first. It must be safe for concurrent
+// use.
 type Page func(ctx context.Context) (any, error)
 
-// requestTimeout bounds reading a request and gathering its page; writing may take twice as long.
+// requestTimeout bounds reading a request and, separately, collecting the page. Writing may take twice as long.
 const requestTimeout = 5 * time.Second
 
-// maxConnections bounds the connections to the pages; those beyond wait. They are a small part of the reserved sockets.
+// maxConnections bounds the connections to the pages; further ones wait to be accepted. They count as part of the sidecar's
+// reserved sockets, so the number is small.
 const maxConnections = 8
 
 const (
-	idleTimeout    = time.Minute // of a connection between requests
+	idleTimeout    = time.Minute // for a connection between requests
 	maxHeaderBytes = 16 << 10
 )
 
-// CheckAddress checks the address of the pages. They have no authentication, so that it has to be a loopback address.
+// CheckAddress validates the address of the pages. It must be a loopback address, because the pages have no authentication.
 func CheckAddress(addr string) error {
 	ap, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return err
 	}
 	if !ap.Addr().IsLoopback() {
-		return errors.Errorf("%s is not a loopback address: the pages have no password", addr)
+		return errors.Errorf("%s is not a loopback address: the pages have no authentication", addr)
 	}
 	return nil
 }
 
-// Serve serves pages by path until ctx ends, and closes ln. Requests in progress are cut off.
+// Serve serves pages by path until ctx ends and closes ln. Requests in progress are then aborted.
 func Serve(ctx context.Context, ln net.Listener, pages map[string]Page, log *slog.Logger) error {
 	ln = netutil.LimitListener(ln, maxConnections)
 	mux := http.NewServeMux()
--- a/internal/output/output.go
+++ b/internal/output/output.go
@@ -1,6 +1,6 @@
-// Package output writes text for people: the commands' results and the laboratory's reports. A Printer keeps the first
-// error of what it writes to, so that a command asks for it once, at its end, and not after each line. The types are not
-// safe for concurrent use.
+// Package output writes text for users: the commands' results and the laboratory's reports. A Printer keeps the first error of
+// its writer, so that a command checks it once at the end instead of after each line. The types are not safe for concurrent
+// use.
 package output
 
 import (
@@ -9,16 +9,16 @@
 	"text/tabwriter"
 )
 
-// Printer formats as fmt's functions of the same names do. After an error it writes nothing more.
+// Printer formats like the functions of package fmt with the same names. After an error it writes nothing more.
 type Printer struct {
 	to  io.Writer
 	err error
 }
 
-// New returns a Printer that writes to a writer.
+// New returns a Printer that writes to the writer to.
 func New(to io.Writer) *Printer { return &Printer{to: to} }
 
-// Write is io.Writer's.
+// Write implements io.Writer.
 func (p *Printer) Write(text []byte) (int, error) {
 	if p.err != nil {
 		return 0, p.err
@@ -28,17 +28,17 @@
 	return n, err
 }
 
-// Printf is fmt.Fprintf without its results.
+// Printf is like fmt.Fprintf, but returns nothing; see Err.
 func (p *Printer) Printf(format string, args ...any) {
 	_, _ = fmt.Fprintf(p, format, args...) // Write keeps the error
 }
 
-// Print is fmt.Fprint without its results.
+// Print is like fmt.Fprint, but returns nothing; see Err.
 func (p *Printer) Print(args ...any) {
 	_, _ = fmt.Fprint(p, args...) // Write keeps the error
 }
 
-// Println is fmt.Fprintln without its results.
+// Println is like fmt.Fprintln, but returns nothing; see Err.
 func (p *Printer) Println(args ...any) {
 	_, _ = fmt.Fprintln(p, args...) // Write keeps the error
 }
@@ -58,7 +58,7 @@
 	return &Table{Printer: Printer{to: columns}, columns: columns}
 }
 
-// Flush writes what is left, and returns the first error of the whole table.
+// Flush writes the aligned cells and returns the first error of the whole table.
 func (t *Table) Flush() error {
 	if err := t.columns.Flush(); t.err == nil {
 		t.err = err
--- a/internal/output/output_test.go
+++ b/internal/output/output_test.go
@@ -9,7 +9,7 @@
 
 var errFull = errors.New("full")
 
-// limited takes a number of writes, and fails after them.
+// limitedWriter accepts a number of writes and fails after them.
 type limitedWriter struct {
 	strings.Builder
 	writesLeft int
