--- a/internal/operators/console.go
+++ b/internal/operators/console.go
@@ -173,8 +173,8 @@
 func (co *Console) removeIdle(c net.Conn) {
 	co.mu.Lock()
 	defer co.mu.Unlock()
-	for i, idle := range co.idle {
-		if idle == c {
+	for i, conn := range co.idle {
+		if conn == c {
 			co.idle = append(co.idle[:i:i], co.idle[i+1:]...)
 			return
 		}
--- a/internal/sidecar/components.go
+++ b/internal/sidecar/components.go
@@ -47,7 +47,7 @@
 	shedder      *loadshed.Shedder // nil: no load shedding
 	counts       *report.Counts
 
-	httpBackend     httpBackend
+	backend         httpBackend
 	rpcBackend      *rpcback.Backend        // nil if no server speaks MessagePack-RPC
 	backendByFlavor map[string]core.Backend // flavors whose servers speak MessagePack-RPC
 	evictIdle       func() bool             // closes an idle connection to a server, of any backend
@@ -66,11 +66,11 @@
 // newComponents creates the components that depend only on the configuration. It scales cfg.Balance.ConnIdle down.
 func newComponents(cfg *Config, lns *listeners, log *slog.Logger) *components {
 	c := &components{cfg: cfg, listeners: lns, log: log}
-	idleTimeout := millis(cfg.Balance.ConnIdle * idleTimeoutFraction)
-	if idleTimeout > 0 {
+	scaledIdleTimeout := millis(cfg.Balance.ConnIdle * idleTimeoutFraction)
+	if scaledIdleTimeout > 0 {
 		cfg.Balance.ConnIdle *= idleTimeoutFraction // the balancer must use the same time as the connection pool
 	}
-	c.idleTimeout = cmp.Or(idleTimeout, defaultIdleTimeout)
+	c.idleTimeout = cmp.Or(scaledIdleTimeout, defaultIdleTimeout)
 	c.shedder = newShedder(cfg)
 	if lns.instance != nil {
 		c.peersAtStart = lns.instance.Peers()
@@ -103,7 +103,7 @@
 // startBackends creates and starts the backends, one for each upstream protocol.
 func (c *components) startBackends(ctx context.Context) {
 	cfg := c.cfg
-	c.httpBackend = newHTTPBackend(ctx, c.usesPoller, httpback.Config{
+	c.backend = newHTTPBackend(ctx, c.usesPoller, httpback.Config{
 		ConnectTimeout: cmp.Or(millis(cfg.Balance.ConnectTimeout), defaultConnectTimeout),
 		IdleTimeout:    c.idleTimeout,
 		ReuseDelay:     cfg.reuseDelay,
@@ -114,8 +114,8 @@
 			c.log.Warn("a server sent data after the end of its response", "server", e.Name())
 		},
 	}, c.log)
-	c.tasks.Go(func() { c.httpBackend.Run(ctx) })
-	c.backendByFlavor, c.evictIdle = map[string]core.Backend{}, c.httpBackend.Evict
+	c.tasks.Go(func() { c.backend.Run(ctx) })
+	c.backendByFlavor, c.evictIdle = map[string]core.Backend{}, c.backend.Evict
 	rpc := &cfg.Options.MsgpackRPC
 	if len(rpc.Flavors) == 0 {
 		return
@@ -125,12 +125,12 @@
 	for _, flavor := range rpc.Flavors {
 		c.backendByFlavor[flavor] = c.rpcBackend
 	}
-	c.evictIdle = func() bool { return c.httpBackend.Evict() || c.rpcBackend.Evict() }
+	c.evictIdle = func() bool { return c.backend.Evict() || c.rpcBackend.Evict() }
 }
 
 // closeBackends closes all connections to servers. It is called after the exchange has ended.
 func (c *components) closeBackends() {
-	c.httpBackend.Close()
+	c.backend.Close()
 	if c.rpcBackend != nil {
 		c.rpcBackend.Close()
 	}
@@ -180,10 +180,10 @@
 
 // backendFor returns the backend for servers of a flavor.
 func (c *components) backendFor(flavor string) core.Backend {
-	if backend := c.backendByFlavor[flavor]; backend != nil {
-		return backend
+	if flavorBackend := c.backendByFlavor[flavor]; flavorBackend != nil {
+		return flavorBackend
 	}
-	return c.httpBackend
+	return c.backend
 }
 
 // createFronts creates the fronts, one for each downstream protocol, and the components that depend on them: hot restart,
@@ -211,12 +211,12 @@
 		c.fronts = append(c.fronts, newRPCFront(cfg, c.budget.rpcClients, c.shedder, c.evictIdle, c.exchange, c.log))
 	}
 	c.restart = &hotRestart{
-		cfg:         cfg,
-		exchange:    c.exchange,
-		fronts:      c.fronts,
-		httpBackend: c.httpBackend,
-		instance:    lns.instance,
-		log:         c.log,
+		cfg:      cfg,
+		exchange: c.exchange,
+		fronts:   c.fronts,
+		backend:  c.backend,
+		instance: lns.instance,
+		log:      c.log,
 	}
 	c.calls = &operatorCalls{
 		catalog:  cfg.catalog,
@@ -246,18 +246,18 @@
 	}
 	c.tasks.Go(func() {
 		r := reloader{
-			cfg:             c.cfg,
-			follower:        c.follower,
-			reloadContracts: func() { c.cfg.reloadContracts(c.exchange, c.gate, c.log) },
-			counts:          &c.calls.reloads,
-			log:             c.log,
+			cfg:            c.cfg,
+			follower:       c.follower,
+			applyContracts: func() { c.cfg.reloadContracts(c.exchange, c.gate, c.log) },
+			counts:         &c.calls.reloads,
+			log:            c.log,
 		}
 		r.run(ctx, reloads)
 	})
-	if admin := c.listeners.console; admin != nil {
-		c.log.Info("listening for operators' calls", "admin_address", admin.Addr().String())
+	if console := c.listeners.console; console != nil {
+		c.log.Info("listening for operators' calls", "admin_address", console.Addr().String())
 		c.tasks.Go(func() {
-			if err := operators.NewConsole(operators.SidecarCalls(c.calls), c.log).Serve(ctx, admin); err != nil {
+			if err := operators.NewConsole(operators.SidecarCalls(c.calls), c.log).Serve(ctx, console); err != nil {
 				c.log.Error("serving operators' calls failed", "error", err)
 			}
 		})
@@ -282,10 +282,10 @@
 		c.log.Info("listening for MessagePack-RPC", "rpc_address", lns.rpc.Addr().String())
 		frontListeners = append(frontListeners, lns.rpc)
 	}
-	if pages := lns.pages; pages != nil {
-		c.log.Info("listening for operators' pages", "operators_address", pages.Addr().String())
+	if pagesLn := lns.pages; pagesLn != nil {
+		c.log.Info("listening for operators' pages", "operators_address", pagesLn.Addr().String())
 		c.tasks.Go(func() {
-			if err := operators.Serve(ctx, pages, statusPages(c.exchange, c.gate, c.fleet), c.log); err != nil {
+			if err := operators.Serve(ctx, pagesLn, statusPages(c.exchange, c.gate, c.fleet), c.log); err != nil {
 				c.log.Error("serving operators' pages failed", "error", err)
 			}
 		})
--- a/internal/sidecar/helpers_test.go
+++ b/internal/sidecar/helpers_test.go
@@ -44,7 +44,7 @@
 	pagesAddr string // of the operators' pages, if there are contracts
 	rpcAddr   string // of MessagePack-RPC, if that is enabled
 	roster    *testbed.DiscoveryServer
-	stop      context.CancelFunc // has the effect of SIGTERM
+	shutdown  context.CancelFunc // has the effect of SIGTERM
 	done      chan error
 	client    *http.Client
 
@@ -69,20 +69,20 @@
 		lns.rpc = testbed.Listen(t)
 		n.rpcAddr = lns.rpc.Addr().String()
 	}
-	ctx, stop := context.WithCancel(context.Background())
-	n.stop = stop
+	ctx, shutdown := context.WithCancel(context.Background())
+	n.shutdown = shutdown
 	go func() { n.done <- serve(ctx, cfg, lns, n.reloads, slog.New(slog.DiscardHandler)) }()
 	t.Cleanup(func() {
 		n.client.CloseIdleConnections()
-		stopAndWait(t, stop, n.done)
+		shutdownAndWait(t, shutdown, n.done)
 	})
 	return n
 }
 
-// stopAndWait shuts a sidecar down and waits until it has ended without an error.
-func stopAndWait(t *testing.T, stop context.CancelFunc, done <-chan error) {
+// shutdownAndWait shuts a sidecar down and waits until it has ended without an error.
+func shutdownAndWait(t *testing.T, shutdown context.CancelFunc, done <-chan error) {
 	t.Helper()
-	stop()
+	shutdown()
 	select {
 	case err := <-done:
 		if err != nil {
--- a/internal/sidecar/hotrestart.go
+++ b/internal/sidecar/hotrestart.go
@@ -47,12 +47,12 @@
 // waitUntilReady has an effect. The methods are not safe for concurrent use, except that markReady and handOver may be called
 // while watchPeers runs.
 type hotRestart struct {
-	cfg         *Config
-	exchange    *core.Loop
-	fronts      []front
-	httpBackend httpBackend
-	instance    *handover.Instance // nil: no other process can take over
-	log         *slog.Logger
+	cfg      *Config
+	exchange *core.Loop
+	fronts   []front
+	backend  httpBackend
+	instance *handover.Instance // nil: no other process can take over
+	log      *slog.Logger
 
 	draining         atomic.Bool
 	appliedProcesses int      // number of processes for which the limits were last applied
@@ -126,11 +126,11 @@
 	if len(r.fronts) > 1 {
 		r.fronts[1].Resize(budget.rpcClients / processes)
 	}
-	r.httpBackend.Resize(budget.servers)
+	r.backend.Resize(budget.servers)
 }
 
 func (r *hotRestart) usage() handover.Usage {
-	return handover.Usage{Clients: r.fronts[0].Open(), Servers: r.httpBackend.Open(), Draining: r.draining.Load()}
+	return handover.Usage{Clients: r.fronts[0].Open(), Servers: r.backend.Open(), Draining: r.draining.Load()}
 }
 
 // connectionShare returns how many of total connections this process may hold: those that it has open and half of the free
--- a/internal/sidecar/hotrestart_test.go
+++ b/internal/sidecar/hotrestart_test.go
@@ -25,7 +25,7 @@
 	t           *testing.T
 	addr        string
 	consoleAddr string
-	stop        context.CancelFunc
+	shutdown    context.CancelFunc
 	done        chan error
 }
 
@@ -53,14 +53,14 @@
 		}
 		lns.openDeferred = nil
 	}
-	ctx, stop := context.WithCancel(context.Background())
-	p := &process{t: t, addr: addr, consoleAddr: console.Addr().String(), stop: stop, done: make(chan error, 1)}
+	ctx, shutdown := context.WithCancel(context.Background())
+	p := &process{t: t, addr: addr, consoleAddr: console.Addr().String(), shutdown: shutdown, done: make(chan error, 1)}
 	go func() {
 		err := serve(ctx, cfg, lns, nil, log)
 		instance.Leave()
 		p.done <- err
 	}()
-	t.Cleanup(func() { stopAndWait(t, stop, p.done) })
+	t.Cleanup(func() { shutdownAndWait(t, shutdown, p.done) })
 	return p
 }
 
@@ -161,7 +161,7 @@
 	list.Revision = 45
 	discovery.Responses <- list
 	testbed.Until(t, "the second process serves", func() bool { return q.call("STATUS") == "+OK" })
-	p.stop()
+	p.shutdown()
 	p.done <- testbed.Next(t, p.done) // for the cleanup
 	client.CloseIdleConnections()
 	wantServedBy(q, "after a hot restart", "two")
@@ -213,7 +213,7 @@
 		list.Revision += int64(i) + 1
 		discovery.Responses <- list // for either process: the first has this list already
 		testbed.Until(t, "the next process serves", func() bool { return q.call("STATUS") == "+OK" })
-		p.stop()
+		p.shutdown()
 		p.done <- testbed.Next(t, p.done)
 		p = q
 	}
--- a/internal/sidecar/listeners.go
+++ b/internal/sidecar/listeners.go
@@ -33,13 +33,13 @@
 
 // byName returns the listeners that a successor process can inherit, by name.
 func (l *listeners) byName() map[string]net.Listener {
-	byName := map[string]net.Listener{httpListener: l.http, rpcListener: l.rpc, pagesListener: l.pages}
-	for name, ln := range byName {
+	inheritable := map[string]net.Listener{httpListener: l.http, rpcListener: l.rpc, pagesListener: l.pages}
+	for name, ln := range inheritable {
 		if ln == nil {
-			delete(byName, name)
+			delete(inheritable, name)
 		}
 	}
-	return byName
+	return inheritable
 }
 
 func (l *listeners) close() {
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -14,11 +14,11 @@
 
 // reloader applies changed contracts and configuration to the running sidecar.
 type reloader struct {
-	cfg             *Config
-	follower        *roster.Follower
-	reloadContracts func() // reads and applies the contracts
-	counts          *reloadCounts
-	log             *slog.Logger
+	cfg            *Config
+	follower       *roster.Follower
+	applyContracts func() // reads and applies the contracts
+	counts         *reloadCounts
+	log            *slog.Logger
 }
 
 // run reads the contracts and the configuration file again on each signal, until ctx ends. Only the address of discovery is
@@ -27,7 +27,7 @@
 	for {
 		select {
 		case <-signals:
-			r.reloadContracts()
+			r.applyContracts()
 			r.reload()
 		case <-ctx.Done():
 			return
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -107,6 +107,6 @@
 			t.Errorf("served by %q", body)
 		}
 	}
-	n.stop()
+	n.shutdown()
 	n.reloads <- syscall.SIGHUP // has no effect during shutdown
 }
--- a/internal/sidecar/reporting_test.go
+++ b/internal/sidecar/reporting_test.go
@@ -215,7 +215,7 @@
 			if !socket { // lost packets are made up for by later totals, so the sidecar must still run
 				r.waitForNetworkTotals(t, counted)
 			}
-			n.stop()
+			n.shutdown()
 			n.done <- testbed.Next(t, n.done)
 			r.waitForTotals(t, carbon, socket, counted)
 		})
@@ -275,7 +275,7 @@
 	for range 7 {
 		n.do(n.request("read"))
 	}
-	n.stop()
+	n.shutdown()
 	n.done <- testbed.Next(t, n.done)
 	testbed.Until(t, "the last interval has all requests", func() bool { return carbon.Last("f.requests.read.served.total") == 7 })
 }
--- a/internal/sidecar/serve_test.go
+++ b/internal/sidecar/serve_test.go
@@ -172,7 +172,7 @@
 		held <- resp
 	}()
 	testbed.Next(t, started)
-	n.stop()
+	n.shutdown()
 	up, err := http.NewRequest("GET", "http://"+n.addr+"/up", nil)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -66,7 +66,7 @@
 			conns[class], _ = n.sendPart(n.request(class), 0)
 			testbed.Next(t, started)
 		}
-		n.stop()
+		n.shutdown()
 		for class, status := range want {
 			resp := readResponse(t, conns[class])
 			after, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
@@ -88,7 +88,7 @@
 	n := startSidecar(t, withShortDrain(testConfig(t, readyMember("s-1", s.Addr))))
 	c, _ := n.sendPart(n.request("pay"), 0)
 	testbed.Next(t, started)
-	n.stop()
+	n.shutdown()
 	n.done <- testbed.Next(t, n.done) // for the cleanup
 	if resp := readResponse(t, c); resp.StatusCode != 502 {
 		t.Errorf("answered %d", resp.StatusCode)
@@ -114,7 +114,7 @@
 		if _, err := io.ReadFull(lateConn, make([]byte, len(continueHead))); err != nil {
 			t.Fatal(err)
 		}
-		n.stop()
+		n.shutdown()
 		readResponse(t, heldConn)
 		_, _ = lateConn.Write(rest.Bytes())
 		if resp := readResponse(t, lateConn); resp.StatusCode != 503 {
@@ -130,7 +130,7 @@
 func TestShutdownRejectsIncompleteRequest(t *testing.T) {
 	n := startSidecar(t, withShortDrain(testConfig(t, readyMember("s-1", testbed.NewScriptedServer(t, testbed.Respond(200, "one")).Addr))))
 	c, _ := n.sendPart(n.request("pay"), 3)
-	n.stop()
+	n.shutdown()
 	if resp := readResponse(t, c); resp.StatusCode != 503 {
 		t.Errorf("answered %d", resp.StatusCode)
 	}
@@ -163,7 +163,7 @@
 			answered <- resp.Status
 		}()
 		testbed.Next(t, started)
-		n.stop()
+		n.shutdown()
 		if got := testbed.Next(t, answered); !strings.HasPrefix(got, "502") {
 			t.Errorf("answered %s", got)
 		}
@@ -198,7 +198,7 @@
 		_, _ = c.Write(codec.AppendRequest(nil, id, "plate.reserve", params))
 	}
 	testbed.Until(t, "all calls have reached the server", func() bool { return len(server.arrivalTimes()) == calls })
-	n.stop()
+	n.shutdown()
 	for range calls {
 		f, err := in.Next()
 		if err != nil {
@@ -226,7 +226,7 @@
 	list.Revision, list.Complete = 42, true
 	discovery.Responses <- list
 	testbed.Until(t, "the next process serves", func() bool { return q.call("STATUS") == "+OK" })
-	p.stop()
+	p.shutdown()
 	if resp := readResponse(t, c); resp.StatusCode != 502 {
 		t.Errorf("answered %d", resp.StatusCode)
 	}
