--- a/internal/options/monitoring.go
+++ b/internal/options/monitoring.go
@@ -12,40 +12,40 @@
 
 // Reporting is about what is counted for monitoring; see report.
 type Reporting struct {
-	Pairs int `toml:"pairs"` // of class and tenant that are counted apart; 2,000 where it is 0
+	MaxPairs int `toml:"pairs"` // of class and tenant that are counted apart; 2,000 where it is 0
 }
 
 // Graphite is about reports to a receiver of Graphite's; see internal/reporting.
 type Graphite struct {
-	Address  string  `toml:"address"`       // host:port, over TCP; empty: none
-	Protocol string  `toml:"protocol"`      // Plaintext, which it is where it is empty, or Pickle
-	Prefix   string  `toml:"prefix"`        // "firplank.{name}" where it is empty
-	Interval float64 `toml:"interval_s"`    // whole seconds; 10
-	Tags     bool    `toml:"tags"`          // labels as tags in place of parts of the path
-	Spool    int     `toml:"spool_bytes"`   // that wait for the receiver at most; 4 MiB
-	Backlog  float64 `toml:"backlog_per_s"` // intervals that are sent in a second of those that waited; 20
+	Address          string  `toml:"address"`       // host:port, over TCP; empty: none
+	Protocol         string  `toml:"protocol"`      // Plaintext, which it is where it is empty, or Pickle
+	Prefix           string  `toml:"prefix"`        // "firplank.{name}" where it is empty
+	IntervalSeconds  float64 `toml:"interval_s"`    // whole seconds; 10
+	Tags             bool    `toml:"tags"`          // labels as tags in place of parts of the path
+	SpoolBytes       int     `toml:"spool_bytes"`   // that wait for the receiver at most; 4 MiB
+	BacklogPerSecond float64 `toml:"backlog_per_s"` // intervals that are sent in a second of those that waited; 20
 }
 
 // Collectd is about reports to collectd.
 type Collectd struct {
-	Network      string  `toml:"network"`       // host:port of its network plugin, over UDP; empty: none
-	Socket       string  `toml:"unix_socket"`   // path of its Unix socket; empty: none
-	Security     string  `toml:"security"`      // None, which it is where it is empty, Sign or Encrypt: of packets
-	User         string  `toml:"username"`      // with Sign and Encrypt
-	PasswordFile string  `toml:"password_file"` // ... whose first line is the password
-	Host         string  `toml:"host"`          // under which all is told; the sidecar's name where it is empty
-	Interval     float64 `toml:"interval_s"`    // 10
-	PacketBytes  int     `toml:"packet_bytes"`  // 1452
-	Spool        int     `toml:"spool_bytes"`   // 4 MiB
-	Backlog      float64 `toml:"backlog_per_s"` // 20
-	Late         string  `toml:"late"`          // InOrder, which it is where it is empty, or Apart
+	NetworkAddress   string  `toml:"network"`       // host:port of its network plugin, over UDP; empty: none
+	SocketPath       string  `toml:"unix_socket"`   // path of its Unix socket; empty: none
+	Security         string  `toml:"security"`      // None, which it is where it is empty, Sign or Encrypt: of packets
+	Username         string  `toml:"username"`      // with Sign and Encrypt
+	PasswordFile     string  `toml:"password_file"` // ... whose first line is the password
+	Host             string  `toml:"host"`          // under which all is told; the sidecar's name where it is empty
+	IntervalSeconds  float64 `toml:"interval_s"`    // 10
+	PacketBytes      int     `toml:"packet_bytes"`  // 1452
+	SpoolBytes       int     `toml:"spool_bytes"`   // 4 MiB
+	BacklogPerSecond float64 `toml:"backlog_per_s"` // 20
+	LatePolicy       string  `toml:"late"`          // InOrder, which it is where it is empty, or Apart
 
 	Password string `toml:"-"` // of the file
 }
 
 // Receivers is how many receivers are reported to.
-func (f *File) Receivers() (n int) {
-	for _, address := range []string{f.Graphite.Address, f.Collectd.Network, f.Collectd.Socket} {
+func (f *File) ReceiverCount() (n int) {
+	for _, address := range []string{f.Graphite.Address, f.Collectd.NetworkAddress, f.Collectd.SocketPath} {
 		if address != "" {
 			n++
 		}
@@ -61,12 +61,12 @@
 	Sign      = "sign"
 	Encrypt   = "encrypt"
 	// What waited for collectd goes ahead of what is new, or under identifiers of its own beside it.
-	InOrder = "in_order"
-	Apart   = "apart"
+	InOrder  = "in_order"
+	Separate = "apart"
 )
 
 // UsualPrefix is what stands before all series in Graphite where the file does not say.
-const UsualPrefix = "firplank.{name}"
+const DefaultPrefix = "firplank.{name}"
 
 const (
 	leastSpool = 64 << 10
@@ -80,11 +80,11 @@
 // fillMonitoring checks the tables and puts in what is not set. An error names the key.
 func (f *File) fillMonitoring() error {
 	g, c := &f.Graphite, &f.Collectd
-	if f.Reporting.Pairs < 0 || f.Reporting.Pairs > mostPairs {
-		return fmt.Errorf("reporting.pairs is %d: want 0 to %d", f.Reporting.Pairs, mostPairs)
+	if f.Reporting.MaxPairs < 0 || f.Reporting.MaxPairs > mostPairs {
+		return fmt.Errorf("reporting.pairs is %d: want 0 to %d", f.Reporting.MaxPairs, mostPairs)
 	}
 	usual(&g.Protocol, Plaintext)
-	usual(&g.Prefix, UsualPrefix)
+	usual(&g.Prefix, DefaultPrefix)
 	usual(&c.Security, None)
 	for _, r := range []struct {
 		key               string
@@ -92,7 +92,7 @@
 		interval, backlog *float64
 		spool             *int
 	}{
-		{"graphite", g.Address, &g.Interval, &g.Backlog, &g.Spool}, {"collectd", c.Network, &c.Interval, &c.Backlog, &c.Spool},
+		{"graphite", g.Address, &g.IntervalSeconds, &g.BacklogPerSecond, &g.SpoolBytes}, {"collectd", c.NetworkAddress, &c.IntervalSeconds, &c.BacklogPerSecond, &c.SpoolBytes},
 	} {
 		usual(r.interval, 10)
 		usual(r.backlog, 20)
@@ -123,9 +123,9 @@
 
 func (c *Collectd) fill() error {
 	usual(&c.PacketBytes, 1452)
-	usual(&c.Late, InOrder)
-	if c.Late != InOrder && c.Late != Apart {
-		return fmt.Errorf("collectd.late is %q: want %s or %s", c.Late, InOrder, Apart)
+	usual(&c.LatePolicy, InOrder)
+	if c.LatePolicy != InOrder && c.LatePolicy != Separate {
+		return fmt.Errorf("collectd.late is %q: want %s or %s", c.LatePolicy, InOrder, Separate)
 	}
 	if c.PacketBytes < 1024 || c.PacketBytes > 65507 {
 		return fmt.Errorf("collectd.packet_bytes is %d: want 1024 to 65507", c.PacketBytes)
@@ -140,7 +140,7 @@
 	default:
 		return fmt.Errorf("collectd.security is %q: want %s, %s or %s", c.Security, None, Sign, Encrypt)
 	}
-	if c.Network == "" || !fields.MatchString(c.User) || c.PasswordFile == "" {
+	if c.NetworkAddress == "" || !fields.MatchString(c.Username) || c.PasswordFile == "" {
 		return errors.New("collectd.security: network, username and password_file are wanted with it")
 	}
 	text, err := os.ReadFile(c.PasswordFile)
--- a/internal/sidecar/components.go
+++ b/internal/sidecar/components.go
@@ -76,7 +76,7 @@
 		c.peersAtStart = lns.instance.Peers()
 	}
 	c.budget = cfg.connBudget(processCount(c.peersAtStart))
-	c.usesPoller = !cfg.Options.HTTP.Standard
+	c.usesPoller = !cfg.Options.HTTP.StandardServer
 	if c.usesPoller {
 		if err := cfg.checkPoller(); err != nil {
 			log.Warn("poller unavailable: using a goroutine for each connection and attempt", "why", err)
@@ -89,7 +89,7 @@
 
 // newShedder returns the load shedder, or nil if the options disable it.
 func newShedder(cfg *Config) *loadshed.Shedder {
-	if !cfg.Options.Door.Enabled {
+	if !cfg.Options.LoadShedding.Enabled {
 		return nil
 	}
 	var classes []overload.Class
@@ -196,8 +196,8 @@
 		Connections:     c.budget.clients,
 		AcceptGrace:     cfg.acceptGrace,
 		Evict:           c.evictIdle,
-		IdleTimeout:     millis(cfg.Options.HTTP.Idle * 1000),
-		MaxIdleFraction: cfg.Options.HTTP.Waiting,
+		IdleTimeout:     millis(cfg.Options.HTTP.IdleTimeoutSeconds * 1000),
+		MaxIdleFraction: cfg.Options.HTTP.MaxIdleFraction,
 		Claims:          c.gate != nil,
 		Counts:          c.counts,
 		Log:             c.log,
--- a/internal/sidecar/connbudget.go
+++ b/internal/sidecar/connbudget.go
@@ -19,7 +19,7 @@
 
 // connBudget divides the descriptors that all processes of the sidecar may use together, less those reserved for each process.
 func (c *Config) connBudget(processes int) connBudget {
-	reservedPerProcess := reservedSockets + c.Options.Receivers()
+	reservedPerProcess := reservedSockets + c.Options.ReceiverCount()
 	if c.Admin != "" {
 		reservedPerProcess += operators.MaxConsoleConnections
 	}
@@ -27,7 +27,7 @@
 	budget := connBudget{servers: available / 2}
 	budget.clients = available - budget.servers
 	if c.Options.MsgpackRPC.Listen != "" {
-		budget.rpcClients = min(c.Options.MsgpackRPC.Connections, budget.clients/2)
+		budget.rpcClients = min(c.Options.MsgpackRPC.MaxClientConns, budget.clients/2)
 		budget.clients -= budget.rpcClients
 	}
 	if len(c.Options.MsgpackRPC.Flavors) > 0 {
--- a/internal/sidecar/msgpackrpc.go
+++ b/internal/sidecar/msgpackrpc.go
@@ -37,14 +37,14 @@
 			Class:       m.Class,
 			Tenant:      m.Tenant,
 			TenantParam: param("tenant_param", m.TenantParam),
-			Key:         param("key_param", m.Key),
-			Idempotency: param("idempotency_param", m.Idempotency),
-			Deadline:    param("deadline_param_ms", m.Deadline),
-			Trace:       param("trace_param", m.Trace),
-			Token:       param("token_param", m.Token),
-			Retry:       param("repeat_param", m.Repeat),
+			Key:         param("key_param", m.KeyParam),
+			Idempotency: param("idempotency_param", m.IdempotencyParam),
+			Deadline:    param("deadline_param_ms", m.DeadlineParam),
+			Trace:       param("trace_param", m.TraceParam),
+			Token:       param("token_param", m.TokenParam),
+			Retry:       param("repeat_param", m.RepeatParam),
 			Path:        m.Path,
-			Notify:      m.Notify,
+			Notify:      m.MayNotify,
 		})
 	}
 	methods, err := rpcfront.NewMethods(table, catalog)
@@ -75,7 +75,7 @@
 }
 
 func rpcLimits(opts *options.MsgpackRPC) codec.Limits {
-	return codec.Limits{Frame: opts.MaxFrame, Depth: opts.MaxDepth}
+	return codec.Limits{Frame: opts.MaxFrameBytes, Depth: opts.MaxDepth}
 }
 
 // newRPCBackend returns the backend for servers that speak MessagePack-RPC.
@@ -84,13 +84,13 @@
 	return rpcback.New(ctx, rpcback.Config{
 		ConnectTimeout:    cmp.Or(millis(cfg.Balance.ConnectTimeout), defaultConnectTimeout),
 		IdleTimeout:       idle,
-		MaxConnsPerServer: opts.ServerConnections,
+		MaxConnsPerServer: opts.ConnsPerServer,
 		MaxConns:          sockets,
-		MaxOpenPerConn:    opts.ServerOpen,
+		MaxOpenPerConn:    opts.MaxOpenPerServerConn,
 		Limits:            rpcLimits(opts),
-		NeverRan:          opts.NeverRan,
-		ApplicationErrors: opts.Answers,
-		Probe:             opts.Probe,
+		NeverRan:          opts.NotStartedCodes,
+		ApplicationErrors: opts.AnswerCodes,
+		Probe:             opts.ProbeMethod,
 		Log:               log,
 	})
 }
@@ -103,7 +103,7 @@
 	return rpcfront.New(rpcfront.Config{
 		Methods:     cfg.methods,
 		Limits:      rpcLimits(opts),
-		MaxOpen:     opts.MaxOpen,
+		MaxOpen:     opts.MaxOpenPerClientConn,
 		Connections: connections,
 		Shedder:     shedder,
 		AcceptGrace: cfg.acceptGrace,
--- a/internal/sidecar/reporting_test.go
+++ b/internal/sidecar/reporting_test.go
@@ -204,7 +204,7 @@
 				text += fmt.Sprintf("network = %q\n", r.network.Addr())
 			}
 			cfg := setOptions(t, testConfig(t, readyMember("s-1", server)), text)
-			cfg.Options.Collectd.Security, cfg.Options.Collectd.User = options.Encrypt, "monitor"
+			cfg.Options.Collectd.Security, cfg.Options.Collectd.Username = options.Encrypt, "monitor"
 			n := startSidecar(t, cfg)
 			stop := n.startLoad("read", "reserve", "pay")
 			r.interrupt(t, carbon, socket)
--- a/report/collectd/collectd.go
+++ b/report/collectd/collectd.go
@@ -37,7 +37,7 @@
 }
 
 // List is values of one moment under one identifier.
-type List struct {
+type ValueList struct {
 	Host, Plugin, PluginInstance, Type, TypeInstance string
 
 	Time     time.Time
@@ -70,11 +70,11 @@
 
 // Lists makes lists of a reading's rows. Receivers take no time of an identifier before one that they have: what is late can
 // stand under identifiers of its own.
-func Lists(host string, every time.Duration, r *report.Reading, late bool) []List {
-	lists := make([]List, 0, len(r.Rows))
+func ValueLists(host string, every time.Duration, r *report.Reading, late bool) []ValueList {
+	lists := make([]ValueList, 0, len(r.Rows))
 	for i := range r.Rows {
 		row := &r.Rows[i]
-		l := List{Host: host, Plugin: plugin, Type: TypeName(row.Family), Time: r.End, Interval: every}
+		l := ValueList{Host: host, Plugin: plugin, Type: TypeName(row.Family), Time: r.End, Interval: every}
 		if len(row.Labels) > 0 {
 			l.PluginInstance = report.Escape(row.Labels[0], mostField)
 		}
@@ -103,7 +103,7 @@
 	var b strings.Builder
 	for _, f := range report.Families {
 		fmt.Fprintf(&b, "%-20s ", TypeName(f))
-		shown := len(f.Shown())
+		shown := len(f.ShownCounters())
 		for i, field := range f.Fields() {
 			if i > 0 {
 				b.WriteString(", ")
@@ -125,18 +125,18 @@
 }
 
 // Size is what a packet may have: collectd's own bound.
-const Size = 1452
+const DefaultPacketBytes = 1452
 
 // Encoder writes packets. It is not safe for concurrent use.
 type Encoder struct {
 	most int // bytes of the parts of a packet
-	seal *Seal
+	seal *Sealer
 }
 
 // NewEncoder returns an encoder of packets of at most size bytes, 0: Size; sealed where seal is not nil.
-func NewEncoder(size int, seal *Seal) *Encoder {
+func NewEncoder(size int, seal *Sealer) *Encoder {
 	if size == 0 {
-		size = Size
+		size = DefaultPacketBytes
 	}
 	return &Encoder{most: size - seal.overhead(), seal: seal}
 }
@@ -145,16 +145,16 @@
 var ErrTooLong = errors.New("collectd: a list is longer than a packet")
 
 // Packets writes lists into packets; none is split between two.
-func (e *Encoder) Packets(lists []List) (packets [][]byte, err error) {
+func (e *Encoder) Packets(lists []ValueList) (packets [][]byte, err error) {
 	var b []byte
-	last := &List{}
+	last := &ValueList{}
 	finish := func() error {
 		if len(b) == 0 {
 			return nil
 		}
 		p, err := e.seal.wrap(b)
 		packets = append(packets, p)
-		b, last = nil, &List{}
+		b, last = nil, &ValueList{}
 		return err
 	}
 	for i := range lists {
@@ -175,7 +175,7 @@
 }
 
 // appendList appends the parts of a list that differ from the one before in the packet.
-func appendList(b []byte, last, l *List) []byte {
+func appendList(b []byte, last, l *ValueList) []byte {
 	first := len(b) == 0
 	for _, s := range []struct {
 		part      uint16
@@ -222,7 +222,7 @@
 }
 
 // AppendPutval appends the command of the Unix socket for a list: one line, answered by one line.
-func AppendPutval(b []byte, l *List) []byte {
+func AppendPutval(b []byte, l *ValueList) []byte {
 	b = append(b, `PUTVAL "`...)
 	b = append(append(append(b, l.Host...), '/'), l.Plugin...)
 	if l.PluginInstance != "" {
--- a/report/collectd/collectd_test.go
+++ b/report/collectd/collectd_test.go
@@ -18,7 +18,7 @@
 
 // The bytes of a packet, made by hand of the protocol's description.
 func TestPacket(t *testing.T) {
-	l := []List{{
+	l := []ValueList{{
 		Host: "h", Plugin: "p", Type: "t", Time: time.Unix(2, 500_000_000), Interval: 10 * time.Second,
 		Values: []Value{{Type: Derive, Int: 258}, {Type: Gauge, Gauge: 1}},
 	}, {
@@ -37,7 +37,7 @@
 	}
 }
 
-func lists(t *rapid.T) []List {
+func lists(t *rapid.T) []ValueList {
 	name := rapid.StringMatching(`[a-zA-Z0-9_%]{1,63}`)
 	value := rapid.Custom(func(t *rapid.T) Value {
 		v := Value{Type: Type(rapid.IntRange(0, 3).Draw(t, "type")), Int: rapid.Int64Range(0, 1<<50).Draw(t, "int")}
@@ -46,8 +46,8 @@
 		}
 		return v
 	})
-	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) List {
-		return List{
+	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) ValueList {
+		return ValueList{
 			Host: "host", Plugin: "firplank", PluginInstance: rapid.OneOf(rapid.Just(""), name).Draw(t, "instance"), Type: name.Draw(t, "type"),
 			TypeInstance: rapid.OneOf(rapid.Just(""), name).Draw(t, "of"), Time: time.Unix(rapid.Int64Range(0, 1<<32).Draw(t, "at"), 0),
 			Interval: time.Duration(rapid.IntRange(1, 3600).Draw(t, "interval")) * time.Second,
@@ -65,7 +65,7 @@
 func receiversRead(t *rapid.T) {
 	security := Security(rapid.IntRange(0, 2).Draw(t, "security"))
 	all, size := lists(t), rapid.IntRange(1024, 4000).Draw(t, "size")
-	packets, err := NewEncoder(size, NewSeal(security, "monitor", "secret")).Packets(all)
+	packets, err := NewEncoder(size, NewSealer(security, "monitor", "secret")).Packets(all)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -114,7 +114,7 @@
 
 // The socket's lines are read back too, and a gauge that is not there is undefined.
 func TestPutval(t *testing.T) {
-	l := List{
+	l := ValueList{
 		Host: "h", Plugin: "firplank", PluginInstance: "a%20b", Type: "t", Time: time.Unix(2, 0), Interval: 10 * time.Second,
 		Values: []Value{{Type: Derive, Int: 7}, {Type: Gauge, Gauge: math.NaN()}, {Type: Gauge, Gauge: 0.5}},
 	}
@@ -155,7 +155,7 @@
 	counters, gauges := table.Sizes()
 	r := table.Render(time.Unix(10, 0), time.Second, make([]int64, counters), make([]int64, counters), make([]float64, gauges))
 	for _, late := range []bool{false, true} {
-		for _, l := range Lists("h", time.Second, r, late) {
+		for _, l := range ValueLists("h", time.Second, r, late) {
 			line := string(AppendPutval(nil, &l))
 			got, err := receiver.ParsePutval(strings.TrimSuffix(line, "\n"))
 			if err != nil || strings.Count(line, "\n") != 1 || len(l.PluginInstance) > 63 || len(l.TypeInstance) > 63 {
@@ -170,9 +170,9 @@
 }
 
 // A list that no packet holds is an error, and nothing is left out silently.
-func TestTooLongAList(t *testing.T) {
-	l := List{Host: "h", Plugin: "p", Type: "t", Values: make([]Value, 200)}
-	if packets, err := NewEncoder(1024, nil).Packets([]List{l}); !errors.Is(err, ErrTooLong) || packets != nil {
+func TestTooLongList(t *testing.T) {
+	l := ValueList{Host: "h", Plugin: "p", Type: "t", Values: make([]Value, 200)}
+	if packets, err := NewEncoder(1024, nil).Packets([]ValueList{l}); !errors.Is(err, ErrTooLong) || packets != nil {
 		t.Errorf("%d packets, %v", len(packets), err)
 	}
 }
--- a/report/collectd/seal.go
+++ b/report/collectd/seal.go
@@ -23,7 +23,7 @@
 )
 
 // Seal signs or encrypts packets for a user whose password the receiver knows. A nil one leaves them as they are.
-type Seal struct {
+type Sealer struct {
 	security Security
 	user     string
 	password []byte
@@ -31,15 +31,15 @@
 }
 
 // NewSeal returns a seal; nil for Plain.
-func NewSeal(s Security, user, password string) *Seal {
+func NewSealer(s Security, user, password string) *Sealer {
 	if s == Plain {
 		return nil
 	}
-	return &Seal{security: s, user: user, password: []byte(password), random: rand.Reader}
+	return &Sealer{security: s, user: user, password: []byte(password), random: rand.Reader}
 }
 
 // overhead is how many bytes are added to the parts.
-func (s *Seal) overhead() int {
+func (s *Sealer) overhead() int {
 	switch {
 	case s == nil:
 		return 0
@@ -50,7 +50,7 @@
 }
 
 // wrap puts the parts of a packet under the seal.
-func (s *Seal) wrap(parts []byte) ([]byte, error) {
+func (s *Sealer) wrap(parts []byte) ([]byte, error) {
 	if s == nil {
 		return parts, nil
 	}
--- a/report/counts.go
+++ b/report/counts.go
@@ -13,11 +13,11 @@
 )
 
 // Kind is how a request ended.
-type Kind uint8
+type RequestOutcome uint8
 
 // The kinds.
 const (
-	Served Kind = iota
+	Served RequestOutcome = iota
 	Refused
 	Failed
 	late // of Served, after its aim
@@ -25,35 +25,35 @@
 )
 
 // Outcome is how an attempt at a server ended.
-type Outcome uint8
+type AttemptOutcome uint8
 
 // The outcomes.
 const (
-	OK Outcome = iota
+	OK AttemptOutcome = iota
 	Error
-	TurnedAway
+	Rejected
 	TimedOut
 	NotConnected
 	Reset
 	Cancelled
-	Moot
+	NotSent
 	outcomes
 )
 
 // Shape is what there is to count.
-type Shape struct {
+type Config struct {
 	Classes []Class
 	Tenants []string // by number
 	// Pairs bounds the pairs of class and tenant that are counted apart, the first that come; what is beyond them is
 	// counted under its class and Overflow. 0: 2,000.
-	Pairs int
+	MaxPairs int
 }
 
 // Class is what is to be known of a class.
 type Class struct {
 	Name             string
-	Aim              time.Duration // a later answer counts as late; 0: none does
-	Worth, LateWorth float64       // LateWorth is a part of Worth
+	LatencyTarget    time.Duration // a later answer counts as late; 0: none does
+	Value, LateValue float64       // LateWorth is a part of Worth
 }
 
 // Overflow names the tenant under which those are counted that have no counters of their own.
@@ -65,7 +65,7 @@
 // be called from any goroutine. It costs 56 bytes for each pair that it counts apart, 4 for each that there could be, and 1.4
 // KB for each class.
 type Counts struct {
-	shape    Shape
+	shape    Config
 	index    []atomic.Uint32 // by class × tenants + tenant: 0 none yet, else 1 + the cell
 	next     atomic.Uint32   // cells given out
 	cells    []cell          // the first are the classes' own, for tenants beyond the bound
@@ -83,13 +83,13 @@
 }
 
 // New returns counts of a shape.
-func New(s Shape) *Counts {
-	if s.Pairs <= 0 {
-		s.Pairs = usualPairs
+func New(s Config) *Counts {
+	if s.MaxPairs <= 0 {
+		s.MaxPairs = usualPairs
 	}
-	s.Pairs = min(s.Pairs, len(s.Classes)*len(s.Tenants))
+	s.MaxPairs = min(s.MaxPairs, len(s.Classes)*len(s.Tenants))
 	c := &Counts{
-		shape: s, index: make([]atomic.Uint32, len(s.Classes)*len(s.Tenants)), cells: make([]cell, len(s.Classes)+s.Pairs),
+		shape: s, index: make([]atomic.Uint32, len(s.Classes)*len(s.Tenants)), cells: make([]cell, len(s.Classes)+s.MaxPairs),
 		took: make([]Histogram, len(s.Classes)),
 	}
 	for i := range s.Classes {
@@ -117,8 +117,8 @@
 func (c *Counts) assign(at *atomic.Uint32, class, tenant int) *cell {
 	own := len(c.shape.Classes)
 	n := int(c.next.Add(1)) - 1
-	if n >= c.shape.Pairs {
-		c.next.Store(uint32(c.shape.Pairs)) // so that it never comes round
+	if n >= c.shape.MaxPairs {
+		c.next.Store(uint32(c.shape.MaxPairs)) // so that it never comes round
 		at.CompareAndSwap(0, uint32(class)+1)
 	} else {
 		k := &c.cells[own+n]
@@ -130,7 +130,7 @@
 
 // Asked counts a request that has come; retry says that its client has tried before. A class that there is not counts
 // nowhere, a tenant that there is not under Overflow.
-func (c *Counts) Asked(class, tenant int, retry bool) {
+func (c *Counts) RequestReceived(class, tenant int, retry bool) {
 	k := c.cell(class, tenant)
 	if k == nil {
 		return
@@ -142,14 +142,14 @@
 }
 
 // Ended counts that a request has its final answer, and how long that took.
-func (c *Counts) Ended(class, tenant int, kind Kind, took time.Duration) {
+func (c *Counts) RequestEnded(class, tenant int, kind RequestOutcome, took time.Duration) {
 	k := c.cell(class, tenant)
 	if k == nil {
 		return
 	}
 	if kind == Served {
 		c.took[class].Add(took)
-		if aim := c.shape.Classes[class].Aim; aim > 0 && took > aim {
+		if aim := c.shape.Classes[class].LatencyTarget; aim > 0 && took > aim {
 			kind = late
 		}
 	}
@@ -157,14 +157,14 @@
 }
 
 // Sent counts an attempt that was written whole to a server.
-func (c *Counts) Sent() {
+func (c *Counts) AttemptSent() {
 	if c != nil {
 		c.sends.Add(1)
 	}
 }
 
 // Attempted counts an attempt that has ended; again says that it was not the first of its request.
-func (c *Counts) Attempted(o Outcome, again bool) {
+func (c *Counts) AttemptEnded(o AttemptOutcome, again bool) {
 	if c == nil || o >= outcomes {
 		return
 	}
@@ -175,14 +175,14 @@
 }
 
 // Count is what a snapshot holds of a class or of a pair. Asked is the sum of Served, Refused, Failed and Open.
-type Count struct {
-	Asked, Served, Refused, Failed, Open int64
-	Late                                 int64 // of Served, after the aim
-	Retries                              int64 // of Asked
+type RequestCounts struct {
+	Received, Served, Refused, Failed, Open int64
+	Late                                    int64 // of Served, after the aim
+	Retries                                 int64 // of Asked
 }
 
-func (a *Count) add(b *Count) {
-	a.Asked += b.Asked
+func (a *RequestCounts) add(b *RequestCounts) {
+	a.Received += b.Received
 	a.Served += b.Served
 	a.Refused += b.Refused
 	a.Failed += b.Failed
@@ -194,43 +194,43 @@
 // Pair is the count of a class and a tenant; Tenant -1 is Overflow.
 type Pair struct {
 	Class, Tenant int
-	Count
+	RequestCounts
 }
 
 // Snapshot is the state of all counts at about one moment.
 type Snapshot struct {
-	Classes  []Count // by class, over all tenants
-	Pairs    []Pair  // that were ever asked
-	Open     int64
-	Sends    int64 // attempts written whole
-	Again    int64 // attempts beyond a request's first
-	Attempts [outcomes]int64
-	Took     []Buckets // of what was served, by class
+	Classes         []RequestCounts // by class, over all tenants
+	Pairs           []Pair          // that were ever asked
+	Open            int64
+	Sends           int64 // attempts written whole
+	FurtherAttempts int64 // attempts beyond a request's first
+	Attempts        [outcomes]int64
+	Latencies       []Buckets // of what was served, by class
 }
 
 // Snapshot reads the counts. What has ended is read before what was asked, so that no more can have ended than came.
 func (c *Counts) Snapshot() Snapshot {
-	s := Snapshot{Classes: make([]Count, len(c.shape.Classes)), Sends: c.sends.Load(), Again: c.again.Load()}
+	s := Snapshot{Classes: make([]RequestCounts, len(c.shape.Classes)), Sends: c.sends.Load(), FurtherAttempts: c.again.Load()}
 	for i := range c.attempts {
 		s.Attempts[i] = c.attempts[i].Load()
 	}
 	for i := range c.took {
-		s.Took = append(s.Took, c.took[i].Snapshot())
+		s.Latencies = append(s.Latencies, c.took[i].Snapshot())
 	}
 	own := len(c.shape.Classes)
-	for i := range own + min(int(c.next.Load()), c.shape.Pairs) {
+	for i := range own + min(int(c.next.Load()), c.shape.MaxPairs) {
 		k := &c.cells[i]
-		v := Count{Late: k.ended[late].Load(), Refused: k.ended[Refused].Load(), Failed: k.ended[Failed].Load()}
+		v := RequestCounts{Late: k.ended[late].Load(), Refused: k.ended[Refused].Load(), Failed: k.ended[Failed].Load()}
 		v.Served = k.ended[Served].Load() + v.Late
 		v.Retries = k.retries.Load()
-		v.Asked = k.asked.Load()
-		v.Open = v.Asked - v.Served - v.Refused - v.Failed
-		if v.Asked == 0 {
+		v.Received = k.asked.Load()
+		v.Open = v.Received - v.Served - v.Refused - v.Failed
+		if v.Received == 0 {
 			continue // the fields that name it may be being written
 		}
 		s.Open += v.Open
 		s.Classes[k.class].add(&v)
-		s.Pairs = append(s.Pairs, Pair{Class: k.class, Tenant: k.tenant, Count: v})
+		s.Pairs = append(s.Pairs, Pair{Class: k.class, Tenant: k.tenant, RequestCounts: v})
 	}
 	return s
 }
--- a/report/feed/clock.go
+++ b/report/feed/clock.go
@@ -42,7 +42,7 @@
 }
 
 // Last ends the interval that the process does not see the end of.
-func (c *Clock) Last(now time.Time) (end time.Time, span time.Duration) {
+func (c *Clock) EndFinal(now time.Time) (end time.Time, span time.Duration) {
 	end = now.Round(0).Truncate(c.every).Add(c.every)
 	if behind := c.last.Sub(end); behind > 0 && c.begun.Equal(c.last) { // the clock was stepped back
 		end = c.last.Add(c.every)
--- a/report/graphite/graphite.go
+++ b/report/graphite/graphite.go
@@ -15,11 +15,11 @@
 )
 
 // Form is how readings are written.
-type Form uint8
+type Format uint8
 
 // The forms.
 const (
-	Plaintext Form = iota
+	Plaintext Format = iota
 	Pickle
 )
 
@@ -29,7 +29,7 @@
 // Encoder writes readings. It remembers the paths of rows, a few dozen bytes for each series. It is not safe for concurrent
 // use.
 type Encoder struct {
-	form   Form
+	form   Format
 	prefix string
 	tagged bool
 	names  map[*report.Row][]series
@@ -40,7 +40,7 @@
 
 // New returns an encoder. A prefix is written as it is, and then a dot. Tagged series have their labels behind the path, as
 // Graphite 1.1 and later takes them.
-func New(form Form, prefix string, tagged bool) *Encoder {
+func New(form Format, prefix string, tagged bool) *Encoder {
 	return &Encoder{form: form, prefix: prefix, tagged: tagged, names: map[*report.Row][]series{}}
 }
 
@@ -67,8 +67,8 @@
 
 // The suffixes of counters.
 const (
-	Total = "total"
-	Count = "count"
+	TotalSuffix = "total"
+	CountSuffix = "count"
 )
 
 func (e *Encoder) series(r *report.Row) []series {
@@ -76,12 +76,12 @@
 	if ok {
 		return known
 	}
-	shown := len(r.Family.Shown())
+	shown := len(r.Family.ShownCounters())
 	for i, f := range r.Family.Fields() {
 		s := series{path: Path(e.prefix, e.tagged, r.Family, r.Labels, f.Name, "")}
 		if i < shown {
-			s.path = Path(e.prefix, e.tagged, r.Family, r.Labels, f.Name, Total)
-			s.growth = Path(e.prefix, e.tagged, r.Family, r.Labels, f.Name, Count)
+			s.path = Path(e.prefix, e.tagged, r.Family, r.Labels, f.Name, TotalSuffix)
+			s.growth = Path(e.prefix, e.tagged, r.Family, r.Labels, f.Name, CountSuffix)
 		}
 		known = append(known, s)
 	}
@@ -90,7 +90,7 @@
 }
 
 // Forget drops the paths of rows that are no more.
-func (e *Encoder) Forget(rows []*report.Row) {
+func (e *Encoder) Prune(rows []*report.Row) {
 	if len(e.names) <= 2*len(rows) {
 		return
 	}
@@ -128,7 +128,7 @@
 
 // writer writes points.
 type writer struct {
-	form  Form
+	form  Format
 	b     []byte
 	at    int64 // Unix seconds
 	begin int   // of the open list's length
--- a/report/graphite/graphite_test.go
+++ b/report/graphite/graphite_test.go
@@ -19,7 +19,7 @@
 func reading(class string, total, growth int64, gauge float64, at time.Time) *report.Reading {
 	t := report.NewTable()
 	f := &report.Family{
-		Name: "requests", Labels: []string{"class"}, Most: 10,
+		Name: "requests", Labels: []string{"class"}, MaxRows: 10,
 		Counters: []report.Field{{Name: "asked"}}, Gauges: []report.Field{{Name: "open"}},
 	}
 	t.Row(f, 0, class)
@@ -29,7 +29,7 @@
 var at = time.Unix(1_800_000_010, 0)
 
 // The bytes of both forms, for names that would be two levels or another's.
-func TestForms(t *testing.T) {
+func TestEncodedBytes(t *testing.T) {
 	r := reading("permit.lookup v2", 70000, 3, 2.5, at)
 	const path = "firplank.n1.requests.permit%2Elookup%20v2."
 	want := path + "asked.total 70000 1800000010\n" + path + "asked.count 3 1800000010\n" + path + "open 2.5 1800000010\n"
@@ -89,7 +89,7 @@
 // A long list is told in several, none beyond what receivers take.
 func TestLongLists(t *testing.T) {
 	table := report.NewTable()
-	f := &report.Family{Name: "f", Labels: []string{"class"}, Most: 5000, Counters: []report.Field{{Name: "n"}}}
+	f := &report.Family{Name: "f", Labels: []string{"class"}, MaxRows: 5000, Counters: []report.Field{{Name: "n"}}}
 	totals := make([]int64, 3000)
 	for i := range totals {
 		table.Row(f, 0, fmt.Sprint("class ", i))
@@ -168,9 +168,9 @@
 
 // An interval of the largest table that the bounds allow with 500 classes and 100 tenants.
 func BenchmarkAppendLargest(b *testing.B) {
-	s := report.Shape{}
+	s := report.Config{}
 	for i := range 500 {
-		s.Classes = append(s.Classes, report.Class{Name: fmt.Sprint("class ", i), Worth: 1})
+		s.Classes = append(s.Classes, report.Class{Name: fmt.Sprint("class ", i), Value: 1})
 	}
 	for i := range 100 {
 		s.Tenants = append(s.Tenants, fmt.Sprint("tenant ", i))
@@ -178,12 +178,12 @@
 	c, table := report.New(s), report.NewTable()
 	for class := range s.Classes {
 		for tenant := range s.Tenants {
-			c.Asked(class, tenant, false)
+			c.RequestReceived(class, tenant, false)
 		}
 	}
-	sample := c.Take(table, &report.State{At: at})
+	sample := c.Collect(table, &report.State{Time: at})
 	r := table.Render(at, 10*time.Second, sample.Counters, sample.Counters, sample.Gauges)
-	for _, form := range []Form{Plaintext, Pickle} {
+	for _, form := range []Format{Plaintext, Pickle} {
 		enc, text := New(form, "firplank.n1", false), []byte(nil)
 		b.Run(fmt.Sprint(form), func(b *testing.B) {
 			for b.Loop() {
--- a/report/spool/interval.go
+++ b/report/spool/interval.go
@@ -16,8 +16,8 @@
 // Interval is what one interval came to, packed: of the counters those that grew, with what they grew by, of the gauges those
 // that have a value. It is never changed, so that several spools can share it.
 type Interval struct {
-	End  time.Time
-	Span time.Duration
+	End      time.Time
+	Duration time.Duration
 
 	counters []byte // (places skipped, growth) as varints
 	gauges   []byte // (places skipped, value)
@@ -25,7 +25,7 @@
 
 // Pack packs an interval. No growth is below 0; NaN is no gauge.
 func Pack(end time.Time, span time.Duration, growth []int64, gauges []float64) *Interval {
-	iv := &Interval{End: end, Span: span}
+	iv := &Interval{End: end, Duration: span}
 	last := -1
 	for i, d := range growth {
 		if d > 0 {
@@ -126,7 +126,7 @@
 
 // Merge puts an interval and the one after it together: growth adds up, of the gauges the later hold.
 func Merge(a, b *Interval) *Interval {
-	m := Pack(b.End, a.Span+b.Span, b.AddTo(a.AddTo(nil)), nil)
+	m := Pack(b.End, a.Duration+b.Duration, b.AddTo(a.AddTo(nil)), nil)
 	m.gauges = b.gauges
 	return m
 }
--- a/report/spool/spool.go
+++ b/report/spool/spool.go
@@ -20,7 +20,7 @@
 }
 
 // Again reports whether the interval was written before.
-func (e *Entry) Again() bool { return e.again }
+func (e *Entry) WrittenBefore() bool { return e.again }
 
 // Spool is the intervals for one receiver, the oldest first. It is not safe for concurrent use.
 type Spool struct {
@@ -33,11 +33,11 @@
 }
 
 // Least is the smallest bound that makes sense.
-const Least = 16 << 10
+const MinBytes = 16 << 10
 
 // New returns a spool that holds so many bytes at most. One interval, and what is written and not settled, is held beyond that:
 // neither can be made less.
-func New(most int) *Spool { return &Spool{most: max(most, Least)} }
+func New(most int) *Spool { return &Spool{most: max(most, MinBytes)} }
 
 // Add takes in the next interval.
 func (s *Spool) Add(iv *Interval) {
@@ -78,7 +78,7 @@
 		if a.state != b.state || a.state == written {
 			continue
 		}
-		if longer := max(a.Span, b.Span); best < 0 || longer < span {
+		if longer := max(a.Duration, b.Duration); best < 0 || longer < span {
 			best, span = i, longer
 		}
 	}
@@ -86,7 +86,7 @@
 }
 
 // Oldest and Newest return the first and the last interval that waits, nil where none does.
-func (s *Spool) Oldest() *Entry {
+func (s *Spool) OldestPending() *Entry {
 	for _, e := range s.list {
 		if e.state == waiting {
 			return e
@@ -96,7 +96,7 @@
 }
 
 // Newest returns the newest interval if it waits, else nil.
-func (s *Spool) Newest() *Entry {
+func (s *Spool) NewestPending() *Entry {
 	if n := len(s.list); n > 0 && s.list[n-1].state == waiting {
 		return s.list[n-1]
 	}
@@ -104,7 +104,7 @@
 }
 
 // Waiting returns the number of intervals that wait.
-func (s *Spool) Waiting() (n int) {
+func (s *Spool) Pending() (n int) {
 	for _, e := range s.list {
 		if e.state == waiting {
 			n++
@@ -120,11 +120,11 @@
 func (s *Spool) Merged() int64 { return s.merged }
 
 // Begin is when the first interval that is held began; the zero time where none is.
-func (s *Spool) Begin() time.Time {
+func (s *Spool) Start() time.Time {
 	if len(s.list) == 0 {
 		return time.Time{}
 	}
-	return s.list[0].End.Add(-s.list[0].Span)
+	return s.list[0].End.Add(-s.list[0].Duration)
 }
 
 // Totals returns what counters came to at the end of an interval of this spool.
@@ -143,10 +143,10 @@
 }
 
 // Write says that an interval was written.
-func (s *Spool) Write(e *Entry, now time.Time) { e.state, e.at = written, now }
+func (s *Spool) MarkWritten(e *Entry, now time.Time) { e.state, e.at = written, now }
 
 // Back says that what was written and not settled may not have arrived: it waits again.
-func (s *Spool) Back() {
+func (s *Spool) Requeue() {
 	for _, e := range s.list {
 		if e.state == written {
 			e.state, e.again = waiting, true
@@ -155,7 +155,7 @@
 }
 
 // SettleBefore tells that what was written before a time has arrived.
-func (s *Spool) SettleBefore(t time.Time) {
+func (s *Spool) MarkDeliveredBefore(t time.Time) {
 	for _, e := range s.list {
 		if e.state == written && e.at.Before(t) {
 			e.state = settled
@@ -165,7 +165,7 @@
 }
 
 // SettleNext tells that of what is not settled the interval that was written first has arrived.
-func (s *Spool) SettleNext() {
+func (s *Spool) MarkOldestDelivered() {
 	var first *Entry
 	for _, e := range s.list {
 		if e.state == written && (first == nil || e.at.Before(first.at)) {
@@ -179,7 +179,7 @@
 }
 
 // Unsettled is when the first of what is written and not settled was written; false where nothing is.
-func (s *Spool) Unsettled() (at time.Time, any bool) {
+func (s *Spool) OldestUndelivered() (at time.Time, any bool) {
 	for _, e := range s.list {
 		if e.state == written && (!any || e.at.Before(at)) {
 			at, any = e.at, true
--- a/report/spool/spool_test.go
+++ b/report/spool/spool_test.go
@@ -16,7 +16,7 @@
 }
 
 // What was packed comes back, and two intervals put together come to what both did.
-func TestPackedIntervals(t *testing.T) {
+func TestPackAndMerge(t *testing.T) {
 	numbers := rapid.SliceOfN(rapid.OneOf(rapid.Just(int64(0)), rapid.Int64Range(0, 1<<40)), 0, 60)
 	values := rapid.SliceOfN(rapid.OneOf(rapid.Just(math.NaN()), rapid.Float64(),
 		rapid.Map(rapid.IntRange(0, 1<<40), func(i int) float64 { return float64(i) })), 0, 20)
@@ -24,8 +24,8 @@
 		a, b := numbers.Draw(t, "a"), numbers.Draw(t, "b")
 		ga, gb := values.Draw(t, "gauges a"), values.Draw(t, "gauges b")
 		m := Merge(interval(0, a, ga...), interval(1, b, gb...))
-		if !m.End.Equal(start.Add(20*time.Second)) || m.Span != 20*time.Second {
-			t.Fatalf("ends %v, spans %v", m.End, m.Span)
+		if !m.End.Equal(start.Add(20*time.Second)) || m.Duration != 20*time.Second {
+			t.Fatalf("ends %v, spans %v", m.End, m.Duration)
 		}
 		sum := m.AddTo(make([]int64, 60))
 		for i := range sum {
@@ -51,7 +51,7 @@
 
 // Whatever is added, written, lost and settled: no more bytes than allowed, ends in order, and what is written and what waits
 // comes to what was counted, each interval's totals to what was counted up to its end.
-func TestNothingIsDropped(t *testing.T) {
+func TestSpoolKeepsAllCounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New(0)
 		counted, arrived := make([]int64, 40), make([]int64, 40)
@@ -69,23 +69,23 @@
 				upTo = append(upTo, slices.Clone(counted))
 				s.Add(interval(len(upTo)-1, growth, 1, float64(step)))
 			case 6, 7:
-				e := s.Oldest()
+				e := s.OldestPending()
 				if rapid.Bool().Draw(t, "newest") {
-					e = s.Newest()
+					e = s.NewestPending()
 				}
 				if e != nil {
 					n := int(e.End.Sub(start)/(10*time.Second)) - 1
 					if got := s.Totals(e); !slices.Equal(got, upTo[n][:len(got)]) {
 						t.Fatalf("interval %d has totals %v, want %v", n, got, upTo[n])
 					}
-					s.Write(e, start.Add(time.Duration(step)))
+					s.MarkWritten(e, start.Add(time.Duration(step)))
 					out = append(out, e)
 				}
 			case 8:
-				s.Back()
+				s.Requeue()
 				out = nil
 			case 9:
-				s.SettleBefore(start.Add(time.Duration(step)))
+				s.MarkDeliveredBefore(start.Add(time.Duration(step)))
 				for _, e := range out {
 					arrived = e.AddTo(arrived)
 				}
@@ -115,33 +115,33 @@
 	if !slices.Equal(left, counted) {
 		t.Fatalf("comes to %v, counted were %v", left, counted)
 	}
-	if s.Size() > Least+unsettled+3*(overhead+6*series+20) {
+	if s.Size() > MinBytes+unsettled+3*(overhead+6*series+20) {
 		t.Fatalf("%d bytes, of which %d are written", s.Size(), unsettled)
 	}
 }
 
 // When room is short, all intervals lose half of their resolution before one loses more, the oldest first.
 func TestOldestLoseResolutionFirst(t *testing.T) {
-	s := New(Least)
+	s := New(MinBytes)
 	for i := range 400 {
 		s.Add(interval(i, []int64{1, 2, 3}, 5))
 	}
 	last := time.Duration(math.MaxInt64)
 	for _, e := range s.list {
-		if e.Span > last {
-			t.Fatalf("%v after %v", e.Span, last)
+		if e.Duration > last {
+			t.Fatalf("%v after %v", e.Duration, last)
 		}
-		last = e.Span
+		last = e.Duration
 	}
-	oldest, middle, n := s.list[0].Span, s.list[len(s.list)/2].Span, len(s.list)
-	if oldest > 2*middle || s.list[n*7/8].Span != 10*time.Second || s.Merged() == 0 || s.Waiting() != n {
+	oldest, middle, n := s.list[0].Duration, s.list[len(s.list)/2].Duration, len(s.list)
+	if oldest > 2*middle || s.list[n*7/8].Duration != 10*time.Second || s.Merged() == 0 || s.Pending() != n {
 		t.Errorf("the oldest of %d spans %v, the one in the middle %v, %d put together", n, oldest, middle, s.Merged())
 	}
 }
 
 // An hour at 10 s of a sidecar with 30 classes and 30 tenants, all of which ask, is kept whole within the usual 4 MiB; plain
 // arrays of the same would take 34 MB.
-func TestAnHourIsKeptWhole(t *testing.T) {
+func TestDefaultSpoolHoldsAnHour(t *testing.T) {
 	s := New(4 << 20)
 	series := 30*(6+2+170) + 30*30*6
 	for i := range 360 {
@@ -154,8 +154,8 @@
 		gauges := make([]float64, 30*2+30*30+200)
 		s.Add(interval(i, growth, gauges...))
 	}
-	if s.Merged() > 0 || s.Waiting() != 360 {
-		t.Errorf("%d waiting, %d put together", s.Waiting(), s.Merged())
+	if s.Merged() > 0 || s.Pending() != 360 {
+		t.Errorf("%d waiting, %d put together", s.Pending(), s.Merged())
 	}
 	t.Logf("%d bytes for an hour of %d counters: %.2f for a series and hour", s.Size(), series, float64(s.Size())/float64(series))
 }
