--- a/cmd/firplank/metrics.go
+++ b/cmd/firplank/metrics.go
@@ -48,21 +48,21 @@
 		for _, label := range f.Labels {
 			rows = appendLabelValues(rows, label, &shape)
 		}
-		counterCount := len(f.Shown())
+		counterCount := len(f.ShownCounters())
 		for _, labels := range rows {
 			labelText := ""
 			for i, label := range labels { // the path may contain shortened, escaped values
 				labelText += fmt.Sprintf("%s=%q ", f.Labels[i], label)
 			}
 			for i, field := range f.Fields() {
-				meaning := f.About + ": " + field.About
+				meaning := f.Description + ": " + field.Description
 				if i >= counterCount {
 					w.Printf("%s\tgauge\t%s\t%s\t%s\n", seriesPath(prefix, g.Tags, f, labels, field.Name, ""), field.Unit, labelText, meaning)
 					continue
 				}
 				w.Printf("%s\tcounter\t%s\t%s\t%s, since the process started\n",
-					seriesPath(prefix, g.Tags, f, labels, field.Name, graphite.Total), field.Unit, labelText, meaning)
-				w.Printf("%s\tincrease\t%s\t%s\t%s, in the interval\n", seriesPath(prefix, g.Tags, f, labels, field.Name, graphite.Count),
+					seriesPath(prefix, g.Tags, f, labels, field.Name, graphite.TotalSuffix), field.Unit, labelText, meaning)
+				w.Printf("%s\tincrease\t%s\t%s\t%s, in the interval\n", seriesPath(prefix, g.Tags, f, labels, field.Name, graphite.CountSuffix),
 					field.Unit, labelText, meaning)
 			}
 		}
@@ -86,7 +86,7 @@
 }
 
 // appendLabelValues returns the rows of label values, each combined with every value of one more label.
-func appendLabelValues(rows [][]string, label string, s *report.Shape) (all [][]string) {
+func appendLabelValues(rows [][]string, label string, s *report.Config) (all [][]string) {
 	values := []string{"<" + label + ">"}
 	switch label {
 	case "class":
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -124,7 +124,7 @@
 
 // attemptWritten counts an attempt that was written completely. It is called from the backend's goroutines.
 func (l *Loop) attemptWritten(a *Attempt) {
-	l.cfg.Counts.Sent()
+	l.cfg.Counts.AttemptSent()
 	if a.Message.Stream != nil {
 		l.post(uploadComplete{a})
 	}
@@ -134,7 +134,7 @@
 func (l *Loop) endAttempt(a *Attempt) {
 	r := l.requests[a.request]
 	r.inFlight--
-	l.cfg.Counts.Attempted(reportOutcomes[a.result.Outcome], a.number > 0)
+	l.cfg.Counts.AttemptEnded(reportOutcomes[a.result.Outcome], a.number > 0)
 	l.record.ended(a)
 	l.observeAttempt(a)
 	if a.Endpoint != nil {
--- a/internal/core/counts.go
+++ b/internal/core/counts.go
@@ -10,19 +10,19 @@
 )
 
 // reportOutcomes maps the result of an attempt to its counter in reports.
-var reportOutcomes = [...]report.Outcome{
+var reportOutcomes = [...]report.AttemptOutcome{
 	balance.OK:            report.OK,
 	balance.Failed:        report.Error,
-	balance.Rejected:      report.TurnedAway,
+	balance.Rejected:      report.Rejected,
 	balance.TimedOut:      report.TimedOut,
 	balance.ConnectFailed: report.NotConnected,
 	balance.Reset:         report.Reset,
 	balance.Cancelled:     report.Cancelled,
-	balance.NotSent:       report.Moot,
+	balance.NotSent:       report.NotSent,
 }
 
 // reportKinds maps the kind of an answer to its counter in reports.
-var reportKinds = map[Kind]report.Kind{Served: report.Served, Refused: report.Refused, Failed: report.Failed}
+var reportKinds = map[Kind]report.RequestOutcome{Served: report.Served, Refused: report.Refused, Failed: report.Failed}
 
 // countEnd counts the end of a request. A request with a streamed answer ends when the stream does.
 func (l *Loop) countEnd(r *request, a *Answer) {
@@ -33,14 +33,14 @@
 	switch {
 	case a == nil:
 	case a.Stream == nil:
-		counts.Ended(class, tenant, reportKinds[a.Kind], time.Since(received))
+		counts.RequestEnded(class, tenant, reportKinds[a.Kind], time.Since(received))
 	default:
 		a.Stream.OnEnd(func(complete bool) {
 			kind, counter := report.Failed, fleet.Failed
 			if complete {
 				kind, counter = report.Served, fleet.Served
 			}
-			counts.Ended(class, tenant, kind, time.Since(received))
+			counts.RequestEnded(class, tenant, kind, time.Since(received))
 			if r.countedInFleet {
 				l.cfg.FleetQuota.End(class, tenant, counter)
 			}
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -35,7 +35,7 @@
 func (l *Loop) beginRequest(c *Call) {
 	l.lastID++
 	r := &request{id: l.lastID, call: c, class: c.Request.Class, tenant: c.Request.Tenant}
-	l.cfg.Counts.Asked(r.class, r.tenant, c.Request.Retry)
+	l.cfg.Counts.RequestReceived(r.class, r.tenant, c.Request.Retry)
 	l.record.requestReceived()
 	if denied := l.admit(r); denied != nil {
 		l.finish(r, denied)
--- a/internal/front/http/parse.go
+++ b/internal/front/http/parse.go
@@ -77,8 +77,8 @@
 	if !ok {
 		tenant = -1
 	}
-	cf.Counts.Asked(class, tenant, h.Get("X-Second-Try") == "1")
-	cf.Counts.Ended(class, tenant, report.Refused, 0)
+	cf.Counts.RequestReceived(class, tenant, h.Get("X-Second-Try") == "1")
+	cf.Counts.RequestEnded(class, tenant, report.Refused, 0)
 }
 
 // fillCall sets the fields of a call from a request, by the dialect if there is one, which may return the answer instead.
--- a/internal/reporting/receivers.go
+++ b/internal/reporting/receivers.go
@@ -31,12 +31,12 @@
 // basePolicy is the policy that all receivers share, with a backlog in seconds.
 func basePolicy(backlog float64) feed.Policy {
 	return feed.Policy{
-		Backlog: backlog,
-		Part:    backlogCPUShare,
-		Settle:  2 * time.Second,
-		Stall:   10 * time.Second,
-		Least:   500 * time.Millisecond,
-		Most:    15 * time.Second,
+		BacklogPerSecond:     backlog,
+		BacklogTimeShare:     backlogCPUShare,
+		AssumeDeliveredAfter: 2 * time.Second,
+		StallTimeout:         10 * time.Second,
+		MinBackoff:           500 * time.Millisecond,
+		MaxBackoff:           15 * time.Second,
 	}
 }
 
@@ -81,7 +81,7 @@
 		SpoolBytes: g.Spool,
 		Policy:     basePolicy(g.Backlog),
 		Encode: func(r *report.Reading, t *report.Table, _ bool) ([][]byte, int, error) {
-			enc.Forget(t.Rows())
+			enc.Prune(t.Rows())
 			return [][]byte{enc.Append(nil, r)}, 0, nil
 		},
 	}
@@ -91,7 +91,7 @@
 func collectdNetwork(c *options.Collectd, host string) Receiver {
 	apart := c.Late == options.Apart
 	enc, p := collectd.NewEncoder(c.PacketBytes, seal(c)), basePolicy(c.Backlog)
-	p.Blind, p.InOrder = true, !apart
+	p.FireAndForget, p.InOrder = true, !apart
 	return Receiver{
 		Name:       "collectd-network",
 		Network:    "udp",
@@ -100,7 +100,7 @@
 		SpoolBytes: c.Spool,
 		Policy:     p,
 		Encode: func(r *report.Reading, _ *report.Table, late bool) ([][]byte, int, error) {
-			packets, err := enc.Packets(collectd.Lists(host, seconds(c.Interval), r, late && apart))
+			packets, err := enc.Packets(collectd.ValueLists(host, seconds(c.Interval), r, late && apart))
 			return packets, 0, err
 		},
 	}
@@ -120,7 +120,7 @@
 		Policy:     p,
 		Encode: func(r *report.Reading, _ *report.Table, late bool) ([][]byte, int, error) {
 			var b []byte
-			lists := collectd.Lists(host, seconds(c.Interval), r, late && apart)
+			lists := collectd.ValueLists(host, seconds(c.Interval), r, late && apart)
 			for i := range lists {
 				b = collectd.AppendPutval(b, &lists[i])
 			}
@@ -130,9 +130,9 @@
 }
 
 // seal returns the security of collectd's network protocol that the options have.
-func seal(c *options.Collectd) *collectd.Seal {
+func seal(c *options.Collectd) *collectd.Sealer {
 	kind := map[string]collectd.Security{options.Sign: collectd.Sign, options.Encrypt: collectd.Encrypt}[c.Security]
-	return collectd.NewSeal(kind, c.User, c.Password)
+	return collectd.NewSealer(kind, c.User, c.Password)
 }
 
 // Prefix replaces {name} and {process} in a prefix by the sidecar's name and the start time of its process.
--- a/internal/reporting/reporting.go
+++ b/internal/reporting/reporting.go
@@ -145,9 +145,9 @@
 	now := r.cfg.now()
 	sample := r.sample(now)
 	for _, s := range r.sinks {
-		end, span := s.clock.Last(now)
+		end, span := s.clock.EndFinal(now)
 		s.endInterval(end, span, sample)
-		s.feed.Last()
+		s.feed.Shutdown()
 	}
 }
 
@@ -164,7 +164,7 @@
 // logUnsent logs the intervals that no receiver got.
 func (r *Reporter) logUnsent() {
 	for _, s := range r.sinks {
-		if n := s.spool.Waiting(); n > 0 {
+		if n := s.spool.Pending(); n > 0 {
 			r.cfg.Log.Warn("intervals are lost with the process", "receiver", s.Name, "intervals", n)
 		}
 	}
@@ -172,7 +172,7 @@
 
 // sample reads all series.
 func (r *Reporter) sample(now time.Time) *report.Sample {
-	st := &report.State{At: now, Started: r.cfg.Started, Memory: memory()}
+	st := &report.State{Time: now, Started: r.cfg.Started, MemoryBytes: memory()}
 	if r.cfg.State != nil {
 		ctx, cancel := context.WithTimeout(r.ctx, stateTimeout)
 		defer cancel()
@@ -182,24 +182,24 @@
 	}
 	oldest := now
 	for _, s := range r.sinks {
-		c := s.feed.Counts()
-		st.Receiver = append(st.Receiver, report.ReceiverState{
-			Name:      s.Name,
-			Intervals: c.Intervals,
-			Written:   c.Written,
-			Again:     c.Again,
-			Merged:    s.spool.Merged(),
-			Breaks:    c.Breaks,
-			Rejected:  s.rejected,
-			Waiting:   s.spool.Waiting(),
-			Spool:     s.spool.Size(),
+		c := s.feed.Stats()
+		st.Receivers = append(st.Receivers, report.ReceiverState{
+			Name:        s.Name,
+			Intervals:   c.Intervals,
+			Written:     c.Written,
+			Resent:      c.Resent,
+			Merged:      s.spool.Merged(),
+			Disconnects: c.Disconnects,
+			Rejected:    s.rejected,
+			Pending:     s.spool.Pending(),
+			SpoolBytes:  s.spool.Size(),
 		})
-		if b := s.spool.Begin(); !b.IsZero() && b.Before(oldest) {
+		if b := s.spool.Start(); !b.IsZero() && b.Before(oldest) {
 			oldest = b
 		}
 	}
-	sample := r.cfg.Counts.Take(r.table, st)
-	r.table.Forget(oldest.Unix() - 1)
+	sample := r.cfg.Counts.Collect(r.table, st)
+	r.table.Prune(oldest.Unix() - 1)
 	return sample
 }
 
--- a/internal/reporting/reporting_test.go
+++ b/internal/reporting/reporting_test.go
@@ -26,7 +26,7 @@
 }
 
 func begin(o *options.File) *life {
-	counts := report.New(report.Shape{Classes: []report.Class{{Name: "permit.lookup v2", Worth: 1}}, Tenants: []string{"a"}})
+	counts := report.New(report.Config{Classes: []report.Class{{Name: "permit.lookup v2", Value: 1}}, Tenants: []string{"a"}})
 	ctx, kill := context.WithCancel(context.Background())
 	l := &life{Counts: counts, kill: kill, ended: make(chan bool), Reporter: New(Config{
 		Counts: counts, Receivers: Receivers(o, "n1", time.Now()), Started: time.Now(), Log: slog.New(slog.DiscardHandler),
@@ -40,8 +40,8 @@
 
 func (l *life) serve(n int) {
 	for range n {
-		l.Asked(0, 0, false)
-		l.Ended(0, 0, report.Served, time.Millisecond)
+		l.RequestReceived(0, 0, false)
+		l.RequestEnded(0, 0, report.Served, time.Millisecond)
 	}
 }
 
@@ -99,7 +99,7 @@
 	}
 	log := &testbed.LogBuffer{}
 	r := New(Config{
-		Counts: report.New(report.Shape{}), Receivers: Receivers(o, "n1", time.Now()), Log: slog.New(slog.NewTextHandler(log, nil)),
+		Counts: report.New(report.Config{}), Receivers: Receivers(o, "n1", time.Now()), Log: slog.New(slog.NewTextHandler(log, nil)),
 	})
 	ended := make(chan bool)
 	go func() {
--- a/internal/reporting/sink.go
+++ b/internal/reporting/sink.go
@@ -102,7 +102,7 @@
 		}
 	}
 	s.previous = append(s.previous[:0], sample.Counters...)
-	s.feed.Ended(spool.Pack(end, span, growth, sample.Gauges))
+	s.feed.AddInterval(spool.Pack(end, span, growth, sample.Gauges))
 }
 
 // render encodes an interval as the outgoing pieces.
@@ -115,13 +115,13 @@
 	if len(totals) < counters {
 		totals = append(totals, make([]int64, counters-len(totals))...)
 	}
-	pieces, answers, err := s.Encode(t.Render(e.End, e.Span, growth, totals, e.Gauges(nans(gauges))), t, s.feed.Late())
+	pieces, answers, err := s.Encode(t.Render(e.End, e.Duration, growth, totals, e.Gauges(nans(gauges))), t, s.feed.Late())
 	if err != nil { // not retried: it would fail again
 		s.rejected++
 		s.logProblem(now, "an interval cannot be written", err.Error())
 	}
 	s.outgoing = pieces
-	s.feed.Cost(now, time.Since(began))
+	s.feed.Encoded(now, time.Since(began))
 	if s.Policy.Acks {
 		s.pendingAcks = append(s.pendingAcks, answers)
 	}
@@ -151,7 +151,7 @@
 		}
 	}
 	s.outgoing = nil
-	s.feed.Wrote(now)
+	s.feed.Written(now)
 	return true
 }
 
@@ -220,19 +220,19 @@
 func (s *sink) connected(now time.Time, d dialResult) {
 	if d.err != nil {
 		s.logProblem(now, "a receiver cannot be reached", d.err.Error())
-		s.feed.Broke(now)
+		s.feed.Disconnected(now)
 		return
 	}
 	s.conn = d.conn
 	s.feed.Connected(now)
-	s.reporter.cfg.Log.Info("connected to receiver", "receiver", s.Name, "address", s.Address, "waiting", s.spool.Waiting())
+	s.reporter.cfg.Log.Info("connected to receiver", "receiver", s.Name, "address", s.Address, "waiting", s.spool.Pending())
 }
 
 // disconnected ends the connection: what is not known to have arrived waits again.
 func (s *sink) disconnected(now time.Time, err error) {
 	s.logProblem(now, "a receiver has gone", err.Error())
 	s.close()
-	s.feed.Broke(now)
+	s.feed.Disconnected(now)
 }
 
 func (s *sink) close() {
--- a/internal/sidecar/reporting.go
+++ b/internal/sidecar/reporting.go
@@ -18,15 +18,15 @@
 )
 
 // Shape returns the classes and tenants by which requests are counted.
-func (c *Config) Shape() report.Shape {
-	s := report.Shape{Tenants: c.catalog.TenantNames(), Pairs: c.Options.Reporting.Pairs}
+func (c *Config) Shape() report.Config {
+	s := report.Config{Tenants: c.catalog.TenantNames(), MaxPairs: c.Options.Reporting.Pairs}
 	for i, name := range c.catalog.ClassNames() {
 		rules := &c.Balance.Classes[i]
 		s.Classes = append(s.Classes, report.Class{
-			Name:      name,
-			Aim:       millis(rules.LatencyTarget),
-			Worth:     rules.Value,
-			LateWorth: rules.LateValue,
+			Name:          name,
+			LatencyTarget: millis(rules.LatencyTarget),
+			Value:         rules.Value,
+			LateValue:     rules.LateValue,
 		})
 	}
 	return s
@@ -55,7 +55,7 @@
 func readState(ctx context.Context, exchange *core.Loop, gate *broker.Gate, st *report.State) error {
 	read := make(chan report.State, 1) // the exchange never waits, also when ctx has ended
 	exchange.Inspect(func(now time.Duration) {
-		s := report.State{Avoided: exchange.CountServers().Unhealthy}
+		s := report.State{AvoidedServers: exchange.CountServers().Unhealthy}
 		for _, server := range exchange.Servers() {
 			s.Servers = append(s.Servers, report.ServerState{Name: server.Name, InFlight: server.InFlight})
 		}
@@ -68,7 +68,7 @@
 	})
 	select {
 	case s := <-read:
-		st.Servers, st.Teams, st.Avoided = s.Servers, s.Teams, s.Avoided
+		st.Servers, st.Teams, st.AvoidedServers = s.Servers, s.Teams, s.AvoidedServers
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
--- a/report/collect.go
+++ b/report/collect.go
@@ -14,13 +14,13 @@
 
 // State is what a sample is taken of, besides the counts.
 type State struct {
-	At       time.Time
-	Started  time.Time
-	Memory   uint64
-	Servers  []ServerState
-	Avoided  int
-	Teams    []TeamState
-	Receiver []ReceiverState
+	Time           time.Time
+	Started        time.Time
+	MemoryBytes    uint64
+	Servers        []ServerState
+	AvoidedServers int
+	Teams          []TeamState
+	Receivers      []ReceiverState
 }
 
 // ServerState is what is told of a server.
@@ -37,71 +37,71 @@
 
 // ReceiverState is how reporting to one receiver goes.
 type ReceiverState struct {
-	Name                                                string
-	Intervals, Written, Again, Merged, Breaks, Rejected int64
-	Waiting, Spool                                      int
+	Name                                                      string
+	Intervals, Written, Resent, Merged, Disconnects, Rejected int64
+	Pending, SpoolBytes                                       int
 }
 
 // take sets a row's figures; those of a row that several things share add up.
-func (s *Sample) take(t *Table, r *Row, counters []int64, gauges ...float64) {
-	if more := t.counters - len(s.Counters); more > 0 {
-		s.Counters = append(s.Counters, make([]int64, more)...)
+func (s *Sample) addRow(t *Table, r *Row, counters []int64, gauges ...float64) {
+	if missing := t.numCounters - len(s.Counters); missing > 0 {
+		s.Counters = append(s.Counters, make([]int64, missing)...)
 	}
-	for len(s.Gauges) < t.gauges {
+	for len(s.Gauges) < t.numGauges {
 		s.Gauges = append(s.Gauges, math.NaN())
 	}
 	for i, v := range counters {
-		s.Counters[r.counter+i] += v
+		s.Counters[r.firstCounter+i] += v
 	}
 	for i, v := range gauges {
-		at := &s.Gauges[r.gauge+i]
-		if math.IsNaN(*at) {
-			*at = 0
+		gauge := &s.Gauges[r.firstGauge+i]
+		if math.IsNaN(*gauge) {
+			*gauge = 0
 		}
-		*at += v
+		*gauge += v
 	}
 }
 
-func (c *Count) fields() []int64 {
-	return []int64{c.Asked, c.Served, c.Late, c.Refused, c.Failed, c.Retries}
+func (c *RequestCounts) values() []int64 {
+	return []int64{c.Received, c.Served, c.Late, c.Refused, c.Failed, c.Retries}
 }
 
 // thousandths of a worth.
-func thousandths(worth float64) int64 { return int64(math.Round(1000 * worth)) }
+func thousandths(value float64) int64 { return int64(math.Round(1000 * value)) }
 
 // Take takes a sample. What is new gets a place in the table.
-func (c *Counts) Take(t *Table, st *State) *Sample {
-	s, at := &Sample{}, st.At.Unix()
+func (c *Counts) Collect(t *Table, st *State) *Sample {
+	s, now := &Sample{}, st.Time.Unix()
 	snap := c.Snapshot()
 	for i := range snap.Classes {
-		k, class := &snap.Classes[i], &c.shape.Classes[i]
-		s.take(t, t.Row(Requests, at, class.Name), k.fields(), float64(k.Open))
-		whole := thousandths(class.Worth)
-		lateWorth := thousandths(class.Worth * class.LateWorth)
-		s.take(t, t.Row(Worth, at, class.Name), []int64{whole * (k.Asked - k.Retries), whole*(k.Served-k.Late) + lateWorth*k.Late})
-		s.take(t, t.Row(Latency, at, class.Name), snap.Took[i][:])
+		k, class := &snap.Classes[i], &c.config.Classes[i]
+		s.addRow(t, t.Row(Requests, now, class.Name), k.values(), float64(k.Open))
+		value := thousandths(class.Value)
+		lateValue := thousandths(class.Value * class.LateValue)
+		s.addRow(t, t.Row(RequestValue, now, class.Name), []int64{value * (k.Received - k.Retries), value*(k.Served-k.Late) + lateValue*k.Late})
+		s.addRow(t, t.Row(Latency, now, class.Name), snap.Latencies[i][:])
 	}
 	for i := range snap.Pairs {
 		p := &snap.Pairs[i]
 		tenant := Overflow
 		if p.Tenant >= 0 {
-			tenant = c.shape.Tenants[p.Tenant]
+			tenant = c.config.Tenants[p.Tenant]
 		}
-		s.take(t, t.Row(Tenants, at, c.shape.Classes[p.Class].Name, tenant), p.fields(), float64(p.Open))
+		s.addRow(t, t.Row(Tenants, now, c.config.Classes[p.Class].Name, tenant), p.values(), float64(p.Open))
 	}
-	s.take(t, t.Row(Attempts, at), append(append([]int64(nil), snap.Attempts[:]...), snap.Sends, snap.Again))
+	s.addRow(t, t.Row(Attempts, now), append(append([]int64(nil), snap.Attempts[:]...), snap.Sends, snap.FurtherAttempts))
 	for _, v := range st.Servers {
-		s.take(t, t.Row(Servers, at, v.Name), nil, float64(v.InFlight))
+		s.addRow(t, t.Row(Servers, now, v.Name), nil, float64(v.InFlight))
 	}
 	for _, team := range st.Teams {
 		for verdict, n := range team.Requests {
-			s.take(t, t.Row(Contracts, at, team.Name, verdict), []int64{n})
+			s.addRow(t, t.Row(Contracts, now, team.Name, verdict), []int64{n})
 		}
 	}
-	s.take(t, t.Row(Process, at), nil, float64(st.Started.Unix()), float64(st.Memory), float64(len(st.Servers)), float64(st.Avoided))
-	for _, r := range st.Receiver {
-		s.take(t, t.Row(Reporting, at, r.Name), []int64{r.Intervals, r.Written, r.Again, r.Merged, r.Breaks, r.Rejected},
-			float64(r.Waiting), float64(r.Spool))
+	s.addRow(t, t.Row(Process, now), nil, float64(st.Started.Unix()), float64(st.MemoryBytes), float64(len(st.Servers)), float64(st.AvoidedServers))
+	for _, r := range st.Receivers {
+		s.addRow(t, t.Row(Reporting, now, r.Name), []int64{r.Intervals, r.Written, r.Resent, r.Merged, r.Disconnects, r.Rejected},
+			float64(r.Pending), float64(r.SpoolBytes))
 	}
 	return s
 }
--- a/report/collectd/collectd.go
+++ b/report/collectd/collectd.go
@@ -37,7 +37,7 @@
 }
 
 // List is values of one moment under one identifier.
-type List struct {
+type ValueList struct {
 	Host, Plugin, PluginInstance, Type, TypeInstance string
 
 	Time     time.Time
@@ -61,28 +61,28 @@
 
 // The plugin under which all is told, and what a name may have: receivers before 5.6 keep 63 bytes of each field.
 const (
-	plugin    = "firplank"
-	mostField = 63
+	pluginName    = "firplank"
+	maxFieldBytes = 63
 )
 
 // apart ends the identifiers of what is told late, where that is kept apart; no escaped name ends in it.
-const apart = "%late"
+const lateSuffix = "%late"
 
 // Lists makes lists of a reading's rows. Receivers take no time of an identifier before one that they have: what is late can
 // stand under identifiers of its own.
-func Lists(host string, every time.Duration, r *report.Reading, late bool) []List {
-	lists := make([]List, 0, len(r.Rows))
+func ValueLists(host string, interval time.Duration, r *report.Reading, late bool) []ValueList {
+	lists := make([]ValueList, 0, len(r.Rows))
 	for i := range r.Rows {
 		row := &r.Rows[i]
-		l := List{Host: host, Plugin: plugin, Type: TypeName(row.Family), Time: r.End, Interval: every}
+		l := ValueList{Host: host, Plugin: pluginName, Type: TypeName(row.Family), Time: r.End, Interval: interval}
 		if len(row.Labels) > 0 {
-			l.PluginInstance = report.Escape(row.Labels[0], mostField)
+			l.PluginInstance = report.Escape(row.Labels[0], maxFieldBytes)
 		}
 		if len(row.Labels) > 1 {
-			l.TypeInstance = report.Escape(row.Labels[1], mostField-len(apart))
+			l.TypeInstance = report.Escape(row.Labels[1], maxFieldBytes-len(lateSuffix))
 		}
 		if late {
-			l.TypeInstance += apart
+			l.TypeInstance += lateSuffix
 		}
 		for _, total := range row.Totals {
 			l.Values = append(l.Values, Value{Type: Derive, Int: total})
@@ -103,7 +103,7 @@
 	var b strings.Builder
 	for _, f := range report.Families {
 		fmt.Fprintf(&b, "%-20s ", TypeName(f))
-		shown := len(f.Shown())
+		shown := len(f.ShownCounters())
 		for i, field := range f.Fields() {
 			if i > 0 {
 				b.WriteString(", ")
@@ -120,79 +120,79 @@
 }
 
 // hr is a time in units of 2^-30 s.
-func hr(seconds int64, nanos int64) uint64 {
+func highResTime(seconds int64, nanos int64) uint64 {
 	return uint64(seconds)<<30 + uint64(nanos)<<30/uint64(time.Second)
 }
 
 // Size is what a packet may have: collectd's own bound.
-const Size = 1452
+const DefaultPacketBytes = 1452
 
 // Encoder writes packets. It is not safe for concurrent use.
 type Encoder struct {
-	most int // bytes of the parts of a packet
-	seal *Seal
+	maxPartsBytes int // bytes of the parts of a packet
+	sealer        *Sealer
 }
 
 // NewEncoder returns an encoder of packets of at most size bytes, 0: Size; sealed where seal is not nil.
-func NewEncoder(size int, seal *Seal) *Encoder {
-	if size == 0 {
-		size = Size
+func NewEncoder(packetBytes int, sealer *Sealer) *Encoder {
+	if packetBytes == 0 {
+		packetBytes = DefaultPacketBytes
 	}
-	return &Encoder{most: size - seal.overhead(), seal: seal}
+	return &Encoder{maxPartsBytes: packetBytes - sealer.overheadBytes(), sealer: sealer}
 }
 
 // ErrTooLong is the error for a list that does not fit into a packet of its own.
 var ErrTooLong = errors.New("collectd: a list is longer than a packet")
 
 // Packets writes lists into packets; none is split between two.
-func (e *Encoder) Packets(lists []List) (packets [][]byte, err error) {
+func (e *Encoder) Packets(lists []ValueList) (packets [][]byte, err error) {
 	var b []byte
-	last := &List{}
+	previous := &ValueList{}
 	finish := func() error {
 		if len(b) == 0 {
 			return nil
 		}
-		p, err := e.seal.wrap(b)
+		p, err := e.sealer.seal(b)
 		packets = append(packets, p)
-		b, last = nil, &List{}
+		b, previous = nil, &ValueList{}
 		return err
 	}
 	for i := range lists {
 		l := &lists[i]
-		next := appendList(b, last, l)
-		if len(next) > e.most && len(b) > 0 {
+		next := appendValueList(b, previous, l)
+		if len(next) > e.maxPartsBytes && len(b) > 0 {
 			if err := finish(); err != nil {
 				return nil, err
 			}
-			next = appendList(nil, last, l)
+			next = appendValueList(nil, previous, l)
 		}
-		if len(next) > e.most {
+		if len(next) > e.maxPartsBytes {
 			return nil, fmt.Errorf("%w: %s", ErrTooLong, l.PluginInstance)
 		}
-		b, last = next, l
+		b, previous = next, l
 	}
 	return packets, finish()
 }
 
 // appendList appends the parts of a list that differ from the one before in the packet.
-func appendList(b []byte, last, l *List) []byte {
+func appendValueList(b []byte, previous, l *ValueList) []byte {
 	first := len(b) == 0
 	for _, s := range []struct {
 		part      uint16
 		was, text string
 	}{
-		{partHost, last.Host, l.Host}, {partPlugin, last.Plugin, l.Plugin}, {partPluginInstance, last.PluginInstance, l.PluginInstance},
-		{partType, last.Type, l.Type}, {partTypeInstance, last.TypeInstance, l.TypeInstance},
+		{partHost, previous.Host, l.Host}, {partPlugin, previous.Plugin, l.Plugin}, {partPluginInstance, previous.PluginInstance, l.PluginInstance},
+		{partType, previous.Type, l.Type}, {partTypeInstance, previous.TypeInstance, l.TypeInstance},
 	} {
 		if s.was != s.text || first {
 			b = appendString(b, s.part, s.text)
 		}
 	}
-	if first || !last.Time.Equal(l.Time) {
-		b = appendNumber(b, partTimeHR, hr(l.Time.Unix(), int64(l.Time.Nanosecond())))
+	if first || !previous.Time.Equal(l.Time) {
+		b = appendNumber(b, partTimeHR, highResTime(l.Time.Unix(), int64(l.Time.Nanosecond())))
 	}
-	if first || last.Interval != l.Interval {
-		b = appendNumber(b, partIntervalHR, hr(int64(l.Interval/time.Second), int64(l.Interval%time.Second)))
+	if first || previous.Interval != l.Interval {
+		b = appendNumber(b, partIntervalHR, highResTime(int64(l.Interval/time.Second), int64(l.Interval%time.Second)))
 	}
 	b = binary.BigEndian.AppendUint16(b, partValues)
 	b = binary.BigEndian.AppendUint16(b, uint16(6+9*len(l.Values)))
@@ -222,7 +222,7 @@
 }
 
 // AppendPutval appends the command of the Unix socket for a list: one line, answered by one line.
-func AppendPutval(b []byte, l *List) []byte {
+func AppendPutval(b []byte, l *ValueList) []byte {
 	b = append(b, `PUTVAL "`...)
 	b = append(append(append(b, l.Host...), '/'), l.Plugin...)
 	if l.PluginInstance != "" {
--- a/report/collectd/collectd_test.go
+++ b/report/collectd/collectd_test.go
@@ -18,7 +18,7 @@
 
 // The bytes of a packet, made by hand of the protocol's description.
 func TestPacket(t *testing.T) {
-	l := []List{{
+	l := []ValueList{{
 		Host: "h", Plugin: "p", Type: "t", Time: time.Unix(2, 500_000_000), Interval: 10 * time.Second,
 		Values: []Value{{Type: Derive, Int: 258}, {Type: Gauge, Gauge: 1}},
 	}, {
@@ -37,7 +37,7 @@
 	}
 }
 
-func lists(t *rapid.T) []List {
+func drawValueLists(t *rapid.T) []ValueList {
 	name := rapid.StringMatching(`[a-zA-Z0-9_%]{1,63}`)
 	value := rapid.Custom(func(t *rapid.T) Value {
 		v := Value{Type: Type(rapid.IntRange(0, 3).Draw(t, "type")), Int: rapid.Int64Range(0, 1<<50).Draw(t, "int")}
@@ -46,8 +46,8 @@
 		}
 		return v
 	})
-	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) List {
-		return List{
+	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) ValueList {
+		return ValueList{
 			Host: "host", Plugin: "firplank", PluginInstance: rapid.OneOf(rapid.Just(""), name).Draw(t, "instance"), Type: name.Draw(t, "type"),
 			TypeInstance: rapid.OneOf(rapid.Just(""), name).Draw(t, "of"), Time: time.Unix(rapid.Int64Range(0, 1<<32).Draw(t, "at"), 0),
 			Interval: time.Duration(rapid.IntRange(1, 3600).Draw(t, "interval")) * time.Second,
@@ -58,14 +58,14 @@
 
 // Whatever is told is read back by a receiver, whole, in packets within the bound, plain, signed and encrypted; with another
 // password nothing is.
-func TestReceiversReadPackets(t *testing.T) { rapid.Check(t, receiversRead) }
+func TestReceiversReadPackets(t *testing.T) { rapid.Check(t, checkReceiversRead) }
 
-func FuzzReceiversReadPackets(f *testing.F) { f.Fuzz(rapid.MakeFuzz(receiversRead)) }
+func FuzzReceiversReadPackets(f *testing.F) { f.Fuzz(rapid.MakeFuzz(checkReceiversRead)) }
 
-func receiversRead(t *rapid.T) {
+func checkReceiversRead(t *rapid.T) {
 	security := Security(rapid.IntRange(0, 2).Draw(t, "security"))
-	all, size := lists(t), rapid.IntRange(1024, 4000).Draw(t, "size")
-	packets, err := NewEncoder(size, NewSeal(security, "monitor", "secret")).Packets(all)
+	all, size := drawValueLists(t), rapid.IntRange(1024, 4000).Draw(t, "size")
+	packets, err := NewEncoder(size, NewSealer(security, "monitor", "secret")).Packets(all)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,11 +85,11 @@
 				t.Fatalf("%+v, want %+v", l, want)
 			}
 			for i, v := range want.Values {
-				told := float64(v.Int)
+				sent := float64(v.Int)
 				if v.Type == Gauge {
-					told = v.Gauge
+					sent = v.Gauge
 				}
-				if l.Values[i] != told || int(l.Kinds[i]) != int(v.Type) {
+				if l.Values[i] != sent || int(l.Kinds[i]) != int(v.Type) {
 					t.Fatalf("value %d is %v of kind %d, want %+v", i, l.Values[i], l.Kinds[i], v)
 				}
 			}
@@ -114,7 +114,7 @@
 
 // The socket's lines are read back too, and a gauge that is not there is undefined.
 func TestPutval(t *testing.T) {
-	l := List{
+	l := ValueList{
 		Host: "h", Plugin: "firplank", PluginInstance: "a%20b", Type: "t", Time: time.Unix(2, 0), Interval: 10 * time.Second,
 		Values: []Value{{Type: Derive, Int: 7}, {Type: Gauge, Gauge: math.NaN()}, {Type: Gauge, Gauge: 0.5}},
 	}
@@ -123,7 +123,7 @@
 		t.Errorf("%s, want %s", got, want)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		for _, l := range lists(t) {
+		for _, l := range drawValueLists(t) {
 			got, err := receiver.ParsePutval(strings.TrimSuffix(string(AppendPutval(nil, &l)), "\n"))
 			if err != nil || len(got.Values) != len(l.Values) || !got.At.Equal(l.Time) {
 				t.Fatalf("%+v, %v", got, err)
@@ -155,7 +155,7 @@
 	counters, gauges := table.Sizes()
 	r := table.Render(time.Unix(10, 0), time.Second, make([]int64, counters), make([]int64, counters), make([]float64, gauges))
 	for _, late := range []bool{false, true} {
-		for _, l := range Lists("h", time.Second, r, late) {
+		for _, l := range ValueLists("h", time.Second, r, late) {
 			line := string(AppendPutval(nil, &l))
 			got, err := receiver.ParsePutval(strings.TrimSuffix(line, "\n"))
 			if err != nil || strings.Count(line, "\n") != 1 || len(l.PluginInstance) > 63 || len(l.TypeInstance) > 63 {
@@ -170,9 +170,9 @@
 }
 
 // A list that no packet holds is an error, and nothing is left out silently.
-func TestTooLongAList(t *testing.T) {
-	l := List{Host: "h", Plugin: "p", Type: "t", Values: make([]Value, 200)}
-	if packets, err := NewEncoder(1024, nil).Packets([]List{l}); !errors.Is(err, ErrTooLong) || packets != nil {
+func TestTooLongList(t *testing.T) {
+	l := ValueList{Host: "h", Plugin: "p", Type: "t", Values: make([]Value, 200)}
+	if packets, err := NewEncoder(1024, nil).Packets([]ValueList{l}); !errors.Is(err, ErrTooLong) || packets != nil {
 		t.Errorf("%d packets, %v", len(packets), err)
 	}
 }
--- a/report/collectd/seal.go
+++ b/report/collectd/seal.go
@@ -23,7 +23,7 @@
 )
 
 // Seal signs or encrypts packets for a user whose password the receiver knows. A nil one leaves them as they are.
-type Seal struct {
+type Sealer struct {
 	security Security
 	user     string
 	password []byte
@@ -31,15 +31,15 @@
 }
 
 // NewSeal returns a seal; nil for Plain.
-func NewSeal(s Security, user, password string) *Seal {
+func NewSealer(s Security, user, password string) *Sealer {
 	if s == Plain {
 		return nil
 	}
-	return &Seal{security: s, user: user, password: []byte(password), random: rand.Reader}
+	return &Sealer{security: s, user: user, password: []byte(password), random: rand.Reader}
 }
 
 // overhead is how many bytes are added to the parts.
-func (s *Seal) overhead() int {
+func (s *Sealer) overheadBytes() int {
 	switch {
 	case s == nil:
 		return 0
@@ -50,14 +50,14 @@
 }
 
 // wrap puts the parts of a packet under the seal.
-func (s *Seal) wrap(parts []byte) ([]byte, error) {
+func (s *Sealer) seal(parts []byte) ([]byte, error) {
 	if s == nil {
 		return parts, nil
 	}
-	out := make([]byte, 0, len(parts)+s.overhead())
+	out := make([]byte, 0, len(parts)+s.overheadBytes())
 	if s.security == Sign {
 		out = binary.BigEndian.AppendUint16(out, partSignature)
-		out = binary.BigEndian.AppendUint16(out, uint16(s.overhead()))
+		out = binary.BigEndian.AppendUint16(out, uint16(s.overheadBytes()))
 		mac := hmac.New(sha256.New, s.password)
 		mac.Write([]byte(s.user))
 		mac.Write(parts)
@@ -73,12 +73,12 @@
 		return nil, fmt.Errorf("collectd: %w", err)
 	}
 	out = binary.BigEndian.AppendUint16(out, partEncryption)
-	out = binary.BigEndian.AppendUint16(out, uint16(len(parts)+s.overhead()))
+	out = binary.BigEndian.AppendUint16(out, uint16(len(parts)+s.overheadBytes()))
 	out = binary.BigEndian.AppendUint16(out, uint16(len(s.user)))
 	out = append(append(out, s.user...), iv...)
 	sum := sha1.Sum(parts)
-	clear := append(sum[:], parts...)
+	plaintext := append(sum[:], parts...)
 	//lint:ignore SA1019 OFB is the mode that collectd's protocol prescribes
-	cipher.NewOFB(block, iv).XORKeyStream(clear, clear)
-	return append(out, clear...), nil
+	cipher.NewOFB(block, iv).XORKeyStream(plaintext, plaintext)
+	return append(out, plaintext...), nil
 }
--- a/report/counts_test.go
+++ b/report/counts_test.go
@@ -9,10 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-func shape(classes, tenants, pairs int) Shape {
-	s := Shape{Pairs: pairs}
+func testConfig(classes, tenants, pairs int) Config {
+	s := Config{MaxPairs: pairs}
 	for i := range classes {
-		s.Classes = append(s.Classes, Class{Name: fmt.Sprint("class ", i), Aim: 100 * time.Millisecond, Worth: 3, LateWorth: 0.5})
+		s.Classes = append(s.Classes, Class{Name: fmt.Sprint("class ", i), LatencyTarget: 100 * time.Millisecond, Value: 3, LateValue: 0.5})
 	}
 	for i := range tenants {
 		s.Tenants = append(s.Tenants, fmt.Sprint("tenant ", i))
@@ -21,69 +21,69 @@
 }
 
 // In every snapshot what was asked is what has ended and what is open, and no more has ended than came.
-func TestSnapshotsAddUp(t *testing.T) {
-	c := New(shape(2, 3, 4))
-	c.Asked(7, 0, false) // a class that there is not
+func TestSnapshotsAreConsistent(t *testing.T) {
+	c := New(testConfig(2, 3, 4))
+	c.RequestReceived(7, 0, false) // a class that there is not
 	var counting sync.WaitGroup
 	for i := range 4 {
 		counting.Go(func() {
 			for n := range 5000 {
-				c.Asked(i%2, n%5-1, n%7 == 0)
-				c.Sent()
-				c.Attempted(Outcome(n%int(outcomes)), n%3 == 0)
-				c.Ended(i%2, n%5-1, Kind(n%3), time.Duration(n%200)*time.Millisecond)
+				c.RequestReceived(i%2, n%5-1, n%7 == 0)
+				c.AttemptSent()
+				c.AttemptEnded(AttemptOutcome(n%int(numAttemptOutcomes)), n%3 == 0)
+				c.RequestEnded(i%2, n%5-1, RequestOutcome(n%3), time.Duration(n%200)*time.Millisecond)
 			}
 		})
 	}
 	done := make(chan bool)
 	go func() { counting.Wait(); close(done) }()
-	for over := false; !over; {
+	for finished := false; !finished; {
 		select {
 		case <-done:
-			over = true
+			finished = true
 		default:
 		}
 		s := c.Snapshot()
-		var of [2]Count
+		var byClass [2]RequestCounts
 		for i := range s.Pairs {
 			p := &s.Pairs[i]
-			if p.Open < 0 || p.Retries > p.Asked { // Open is what is left of Asked
+			if p.Open < 0 || p.Retries > p.Received { // Open is what is left of Asked
 				t.Fatalf("pair %+v", p)
 			}
-			of[p.Class].add(&p.Count)
+			byClass[p.Class].add(&p.RequestCounts)
 		}
-		if of[0] != s.Classes[0] || of[1] != s.Classes[1] || len(s.Pairs) > 2+4 {
-			t.Fatalf("classes %+v, of %d pairs %+v", s.Classes, len(s.Pairs), of)
+		if byClass[0] != s.Classes[0] || byClass[1] != s.Classes[1] || len(s.Pairs) > 2+4 {
+			t.Fatalf("classes %+v, of %d pairs %+v", s.Classes, len(s.Pairs), byClass)
 		}
-		if over && (s.Open != 0 || s.Sends != 20000 || s.Classes[0].Asked+s.Classes[1].Asked != 20000) {
+		if finished && (s.Open != 0 || s.Sends != 20000 || s.Classes[0].Received+s.Classes[1].Received != 20000) {
 			t.Errorf("in the end %+v", s.Classes)
 		}
 	}
-	(*Counts)(nil).Asked(0, 0, false)
+	(*Counts)(nil).RequestReceived(0, 0, false)
 }
 
 // 500 classes and 100 tenants are counted in a bounded table: what is beyond it stands under one name, and classes are right.
 func TestTooManyPairsOverflow(t *testing.T) {
-	c := New(shape(500, 100, 300))
+	c := New(testConfig(500, 100, 300))
 	for round := range 2 {
 		for class := range 500 {
 			for tenant := range 100 {
-				c.Asked(class, tenant, round == 1)
-				c.Ended(class, tenant, Served, time.Millisecond)
+				c.RequestReceived(class, tenant, round == 1)
+				c.RequestEnded(class, tenant, Served, time.Millisecond)
 			}
 		}
 	}
 	s := c.Snapshot()
-	own, over := 0, int64(0)
+	own, overflow := 0, int64(0)
 	for _, p := range s.Pairs {
 		if p.Tenant >= 0 {
 			own++
 		} else {
-			over += p.Served
+			overflow += p.Served
 		}
 	}
-	if own != 300 || over != 2*(50000-300) {
-		t.Errorf("%d pairs of their own, %d beyond", own, over)
+	if own != 300 || overflow != 2*(50000-300) {
+		t.Errorf("%d pairs of their own, %d beyond", own, overflow)
 	}
 	for i, k := range s.Classes {
 		if k.Served != 200 || k.Retries != 100 {
@@ -91,7 +91,7 @@
 		}
 	}
 	table := NewTable()
-	sample := c.Take(table, &State{At: time.Now()})
+	sample := c.Collect(table, &State{Time: time.Now()})
 	if n := len(table.Rows()); n > 500*3+300+500+10 || len(sample.Counters) == 0 {
 		t.Errorf("%d rows", n)
 	}
@@ -100,7 +100,7 @@
 // What a histogram tells of a time is at most 6.25 % off.
 func TestHistogramError(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		took := time.Duration(rapid.Int64Range(int64(leastTook), int64(2*time.Minute)).Draw(t, "took"))
+		took := time.Duration(rapid.Int64Range(int64(minDuration), int64(2*time.Minute)).Draw(t, "took"))
 		var h Histogram
 		h.Add(took)
 		b := h.Snapshot()
@@ -124,19 +124,19 @@
 }
 
 // A series says what was counted, whatever was counted before.
-func TestReading(t *testing.T) {
-	c, table := New(shape(1, 1, 0)), NewTable()
+func TestRenderShowsDeltasAndTotals(t *testing.T) {
+	c, table := New(testConfig(1, 1, 0)), NewTable()
 	count := func(n int) {
 		for i := range n {
-			c.Asked(0, 0, i == 0)
-			c.Ended(0, 0, Served, time.Duration(50+100*(i%2))*time.Millisecond)
+			c.RequestReceived(0, 0, i == 0)
+			c.RequestEnded(0, 0, Served, time.Duration(50+100*(i%2))*time.Millisecond)
 		}
 	}
 	count(3)
-	before := c.Take(table, &State{At: time.Unix(10, 0)})
+	before := c.Collect(table, &State{Time: time.Unix(10, 0)})
 	count(4)
-	c.Asked(0, 0, false)
-	after := c.Take(table, &State{At: time.Unix(20, 0), Servers: []ServerState{{"s-1", 2}}})
+	c.RequestReceived(0, 0, false)
+	after := c.Collect(table, &State{Time: time.Unix(20, 0), Servers: []ServerState{{"s-1", 2}}})
 	growth := append([]int64(nil), after.Counters...)
 	for i, v := range before.Counters {
 		growth[i] -= v
@@ -162,58 +162,63 @@
 }
 
 // Servers come and go for months: their places are used again, but not while an interval is kept in which they stood.
-func TestPlacesOfGaugesAreUsedAgain(t *testing.T) {
+func TestGaugePlacesAreReused(t *testing.T) {
 	table := NewTable()
 	for at := range int64(5000) {
 		table.Row(Servers, at, fmt.Sprint("s-", at))
-		if table.Forget(at - 100); len(table.Rows()) > 102 {
+		if table.Prune(at - 100); len(table.Rows()) > 102 {
 			t.Fatalf("%d rows", len(table.Rows()))
 		}
 	}
 	if _, gauges := table.Sizes(); gauges > 102 {
 		t.Errorf("%d places", gauges)
 	}
-	for i := range 2 * Servers.Most {
+	for i := range 2 * Servers.MaxRows {
 		table.Row(Servers, 5000, fmt.Sprint("t-", i))
 	}
-	if n := len(table.Rows()); n > Servers.Most+1 {
+	if n := len(table.Rows()); n > Servers.MaxRows+1 {
 		t.Errorf("%d rows", n)
 	}
 }
 
 func BenchmarkRecord(b *testing.B) {
-	c := New(shape(50, 20, 0))
+	c := New(testConfig(50, 20, 0))
 	b.ReportAllocs()
 	i := 0
 	for b.Loop() { // a request with one attempt
-		c.Asked(i&31, i&15, false)
-		c.Sent()
-		c.Attempted(OK, false)
-		c.Ended(i&31, i&15, Served, time.Duration(i&1023)*time.Millisecond)
+		c.RequestReceived(i&31, i&15, false)
+		c.AttemptSent()
+		c.AttemptEnded(OK, false)
+		c.RequestEnded(i&31, i&15, Served, time.Duration(i&1023)*time.Millisecond)
 		i++
 	}
 }
 
 // The largest table that the bounds allow with 500 classes and 100 tenants, of which all ask.
-func BenchmarkTakeLargest(b *testing.B) {
-	c := New(shape(500, 100, 0))
+func BenchmarkCollectLargest(b *testing.B) {
+	c := New(testConfig(500, 100, 0))
 	for class := range 500 {
 		for tenant := range 100 {
-			c.Asked(class, tenant, false)
-			c.Ended(class, tenant, Served, time.Millisecond)
+			c.RequestReceived(class, tenant, false)
+			c.RequestEnded(class, tenant, Served, time.Millisecond)
 		}
 	}
 	table := NewTable()
 	for b.Loop() {
-		s := c.Take(table, &State{At: time.Unix(10, 0)})
+		s := c.Collect(table, &State{Time: time.Unix(10, 0)})
 		table.Render(time.Unix(10, 0), time.Second, s.Counters, s.Counters, s.Gauges)
 	}
 }
 
-func TestRecordingAllocatesNothing(t *testing.T) {
-	c := New(shape(5, 5, 0))
+func TestCountingAllocatesNothing(t *testing.T) {
+	c := New(testConfig(5, 5, 0))
 	if n := testing.AllocsPerRun(100,
-		func() { c.Asked(1, 2, true); c.Sent(); c.Attempted(OK, false); c.Ended(1, 2, Served, time.Second) }); n > 0 {
+		func() {
+			c.RequestReceived(1, 2, true)
+			c.AttemptSent()
+			c.AttemptEnded(OK, false)
+			c.RequestEnded(1, 2, Served, time.Second)
+		}); n > 0 {
 		t.Errorf("%v allocations", n)
 	}
 }
@@ -227,7 +232,7 @@
 	f.Fuzz(func(t *testing.T, name string) {
 		e := Escape(name, 200)
 		for i := range len(e) {
-			if !safe(e[i]) && e[i] != '%' && e[i] != '~' {
+			if !isPlainByte(e[i]) && e[i] != '%' && e[i] != '~' {
 				t.Fatalf("%q is escaped as %q", name, e)
 			}
 		}
--- a/report/feed/feed.go
+++ b/report/feed/feed.go
@@ -15,21 +15,21 @@
 // Policy is how a receiver is to be treated.
 type Policy struct {
 	// Backlog is how many intervals a second are sent of those that waited for the receiver.
-	Backlog float64
+	BacklogPerSecond float64
 	// Part bounds the part of the time that preparing the backlog may take: after an interval that took so long the next of
 	// it waits for that over Part. 0: no bound.
-	Part float64
+	BacklogTimeShare float64
 	// InOrder says that the receiver takes no time before one that it has: then new intervals wait for the backlog. Else
 	// they go ahead of it.
 	InOrder bool
 	// Acks says that the receiver acknowledges each interval, Blind that nothing can be known of what arrives. Where neither
 	// holds, what was written counts as arrived once the connection has stood for Settle after it.
-	Acks, Blind bool
-	Settle      time.Duration
+	Acks, FireAndForget  bool
+	AssumeDeliveredAfter time.Duration
 	// Stall is how long the receiver may take nothing, or not acknowledge, before its connection is given up.
-	Stall time.Duration
+	StallTimeout time.Duration
 	// Least and Most bound the time between two tries to connect, which doubles.
-	Least, Most time.Duration
+	MinBackoff, MaxBackoff time.Duration
 }
 
 // Action is what to do.
@@ -53,102 +53,102 @@
 )
 
 // Counts is what a feed has done.
-type Counts struct{ Intervals, Written, Again, Breaks int64 }
+type Stats struct{ Intervals, Written, Resent, Disconnects int64 }
 
 // Feed is the sending to one receiver. It is not safe for concurrent use.
 type Feed struct {
-	policy  Policy
-	rng     *rand.Rand
-	spool   *spool.Spool
-	conn    connection
-	failed  int       // tries to connect in a row that came to nothing
-	retryAt time.Time // not before
-	sending *spool.Entry
-	moved   time.Time // when the receiver last took anything of what is being sent
-	fresh   bool      // the newest interval ended while the connection was up: it goes ahead
-	tokens  float64
-	filled  time.Time
-	rest    time.Time // until when the backlog waits, for what it has cost
-	late    bool      // what is being sent was of the backlog
-	ending  bool
-	counts  Counts
+	policy          Policy
+	rng             *rand.Rand
+	spool           *spool.Spool
+	conn            connection
+	failedDials     int       // tries to connect in a row that came to nothing
+	retryAt         time.Time // not before
+	sending         *spool.Entry
+	lastProgress    time.Time // when the receiver last took anything of what is being sent
+	newestLive      bool      // the newest interval ended while the connection was up: it goes ahead
+	tokens          float64
+	refilledAt      time.Time
+	backlogResumeAt time.Time // until when the backlog waits, for what it has cost
+	sendingLate     bool      // what is being sent was of the backlog
+	shuttingDown    bool
+	stats           Stats
 }
 
 // New returns a feed of a spool.
 func New(p Policy, s *spool.Spool, rng *rand.Rand) *Feed { return &Feed{policy: p, spool: s, rng: rng} }
 
 // Counts tells what it has done.
-func (f *Feed) Counts() Counts { return f.counts }
+func (f *Feed) Stats() Stats { return f.stats }
 
 // Ended takes in an interval that has ended.
-func (f *Feed) Ended(iv *spool.Interval) {
-	f.counts.Intervals++
+func (f *Feed) AddInterval(iv *spool.Interval) {
+	f.stats.Intervals++
 	f.spool.Add(iv)
-	f.fresh = f.conn == up
+	f.newestLive = f.conn == up
 }
 
 // Last says that the process ends: nothing waits for its turn any more, and a receiver that is away is tried at once.
-func (f *Feed) Last() { f.ending, f.retryAt = true, time.Time{} }
+func (f *Feed) Shutdown() { f.shuttingDown, f.retryAt = true, time.Time{} }
 
 // Done reports whether nothing is left to send, nor, where the receiver acknowledges, to hear.
 func (f *Feed) Done() bool {
-	_, unsettled := f.spool.Unsettled()
-	return f.sending == nil && f.spool.Oldest() == nil && !(f.policy.Acks && unsettled)
+	_, undelivered := f.spool.OldestUndelivered()
+	return f.sending == nil && f.spool.OldestPending() == nil && !(f.policy.Acks && undelivered)
 }
 
 // Connected says that a connection is up.
 func (f *Feed) Connected(now time.Time) {
-	f.conn, f.filled, f.tokens = up, now, 1
+	f.conn, f.refilledAt, f.tokens = up, now, 1
 }
 
 // Broke says that there is no connection, or no more.
-func (f *Feed) Broke(now time.Time) {
+func (f *Feed) Disconnected(now time.Time) {
 	if f.conn == up {
-		f.counts.Breaks++
+		f.stats.Disconnects++
 	}
-	f.conn, f.sending, f.fresh = down, nil, false
-	f.spool.Back()
-	wait := min(f.policy.Most, f.policy.Least<<min(f.failed, 20))
-	f.failed++
+	f.conn, f.sending, f.newestLive = down, nil, false
+	f.spool.Requeue()
+	backoff := min(f.policy.MaxBackoff, f.policy.MinBackoff<<min(f.failedDials, 20))
+	f.failedDials++
 	// Between half of it and all: sidecars that lost a receiver together come back apart.
-	f.retryAt = now.Add(wait/2 + time.Duration(f.rng.Float64()*float64(wait)/2))
+	f.retryAt = now.Add(backoff/2 + time.Duration(f.rng.Float64()*float64(backoff)/2))
 }
 
 // Cost says how long the preparing of what Send gave took.
-func (f *Feed) Cost(now time.Time, took time.Duration) {
-	if f.late && f.policy.Part > 0 {
-		f.rest = now.Add(time.Duration(float64(took) / f.policy.Part))
+func (f *Feed) Encoded(now time.Time, took time.Duration) {
+	if f.sendingLate && f.policy.BacklogTimeShare > 0 {
+		f.backlogResumeAt = now.Add(time.Duration(float64(took) / f.policy.BacklogTimeShare))
 	}
 }
 
 // Late reports whether what Send gave last was of the backlog: the interval ended while others waited, or the receiver was
 // away.
-func (f *Feed) Late() bool { return f.late }
+func (f *Feed) Late() bool { return f.sendingLate }
 
 // Progress says that the receiver has taken some of what is being sent, or acknowledged something.
-func (f *Feed) Progress(now time.Time) { f.moved = now }
+func (f *Feed) Progress(now time.Time) { f.lastProgress = now }
 
 // Wrote says that what Send gave has been written whole.
-func (f *Feed) Wrote(now time.Time) {
+func (f *Feed) Written(now time.Time) {
 	e := f.sending
 	if e == nil {
 		return
 	}
-	f.sending, f.moved, f.failed = nil, now, 0
-	f.counts.Written++
-	if e.Again() {
-		f.counts.Again++
+	f.sending, f.lastProgress, f.failedDials = nil, now, 0
+	f.stats.Written++
+	if e.WrittenBefore() {
+		f.stats.Resent++
 	}
-	f.spool.Write(e, now)
-	if f.policy.Blind {
-		f.spool.SettleNext()
+	f.spool.MarkWritten(e, now)
+	if f.policy.FireAndForget {
+		f.spool.MarkOldestDelivered()
 	}
 }
 
 // Acked says that the receiver has taken the interval that was written first of those not acknowledged.
 func (f *Feed) Acked(now time.Time) {
-	f.spool.SettleNext()
-	f.moved = now
+	f.spool.MarkOldestDelivered()
+	f.lastProgress = now
 }
 
 // Next says what to do now, and when to ask again if nothing happens before; the zero time: never.
@@ -158,7 +158,7 @@
 		return Wait, nil, time.Time{}
 	case down:
 		switch {
-		case f.spool.Oldest() == nil:
+		case f.spool.OldestPending() == nil:
 			return Wait, nil, time.Time{}
 		case now.Before(f.retryAt):
 			return Wait, nil, f.retryAt
@@ -167,71 +167,71 @@
 		return Dial, nil, time.Time{}
 	}
 	if f.sending != nil {
-		return f.stalled(now, f.moved)
+		return f.checkStall(now, f.lastProgress)
 	}
 	var wake time.Time
-	if at, any := f.spool.Unsettled(); any {
+	if at, any := f.spool.OldestUndelivered(); any {
 		switch {
 		case f.policy.Acks:
-			if action, _, until := f.stalled(now, later(at, f.moved)); action == Close {
+			if action, _, until := f.checkStall(now, laterOf(at, f.lastProgress)); action == Close {
 				return Close, nil, time.Time{}
 			} else {
 				wake = until
 			}
-		case now.Sub(at) >= f.policy.Settle:
-			f.spool.SettleBefore(now.Add(-f.policy.Settle).Add(1))
+		case now.Sub(at) >= f.policy.AssumeDeliveredAfter:
+			f.spool.MarkDeliveredBefore(now.Add(-f.policy.AssumeDeliveredAfter).Add(1))
 			return f.Next(now)
 		default:
-			wake = at.Add(f.policy.Settle)
+			wake = at.Add(f.policy.AssumeDeliveredAfter)
 		}
 	}
-	e, until := f.choose(now)
+	e, until := f.chooseEntry(now)
 	if e == nil {
-		return Wait, nil, sooner(wake, until)
+		return Wait, nil, earlierNonZero(wake, until)
 	}
-	f.sending, f.moved = e, now
-	f.spool.Write(e, now) // at once: what waits may be put together with what comes
-	return Send, e, now.Add(f.policy.Stall)
+	f.sending, f.lastProgress = e, now
+	f.spool.MarkWritten(e, now) // at once: what waits may be put together with what comes
+	return Send, e, now.Add(f.policy.StallTimeout)
 }
 
 // choose picks the interval to send, or says when there will be one.
-func (f *Feed) choose(now time.Time) (*spool.Entry, time.Time) {
-	oldest := f.spool.Oldest()
+func (f *Feed) chooseEntry(now time.Time) (*spool.Entry, time.Time) {
+	oldest := f.spool.OldestPending()
 	if oldest == nil {
 		return nil, time.Time{}
 	}
-	newest := f.spool.Newest()
-	if newest == oldest && f.fresh || f.ending { // there is no backlog, or no time to spread it over
-		f.late = newest != oldest
+	newest := f.spool.NewestPending()
+	if newest == oldest && f.newestLive || f.shuttingDown { // there is no backlog, or no time to spread it over
+		f.sendingLate = newest != oldest
 		return oldest, time.Time{}
 	}
-	if f.fresh && newest != nil && !f.policy.InOrder {
-		f.fresh, f.late = false, false
+	if f.newestLive && newest != nil && !f.policy.InOrder {
+		f.newestLive, f.sendingLate = false, false
 		return newest, time.Time{}
 	}
-	if now.Before(f.rest) {
-		return nil, f.rest
+	if now.Before(f.backlogResumeAt) {
+		return nil, f.backlogResumeAt
 	}
-	f.tokens = min(1, f.tokens+now.Sub(f.filled).Seconds()*f.policy.Backlog)
-	f.filled = now
+	f.tokens = min(1, f.tokens+now.Sub(f.refilledAt).Seconds()*f.policy.BacklogPerSecond)
+	f.refilledAt = now
 	if f.tokens < 1 {
-		wait := time.Duration((1 - f.tokens) / f.policy.Backlog * float64(time.Second))
+		wait := time.Duration((1 - f.tokens) / f.policy.BacklogPerSecond * float64(time.Second))
 		return nil, now.Add(max(wait, time.Millisecond))
 	}
 	f.tokens--
-	f.late = true
+	f.sendingLate = true
 	return oldest, time.Time{}
 }
 
 // stalled gives a connection up on which nothing has moved for too long.
-func (f *Feed) stalled(now, since time.Time) (Action, *spool.Entry, time.Time) {
-	if until := since.Add(f.policy.Stall); now.Before(until) {
+func (f *Feed) checkStall(now, since time.Time) (Action, *spool.Entry, time.Time) {
+	if until := since.Add(f.policy.StallTimeout); now.Before(until) {
 		return Wait, nil, until
 	}
 	return Close, nil, time.Time{}
 }
 
-func later(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
@@ -239,7 +239,7 @@
 }
 
 // sooner returns the first of two times that are there.
-func sooner(a, b time.Time) time.Time {
+func earlierNonZero(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
 	}
--- a/report/feed/feed_test.go
+++ b/report/feed/feed_test.go
@@ -12,9 +12,9 @@
 
 var start = time.Unix(1_800_000_003, 0)
 
-func usual() Policy {
+func testPolicy() Policy {
 	return Policy{
-		Backlog: 20, Settle: 2 * time.Second, Stall: 10 * time.Second, Least: 500 * time.Millisecond, Most: 15 * time.Second,
+		BacklogPerSecond: 20, AssumeDeliveredAfter: 2 * time.Second, StallTimeout: 10 * time.Second, MinBackoff: 500 * time.Millisecond, MaxBackoff: 15 * time.Second,
 	}
 }
 
@@ -23,37 +23,37 @@
 }
 
 // number is which interval an entry is.
-func number(e *spool.Entry) int { return int(e.End.Sub(start) / (10 * time.Second)) }
+func intervalIndex(e *spool.Entry) int { return int(e.End.Sub(start) / (10 * time.Second)) }
 
 // rig plays a feed against a receiver that may be away.
-type rig struct {
+type harness struct {
 	*Feed
-	now  time.Time
-	sent []int       // intervals, in the order in which they were written
-	at   []time.Time // ... and when
-	down bool
+	now    time.Time
+	sent   []int       // intervals, in the order in which they were written
+	sentAt []time.Time // ... and when
+	down   bool
 }
 
-func newRig(p Policy) *rig {
-	return &rig{Feed: New(p, spool.New(4<<20), rand.New(rand.NewPCG(1, 2))), now: start}
+func newHarness(p Policy) *harness {
+	return &harness{Feed: New(p, spool.New(4<<20), rand.New(rand.NewPCG(1, 2))), now: start}
 }
 
 // run carries out what the feed wants until a time.
-func (r *rig) run(until time.Time) {
+func (r *harness) run(until time.Time) {
 	for {
 		action, e, wake := r.Next(r.now)
 		switch action {
 		case Dial:
 			if r.down {
-				r.Broke(r.now)
+				r.Disconnected(r.now)
 			} else {
 				r.Connected(r.now)
 			}
 		case Send:
-			r.sent, r.at = append(r.sent, number(e)), append(r.at, r.now)
-			r.Wrote(r.now)
+			r.sent, r.sentAt = append(r.sent, intervalIndex(e)), append(r.sentAt, r.now)
+			r.Written(r.now)
 		case Close:
-			r.Broke(r.now)
+			r.Disconnected(r.now)
 		default:
 			if wake.IsZero() || wake.After(until) {
 				r.now = until
@@ -66,18 +66,18 @@
 
 // A receiver is away for an hour. On its return all of it goes out in order, at the stated rate, each interval once, and the
 // intervals that end meanwhile are not held up.
-func TestAnHourAway(t *testing.T) {
-	r := newRig(usual())
+func TestBacklogAfterReceiverOutage(t *testing.T) {
+	r := newHarness(testPolicy())
 	r.down = true
 	for i := range 360 {
-		r.Ended(interval(i))
+		r.AddInterval(interval(i))
 		r.run(r.now.Add(10 * time.Second))
 	}
 	r.down = false
-	back := r.now
+	returned := r.now
 	for i := 360; i < 370; i++ {
 		r.run(r.now.Add(10 * time.Second))
-		r.Ended(interval(i))
+		r.AddInterval(interval(i))
 	}
 	r.run(r.now.Add(10 * time.Second))
 	seen, last := map[int]bool{}, -1
@@ -90,35 +90,35 @@
 				t.Fatalf("interval %d after %d", n, last)
 			}
 			last = n
-			if least := time.Duration(n-2) * time.Second / 20; r.at[k].Sub(back) < least {
-				t.Fatalf("interval %d was sent %v after the return", n, r.at[k].Sub(back))
+			if least := time.Duration(n-2) * time.Second / 20; r.sentAt[k].Sub(returned) < least {
+				t.Fatalf("interval %d was sent %v after the return", n, r.sentAt[k].Sub(returned))
 			}
 		}
 	}
-	if len(seen) != 370 || r.at[len(r.at)-1].Sub(back) > 2*time.Minute {
-		t.Errorf("%d intervals in %v", len(seen), r.at[len(r.at)-1].Sub(back))
+	if len(seen) != 370 || r.sentAt[len(r.sentAt)-1].Sub(returned) > 2*time.Minute {
+		t.Errorf("%d intervals in %v", len(seen), r.sentAt[len(r.sentAt)-1].Sub(returned))
 	}
-	if got := r.Counts(); got.Again != 0 || got.Written != 370 {
+	if got := r.Stats(); got.Resent != 0 || got.Written != 370 {
 		t.Errorf("%+v", got)
 	}
 }
 
 // A new interval goes ahead of a backlog, but not to a receiver that takes no time before one that it has.
-func TestNewIntervalsPassTheBacklog(t *testing.T) {
+func TestNewIntervalsGoAheadOfBacklog(t *testing.T) {
 	for _, inOrder := range []bool{false, true} {
-		p := usual()
+		p := testPolicy()
 		p.InOrder = inOrder
-		r := newRig(p)
+		r := newHarness(p)
 		r.down = true
 		for i := range 400 {
-			r.Ended(interval(i))
+			r.AddInterval(interval(i))
 		}
 		r.run(r.now.Add(time.Minute))
 		r.down = false
 		r.run(r.now.Add(16 * time.Second))
 		r.sent = nil
 		for i := range 60 {
-			r.Ended(interval(400 + i))
+			r.AddInterval(interval(400 + i))
 		}
 		r.run(r.now)
 		if ahead := len(r.sent) > 0 && r.sent[0] >= 400; ahead == inOrder && len(r.sent) > 0 {
@@ -134,41 +134,41 @@
 }
 
 // What was written less than the settling time before a break is written again, what is older is not.
-func TestABreakRepeatsWhatMayBeLost(t *testing.T) {
-	r := newRig(usual())
+func TestDisconnectResendsUndelivered(t *testing.T) {
+	r := newHarness(testPolicy())
 	for i := range 3 {
-		r.Ended(interval(i))
+		r.AddInterval(interval(i))
 		r.run(r.now.Add(900 * time.Millisecond))
 	}
-	r.Broke(r.now)
+	r.Disconnected(r.now)
 	r.run(r.now.Add(10 * time.Second))
 	if got := r.sent; len(got) != 5 || got[3] != 1 || got[4] != 2 {
 		t.Errorf("sent %v", got)
 	}
-	if c := r.Counts(); c.Again != 2 || c.Breaks != 1 {
+	if c := r.Stats(); c.Resent != 2 || c.Disconnects != 1 {
 		t.Errorf("%+v", c)
 	}
 }
 
 // A receiver that acknowledges is given up when it stops to, and gets again what it has not acknowledged.
-func TestAcknowledgements(t *testing.T) {
-	p := usual()
+func TestMissingAcknowledgementResends(t *testing.T) {
+	p := testPolicy()
 	p.Acks, p.InOrder = true, true
-	r := newRig(p)
-	r.Ended(interval(0))
-	r.Ended(interval(1))
+	r := newHarness(p)
+	r.AddInterval(interval(0))
+	r.AddInterval(interval(1))
 	r.run(r.now.Add(time.Second))
 	r.Acked(r.now)
 	r.run(r.now.Add(20 * time.Second))
-	if got := r.sent; len(got) < 3 || got[2] != 1 || r.Counts().Breaks == 0 {
-		t.Errorf("sent %v, %+v", got, r.Counts())
+	if got := r.sent; len(got) < 3 || got[2] != 1 || r.Stats().Disconnects == 0 {
+		t.Errorf("sent %v, %+v", got, r.Stats())
 	}
 }
 
 // One that takes nothing is given up after the stated time, and tries to reach one that is away come no faster than stated.
-func TestStallsAndBackoff(t *testing.T) {
-	r := newRig(usual())
-	r.Ended(interval(0))
+func TestStallTimeoutAndBackoff(t *testing.T) {
+	r := newHarness(testPolicy())
+	r.AddInterval(interval(0))
 	if a, _, _ := r.Next(r.now); a != Dial {
 		t.Fatal("does not connect")
 	}
@@ -184,13 +184,13 @@
 		t.Error("not given up")
 	}
 	r.now = r.now.Add(15 * time.Second)
-	r.Broke(r.now)
+	r.Disconnected(r.now)
 	tries := 0
 	for end := r.now.Add(10 * time.Minute); r.now.Before(end); {
 		a, _, wake := r.Next(r.now)
 		if a == Dial {
 			tries++
-			r.Broke(r.now)
+			r.Disconnected(r.now)
 			continue
 		}
 		if wake.Sub(r.now) > 15*time.Second {
@@ -204,29 +204,29 @@
 }
 
 // Whatever happens, in the end every interval has been written, and nothing waits.
-func TestAllIsWrittenInTheEnd(t *testing.T) {
+func TestEveryIntervalIsWritten(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := usual()
+		p := testPolicy()
 		p.InOrder = rapid.Bool().Draw(t, "in order")
-		p.Blind = rapid.Bool().Draw(t, "blind")
-		r := newRig(p)
+		p.FireAndForget = rapid.Bool().Draw(t, "blind")
+		r := newHarness(p)
 		n := 0
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1:
-				r.Ended(interval(n))
+				r.AddInterval(interval(n))
 				n++
 			case 2:
 				r.down = rapid.Bool().Draw(t, "down")
 				if r.down && r.conn == up {
-					r.Broke(r.now)
+					r.Disconnected(r.now)
 				}
 			default:
 				r.run(r.now.Add(time.Duration(rapid.IntRange(1, 12000).Draw(t, "ms")) * time.Millisecond))
 			}
 		}
 		r.down = false
-		r.Last()
+		r.Shutdown()
 		r.run(r.now.Add(time.Minute))
 		seen := map[int]bool{}
 		for _, k := range r.sent {
@@ -271,13 +271,13 @@
 }
 
 // The last interval of a process and the first of the one that follows it at once do not end at the same time.
-func TestRestartsShareNoEnd(t *testing.T) {
+func TestRestartReusesNoIntervalEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		every := time.Duration(rapid.IntRange(1, 60).Draw(t, "every")) * time.Second
 		c := NewClock(start, every)
 		now := start.Add(time.Duration(rapid.Int64Range(0, int64(5*time.Minute)).Draw(t, "lives")))
 		before, _, _ := c.End(now)
-		last, span := c.Last(now)
+		last, span := c.EndFinal(now)
 		next := NewClock(now.Add(time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "away"))), every)
 		if first := next.Next(); !first.After(last) || last.Before(before) || span <= 0 {
 			t.Fatalf("%v after %v", first, last)
@@ -286,60 +286,60 @@
 }
 
 // A backlog takes no more than its part of the time, whatever an interval costs; new intervals do not wait for that.
-func TestBacklogTakesItsPart(t *testing.T) {
-	p := usual()
-	p.Part = 0.02
-	r := newRig(p)
+func TestBacklogStaysWithinTimeShare(t *testing.T) {
+	p := testPolicy()
+	p.BacklogTimeShare = 0.02
+	r := newHarness(p)
 	r.down = true
 	for i := range 50 {
-		r.Ended(interval(i))
+		r.AddInterval(interval(i))
 	}
 	r.run(r.now)
 	r.down = false
 	r.run(r.now.Add(16 * time.Second)) // connected by now
-	began, was, late := r.now, len(r.sent), 0
+	began, sentBefore, added := r.now, len(r.sent), 0
 	for range 10 {
-		r.Cost(r.now, 100*time.Millisecond) // of the interval of the backlog that was sent last
-		r.Ended(interval(1000 + late))
-		late++
+		r.Encoded(r.now, 100*time.Millisecond) // of the interval of the backlog that was sent last
+		r.AddInterval(interval(1000 + added))
+		added++
 		before := len(r.sent)
 		r.run(r.now)
-		if len(r.sent) != before+1 || r.sent[before] != 999+late {
+		if len(r.sent) != before+1 || r.sent[before] != 999+added {
 			t.Fatalf("a new interval waits: sent %v", r.sent[before:])
 		}
-		r.Cost(r.now, time.Second) // of a new one, which counts for nothing
+		r.Encoded(r.now, time.Second) // of a new one, which counts for nothing
 		r.run(r.now.Add(5 * time.Second))
 	}
-	old := 0
-	for _, n := range r.sent[was:] {
+	backlogSent := 0
+	for _, n := range r.sent[sentBefore:] {
 		if n < 1000 {
-			old++
+			backlogSent++
 		}
 	}
-	if most := int(r.now.Sub(began)/(5*time.Second)) + 1; was == 0 || was >= 50 && old > 0 || old > most {
-		t.Errorf("%d before, %d of the backlog in %v, at most %d", was, old, r.now.Sub(began), most)
+	if most := int(r.now.Sub(began)/(5*time.Second)) + 1; sentBefore == 0 || sentBefore >= 50 && backlogSent > 0 || backlogSent > most {
+		t.Errorf("%d before, %d of the backlog in %v, at most %d", sentBefore, backlogSent, r.now.Sub(began), most)
 	}
 }
 
 // At the end a receiver that may be back is tried at once, and not when its time has come.
-func TestTheLastTryDoesNotWait(t *testing.T) {
-	r := newRig(usual())
+func TestShutdownSkipsBackoff(t *testing.T) {
+	r := newHarness(testPolicy())
 	r.down = true
-	r.Ended(interval(0))
+	r.AddInterval(interval(0))
 	r.run(r.now.Add(time.Minute))
 	r.down = false
-	r.Last()
+	r.Shutdown()
 	if r.run(r.now.Add(time.Millisecond)); !r.Done() {
 		t.Error("waits")
 	}
 }
 
 // Late is what was of the backlog, and nothing else.
-func TestLate(t *testing.T) {
-	r := newRig(usual())
+func TestOnlyBacklogIsLate(t *testing.T) {
+	r := newHarness(testPolicy())
 	r.down = true
-	r.Ended(interval(0))
-	r.Ended(interval(1))
+	r.AddInterval(interval(0))
+	r.AddInterval(interval(1))
 	r.run(r.now)
 	r.down = false
 	for until := r.now.Add(20 * time.Second); r.now.Before(until); {
@@ -349,17 +349,17 @@
 			r.Connected(r.now)
 		case action == Send:
 			if !r.Late() {
-				t.Errorf("interval %d is not late", number(e))
+				t.Errorf("interval %d is not late", intervalIndex(e))
 			}
-			r.Wrote(r.now)
+			r.Written(r.now)
 		case wake.IsZero():
 			r.now = until
 		default:
 			r.now = wake
 		}
 	}
-	r.Ended(interval(2))
-	if a, e, _ := r.Next(r.now); a != Send || number(e) != 2 || r.Late() {
+	r.AddInterval(interval(2))
+	if a, e, _ := r.Next(r.now); a != Send || intervalIndex(e) != 2 || r.Late() {
 		t.Errorf("%v, late: %v", a, r.Late())
 	}
 }
--- a/report/graphite/graphite.go
+++ b/report/graphite/graphite.go
@@ -15,33 +15,33 @@
 )
 
 // Form is how readings are written.
-type Form uint8
+type Format uint8
 
 // The forms.
 const (
-	Plaintext Form = iota
+	Plaintext Format = iota
 	Pickle
 )
 
 // mostComponent bounds an escaped name: receivers keep each as a folder or file, which may have 255 bytes with an ending.
-const mostComponent = 200
+const maxComponentBytes = 200
 
 // Encoder writes readings. It remembers the paths of rows, a few dozen bytes for each series. It is not safe for concurrent
 // use.
 type Encoder struct {
-	form   Form
+	format Format
 	prefix string
 	tagged bool
-	names  map[*report.Row][]series
+	paths  map[*report.Row][]fieldPaths
 }
 
 // series is the path of a field, and for a counter that of its growth.
-type series struct{ path, growth string }
+type fieldPaths struct{ path, countPath string }
 
 // New returns an encoder. A prefix is written as it is, and then a dot. Tagged series have their labels behind the path, as
 // Graphite 1.1 and later takes them.
-func New(form Form, prefix string, tagged bool) *Encoder {
-	return &Encoder{form: form, prefix: prefix, tagged: tagged, names: map[*report.Row][]series{}}
+func New(format Format, prefix string, tagged bool) *Encoder {
+	return &Encoder{format: format, prefix: prefix, tagged: tagged, paths: map[*report.Row][]fieldPaths{}}
 }
 
 // Path returns the path of a figure; suffix is behind it, after a dot, where it is not empty.
@@ -53,9 +53,9 @@
 	tags := ""
 	for i, l := range labels {
 		if tagged {
-			tags += ";" + f.Labels[i] + "=" + report.Escape(l, mostComponent)
+			tags += ";" + f.Labels[i] + "=" + report.Escape(l, maxComponentBytes)
 		} else {
-			parts = append(parts, report.Escape(l, mostComponent))
+			parts = append(parts, report.Escape(l, maxComponentBytes))
 		}
 	}
 	parts = append(parts, field)
@@ -67,128 +67,128 @@
 
 // The suffixes of counters.
 const (
-	Total = "total"
-	Count = "count"
+	TotalSuffix = "total"
+	CountSuffix = "count"
 )
 
-func (e *Encoder) series(r *report.Row) []series {
-	known, ok := e.names[r]
+func (e *Encoder) rowPaths(r *report.Row) []fieldPaths {
+	known, ok := e.paths[r]
 	if ok {
 		return known
 	}
-	shown := len(r.Family.Shown())
+	shown := len(r.Family.ShownCounters())
 	for i, f := range r.Family.Fields() {
-		s := series{path: Path(e.prefix, e.tagged, r.Family, r.Labels, f.Name, "")}
+		s := fieldPaths{path: Path(e.prefix, e.tagged, r.Family, r.Labels, f.Name, "")}
 		if i < shown {
-			s.path = Path(e.prefix, e.tagged, r.Family, r.Labels, f.Name, Total)
-			s.growth = Path(e.prefix, e.tagged, r.Family, r.Labels, f.Name, Count)
+			s.path = Path(e.prefix, e.tagged, r.Family, r.Labels, f.Name, TotalSuffix)
+			s.countPath = Path(e.prefix, e.tagged, r.Family, r.Labels, f.Name, CountSuffix)
 		}
 		known = append(known, s)
 	}
-	e.names[r] = known
+	e.paths[r] = known
 	return known
 }
 
 // Forget drops the paths of rows that are no more.
-func (e *Encoder) Forget(rows []*report.Row) {
-	if len(e.names) <= 2*len(rows) {
+func (e *Encoder) Prune(rows []*report.Row) {
+	if len(e.paths) <= 2*len(rows) {
 		return
 	}
-	kept := make(map[*report.Row][]series, len(rows))
+	kept := make(map[*report.Row][]fieldPaths, len(rows))
 	for _, r := range rows {
-		if s, ok := e.names[r]; ok {
+		if s, ok := e.paths[r]; ok {
 			kept[r] = s
 		}
 	}
-	e.names = kept
+	e.paths = kept
 }
 
 // Append appends a reading to a buffer.
 func (e *Encoder) Append(b []byte, r *report.Reading) []byte {
-	w := &writer{form: e.form, b: b, at: r.End.Unix()}
+	w := &writer{format: e.format, b: b, timestamp: r.End.Unix()}
 	for i := range r.Rows {
 		row := &r.Rows[i]
-		names := e.series(row.Row)
+		names := e.rowPaths(row.Row)
 		for k, total := range row.Totals {
-			w.whole(names[k].path, total)
-			w.whole(names[k].growth, row.Deltas[k])
+			w.writeInt(names[k].path, total)
+			w.writeInt(names[k].countPath, row.Deltas[k])
 		}
 		for k, v := range row.Gauges {
 			if !math.IsNaN(v) {
-				w.float(names[len(row.Totals)+k].path, v)
+				w.writeFloat(names[len(row.Totals)+k].path, v)
 			}
 		}
 	}
-	w.end()
+	w.endList()
 	return w.b
 }
 
 // mostPickled is how many points a pickled list holds; receivers take lists of 1 MiB.
-const mostPickled = 1000
+const maxPointsPerList = 1000
 
 // writer writes points.
 type writer struct {
-	form  Form
-	b     []byte
-	at    int64 // Unix seconds
-	begin int   // of the open list's length
-	n     int   // points in it
+	format    Format
+	b         []byte
+	timestamp int64 // Unix seconds
+	listStart int   // of the open list's length
+	points    int   // points in it
 }
 
-func (w *writer) whole(path string, v int64) {
-	if w.form == Plaintext {
+func (w *writer) writeInt(path string, v int64) {
+	if w.format == Plaintext {
 		w.b = append(append(w.b, path...), ' ')
 		w.b = strconv.AppendInt(w.b, v, 10)
-		w.stamp()
+		w.writeTimestamp()
 		return
 	}
-	w.open(path)
+	w.beginPoint(path)
 	w.b = appendInt(w.b, v)
-	w.close()
+	w.endPoint()
 }
 
-func (w *writer) float(path string, v float64) {
-	if w.form == Plaintext {
+func (w *writer) writeFloat(path string, v float64) {
+	if w.format == Plaintext {
 		w.b = append(append(w.b, path...), ' ')
 		w.b = strconv.AppendFloat(w.b, v, 'f', -1, 64)
-		w.stamp()
+		w.writeTimestamp()
 		return
 	}
-	w.open(path)
+	w.beginPoint(path)
 	w.b = binary.BigEndian.AppendUint64(append(w.b, 'G'), math.Float64bits(v)) // BINFLOAT
-	w.close()
+	w.endPoint()
 }
 
-func (w *writer) stamp() {
-	w.b = strconv.AppendInt(append(w.b, ' '), w.at, 10)
+func (w *writer) writeTimestamp() {
+	w.b = strconv.AppendInt(append(w.b, ' '), w.timestamp, 10)
 	w.b = append(w.b, '\n')
 }
 
 // open begins a point of a pickled list, (path, (time, value)), by protocol 2.
-func (w *writer) open(path string) {
-	if w.n == 0 {
-		w.begin = len(w.b)
+func (w *writer) beginPoint(path string) {
+	if w.points == 0 {
+		w.listStart = len(w.b)
 		w.b = append(w.b, 0, 0, 0, 0, 0x80, 2, ']', '(') // length, PROTO 2, EMPTY_LIST, MARK
 	}
 	w.b = binary.LittleEndian.AppendUint32(append(w.b, 'X'), uint32(len(path))) // BINUNICODE
-	w.b = appendInt(append(w.b, path...), w.at)
+	w.b = appendInt(append(w.b, path...), w.timestamp)
 }
 
-func (w *writer) close() {
+func (w *writer) endPoint() {
 	w.b = append(w.b, 0x86, 0x86) // TUPLE2 twice
-	if w.n++; w.n == mostPickled {
-		w.end()
+	if w.points++; w.points == maxPointsPerList {
+		w.endList()
 	}
 }
 
 // end ends the open list.
-func (w *writer) end() {
-	if w.n == 0 {
+func (w *writer) endList() {
+	if w.points == 0 {
 		return
 	}
 	w.b = append(w.b, 'e', '.') // APPENDS, STOP
-	binary.BigEndian.PutUint32(w.b[w.begin:], uint32(len(w.b)-w.begin-4))
-	w.n = 0
+	binary.BigEndian.PutUint32(w.b[w.listStart:], uint32(len(w.b)-w.listStart-4))
+	w.points = 0
 }
 
 // appendInt writes BININT where that holds the number, else LONG1 of 8 bytes.
--- a/report/graphite/graphite_test.go
+++ b/report/graphite/graphite_test.go
@@ -19,18 +19,18 @@
 func reading(class string, total, growth int64, gauge float64, at time.Time) *report.Reading {
 	t := report.NewTable()
 	f := &report.Family{
-		Name: "requests", Labels: []string{"class"}, Most: 10,
+		Name: "requests", Labels: []string{"class"}, MaxRows: 10,
 		Counters: []report.Field{{Name: "asked"}}, Gauges: []report.Field{{Name: "open"}},
 	}
 	t.Row(f, 0, class)
 	return t.Render(at, 10*time.Second, []int64{growth}, []int64{total}, []float64{gauge})
 }
 
-var at = time.Unix(1_800_000_010, 0)
+var testTime = time.Unix(1_800_000_010, 0)
 
 // The bytes of both forms, for names that would be two levels or another's.
-func TestForms(t *testing.T) {
-	r := reading("permit.lookup v2", 70000, 3, 2.5, at)
+func TestEncodedBytes(t *testing.T) {
+	r := reading("permit.lookup v2", 70000, 3, 2.5, testTime)
 	const path = "firplank.n1.requests.permit%2Elookup%20v2."
 	want := path + "asked.total 70000 1800000010\n" + path + "asked.count 3 1800000010\n" + path + "open 2.5 1800000010\n"
 	if got := string(New(Plaintext, "firplank.n1", false).Append(nil, r)); got != want {
@@ -52,7 +52,7 @@
 	if got := string(New(Plaintext, "f", true).Append(nil, r)); !strings.HasPrefix(got, tagged) {
 		t.Errorf("tagged\n%s", got)
 	}
-	if got := string(New(Plaintext, "f", false).Append(nil, reading("a", 1, 1, math.NaN(), at))); strings.Contains(got, "open") {
+	if got := string(New(Plaintext, "f", false).Append(nil, reading("a", 1, 1, math.NaN(), testTime))); strings.Contains(got, "open") {
 		t.Errorf("a gauge that is not there is told:\n%s", got)
 	}
 }
@@ -65,8 +65,8 @@
 		if math.IsNaN(gauge) || math.IsInf(gauge, 0) {
 			return
 		}
-		r := reading(class, total, growth, gauge, at)
-		names := New(Plaintext, "p", false).series(r.Rows[0].Row)
+		r := reading(class, total, growth, gauge, testTime)
+		names := New(Plaintext, "p", false).rowPaths(r.Rows[0].Row)
 		lines := string(New(Plaintext, "p", false).Append(nil, r))
 		if strings.Count(lines, "\n") != 3 {
 			t.Fatalf("%q", lines)
@@ -77,8 +77,8 @@
 			t.Fatal(err)
 		}
 		want := fmt.Sprint([]any{
-			receiver.Tuple{names[0].path, receiver.Tuple{at.Unix(), total}}, receiver.Tuple{names[0].growth, receiver.Tuple{at.Unix(), growth}},
-			receiver.Tuple{names[1].path, receiver.Tuple{at.Unix(), gauge}},
+			receiver.Tuple{names[0].path, receiver.Tuple{testTime.Unix(), total}}, receiver.Tuple{names[0].countPath, receiver.Tuple{testTime.Unix(), growth}},
+			receiver.Tuple{names[1].path, receiver.Tuple{testTime.Unix(), gauge}},
 		})
 		if got := fmt.Sprint(list); got != want {
 			t.Fatalf("%s, want %s", got, want)
@@ -89,13 +89,13 @@
 // A long list is told in several, none beyond what receivers take.
 func TestLongLists(t *testing.T) {
 	table := report.NewTable()
-	f := &report.Family{Name: "f", Labels: []string{"class"}, Most: 5000, Counters: []report.Field{{Name: "n"}}}
+	f := &report.Family{Name: "f", Labels: []string{"class"}, MaxRows: 5000, Counters: []report.Field{{Name: "n"}}}
 	totals := make([]int64, 3000)
 	for i := range totals {
 		table.Row(f, 0, fmt.Sprint("class ", i))
 		totals[i] = int64(i)
 	}
-	text := New(Pickle, "p", false).Append(nil, table.Render(at, time.Second, totals, totals, nil))
+	text := New(Pickle, "p", false).Append(nil, table.Render(testTime, time.Second, totals, totals, nil))
 	points := 0
 	for len(text) > 0 {
 		n := int(binary.BigEndian.Uint32(text))
@@ -117,7 +117,7 @@
 	if err != nil {
 		t.Skip("no python3")
 	}
-	text := New(Pickle, "p", false).Append(nil, reading("a b", 1<<40, 3, 2.5, at))
+	text := New(Pickle, "p", false).Append(nil, reading("a b", 1<<40, 3, 2.5, testTime))
 	cmd := exec.Command(python, "-c", "import pickle, sys; print(pickle.loads(sys.stdin.buffer.read()[4:]))")
 	cmd.Stdin = strings.NewReader(string(text))
 	out, err := cmd.CombinedOutput()
@@ -145,7 +145,7 @@
 		t.Fatal(err)
 	}
 	for _, n := range names {
-		_, _ = c.Write(enc.Append(nil, reading(n, 1, 1, 1, at)))
+		_, _ = c.Write(enc.Append(nil, reading(n, 1, 1, 1, testTime)))
 	}
 	_ = c.Close()
 	for end := time.Now().Add(10 * time.Second); len(carbon.Paths()) < 3*len(names) && time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -168,9 +168,9 @@
 
 // An interval of the largest table that the bounds allow with 500 classes and 100 tenants.
 func BenchmarkAppendLargest(b *testing.B) {
-	s := report.Shape{}
+	s := report.Config{}
 	for i := range 500 {
-		s.Classes = append(s.Classes, report.Class{Name: fmt.Sprint("class ", i), Worth: 1})
+		s.Classes = append(s.Classes, report.Class{Name: fmt.Sprint("class ", i), Value: 1})
 	}
 	for i := range 100 {
 		s.Tenants = append(s.Tenants, fmt.Sprint("tenant ", i))
@@ -178,12 +178,12 @@
 	c, table := report.New(s), report.NewTable()
 	for class := range s.Classes {
 		for tenant := range s.Tenants {
-			c.Asked(class, tenant, false)
+			c.RequestReceived(class, tenant, false)
 		}
 	}
-	sample := c.Take(table, &report.State{At: at})
-	r := table.Render(at, 10*time.Second, sample.Counters, sample.Counters, sample.Gauges)
-	for _, form := range []Form{Plaintext, Pickle} {
+	sample := c.Collect(table, &report.State{Time: testTime})
+	r := table.Render(testTime, 10*time.Second, sample.Counters, sample.Counters, sample.Gauges)
+	for _, form := range []Format{Plaintext, Pickle} {
 		enc, text := New(form, "firplank.n1", false), []byte(nil)
 		b.Run(fmt.Sprint(form), func(b *testing.B) {
 			for b.Loop() {
--- a/report/names.go
+++ b/report/names.go
@@ -12,30 +12,30 @@
 // Escape makes a name that is one part of a path in Graphite, or of an identifier in collectd: bytes other than letters, digits,
 // "_" and "-" become "%" and two hexadecimal digits, an empty name becomes "%". Two names never become one, and Unescape
 // turns it back, unless the outcome would be longer than most bytes: then it is cut and ends in "%~" and a hash of the name.
-func Escape(name string, most int) string {
+func Escape(name string, maxBytes int) string {
 	if name == "" {
 		return "%"
 	}
 	var b strings.Builder
 	for i := range len(name) {
-		if c := name[i]; safe(c) {
+		if c := name[i]; isPlainByte(c) {
 			b.WriteByte(c)
 		} else {
 			fmt.Fprintf(&b, "%%%02X", c)
 		}
 	}
-	if b.Len() <= most {
+	if b.Len() <= maxBytes {
 		return b.String()
 	}
-	const tail = 2 + 16
-	cut := b.String()[:max(0, most-tail)]
-	if at := strings.LastIndexByte(cut, '%'); at >= 0 && at > len(cut)-3 { // not within an escape
-		cut = cut[:at]
+	const suffixBytes = 2 + 16
+	truncated := b.String()[:max(0, maxBytes-suffixBytes)]
+	if escape := strings.LastIndexByte(truncated, '%'); escape >= 0 && escape > len(truncated)-3 { // not within an escape
+		truncated = truncated[:escape]
 	}
-	return fmt.Sprintf("%s%%~%016x", cut, xxhash.Sum64String(name))
+	return fmt.Sprintf("%s%%~%016x", truncated, xxhash.Sum64String(name))
 }
 
-func safe(c byte) bool {
+func isPlainByte(c byte) bool {
 	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '_' || c == '-'
 }
 
@@ -50,7 +50,7 @@
 	var b strings.Builder
 	for i := 0; i < len(text); i++ {
 		switch c := text[i]; {
-		case safe(c):
+		case isPlainByte(c):
 			b.WriteByte(c)
 		case c == '%' && i+2 < len(text) && text[i+1] != '~':
 			v, err := strconv.ParseUint(text[i+1:i+3], 16, 8)
--- a/report/render.go
+++ b/report/render.go
@@ -7,9 +7,9 @@
 
 // Reading is what an interval comes to.
 type Reading struct {
-	End  time.Time
-	Span time.Duration // more than an interval where some were put together
-	Rows []RowReading
+	End      time.Time
+	Duration time.Duration // more than an interval where some were put together
+	Rows     []RowReading
 }
 
 // RowReading holds a row's figures, in the order of its family's Fields: Totals and Deltas for the shown counters, Gauges for
@@ -22,17 +22,17 @@
 
 // Render makes a reading of what counters have grown by in an interval, what they came to at its end, and the gauges then.
 // What a sample knew no place for, as the row came later, is 0 or missing.
-func (t *Table) Render(end time.Time, span time.Duration, deltas, totals []int64, gauges []float64) *Reading {
-	r := &Reading{End: end, Span: span}
+func (t *Table) Render(end time.Time, duration time.Duration, deltas, totals []int64, gauges []float64) *Reading {
+	r := &Reading{End: end, Duration: duration}
 	for _, row := range t.rows {
 		f := row.Family
-		if row.counter+len(f.Counters) > len(totals) || row.gauge+len(f.Gauges) > len(gauges) {
+		if row.firstCounter+len(f.Counters) > len(totals) || row.firstGauge+len(f.Gauges) > len(gauges) {
 			continue
 		}
-		d := deltas[row.counter : row.counter+len(f.Counters)]
-		out := RowReading{Row: row, Totals: totals[row.counter+f.Hidden : row.counter+len(f.Counters)], Deltas: d[f.Hidden:]}
+		d := deltas[row.firstCounter : row.firstCounter+len(f.Counters)]
+		out := RowReading{Row: row, Totals: totals[row.firstCounter+f.HiddenCounters : row.firstCounter+len(f.Counters)], Deltas: d[f.HiddenCounters:]}
 		if len(f.Gauges)+len(f.Derived) > 0 {
-			out.Gauges = append(make([]float64, 0, len(f.Gauges)+len(f.Derived)), gauges[row.gauge:row.gauge+len(f.Gauges)]...)
+			out.Gauges = append(make([]float64, 0, len(f.Gauges)+len(f.Derived)), gauges[row.firstGauge:row.firstGauge+len(f.Gauges)]...)
 			for range f.Derived {
 				out.Gauges = append(out.Gauges, math.NaN())
 			}
@@ -40,14 +40,14 @@
 				f.derive(d, out.Gauges[len(f.Gauges):])
 			}
 		}
-		if len(f.Shown()) > 0 || anyNumber(out.Gauges) {
+		if len(f.ShownCounters()) > 0 || hasValue(out.Gauges) {
 			r.Rows = append(r.Rows, out)
 		}
 	}
 	return r
 }
 
-func anyNumber(gauges []float64) bool {
+func hasValue(gauges []float64) bool {
 	for _, g := range gauges {
 		if !math.IsNaN(g) {
 			return true
--- a/report/spool/interval.go
+++ b/report/spool/interval.go
@@ -16,18 +16,18 @@
 // Interval is what one interval came to, packed: of the counters those that grew, with what they grew by, of the gauges those
 // that have a value. It is never changed, so that several spools can share it.
 type Interval struct {
-	End  time.Time
-	Span time.Duration
+	End      time.Time
+	Duration time.Duration
 
 	counters []byte // (places skipped, growth) as varints
 	gauges   []byte // (places skipped, value)
 }
 
 // Pack packs an interval. No growth is below 0; NaN is no gauge.
-func Pack(end time.Time, span time.Duration, growth []int64, gauges []float64) *Interval {
-	iv := &Interval{End: end, Span: span}
+func Pack(end time.Time, span time.Duration, deltas []int64, gauges []float64) *Interval {
+	iv := &Interval{End: end, Duration: span}
 	last := -1
-	for i, d := range growth {
+	for i, d := range deltas {
 		if d > 0 {
 			iv.counters = binary.AppendUvarint(iv.counters, uint64(i-last-1))
 			iv.counters = binary.AppendUvarint(iv.counters, uint64(d))
@@ -55,24 +55,24 @@
 }
 
 // overhead is what an interval holds besides its packed bytes.
-const overhead = 144
+const intervalOverheadBytes = 144
 
 // Size is how many bytes it holds.
-func (iv *Interval) Size() int { return overhead + len(iv.counters) + len(iv.gauges) }
+func (iv *Interval) Size() int { return intervalOverheadBytes + len(iv.counters) + len(iv.gauges) }
 
-var errPacked = errors.New("spool: a packed interval is not whole")
+var errMalformed = errors.New("spool: a packed interval is not whole")
 
 // each calls do for each of the places in packed bytes; value reads one.
-func each(b []byte, value func([]byte) (rest []byte, err error), at func(place int)) error {
+func forEach(b []byte, decode func([]byte) (rest []byte, err error), visit func(place int)) error {
 	place := -1
 	for len(b) > 0 {
 		skipped, n := binary.Uvarint(b)
 		if n <= 0 || skipped > math.MaxInt32 {
-			return errPacked
+			return errMalformed
 		}
 		place += int(skipped) + 1
-		at(place)
-		rest, err := value(b[n:])
+		visit(place)
+		rest, err := decode(b[n:])
 		if err != nil {
 			return err
 		}
@@ -85,10 +85,10 @@
 func (iv *Interval) AddTo(counters []int64) []int64 {
 	place := 0
 	// What is packed is checked where it comes from: what cannot be read ends it here.
-	_ = each(iv.counters, func(b []byte) ([]byte, error) {
+	_ = forEach(iv.counters, func(b []byte) ([]byte, error) {
 		d, n := binary.Uvarint(b)
 		if n <= 0 {
-			return nil, errPacked
+			return nil, errMalformed
 		}
 		if place >= len(counters) {
 			counters = append(counters, make([]int64, place+1-len(counters))...)
@@ -103,15 +103,15 @@
 func (iv *Interval) Gauges(gauges []float64) []float64 {
 	place := 0
 	// The same as in AddTo.
-	_ = each(iv.gauges, func(b []byte) ([]byte, error) {
+	_ = forEach(iv.gauges, func(b []byte) ([]byte, error) {
 		whole, n := binary.Uvarint(b)
 		v := float64(whole >> 1)
 		switch {
 		case n <= 0:
-			return nil, errPacked
+			return nil, errMalformed
 		case whole == 0:
 			if len(b) < 9 {
-				return nil, errPacked
+				return nil, errMalformed
 			}
 			v, n = math.Float64frombits(binary.LittleEndian.Uint64(b[1:])), 9
 		}
@@ -126,7 +126,7 @@
 
 // Merge puts an interval and the one after it together: growth adds up, of the gauges the later hold.
 func Merge(a, b *Interval) *Interval {
-	m := Pack(b.End, a.Span+b.Span, b.AddTo(a.AddTo(nil)), nil)
+	m := Pack(b.End, a.Duration+b.Duration, b.AddTo(a.AddTo(nil)), nil)
 	m.gauges = b.gauges
 	return m
 }
--- a/report/spool/spool.go
+++ b/report/spool/spool.go
@@ -6,89 +6,89 @@
 type state uint8
 
 const (
-	waiting state = iota
+	pending state = iota
 	written       // to a receiver that has not been seen to have taken it
-	settled
+	delivered
 )
 
 // Entry is an interval in a spool.
 type Entry struct {
 	*Interval
-	state state
-	at    time.Time // when it was written
-	again bool      // it was written before
+	state         state
+	writtenAt     time.Time // when it was written
+	writtenBefore bool      // it was written before
 }
 
 // Again reports whether the interval was written before.
-func (e *Entry) Again() bool { return e.again }
+func (e *Entry) WrittenBefore() bool { return e.writtenBefore }
 
 // Spool is the intervals for one receiver, the oldest first. It is not safe for concurrent use.
 type Spool struct {
-	most   int
-	size   int
-	list   []*Entry
-	base   []int64 // what counters came to before the first
-	latest []int64 // ... and after the last
-	merged int64
+	maxBytes     int
+	bytes        int
+	entries      []*Entry
+	baseTotals   []int64 // what counters came to before the first
+	latestTotals []int64 // ... and after the last
+	merged       int64
 }
 
 // Least is the smallest bound that makes sense.
-const Least = 16 << 10
+const MinBytes = 16 << 10
 
 // New returns a spool that holds so many bytes at most. One interval, and what is written and not settled, is held beyond that:
 // neither can be made less.
-func New(most int) *Spool { return &Spool{most: max(most, Least)} }
+func New(maxBytes int) *Spool { return &Spool{maxBytes: max(maxBytes, MinBytes)} }
 
 // Add takes in the next interval.
 func (s *Spool) Add(iv *Interval) {
-	s.list = append(s.list, &Entry{Interval: iv})
-	s.size += iv.Size()
-	s.latest = iv.AddTo(s.latest)
-	for s.size > s.most && s.shrink() {
+	s.entries = append(s.entries, &Entry{Interval: iv})
+	s.bytes += iv.Size()
+	s.latestTotals = iv.AddTo(s.latestTotals)
+	for s.bytes > s.maxBytes && s.mergePair() {
 	}
 }
 
 // shrink puts two neighbours together: of the older three quarters those that span least, the oldest of these, so that all of
 // them lose half of their resolution before some lose more, and the newest none. Only what is equally far can be put
 // together: what is written keeps its time until that is settled.
-func (s *Spool) shrink() bool {
-	best := s.narrowest(len(s.list) * 3 / 4)
-	if best < 0 {
-		best = s.narrowest(len(s.list))
+func (s *Spool) mergePair() bool {
+	first := s.shortestPair(len(s.entries) * 3 / 4)
+	if first < 0 {
+		first = s.shortestPair(len(s.entries))
 	}
-	if best < 0 {
+	if first < 0 {
 		return false
 	}
-	a, b := s.list[best], s.list[best+1]
-	m := &Entry{Interval: Merge(a.Interval, b.Interval), state: a.state, again: a.again || b.again}
-	s.size += m.Size() - a.Size() - b.Size()
-	s.list[best] = m
-	s.list = append(s.list[:best+1], s.list[best+2:]...)
-	if m.state == waiting {
+	a, b := s.entries[first], s.entries[first+1]
+	m := &Entry{Interval: Merge(a.Interval, b.Interval), state: a.state, writtenBefore: a.writtenBefore || b.writtenBefore}
+	s.bytes += m.Size() - a.Size() - b.Size()
+	s.entries[first] = m
+	s.entries = append(s.entries[:first+1], s.entries[first+2:]...)
+	if m.state == pending {
 		s.merged++
 	}
 	return true
 }
 
 // narrowest returns the first of the two neighbours among the first n whose longer one spans least; -1: there are none.
-func (s *Spool) narrowest(n int) int {
-	best, span := -1, time.Duration(0)
+func (s *Spool) shortestPair(n int) int {
+	best, shortest := -1, time.Duration(0)
 	for i := 0; i+1 < n; i++ {
-		a, b := s.list[i], s.list[i+1]
+		a, b := s.entries[i], s.entries[i+1]
 		if a.state != b.state || a.state == written {
 			continue
 		}
-		if longer := max(a.Span, b.Span); best < 0 || longer < span {
-			best, span = i, longer
+		if longer := max(a.Duration, b.Duration); best < 0 || longer < shortest {
+			best, shortest = i, longer
 		}
 	}
 	return best
 }
 
 // Oldest and Newest return the first and the last interval that waits, nil where none does.
-func (s *Spool) Oldest() *Entry {
-	for _, e := range s.list {
-		if e.state == waiting {
+func (s *Spool) OldestPending() *Entry {
+	for _, e := range s.entries {
+		if e.state == pending {
 			return e
 		}
 	}
@@ -96,17 +96,17 @@
 }
 
 // Newest returns the newest interval if it waits, else nil.
-func (s *Spool) Newest() *Entry {
-	if n := len(s.list); n > 0 && s.list[n-1].state == waiting {
-		return s.list[n-1]
+func (s *Spool) NewestPending() *Entry {
+	if n := len(s.entries); n > 0 && s.entries[n-1].state == pending {
+		return s.entries[n-1]
 	}
 	return nil
 }
 
 // Waiting returns the number of intervals that wait.
-func (s *Spool) Waiting() (n int) {
-	for _, e := range s.list {
-		if e.state == waiting {
+func (s *Spool) Pending() (n int) {
+	for _, e := range s.entries {
+		if e.state == pending {
 			n++
 		}
 	}
@@ -114,28 +114,28 @@
 }
 
 // Size returns the bytes that all intervals hold.
-func (s *Spool) Size() int { return s.size }
+func (s *Spool) Size() int { return s.bytes }
 
 // Merged returns the number of intervals that were merged with another.
 func (s *Spool) Merged() int64 { return s.merged }
 
 // Begin is when the first interval that is held began; the zero time where none is.
-func (s *Spool) Begin() time.Time {
-	if len(s.list) == 0 {
+func (s *Spool) Start() time.Time {
+	if len(s.entries) == 0 {
 		return time.Time{}
 	}
-	return s.list[0].End.Add(-s.list[0].Span)
+	return s.entries[0].End.Add(-s.entries[0].Duration)
 }
 
 // Totals returns what counters came to at the end of an interval of this spool.
-func (s *Spool) Totals(of *Entry) []int64 {
-	if n := len(s.list); n > 0 && s.list[n-1] == of {
-		return append([]int64(nil), s.latest...)
+func (s *Spool) Totals(end *Entry) []int64 {
+	if n := len(s.entries); n > 0 && s.entries[n-1] == end {
+		return append([]int64(nil), s.latestTotals...)
 	}
-	totals := append([]int64(nil), s.base...)
-	for _, e := range s.list {
+	totals := append([]int64(nil), s.baseTotals...)
+	for _, e := range s.entries {
 		totals = e.AddTo(totals)
-		if e == of {
+		if e == end {
 			break
 		}
 	}
@@ -143,61 +143,61 @@
 }
 
 // Write says that an interval was written.
-func (s *Spool) Write(e *Entry, now time.Time) { e.state, e.at = written, now }
+func (s *Spool) MarkWritten(e *Entry, now time.Time) { e.state, e.writtenAt = written, now }
 
 // Back says that what was written and not settled may not have arrived: it waits again.
-func (s *Spool) Back() {
-	for _, e := range s.list {
+func (s *Spool) Requeue() {
+	for _, e := range s.entries {
 		if e.state == written {
-			e.state, e.again = waiting, true
+			e.state, e.writtenBefore = pending, true
 		}
 	}
 }
 
 // SettleBefore tells that what was written before a time has arrived.
-func (s *Spool) SettleBefore(t time.Time) {
-	for _, e := range s.list {
-		if e.state == written && e.at.Before(t) {
-			e.state = settled
+func (s *Spool) MarkDeliveredBefore(t time.Time) {
+	for _, e := range s.entries {
+		if e.state == written && e.writtenAt.Before(t) {
+			e.state = delivered
 		}
 	}
-	s.release()
+	s.dropDelivered()
 }
 
 // SettleNext tells that of what is not settled the interval that was written first has arrived.
-func (s *Spool) SettleNext() {
+func (s *Spool) MarkOldestDelivered() {
 	var first *Entry
-	for _, e := range s.list {
-		if e.state == written && (first == nil || e.at.Before(first.at)) {
+	for _, e := range s.entries {
+		if e.state == written && (first == nil || e.writtenAt.Before(first.writtenAt)) {
 			first = e
 		}
 	}
 	if first != nil {
-		first.state = settled
+		first.state = delivered
 	}
-	s.release()
+	s.dropDelivered()
 }
 
 // Unsettled is when the first of what is written and not settled was written; false where nothing is.
-func (s *Spool) Unsettled() (at time.Time, any bool) {
-	for _, e := range s.list {
-		if e.state == written && (!any || e.at.Before(at)) {
-			at, any = e.at, true
+func (s *Spool) OldestUndelivered() (at time.Time, any bool) {
+	for _, e := range s.entries {
+		if e.state == written && (!any || e.writtenAt.Before(at)) {
+			at, any = e.writtenAt, true
 		}
 	}
 	return at, any
 }
 
 // release drops what is settled from the front on.
-func (s *Spool) release() {
+func (s *Spool) dropDelivered() {
 	n := 0
-	for n < len(s.list) && s.list[n].state == settled {
-		s.base = s.list[n].AddTo(s.base)
-		s.size -= s.list[n].Size()
+	for n < len(s.entries) && s.entries[n].state == delivered {
+		s.baseTotals = s.entries[n].AddTo(s.baseTotals)
+		s.bytes -= s.entries[n].Size()
 		n++
 	}
 	if n > 0 {
-		clear(s.list[:n])
-		s.list = append(s.list[:0], s.list[n:]...)
+		clear(s.entries[:n])
+		s.entries = append(s.entries[:0], s.entries[n:]...)
 	}
 }
--- a/report/spool/spool_test.go
+++ b/report/spool/spool_test.go
@@ -16,7 +16,7 @@
 }
 
 // What was packed comes back, and two intervals put together come to what both did.
-func TestPackedIntervals(t *testing.T) {
+func TestPackAndMerge(t *testing.T) {
 	numbers := rapid.SliceOfN(rapid.OneOf(rapid.Just(int64(0)), rapid.Int64Range(0, 1<<40)), 0, 60)
 	values := rapid.SliceOfN(rapid.OneOf(rapid.Just(math.NaN()), rapid.Float64(),
 		rapid.Map(rapid.IntRange(0, 1<<40), func(i int) float64 { return float64(i) })), 0, 20)
@@ -24,8 +24,8 @@
 		a, b := numbers.Draw(t, "a"), numbers.Draw(t, "b")
 		ga, gb := values.Draw(t, "gauges a"), values.Draw(t, "gauges b")
 		m := Merge(interval(0, a, ga...), interval(1, b, gb...))
-		if !m.End.Equal(start.Add(20*time.Second)) || m.Span != 20*time.Second {
-			t.Fatalf("ends %v, spans %v", m.End, m.Span)
+		if !m.End.Equal(start.Add(20*time.Second)) || m.Duration != 20*time.Second {
+			t.Fatalf("ends %v, spans %v", m.End, m.Duration)
 		}
 		sum := m.AddTo(make([]int64, 60))
 		for i := range sum {
@@ -51,12 +51,12 @@
 
 // Whatever is added, written, lost and settled: no more bytes than allowed, ends in order, and what is written and what waits
 // comes to what was counted, each interval's totals to what was counted up to its end.
-func TestNothingIsDropped(t *testing.T) {
+func TestSpoolKeepsAllCounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New(0)
 		counted, arrived := make([]int64, 40), make([]int64, 40)
-		var upTo [][]int64 // by number of the interval
-		var out []*Entry
+		var totalsAt [][]int64 // by number of the interval
+		var inFlight []*Entry
 		big := rapid.IntRange(1, 40).Draw(t, "series")
 		for step := range rapid.IntRange(1, 400).Draw(t, "steps") {
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
@@ -66,30 +66,30 @@
 					growth[i] = rapid.Int64Range(0, 1<<30).Draw(t, "n")
 					counted[i] += growth[i]
 				}
-				upTo = append(upTo, slices.Clone(counted))
-				s.Add(interval(len(upTo)-1, growth, 1, float64(step)))
+				totalsAt = append(totalsAt, slices.Clone(counted))
+				s.Add(interval(len(totalsAt)-1, growth, 1, float64(step)))
 			case 6, 7:
-				e := s.Oldest()
+				e := s.OldestPending()
 				if rapid.Bool().Draw(t, "newest") {
-					e = s.Newest()
+					e = s.NewestPending()
 				}
 				if e != nil {
 					n := int(e.End.Sub(start)/(10*time.Second)) - 1
-					if got := s.Totals(e); !slices.Equal(got, upTo[n][:len(got)]) {
-						t.Fatalf("interval %d has totals %v, want %v", n, got, upTo[n])
+					if got := s.Totals(e); !slices.Equal(got, totalsAt[n][:len(got)]) {
+						t.Fatalf("interval %d has totals %v, want %v", n, got, totalsAt[n])
 					}
-					s.Write(e, start.Add(time.Duration(step)))
-					out = append(out, e)
+					s.MarkWritten(e, start.Add(time.Duration(step)))
+					inFlight = append(inFlight, e)
 				}
 			case 8:
-				s.Back()
-				out = nil
+				s.Requeue()
+				inFlight = nil
 			case 9:
-				s.SettleBefore(start.Add(time.Duration(step)))
-				for _, e := range out {
+				s.MarkDeliveredBefore(start.Add(time.Duration(step)))
+				for _, e := range inFlight {
 					arrived = e.AddTo(arrived)
 				}
-				out = nil
+				inFlight = nil
 			}
 			checkSpool(t, s, arrived, counted, big)
 		}
@@ -98,50 +98,50 @@
 
 // checkSpool compares what has arrived and what a spool still has with what was counted, and checks its order and its size.
 func checkSpool(t *rapid.T, s *Spool, arrived, counted []int64, series int) {
-	left, end := slices.Clone(arrived), time.Time{}
-	unsettled := 0
-	for _, e := range s.list {
-		if e.state != settled {
-			left = e.AddTo(left)
+	sum, end := slices.Clone(arrived), time.Time{}
+	undelivered := 0
+	for _, e := range s.entries {
+		if e.state != delivered {
+			sum = e.AddTo(sum)
 		}
 		if e.state == written {
-			unsettled += e.Size()
+			undelivered += e.Size()
 		}
 		if !e.End.After(end) {
 			t.Fatalf("%v after %v", e.End, end)
 		}
 		end = e.End
 	}
-	if !slices.Equal(left, counted) {
-		t.Fatalf("comes to %v, counted were %v", left, counted)
+	if !slices.Equal(sum, counted) {
+		t.Fatalf("comes to %v, counted were %v", sum, counted)
 	}
-	if s.Size() > Least+unsettled+3*(overhead+6*series+20) {
-		t.Fatalf("%d bytes, of which %d are written", s.Size(), unsettled)
+	if s.Size() > MinBytes+undelivered+3*(intervalOverheadBytes+6*series+20) {
+		t.Fatalf("%d bytes, of which %d are written", s.Size(), undelivered)
 	}
 }
 
 // When room is short, all intervals lose half of their resolution before one loses more, the oldest first.
 func TestOldestLoseResolutionFirst(t *testing.T) {
-	s := New(Least)
+	s := New(MinBytes)
 	for i := range 400 {
 		s.Add(interval(i, []int64{1, 2, 3}, 5))
 	}
 	last := time.Duration(math.MaxInt64)
-	for _, e := range s.list {
-		if e.Span > last {
-			t.Fatalf("%v after %v", e.Span, last)
+	for _, e := range s.entries {
+		if e.Duration > last {
+			t.Fatalf("%v after %v", e.Duration, last)
 		}
-		last = e.Span
+		last = e.Duration
 	}
-	oldest, middle, n := s.list[0].Span, s.list[len(s.list)/2].Span, len(s.list)
-	if oldest > 2*middle || s.list[n*7/8].Span != 10*time.Second || s.Merged() == 0 || s.Waiting() != n {
+	oldest, middle, n := s.entries[0].Duration, s.entries[len(s.entries)/2].Duration, len(s.entries)
+	if oldest > 2*middle || s.entries[n*7/8].Duration != 10*time.Second || s.Merged() == 0 || s.Pending() != n {
 		t.Errorf("the oldest of %d spans %v, the one in the middle %v, %d put together", n, oldest, middle, s.Merged())
 	}
 }
 
 // An hour at 10 s of a sidecar with 30 classes and 30 tenants, all of which ask, is kept whole within the usual 4 MiB; plain
 // arrays of the same would take 34 MB.
-func TestAnHourIsKeptWhole(t *testing.T) {
+func TestDefaultSpoolHoldsAnHour(t *testing.T) {
 	s := New(4 << 20)
 	series := 30*(6+2+170) + 30*30*6
 	for i := range 360 {
@@ -154,8 +154,8 @@
 		gauges := make([]float64, 30*2+30*30+200)
 		s.Add(interval(i, growth, gauges...))
 	}
-	if s.Merged() > 0 || s.Waiting() != 360 {
-		t.Errorf("%d waiting, %d put together", s.Waiting(), s.Merged())
+	if s.Merged() > 0 || s.Pending() != 360 {
+		t.Errorf("%d waiting, %d put together", s.Pending(), s.Merged())
 	}
 	t.Logf("%d bytes for an hour of %d counters: %.2f for a series and hour", s.Size(), series, float64(s.Size())/float64(series))
 }
