--- a/report/collect.go
+++ b/report/collect.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Sample is the state of all series at one moment: counters since the process began, gauges as they are, NaN where there is
-// none. Places are those of the table that it was taken with.
+// Sample holds the values of all series at one moment: counters since the start of the process, and gauges, which are NaN
+// where they have no value. A value's index is assigned by the table that the sample was collected with.
 type Sample struct {
 	Counters []int64
 	Gauges   []float64
 }
 
-// State is what a sample is taken of, besides the counts.
+// State holds the input of a sample besides the counts.
 type State struct {
 	Time           time.Time
 	Started        time.Time
@@ -23,26 +23,26 @@
 	Receivers      []ReceiverState
 }
 
-// ServerState is what is told of a server.
+// ServerState is the reported state of a server.
 type ServerState struct {
 	Name     string
 	InFlight int
 }
 
-// TeamState is what contracts made of a team's requests, by verdict.
+// TeamState counts a team's requests by the verdict of its contracts.
 type TeamState struct {
 	Name     string
 	Requests map[string]int64
 }
 
-// ReceiverState is how reporting to one receiver goes.
+// ReceiverState describes the reporting to one receiver. Its fields correspond to those of the Reporting family.
 type ReceiverState struct {
 	Name                                                      string
 	Intervals, Written, Resent, Merged, Disconnects, Rejected int64
 	Pending, SpoolBytes                                       int
 }
 
-// take sets a row's figures; those of a row that several things share add up.
+// addRow adds values to a row. Values of several things that share an overflow row are summed.
 func (s *Sample) addRow(t *Table, r *Row, counters []int64, gauges ...float64) {
 	if missing := t.numCounters - len(s.Counters); missing > 0 {
 		s.Counters = append(s.Counters, make([]int64, missing)...)
@@ -66,10 +66,10 @@
 	return []int64{c.Received, c.Served, c.Late, c.Refused, c.Failed, c.Retries}
 }
 
-// thousandths of a worth.
+// thousandths converts a value to whole thousandths.
 func thousandths(value float64) int64 { return int64(math.Round(1000 * value)) }
 
-// Take takes a sample. What is new gets a place in the table.
+// Collect returns a sample of the counts and of st. It adds rows to the table for new classes, pairs, servers and so on.
 func (c *Counts) Collect(t *Table, st *State) *Sample {
 	s, now := &Sample{}, st.Time.Unix()
 	snap := c.Snapshot()
@@ -78,7 +78,8 @@
 		s.addRow(t, t.Row(Requests, now, class.Name), k.values(), float64(k.Open))
 		value := thousandths(class.Value)
 		lateValue := thousandths(class.Value * class.LateValue)
-		s.addRow(t, t.Row(RequestValue, now, class.Name), []int64{value * (k.Received - k.Retries), value*(k.Served-k.Late) + lateValue*k.Late})
+		s.addRow(t, t.Row(RequestValue, now, class.Name),
+			[]int64{value * (k.Received - k.Retries), value*(k.Served-k.Late) + lateValue*k.Late})
 		s.addRow(t, t.Row(Latency, now, class.Name), snap.Latencies[i][:])
 	}
 	for i := range snap.Pairs {
@@ -98,7 +99,8 @@
 			s.addRow(t, t.Row(Contracts, now, team.Name, verdict), []int64{n})
 		}
 	}
-	s.addRow(t, t.Row(Process, now), nil, float64(st.Started.Unix()), float64(st.MemoryBytes), float64(len(st.Servers)), float64(st.AvoidedServers))
+	s.addRow(t, t.Row(Process, now), nil,
+		float64(st.Started.Unix()), float64(st.MemoryBytes), float64(len(st.Servers)), float64(st.AvoidedServers))
 	for _, r := range st.Receivers {
 		s.addRow(t, t.Row(Reporting, now, r.Name), []int64{r.Intervals, r.Written, r.Resent, r.Merged, r.Disconnects, r.Rejected},
 			float64(r.Pending), float64(r.SpoolBytes))
--- a/report/collectd/collectd.go
+++ b/report/collectd/collectd.go
@@ -1,9 +1,10 @@
-// Package collectd writes readings in collectd's two forms: the binary protocol of its network plugin, in packets that may be
-// signed or encrypted, and the lines of its Unix socket. It owns the identifiers, the types and the bytes; it does no I/O.
+// Package collectd encodes readings in collectd's two protocols: the binary protocol of its network plugin, whose packets may
+// be signed or encrypted, and the plain text protocol of its Unix socket. It owns the identifiers, the types and the encoding;
+// it does no I/O.
 //
-// A row of a family is one list of values: HOST/firplank-LABEL/firplank_FAMILY-LABEL2. Counters are DERIVE with a least of 0, so
-// that a process that begins at 0 again makes no spike; gauges are GAUGE. types.go has what collectd's types.db has to
-// know, seal.go the signing and encryption. Begin with Encoder.
+// A row of a family is one value list: HOST/firplank-LABEL/firplank_FAMILY-LABEL2. Counters have the type DERIVE with a minimum
+// of 0, so that a restart from 0 shows no spike; gauges have the type GAUGE. TypesDB returns the lines for collectd's types.db;
+// seal.go has signing and encryption. Start reading at Encoder.
 package collectd
 
 import (
@@ -18,10 +19,10 @@
 	"firplank/report"
 )
 
-// Type is how collectd takes a value.
+// Type is a collectd data source type.
 type Type uint8
 
-// The types, by their numbers on the wire.
+// The types, with their numbers in the protocol.
 const (
 	Counter Type = iota
 	Gauge
@@ -29,14 +30,14 @@
 	Absolute
 )
 
-// Value is one value: Gauge holds that of a Gauge, Int of the others.
+// Value is one value: Gauge is used with the type Gauge, Int with the others.
 type Value struct {
 	Type  Type
 	Int   int64
 	Gauge float64
 }
 
-// List is values of one moment under one identifier.
+// ValueList holds the values of one identifier at one time.
 type ValueList struct {
 	Host, Plugin, PluginInstance, Type, TypeInstance string
 
@@ -45,7 +46,7 @@
 	Values   []Value
 }
 
-// The parts of a packet, by their numbers.
+// The types of a packet's parts.
 const (
 	partHost           = 0x0000
 	partPlugin         = 0x0002
@@ -59,17 +60,17 @@
 	partEncryption     = 0x0210
 )
 
-// The plugin under which all is told, and what a name may have: receivers before 5.6 keep 63 bytes of each field.
+// The plugin of all identifiers, and the limit of each of their fields, of which receivers before 5.6 keep 63 bytes.
 const (
 	pluginName    = "firplank"
 	maxFieldBytes = 63
 )
 
-// apart ends the identifiers of what is told late, where that is kept apart; no escaped name ends in it.
+// lateSuffix ends the identifiers of late values if they are kept apart. No escaped name ends in it.
 const lateSuffix = "%late"
 
-// Lists makes lists of a reading's rows. Receivers take no time of an identifier before one that they have: what is late can
-// stand under identifiers of its own.
+// ValueLists returns a value list for each row of a reading. Receivers reject a value that is older than the identifier's last
+// one, so late values can have identifiers of their own.
 func ValueLists(host string, interval time.Duration, r *report.Reading, late bool) []ValueList {
 	lists := make([]ValueList, 0, len(r.Rows))
 	for i := range r.Rows {
@@ -95,10 +96,10 @@
 	return lists
 }
 
-// TypeName is the name of a family's type.
+// TypeName returns the name of a family's type in types.db.
 func TypeName(f *report.Family) string { return "firplank_" + f.Name }
 
-// TypesDB is what a receiver's types.db has to say of the families.
+// TypesDB returns the lines that a receiver's types.db needs for the families.
 func TypesDB() string {
 	var b strings.Builder
 	for _, f := range report.Families {
@@ -119,21 +120,22 @@
 	return b.String()
 }
 
-// hr is a time in units of 2^-30 s.
+// highResTime converts a time to units of 2^-30 s.
 func highResTime(seconds int64, nanos int64) uint64 {
 	return uint64(seconds)<<30 + uint64(nanos)<<30/uint64(time.Second)
 }
 
-// Size is what a packet may have: collectd's own bound.
+// DefaultPacketBytes is collectd's own default limit of a packet.
 const DefaultPacketBytes = 1452
 
-// Encoder writes packets. It is not safe for concurrent use.
+// Encoder encodes value lists as packets. It isn't safe for concurrent use.
 type Encoder struct {
-	maxPartsBytes int // bytes of the parts of a packet
+	maxPartsBytes int // of a packet, without signature or encryption
 	sealer        *Sealer
 }
 
-// NewEncoder returns an encoder of packets of at most size bytes, 0: Size; sealed where seal is not nil.
+// NewEncoder returns an encoder of packets of at most packetBytes bytes, or DefaultPacketBytes if that is 0. The packets are
+// signed or encrypted unless sealer is nil.
 func NewEncoder(packetBytes int, sealer *Sealer) *Encoder {
 	if packetBytes == 0 {
 		packetBytes = DefaultPacketBytes
@@ -141,10 +143,10 @@
 	return &Encoder{maxPartsBytes: packetBytes - sealer.overheadBytes(), sealer: sealer}
 }
 
-// ErrTooLong is the error for a list that does not fit into a packet of its own.
-var ErrTooLong = errors.New("collectd: a list is longer than a packet")
+// ErrTooLong is returned for a value list that doesn't fit in one packet.
+var ErrTooLong = errors.New("collectd: value list is longer than a packet")
 
-// Packets writes lists into packets; none is split between two.
+// Packets encodes value lists as packets. No list is split between packets.
 func (e *Encoder) Packets(lists []ValueList) (packets [][]byte, err error) {
 	var b []byte
 	previous := &ValueList{}
@@ -174,14 +176,15 @@
 	return packets, finish()
 }
 
-// appendList appends the parts of a list that differ from the one before in the packet.
+// appendValueList appends a value list, leaving out the parts that are the same as in the previous one of the packet.
 func appendValueList(b []byte, previous, l *ValueList) []byte {
 	first := len(b) == 0
 	for _, s := range []struct {
 		part      uint16
 		was, text string
 	}{
-		{partHost, previous.Host, l.Host}, {partPlugin, previous.Plugin, l.Plugin}, {partPluginInstance, previous.PluginInstance, l.PluginInstance},
+		{partHost, previous.Host, l.Host}, {partPlugin, previous.Plugin, l.Plugin},
+		{partPluginInstance, previous.PluginInstance, l.PluginInstance},
 		{partType, previous.Type, l.Type}, {partTypeInstance, previous.TypeInstance, l.TypeInstance},
 	} {
 		if s.was != s.text || first {
@@ -201,7 +204,7 @@
 		b = append(b, byte(l.Values[i].Type))
 	}
 	for i := range l.Values {
-		if v := &l.Values[i]; v.Type == Gauge { // the one kind that is little-endian
+		if v := &l.Values[i]; v.Type == Gauge { // the only little-endian type
 			b = binary.LittleEndian.AppendUint64(b, math.Float64bits(v.Gauge))
 		} else {
 			b = binary.BigEndian.AppendUint64(b, uint64(v.Int))
@@ -221,7 +224,7 @@
 	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint16(b, 12), v)
 }
 
-// AppendPutval appends the command of the Unix socket for a list: one line, answered by one line.
+// AppendPutval appends the Unix socket's command for a value list: one line, which is answered by one line.
 func AppendPutval(b []byte, l *ValueList) []byte {
 	b = append(b, `PUTVAL "`...)
 	b = append(append(append(b, l.Host...), '/'), l.Plugin...)
--- a/report/collectd/collectd_test.go
+++ b/report/collectd/collectd_test.go
@@ -16,7 +16,7 @@
 	"firplank/report"
 )
 
-// The bytes of a packet, made by hand of the protocol's description.
+// Compares a packet with bytes written by hand from the protocol's description.
 func TestPacket(t *testing.T) {
 	l := []ValueList{{
 		Host: "h", Plugin: "p", Type: "t", Time: time.Unix(2, 500_000_000), Interval: 10 * time.Second,
@@ -56,8 +56,8 @@
 	}), 1, 60).Draw(t, "lists")
 }
 
-// Whatever is told is read back by a receiver, whole, in packets within the bound, plain, signed and encrypted; with another
-// password nothing is.
+// A receiver must read back every value list from plain, signed and encrypted packets within the size limit. It must reject
+// signed and encrypted packets that have another password or were altered.
 func TestReceiversReadPackets(t *testing.T) { rapid.Check(t, checkReceiversRead) }
 
 func FuzzReceiversReadPackets(f *testing.F) { f.Fuzz(rapid.MakeFuzz(checkReceiversRead)) }
@@ -99,20 +99,20 @@
 			continue
 		}
 		if _, err := (receiver.Users{"monitor": "other"}).Decode(p); err == nil {
-			t.Fatal("read with another password")
+			t.Fatal("decoded with another password")
 		}
 		bad := bytes.Clone(p)
 		bad[len(bad)-1] ^= 1
 		if _, err := users.Decode(bad); err == nil {
-			t.Fatal("read although it was altered")
+			t.Fatal("decoded although it was altered")
 		}
 	}
 	if n != len(all) {
-		t.Fatalf("%d of %d lists", n, len(all))
+		t.Fatalf("%d of %d value lists", n, len(all))
 	}
 }
 
-// The socket's lines are read back too, and a gauge that is not there is undefined.
+// The socket's lines must be read back too. A gauge without a value is undefined (U).
 func TestPutval(t *testing.T) {
 	l := ValueList{
 		Host: "h", Plugin: "firplank", PluginInstance: "a%20b", Type: "t", Time: time.Unix(2, 0), Interval: 10 * time.Second,
@@ -132,7 +132,7 @@
 	})
 }
 
-// What operators add to types.db is what is sent.
+// The types.db that operators install must match the encoded types.
 func TestTypesFile(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/monitoring/types.db")
 	if err != nil || string(text) != TypesDB() {
@@ -140,7 +140,8 @@
 	}
 }
 
-// Names of any kind stand under identifiers of their own, on one line, in fields that receivers keep whole; so does what is late.
+// Any pair of names must have identifiers of its own, also for late values, in one line and in fields that receivers don't
+// truncate.
 func TestHostileNames(t *testing.T) {
 	names := []string{
 		"permit.lookup v2", "permit%2Elookup v2", `a"b`, "a\nb", "a/b-c", "", "late", "%late", strings.Repeat("x.", 150),
@@ -169,7 +170,7 @@
 	}
 }
 
-// A list that no packet holds is an error, and nothing is left out silently.
+// A value list that doesn't fit in a packet is an error and isn't silently left out.
 func TestTooLongList(t *testing.T) {
 	l := ValueList{Host: "h", Plugin: "p", Type: "t", Values: make([]Value, 200)}
 	if packets, err := NewEncoder(1024, nil).Packets([]ValueList{l}); !errors.Is(err, ErrTooLong) || packets != nil {
--- a/report/collectd/seal.go
+++ b/report/collectd/seal.go
@@ -12,25 +12,25 @@
 	"io"
 )
 
-// Security is what is done to packets.
+// Security is the security level of packets, as in collectd's network plugin.
 type Security uint8
 
-// The kinds.
+// The security levels.
 const (
 	Plain   Security = iota
-	Sign             // HMAC-SHA-256
-	Encrypt          // AES-256 in OFB mode, over the parts and their SHA-1
+	Sign             // with HMAC-SHA-256
+	Encrypt          // with AES-256 in OFB mode, which covers the parts and their SHA-1 checksum
 )
 
-// Seal signs or encrypts packets for a user whose password the receiver knows. A nil one leaves them as they are.
+// Sealer signs or encrypts packets for a user whose password the receiver knows. A nil Sealer leaves them unchanged.
 type Sealer struct {
 	security Security
 	user     string
 	password []byte
-	random   io.Reader // of initial vectors
+	random   io.Reader // for initialization vectors
 }
 
-// NewSeal returns a seal; nil for Plain.
+// NewSealer returns a sealer, or nil for Plain.
 func NewSealer(s Security, user, password string) *Sealer {
 	if s == Plain {
 		return nil
@@ -38,7 +38,7 @@
 	return &Sealer{security: s, user: user, password: []byte(password), random: rand.Reader}
 }
 
-// overhead is how many bytes are added to the parts.
+// overheadBytes returns the number of bytes that seal adds.
 func (s *Sealer) overheadBytes() int {
 	switch {
 	case s == nil:
@@ -49,7 +49,7 @@
 	return 4 + 2 + len(s.user) + aes.BlockSize + sha1.Size
 }
 
-// wrap puts the parts of a packet under the seal.
+// seal returns the parts of a packet, signed or encrypted.
 func (s *Sealer) seal(parts []byte) ([]byte, error) {
 	if s == nil {
 		return parts, nil
@@ -65,7 +65,7 @@
 	}
 	iv := make([]byte, aes.BlockSize)
 	if _, err := io.ReadFull(s.random, iv); err != nil {
-		return nil, fmt.Errorf("collectd: initial vector: %w", err)
+		return nil, fmt.Errorf("collectd: initialization vector: %w", err)
 	}
 	key := sha256.Sum256(s.password)
 	block, err := aes.NewCipher(key[:])
--- a/report/counts.go
+++ b/report/counts.go
@@ -1,10 +1,10 @@
-// Package report counts what becomes of requests and makes series of the counts. It owns the counters, their snapshot and the
-// names and meanings of the series; it knows no protocol, no server and nobody who reads the figures. Counting takes no lock
-// and allocates nothing.
+// Package report counts requests and attempts by their outcome and derives metric series from the counts. It owns the counters,
+// their snapshot, and the names and meanings of the series. It doesn't depend on a protocol, on servers or on the receivers of
+// the metrics. Counting takes no lock and allocates nothing.
 //
-// counts.go and histogram.go count, table.go says which series there are, collect.go takes a sample of the counts, and
-// render.go makes a reading of the difference between two. How readings are kept while nobody takes them is in spool,
-// when they are sent in feed, and how they are written in graphite and collectd. Begin with Counts.
+// counts.go and histogram.go hold the counters, table.go defines the series, collect.go samples the counts, and render.go
+// computes a reading from the difference of two samples. Package spool buffers readings until a receiver has got them, feed
+// decides when they are sent, graphite and collectd encode them. Start reading at Counts.
 package report
 
 import (
@@ -12,22 +12,22 @@
 	"time"
 )
 
-// Kind is how a request ended.
+// RequestOutcome is the outcome of a request.
 type RequestOutcome uint8
 
-// The kinds.
+// The outcomes of requests.
 const (
 	Served RequestOutcome = iota
 	Refused
 	Failed
-	servedLate // of Served, after its aim
+	servedLate // served after the latency target
 	numRequestOutcomes
 )
 
-// Outcome is how an attempt at a server ended.
+// AttemptOutcome is the outcome of an attempt at a server.
 type AttemptOutcome uint8
 
-// The outcomes.
+// The outcomes of attempts. The families' field texts in table.go explain them.
 const (
 	OK AttemptOutcome = iota
 	Error
@@ -40,57 +40,58 @@
 	numAttemptOutcomes
 )
 
-// Shape is what there is to count.
+// Config lists the classes and tenants to count.
 type Config struct {
 	Classes []Class
-	Tenants []string // by number
-	// Pairs bounds the pairs of class and tenant that are counted apart, the first that come; what is beyond them is
-	// counted under its class and Overflow. 0: 2,000.
+	Tenants []string // by tenant index
+	// MaxPairs limits the pairs of class and tenant with counters of their own, which the first pairs to occur get. Requests of
+	// further pairs are counted under their class and the tenant Overflow. 0 means 2,000.
 	MaxPairs int
 }
 
-// Class is what is to be known of a class.
+// Class describes a request class.
 type Class struct {
 	Name             string
-	LatencyTarget    time.Duration // a later answer counts as late; 0: none does
-	Value, LateValue float64       // LateWorth is a part of Worth
+	LatencyTarget    time.Duration // answers after it count as late; 0: no answer does
+	Value, LateValue float64       // LateValue is the fraction of Value that a late answer has
 }
 
-// Overflow names the tenant under which those are counted that have no counters of their own.
+// Overflow is the label of everything that has no row or counters of its own.
 const Overflow = "overflow"
 
 const defaultMaxPairs = 2000
 
-// Counts counts requests by class and tenant, from 0 at the start of the process. A nil one counts nothing. Its methods may
-// be called from any goroutine. It costs 56 bytes for each pair that it counts apart, 4 for each that there could be, and 1.4
-// KB for each class.
+// Counts counts requests by class and tenant, from 0 at the start of the process. The counting methods of a nil Counts do
+// nothing. It is safe for concurrent use. It needs 56 bytes for each pair with counters of its own, 4 bytes for each possible
+// pair and 1.4 KB for each class.
 type Counts struct {
 	config          Config
-	pairIndex       []atomic.Uint32   // by class × tenants + tenant: 0 none yet, else 1 + the cell
-	pairsAssigned   atomic.Uint32     // cells given out
-	counters        []requestCounters // the first are the classes' own, for tenants beyond the bound
-	latencies       []Histogram       // of what was served, by class
+	pairIndex       []atomic.Uint32   // by class × tenants + tenant: 0 means not assigned, else 1 + the index in counters
+	pairsAssigned   atomic.Uint32     // may exceed MaxPairs for a moment
+	counters        []requestCounters // the first ones are the classes' overflow counters
+	latencies       []Histogram       // of served requests, by class
 	sends           atomic.Int64
 	furtherAttempts atomic.Int64
 	attempts        [numAttemptOutcomes]atomic.Int64
 }
 
+// requestCounters counts the requests of a pair.
 type requestCounters struct {
-	class, tenant int // tenant -1: Overflow. Written before the cell is told of in index
+	class, tenant int // tenant -1: Overflow; written before pairIndex refers to the counters
 	received      atomic.Int64
 	retries       atomic.Int64
 	ended         [numRequestOutcomes]atomic.Int64
 }
 
-// New returns counts of a shape.
+// New returns counts for the classes and tenants of a configuration.
 func New(s Config) *Counts {
 	if s.MaxPairs <= 0 {
 		s.MaxPairs = defaultMaxPairs
 	}
 	s.MaxPairs = min(s.MaxPairs, len(s.Classes)*len(s.Tenants))
 	c := &Counts{
-		config: s, pairIndex: make([]atomic.Uint32, len(s.Classes)*len(s.Tenants)), counters: make([]requestCounters, len(s.Classes)+s.MaxPairs),
-		latencies: make([]Histogram, len(s.Classes)),
+		config: s, pairIndex: make([]atomic.Uint32, len(s.Classes)*len(s.Tenants)),
+		counters: make([]requestCounters, len(s.Classes)+s.MaxPairs), latencies: make([]Histogram, len(s.Classes)),
 	}
 	for i := range s.Classes {
 		c.counters[i].class, c.counters[i].tenant = i, -1
@@ -98,7 +99,7 @@
 	return c
 }
 
-// cell returns where a pair is counted; nil where there is no such class.
+// countersOf returns the counters of a pair, or nil if the class is unknown.
 func (c *Counts) countersOf(class, tenant int) *requestCounters {
 	if c == nil || class < 0 || class >= len(c.config.Classes) {
 		return nil
@@ -113,23 +114,23 @@
 	return c.assignPair(entry, class, tenant)
 }
 
-// assign gives a pair a cell of its own, while there are any.
+// assignPair gives a pair counters of its own if any are left, else its class's overflow counters.
 func (c *Counts) assignPair(entry *atomic.Uint32, class, tenant int) *requestCounters {
 	numClasses := len(c.config.Classes)
 	n := int(c.pairsAssigned.Add(1)) - 1
 	if n >= c.config.MaxPairs {
-		c.pairsAssigned.Store(uint32(c.config.MaxPairs)) // so that it never comes round
+		c.pairsAssigned.Store(uint32(c.config.MaxPairs)) // so that the number never wraps around
 		entry.CompareAndSwap(0, uint32(class)+1)
 	} else {
 		k := &c.counters[numClasses+n]
 		k.class, k.tenant = class, tenant
-		entry.CompareAndSwap(0, uint32(numClasses+n)+1) // else another goroutine was first, and this cell stays empty
+		entry.CompareAndSwap(0, uint32(numClasses+n)+1) // if another goroutine was first, these counters stay unused
 	}
 	return &c.counters[entry.Load()-1]
 }
 
-// Asked counts a request that has come; retry says that its client has tried before. A class that there is not counts
-// nowhere, a tenant that there is not under Overflow.
+// RequestReceived counts a received request; retry tells whether its client has marked it as a retry. A request of an unknown
+// class isn't counted, one of an unknown tenant counts under Overflow.
 func (c *Counts) RequestReceived(class, tenant int, retry bool) {
 	k := c.countersOf(class, tenant)
 	if k == nil {
@@ -141,7 +142,7 @@
 	}
 }
 
-// Ended counts that a request has its final answer, and how long that took.
+// RequestEnded counts the final answer of a request, took after it was received.
 func (c *Counts) RequestEnded(class, tenant int, outcome RequestOutcome, took time.Duration) {
 	k := c.countersOf(class, tenant)
 	if k == nil {
@@ -156,14 +157,14 @@
 	k.ended[outcome].Add(1)
 }
 
-// Sent counts an attempt that was written whole to a server.
+// AttemptSent counts an attempt whose request was written completely to a server.
 func (c *Counts) AttemptSent() {
 	if c != nil {
 		c.sends.Add(1)
 	}
 }
 
-// Attempted counts an attempt that has ended; again says that it was not the first of its request.
+// AttemptEnded counts the end of an attempt; further tells whether it wasn't the first one of its request.
 func (c *Counts) AttemptEnded(outcome AttemptOutcome, further bool) {
 	if c == nil || outcome >= numAttemptOutcomes {
 		return
@@ -174,11 +175,11 @@
 	}
 }
 
-// Count is what a snapshot holds of a class or of a pair. Asked is the sum of Served, Refused, Failed and Open.
+// RequestCounts holds the counts of a class or a pair. Received is the sum of Served, Refused, Failed and Open.
 type RequestCounts struct {
 	Received, Served, Refused, Failed, Open int64
-	Late                                    int64 // of Served, after the aim
-	Retries                                 int64 // of Asked
+	Late                                    int64 // part of Served: after the latency target
+	Retries                                 int64 // part of Received
 }
 
 func (a *RequestCounts) add(b *RequestCounts) {
@@ -191,24 +192,24 @@
 	a.Retries += b.Retries
 }
 
-// Pair is the count of a class and a tenant; Tenant -1 is Overflow.
+// Pair holds the counts of a class and a tenant. Tenant -1 is Overflow.
 type Pair struct {
 	Class, Tenant int
 	RequestCounts
 }
 
-// Snapshot is the state of all counts at about one moment.
+// Snapshot holds all counts. They are read one after the other, not atomically.
 type Snapshot struct {
 	Classes         []RequestCounts // by class, over all tenants
-	Pairs           []Pair          // that were ever asked
+	Pairs           []Pair          // that have received requests
 	Open            int64
-	Sends           int64 // attempts written whole
-	FurtherAttempts int64 // attempts beyond a request's first
+	Sends           int64 // attempts written completely
+	FurtherAttempts int64 // attempts after a request's first
 	Attempts        [numAttemptOutcomes]int64
-	Latencies       []Buckets // of what was served, by class
+	Latencies       []Buckets // of served requests, by class
 }
 
-// Snapshot reads the counts. What has ended is read before what was asked, so that no more can have ended than came.
+// Snapshot reads the counts. Ended requests are read before received ones, so that Open is never negative.
 func (c *Counts) Snapshot() Snapshot {
 	s := Snapshot{Classes: make([]RequestCounts, len(c.config.Classes)), Sends: c.sends.Load(), FurtherAttempts: c.furtherAttempts.Load()}
 	for i := range c.attempts {
@@ -226,7 +227,7 @@
 		v.Received = k.received.Load()
 		v.Open = v.Received - v.Served - v.Refused - v.Failed
 		if v.Received == 0 {
-			continue // the fields that name it may be being written
+			continue // class and tenant may be being written concurrently
 		}
 		s.Open += v.Open
 		s.Classes[k.class].add(&v)
--- a/report/counts_test.go
+++ b/report/counts_test.go
@@ -12,7 +12,8 @@
 func testConfig(classes, tenants, pairs int) Config {
 	s := Config{MaxPairs: pairs}
 	for i := range classes {
-		s.Classes = append(s.Classes, Class{Name: fmt.Sprint("class ", i), LatencyTarget: 100 * time.Millisecond, Value: 3, LateValue: 0.5})
+		s.Classes = append(s.Classes,
+			Class{Name: fmt.Sprint("class ", i), LatencyTarget: 100 * time.Millisecond, Value: 3, LateValue: 0.5})
 	}
 	for i := range tenants {
 		s.Tenants = append(s.Tenants, fmt.Sprint("tenant ", i))
@@ -20,10 +21,10 @@
 	return s
 }
 
-// In every snapshot what was asked is what has ended and what is open, and no more has ended than came.
+// In snapshots taken during concurrent counting, no request ends before it was received, and classes are the sum of their pairs.
 func TestSnapshotsAreConsistent(t *testing.T) {
 	c := New(testConfig(2, 3, 4))
-	c.RequestReceived(7, 0, false) // a class that there is not
+	c.RequestReceived(7, 0, false) // an unknown class
 	var counting sync.WaitGroup
 	for i := range 4 {
 		counting.Go(func() {
@@ -47,22 +48,22 @@
 		var byClass [2]RequestCounts
 		for i := range s.Pairs {
 			p := &s.Pairs[i]
-			if p.Open < 0 || p.Retries > p.Received { // Open is what is left of Asked
+			if p.Open < 0 || p.Retries > p.Received { // Open is Received less all ended requests
 				t.Fatalf("pair %+v", p)
 			}
 			byClass[p.Class].add(&p.RequestCounts)
 		}
 		if byClass[0] != s.Classes[0] || byClass[1] != s.Classes[1] || len(s.Pairs) > 2+4 {
-			t.Fatalf("classes %+v, of %d pairs %+v", s.Classes, len(s.Pairs), byClass)
+			t.Fatalf("classes %+v, sums of %d pairs %+v", s.Classes, len(s.Pairs), byClass)
 		}
 		if finished && (s.Open != 0 || s.Sends != 20000 || s.Classes[0].Received+s.Classes[1].Received != 20000) {
-			t.Errorf("in the end %+v", s.Classes)
+			t.Errorf("final classes %+v", s.Classes)
 		}
 	}
 	(*Counts)(nil).RequestReceived(0, 0, false)
 }
 
-// 500 classes and 100 tenants are counted in a bounded table: what is beyond it stands under one name, and classes are right.
+// With 500 classes and 100 tenants, pairs beyond MaxPairs are counted as Overflow, and the sums of the classes are right.
 func TestTooManyPairsOverflow(t *testing.T) {
 	c := New(testConfig(500, 100, 300))
 	for round := range 2 {
@@ -83,7 +84,7 @@
 		}
 	}
 	if own != 300 || overflow != 2*(50000-300) {
-		t.Errorf("%d pairs of their own, %d beyond", own, overflow)
+		t.Errorf("%d pairs with their own counters, %d requests in overflow", own, overflow)
 	}
 	for i, k := range s.Classes {
 		if k.Served != 200 || k.Retries != 100 {
@@ -97,7 +98,7 @@
 	}
 }
 
-// What a histogram tells of a time is at most 6.25 % off.
+// The error of a duration that a histogram returns is at most 6.25 %.
 func TestHistogramError(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		took := time.Duration(rapid.Int64Range(int64(minDuration), int64(2*time.Minute)).Draw(t, "took"))
@@ -106,7 +107,7 @@
 		b := h.Snapshot()
 		got, ok := quantile(b[:], 0.5)
 		if off := float64(got-took) / float64(took); !ok || off > 0.0626 || off < -0.0626 {
-			t.Fatalf("%v is told as %v", took, got)
+			t.Fatalf("%v is reported as %v", took, got)
 		}
 	})
 	var h Histogram
@@ -123,7 +124,7 @@
 	h.Add(time.Hour)
 }
 
-// A series says what was counted, whatever was counted before.
+// Totals cover all that was counted, deltas only what was counted between two samples.
 func TestRenderShowsDeltasAndTotals(t *testing.T) {
 	c, table := New(testConfig(1, 1, 0)), NewTable()
 	count := func(n int) {
@@ -161,7 +162,7 @@
 	}
 }
 
-// Servers come and go for months: their places are used again, but not while an interval is kept in which they stood.
+// A long series of servers that are added and removed must not grow the table: their gauges' indices are reused after Prune.
 func TestGaugePlacesAreReused(t *testing.T) {
 	table := NewTable()
 	for at := range int64(5000) {
@@ -171,7 +172,7 @@
 		}
 	}
 	if _, gauges := table.Sizes(); gauges > 102 {
-		t.Errorf("%d places", gauges)
+		t.Errorf("%d gauges", gauges)
 	}
 	for i := range 2 * Servers.MaxRows {
 		table.Row(Servers, 5000, fmt.Sprint("t-", i))
@@ -194,7 +195,7 @@
 	}
 }
 
-// The largest table that the bounds allow with 500 classes and 100 tenants, of which all ask.
+// The largest table that the bounds allow, with 500 classes and 100 tenants that all have requests.
 func BenchmarkCollectLargest(b *testing.B) {
 	c := New(testConfig(500, 100, 0))
 	for class := range 500 {
@@ -223,7 +224,7 @@
 	}
 }
 
-// Names that differ stay apart, and what was escaped comes back.
+// Unescape reverses Escape, so that different names stay different.
 func FuzzEscape(f *testing.F) {
 	for _, s := range []string{"", "plate-reserve", "permit.lookup v2", "permit%2Elookup v2", `a"b'`, "a\nb", "%", "%~",
 		"ü/ö", string(make([]byte, 300))} {
--- a/report/feed/clock.go
+++ b/report/feed/clock.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// mostHold is how far the clock may be stepped back for intervals to wait until it has caught up.
+// maxStepBack is the largest backward step of the wall clock after which intervals wait until the clock has caught up.
 const maxStepBack = 5 * time.Minute
 
-// Clock tells when intervals end. Their ends are whole multiples of their length by the wall clock, as receivers that keep one
-// value for each such time want it, and no end is told twice: after a step back nothing ends until the clock has caught up, so
-// that what was told before stays. A step of more than five minutes is believed.
+// Clock determines when intervals end. They end at multiples of their length by the wall clock, as receivers that keep one
+// value for each such time require, and no end is used twice. After a backward step of the clock no interval ends until the
+// clock has caught up, so that values already sent aren't overwritten. A step of more than maxStepBack is followed at once.
 //
-// The first interval is longer than the others, and the last ends at the next multiple: so a process that follows at once does
-// not end one at the same time.
+// The first interval is longer than the others, and the final one ends at the next multiple. So a process that is started right
+// after another doesn't end an interval at the same time.
 type Clock struct {
 	interval time.Duration
-	started  time.Time // when the interval began
-	lastEnd  time.Time // end of the one before, or where there is none the time before which none ends
+	started  time.Time // start of the current interval
+	lastEnd  time.Time // of the previous interval; at first, the time until which no interval ends
 }
 
-// NewClock begins the first interval. every is whole seconds.
+// NewClock returns a clock whose first interval begins at start. interval is in whole seconds.
 func NewClock(start time.Time, interval time.Duration) *Clock {
 	return &Clock{interval: interval, started: start.Round(0), lastEnd: start.Round(0).Truncate(interval).Add(interval)}
 }
 
-// Next is when the present interval ends.
+// Next returns the end of the current interval.
 func (c *Clock) Next() time.Time { return c.lastEnd.Truncate(c.interval).Add(c.interval) }
 
-// End ends the interval, if it is time.
+// End ends the current interval if its end has passed.
 func (c *Clock) End(now time.Time) (end time.Time, span time.Duration, ok bool) {
-	now = now.Round(0) // by the wall clock alone
+	now = now.Round(0) // drops the monotonic clock reading
 	end = now.Truncate(c.interval)
 	switch {
-	case c.lastEnd.Sub(now) > maxStepBack+c.interval: // the clock was wrong before
+	case c.lastEnd.Sub(now) > maxStepBack+c.interval: // the clock was wrong before this step
 		span = c.interval
 	case !end.After(c.lastEnd):
 		return end, 0, false
@@ -41,7 +41,7 @@
 	return end, span, true
 }
 
-// Last ends the interval that the process does not see the end of.
+// EndFinal ends the current interval early, as the process exits before its end.
 func (c *Clock) EndFinal(now time.Time) (end time.Time, span time.Duration) {
 	end = now.Round(0).Truncate(c.interval).Add(c.interval)
 	if behind := c.lastEnd.Sub(end); behind > 0 && c.started.Equal(c.lastEnd) { // the clock was stepped back
--- a/report/feed/feed.go
+++ b/report/feed/feed.go
@@ -1,8 +1,8 @@
-// Package feed decides when intervals are sent to a receiver: it owns the state of the connection, of what was written and not
-// seen to arrive, of the backlog and its rate. It does no I/O and has no clock: each event comes with its time, and Next says
-// what to do. Who carries it out is internal/reporting.
+// Package feed decides when intervals are sent to a receiver. It owns the state of the connection, of written intervals that
+// aren't known to be delivered, and of the backlog and its rate limit. It does no I/O and has no clock: each event comes with
+// its time, and Next returns what to do. Package internal/reporting carries it out.
 //
-// clock.go tells when intervals end. Begin with Feed.
+// clock.go determines when intervals end. Start reading at Feed.
 package feed
 
 import (
@@ -12,38 +12,38 @@
 	"firplank/report/spool"
 )
 
-// Policy is how a receiver is to be treated.
+// Policy configures the sending to a receiver.
 type Policy struct {
-	// Backlog is how many intervals a second are sent of those that waited for the receiver.
+	// BacklogPerSecond is the rate limit of intervals that have waited for the receiver.
 	BacklogPerSecond float64
-	// Part bounds the part of the time that preparing the backlog may take: after an interval that took so long the next of
-	// it waits for that over Part. 0: no bound.
+	// BacklogTimeShare limits the share of time spent on encoding the backlog: after an interval that took t to encode, the next
+	// one of the backlog waits for t / BacklogTimeShare. 0 means no limit.
 	BacklogTimeShare float64
-	// InOrder says that the receiver takes no time before one that it has: then new intervals wait for the backlog. Else
-	// they go ahead of it.
+	// InOrder tells that the receiver rejects values that are older than its last ones, so that new intervals wait for the
+	// backlog. Otherwise they are sent ahead of it.
 	InOrder bool
-	// Acks says that the receiver acknowledges each interval, Blind that nothing can be known of what arrives. Where neither
-	// holds, what was written counts as arrived once the connection has stood for Settle after it.
+	// Acks tells that the receiver acknowledges each interval, FireAndForget that delivery can't be observed at all. If neither
+	// is set, a written interval counts as delivered when its connection has lasted for AssumeDeliveredAfter since.
 	Acks, FireAndForget  bool
 	AssumeDeliveredAfter time.Duration
-	// Stall is how long the receiver may take nothing, or not acknowledge, before its connection is given up.
+	// StallTimeout is the time without progress or acknowledgement after which the connection is closed.
 	StallTimeout time.Duration
-	// Least and Most bound the time between two tries to connect, which doubles.
+	// MinBackoff and MaxBackoff bound the delay between two connection attempts, which doubles.
 	MinBackoff, MaxBackoff time.Duration
 }
 
-// Action is what to do.
+// Action is what the caller of Next has to do.
 type Action uint8
 
 // The actions.
 const (
 	Wait  Action = iota
-	Dial         // and call Connected or Broke
-	Send         // the Entry, and call Wrote or Broke
-	Close        // the connection: it has been given up
+	Dial         // connect, and call Connected or Disconnected
+	Send         // write the entry, and call Written or Disconnected
+	Close        // close the stalled connection, and call Disconnected
 )
 
-// connection is the state of one.
+// connection is the state of the connection.
 type connection uint8
 
 const (
@@ -52,56 +52,57 @@
 	up
 )
 
-// Counts is what a feed has done.
+// Stats counts a feed's intervals and lost connections; Resent is part of Written.
 type Stats struct{ Intervals, Written, Resent, Disconnects int64 }
 
-// Feed is the sending to one receiver. It is not safe for concurrent use.
+// Feed schedules the sending to one receiver. It isn't safe for concurrent use.
 type Feed struct {
 	policy          Policy
 	rng             *rand.Rand
 	spool           *spool.Spool
 	conn            connection
-	failedDials     int       // tries to connect in a row that came to nothing
-	retryAt         time.Time // not before
+	failedDials     int       // since the last written interval
+	retryAt         time.Time // no connection attempt before
 	sending         *spool.Entry
-	lastProgress    time.Time // when the receiver last took anything of what is being sent
-	newestLive      bool      // the newest interval ended while the connection was up: it goes ahead
-	tokens          float64
+	lastProgress    time.Time // when the receiver last accepted or acknowledged something
+	newestLive      bool      // the newest interval ended while the connection was up, and isn't sent yet: it goes ahead of the backlog
+	tokens          float64   // of the backlog's rate limit
 	refilledAt      time.Time
-	backlogResumeAt time.Time // until when the backlog waits, for what it has cost
-	sendingLate     bool      // what is being sent was of the backlog
+	backlogResumeAt time.Time // the backlog waits until then, as encoding it took time
+	sendingLate     bool      // the interval returned last belongs to the backlog
 	shuttingDown    bool
 	stats           Stats
 }
 
-// New returns a feed of a spool.
+// New returns a feed that sends the intervals of a spool.
 func New(p Policy, s *spool.Spool, rng *rand.Rand) *Feed { return &Feed{policy: p, spool: s, rng: rng} }
 
-// Counts tells what it has done.
+// Stats returns the feed's counts.
 func (f *Feed) Stats() Stats { return f.stats }
 
-// Ended takes in an interval that has ended.
+// AddInterval adds an interval that has ended.
 func (f *Feed) AddInterval(iv *spool.Interval) {
 	f.stats.Intervals++
 	f.spool.Add(iv)
 	f.newestLive = f.conn == up
 }
 
-// Last says that the process ends: nothing waits for its turn any more, and a receiver that is away is tried at once.
+// Shutdown notifies the feed that the process exits: the backlog's limits no longer apply, and a connection attempt doesn't
+// wait for its backoff.
 func (f *Feed) Shutdown() { f.shuttingDown, f.retryAt = true, time.Time{} }
 
-// Done reports whether nothing is left to send, nor, where the receiver acknowledges, to hear.
+// Done reports whether all intervals are written and, if the receiver acknowledges, acknowledged.
 func (f *Feed) Done() bool {
 	_, undelivered := f.spool.OldestUndelivered()
 	return f.sending == nil && f.spool.OldestPending() == nil && !(f.policy.Acks && undelivered)
 }
 
-// Connected says that a connection is up.
+// Connected notifies the feed that a connection is established.
 func (f *Feed) Connected(now time.Time) {
 	f.conn, f.refilledAt, f.tokens = up, now, 1
 }
 
-// Broke says that there is no connection, or no more.
+// Disconnected notifies the feed that a connection attempt failed or the connection was lost or closed.
 func (f *Feed) Disconnected(now time.Time) {
 	if f.conn == up {
 		f.stats.Disconnects++
@@ -110,25 +111,25 @@
 	f.spool.Requeue()
 	backoff := min(f.policy.MaxBackoff, f.policy.MinBackoff<<min(f.failedDials, 20))
 	f.failedDials++
-	// Between half of it and all: sidecars that lost a receiver together come back apart.
+	// Random between half and all of the backoff, so that sidecars that lost a receiver together don't reconnect together.
 	f.retryAt = now.Add(backoff/2 + time.Duration(f.rng.Float64()*float64(backoff)/2))
 }
 
-// Cost says how long the preparing of what Send gave took.
+// Encoded notifies the feed of the time that encoding the last entry took.
 func (f *Feed) Encoded(now time.Time, took time.Duration) {
 	if f.sendingLate && f.policy.BacklogTimeShare > 0 {
 		f.backlogResumeAt = now.Add(time.Duration(float64(took) / f.policy.BacklogTimeShare))
 	}
 }
 
-// Late reports whether what Send gave last was of the backlog: the interval ended while others waited, or the receiver was
-// away.
+// Late reports whether the entry returned last belonged to the backlog: its interval ended while others waited or while the
+// receiver was disconnected.
 func (f *Feed) Late() bool { return f.sendingLate }
 
-// Progress says that the receiver has taken some of what is being sent, or acknowledged something.
+// Progress notifies the feed that the receiver has accepted bytes or acknowledged something.
 func (f *Feed) Progress(now time.Time) { f.lastProgress = now }
 
-// Wrote says that what Send gave has been written whole.
+// Written notifies the feed that the last entry has been written completely.
 func (f *Feed) Written(now time.Time) {
 	e := f.sending
 	if e == nil {
@@ -145,13 +146,13 @@
 	}
 }
 
-// Acked says that the receiver has taken the interval that was written first of those not acknowledged.
+// Acked notifies the feed that the receiver has acknowledged the interval that was written first.
 func (f *Feed) Acked(now time.Time) {
 	f.spool.MarkOldestDelivered()
 	f.lastProgress = now
 }
 
-// Next says what to do now, and when to ask again if nothing happens before; the zero time: never.
+// Next returns what to do now, and when to call it again if nothing happens before; the zero time means never.
 func (f *Feed) Next(now time.Time) (Action, *spool.Entry, time.Time) {
 	switch f.conn {
 	case dialing:
@@ -190,18 +191,18 @@
 		return Wait, nil, earlierNonZero(wake, until)
 	}
 	f.sending, f.lastProgress = e, now
-	f.spool.MarkWritten(e, now) // at once: what waits may be put together with what comes
+	f.spool.MarkWritten(e, now) // at once, as pending entries may be merged with later ones
 	return Send, e, now.Add(f.policy.StallTimeout)
 }
 
-// choose picks the interval to send, or says when there will be one.
+// chooseEntry returns the entry to send, or the time when there will be one.
 func (f *Feed) chooseEntry(now time.Time) (*spool.Entry, time.Time) {
 	oldest := f.spool.OldestPending()
 	if oldest == nil {
 		return nil, time.Time{}
 	}
 	newest := f.spool.NewestPending()
-	if newest == oldest && f.newestLive || f.shuttingDown { // there is no backlog, or no time to spread it over
+	if newest == oldest && f.newestLive || f.shuttingDown { // no backlog, or no time left to limit its rate
 		f.sendingLate = newest != oldest
 		return oldest, time.Time{}
 	}
@@ -223,7 +224,7 @@
 	return oldest, time.Time{}
 }
 
-// stalled gives a connection up on which nothing has moved for too long.
+// checkStall returns Close if the connection has made no progress for StallTimeout, else when that will be.
 func (f *Feed) checkStall(now, since time.Time) (Action, *spool.Entry, time.Time) {
 	if until := since.Add(f.policy.StallTimeout); now.Before(until) {
 		return Wait, nil, until
@@ -238,7 +239,7 @@
 	return b
 }
 
-// sooner returns the first of two times that are there.
+// earlierNonZero returns the earlier of two times, ignoring zero ones.
 func earlierNonZero(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
--- a/report/feed/feed_test.go
+++ b/report/feed/feed_test.go
@@ -14,7 +14,8 @@
 
 func testPolicy() Policy {
 	return Policy{
-		BacklogPerSecond: 20, AssumeDeliveredAfter: 2 * time.Second, StallTimeout: 10 * time.Second, MinBackoff: 500 * time.Millisecond, MaxBackoff: 15 * time.Second,
+		BacklogPerSecond: 20, AssumeDeliveredAfter: 2 * time.Second, StallTimeout: 10 * time.Second,
+		MinBackoff: 500 * time.Millisecond, MaxBackoff: 15 * time.Second,
 	}
 }
 
@@ -22,15 +23,15 @@
 	return spool.Pack(start.Add(time.Duration(i)*10*time.Second), 10*time.Second, []int64{1}, nil)
 }
 
-// number is which interval an entry is.
+// intervalIndex returns the index of an entry's interval.
 func intervalIndex(e *spool.Entry) int { return int(e.End.Sub(start) / (10 * time.Second)) }
 
-// rig plays a feed against a receiver that may be away.
+// harness runs a feed against a receiver that may be down.
 type harness struct {
 	*Feed
 	now    time.Time
-	sent   []int       // intervals, in the order in which they were written
-	sentAt []time.Time // ... and when
+	sent   []int       // indices of intervals, in the order in which they were written
+	sentAt []time.Time // the time of each
 	down   bool
 }
 
@@ -38,7 +39,7 @@
 	return &harness{Feed: New(p, spool.New(4<<20), rand.New(rand.NewPCG(1, 2))), now: start}
 }
 
-// run carries out what the feed wants until a time.
+// run carries out the feed's actions until a time.
 func (r *harness) run(until time.Time) {
 	for {
 		action, e, wake := r.Next(r.now)
@@ -64,8 +65,8 @@
 	}
 }
 
-// A receiver is away for an hour. On its return all of it goes out in order, at the stated rate, each interval once, and the
-// intervals that end meanwhile are not held up.
+// After an outage of an hour the whole backlog is sent in order, at the limited rate, each interval once. Intervals that end
+// meanwhile aren't delayed.
 func TestBacklogAfterReceiverOutage(t *testing.T) {
 	r := newHarness(testPolicy())
 	r.down = true
@@ -103,7 +104,7 @@
 	}
 }
 
-// A new interval goes ahead of a backlog, but not to a receiver that takes no time before one that it has.
+// A new interval goes ahead of the backlog, unless the receiver rejects values that are older than its last ones.
 func TestNewIntervalsGoAheadOfBacklog(t *testing.T) {
 	for _, inOrder := range []bool{false, true} {
 		p := testPolicy()
@@ -133,7 +134,7 @@
 	}
 }
 
-// What was written less than the settling time before a break is written again, what is older is not.
+// Intervals written less than AssumeDeliveredAfter before the connection was lost are resent, older ones aren't.
 func TestDisconnectResendsUndelivered(t *testing.T) {
 	r := newHarness(testPolicy())
 	for i := range 3 {
@@ -150,7 +151,7 @@
 	}
 }
 
-// A receiver that acknowledges is given up when it stops to, and gets again what it has not acknowledged.
+// A missing acknowledgement closes the connection, and unacknowledged intervals are resent.
 func TestMissingAcknowledgementResends(t *testing.T) {
 	p := testPolicy()
 	p.Acks, p.InOrder = true, true
@@ -165,23 +166,24 @@
 	}
 }
 
-// One that takes nothing is given up after the stated time, and tries to reach one that is away come no faster than stated.
+// A connection without progress is closed after StallTimeout, and connection attempts to a receiver that is down keep to the
+// backoff's bounds.
 func TestStallTimeoutAndBackoff(t *testing.T) {
 	r := newHarness(testPolicy())
 	r.AddInterval(interval(0))
 	if a, _, _ := r.Next(r.now); a != Dial {
-		t.Fatal("does not connect")
+		t.Fatal("action is not Dial")
 	}
 	r.Connected(r.now)
 	if a, _, until := r.Next(r.now); a != Send || until.Sub(r.now) != 10*time.Second {
-		t.Fatal("does not send")
+		t.Fatal("action is not Send with the stall timeout")
 	}
 	r.Progress(r.now.Add(5 * time.Second))
 	if a, _, _ := r.Next(r.now.Add(14 * time.Second)); a != Wait {
-		t.Error("given up although something was taken 9 s before")
+		t.Error("closed 9 s after progress")
 	}
 	if a, _, _ := r.Next(r.now.Add(15 * time.Second)); a != Close {
-		t.Error("not given up")
+		t.Error("not closed after the stall timeout")
 	}
 	r.now = r.now.Add(15 * time.Second)
 	r.Disconnected(r.now)
@@ -203,7 +205,7 @@
 	}
 }
 
-// Whatever happens, in the end every interval has been written, and nothing waits.
+// After any sequence of events and a shutdown, every interval has been written and none is pending.
 func TestEveryIntervalIsWritten(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := testPolicy()
@@ -238,12 +240,12 @@
 	})
 }
 
-// Ends are whole multiples, none is told twice, and none is missed but where the clock steps.
+// Intervals end at whole multiples, no end is used twice, and none is missed except when the clock steps.
 func TestClock(t *testing.T) {
 	const every = 10 * time.Second
 	c := NewClock(start, every) // 3 s after a multiple
 	if got := c.Next(); got != time.Unix(1_800_000_020, 0) {
-		t.Errorf("the first interval ends %v", got)
+		t.Errorf("first interval ends at %v", got)
 	}
 	covered := time.Duration(0)
 	end := func(at time.Time) (time.Time, bool) {
@@ -252,25 +254,25 @@
 		return end, ok
 	}
 	if _, ok := end(start.Add(8 * time.Second)); ok {
-		t.Error("a first interval that is shorter than the others")
+		t.Error("first interval is shorter than the others")
 	}
 	if got, ok := end(start.Add(17 * time.Second)); !ok || got != time.Unix(1_800_000_020, 0) {
 		t.Errorf("ends %v, %v", got, ok)
 	}
 	for s := -60; s < 0; s += 10 { // the clock was stepped back by a minute
 		if got, ok := end(start.Add(17*time.Second + time.Duration(s)*time.Second)); ok {
-			t.Fatalf("ends %v after a step back", got)
+			t.Fatalf("interval ends at %v after a step back", got)
 		}
 	}
 	if got, ok := end(start.Add(28 * time.Second)); !ok || got != time.Unix(1_800_000_030, 0) || covered != 27*time.Second {
-		t.Errorf("ends %v, %v; %v in all", got, ok, covered)
+		t.Errorf("interval ends at %v, %v; %v in all", got, ok, covered)
 	}
 	if got, ok := end(start.Add(-time.Hour)); !ok || got.After(start.Add(-time.Hour)) {
-		t.Errorf("after a step back of an hour: ends %v, %v", got, ok)
+		t.Errorf("interval ends at %v after a step back of an hour, %v", got, ok)
 	}
 }
 
-// The last interval of a process and the first of the one that follows it at once do not end at the same time.
+// The final interval of a process and the first one of a process started right after it don't end at the same time.
 func TestRestartReusesNoIntervalEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		every := time.Duration(rapid.IntRange(1, 60).Draw(t, "every")) * time.Second
@@ -285,7 +287,7 @@
 	})
 }
 
-// A backlog takes no more than its part of the time, whatever an interval costs; new intervals do not wait for that.
+// Encoding the backlog takes at most its share of the time, whatever an interval costs, and doesn't delay new intervals.
 func TestBacklogStaysWithinTimeShare(t *testing.T) {
 	p := testPolicy()
 	p.BacklogTimeShare = 0.02
@@ -299,15 +301,15 @@
 	r.run(r.now.Add(16 * time.Second)) // connected by now
 	began, sentBefore, added := r.now, len(r.sent), 0
 	for range 10 {
-		r.Encoded(r.now, 100*time.Millisecond) // of the interval of the backlog that was sent last
+		r.Encoded(r.now, 100*time.Millisecond) // for the last interval of the backlog
 		r.AddInterval(interval(1000 + added))
 		added++
 		before := len(r.sent)
 		r.run(r.now)
 		if len(r.sent) != before+1 || r.sent[before] != 999+added {
-			t.Fatalf("a new interval waits: sent %v", r.sent[before:])
+			t.Fatalf("new interval is delayed: sent %v", r.sent[before:])
 		}
-		r.Encoded(r.now, time.Second) // of a new one, which counts for nothing
+		r.Encoded(r.now, time.Second) // for a new interval, which doesn't count
 		r.run(r.now.Add(5 * time.Second))
 	}
 	backlogSent := 0
@@ -317,11 +319,11 @@
 		}
 	}
 	if most := int(r.now.Sub(began)/(5*time.Second)) + 1; sentBefore == 0 || sentBefore >= 50 && backlogSent > 0 || backlogSent > most {
-		t.Errorf("%d before, %d of the backlog in %v, at most %d", sentBefore, backlogSent, r.now.Sub(began), most)
+		t.Errorf("%d sent before, %d of the backlog in %v, at most %d expected", sentBefore, backlogSent, r.now.Sub(began), most)
 	}
 }
 
-// At the end a receiver that may be back is tried at once, and not when its time has come.
+// At shutdown a receiver that may be up again is tried at once, without waiting for the backoff.
 func TestShutdownSkipsBackoff(t *testing.T) {
 	r := newHarness(testPolicy())
 	r.down = true
@@ -330,11 +332,11 @@
 	r.down = false
 	r.Shutdown()
 	if r.run(r.now.Add(time.Millisecond)); !r.Done() {
-		t.Error("waits")
+		t.Error("not done without waiting")
 	}
 }
 
-// Late is what was of the backlog, and nothing else.
+// Late is true for intervals of the backlog and for no others.
 func TestOnlyBacklogIsLate(t *testing.T) {
 	r := newHarness(testPolicy())
 	r.down = true
--- a/report/graphite/graphite.go
+++ b/report/graphite/graphite.go
@@ -1,8 +1,8 @@
-// Package graphite writes readings in the two forms that Graphite's receiver takes over TCP: lines of text, and pickled lists
-// behind their length. It owns the series' paths and the bytes; it does no I/O.
+// Package graphite encodes readings in the two protocols of Graphite's TCP receiver: plain text lines, and pickled lists with
+// a length prefix. It owns the paths of series and the encoding; it does no I/O.
 //
-// Counters go out twice: PATH.total, what they came to since the process began, and PATH.count, what they grew by in the
-// interval. What is written again under the same path and time changes nothing, and a total heals what was lost before it.
+// A counter is sent as two series: PATH.total is its value since the start of the process, PATH.count its growth in the
+// interval. Sending the same path and time again changes nothing, and a total is right even if earlier points were lost.
 package graphite
 
 import (
@@ -14,20 +14,21 @@
 	"firplank/report"
 )
 
-// Form is how readings are written.
+// Format is a protocol of Graphite's receiver.
 type Format uint8
 
-// The forms.
+// The formats.
 const (
 	Plaintext Format = iota
 	Pickle
 )
 
-// mostComponent bounds an escaped name: receivers keep each as a folder or file, which may have 255 bytes with an ending.
+// maxComponentBytes limits an escaped name. Receivers store each path component as a folder or file, whose name may have 255
+// bytes including a suffix.
 const maxComponentBytes = 200
 
-// Encoder writes readings. It remembers the paths of rows, a few dozen bytes for each series. It is not safe for concurrent
-// use.
+// Encoder encodes readings. It caches the paths of rows, which need a few dozen bytes for each series. It isn't safe for
+// concurrent use.
 type Encoder struct {
 	format Format
 	prefix string
@@ -35,16 +36,16 @@
 	paths  map[*report.Row][]fieldPaths
 }
 
-// series is the path of a field, and for a counter that of its growth.
+// fieldPaths holds the path of a field's series; countPath is that of a counter's growth.
 type fieldPaths struct{ path, countPath string }
 
-// New returns an encoder. A prefix is written as it is, and then a dot. Tagged series have their labels behind the path, as
-// Graphite 1.1 and later takes them.
+// New returns an encoder. The prefix is written as it is, followed by a dot. Tagged series have their labels as tags after the
+// path, which Graphite supports from version 1.1 on.
 func New(format Format, prefix string, tagged bool) *Encoder {
 	return &Encoder{format: format, prefix: prefix, tagged: tagged, paths: map[*report.Row][]fieldPaths{}}
 }
 
-// Path returns the path of a figure; suffix is behind it, after a dot, where it is not empty.
+// Path returns the path of a field's series, with a suffix after a dot unless it is empty.
 func Path(prefix string, tagged bool, f *report.Family, labels []string, field, suffix string) string {
 	parts := []string{prefix, f.Name}
 	if prefix == "" {
@@ -71,6 +72,7 @@
 	CountSuffix = "count"
 )
 
+// rowPaths returns the paths of a row's fields.
 func (e *Encoder) rowPaths(r *report.Row) []fieldPaths {
 	known, ok := e.paths[r]
 	if ok {
@@ -89,7 +91,7 @@
 	return known
 }
 
-// Forget drops the paths of rows that are no more.
+// Prune removes cached paths of rows that no longer exist.
 func (e *Encoder) Prune(rows []*report.Row) {
 	if len(e.paths) <= 2*len(rows) {
 		return
@@ -123,16 +125,16 @@
 	return w.b
 }
 
-// mostPickled is how many points a pickled list holds; receivers take lists of 1 MiB.
+// maxPointsPerList limits the points of a pickled list, as receivers accept lists of up to 1 MiB.
 const maxPointsPerList = 1000
 
-// writer writes points.
+// writer appends points to a buffer.
 type writer struct {
 	format    Format
 	b         []byte
 	timestamp int64 // Unix seconds
-	listStart int   // of the open list's length
-	points    int   // points in it
+	listStart int   // offset of the open list's length prefix
+	points    int   // in the open list
 }
 
 func (w *writer) writeInt(path string, v int64) {
@@ -164,7 +166,7 @@
 	w.b = append(w.b, '\n')
 }
 
-// open begins a point of a pickled list, (path, (time, value)), by protocol 2.
+// beginPoint writes the path and time of a point of a pickled list, which is (path, (time, value)), in pickle protocol 2.
 func (w *writer) beginPoint(path string) {
 	if w.points == 0 {
 		w.listStart = len(w.b)
@@ -181,7 +183,7 @@
 	}
 }
 
-// end ends the open list.
+// endList completes the open list and sets its length prefix.
 func (w *writer) endList() {
 	if w.points == 0 {
 		return
@@ -191,7 +193,7 @@
 	w.points = 0
 }
 
-// appendInt writes BININT where that holds the number, else LONG1 of 8 bytes.
+// appendInt writes v as BININT if it fits in 32 bits, else as LONG1 of 8 bytes.
 func appendInt(b []byte, v int64) []byte {
 	if v >= math.MinInt32 && v <= math.MaxInt32 {
 		return binary.LittleEndian.AppendUint32(append(b, 'J'), uint32(int32(v)))
--- a/report/graphite/graphite_test.go
+++ b/report/graphite/graphite_test.go
@@ -15,7 +15,7 @@
 	"firplank/report"
 )
 
-// reading is one interval of a class, and a server.
+// reading returns the reading of one interval with one class.
 func reading(class string, total, growth int64, gauge float64, at time.Time) *report.Reading {
 	t := report.NewTable()
 	f := &report.Family{
@@ -28,7 +28,7 @@
 
 var testTime = time.Unix(1_800_000_010, 0)
 
-// The bytes of both forms, for names that would be two levels or another's.
+// Checks the bytes of both formats for a name that would be split into two path components without escaping.
 func TestEncodedBytes(t *testing.T) {
 	r := reading("permit.lookup v2", 70000, 3, 2.5, testTime)
 	const path = "firplank.n1.requests.permit%2Elookup%20v2."
@@ -36,7 +36,7 @@
 	if got := string(New(Plaintext, "firplank.n1", false).Append(nil, r)); got != want {
 		t.Errorf("lines\n%s", got)
 	}
-	// Made by hand of the protocol's description: PROTO 2, EMPTY_LIST, MARK; for each point BINUNICODE path, BININT time,
+	// Written by hand from the protocol's description: PROTO 2, EMPTY_LIST, MARK; for each point BINUNICODE path, BININT time,
 	// BININT or BINFLOAT value, TUPLE2, TUPLE2; APPENDS, STOP.
 	point := func(field, value string) string {
 		p := path + field
@@ -53,11 +53,11 @@
 		t.Errorf("tagged\n%s", got)
 	}
 	if got := string(New(Plaintext, "f", false).Append(nil, reading("a", 1, 1, math.NaN(), testTime))); strings.Contains(got, "open") {
-		t.Errorf("a gauge that is not there is told:\n%s", got)
+		t.Errorf("a gauge without a value is sent:\n%s", got)
 	}
 }
 
-// The receiver's own reading of what was written, for any name and number.
+// The receiver must decode from both formats what was encoded, for any name and number.
 func FuzzForms(f *testing.F) {
 	f.Add("plate-reserve", int64(1<<40), int64(5), 0.25)
 	f.Add("a\nb \"c\" .;~{", int64(-1), int64(1<<31), -1e300)
@@ -77,7 +77,8 @@
 			t.Fatal(err)
 		}
 		want := fmt.Sprint([]any{
-			receiver.Tuple{names[0].path, receiver.Tuple{testTime.Unix(), total}}, receiver.Tuple{names[0].countPath, receiver.Tuple{testTime.Unix(), growth}},
+			receiver.Tuple{names[0].path, receiver.Tuple{testTime.Unix(), total}},
+			receiver.Tuple{names[0].countPath, receiver.Tuple{testTime.Unix(), growth}},
 			receiver.Tuple{names[1].path, receiver.Tuple{testTime.Unix(), gauge}},
 		})
 		if got := fmt.Sprint(list); got != want {
@@ -86,7 +87,7 @@
 	})
 }
 
-// A long list is told in several, none beyond what receivers take.
+// A long reading is split into several lists, none longer than receivers accept.
 func TestLongLists(t *testing.T) {
 	table := report.NewTable()
 	f := &report.Family{Name: "f", Labels: []string{"class"}, MaxRows: 5000, Counters: []report.Field{{Name: "n"}}}
@@ -111,7 +112,7 @@
 	}
 }
 
-// Python's own reading of a pickled list, where there is a Python.
+// Python's pickle module must decode a list, if Python is installed.
 func TestPythonReadsPickles(t *testing.T) {
 	python, err := exec.LookPath("python3")
 	if err != nil {
@@ -128,7 +129,7 @@
 	}
 }
 
-// Names of any kind arrive as series of their own, which the receiver takes.
+// Any name must result in a series of its own that the receiver accepts.
 func TestHostileNames(t *testing.T) {
 	carbon, err := receiver.NewCarbon(false)
 	if err != nil {
@@ -152,7 +153,7 @@
 	}
 	paths := carbon.Paths()
 	if same, other := carbon.Overwritten(); len(paths) != 3*len(names) || same+other > 0 || len(carbon.Malformed()) > 0 {
-		t.Errorf("%d series of %d names, %v", len(paths), len(names), carbon.Malformed())
+		t.Errorf("%d series for %d names, malformed: %v", len(paths), len(names), carbon.Malformed())
 	}
 	for _, p := range paths {
 		for _, part := range strings.Split(p, ".") {
@@ -161,12 +162,12 @@
 			}
 		}
 		if strings.Count(p, ".") != 3 && strings.Count(p, ".") != 4 {
-			t.Errorf("levels of %s", p)
+			t.Errorf("wrong number of path components: %s", p)
 		}
 	}
 }
 
-// An interval of the largest table that the bounds allow with 500 classes and 100 tenants.
+// An interval of the largest table that the bounds allow, with 500 classes and 100 tenants.
 func BenchmarkAppendLargest(b *testing.B) {
 	s := report.Config{}
 	for i := range 500 {
--- a/report/histogram.go
+++ b/report/histogram.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A histogram has 8 buckets to each doubling of time from 64 us on, so that what is told of a time is at most 6.25 % off. HDR
-// histograms of the library are not safe to be written by several goroutines, and cost more memory for each class.
+// A histogram has 8 buckets for each doubling of the duration from 64 us on, which limits the error of a reported duration to
+// 6.25 %. The HDR histogram library isn't safe for concurrent writes and needs more memory for each class.
 const (
 	bucketsPerOctave = 8
 	octaves          = 21 // up to 64 us × 2^21, more than two minutes
@@ -15,23 +15,24 @@
 	minDuration      = 64 * time.Microsecond
 )
 
-// Histogram counts times. Its methods may be called from any goroutine.
+// Histogram counts durations. It is safe for concurrent use.
 type Histogram struct{ counts [numBuckets]atomic.Int64 }
 
-// Buckets is a histogram's state, or the difference of two.
+// Buckets holds the counts of a histogram, or the difference of two histograms.
 type Buckets [numBuckets]int64
 
-// bucketOf returns where a time is counted: the first is for those under leastTook, the last for those beyond the others.
+// bucketIndex returns the bucket of a duration. The first bucket is for durations below minDuration, the last one for those
+// above all others.
 func bucketIndex(t time.Duration) int {
 	units := uint64(max(0, t)) * bucketsPerOctave / uint64(minDuration)
 	if units < bucketsPerOctave {
 		return 0
 	}
-	shift := bits.Len64(units) - 4 // units has 4 bits and more: octave is 2^3
+	shift := bits.Len64(units) - 4 // units has at least 4 bits, as bucketsPerOctave is 2^3
 	return min(1+shift*bucketsPerOctave+int(units>>shift)-bucketsPerOctave, numBuckets-1)
 }
 
-// Value is the middle of a bucket.
+// bucketValue returns the middle of a bucket.
 func bucketValue(i int) time.Duration {
 	if i == 0 {
 		return minDuration / 2
@@ -41,7 +42,7 @@
 	return time.Duration((float64(bucketsPerOctave+part) + 0.5) * float64(uint64(1)<<shift) * float64(minDuration) / bucketsPerOctave)
 }
 
-// Add counts a time.
+// Add counts a duration.
 func (h *Histogram) Add(t time.Duration) { h.counts[bucketIndex(t)].Add(1) }
 
 // Snapshot reads the counts.
@@ -52,7 +53,7 @@
 	return b
 }
 
-// quantile returns the time that a part of those in counts do not exceed, and false where there are none.
+// quantile returns the duration that a fraction of the counted ones don't exceed, and false if nothing was counted.
 func quantile(counts []int64, fraction float64) (time.Duration, bool) {
 	sum := int64(0)
 	for _, n := range counts {
--- a/report/names.go
+++ b/report/names.go
@@ -9,9 +9,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Escape makes a name that is one part of a path in Graphite, or of an identifier in collectd: bytes other than letters, digits,
-// "_" and "-" become "%" and two hexadecimal digits, an empty name becomes "%". Two names never become one, and Unescape
-// turns it back, unless the outcome would be longer than most bytes: then it is cut and ends in "%~" and a hash of the name.
+// Escape escapes a name so that it is one component of a Graphite path or a collectd identifier. Bytes other than letters,
+// digits, "_" and "-" become "%" and two hexadecimal digits, and an empty name becomes "%". Different names have different
+// results, which Unescape reverses. A result of more than maxBytes bytes is truncated and ends in "%~" and a hash of the name.
 func Escape(name string, maxBytes int) string {
 	if name == "" {
 		return "%"
@@ -29,7 +29,7 @@
 	}
 	const suffixBytes = 2 + 16
 	truncated := b.String()[:max(0, maxBytes-suffixBytes)]
-	if escape := strings.LastIndexByte(truncated, '%'); escape >= 0 && escape > len(truncated)-3 { // not within an escape
+	if escape := strings.LastIndexByte(truncated, '%'); escape >= 0 && escape > len(truncated)-3 { // don't cut within an escape
 		truncated = truncated[:escape]
 	}
 	return fmt.Sprintf("%s%%~%016x", truncated, xxhash.Sum64String(name))
@@ -39,13 +39,13 @@
 	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '_' || c == '-'
 }
 
-// Unescape turns an escaped name back; an error where it was cut, or is none.
+// Unescape reverses Escape. It returns an error for a truncated name and for a text that isn't an escaped name.
 func Unescape(text string) (string, error) {
 	if text == "%" {
 		return "", nil
 	}
 	if text == "" {
-		return "", errors.New("an empty text is no escaped name")
+		return "", errors.New("unescape name: empty text")
 	}
 	var b strings.Builder
 	for i := 0; i < len(text); i++ {
@@ -55,12 +55,12 @@
 		case c == '%' && i+2 < len(text) && text[i+1] != '~':
 			v, err := strconv.ParseUint(text[i+1:i+3], 16, 8)
 			if err != nil || text[i+1:i+3] != strings.ToUpper(text[i+1:i+3]) {
-				return "", fmt.Errorf("name %q: no escape at byte %d", text, i)
+				return "", fmt.Errorf("unescape name %q: invalid escape at byte %d", text, i)
 			}
 			b.WriteByte(byte(v))
 			i += 2
 		default:
-			return "", fmt.Errorf("name %q: cut short, or no escaped name, at byte %d", text, i)
+			return "", fmt.Errorf("unescape name %q: truncated or invalid at byte %d", text, i)
 		}
 	}
 	return b.String(), nil
--- a/report/spool/interval.go
+++ b/report/spool/interval.go
@@ -1,8 +1,9 @@
-// Package spool keeps intervals that no receiver has taken yet, within a bound of bytes. It owns their packed form, which of
-// them are put together when there is no room, and what counters came to at the end of each; it does no I/O, has no clock, and
-// knows no receiver. Nothing that was counted is dropped: when room is short resolution goes, the oldest first.
+// Package spool buffers intervals until a receiver has got them, within a limit of bytes. It owns their packed form, decides
+// which of them are merged when space runs out, and computes the counters' totals at the end of each. It does no I/O, has no
+// clock and doesn't know the receiver. No counts are dropped: when space runs out resolution is reduced, in the oldest
+// intervals first.
 //
-// interval.go is one interval, spool.go the list of them. Begin with Spool.
+// interval.go holds one interval, spool.go the list of them. Start reading at Spool.
 package spool
 
 import (
@@ -13,17 +14,17 @@
 	"time"
 )
 
-// Interval is what one interval came to, packed: of the counters those that grew, with what they grew by, of the gauges those
-// that have a value. It is never changed, so that several spools can share it.
+// Interval holds the values of one interval in packed form: the growth of counters that grew, and the gauges that have a value.
+// It is immutable, so several spools can share it.
 type Interval struct {
 	End      time.Time
 	Duration time.Duration
 
-	counters []byte // (places skipped, growth) as varints
-	gauges   []byte // (places skipped, value)
+	counters []byte // (skipped indices, growth) as varints
+	gauges   []byte // (skipped indices, value)
 }
 
-// Pack packs an interval. No growth is below 0; NaN is no gauge.
+// Pack packs an interval. deltas are never negative; a gauge that is NaN has no value.
 func Pack(end time.Time, span time.Duration, deltas []int64, gauges []float64) *Interval {
 	iv := &Interval{End: end, Duration: span}
 	last := -1
@@ -46,7 +47,8 @@
 	return iv
 }
 
-// appendFloat writes whole numbers, which most are, as varints of twice their value and 1; others after a 0.
+// appendFloat encodes whole numbers, which are the most frequent, as a varint of twice their value plus 1, and others as a 0
+// byte and 8 bytes.
 func appendFloat(b []byte, v float64) []byte {
 	if v < 1<<52 && !math.Signbit(v) && v == math.Trunc(v) {
 		return binary.AppendUvarint(b, uint64(v)<<1|1)
@@ -54,15 +56,15 @@
 	return binary.LittleEndian.AppendUint64(append(b, 0), math.Float64bits(v))
 }
 
-// overhead is what an interval holds besides its packed bytes.
+// intervalOverheadBytes is the memory of an interval besides its packed bytes.
 const intervalOverheadBytes = 144
 
-// Size is how many bytes it holds.
+// Size returns the memory of the interval in bytes.
 func (iv *Interval) Size() int { return intervalOverheadBytes + len(iv.counters) + len(iv.gauges) }
 
-var errMalformed = errors.New("spool: a packed interval is not whole")
+var errMalformed = errors.New("spool: malformed packed interval")
 
-// each calls do for each of the places in packed bytes; value reads one.
+// forEach calls visit with each index in packed bytes, and then decode, which returns the bytes after the value.
 func forEach(b []byte, decode func([]byte) (rest []byte, err error), visit func(place int)) error {
 	place := -1
 	for len(b) > 0 {
@@ -81,10 +83,10 @@
 	return nil
 }
 
-// AddTo adds the growth to counters, which grow where they are too short.
+// AddTo adds the growth to counters, which are extended if they are too short.
 func (iv *Interval) AddTo(counters []int64) []int64 {
 	place := 0
-	// What is packed is checked where it comes from: what cannot be read ends it here.
+	// Pack has made these bytes, so they are well-formed; malformed ones would only end the loop.
 	_ = forEach(iv.counters, func(b []byte) ([]byte, error) {
 		d, n := binary.Uvarint(b)
 		if n <= 0 {
@@ -99,7 +101,7 @@
 	return counters
 }
 
-// Gauges writes the gauges over those given, which grow where they are too short.
+// Gauges writes the gauges into those given, which are extended if they are too short.
 func (iv *Interval) Gauges(gauges []float64) []float64 {
 	place := 0
 	// The same as in AddTo.
@@ -124,7 +126,7 @@
 	return gauges
 }
 
-// Merge puts an interval and the one after it together: growth adds up, of the gauges the later hold.
+// Merge merges an interval with the one after it. The growth of counters is added; gauges are those of b.
 func Merge(a, b *Interval) *Interval {
 	m := Pack(b.End, a.Duration+b.Duration, b.AddTo(a.AddTo(nil)), nil)
 	m.gauges = b.gauges
--- a/report/spool/spool.go
+++ b/report/spool/spool.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// state is how far an interval is.
+// state is the delivery state of an interval.
 type state uint8
 
 const (
 	pending state = iota
-	written       // to a receiver that has not been seen to have taken it
+	written       // but not known to be delivered
 	delivered
 )
 
@@ -15,31 +15,31 @@
 type Entry struct {
 	*Interval
 	state         state
-	writtenAt     time.Time // when it was written
-	writtenBefore bool      // it was written before
+	writtenAt     time.Time
+	writtenBefore bool // and requeued since
 }
 
-// Again reports whether the interval was written before.
+// WrittenBefore reports whether the interval was already written before, so that this is a repetition.
 func (e *Entry) WrittenBefore() bool { return e.writtenBefore }
 
-// Spool is the intervals for one receiver, the oldest first. It is not safe for concurrent use.
+// Spool holds the intervals for one receiver, oldest first. It isn't safe for concurrent use.
 type Spool struct {
 	maxBytes     int
 	bytes        int
 	entries      []*Entry
-	baseTotals   []int64 // what counters came to before the first
-	latestTotals []int64 // ... and after the last
+	baseTotals   []int64 // before the first entry
+	latestTotals []int64 // after the last entry
 	merged       int64
 }
 
-// Least is the smallest bound that makes sense.
+// MinBytes is the smallest limit of a spool; New raises lower ones to it.
 const MinBytes = 16 << 10
 
-// New returns a spool that holds so many bytes at most. One interval, and what is written and not settled, is held beyond that:
-// neither can be made less.
+// New returns a spool that holds at most maxBytes. It exceeds the limit for a single interval and for written intervals that
+// aren't known to be delivered, as neither can be merged.
 func New(maxBytes int) *Spool { return &Spool{maxBytes: max(maxBytes, MinBytes)} }
 
-// Add takes in the next interval.
+// Add appends the next interval.
 func (s *Spool) Add(iv *Interval) {
 	s.entries = append(s.entries, &Entry{Interval: iv})
 	s.bytes += iv.Size()
@@ -48,9 +48,10 @@
 	}
 }
 
-// shrink puts two neighbours together: of the older three quarters those that span least, the oldest of these, so that all of
-// them lose half of their resolution before some lose more, and the newest none. Only what is equally far can be put
-// together: what is written keeps its time until that is settled.
+// mergePair merges two adjacent entries and reports whether there were two to merge. It prefers the shortest pair among the
+// older three quarters, and of equally short ones the oldest. So all of these entries lose half of their resolution before any
+// loses more, and the newest lose none. Only entries in the same state are merged, and written ones keep their time until they
+// are delivered.
 func (s *Spool) mergePair() bool {
 	first := s.shortestPair(len(s.entries) * 3 / 4)
 	if first < 0 {
@@ -70,7 +71,8 @@
 	return true
 }
 
-// narrowest returns the first of the two neighbours among the first n whose longer one spans least; -1: there are none.
+// shortestPair returns the index of the first of two adjacent entries among the first n, chosen so that the longer of the two is
+// as short as possible; -1 if none can be merged.
 func (s *Spool) shortestPair(n int) int {
 	best, shortest := -1, time.Duration(0)
 	for i := 0; i+1 < n; i++ {
@@ -85,7 +87,7 @@
 	return best
 }
 
-// Oldest and Newest return the first and the last interval that waits, nil where none does.
+// OldestPending returns the oldest pending entry, or nil if there is none.
 func (s *Spool) OldestPending() *Entry {
 	for _, e := range s.entries {
 		if e.state == pending {
@@ -95,7 +97,7 @@
 	return nil
 }
 
-// Newest returns the newest interval if it waits, else nil.
+// NewestPending returns the newest entry if it is pending, else nil.
 func (s *Spool) NewestPending() *Entry {
 	if n := len(s.entries); n > 0 && s.entries[n-1].state == pending {
 		return s.entries[n-1]
@@ -103,7 +105,7 @@
 	return nil
 }
 
-// Waiting returns the number of intervals that wait.
+// Pending returns the number of pending entries.
 func (s *Spool) Pending() (n int) {
 	for _, e := range s.entries {
 		if e.state == pending {
@@ -113,13 +115,13 @@
 	return n
 }
 
-// Size returns the bytes that all intervals hold.
+// Size returns the memory of all entries in bytes.
 func (s *Spool) Size() int { return s.bytes }
 
-// Merged returns the number of intervals that were merged with another.
+// Merged returns the number of merges of pending entries.
 func (s *Spool) Merged() int64 { return s.merged }
 
-// Begin is when the first interval that is held began; the zero time where none is.
+// Start returns the start of the first interval held, or the zero time if there is none.
 func (s *Spool) Start() time.Time {
 	if len(s.entries) == 0 {
 		return time.Time{}
@@ -127,7 +129,7 @@
 	return s.entries[0].End.Add(-s.entries[0].Duration)
 }
 
-// Totals returns what counters came to at the end of an interval of this spool.
+// Totals returns the counters' totals at the end of an entry of this spool.
 func (s *Spool) Totals(end *Entry) []int64 {
 	if n := len(s.entries); n > 0 && s.entries[n-1] == end {
 		return append([]int64(nil), s.latestTotals...)
@@ -142,10 +144,10 @@
 	return totals
 }
 
-// Write says that an interval was written.
+// MarkWritten marks an entry as written to the receiver.
 func (s *Spool) MarkWritten(e *Entry, now time.Time) { e.state, e.writtenAt = written, now }
 
-// Back says that what was written and not settled may not have arrived: it waits again.
+// Requeue makes written entries that aren't known to be delivered pending again. It is called when the connection is lost.
 func (s *Spool) Requeue() {
 	for _, e := range s.entries {
 		if e.state == written {
@@ -154,7 +156,7 @@
 	}
 }
 
-// SettleBefore tells that what was written before a time has arrived.
+// MarkDeliveredBefore marks entries that were written before a time as delivered.
 func (s *Spool) MarkDeliveredBefore(t time.Time) {
 	for _, e := range s.entries {
 		if e.state == written && e.writtenAt.Before(t) {
@@ -164,7 +166,7 @@
 	s.dropDelivered()
 }
 
-// SettleNext tells that of what is not settled the interval that was written first has arrived.
+// MarkOldestDelivered marks the entry that was written first as delivered.
 func (s *Spool) MarkOldestDelivered() {
 	var first *Entry
 	for _, e := range s.entries {
@@ -178,7 +180,7 @@
 	s.dropDelivered()
 }
 
-// Unsettled is when the first of what is written and not settled was written; false where nothing is.
+// OldestUndelivered returns when the first written entry that isn't known to be delivered was written; false if there is none.
 func (s *Spool) OldestUndelivered() (at time.Time, any bool) {
 	for _, e := range s.entries {
 		if e.state == written && (!any || e.writtenAt.Before(at)) {
@@ -188,7 +190,7 @@
 	return at, any
 }
 
-// release drops what is settled from the front on.
+// dropDelivered removes delivered entries from the front.
 func (s *Spool) dropDelivered() {
 	n := 0
 	for n < len(s.entries) && s.entries[n].state == delivered {
--- a/report/spool/spool_test.go
+++ b/report/spool/spool_test.go
@@ -15,7 +15,7 @@
 	return Pack(start.Add(time.Duration(i+1)*10*time.Second), 10*time.Second, growth, gauges)
 }
 
-// What was packed comes back, and two intervals put together come to what both did.
+// Unpacking returns what was packed, and merged intervals have the sum of both.
 func TestPackAndMerge(t *testing.T) {
 	numbers := rapid.SliceOfN(rapid.OneOf(rapid.Just(int64(0)), rapid.Int64Range(0, 1<<40)), 0, 60)
 	values := rapid.SliceOfN(rapid.OneOf(rapid.Just(math.NaN()), rapid.Float64(),
@@ -49,8 +49,8 @@
 	})
 }
 
-// Whatever is added, written, lost and settled: no more bytes than allowed, ends in order, and what is written and what waits
-// comes to what was counted, each interval's totals to what was counted up to its end.
+// After any sequence of additions, writes, lost connections and deliveries, the spool stays within its limit and in order, the
+// delivered and remaining counts add up to all that was counted, and each interval's totals are those at its end.
 func TestSpoolKeepsAllCounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New(0)
@@ -96,7 +96,7 @@
 	})
 }
 
-// checkSpool compares what has arrived and what a spool still has with what was counted, and checks its order and its size.
+// checkSpool compares the sum of delivered and remaining counts with what was counted, and checks order and size of the spool.
 func checkSpool(t *rapid.T, s *Spool, arrived, counted []int64, series int) {
 	sum, end := slices.Clone(arrived), time.Time{}
 	undelivered := 0
@@ -113,14 +113,14 @@
 		end = e.End
 	}
 	if !slices.Equal(sum, counted) {
-		t.Fatalf("comes to %v, counted were %v", sum, counted)
+		t.Fatalf("sum is %v, counted were %v", sum, counted)
 	}
 	if s.Size() > MinBytes+undelivered+3*(intervalOverheadBytes+6*series+20) {
 		t.Fatalf("%d bytes, of which %d are written", s.Size(), undelivered)
 	}
 }
 
-// When room is short, all intervals lose half of their resolution before one loses more, the oldest first.
+// When space runs out, all intervals lose half of their resolution before one loses more, the oldest first.
 func TestOldestLoseResolutionFirst(t *testing.T) {
 	s := New(MinBytes)
 	for i := range 400 {
@@ -135,19 +135,19 @@
 	}
 	oldest, middle, n := s.entries[0].Duration, s.entries[len(s.entries)/2].Duration, len(s.entries)
 	if oldest > 2*middle || s.entries[n*7/8].Duration != 10*time.Second || s.Merged() == 0 || s.Pending() != n {
-		t.Errorf("the oldest of %d spans %v, the one in the middle %v, %d put together", n, oldest, middle, s.Merged())
+		t.Errorf("the oldest of %d lasts %v, the middle one %v, %d merged", n, oldest, middle, s.Merged())
 	}
 }
 
-// An hour at 10 s of a sidecar with 30 classes and 30 tenants, all of which ask, is kept whole within the usual 4 MiB; plain
-// arrays of the same would take 34 MB.
+// One hour at intervals of 10 s of a sidecar with 30 classes and 30 tenants, all with requests, fits in the default 4 MiB
+// unmerged. As plain arrays it would take 34 MB.
 func TestDefaultSpoolHoldsAnHour(t *testing.T) {
 	s := New(4 << 20)
 	series := 30*(6+2+170) + 30*30*6
 	for i := range 360 {
 		growth := make([]int64, series)
 		for k := range growth {
-			if k%3 == 0 { // most latencies and outcomes do not occur in an interval
+			if k%3 == 0 { // most latencies and outcomes don't occur in an interval
 				growth[k] = int64(k%200 + i%7)
 			}
 		}
@@ -155,9 +155,9 @@
 		s.Add(interval(i, growth, gauges...))
 	}
 	if s.Merged() > 0 || s.Pending() != 360 {
-		t.Errorf("%d waiting, %d put together", s.Pending(), s.Merged())
+		t.Errorf("%d pending, %d merged", s.Pending(), s.Merged())
 	}
-	t.Logf("%d bytes for an hour of %d counters: %.2f for a series and hour", s.Size(), series, float64(s.Size())/float64(series))
+	t.Logf("%d bytes for an hour of %d counters: %.2f per series and hour", s.Size(), series, float64(s.Size())/float64(series))
 }
 
 func BenchmarkPack(b *testing.B) {
--- a/report/table.go
+++ b/report/table.go
@@ -5,47 +5,47 @@
 	"time"
 )
 
-// Field is one figure of a family.
+// Field describes one value of a family.
 type Field struct{ Name, Unit, Description string }
 
-// Family is a set of figures of the same things: one row of them for each thing, named by its labels.
+// Family describes the metrics of one kind of thing. Each thing has a row, identified by its labels.
 type Family struct {
 	Name        string
 	Labels      []string
 	Description string
-	// Counters only grow while the process runs, Gauges are as at the end of an interval.
+	// Counters only grow while the process runs. Gauges have their value at the end of an interval.
 	Counters, Gauges []Field
-	// Derived are gauges that are computed of what the counters grew by, so that they hold for any span. Of the counters the
-	// first Hidden are shown nowhere else.
+	// Derived are gauges that are computed from the growth of the counters, so that they are right for merged intervals too. The
+	// first HiddenCounters counters only serve to compute them and aren't sent.
 	Derived        []Field
 	HiddenCounters int
-	MaxRows        int // rows; what is beyond them adds up in one row whose labels are Overflow
+	MaxRows        int // further things share one row with the labels Overflow
 	derive         func(deltas []int64, out []float64)
 }
 
-// Shown returns the counters that are told, and where they begin among all.
+// ShownCounters returns the counters that are sent to receivers.
 func (f *Family) ShownCounters() []Field { return f.Counters[f.HiddenCounters:] }
 
-// Fields returns all figures that are told, in the order of a reading: counters, gauges, derived.
+// Fields returns all fields that are sent, in the order of a reading: counters, gauges, derived gauges.
 func (f *Family) Fields() []Field {
 	all := append([]Field(nil), f.ShownCounters()...)
 	return append(append(all, f.Gauges...), f.Derived...)
 }
 
-// The families. Worth is in thousandths, so that it is counted in whole numbers, without error.
+// The families. Values of requests are counted in thousandths, so that whole numbers add up without rounding errors.
 var (
 	requestFields = []Field{
-		{"asked", "requests", "taken from clients"}, {"served", "requests", "answered by a server"},
-		{"late", "requests", "of those served, after the aim of their class"}, {"refused", "requests", "turned away: nothing ran"},
-		{"failed", "requests", "answered as failed: they may have run"},
-		{"retries", "requests", "of those asked, marked by their client as tried before"},
+		{"asked", "requests", "received from clients"}, {"served", "requests", "answered by a server"},
+		{"late", "requests", "of those served, after the latency target of their class"}, {"refused", "requests", "rejected before they ran"},
+		{"failed", "requests", "failed, but may have run"},
+		{"retries", "requests", "of those asked, marked by their client as a retry"},
 	}
-	openField = []Field{{"open", "requests", "taken and not ended"}}
+	openField = []Field{{"open", "requests", "received and not ended"}}
 
 	Requests = &Family{
 		Name: "requests", Labels: []string{"class"}, Description: "requests by class", MaxRows: 4096,
 		Counters: requestFields, Gauges: openField,
-		Derived: []Field{{"service_ratio", "part of 1", "served of those that ended"}},
+		Derived: []Field{{"service_ratio", "part of 1", "served requests over ended requests"}},
 		derive: func(d []int64, out []float64) {
 			if ended := d[1] + d[3] + d[4]; ended > 0 {
 				out[0] = float64(d[1]) / float64(ended)
@@ -57,17 +57,18 @@
 		Counters: requestFields, Gauges: openField,
 	}
 	RequestValue = &Family{
-		Name: "worth", Labels: []string{"class"}, Description: "worth by class", MaxRows: 4096,
+		Name: "worth", Labels: []string{"class"}, Description: "value of requests by class", MaxRows: 4096,
 		Counters: []Field{
-			{"asked", "thousandths of worth", "of first tries"}, {"served", "thousandths of worth", "of what was served; what was late counts less"},
+			{"asked", "thousandths of worth", "of requests that aren't retries"},
+			{"served", "thousandths of worth", "of served requests; less for late ones"},
 		},
 	}
 	Latency = &Family{
 		Name: "latency", Labels: []string{"class"},
-		Description: "time from a request to its answer, of what was served, at most 6.25 % off", MaxRows: 4096,
+		Description: "time from a request to its answer, for served requests, with an error of at most 6.25 %", MaxRows: 4096,
 		Counters: make([]Field, numBuckets), HiddenCounters: numBuckets,
-		Derived: []Field{{"p50", "ms", "half took no longer"}, {"p90", "ms", "9 in 10 took no longer"},
-			{"p99", "ms", "99 in 100 took no longer"}, {"p999", "ms", "999 of 1,000 took no longer"}},
+		Derived: []Field{{"p50", "ms", "50th percentile"}, {"p90", "ms", "90th percentile"},
+			{"p99", "ms", "99th percentile"}, {"p999", "ms", "99.9th percentile"}},
 		derive: func(d []int64, out []float64) {
 			for i, part := range []float64{0.5, 0.9, 0.99, 0.999} {
 				if took, ok := quantile(d, part); ok {
@@ -79,63 +80,63 @@
 	Attempts = &Family{
 		Name: "attempts", Description: "attempts at servers", MaxRows: 1,
 		Counters: []Field{
-			{"ok", "attempts", "answered well"}, {"error", "attempts", "answered with an error"},
-			{"turned_away", "attempts", "never begun by the server"},
-			{"timed_out", "attempts", "given up"}, {"not_connected", "attempts", "no connection came up"},
+			{"ok", "attempts", "answered successfully"}, {"error", "attempts", "answered with an error"},
+			{"turned_away", "attempts", "rejected by the server before they ran"},
+			{"timed_out", "attempts", "not answered in time"}, {"not_connected", "attempts", "connecting to the server failed"},
 			{"reset", "attempts", "the connection broke"},
-			{"cancelled", "attempts", "no longer wanted"}, {"moot", "attempts", "not made: the request had ended"},
-			{"sent", "attempts", "written whole to a server"}, {"again", "attempts", "beyond a request's first"},
+			{"cancelled", "attempts", "cancelled by the sidecar"}, {"moot", "attempts", "not sent, as the request had ended"},
+			{"sent", "attempts", "written completely to a server"}, {"again", "attempts", "after a request's first"},
 		},
 	}
 	Servers = &Family{
 		Name: "servers", Labels: []string{"server"}, Description: "listed servers", MaxRows: 512,
-		Gauges: []Field{{"in_flight", "attempts", "out at the server, of this sidecar"}},
+		Gauges: []Field{{"in_flight", "attempts", "of this sidecar in flight at the server"}},
 	}
 	Contracts = &Family{
-		Name: "contracts", Labels: []string{"team", "verdict"}, Description: "what contracts made of a team's requests", MaxRows: 4096,
+		Name: "contracts", Labels: []string{"team", "verdict"}, Description: "requests by team and verdict of its contracts", MaxRows: 4096,
 		Counters: []Field{{"requests", "requests", "with that verdict"}},
 	}
 	Process = &Family{
 		Name: "process", Description: "the sidecar's process", MaxRows: 1,
 		Gauges: []Field{
-			{"started", "s since 1970", "when it began: totals count from then"}, {"memory", "bytes", "held by the Go runtime"},
-			{"servers", "servers", "in the list"}, {"servers_avoided", "servers", "of those, rested or out by hand"},
+			{"started", "s since 1970", "start of the process, from which totals count"}, {"memory", "bytes", "mapped by the Go runtime"},
+			{"servers", "servers", "in the list"}, {"servers_avoided", "servers", "of those, ejected or excluded by an operator"},
 		},
 	}
 	Reporting = &Family{
 		Name: "reporting", Labels: []string{"receiver"}, Description: "the reporting itself", MaxRows: 8,
 		Counters: []Field{
-			{"intervals", "intervals", "that have ended"}, {"written", "intervals", "written to the receiver, also again"},
-			{"again", "intervals", "of those, written once more after a break"},
-			{"merged", "intervals", "put together with the one before for want of room"},
+			{"intervals", "intervals", "that have ended"}, {"written", "intervals", "written to the receiver, including resent ones"},
+			{"again", "intervals", "of those, resent after a lost connection"},
+			{"merged", "intervals", "merged with the one before for lack of space"},
 			{"breaks", "connections", "connections that broke or stalled"},
-			{"rejected", "lists", "that the receiver said no to, or that could not be written"},
+			{"rejected", "lists", "that the receiver rejected or that could not be encoded"},
 		},
-		Gauges: []Field{{"waiting", "intervals", "that wait for the receiver"}, {"spool", "bytes", "that these hold"}},
+		Gauges: []Field{{"waiting", "intervals", "that wait for the receiver"}, {"spool", "bytes", "held in the spool"}},
 	}
 	// Families lists them all, in the order of a reading.
 	Families = []*Family{Requests, Tenants, RequestValue, Latency, Attempts, Servers, Contracts, Process, Reporting}
 )
 
-// Row is one thing that is counted.
+// Row is the row of one thing in a table.
 type Row struct {
 	Family *Family
 	Labels []string
 
-	firstCounter, firstGauge int // where its figures begin
+	firstCounter, firstGauge int // index of the row's first value
 	lastUsed                 int64
 }
 
-// Table gives each row a place for its figures. Rows with counters stay as long as the process, so that a total is never
-// another's; rows of gauges alone give their place up when nobody holds an interval any more in which they stood. It is not
-// safe for concurrent use.
+// Table assigns indices in samples to the values of each row. Rows with counters stay until the process ends, so that a total
+// never becomes that of another thing. Rows with gauges only are removed, and their indices reused, when no spool holds an
+// interval with them any more. It isn't safe for concurrent use.
 type Table struct {
 	rows        []*Row
 	byKey       map[string]*Row
 	rowCounts   map[*Family]int
 	numCounters int
 	numGauges   int
-	freeGauges  map[*Family][]int // places of gauges
+	freeGauges  map[*Family][]int // indices of removed rows
 }
 
 // NewTable returns an empty table.
@@ -145,7 +146,7 @@
 
 func key(f *Family, labels []string) string { return f.Name + "\x00" + strings.Join(labels, "\x00") }
 
-// Row returns the row of a thing, which may be new; at is the time, in seconds.
+// Row returns the row of a thing, and adds it if there is none; now is in Unix seconds.
 func (t *Table) Row(f *Family, now int64, labels ...string) *Row {
 	k := key(f, labels)
 	r := t.byKey[k]
@@ -182,7 +183,7 @@
 	return true
 }
 
-// Forget drops rows of gauges alone that were last used before a time, in seconds.
+// Prune removes rows with gauges only that were last used before a time, in Unix seconds.
 func (t *Table) Prune(before int64) {
 	kept := t.rows[:0]
 	for _, r := range t.rows {
@@ -198,8 +199,8 @@
 	t.rows = kept
 }
 
-// Rows returns the rows that there are.
+// Rows returns all rows.
 func (t *Table) Rows() []*Row { return t.rows }
 
-// Sizes returns how many counters and gauges the table has places for.
+// Sizes returns the number of counters and gauges in a sample.
 func (t *Table) Sizes() (counters, gauges int) { return t.numCounters, t.numGauges }
