--- a/cmd/firplank/metrics.go
+++ b/cmd/firplank/metrics.go
@@ -40,7 +40,7 @@
 	}
 	shape := cfg.Shape()
 	g := &cfg.Options.Graphite
-	prefix := reporting.Prefix(cmp.Or(g.Prefix, options.UsualPrefix), cfg.Name, time.Now())
+	prefix := reporting.Prefix(cmp.Or(g.Prefix, options.DefaultPrefix), cfg.Name, time.Now())
 	w := output.NewTable(out, 0, 1, 2, ' ', 0)
 	w.Println("path\tkind\tunit\tof\tmeaning")
 	for _, f := range report.Families {
--- a/internal/broker/load.go
+++ b/internal/broker/load.go
@@ -155,7 +155,7 @@
 func (l *loader) readFile(name string, text []byte) {
 	var f file
 	if err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(&f); err != nil {
-		l.errs = append(l.errs, options.Placed(name, err))
+		l.errs = append(l.errs, options.WithPosition(name, err))
 		return
 	}
 	lines := keyLines(text)
--- a/internal/options/options_test.go
+++ b/internal/options/options_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-func TestNoFileMeansNothing(t *testing.T) {
+func TestNoFileIsAllOff(t *testing.T) {
 	f, err := Load("")
-	if err != nil || f.Door.Enabled || f.MsgpackRPC.Enabled() || f.Broker.Contracts != "" || f.Operators.Listen != "" {
+	if err != nil || f.LoadShedding.Enabled || f.MsgpackRPC.Enabled() || f.Broker.ContractsDir != "" || f.Operators.Listen != "" {
 		t.Errorf("%+v, %v", f, err)
 	}
 }
@@ -17,12 +17,12 @@
 // The platform's own file leaves all that is new off.
 func TestPlatformFileIsAllOff(t *testing.T) {
 	f, err := Load("../../deploy/firplank.toml")
-	if err != nil || f.Door.Enabled || f.MsgpackRPC.Enabled() || f.Broker.Contracts != "" || f.Operators.Listen != "" {
+	if err != nil || f.LoadShedding.Enabled || f.MsgpackRPC.Enabled() || f.Broker.ContractsDir != "" || f.Operators.Listen != "" {
 		t.Errorf("%+v, %v", f, err)
 	}
 }
 
-func TestBadFiles(t *testing.T) {
+func TestInvalidFilesAreErrors(t *testing.T) {
 	dir := t.TempDir()
 	for text, want := range map[string]string{
 		"[door]\nshut = true\n":          "o.toml:2: unknown key door.shut",
--- a/internal/reporting/receivers.go
+++ b/internal/reporting/receivers.go
@@ -51,10 +51,10 @@
 	if host == "" {
 		host = report.Escape(name, maxHostBytes)
 	}
-	if c.Network != "" {
+	if c.NetworkAddress != "" {
 		all = append(all, collectdNetwork(c, host))
 	}
-	if c.Socket != "" {
+	if c.SocketPath != "" {
 		all = append(all, collectdSocket(c, host))
 	}
 	return all
@@ -77,9 +77,9 @@
 		Name:       "graphite",
 		Network:    "tcp",
 		Address:    g.Address,
-		Interval:   seconds(g.Interval),
-		SpoolBytes: g.Spool,
-		Policy:     basePolicy(g.Backlog),
+		Interval:   seconds(g.IntervalSeconds),
+		SpoolBytes: g.SpoolBytes,
+		Policy:     basePolicy(g.BacklogPerSecond),
 		Encode: func(r *report.Reading, t *report.Table, _ bool) ([][]byte, int, error) {
 			enc.Prune(t.Rows())
 			return [][]byte{enc.Append(nil, r)}, 0, nil
@@ -89,18 +89,18 @@
 
 // collectdNetwork returns a receiver of collectd's binary protocol over UDP, which acknowledges nothing.
 func collectdNetwork(c *options.Collectd, host string) Receiver {
-	apart := c.Late == options.Apart
-	enc, p := collectd.NewEncoder(c.PacketBytes, seal(c)), basePolicy(c.Backlog)
+	apart := c.LatePolicy == options.Separate
+	enc, p := collectd.NewEncoder(c.PacketBytes, newSealer(c)), basePolicy(c.BacklogPerSecond)
 	p.FireAndForget, p.InOrder = true, !apart
 	return Receiver{
 		Name:       "collectd-network",
 		Network:    "udp",
-		Address:    c.Network,
-		Interval:   seconds(c.Interval),
-		SpoolBytes: c.Spool,
+		Address:    c.NetworkAddress,
+		Interval:   seconds(c.IntervalSeconds),
+		SpoolBytes: c.SpoolBytes,
 		Policy:     p,
 		Encode: func(r *report.Reading, _ *report.Table, late bool) ([][]byte, int, error) {
-			packets, err := enc.Packets(collectd.ValueLists(host, seconds(c.Interval), r, late && apart))
+			packets, err := enc.Packets(collectd.ValueLists(host, seconds(c.IntervalSeconds), r, late && apart))
 			return packets, 0, err
 		},
 	}
@@ -108,19 +108,19 @@
 
 // collectdSocket returns a receiver of collectd's plain text protocol on a Unix socket, which acknowledges each value list.
 func collectdSocket(c *options.Collectd, host string) Receiver {
-	apart := c.Late == options.Apart
-	p := basePolicy(c.Backlog)
+	apart := c.LatePolicy == options.Separate
+	p := basePolicy(c.BacklogPerSecond)
 	p.Acks, p.InOrder = true, !apart
 	return Receiver{
 		Name:       "collectd-socket",
 		Network:    "unix",
-		Address:    c.Socket,
-		Interval:   seconds(c.Interval),
-		SpoolBytes: c.Spool,
+		Address:    c.SocketPath,
+		Interval:   seconds(c.IntervalSeconds),
+		SpoolBytes: c.SpoolBytes,
 		Policy:     p,
 		Encode: func(r *report.Reading, _ *report.Table, late bool) ([][]byte, int, error) {
 			var b []byte
-			lists := collectd.ValueLists(host, seconds(c.Interval), r, late && apart)
+			lists := collectd.ValueLists(host, seconds(c.IntervalSeconds), r, late && apart)
 			for i := range lists {
 				b = collectd.AppendPutval(b, &lists[i])
 			}
@@ -130,9 +130,9 @@
 }
 
 // seal returns the security of collectd's network protocol that the options have.
-func seal(c *options.Collectd) *collectd.Sealer {
+func newSealer(c *options.Collectd) *collectd.Sealer {
 	kind := map[string]collectd.Security{options.Sign: collectd.Sign, options.Encrypt: collectd.Encrypt}[c.Security]
-	return collectd.NewSealer(kind, c.User, c.Password)
+	return collectd.NewSealer(kind, c.Username, c.Password)
 }
 
 // Prefix replaces {name} and {process} in a prefix by the sidecar's name and the start time of its process.
--- a/internal/reporting/reporting.go
+++ b/internal/reporting/reporting.go
@@ -101,7 +101,7 @@
 	}()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	var over <-chan time.Time
+	var expired <-chan time.Time
 	for {
 		now := r.cfg.now()
 		wake := now.Add(time.Minute)
@@ -111,7 +111,7 @@
 				wake = at
 			}
 		}
-		if over != nil && r.allDone() {
+		if expired != nil && r.allDone() {
 			return
 		}
 		timer.Reset(max(time.Millisecond, wake.Sub(now)))
@@ -119,10 +119,10 @@
 		case <-timer.C:
 		case d := <-r.dialResults:
 			d.sink.connected(r.cfg.now(), d)
-		case within := <-r.flush:
-			over = time.After(within)
+		case timeout := <-r.flush:
+			expired = time.After(timeout)
 			r.endIntervals()
-		case <-over:
+		case <-expired:
 			r.logUnsent()
 			return
 		case <-ctx.Done():
@@ -132,9 +132,9 @@
 }
 
 // Flush ends the open interval and sends all pending ones. It returns when they are sent or the time is over; Run ends then.
-func (r *Reporter) Flush(within time.Duration) {
+func (r *Reporter) Flush(timeout time.Duration) {
 	select {
-	case r.flush <- within:
+	case r.flush <- timeout:
 		<-r.done
 	case <-r.done:
 	}
@@ -172,7 +172,7 @@
 
 // sample reads all series.
 func (r *Reporter) sample(now time.Time) *report.Sample {
-	st := &report.State{Time: now, Started: r.cfg.Started, MemoryBytes: memory()}
+	st := &report.State{Time: now, Started: r.cfg.Started, MemoryBytes: memoryBytes()}
 	if r.cfg.State != nil {
 		ctx, cancel := context.WithTimeout(r.ctx, stateTimeout)
 		defer cancel()
@@ -204,16 +204,16 @@
 }
 
 // memory is the memory that the Go runtime has mapped and not returned, in bytes.
-func memory() uint64 {
-	held := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
-	metrics.Read(held)
-	return held[0].Value.Uint64() - held[1].Value.Uint64()
+func memoryBytes() uint64 {
+	samples := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
+	metrics.Read(samples)
+	return samples[0].Value.Uint64() - samples[1].Value.Uint64()
 }
 
 // dial connects to a sink's receiver on a goroutine of its own, as resolving a name may block.
 func (r *Reporter) dial(s *sink) {
 	ctx, cancel := context.WithTimeout(r.ctx, connectTimeout)
-	ended := r.ctx
+	runDone := r.ctx
 	r.tasks.Go(func() {
 		defer cancel()
 		conn, err := (&net.Dialer{}).DialContext(ctx, s.Network, s.Address)
@@ -222,7 +222,7 @@
 		}
 		select {
 		case r.dialResults <- dialResult{sink: s, conn: conn, err: err}:
-		case <-ended.Done():
+		case <-runDone.Done():
 			if conn != nil {
 				_ = conn.Close() // the connection is released even where this fails
 			}
--- a/internal/reporting/reporting_test.go
+++ b/internal/reporting/reporting_test.go
@@ -18,17 +18,17 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // life is one process of a sidecar.
-type life struct {
+type process struct {
 	*report.Counts
 	*Reporter
 	kill  context.CancelFunc
 	ended chan bool
 }
 
-func begin(o *options.File) *life {
+func startProcess(o *options.File) *process {
 	counts := report.New(report.Config{Classes: []report.Class{{Name: "permit.lookup v2", Value: 1}}, Tenants: []string{"a"}})
 	ctx, kill := context.WithCancel(context.Background())
-	l := &life{Counts: counts, kill: kill, ended: make(chan bool), Reporter: New(Config{
+	l := &process{Counts: counts, kill: kill, ended: make(chan bool), Reporter: New(Config{
 		Counts: counts, Receivers: Receivers(o, "n1", time.Now()), Started: time.Now(), Log: slog.New(slog.DiscardHandler),
 	})}
 	go func() {
@@ -38,7 +38,7 @@
 	return l
 }
 
-func (l *life) serve(n int) {
+func (l *process) serve(n int) {
 	for range n {
 		l.RequestReceived(0, 0, false)
 		l.RequestEnded(0, 0, report.Served, time.Millisecond)
@@ -64,13 +64,13 @@
 		t.Fatal(err)
 	}
 	const path, id = "f.requests.permit%2Elookup%20v2.served.", "h/firplank-permit%2Elookup%20v2/firplank_requests"
-	first := begin(o)
+	first := startProcess(o)
 	first.serve(100)
 	testbed.Until(t, "the first is told of", func() bool { return carbon.Last(path+"total") == 100 && socket.Last(id, 1) == 100 })
 	first.serve(5) // of which nobody hears
 	first.kill()
 	<-first.ended
-	second := begin(o)
+	second := startProcess(o)
 	defer func() {
 		second.kill()
 		<-second.ended
@@ -92,7 +92,7 @@
 }
 
 // Receivers that are not there cost nothing but tries, and at the end the log says what is lost.
-func TestNobodyThere(t *testing.T) {
+func TestUnreachableReceiver(t *testing.T) {
 	o, err := options.Parse("o.toml", []byte("[graphite]\ninterval_s = 3600\naddress = \"127.0.0.1:1\"\n"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/reporting/sink.go
+++ b/internal/reporting/sink.go
@@ -107,7 +107,7 @@
 
 // render encodes an interval as the outgoing pieces.
 func (s *sink) render(now time.Time, e *spool.Entry) {
-	began := time.Now()
+	started := time.Now()
 	t := s.reporter.table
 	counters, gauges := t.Sizes()
 	totals := s.spool.Totals(e)
@@ -115,15 +115,15 @@
 	if len(totals) < counters {
 		totals = append(totals, make([]int64, counters-len(totals))...)
 	}
-	pieces, answers, err := s.Encode(t.Render(e.End, e.Duration, growth, totals, e.Gauges(nans(gauges))), t, s.feed.Late())
+	pieces, acks, err := s.Encode(t.Render(e.End, e.Duration, growth, totals, e.Gauges(nans(gauges))), t, s.feed.Late())
 	if err != nil { // not retried: it would fail again
 		s.rejected++
 		s.logProblem(now, "an interval cannot be written", err.Error())
 	}
 	s.outgoing = pieces
-	s.feed.Encoded(now, time.Since(began))
+	s.feed.Encoded(now, time.Since(started))
 	if s.Policy.Acks {
-		s.pendingAcks = append(s.pendingAcks, answers)
+		s.pendingAcks = append(s.pendingAcks, acks)
 	}
 	if len(pieces) == 0 {
 		s.outgoing = [][]byte{{}}
@@ -183,7 +183,7 @@
 		_ = s.conn.SetReadDeadline(time.Now().Add(readTimeout))
 		n, err := s.conn.Read(b[:])
 		s.received = append(s.received, b[:n]...)
-		for s.takeAck(now) {
+		for s.handleAck(now) {
 		}
 		switch {
 		case len(s.received) > maxAckBytes:
@@ -197,7 +197,7 @@
 }
 
 // takeAck handles one acknowledgement of those received, and reports whether there was one.
-func (s *sink) takeAck(now time.Time) bool {
+func (s *sink) handleAck(now time.Time) bool {
 	line, rest, complete := bytes.Cut(s.received, []byte("\n"))
 	if !complete || len(s.pendingAcks) == 0 {
 		return false
@@ -243,9 +243,9 @@
 }
 
 // logProblem logs a problem with the receiver, at most one each problemLogInterval.
-func (s *sink) logProblem(now time.Time, what, why string) {
+func (s *sink) logProblem(now time.Time, message, reason string) {
 	if now.Sub(s.lastLogged) >= problemLogInterval || s.lastLogged.IsZero() {
 		s.lastLogged = now
-		s.reporter.cfg.Log.Warn(what, "receiver", s.Name, "address", s.Address, "why", why)
+		s.reporter.cfg.Log.Warn(message, "receiver", s.Name, "address", s.Address, "why", reason)
 	}
 }
--- a/internal/sidecar/components.go
+++ b/internal/sidecar/components.go
@@ -76,7 +76,7 @@
 		c.peersAtStart = on.instance.Peers()
 	}
 	c.budget = cfg.connBudget(processCount(c.peersAtStart))
-	c.polled = !cfg.Options.HTTP.Standard
+	c.polled = !cfg.Options.HTTP.StandardServer
 	if c.polled {
 		if err := cfg.readiness(); err != nil {
 			log.Warn("a goroutine for each connection and attempt", "why", err)
@@ -89,7 +89,7 @@
 
 // newShedder returns the load shedder; nil where the options have none.
 func newShedder(cfg *Config) *loadshed.Shedder {
-	if !cfg.Options.Door.Enabled {
+	if !cfg.Options.LoadShedding.Enabled {
 		return nil
 	}
 	var classes []overload.Class
@@ -195,8 +195,8 @@
 		Connections:     c.budget.clients,
 		AcceptGrace:     cfg.acceptGrace,
 		Evict:           c.evictIdle,
-		IdleTimeout:     millis(cfg.Options.HTTP.Idle * 1000),
-		MaxIdleFraction: cfg.Options.HTTP.Waiting,
+		IdleTimeout:     millis(cfg.Options.HTTP.IdleSeconds * 1000),
+		MaxIdleFraction: cfg.Options.HTTP.MaxIdleShare,
 		Claims:          c.gate != nil,
 		Counts:          c.counts,
 		Log:             c.log,
--- a/internal/sidecar/connbudget.go
+++ b/internal/sidecar/connbudget.go
@@ -20,7 +20,7 @@
 // connBudget divides the descriptors that all processes of the sidecar have together, of which each process needs some for
 // itself.
 func (c *Config) connBudget(processes int) connBudget {
-	reserved := reservedSockets + c.Options.Receivers()
+	reserved := reservedSockets + c.Options.ReceiverCount()
 	if c.Admin != "" {
 		reserved += operators.MaxCallers
 	}
@@ -28,7 +28,7 @@
 	b := connBudget{servers: all / 2}
 	b.clients = all - b.servers
 	if c.Options.MsgpackRPC.Listen != "" {
-		b.rpcClients = min(c.Options.MsgpackRPC.Connections, b.clients/2)
+		b.rpcClients = min(c.Options.MsgpackRPC.MaxClientConns, b.clients/2)
 		b.clients -= b.rpcClients
 	}
 	if len(c.Options.MsgpackRPC.Flavors) > 0 {
--- a/internal/sidecar/contracts.go
+++ b/internal/sidecar/contracts.go
@@ -15,7 +15,7 @@
 // capacity. Without a configured share that is an equal part for each sidecar.
 func (c *Config) Deployment() contract.Deployment {
 	o := &c.Options.Broker
-	d := contract.Deployment{Capacity: o.Capacity, InstanceShare: o.Part}
+	d := contract.Deployment{Capacity: o.CapacityPerSecond, InstanceShare: o.BudgetShare}
 	if d.InstanceShare == 0 {
 		d.InstanceShare = 1 / float64(max(1, c.Balance.Peers))
 	}
@@ -34,10 +34,10 @@
 
 // loadContracts reads the contracts that the options name; nil without any.
 func (c *Config) loadContracts() (*contract.Set, error) {
-	if c.Options.Broker.Contracts == "" {
+	if c.Options.Broker.ContractsDir == "" {
 		return nil, nil
 	}
-	return broker.Load(c.Options.Broker.Contracts, c.Deployment(), c.catalog)
+	return broker.Load(c.Options.Broker.ContractsDir, c.Deployment(), c.catalog)
 }
 
 // newGate returns the gate of the loaded contracts; nil without any.
--- a/internal/sidecar/contracts_test.go
+++ b/internal/sidecar/contracts_test.go
@@ -43,7 +43,7 @@
 		}
 	}
 	rewrite(text)
-	cfg.Options.Broker = options.Broker{Contracts: dir, Part: 1}
+	cfg.Options.Broker = options.Broker{ContractsDir: dir, BudgetShare: 1}
 	var err error
 	if cfg.contracts, err = cfg.loadContracts(); err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -34,7 +34,7 @@
 }
 
 func (c *Config) newTally() *peers.Tally {
-	return peers.NewTally(c.catalog.ClassNames(), c.catalog.TenantNames(), c.Options.Fleet.Most)
+	return peers.NewTally(c.catalog.ClassNames(), c.catalog.TenantNames(), c.Options.Fleet.MaxRequestsPerSecond)
 }
 
 // openFleet opens the socket to other sidecars; nil where the option is off.
@@ -57,7 +57,7 @@
 			Members:     len(c.Peers),
 			Seed:        c.Balance.Seed,
 			Cells:       l.tally.Cells(),
-			MaxRate:     c.Options.Fleet.Most,
+			MaxRate:     c.Options.Fleet.MaxRequestsPerSecond,
 			Incarnation: fleet.NewIncarnation(time.Now(), c.Balance.Seed),
 		},
 	})
--- a/internal/sidecar/msgpackrpc.go
+++ b/internal/sidecar/msgpackrpc.go
@@ -37,14 +37,14 @@
 			Class:       m.Class,
 			Tenant:      m.Tenant,
 			TenantParam: param("tenant_param", m.TenantParam),
-			Key:         param("key_param", m.Key),
-			Idempotency: param("idempotency_param", m.Idempotency),
-			Deadline:    param("deadline_param_ms", m.Deadline),
-			Trace:       param("trace_param", m.Trace),
-			Token:       param("token_param", m.Token),
-			Retry:       param("repeat_param", m.Repeat),
+			Key:         param("key_param", m.KeyParam),
+			Idempotency: param("idempotency_param", m.IdempotencyParam),
+			Deadline:    param("deadline_param_ms", m.DeadlineParam),
+			Trace:       param("trace_param", m.TraceParam),
+			Token:       param("token_param", m.TokenParam),
+			Retry:       param("repeat_param", m.RepeatParam),
 			Path:        m.Path,
-			Notify:      m.Notify,
+			Notify:      m.MayNotify,
 		})
 	}
 	methods, err := rpcfront.NewMethods(table, catalog)
@@ -75,7 +75,7 @@
 }
 
 func rpcLimits(o *options.MsgpackRPC) codec.Limits {
-	return codec.Limits{Frame: o.MaxFrame, Depth: o.MaxDepth}
+	return codec.Limits{Frame: o.MaxFrameBytes, Depth: o.MaxDepth}
 }
 
 // newRPCBack returns the back for servers that speak MessagePack-RPC.
@@ -84,13 +84,13 @@
 	return rpcback.New(ctx, rpcback.Config{
 		ConnectTimeout:    cmp.Or(millis(cfg.Balance.ConnectTimeout), defaultConnectTimeout),
 		IdleTimeout:       idle,
-		MaxConnsPerServer: o.ServerConnections,
+		MaxConnsPerServer: o.ConnsPerServer,
 		MaxConns:          sockets,
-		MaxOpenPerConn:    o.ServerOpen,
+		MaxOpenPerConn:    o.MaxOpenPerServerConn,
 		Limits:            rpcLimits(o),
-		NeverRan:          o.NeverRan,
-		ApplicationErrors: o.Answers,
-		Probe:             o.Probe,
+		NeverRan:          o.NotStartedCodes,
+		ApplicationErrors: o.AnswerCodes,
+		Probe:             o.ProbeMethod,
 		Log:               log,
 	})
 }
@@ -103,7 +103,7 @@
 	return rpcfront.New(rpcfront.Config{
 		Methods:     cfg.methods,
 		Limits:      rpcLimits(o),
-		MaxOpen:     o.MaxOpen,
+		MaxOpen:     o.MaxOpenPerClientConn,
 		Connections: connections,
 		Shedder:     shedder,
 		AcceptGrace: cfg.acceptGrace,
--- a/internal/sidecar/reporting.go
+++ b/internal/sidecar/reporting.go
@@ -19,7 +19,7 @@
 
 // Shape returns the classes and tenants by which requests are counted.
 func (c *Config) Shape() report.Config {
-	s := report.Config{Tenants: c.catalog.TenantNames(), MaxPairs: c.Options.Reporting.Pairs}
+	s := report.Config{Tenants: c.catalog.TenantNames(), MaxPairs: c.Options.Reporting.MaxPairs}
 	for i, name := range c.catalog.ClassNames() {
 		rules := &c.Balance.Classes[i]
 		s.Classes = append(s.Classes, report.Class{
--- a/internal/sidecar/reporting_test.go
+++ b/internal/sidecar/reporting_test.go
@@ -203,7 +203,7 @@
 				text += fmt.Sprintf("network = %q\n", r.network.Addr())
 			}
 			cfg := reportTo(t, testConfig(t, ready("s-1", server)), text)
-			cfg.Options.Collectd.Security, cfg.Options.Collectd.User = options.Encrypt, "monitor"
+			cfg.Options.Collectd.Security, cfg.Options.Collectd.Username = options.Encrypt, "monitor"
 			n := startNode(t, cfg)
 			stop := n.loadOf("read", "reserve", "pay")
 			r.breakOff(t, carbon, socket)
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -37,7 +37,7 @@
 				for i, s := range servers {
 					cfg.Known.Members = append(cfg.Known.Members, ready("s-"+strconv.Itoa(i+1), s.Addr))
 				}
-				cfg.Options.HTTP.Standard = standard
+				cfg.Options.HTTP.StandardServer = standard
 				return cfg
 			})
 		})
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -58,7 +58,7 @@
 }
 
 // Flag has the figure of a name with one label be 1 from now on. The values of the label have to be few.
-func (r *Registry) Flag(name, label, value string) {
+func (r *Registry) SetFlag(name, label, value string) {
 	r.set.GetOrCreateGauge(fmt.Sprintf("%s%s{%s=%q}", namePrefix, name, label, value), func() float64 { return 1 })
 }
 
--- a/lab/scenario/read.go
+++ b/lab/scenario/read.go
@@ -41,7 +41,7 @@
 	s := defaults()
 	d := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
 	if err := d.Decode(s); err != nil {
-		return nil, options.Placed(file, err)
+		return nil, options.WithPosition(file, err)
 	}
 	if s.Name == "" {
 		s.Name = strings.TrimSuffix(file, ".toml")
--- a/mesh/controlplane/conflicts.go
+++ b/mesh/controlplane/conflicts.go
@@ -11,7 +11,7 @@
 // reportConflicts logs and counts the rules of the settings that cannot hold together.
 func (s *Server) reportConflicts() {
 	for _, c := range s.durations.Conflicts {
-		s.metrics.registry.Flag("settings_conflict", "name", c.Name)
+		s.metrics.registry.SetFlag("settings_conflict", "name", c.Name)
 		_ = level.Warn(s.log).Log(c.LogLine()...)
 	}
 }
@@ -27,7 +27,7 @@
 	s.toleranceReported = true
 	c := timing.MachinesConflict(tolerance, known)
 	s.durations.Conflicts = append(s.durations.Conflicts, c)
-	s.metrics.registry.Flag("settings_conflict", "name", c.Name)
+	s.metrics.registry.SetFlag("settings_conflict", "name", c.Name)
 	_ = level.Warn(s.log).Log(c.LogLine()...)
 }
 
--- a/mesh/dataplane/lifecycle.go
+++ b/mesh/dataplane/lifecycle.go
@@ -169,7 +169,7 @@
 	incomingFront.Serve(listeners.incoming)
 	p.startLoop(settings, reloads)
 	for _, c := range p.durations.Conflicts {
-		p.metrics.registry.Flag("settings_conflict", "name", c.Name)
+		p.metrics.registry.SetFlag("settings_conflict", "name", c.Name)
 		_ = level.Warn(p.log).Log(c.LogLine()...)
 	}
 	_ = level.Info(p.log).Log("msg", "sidecar started", "node", settings.NodeName, "polled", p.epoll)
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -26,24 +26,24 @@
 // and the prices of what this module never does (moves, origin, fleet, discovery).
 type settings struct {
 	Classes []struct {
-		Name       string   `json:"name"`
-		Effect     string   `json:"effect"`
-		Group      string   `json:"group"`
-		Window     *float64 `json:"window_ms"`
-		Aim        float64  `json:"on_time_ms"`
-		AimStretch float64  `json:"aim_stretch"`
-		Deadline   float64  `json:"hard_limit_ms"`
-		Worth      *float64 `json:"worth"`
-		LateWorth  float64  `json:"late_worth"`
-		Stream     bool     `json:"stream"`
+		Name          string   `json:"name"`
+		Effect        string   `json:"effect"`
+		DedupScope    string   `json:"group"`
+		DedupWindow   *float64 `json:"window_ms"`
+		LatencyTarget float64  `json:"on_time_ms"`
+		TargetStretch float64  `json:"aim_stretch"`
+		Deadline      float64  `json:"hard_limit_ms"`
+		Value         *float64 `json:"worth"`
+		LateValue     float64  `json:"late_worth"`
+		Stream        bool     `json:"stream"`
 	} `json:"classes"`
 	Tenants []struct {
-		Name      string  `json:"name"`
-		Allowance float64 `json:"allowance_per_s"`
-		Share     float64 `json:"share"`
+		Name  string  `json:"name"`
+		Quota float64 `json:"allowance_per_s"`
+		Share float64 `json:"share"`
 	} `json:"tenants"`
 	Discovery string   `json:"discovery"`
-	Me        int      `json:"my_number"`
+	Index     int      `json:"my_number"`
 	Peers     int      `json:"peers_total"`
 	Zone      int      `json:"zone"`
 	Zones     []string `json:"zones"`
@@ -51,35 +51,35 @@
 	Weights   string   `json:"weights"`
 	ValueBy   string   `json:"value_by"`
 	Clients   struct {
-		MarksRetry bool `json:"marks_retry"`
+		MarkRetries bool `json:"marks_retry"`
 	} `json:"clients"`
-	OverShare *float64 `json:"over_share_worth"`
-	Quantum   float64  `json:"quantum_ms"`
-	Report    struct {
+	OverShareValue   *float64 `json:"over_share_worth"`
+	MinBatchInterval float64  `json:"quantum_ms"`
+	Report           struct {
 		Via    string   `json:"via"`
 		Fields []string `json:"fields"`
 	} `json:"report"`
 	Limits struct {
-		Cancel         bool    `json:"cancel"`
-		ConnectTimeout float64 `json:"connect_timeout_ms"`
-		ConnIdle       float64 `json:"conn_idle_ms"`
-		MaxAttempts    *int    `json:"max_attempts"`
-		MaxRetryAfter  float64 `json:"max_retry_after_ms"`
-		MayTell        bool    `json:"may_tell"`
-		OpenCap        int     `json:"open_cap"`
-		Parallel       bool    `json:"parallel_tries"`
-		Probes         bool    `json:"probes"`
-		RetryAfter     bool    `json:"retry_after"`
-		Streams        *int    `json:"streams_per_conn"`
+		Cancel           bool    `json:"cancel"`
+		ConnectTimeout   float64 `json:"connect_timeout_ms"`
+		ConnIdle         float64 `json:"conn_idle_ms"`
+		MaxAttempts      *int    `json:"max_attempts"`
+		MaxRetryAfter    float64 `json:"max_retry_after_ms"`
+		Messages         bool    `json:"may_tell"`
+		MaxOpenRequests  int     `json:"open_cap"`
+		ParallelAttempts bool    `json:"parallel_tries"`
+		Probes           bool    `json:"probes"`
+		RetryAfter       bool    `json:"retry_after"`
+		StreamsPerConn   *int    `json:"streams_per_conn"`
 	} `json:"limits"`
 	Rules struct {
-		AnswerSlack  float64  `json:"answer_slack_ms"`
-		AskWithin    float64  `json:"ask_within_ms"`
-		ColdFrom     *float64 `json:"cold_from"`
-		ColdTime     float64  `json:"cold_ms"`
-		DrainGrace   float64  `json:"drain_grace_ms"`
-		FallTime     float64  `json:"fall_ms"`
-		FallMultiple float64  `json:"fall_multiple"`
+		AnswerSlack              float64  `json:"answer_slack_ms"`
+		ListRefreshLimit         float64  `json:"ask_within_ms"`
+		SlowStartInitialFraction *float64 `json:"cold_from"`
+		SlowStartTime            float64  `json:"cold_ms"`
+		DrainGrace               float64  `json:"drain_grace_ms"`
+		ColdOverloadTime         float64  `json:"fall_ms"`
+		ColdOverloadFactor       float64  `json:"fall_multiple"`
 	} `json:"rules"`
 	Goal struct { // in the order of balance.Goal, to which it converts; so is Prices, to balance.Penalties
 		Total       float64 `json:"whole"`
@@ -88,7 +88,7 @@
 		WorstTenant float64 `json:"worst_tenant"`
 		Nines       float64 `json:"nines_part"`
 	} `json:"result_mix"`
-	Prices struct {
+	Penalties struct {
 		CrossZone  float64 `json:"cross_zone"`
 		Waste      float64 `json:"waste"`
 		Handshake  float64 `json:"handshake"`
@@ -103,11 +103,11 @@
 	"read_like": balance.Safe, "idempotency_key": balance.Keyed, "non_idempotent": balance.Unsafe,
 }
 
-var groups = map[string]balance.DedupScope{
+var dedupScopes = map[string]balance.DedupScope{
 	"": balance.DedupAll, "all": balance.DedupAll, "zone": balance.DedupZone, "cell": balance.DedupCell,
 }
 
-var reportWays = map[string]balance.ReportMode{
+var reportModes = map[string]balance.ReportMode{
 	"": balance.ReportNone, "silent": balance.ReportNone,
 	"piggyback": balance.ReportPiggyback, "pull": balance.ReportProbe,
 }
@@ -144,18 +144,18 @@
 
 func (s *settings) config(seed uint64) (balance.Config, error) {
 	cfg := balance.Config{
-		Seed: seed, Index: s.Me, Peers: max(s.Peers, 1), Zone: s.Zone,
-		OverShareValue: or(s.OverShare, 1), MinBatchInterval: s.Quantum,
-		ParallelAttempts: s.Limits.Parallel, Cancel: s.Limits.Cancel, Probes: s.Limits.Probes,
-		Messages: s.Limits.MayTell, RetryAfter: s.Limits.RetryAfter,
+		Seed: seed, Index: s.Index, Peers: max(s.Peers, 1), Zone: s.Zone,
+		OverShareValue: valueOr(s.OverShareValue, 1), MinBatchInterval: s.MinBatchInterval,
+		ParallelAttempts: s.Limits.ParallelAttempts, Cancel: s.Limits.Cancel, Probes: s.Limits.Probes,
+		Messages: s.Limits.Messages, RetryAfter: s.Limits.RetryAfter,
 		MaxRetryAfter: s.Limits.MaxRetryAfter, ConnectTimeout: s.Limits.ConnectTimeout, ConnIdle: s.Limits.ConnIdle,
-		MaxAttempts: or(s.Limits.MaxAttempts, 1), StreamsPerConn: or(s.Limits.Streams, 1), MaxOpenRequests: s.Limits.OpenCap,
-		ValueByWork: s.ValueBy == "work", ClientsMarkRetries: s.Clients.MarksRetry,
-		DrainGrace: s.Rules.DrainGrace, SlowStartInitialFraction: or(s.Rules.ColdFrom, 1), SlowStartTime: s.Rules.ColdTime,
-		ColdOverloadFactor: s.Rules.FallMultiple, ColdOverloadTime: s.Rules.FallTime,
-		ListRefreshLimit: s.Rules.AskWithin, AnswerSlack: s.Rules.AnswerSlack,
+		MaxAttempts: valueOr(s.Limits.MaxAttempts, 1), StreamsPerConn: valueOr(s.Limits.StreamsPerConn, 1), MaxOpenRequests: s.Limits.MaxOpenRequests,
+		ValueByWork: s.ValueBy == "work", ClientsMarkRetries: s.Clients.MarkRetries,
+		DrainGrace: s.Rules.DrainGrace, SlowStartInitialFraction: valueOr(s.Rules.SlowStartInitialFraction, 1), SlowStartTime: s.Rules.SlowStartTime,
+		ColdOverloadFactor: s.Rules.ColdOverloadFactor, ColdOverloadTime: s.Rules.ColdOverloadTime,
+		ListRefreshLimit: s.Rules.ListRefreshLimit, AnswerSlack: s.Rules.AnswerSlack,
 		Goal:      balance.Goal(s.Goal),
-		Penalties: balance.Penalties(s.Prices),
+		Penalties: balance.Penalties(s.Penalties),
 	}
 	switch s.Discovery {
 	case "", "automatic":
@@ -165,7 +165,7 @@
 		return cfg, fmt.Errorf("settings: unknown discovery %q", s.Discovery)
 	}
 	var ok bool
-	if cfg.Reports, ok = reportWays[s.Report.Via]; !ok {
+	if cfg.Reports, ok = reportModes[s.Report.Via]; !ok {
 		return cfg, fmt.Errorf("settings: unknown report.via %q", s.Report.Via)
 	}
 	if cfg.Ratings, ok = ratingKinds[s.Weights]; !ok {
@@ -175,7 +175,7 @@
 		cfg.Fields = append(cfg.Fields, reportFields[name])
 	}
 	for _, t := range s.Tenants {
-		cfg.Tenants = append(cfg.Tenants, balance.Tenant{Quota: t.Allowance, Share: t.Share})
+		cfg.Tenants = append(cfg.Tenants, balance.Tenant{Quota: t.Quota, Share: t.Share})
 	}
 	if err := s.addClasses(&cfg); err != nil {
 		return cfg, err
@@ -190,23 +190,23 @@
 		name  string
 		value float64
 	}{
-		{"rules.answer_slack_ms", r.AnswerSlack}, {"rules.ask_within_ms", r.AskWithin}, {"rules.cold_ms", r.ColdTime},
-		{"rules.drain_grace_ms", r.DrainGrace}, {"rules.fall_ms", r.FallTime}, {"rules.fall_multiple", r.FallMultiple},
-		{"limits.connect_timeout_ms", l.ConnectTimeout}, {"limits.conn_idle_ms", l.ConnIdle}, {"quantum_ms", s.Quantum},
-		{"limits.max_retry_after_ms", l.MaxRetryAfter}, {"over_share_worth", or(s.OverShare, 0)},
-		{"limits.open_cap", float64(l.OpenCap)}, {"zone", float64(s.Zone)},
+		{"rules.answer_slack_ms", r.AnswerSlack}, {"rules.ask_within_ms", r.ListRefreshLimit}, {"rules.cold_ms", r.SlowStartTime},
+		{"rules.drain_grace_ms", r.DrainGrace}, {"rules.fall_ms", r.ColdOverloadTime}, {"rules.fall_multiple", r.ColdOverloadFactor},
+		{"limits.connect_timeout_ms", l.ConnectTimeout}, {"limits.conn_idle_ms", l.ConnIdle}, {"quantum_ms", s.MinBatchInterval},
+		{"limits.max_retry_after_ms", l.MaxRetryAfter}, {"over_share_worth", valueOr(s.OverShareValue, 0)},
+		{"limits.open_cap", float64(l.MaxOpenRequests)}, {"zone", float64(s.Zone)},
 	} {
 		if c.value < 0 {
 			return fmt.Errorf("settings: %s is %v, below 0", c.name, c.value)
 		}
 	}
-	if from := or(r.ColdFrom, 1); from < 0 || from > 1 {
+	if from := valueOr(r.SlowStartInitialFraction, 1); from < 0 || from > 1 {
 		return fmt.Errorf("settings: rules.cold_from is %v: want 0 to 1", from)
 	}
-	if r.ColdTime > 0 && (r.FallMultiple == 0 || r.FallTime == 0) {
-		return fmt.Errorf("settings: rules.cold_ms is %v without fall_multiple or fall_ms", r.ColdTime)
+	if r.SlowStartTime > 0 && (r.ColdOverloadFactor == 0 || r.ColdOverloadTime == 0) {
+		return fmt.Errorf("settings: rules.cold_ms is %v without fall_multiple or fall_ms", r.SlowStartTime)
 	}
-	if n := or(l.MaxAttempts, 1); n < 1 {
+	if n := valueOr(l.MaxAttempts, 1); n < 1 {
 		return fmt.Errorf("settings: limits.max_attempts is %d: want 1 or more", n)
 	}
 	return nil
@@ -221,34 +221,34 @@
 		if !ok {
 			return fmt.Errorf("settings: class %d: unknown effect %q", i, c.Effect)
 		}
-		group, ok := groups[c.Group]
+		group, ok := dedupScopes[c.DedupScope]
 		if !ok {
-			return fmt.Errorf("settings: class %d: unknown group %q", i, c.Group)
+			return fmt.Errorf("settings: class %d: unknown group %q", i, c.DedupScope)
 		}
-		if !(c.Deadline > 0) || c.Aim < 0 {
-			return fmt.Errorf("settings: class %d: aim %v ms, deadline %v ms", i, c.Aim, c.Deadline)
+		if !(c.Deadline > 0) || c.LatencyTarget < 0 {
+			return fmt.Errorf("settings: class %d: aim %v ms, deadline %v ms", i, c.LatencyTarget, c.Deadline)
 		}
-		if or(c.Window, 0) < 0 || or(c.Worth, 1) < 0 || c.LateWorth < 0 || c.AimStretch < 0 {
+		if valueOr(c.DedupWindow, 0) < 0 || valueOr(c.Value, 1) < 0 || c.LateValue < 0 || c.TargetStretch < 0 {
 			return fmt.Errorf("settings: class %d: a window, worth or aim_stretch below 0", i)
 		}
-		if effect == balance.Keyed && c.Window == nil {
+		if effect == balance.Keyed && c.DedupWindow == nil {
 			return fmt.Errorf("settings: class %d: keyed without window_ms", i)
 		}
-		aim := c.Aim
+		aim := c.LatencyTarget
 		if aim == 0 {
 			aim = c.Deadline
 		}
 		cfg.Classes = append(cfg.Classes, balance.Class{
-			Effect: effect, DedupScope: group, DedupWindow: or(c.Window, math.Inf(1)), LatencyTarget: aim, TargetStretch: c.AimStretch,
-			Deadline: c.Deadline, Value: or(c.Worth, 1), LateValue: c.LateWorth, Stream: c.Stream,
+			Effect: effect, DedupScope: group, DedupWindow: valueOr(c.DedupWindow, math.Inf(1)), LatencyTarget: aim, TargetStretch: c.TargetStretch,
+			Deadline: c.Deadline, Value: valueOr(c.Value, 1), LateValue: c.LateValue, Stream: c.Stream,
 		})
 	}
 	return nil
 }
 
-func or[T any](v *T, otherwise T) T {
+func valueOr[T any](v *T, fallback T) T {
 	if v == nil {
-		return otherwise
+		return fallback
 	}
 	return *v
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -61,7 +61,7 @@
 }
 
 // Each deployment's shape, with figures of its own: what reaches the module.
-func TestSettingsReachTheModule(t *testing.T) {
+func TestSettingsReachBalanceConfig(t *testing.T) {
 	cfg, err := parseBalance(1, []byte(`{"classes": [
 		{"effect": "idempotency_key", "group": "cell", "on_time_ms": 210, "hard_limit_ms": 700, "window_ms": 900},
 		{"effect": "non_idempotent", "group": "all", "on_time_ms": 250, "hard_limit_ms": 900, "window_ms": 900}],
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestImpossibleSettingsAreErrors(t *testing.T) {
+func TestInvalidSettingsAreErrors(t *testing.T) {
 	const class = `"classes": [{"effect": "read_like", "hard_limit_ms": 500}]`
 	for _, bad := range []string{
 		`{` + class + `, "rules": {"cold_ms": -1}}`,
