--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,65 +1,64 @@
-// Package invariant checks, in the running program, the promises that must never be broken: a violated one is counted,
-// logged with what explains it, and fails a test. A check costs little enough to be always on, and shares no code with
-// what it checks.
+// Package invariant checks invariants in the running program. A violation is counted, logged with the values that explain it,
+// and fails a test. A check is cheap enough to be always on, and shares no code with what it checks.
 //
-// A part of the program is given a Reporter. Monitor is the one of a process; tests make theirs with a function that
-// fails the test. docs/design/invariants.md lists each invariant with its check and the rule that it stands for.
+// Components are given a Reporter. Monitor is the Reporter of a process; tests use a Func that fails the test.
+// docs/design/invariants.md lists each invariant with its check and the rule that it belongs to.
 //
 // Start reading at Name and Monitor.
 package invariant
 
-// Name names an invariant, in logs and metrics.
+// Name is the name of an invariant in logs and metrics.
 type Name string
 
-// The invariants of a request, at the sidecar that took it from a client.
+// The invariants of a request, at the sidecar that received it from a client.
 const (
 	// NotResentAfterPossibleStart: a request that must not run twice is not sent again while or after an attempt may
 	// have run (rule TWICE).
 	NotResentAfterPossibleStart Name = "not_resent_after_possible_start"
-	// RefusedNeverStarted: a request that must not run twice is refused, which promises that it has not run, only
-	// where no attempt may have run (rule REFUSED).
+	// RefusedNeverStarted: a request that must not run twice is refused, which guarantees that it has not run, only
+	// if no attempt may have run (rule REFUSED).
 	RefusedNeverStarted Name = "refused_never_started"
-	// AttemptsWithinLimit: a request does not reach more servers than its route's attempts (rule BUDGET).
+	// AttemptsWithinLimit: a request is not sent to more servers than its route's limit of attempts (rule BUDGET).
 	AttemptsWithinLimit Name = "attempts_within_limit"
-	// DeadlineNotExtended: no attempt has more time than its request has left (rule BUDGET).
+	// DeadlineNotExtended: no attempt has a later deadline than its request (rule BUDGET).
 	DeadlineNotExtended Name = "deadline_not_extended"
-	// AnsweredByDeadline: each request has its answer when its deadline passes (rule CONFIG).
+	// AnsweredByDeadline: each request is answered when its deadline passes (rule CONFIG).
 	AnsweredByDeadline Name = "answered_by_deadline"
 )
 
 // The invariants of a server's last hop.
 const (
-	// StartedOnce: a request that must not run twice is handed to the local server once (rule TWICE).
+	// StartedOnce: a request that must not run twice is sent to the local server at most once (rule TWICE).
 	StartedOnce Name = "started_once"
-	// ClosingServerNotSent: a server gets no request after its closing was acknowledged and lastPostS has passed
+	// ClosingServerNotSent: a server is sent no request after its closing was acknowledged and lastPostS has passed
 	// (rule DRAIN).
 	ClosingServerNotSent Name = "closing_server_not_sent"
 )
 
 // The invariants of a sidecar's configuration.
 const (
-	// InForceMonotonic: within one process no older version comes in force (rule CONFIG).
+	// InForceMonotonic: within one process the version in force never becomes older (rule CONFIG).
 	InForceMonotonic Name = "in_force_monotonic"
-	// AdoptedVersionMatches: the text that comes in force has the version that it was sent under.
+	// AdoptedVersionMatches: the text that is put in force has the version that it was sent with.
 	AdoptedVersionMatches Name = "adopted_version_matches"
 )
 
 // The invariants of a control machine.
 const (
-	// SyncedBeforeSent: a promise or an acceptance leaves the machine after the state that it states is on disk.
+	// SyncedBeforeSent: a promise or an acceptance is sent only after the state that it confirms is on disk.
 	SyncedBeforeSent Name = "synced_before_sent"
-	// DiskMonotonic: neither the promised nor the accepted ballot on disk falls.
+	// DiskMonotonic: neither the promised nor the accepted ballot on disk decreases.
 	DiskMonotonic Name = "disk_monotonic"
-	// CommittedMonotonic: the version of the committed value does not fall (rules CONFIG and LOST).
+	// CommittedMonotonic: the version of the committed value does not decrease (rules CONFIG and LOST).
 	CommittedMonotonic Name = "committed_monotonic"
-	// OneContentPerVersion: a version has one text (rule CONFIG).
+	// OneContentPerVersion: a version has only one text (rule CONFIG).
 	OneContentPerVersion Name = "one_content_per_version"
-	// AcknowledgedIsCommitted: an acknowledged change is recorded in the value that a quorum holds (rule LOST).
+	// AcknowledgedIsCommitted: an acknowledged change is contained in the value that a quorum holds (rule LOST).
 	AcknowledgedIsCommitted Name = "acknowledged_is_committed"
 	// ReadCoversAcknowledged: a read returns no older version than one that this machine has acknowledged before
 	// (rule CONFIG).
 	ReadCoversAcknowledged Name = "read_covers_acknowledged"
-	// OperationsProgress: while a quorum answers a control machine, no operation waits for one for longer than
+	// OperationsProgress: while a quorum responds to a control machine, no operation waits for a quorum for longer than
 	// timing.Operations.MaxWait (rule ACKS).
 	OperationsProgress Name = "operations_progress"
 	// MembersKnown: a committed value has members.
@@ -79,11 +78,11 @@
 
 // Reporter is notified of violated invariants. It is safe for concurrent use and does not block.
 type Reporter interface {
-	// Violated reports a violation. The explanation is keys, which are strings, and values in turn, as of a log line.
+	// Violated reports a violation. The explanation alternates keys, which are strings, and values, as in a log line.
 	Violated(name Name, explanation ...any)
 }
 
-// Ignored is a Reporter that ignores violations, for programs that do not check.
+// Ignored is a Reporter that ignores violations, for programs that check no invariants.
 type Ignored struct{}
 
 // Violated implements Reporter.
--- a/internal/invariant/monitor.go
+++ b/internal/invariant/monitor.go
@@ -9,7 +9,7 @@
 	"golang.org/x/time/rate"
 )
 
-// Bounds of what is logged of each invariant's violations; all are counted.
+// The log's rate limit for the violations of one invariant. All violations are counted.
 const (
 	loggedAtOnce = 10
 	logInterval  = time.Second
@@ -21,7 +21,7 @@
 // Counter counts the violations of one invariant.
 type Counter interface{ Inc() }
 
-// Monitor is the Reporter of a process: it counts and logs.
+// Monitor is the Reporter of a process. It counts and logs violations.
 type Monitor struct {
 	log      kitlog.Logger
 	counters map[Name]Counter
@@ -30,7 +30,7 @@
 	limits map[Name]*rate.Sometimes
 }
 
-// NewMonitor returns a monitor that logs to log, and counts with one counter of newCounter for each invariant.
+// NewMonitor returns a monitor that logs to log and has a counter from newCounter for each invariant.
 func NewMonitor(log kitlog.Logger, newCounter func(Name) Counter) *Monitor {
 	m := &Monitor{log: log, counters: map[Name]Counter{}, limits: map[Name]*rate.Sometimes{}}
 	for _, name := range All() {
@@ -50,7 +50,7 @@
 	if limit := m.limits[name]; limit != nil {
 		limit.Do(func() {
 			line := append([]any{"msg", LogMessage, "invariant", string(name)}, explanation...)
-			_ = level.Error(m.log).Log(line...) // the counter has it
+			_ = level.Error(m.log).Log(line...) // the violation is counted even if this fails
 		})
 	}
 }
--- a/internal/invariant/monitor_test.go
+++ b/internal/invariant/monitor_test.go
@@ -9,12 +9,12 @@
 	kitlog "github.com/go-kit/log"
 )
 
-// counter is a Counter.
+// counter is a Counter for tests.
 type counter int
 
 func (c *counter) Inc() { *c++ }
 
-// Each violation of each invariant is counted, and the first ones of each are logged with what explains them.
+// Every violation is counted, and the first ones of each invariant are logged with their explanation.
 func TestMonitorCountsAndLogs(t *testing.T) {
 	var log bytes.Buffer
 	counters := map[Name]*counter{}
@@ -43,5 +43,5 @@
 			t.Errorf("%s: counted %d times, logged %d times", name, *counters[name], logged[string(name)])
 		}
 	}
-	monitor.Violated("not_one_of_them") // does no harm
+	monitor.Violated("not_one_of_them") // an unknown name is ignored
 }
--- a/internal/options/monitoring.go
+++ b/internal/options/monitoring.go
@@ -10,40 +10,40 @@
 	"strings"
 )
 
-// Reporting is about what is counted for monitoring; see report.
+// Reporting configures the counts for monitoring; see package report.
 type Reporting struct {
-	MaxPairs int `toml:"pairs"` // of class and tenant that are counted apart; 2,000 where it is 0
+	MaxPairs int `toml:"pairs"` // of class and tenant that have their own counters; 0: 2,000
 }
 
-// Graphite is about reports to a receiver of Graphite's; see internal/reporting.
+// Graphite configures reports to Graphite; see internal/reporting.
 type Graphite struct {
-	Address          string  `toml:"address"`       // host:port, over TCP; empty: none
-	Protocol         string  `toml:"protocol"`      // Plaintext, which it is where it is empty, or Pickle
-	Prefix           string  `toml:"prefix"`        // "firplank.{name}" where it is empty
-	IntervalSeconds  float64 `toml:"interval_s"`    // whole seconds; 10
-	Tags             bool    `toml:"tags"`          // labels as tags in place of parts of the path
-	SpoolBytes       int     `toml:"spool_bytes"`   // that wait for the receiver at most; 4 MiB
-	BacklogPerSecond float64 `toml:"backlog_per_s"` // intervals that are sent in a second of those that waited; 20
+	Address          string  `toml:"address"`       // host:port, over TCP; empty: no reports
+	Protocol         string  `toml:"protocol"`      // Plaintext (the default) or Pickle
+	Prefix           string  `toml:"prefix"`        // DefaultPrefix if empty
+	IntervalSeconds  float64 `toml:"interval_s"`    // a whole number; default 10
+	Tags             bool    `toml:"tags"`          // labels are sent as tags instead of path components
+	SpoolBytes       int     `toml:"spool_bytes"`   // limit of intervals that wait for the receiver; default 4 MiB
+	BacklogPerSecond float64 `toml:"backlog_per_s"` // rate limit of intervals that have waited; default 20
 }
 
-// Collectd is about reports to collectd.
+// Collectd configures reports to collectd.
 type Collectd struct {
-	NetworkAddress   string  `toml:"network"`       // host:port of its network plugin, over UDP; empty: none
-	SocketPath       string  `toml:"unix_socket"`   // path of its Unix socket; empty: none
-	Security         string  `toml:"security"`      // None, which it is where it is empty, Sign or Encrypt: of packets
-	Username         string  `toml:"username"`      // with Sign and Encrypt
-	PasswordFile     string  `toml:"password_file"` // ... whose first line is the password
-	Host             string  `toml:"host"`          // under which all is told; the sidecar's name where it is empty
-	IntervalSeconds  float64 `toml:"interval_s"`    // 10
-	PacketBytes      int     `toml:"packet_bytes"`  // 1452
-	SpoolBytes       int     `toml:"spool_bytes"`   // 4 MiB
-	BacklogPerSecond float64 `toml:"backlog_per_s"` // 20
-	LatePolicy       string  `toml:"late"`          // InOrder, which it is where it is empty, or Apart
+	NetworkAddress   string  `toml:"network"`       // host:port of its network plugin, over UDP; empty: no reports
+	SocketPath       string  `toml:"unix_socket"`   // path of its Unix socket; empty: no reports
+	Security         string  `toml:"security"`      // of packets: None (the default), Sign or Encrypt
+	Username         string  `toml:"username"`      // for Sign and Encrypt
+	PasswordFile     string  `toml:"password_file"` // for Sign and Encrypt; its first line is the password
+	Host             string  `toml:"host"`          // of all identifiers; the sidecar's name if empty
+	IntervalSeconds  float64 `toml:"interval_s"`    // a whole number; default 10
+	PacketBytes      int     `toml:"packet_bytes"`  // default 1452
+	SpoolBytes       int     `toml:"spool_bytes"`   // default 4 MiB
+	BacklogPerSecond float64 `toml:"backlog_per_s"` // default 20
+	LatePolicy       string  `toml:"late"`          // of intervals that have waited: InOrder (the default) or Separate
 
-	Password string `toml:"-"` // of the file
+	Password string `toml:"-"` // read from PasswordFile
 }
 
-// Receivers is how many receivers are reported to.
+// ReceiverCount returns the number of configured receivers.
 func (f *File) ReceiverCount() (n int) {
 	for _, address := range []string{f.Graphite.Address, f.Collectd.NetworkAddress, f.Collectd.SocketPath} {
 		if address != "" {
@@ -53,19 +53,19 @@
 	return n
 }
 
-// What Protocol and Security may be.
+// Values of Protocol, Security and LatePolicy.
 const (
 	Plaintext = "plaintext"
 	Pickle    = "pickle"
 	None      = "none"
 	Sign      = "sign"
 	Encrypt   = "encrypt"
-	// What waited for collectd goes ahead of what is new, or under identifiers of its own beside it.
+	// Intervals that have waited for collectd are sent before new ones, or under identifiers of their own.
 	InOrder  = "in_order"
 	Separate = "apart"
 )
 
-// UsualPrefix is what stands before all series in Graphite where the file does not say.
+// DefaultPrefix begins the paths of all series in Graphite if the file has no prefix.
 const DefaultPrefix = "firplank.{name}"
 
 const (
@@ -77,7 +77,7 @@
 var prefixPattern = regexp.MustCompile(`^([A-Za-z0-9_-]|\{name\}|\{process\})+(\.([A-Za-z0-9_-]|\{name\}|\{process\})+)*$`)
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9._-]{1,63}$`)
 
-// fillMonitoring checks the tables and puts in what is not set. An error names the key.
+// applyMonitoringDefaults checks the tables for monitoring and sets the defaults. An error names the key.
 func (f *File) applyMonitoringDefaults() error {
 	g, c := &f.Graphite, &f.Collectd
 	if f.Reporting.MaxPairs < 0 || f.Reporting.MaxPairs > maxPairs {
@@ -92,7 +92,8 @@
 		interval, backlog *float64
 		spool             *int
 	}{
-		{"graphite", g.Address, &g.IntervalSeconds, &g.BacklogPerSecond, &g.SpoolBytes}, {"collectd", c.NetworkAddress, &c.IntervalSeconds, &c.BacklogPerSecond, &c.SpoolBytes},
+		{"graphite", g.Address, &g.IntervalSeconds, &g.BacklogPerSecond, &g.SpoolBytes},
+		{"collectd", c.NetworkAddress, &c.IntervalSeconds, &c.BacklogPerSecond, &c.SpoolBytes},
 	} {
 		setDefault(r.interval, 10)
 		setDefault(r.backlog, 20)
@@ -154,7 +155,7 @@
 	return nil
 }
 
-// usual sets what was not set.
+// setDefault sets v to a default value if it is unset.
 func setDefault[T comparable](v *T, value T) {
 	var unset T
 	if *v == unset {
--- a/internal/options/options.go
+++ b/internal/options/options.go
@@ -1,6 +1,6 @@
-// Package options reads the sidecar's own file, in TOML: what is newer than the platform's configuration and is off
-// unless it stands there. It owns the form of the file and its checks; each table belongs to one subsystem, which is
-// given its values and never sees the file.
+// Package options reads the sidecar's options file in TOML. It has the features that are newer than the platform's configuration;
+// they are off unless the file enables them. The package owns the format of the file and its checks. Each table belongs to
+// one subsystem, which gets the values and doesn't depend on the file.
 package options
 
 import (
@@ -17,7 +17,7 @@
 	"firplank/internal/operators"
 )
 
-// File is the whole file. The zero value is what an empty file or none means.
+// File holds the whole file. The zero value stands for an empty or no file.
 type File struct {
 	LoadShedding LoadShedding `toml:"door"`
 	HTTP         HTTP         `toml:"http"`
@@ -31,68 +31,70 @@
 	Fleet        Fleet        `toml:"fleet"`
 }
 
-// Log is about what the log holds.
+// Log configures the log.
 type Log struct {
-	Level slog.Level `toml:"level"` // "debug": with a record twice a second of what the sidecar does; "info" without it
+	Level slog.Level `toml:"level"` // "debug" includes a record of the sidecar's state twice a second, "info" doesn't
 }
 
-// Fleet is about what sidecars tell one another; see fleet and internal/peers. It needs settings that allow it, peers and peer_listen.
+// Fleet configures the exchange of updates between sidecars; see packages fleet and internal/peers. It needs settings that allow
+// it, peers and peer_listen.
 type Fleet struct {
 	Enabled              bool    `toml:"enabled"`
-	MaxRequestsPerSecond float64 `toml:"most_per_s"` // requests that this sidecar takes at most, which the others reckon with; 0: 2000
+	MaxRequestsPerSecond float64 `toml:"most_per_s"` // request rate limit of this sidecar, which it announces to the others; 0: 2000
 }
 
-// usualMost is above what a core serves.
+// defaultMaxRequestsPerSecond is more than one core can serve.
 const defaultMaxRequestsPerSecond = 2000
 
-// HTTP is about the front for applications; see internal/front/http.
+// HTTP configures the front for applications; see internal/front/http.
 type HTTP struct {
-	StandardServer bool    `toml:"standard"` // on the standard library's server, as where the kernel has no other way
-	IdleSeconds    float64 `toml:"idle_s"`   // how long a connection may stand between two requests; 0: 5
-	// Waiting is the part of the clients' connections that may wait for a request before answers end theirs; 0: a quarter.
+	StandardServer bool    `toml:"standard"` // use the standard library's server, as on kernels without the polling one
+	IdleSeconds    float64 `toml:"idle_s"`   // time that a connection may be idle between two requests; 0: 5
+	// MaxIdleShare is the share of the limit of client connections that may be idle. Above it, answers close theirs. 0: a quarter.
 	MaxIdleShare float64 `toml:"waiting_share"`
 }
 
-// Broker is about contracts between teams; see internal/broker and contract.
+// Broker configures contracts between teams; see internal/broker and contract.
 type Broker struct {
-	ContractsDir      string  `toml:"contracts"`      // a folder of files in TOML; empty: none
-	CapacityPerSecond float64 `toml:"capacity_per_s"` // worth that all instances together can serve; 0: not reckoned with
-	BudgetShare       float64 `toml:"part"`           // of every budget that is this instance's; 0: one over the number of instances
+	ContractsDir      string  `toml:"contracts"`      // directory of TOML files; empty: no contracts
+	CapacityPerSecond float64 `toml:"capacity_per_s"` // value that all instances together can serve per second; 0: unknown
+	BudgetShare       float64 `toml:"part"`           // this instance's share of every budget; 0: one over the number of instances
 }
 
-// Operators is about the pages that operators look at.
+// Operators configures the pages for operators.
 type Operators struct {
-	Listen string `toml:"listen"` // a loopback address; empty: none
+	Listen string `toml:"listen"` // a loopback address; empty: no pages
 }
 
-// Door is about a sidecar that has run out of processor time; see internal/loadshed.
+// LoadShedding configures what the sidecar does when it runs out of CPU time; see internal/loadshed.
 type LoadShedding struct {
-	Enabled bool `toml:"enabled"` // turn requests away unread then
+	Enabled bool `toml:"enabled"` // reject requests unread
 }
 
-// MsgpackRPC is about clients and servers that speak MessagePack-RPC; see internal/front/msgpackrpc and
-// internal/upstream/msgpackrpc. Without Listen there is no front, without Flavors no back.
+// MsgpackRPC configures clients and servers that speak MessagePack-RPC; see internal/front/msgpackrpc and
+// internal/upstream/msgpackrpc. There is no front without Listen, and no back end without Flavors.
 type MsgpackRPC struct {
 	Listen               string `toml:"listen"`          // address for clients
-	MaxFrameBytes        int    `toml:"max_frame_bytes"` // 64 KiB where it is 0; so on below
-	MaxDepth             int    `toml:"max_depth"`       // 32
-	MaxOpenPerClientConn int    `toml:"max_open"`        // requests open on a client's connection; 1024
-	MaxClientConns       int    `toml:"connections"`     // of clients; 256
-
-	Flavors              []string `toml:"flavors"`            // of the roster: servers that speak it
-	ConnsPerServer       int      `toml:"server_connections"` // to one server; 2
-	MaxOpenPerServerConn int      `toml:"server_open"`        // requests open on one of them; 512
-	NotStartedCodes      []string `toml:"never_ran"`          // error codes by which a server says that it has not begun
-	AnswerCodes          []string `toml:"answers"`            // error codes that are the application's own answer; "*": all others
-	ProbeMethod          string   `toml:"probe"`              // the method that tells how a server is; none: a connection
+	MaxFrameBytes        int    `toml:"max_frame_bytes"` // 0: 64 KiB
+	MaxDepth             int    `toml:"max_depth"`       // 0: 32
+	MaxOpenPerClientConn int    `toml:"max_open"`        // limit of open requests on a client's connection; 0: 1024
+	MaxClientConns       int    `toml:"connections"`     // limit of clients' connections; 0: 256
+
+	Flavors              []string `toml:"flavors"`            // flavors in the roster whose servers speak MessagePack-RPC
+	ConnsPerServer       int      `toml:"server_connections"` // connections to one server; 0: 2
+	MaxOpenPerServerConn int      `toml:"server_open"`        // limit of open requests on each of them; 0: 512
+	NotStartedCodes      []string `toml:"never_ran"`          // error codes that mean that the request has not started
+	AnswerCodes          []string `toml:"answers"`            // error codes that are an application's answer, not a failure; "*": all others
+	ProbeMethod          string   `toml:"probe"`              // method of health checks; empty: connecting is the check
 
 	Methods []Method `toml:"method"`
 }
 
-// Enabled reports whether anything of it is on.
+// Enabled reports whether the front or the back end is enabled.
 func (m *MsgpackRPC) Enabled() bool { return m.Listen != "" || len(m.Flavors) > 0 }
 
-// Method is a method that clients may call. A param is a position, from 0, or a key of the map that is the first param.
+// Method describes a method that clients may call. A param is a position, from 0, or a key of the map that is the first
+// parameter.
 type Method struct {
 	Name             string `toml:"name"`
 	Class            string `toml:"class"`
@@ -104,19 +106,19 @@
 	TraceParam       any    `toml:"trace_param"`
 	TokenParam       any    `toml:"token_param"`
 	RepeatParam      any    `toml:"repeat_param"`
-	Path             string `toml:"path"`   // of HTTP servers; /api/ and the name where it is empty
-	MayNotify        bool   `toml:"notify"` // it may come as a notification
+	Path             string `toml:"path"`   // on HTTP servers; /api/ and the name if empty
+	MayNotify        bool   `toml:"notify"` // clients may send it as a notification
 }
 
-// The bounds of what may be set: a typing mistake must not cost all memory.
+// Upper limits of settings, so that a typing mistake doesn't exhaust the memory.
 const (
-	maxFrameLimit  = 16 << 20
-	maxDepthLimit  = 512
-	maxCountLimit  = 1 << 16
-	maxIdleSeconds = 7 * 24 * 3600 // seconds
+	maxFrameBytesLimit = 16 << 20
+	maxDepthLimit      = 512
+	maxCountLimit      = 1 << 16
+	maxIdleSeconds     = 7 * 24 * 3600
 )
 
-// fill checks the table and puts in what is not set. An error names the key.
+// applyDefaults checks the table and sets the defaults. An error names the key.
 func (m *MsgpackRPC) applyDefaults() error {
 	if m.Listen != "" {
 		if _, err := netip.ParseAddrPort(m.Listen); err != nil {
@@ -127,26 +129,26 @@
 		}
 	}
 	for _, f := range []struct {
-		key         string
-		value       *int
-		usual, most int
+		key                    string
+		value                  *int
+		defaultValue, maxValue int
 	}{
-		{"max_frame_bytes", &m.MaxFrameBytes, 64 << 10, maxFrameLimit}, {"max_depth", &m.MaxDepth, 32, maxDepthLimit},
+		{"max_frame_bytes", &m.MaxFrameBytes, 64 << 10, maxFrameBytesLimit}, {"max_depth", &m.MaxDepth, 32, maxDepthLimit},
 		{"max_open", &m.MaxOpenPerClientConn, 1024, maxCountLimit}, {"connections", &m.MaxClientConns, 256, maxCountLimit},
 		{"server_connections", &m.ConnsPerServer, 2, maxCountLimit}, {"server_open", &m.MaxOpenPerServerConn, 512, maxCountLimit},
 	} {
-		if *f.value < 0 || *f.value > f.most {
-			return fmt.Errorf("msgpack_rpc.%s is %d: want 1 to %d", f.key, *f.value, f.most)
+		if *f.value < 0 || *f.value > f.maxValue {
+			return fmt.Errorf("msgpack_rpc.%s is %d: want 1 to %d", f.key, *f.value, f.maxValue)
 		}
 		if *f.value == 0 {
-			*f.value = f.usual
+			*f.value = f.defaultValue
 		}
 	}
 	return nil
 }
 
-// Load reads and checks a file; an empty path means none. An error names the file and, where one is at fault, the line
-// and the key.
+// Load reads and checks a file. An empty path stands for no file. An error names the file and, if a line or key is invalid, that
+// line and key.
 func Load(path string) (*File, error) {
 	if path == "" {
 		return &File{}, nil
@@ -158,7 +160,7 @@
 	return Parse(path, text)
 }
 
-// Parse reads and checks the text of a file of that name.
+// Parse reads and checks the text of a file; name is used in errors.
 func Parse(name string, text []byte) (*File, error) {
 	f := &File{}
 	if err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(f); err != nil {
@@ -174,7 +176,8 @@
 		return nil, fmt.Errorf("options: %s: http.waiting_share is %v: want 0 to 1", name, v)
 	}
 	if b := &f.Broker; !(b.CapacityPerSecond >= 0) || !(b.BudgetShare >= 0 && b.BudgetShare <= 1) {
-		return nil, fmt.Errorf("options: %s: broker: capacity_per_s is %v and part %v: want 0 or more, and 0 to 1", name, b.CapacityPerSecond, b.BudgetShare)
+		return nil, fmt.Errorf("options: %s: broker: capacity_per_s is %v and part %v: want 0 or more, and 0 to 1",
+			name, b.CapacityPerSecond, b.BudgetShare)
 	}
 	if v := f.Fleet.MaxRequestsPerSecond; !(v >= 0 && v <= 1e6) {
 		return nil, fmt.Errorf("options: %s: fleet.most_per_s is %v: want 0 to 1000000", name, v)
@@ -192,7 +195,7 @@
 	return f, nil
 }
 
-// Placed names the file and the line of an error of the TOML decoder, once for each key at fault.
+// WithPosition adds the file and line to an error of the TOML decoder, and for unknown keys to each of them.
 func WithPosition(name string, err error) error {
 	var unknown *toml.StrictMissingError
 	var at *toml.DecodeError
--- a/internal/options/options_test.go
+++ b/internal/options/options_test.go
@@ -14,7 +14,7 @@
 	}
 }
 
-// The platform's own file leaves all that is new off.
+// The platform's own file must leave all new features off.
 func TestPlatformFileIsAllOff(t *testing.T) {
 	f, err := Load("../../deploy/firplank.toml")
 	if err != nil || f.LoadShedding.Enabled || f.MsgpackRPC.Enabled() || f.Broker.ContractsDir != "" || f.Operators.Listen != "" {
@@ -60,7 +60,7 @@
 		}
 	}
 	if _, err := Load(filepath.Join(dir, "none.toml")); err == nil {
-		t.Error("a file that is not there is read")
+		t.Error("no error for a missing file")
 	}
 }
 
--- a/internal/reporting/receivers.go
+++ b/internal/reporting/receivers.go
@@ -13,7 +13,7 @@
 	"firplank/report/graphite"
 )
 
-// nans returns so many NaN, for gauges without a value.
+// nans returns n gauges without a value.
 func nans(n int) []float64 {
 	all := make([]float64, n)
 	for i := range all {
@@ -22,13 +22,13 @@
 	return all
 }
 
-// seconds converts a setting.
+// seconds converts a setting in seconds.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// backlogCPUShare bounds the share of a core that sending a backlog uses.
+// backlogCPUShare limits the share of a core that sending a backlog uses.
 const backlogCPUShare = 0.02
 
-// basePolicy is the policy that all receivers share, with a backlog in seconds.
+// basePolicy returns the policy that all receivers share; backlog is a number of intervals per second.
 func basePolicy(backlog float64) feed.Policy {
 	return feed.Policy{
 		BacklogPerSecond:     backlog,
@@ -40,7 +40,7 @@
 	}
 }
 
-// Receivers returns the receivers that the options name, for the process of a sidecar that started at a time.
+// Receivers returns the receivers that the options configure. name is the sidecar's, started the start of its process.
 func Receivers(o *options.File, name string, started time.Time) []Receiver {
 	var all []Receiver
 	if o.Graphite.Address != "" {
@@ -60,7 +60,7 @@
 	return all
 }
 
-// maxHostBytes and maxNameBytes bound the sidecar's name in names of series.
+// maxHostBytes and maxNameBytes limit the sidecar's name as collectd's host and in Graphite paths.
 const (
 	maxHostBytes = 63
 	maxNameBytes = 200
@@ -129,13 +129,13 @@
 	}
 }
 
-// seal returns the security of collectd's network protocol that the options have.
+// newSealer returns the sealer that the options configure for collectd's network protocol.
 func newSealer(c *options.Collectd) *collectd.Sealer {
 	kind := map[string]collectd.Security{options.Sign: collectd.Sign, options.Encrypt: collectd.Encrypt}[c.Security]
 	return collectd.NewSealer(kind, c.Username, c.Password)
 }
 
-// Prefix replaces {name} and {process} in a prefix by the sidecar's name and the start time of its process.
+// Prefix replaces {name} and {process} in a prefix by the sidecar's name and the start time of its process, in base 36.
 func Prefix(prefix, name string, started time.Time) string {
 	return strings.NewReplacer(
 		"{name}", report.Escape(name, maxNameBytes), "{process}", strconv.FormatInt(started.Unix(), 36),
--- a/internal/reporting/reporting.go
+++ b/internal/reporting/reporting.go
@@ -1,9 +1,10 @@
-// Package reporting sends metrics to monitoring receivers. It owns one goroutine, the connections to receivers and what is written
-// on them; report counts, report/feed decides when an interval is sent, report/graphite and report/collectd encode it. It never
-// delays a request: it reads counters, asks the exchange for its state but goes on without it, and every write has a deadline.
+// Package reporting sends metrics to monitoring receivers. It owns one goroutine, the connections to receivers and the writing
+// to them. Package report counts, report/feed decides when an interval is sent, report/graphite and report/collectd encode it.
+// Reporting never delays a request: it reads counters, asks the exchange for its state and goes on without it after a time-out,
+// and every write has a deadline.
 //
-// reporting.go has the goroutine, sink.go the connection to one receiver, receivers.go makes receivers of the sidecar's options.
-// Start reading at Reporter.
+// reporting.go has the goroutine, sink.go the connection to one receiver, receivers.go creates receivers from the sidecar's
+// options. Start reading at Reporter.
 package reporting
 
 import (
@@ -23,9 +24,9 @@
 )
 
 const (
-	connectTimeout = 2 * time.Second // of a name's resolution and a connection
+	connectTimeout = 2 * time.Second // for resolving a name and connecting
 	stateTimeout   = 250 * time.Millisecond
-	// writeTimeout bounds a write, which blocks the goroutine; retryInterval is the pause before the next one.
+	// writeTimeout bounds a write, which blocks the goroutine; retryInterval is the pause before the next write.
 	writeTimeout  = 10 * time.Millisecond
 	retryInterval = 50 * time.Millisecond
 )
@@ -34,14 +35,14 @@
 type Config struct {
 	Counts    *report.Counts
 	Receivers []Receiver
-	// State fills in servers and teams; where it is nil or fails, they are left out.
+	// State fills in servers and teams. If it is nil or fails, they are left out of the report.
 	State   func(context.Context, *report.State) error
 	Started time.Time
 	Log     *slog.Logger
-	now     func() time.Time // nil: time.Now
+	now     func() time.Time // nil means time.Now
 }
 
-// Reporter reports to its receivers at each one's interval. Run is called once; Flush is safe to call from another goroutine.
+// Reporter reports to its receivers, at the interval of each. Run is called once; Flush may be called from another goroutine.
 type Reporter struct {
 	cfg         Config
 	table       *report.Table
@@ -49,7 +50,7 @@
 	dialResults chan dialResult
 	flush       chan time.Duration
 	done        chan struct{}
-	ctx         context.Context // Run's, which ends connection attempts
+	ctx         context.Context // of Run; its end cancels connection attempts
 	tasks       sync.WaitGroup  // connection attempts
 }
 
@@ -87,7 +88,8 @@
 	return r
 }
 
-// Run reports until ctx ends or a call of Flush is over, closes all connections and waits for connection attempts.
+// Run reports until ctx ends or a call of Flush is over. Before it returns it closes all connections and waits for connection
+// attempts.
 func (r *Reporter) Run(ctx context.Context) {
 	ctx, stop := context.WithCancel(ctx)
 	defer close(r.done)
@@ -105,7 +107,7 @@
 	for {
 		now := r.cfg.now()
 		wake := now.Add(time.Minute)
-		var sample *report.Sample // one for all whose intervals end together
+		var sample *report.Sample // shared by all sinks whose intervals end together
 		for _, s := range r.sinks {
 			if at := s.step(now, &sample); at.Before(wake) {
 				wake = at
@@ -131,7 +133,7 @@
 	}
 }
 
-// Flush ends the open interval and sends all pending ones. It returns when they are sent or the time is over; Run ends then.
+// Flush ends the open interval and sends all pending ones. It returns when they are sent or the timeout is over; Run ends then.
 func (r *Reporter) Flush(timeout time.Duration) {
 	select {
 	case r.flush <- timeout:
@@ -161,7 +163,7 @@
 	return true
 }
 
-// logUnsent logs the intervals that no receiver got.
+// logUnsent logs how many intervals haven't been sent.
 func (r *Reporter) logUnsent() {
 	for _, s := range r.sinks {
 		if n := s.spool.Pending(); n > 0 {
@@ -203,14 +205,14 @@
 	return sample
 }
 
-// memory is the memory that the Go runtime has mapped and not returned, in bytes.
+// memoryBytes returns the memory that the Go runtime has mapped and not returned to the operating system.
 func memoryBytes() uint64 {
 	samples := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
 	metrics.Read(samples)
 	return samples[0].Value.Uint64() - samples[1].Value.Uint64()
 }
 
-// dial connects to a sink's receiver on a goroutine of its own, as resolving a name may block.
+// dial connects to a sink's receiver in a separate goroutine, as resolving a name may block.
 func (r *Reporter) dial(s *sink) {
 	ctx, cancel := context.WithTimeout(r.ctx, connectTimeout)
 	runDone := r.ctx
@@ -224,7 +226,7 @@
 		case r.dialResults <- dialResult{sink: s, conn: conn, err: err}:
 		case <-runDone.Done():
 			if conn != nil {
-				_ = conn.Close() // the connection is released even where this fails
+				_ = conn.Close() // the connection is released even if this fails
 			}
 		}
 	})
--- a/internal/reporting/reporting_test.go
+++ b/internal/reporting/reporting_test.go
@@ -17,7 +17,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// life is one process of a sidecar.
+// process is one process of a sidecar.
 type process struct {
 	*report.Counts
 	*Reporter
@@ -45,8 +45,8 @@
 	}
 }
 
-// A sidecar is killed in the middle of an interval and starts again: no series shows more than was served, what was told before
-// stays, and only what no interval had told is missing.
+// A sidecar is killed in the middle of an interval and restarted. No series may show more requests than were served, values
+// already sent must stay, and only counts of the unfinished interval may be missing.
 func TestKilledInMidInterval(t *testing.T) {
 	carbon, err := receiver.NewCarbon(true)
 	if err != nil {
@@ -66,8 +66,8 @@
 	const path, id = "f.requests.permit%2Elookup%20v2.served.", "h/firplank-permit%2Elookup%20v2/firplank_requests"
 	first := startProcess(o)
 	first.serve(100)
-	testbed.Until(t, "the first is told of", func() bool { return carbon.Last(path+"total") == 100 && socket.Last(id, 1) == 100 })
-	first.serve(5) // of which nobody hears
+	testbed.Until(t, "the first process is reported", func() bool { return carbon.Last(path+"total") == 100 && socket.Last(id, 1) == 100 })
+	first.serve(5) // lost with the process
 	first.kill()
 	<-first.ended
 	second := startProcess(o)
@@ -76,22 +76,22 @@
 		<-second.ended
 	}()
 	second.serve(30)
-	testbed.Until(t, "the second is told of", func() bool { return carbon.Last(path+"total") == 30 && socket.Last(id, 1) == 30 })
+	testbed.Until(t, "the second process is reported", func() bool { return carbon.Last(path+"total") == 30 && socket.Last(id, 1) == 30 })
 	second.serve(7)
 	second.Flush(10 * time.Second)
-	testbed.Until(t, "its last interval is told of", func() bool { return carbon.Last(path+"total") == 37 && socket.Last(id, 1) == 37 })
+	testbed.Until(t, "its last interval arrives", func() bool { return carbon.Last(path+"total") == 37 && socket.Last(id, 1) == 37 })
 	if got := carbon.Sum(path + "count"); got != 137 && got != 142 {
-		t.Errorf("the intervals come to %v", got)
+		t.Errorf("the intervals' counts add up to %v", got)
 	}
 	if got := socket.Derived(id, 1); got > 142-30 {
-		t.Errorf("a spike: collectd sees a growth of %v", got)
+		t.Errorf("spike: growth of %v in collectd", got)
 	}
 	if _, other := carbon.Overwritten(); other > 0 || socket.Old() > 0 {
-		t.Errorf("%d points replaced, %d values too old", other, socket.Old())
+		t.Errorf("%d points overwritten, %d values too old", other, socket.Old())
 	}
 }
 
-// Receivers that are not there cost nothing but tries, and at the end the log says what is lost.
+// With an unreachable receiver, Flush returns in time and the log names the lost intervals.
 func TestUnreachableReceiver(t *testing.T) {
 	o, err := options.Parse("o.toml", []byte("[graphite]\ninterval_s = 3600\naddress = \"127.0.0.1:1\"\n"))
 	if err != nil {
@@ -109,6 +109,6 @@
 	r.Flush(50 * time.Millisecond)
 	<-ended
 	if !log.Contains("a receiver cannot be reached") || !log.Contains("intervals are lost with the process") {
-		t.Error("the log does not say so")
+		t.Error("expected messages are missing in the log")
 	}
 }
--- a/internal/reporting/sink.go
+++ b/internal/reporting/sink.go
@@ -21,9 +21,9 @@
 	Interval         time.Duration
 	SpoolBytes       int
 	Policy           feed.Policy
-	// Encode encodes a reading, which may be late, as pieces, each of which is one packet where the network has packets, and
-	// returns the number of acknowledgements to expect where the receiver sends them.
-	Encode func(r *report.Reading, table *report.Table, late bool) (pieces [][]byte, answers int, err error)
+	// Encode encodes a reading, which may be late, as pieces. On a packet network each piece is one packet. acks is the number of
+	// acknowledgements to expect from a receiver that sends them.
+	Encode func(r *report.Reading, table *report.Table, late bool) (pieces [][]byte, acks int, err error)
 }
 
 // sink sends intervals to one receiver. It belongs to the reporter's goroutine.
@@ -35,16 +35,16 @@
 	clock    *feed.Clock
 	previous []int64 // the counters at the end of the previous interval
 
-	conn        net.Conn // nil: none
+	conn        net.Conn // nil if not connected
 	outgoing    [][]byte // pieces of the current interval that aren't written yet
-	pendingAcks []int    // by written interval, oldest first
-	received    []byte   // the beginning of an acknowledgement
+	pendingAcks []int    // expected acknowledgements by written interval, oldest first
+	received    []byte   // an incomplete acknowledgement
 	rejected    int64
 	lastLogged  time.Time
 }
 
-// step ends an interval that is over, reads and writes what is possible, and returns when to be called again. sample is shared by
-// the sinks whose intervals end together.
+// step ends an interval that is over, reads and writes what is possible without waiting, and returns when to call it again.
+// sample is shared by the sinks whose intervals end together.
 func (s *sink) step(now time.Time, sample **report.Sample) time.Time {
 	if end, span, ok := s.clock.End(now); ok {
 		if *sample == nil {
@@ -84,7 +84,7 @@
 	}
 }
 
-// earlier returns the earlier of two times; b may be zero, which is none.
+// earlier returns the earlier of two times; a zero b is ignored.
 func earlier(a, b time.Time) time.Time {
 	if !b.IsZero() && b.Before(a) {
 		return b
@@ -92,7 +92,7 @@
 	return a
 }
 
-// endInterval adds an interval to the spool. A counter that has decreased was reset.
+// endInterval adds an interval to the spool. A counter that has decreased was reset, so its value is its growth.
 func (s *sink) endInterval(end time.Time, span time.Duration, sample *report.Sample) {
 	growth := make([]int64, len(sample.Counters))
 	for i, v := range sample.Counters {
@@ -115,25 +115,25 @@
 	if len(totals) < counters {
 		totals = append(totals, make([]int64, counters-len(totals))...)
 	}
-	pieces, acks, err := s.Encode(t.Render(e.End, e.Duration, growth, totals, e.Gauges(nans(gauges))), t, s.feed.Late())
-	if err != nil { // not retried: it would fail again
+	pieces, expectedAcks, err := s.Encode(t.Render(e.End, e.Duration, growth, totals, e.Gauges(nans(gauges))), t, s.feed.Late())
+	if err != nil { // not retried, as it would fail again
 		s.rejected++
-		s.logProblem(now, "an interval cannot be written", err.Error())
+		s.logProblem(now, "an interval cannot be encoded", err.Error())
 	}
 	s.outgoing = pieces
 	s.feed.Encoded(now, time.Since(started))
 	if s.Policy.Acks {
-		s.pendingAcks = append(s.pendingAcks, acks)
+		s.pendingAcks = append(s.pendingAcks, expectedAcks)
 	}
 	if len(pieces) == 0 {
 		s.outgoing = [][]byte{{}}
 	}
 }
 
-// write writes as much as the receiver accepts at once, and reports whether that was all.
+// write writes as much as the receiver accepts without blocking, and reports whether everything was written.
 func (s *sink) write(now time.Time) bool {
 	for len(s.outgoing) > 0 {
-		// Fails only on a closed connection, as the next call on it does.
+		// Fails only on a closed connection, on which the next call fails too.
 		_ = s.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 		n, err := s.conn.Write(s.outgoing[0])
 		if n > 0 {
@@ -156,13 +156,13 @@
 }
 
 const (
-	maxAckBytes        = 4 << 10 // of a receiver's line
-	maxLoggedAck       = 200     // bytes
+	maxAckBytes        = 4 << 10 // of one line
+	maxLoggedAck       = 200     // in bytes
 	readTimeout        = time.Millisecond
 	problemLogInterval = time.Minute
 )
 
-// Why a connection is closed.
+// Reasons for closing a connection.
 var (
 	errStalled      = errors.New("no progress or no acknowledgement in time")
 	errClosed       = errors.New("closed by the receiver")
@@ -179,7 +179,7 @@
 	}
 	var b [maxAckBytes]byte
 	for s.conn != nil && len(s.pendingAcks) > 0 {
-		// Fails only on a closed connection, as the next call on it does.
+		// Fails only on a closed connection, on which the next call fails too.
 		_ = s.conn.SetReadDeadline(time.Now().Add(readTimeout))
 		n, err := s.conn.Read(b[:])
 		s.received = append(s.received, b[:n]...)
@@ -196,7 +196,7 @@
 	}
 }
 
-// takeAck handles one acknowledgement of those received, and reports whether there was one.
+// handleAck handles the first complete acknowledgement received, and reports whether there was one.
 func (s *sink) handleAck(now time.Time) bool {
 	line, rest, complete := bytes.Cut(s.received, []byte("\n"))
 	if !complete || len(s.pendingAcks) == 0 {
@@ -205,7 +205,7 @@
 	s.received = append(s.received[:0], rest...)
 	if bytes.HasPrefix(line, []byte("-")) {
 		s.rejected++
-		s.logProblem(now, "a receiver takes some values not", string(line[:min(len(line), maxLoggedAck)]))
+		s.logProblem(now, "a receiver rejected values", string(line[:min(len(line), maxLoggedAck)]))
 	}
 	s.feed.Progress(now)
 	s.pendingAcks[0]--
@@ -228,21 +228,21 @@
 	s.reporter.cfg.Log.Info("connected to receiver", "receiver", s.Name, "address", s.Address, "waiting", s.spool.Pending())
 }
 
-// disconnected ends the connection: what is not known to have arrived waits again.
+// disconnected closes the connection. Intervals that aren't known to be delivered are sent again.
 func (s *sink) disconnected(now time.Time, err error) {
-	s.logProblem(now, "a receiver has gone", err.Error())
+	s.logProblem(now, "connection to a receiver lost", err.Error())
 	s.close()
 	s.feed.Disconnected(now)
 }
 
 func (s *sink) close() {
 	if s.conn != nil {
-		_ = s.conn.Close() // the connection is released even where this fails
+		_ = s.conn.Close() // the connection is released even if this fails
 	}
 	s.conn, s.outgoing, s.pendingAcks, s.received = nil, nil, nil, nil
 }
 
-// logProblem logs a problem with the receiver, at most one each problemLogInterval.
+// logProblem logs a problem with the receiver, at most once in problemLogInterval.
 func (s *sink) logProblem(now time.Time, message, reason string) {
 	if now.Sub(s.lastLogged) >= problemLogInterval || s.lastLogged.IsZero() {
 		s.lastLogged = now
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,6 +1,5 @@
-// Package telemetry is what a process of the mesh tells of itself in figures: counters and gauges, served as text in the
-// Prometheus exposition format. It owns the registry of the process and its listener; what is counted is for the packages
-// that count.
+// Package telemetry exposes the metrics of a process of the mesh: counters and gauges, served as text in the Prometheus
+// exposition format. It owns the process's registry and its listener; other packages update the metrics.
 //
 // Start reading at Registry.
 package telemetry
@@ -18,51 +17,51 @@
 	"firplank/internal/invariant"
 )
 
-// Path is the path of the figures, by GET.
+// Path is the HTTP path of the metrics.
 const Path = "/metrics"
 
-// The ports of the two programs, at their machine's address. deploy/system.toml names them too.
+// The ports of the metrics of sidecars and control machines, at their machine's address. deploy/system.toml has them too.
 const (
 	ProxyPort   = 9464
 	ControlPort = 9465
 )
 
 const (
-	// namePrefix begins the names of all figures.
+	// namePrefix begins the names of all metrics.
 	namePrefix = "firplank_"
 	// ViolationsName is the name of the counters of violated invariants.
 	ViolationsName = namePrefix + "invariant_violations_total"
-	// readTimeout bounds a scrape's request.
+	// readTimeout limits the time to read a scrape request.
 	readTimeout = 5 * time.Second
 )
 
-// Registry is the figures of a process. Its methods are safe for concurrent use.
+// Registry holds the metrics of a process. It is safe for concurrent use.
 type Registry struct{ set *metrics.Set }
 
 // NewRegistry returns an empty registry.
 func NewRegistry() *Registry { return &Registry{metrics.NewSet()} }
 
-// Counter returns the counter of a name, which is made if there is none: "requests_total".
+// Counter returns the counter of a name such as "requests_total", and creates it if there is none.
 func (r *Registry) Counter(name string) *metrics.Counter {
 	return r.set.GetOrCreateCounter(namePrefix + name)
 }
 
-// LabelledCounter returns a counter of a name with one label. The values have to be few.
+// LabelledCounter returns the counter of a name with one label, and creates it if there is none. The label must have few values.
 func (r *Registry) LabelledCounter(name, label, value string) *metrics.Counter {
 	return r.set.GetOrCreateCounter(fmt.Sprintf("%s%s{%s=%q}", namePrefix, name, label, value))
 }
 
-// Gauge has the figure of a name read by a function, at each scrape, from any goroutine.
+// Gauge adds a gauge whose value is read by a function at each scrape, from any goroutine.
 func (r *Registry) Gauge(name string, read func() float64) {
 	r.set.GetOrCreateGauge(namePrefix+name, read)
 }
 
-// Flag has the figure of a name with one label be 1 from now on. The values of the label have to be few.
+// SetFlag sets a gauge with one label to 1 for good. The label must have few values.
 func (r *Registry) SetFlag(name, label, value string) {
 	r.set.GetOrCreateGauge(fmt.Sprintf("%s%s{%s=%q}", namePrefix, name, label, value), func() float64 { return 1 })
 }
 
-// NewMonitor returns the monitor of the process's invariants, which counts in this registry.
+// NewMonitor returns the monitor of the process's invariants, which counts violations in this registry.
 func (r *Registry) NewMonitor(log kitlog.Logger) *invariant.Monitor {
 	return invariant.NewMonitor(log, func(name invariant.Name) invariant.Counter {
 		return r.LabelledCounter("invariant_violations_total", "invariant", string(name))
@@ -79,7 +78,7 @@
 	r.set.WritePrometheus(w)
 }
 
-// Serve serves the figures at a port of a machine until close is called. The error is that of the listener.
+// Serve serves the metrics on a port until close is called. It returns an error if it can't listen.
 func (r *Registry) Serve(ip string, port int) (close func(), err error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(ip, fmt.Sprint(port)))
 	if err != nil {
@@ -89,10 +88,10 @@
 	ended := make(chan struct{}, 1)
 	go func() {
 		defer func() { ended <- struct{}{} }()
-		_ = server.Serve(listener) // until closed
+		_ = server.Serve(listener) // returns when it is closed
 	}()
 	return func() {
-		_ = server.Close() // a scrape that is cut off is repeated
+		_ = server.Close() // an aborted scrape is repeated
 		<-ended
 	}, nil
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads what a deployment is told at its start: the object that the simulator's first message gives an
-// instance, and that a real sidecar finds in its configuration. Both programs use it. It owns the words and the checks;
-// it knows nothing of sockets or of the simulator's frames. What it returns is never changed.
+// Package settings reads and checks the settings that a deployment gets at its start: the object in the simulator's first
+// message to an instance, and the same object in a real sidecar's configuration. Both programs use it. It owns the keys and
+// the checks; it doesn't depend on sockets or the simulator's frames. Parsed settings are never changed.
 package settings
 
 import (
@@ -11,19 +11,19 @@
 	"firplank/balance"
 )
 
-// Settings are the settings of a deployment, checked.
+// Settings holds the checked settings of a deployment.
 type Settings struct {
-	Balance balance.Config // what the decision module is told, by number
+	Balance balance.Config // the balancer's configuration, in which names are replaced by indices
 
-	// Names, in the order of the numbers that the module has for them.
+	// Names, by the index that the balancer uses for each.
 	Classes, Tenants, Zones, Kinds []string
-	Fields                         []string // figures of a load report
+	Fields                         []string // of a load report
 }
 
-// settings mirrors the profile. Keys that are not here are skipped, those of later versions too. Skipped
-// knowingly, as no decision needs them: names (decisions must not hang on one), peers' tiers and kinds,
-// family_info, the CPU limits (the pass over the servers is cheap enough for all of them), nines_full,
-// and the prices of what this module never does (moves, origin, fleet, discovery).
+// settings is the JSON form of the settings. Unknown keys are ignored, as later versions add some. These keys are ignored as no
+// decision needs them: names (decisions must not depend on a name), tiers and kinds of peers, family_info, the CPU limits (the
+// loop over the servers is cheap enough for all of them), nines_full, and the penalties for what the balancer never does (moves,
+// origin, fleet, discovery).
 type settings struct {
 	Classes []struct {
 		Name          string   `json:"name"`
@@ -81,7 +81,7 @@
 		ColdOverloadTime         float64  `json:"fall_ms"`
 		ColdOverloadFactor       float64  `json:"fall_multiple"`
 	} `json:"rules"`
-	Goal struct { // in the order of balance.Goal, to which it converts; so is Prices, to balance.Penalties
+	Goal struct { // convertible to balance.Goal, as Penalties is to balance.Penalties: fields are in the same order
 		Total       float64 `json:"whole"`
 		WorstWindow float64 `json:"worst_window"`
 		WorstClass  float64 `json:"worst_class"`
@@ -122,7 +122,7 @@
 	"lat_ms": balance.FieldLatency, "rate": balance.FieldRate, "fail_rate": balance.FieldErrorRate,
 }
 
-// Parse reads the settings; seed is for the module's random numbers. An error names the key at fault.
+// Parse reads and checks the settings; seed is for the balancer's random numbers. An error names the invalid key.
 func Parse(seed uint64, text []byte) (*Settings, error) {
 	var s settings
 	if err := json.Unmarshal(text, &s); err != nil {
@@ -142,6 +142,7 @@
 	return all, nil
 }
 
+// config returns the balancer's configuration.
 func (s *settings) config(seed uint64) (balance.Config, error) {
 	cfg := balance.Config{
 		Seed: seed, Index: s.Index, Peers: max(s.Peers, 1), Zone: s.Zone,
@@ -149,9 +150,11 @@
 		ParallelAttempts: s.Limits.ParallelAttempts, Cancel: s.Limits.Cancel, Probes: s.Limits.Probes,
 		Messages: s.Limits.Messages, RetryAfter: s.Limits.RetryAfter,
 		MaxRetryAfter: s.Limits.MaxRetryAfter, ConnectTimeout: s.Limits.ConnectTimeout, ConnIdle: s.Limits.ConnIdle,
-		MaxAttempts: valueOr(s.Limits.MaxAttempts, 1), StreamsPerConn: valueOr(s.Limits.StreamsPerConn, 1), MaxOpenRequests: s.Limits.MaxOpenRequests,
-		ValueByWork: s.ValueBy == "work", ClientsMarkRetries: s.Clients.MarkRetries,
-		DrainGrace: s.Rules.DrainGrace, SlowStartInitialFraction: valueOr(s.Rules.SlowStartInitialFraction, 1), SlowStartTime: s.Rules.SlowStartTime,
+		MaxAttempts: valueOr(s.Limits.MaxAttempts, 1), StreamsPerConn: valueOr(s.Limits.StreamsPerConn, 1),
+		MaxOpenRequests: s.Limits.MaxOpenRequests,
+		ValueByWork:     s.ValueBy == "work", ClientsMarkRetries: s.Clients.MarkRetries,
+		DrainGrace:               s.Rules.DrainGrace,
+		SlowStartInitialFraction: valueOr(s.Rules.SlowStartInitialFraction, 1), SlowStartTime: s.Rules.SlowStartTime,
 		ColdOverloadFactor: s.Rules.ColdOverloadFactor, ColdOverloadTime: s.Rules.ColdOverloadTime,
 		ListRefreshLimit: s.Rules.ListRefreshLimit, AnswerSlack: s.Rules.AnswerSlack,
 		Goal:      balance.Goal(s.Goal),
@@ -169,7 +172,7 @@
 		return cfg, fmt.Errorf("settings: unknown report.via %q", s.Report.Via)
 	}
 	if cfg.Ratings, ok = ratingKinds[s.Weights]; !ok {
-		cfg.Ratings = balance.RatingRough // a later word: some kind of size, as the list says itself
+		cfg.Ratings = balance.RatingRough // a later version's value: the list has ratings of some kind
 	}
 	for _, name := range s.Report.Fields {
 		cfg.Fields = append(cfg.Fields, reportFields[name])
@@ -183,7 +186,7 @@
 	return cfg, s.checkRules()
 }
 
-// checkRules rejects what no deployment can mean: a silent default could break a rule.
+// checkRules rejects values that make no sense for any deployment. Replacing them by a default could break a rule.
 func (s *settings) checkRules() error {
 	r, l := &s.Rules, &s.Limits
 	for _, c := range []struct {
@@ -212,6 +215,7 @@
 	return nil
 }
 
+// addClasses checks the classes and adds them to the configuration.
 func (s *settings) addClasses(cfg *balance.Config) error {
 	if len(s.Classes) == 0 {
 		return fmt.Errorf("settings: no classes")
@@ -226,13 +230,14 @@
 			return fmt.Errorf("settings: class %d: unknown group %q", i, c.DedupScope)
 		}
 		if !(c.Deadline > 0) || c.LatencyTarget < 0 {
-			return fmt.Errorf("settings: class %d: aim %v ms, deadline %v ms", i, c.LatencyTarget, c.Deadline)
+			return fmt.Errorf("settings: class %d: on_time_ms is %v and hard_limit_ms %v: want 0 or more, and more than 0",
+				i, c.LatencyTarget, c.Deadline)
 		}
 		if valueOr(c.DedupWindow, 0) < 0 || valueOr(c.Value, 1) < 0 || c.LateValue < 0 || c.TargetStretch < 0 {
-			return fmt.Errorf("settings: class %d: a window, worth or aim_stretch below 0", i)
+			return fmt.Errorf("settings: class %d: window_ms, worth, late_worth or aim_stretch is below 0", i)
 		}
 		if effect == balance.Keyed && c.DedupWindow == nil {
-			return fmt.Errorf("settings: class %d: keyed without window_ms", i)
+			return fmt.Errorf("settings: class %d: effect idempotency_key without window_ms", i)
 		}
 		aim := c.LatencyTarget
 		if aim == 0 {
@@ -246,6 +251,7 @@
 	return nil
 }
 
+// valueOr returns the value v points to, or fallback if v is nil.
 func valueOr[T any](v *T, fallback T) T {
 	if v == nil {
 		return fallback
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -7,7 +7,7 @@
 	"firplank/balance"
 )
 
-// parseBalance is what the module gets of the settings.
+// parseBalance returns the balancer's configuration from the settings.
 func parseBalance(seed uint64, text []byte) (balance.Config, error) {
 	s, err := Parse(seed, text)
 	if err != nil {
@@ -39,11 +39,11 @@
 	}
 	want := balance.Penalties{CrossZone: 1, Waste: 2, Handshake: 3, Probe: 4, Peer: 5, LateFail: 6}
 	if cfg.Penalties != want {
-		t.Errorf("prices %+v", cfg.Penalties)
+		t.Errorf("penalties %+v", cfg.Penalties)
 	}
 	second := cfg.Classes[1]
 	if second.Effect != balance.Keyed || second.DedupScope != balance.DedupCell || second.LatencyTarget != 600 || second.Value != 1 {
-		t.Errorf("a class with keys left out: %+v", second)
+		t.Errorf("class with omitted keys: %+v", second)
 	}
 	if cfg.Reports != balance.ReportProbe || len(cfg.Fields) != 3 || cfg.Fields[1] != balance.FieldUnknown {
 		t.Errorf("reports %v %v", cfg.Reports, cfg.Fields)
@@ -60,7 +60,7 @@
 	}
 }
 
-// Each deployment's shape, with figures of its own: what reaches the module.
+// The keys that deployments use are copied to the balancer's configuration, each with a value of its own.
 func TestSettingsReachBalanceConfig(t *testing.T) {
 	cfg, err := parseBalance(1, []byte(`{"classes": [
 		{"effect": "idempotency_key", "group": "cell", "on_time_ms": 210, "hard_limit_ms": 700, "window_ms": 900},
@@ -86,7 +86,7 @@
 	for _, bad := range []string{
 		`{` + class + `, "rules": {"cold_ms": -1}}`,
 		`{` + class + `, "rules": {"cold_from": 1.5}}`,
-		`{` + class + `, "rules": {"cold_ms": 5000}}`, // nothing says when a cold server falls
+		`{` + class + `, "rules": {"cold_ms": 5000}}`, // fall_multiple and fall_ms are missing
 		`{` + class + `, "rules": {"drain_grace_ms": -250}}`,
 		`{` + class + `, "rules": {"fall_ms": 1e999}}`,
 		`{` + class + `, "limits": {"max_attempts": 0}}`,
