--- a/internal/options/options.go
+++ b/internal/options/options.go
@@ -48,10 +48,10 @@
 
 // HTTP configures the front for applications; see internal/front/http.
 type HTTP struct {
-	StandardServer bool    `toml:"standard"` // use the standard library's server, as on kernels without the polling one
-	IdleSeconds    float64 `toml:"idle_s"`   // time that a connection may be idle between two requests; 0: 5
-	// MaxIdleShare is the share of the limit of client connections that may be idle. Above it, answers close theirs. 0: a quarter.
-	MaxIdleShare float64 `toml:"waiting_share"`
+	StandardServer     bool    `toml:"standard"` // use the standard library's server, as on kernels without the polling one
+	IdleTimeoutSeconds float64 `toml:"idle_s"`   // time that a connection may be idle between two requests; 0: 5
+	// MaxIdleFraction is the fraction of the limit of client connections that may be idle. Above it, answers close theirs. 0: a quarter.
+	MaxIdleFraction float64 `toml:"waiting_share"`
 }
 
 // Broker configures contracts between teams; see internal/broker and contract.
@@ -169,10 +169,10 @@
 	if err := f.MsgpackRPC.applyDefaults(); err != nil {
 		return nil, fmt.Errorf("options: %s: %w", name, err)
 	}
-	if v := f.HTTP.IdleSeconds; !(v >= 0 && v <= maxIdleSeconds) {
+	if v := f.HTTP.IdleTimeoutSeconds; !(v >= 0 && v <= maxIdleSeconds) {
 		return nil, fmt.Errorf("options: %s: http.idle_s is %v: want 0 to %d", name, v, maxIdleSeconds)
 	}
-	if v := f.HTTP.MaxIdleShare; !(v >= 0 && v <= 1) {
+	if v := f.HTTP.MaxIdleFraction; !(v >= 0 && v <= 1) {
 		return nil, fmt.Errorf("options: %s: http.waiting_share is %v: want 0 to 1", name, v)
 	}
 	if b := &f.Broker; !(b.CapacityPerSecond >= 0) || !(b.BudgetShare >= 0 && b.BudgetShare <= 1) {
--- a/report/counts.go
+++ b/report/counts.go
@@ -84,16 +84,16 @@
 }
 
 // New returns counts for the classes and tenants of a configuration.
-func New(s Config) *Counts {
-	if s.MaxPairs <= 0 {
-		s.MaxPairs = defaultMaxPairs
+func New(config Config) *Counts {
+	if config.MaxPairs <= 0 {
+		config.MaxPairs = defaultMaxPairs
 	}
-	s.MaxPairs = min(s.MaxPairs, len(s.Classes)*len(s.Tenants))
+	config.MaxPairs = min(config.MaxPairs, len(config.Classes)*len(config.Tenants))
 	c := &Counts{
-		config: s, pairIndex: make([]atomic.Uint32, len(s.Classes)*len(s.Tenants)),
-		counters: make([]requestCounters, len(s.Classes)+s.MaxPairs), latencies: make([]Histogram, len(s.Classes)),
+		config: config, pairIndex: make([]atomic.Uint32, len(config.Classes)*len(config.Tenants)),
+		counters: make([]requestCounters, len(config.Classes)+config.MaxPairs), latencies: make([]Histogram, len(config.Classes)),
 	}
-	for i := range s.Classes {
+	for i := range config.Classes {
 		c.counters[i].class, c.counters[i].tenant = i, -1
 	}
 	return c
--- a/report/table.go
+++ b/report/table.go
@@ -70,8 +70,8 @@
 		Derived: []Field{{"p50", "ms", "50th percentile"}, {"p90", "ms", "90th percentile"},
 			{"p99", "ms", "99th percentile"}, {"p999", "ms", "99.9th percentile"}},
 		derive: func(d []int64, out []float64) {
-			for i, part := range []float64{0.5, 0.9, 0.99, 0.999} {
-				if took, ok := quantile(d, part); ok {
+			for i, fraction := range []float64{0.5, 0.9, 0.99, 0.999} {
+				if took, ok := quantile(d, fraction); ok {
 					out[i] = float64(took) / float64(time.Millisecond)
 				}
 			}
