--- a/internal/reporting/reporting.go
+++ b/internal/reporting/reporting.go
@@ -1,9 +1,10 @@
-// Package reporting sends metrics to monitoring receivers. It owns one goroutine, the connections to receivers and what is written
-// on them; report counts, report/feed decides when an interval is sent, report/graphite and report/collectd encode it. It never
-// delays a request: it reads counters, asks the exchange for its state but goes on without it, and every write has a deadline.
+// Package reporting sends metrics to monitoring receivers. It owns one goroutine, the connections to receivers and the writing
+// to them. Package report counts, report/feed decides when an interval is sent, report/graphite and report/collectd encode it.
+// Reporting never delays a request: it reads counters, asks the exchange for its state and goes on without it after a time-out,
+// and every write has a deadline.
 //
-// reporting.go has the goroutine, sink.go the connection to one receiver, receivers.go makes receivers of the sidecar's options.
-// Start reading at Reporter.
+// reporting.go has the goroutine, sink.go the connection to one receiver, receivers.go creates receivers from the sidecar's
+// options. Start reading at Reporter.
 package reporting
 
 import (
@@ -23,9 +24,9 @@
 )
 
 const (
-	connectTimeout = 2 * time.Second // of a name's resolution and a connection
+	connectTimeout = 2 * time.Second // for resolving a name and connecting
 	stateTimeout   = 250 * time.Millisecond
-	// writeTimeout bounds a write, which blocks the goroutine; retryInterval is the pause before the next one.
+	// writeTimeout bounds a write, which blocks the goroutine; retryInterval is the pause before the next write.
 	writeTimeout  = 10 * time.Millisecond
 	retryInterval = 50 * time.Millisecond
 )
@@ -34,14 +35,14 @@
 type Config struct {
 	Counts    *report.Counts
 	Receivers []Receiver
-	// State fills in servers and teams; where it is nil or fails, they are left out.
+	// State fills in servers and teams. If it is nil or fails, they are left out of the report.
 	State   func(context.Context, *report.State) error
 	Started time.Time
 	Log     *slog.Logger
-	now     func() time.Time // nil: time.Now
+	now     func() time.Time // nil means time.Now
 }
 
-// Reporter reports to its receivers at each one's interval. Run is called once; Flush is safe to call from another goroutine.
+// Reporter reports to its receivers, at the interval of each. Run is called once; Flush may be called from another goroutine.
 type Reporter struct {
 	cfg         Config
 	table       *report.Table
@@ -49,7 +50,7 @@
 	dialResults chan dialResult
 	flush       chan time.Duration
 	done        chan struct{}
-	ctx         context.Context // Run's, which ends connection attempts
+	ctx         context.Context // of Run; its end cancels connection attempts
 	tasks       sync.WaitGroup  // connection attempts
 }
 
@@ -87,7 +88,8 @@
 	return r
 }
 
-// Run reports until ctx ends or a call of Flush is over, closes all connections and waits for connection attempts.
+// Run reports until ctx ends or a call of Flush is over. Before it returns it closes all connections and waits for connection
+// attempts.
 func (r *Reporter) Run(ctx context.Context) {
 	ctx, stop := context.WithCancel(ctx)
 	defer close(r.done)
@@ -101,17 +103,17 @@
 	}()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	var over <-chan time.Time
+	var expired <-chan time.Time
 	for {
 		now := r.cfg.now()
 		wake := now.Add(time.Minute)
-		var sample *report.Sample // one for all whose intervals end together
+		var sample *report.Sample // shared by all sinks whose intervals end together
 		for _, s := range r.sinks {
 			if at := s.step(now, &sample); at.Before(wake) {
 				wake = at
 			}
 		}
-		if over != nil && r.allDone() {
+		if expired != nil && r.allDone() {
 			return
 		}
 		timer.Reset(max(time.Millisecond, wake.Sub(now)))
@@ -119,10 +121,10 @@
 		case <-timer.C:
 		case d := <-r.dialResults:
 			d.sink.connected(r.cfg.now(), d)
-		case within := <-r.flush:
-			over = time.After(within)
+		case timeout := <-r.flush:
+			expired = time.After(timeout)
 			r.endIntervals()
-		case <-over:
+		case <-expired:
 			r.logUnsent()
 			return
 		case <-ctx.Done():
@@ -131,10 +133,10 @@
 	}
 }
 
-// Flush ends the open interval and sends all pending ones. It returns when they are sent or the time is over; Run ends then.
-func (r *Reporter) Flush(within time.Duration) {
+// Flush ends the open interval and sends all pending ones. It returns when they are sent or the timeout is over; Run ends then.
+func (r *Reporter) Flush(timeout time.Duration) {
 	select {
-	case r.flush <- within:
+	case r.flush <- timeout:
 		<-r.done
 	case <-r.done:
 	}
@@ -161,7 +163,7 @@
 	return true
 }
 
-// logUnsent logs the intervals that no receiver got.
+// logUnsent logs how many intervals haven't been sent.
 func (r *Reporter) logUnsent() {
 	for _, s := range r.sinks {
 		if n := s.spool.Pending(); n > 0 {
@@ -172,7 +174,7 @@
 
 // sample reads all series.
 func (r *Reporter) sample(now time.Time) *report.Sample {
-	st := &report.State{Time: now, Started: r.cfg.Started, MemoryBytes: memory()}
+	st := &report.State{Time: now, Started: r.cfg.Started, MemoryBytes: memoryBytes()}
 	if r.cfg.State != nil {
 		ctx, cancel := context.WithTimeout(r.ctx, stateTimeout)
 		defer cancel()
@@ -203,17 +205,17 @@
 	return sample
 }
 
-// memory is the memory that the Go runtime has mapped and not returned, in bytes.
-func memory() uint64 {
-	held := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
-	metrics.Read(held)
-	return held[0].Value.Uint64() - held[1].Value.Uint64()
+// memoryBytes returns the memory that the Go runtime has mapped and not returned to the operating system.
+func memoryBytes() uint64 {
+	samples := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
+	metrics.Read(samples)
+	return samples[0].Value.Uint64() - samples[1].Value.Uint64()
 }
 
-// dial connects to a sink's receiver on a goroutine of its own, as resolving a name may block.
+// dial connects to a sink's receiver in a separate goroutine, as resolving a name may block.
 func (r *Reporter) dial(s *sink) {
 	ctx, cancel := context.WithTimeout(r.ctx, connectTimeout)
-	ended := r.ctx
+	runDone := r.ctx
 	r.tasks.Go(func() {
 		defer cancel()
 		conn, err := (&net.Dialer{}).DialContext(ctx, s.Network, s.Address)
@@ -222,9 +224,9 @@
 		}
 		select {
 		case r.dialResults <- dialResult{sink: s, conn: conn, err: err}:
-		case <-ended.Done():
+		case <-runDone.Done():
 			if conn != nil {
-				_ = conn.Close() // the connection is released even where this fails
+				_ = conn.Close() // the connection is released even if this fails
 			}
 		}
 	})
--- a/internal/reporting/reporting_test.go
+++ b/internal/reporting/reporting_test.go
@@ -17,18 +17,18 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// life is one process of a sidecar.
-type life struct {
+// process is one process of a sidecar.
+type process struct {
 	*report.Counts
 	*Reporter
 	kill  context.CancelFunc
 	ended chan bool
 }
 
-func begin(o *options.File) *life {
+func startProcess(o *options.File) *process {
 	counts := report.New(report.Config{Classes: []report.Class{{Name: "permit.lookup v2", Value: 1}}, Tenants: []string{"a"}})
 	ctx, kill := context.WithCancel(context.Background())
-	l := &life{Counts: counts, kill: kill, ended: make(chan bool), Reporter: New(Config{
+	l := &process{Counts: counts, kill: kill, ended: make(chan bool), Reporter: New(Config{
 		Counts: counts, Receivers: Receivers(o, "n1", time.Now()), Started: time.Now(), Log: slog.New(slog.DiscardHandler),
 	})}
 	go func() {
@@ -38,15 +38,15 @@
 	return l
 }
 
-func (l *life) serve(n int) {
+func (l *process) serve(n int) {
 	for range n {
 		l.RequestReceived(0, 0, false)
 		l.RequestEnded(0, 0, report.Served, time.Millisecond)
 	}
 }
 
-// A sidecar is killed in the middle of an interval and starts again: no series shows more than was served, what was told before
-// stays, and only what no interval had told is missing.
+// A sidecar is killed in the middle of an interval and restarted. No series may show more requests than were served, values
+// already sent must stay, and only counts of the unfinished interval may be missing.
 func TestKilledInMidInterval(t *testing.T) {
 	carbon, err := receiver.NewCarbon(true)
 	if err != nil {
@@ -64,34 +64,34 @@
 		t.Fatal(err)
 	}
 	const path, id = "f.requests.permit%2Elookup%20v2.served.", "h/firplank-permit%2Elookup%20v2/firplank_requests"
-	first := begin(o)
+	first := startProcess(o)
 	first.serve(100)
-	testbed.Until(t, "the first is told of", func() bool { return carbon.Last(path+"total") == 100 && socket.Last(id, 1) == 100 })
-	first.serve(5) // of which nobody hears
+	testbed.Until(t, "the first process is reported", func() bool { return carbon.Last(path+"total") == 100 && socket.Last(id, 1) == 100 })
+	first.serve(5) // lost with the process
 	first.kill()
 	<-first.ended
-	second := begin(o)
+	second := startProcess(o)
 	defer func() {
 		second.kill()
 		<-second.ended
 	}()
 	second.serve(30)
-	testbed.Until(t, "the second is told of", func() bool { return carbon.Last(path+"total") == 30 && socket.Last(id, 1) == 30 })
+	testbed.Until(t, "the second process is reported", func() bool { return carbon.Last(path+"total") == 30 && socket.Last(id, 1) == 30 })
 	second.serve(7)
 	second.Flush(10 * time.Second)
-	testbed.Until(t, "its last interval is told of", func() bool { return carbon.Last(path+"total") == 37 && socket.Last(id, 1) == 37 })
+	testbed.Until(t, "its last interval arrives", func() bool { return carbon.Last(path+"total") == 37 && socket.Last(id, 1) == 37 })
 	if got := carbon.Sum(path + "count"); got != 137 && got != 142 {
-		t.Errorf("the intervals come to %v", got)
+		t.Errorf("the intervals' counts add up to %v", got)
 	}
 	if got := socket.Derived(id, 1); got > 142-30 {
-		t.Errorf("a spike: collectd sees a growth of %v", got)
+		t.Errorf("spike: growth of %v in collectd", got)
 	}
 	if _, other := carbon.Overwritten(); other > 0 || socket.Old() > 0 {
-		t.Errorf("%d points replaced, %d values too old", other, socket.Old())
+		t.Errorf("%d points overwritten, %d values too old", other, socket.Old())
 	}
 }
 
-// Receivers that are not there cost nothing but tries, and at the end the log says what is lost.
+// With an unreachable receiver, Flush returns in time and the log names the lost intervals.
 func TestUnreachableReceiver(t *testing.T) {
 	o, err := options.Parse("o.toml", []byte("[graphite]\ninterval_s = 3600\naddress = \"127.0.0.1:1\"\n"))
 	if err != nil {
@@ -109,6 +109,6 @@
 	r.Flush(50 * time.Millisecond)
 	<-ended
 	if !log.Contains("a receiver cannot be reached") || !log.Contains("intervals are lost with the process") {
-		t.Error("the log does not say so")
+		t.Error("expected messages are missing in the log")
 	}
 }
--- a/report/collectd/collectd_test.go
+++ b/report/collectd/collectd_test.go
@@ -16,7 +16,7 @@
 	"firplank/report"
 )
 
-// The bytes of a packet, made by hand of the protocol's description.
+// Compares a packet with bytes written by hand from the protocol's description.
 func TestPacket(t *testing.T) {
 	l := []ValueList{{
 		Host: "h", Plugin: "p", Type: "t", Time: time.Unix(2, 500_000_000), Interval: 10 * time.Second,
@@ -37,7 +37,7 @@
 	}
 }
 
-func lists(t *rapid.T) []ValueList {
+func drawValueLists(t *rapid.T) []ValueList {
 	name := rapid.StringMatching(`[a-zA-Z0-9_%]{1,63}`)
 	value := rapid.Custom(func(t *rapid.T) Value {
 		v := Value{Type: Type(rapid.IntRange(0, 3).Draw(t, "type")), Int: rapid.Int64Range(0, 1<<50).Draw(t, "int")}
@@ -56,15 +56,15 @@
 	}), 1, 60).Draw(t, "lists")
 }
 
-// Whatever is told is read back by a receiver, whole, in packets within the bound, plain, signed and encrypted; with another
-// password nothing is.
-func TestReceiversReadPackets(t *testing.T) { rapid.Check(t, receiversRead) }
+// A receiver must read back every value list from plain, signed and encrypted packets within the size limit. It must reject
+// signed and encrypted packets that have another password or were altered.
+func TestReceiversReadPackets(t *testing.T) { rapid.Check(t, checkReceiversRead) }
 
-func FuzzReceiversReadPackets(f *testing.F) { f.Fuzz(rapid.MakeFuzz(receiversRead)) }
+func FuzzReceiversReadPackets(f *testing.F) { f.Fuzz(rapid.MakeFuzz(checkReceiversRead)) }
 
-func receiversRead(t *rapid.T) {
+func checkReceiversRead(t *rapid.T) {
 	security := Security(rapid.IntRange(0, 2).Draw(t, "security"))
-	all, size := lists(t), rapid.IntRange(1024, 4000).Draw(t, "size")
+	all, size := drawValueLists(t), rapid.IntRange(1024, 4000).Draw(t, "size")
 	packets, err := NewEncoder(size, NewSealer(security, "monitor", "secret")).Packets(all)
 	if err != nil {
 		t.Fatal(err)
@@ -85,11 +85,11 @@
 				t.Fatalf("%+v, want %+v", l, want)
 			}
 			for i, v := range want.Values {
-				told := float64(v.Int)
+				sent := float64(v.Int)
 				if v.Type == Gauge {
-					told = v.Gauge
+					sent = v.Gauge
 				}
-				if l.Values[i] != told || int(l.Kinds[i]) != int(v.Type) {
+				if l.Values[i] != sent || int(l.Kinds[i]) != int(v.Type) {
 					t.Fatalf("value %d is %v of kind %d, want %+v", i, l.Values[i], l.Kinds[i], v)
 				}
 			}
@@ -99,20 +99,20 @@
 			continue
 		}
 		if _, err := (receiver.Users{"monitor": "other"}).Decode(p); err == nil {
-			t.Fatal("read with another password")
+			t.Fatal("decoded with another password")
 		}
 		bad := bytes.Clone(p)
 		bad[len(bad)-1] ^= 1
 		if _, err := users.Decode(bad); err == nil {
-			t.Fatal("read although it was altered")
+			t.Fatal("decoded although it was altered")
 		}
 	}
 	if n != len(all) {
-		t.Fatalf("%d of %d lists", n, len(all))
+		t.Fatalf("%d of %d value lists", n, len(all))
 	}
 }
 
-// The socket's lines are read back too, and a gauge that is not there is undefined.
+// The socket's lines must be read back too. A gauge without a value is undefined (U).
 func TestPutval(t *testing.T) {
 	l := ValueList{
 		Host: "h", Plugin: "firplank", PluginInstance: "a%20b", Type: "t", Time: time.Unix(2, 0), Interval: 10 * time.Second,
@@ -123,7 +123,7 @@
 		t.Errorf("%s, want %s", got, want)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		for _, l := range lists(t) {
+		for _, l := range drawValueLists(t) {
 			got, err := receiver.ParsePutval(strings.TrimSuffix(string(AppendPutval(nil, &l)), "\n"))
 			if err != nil || len(got.Values) != len(l.Values) || !got.At.Equal(l.Time) {
 				t.Fatalf("%+v, %v", got, err)
@@ -132,7 +132,7 @@
 	})
 }
 
-// What operators add to types.db is what is sent.
+// The types.db that operators install must match the encoded types.
 func TestTypesFile(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/monitoring/types.db")
 	if err != nil || string(text) != TypesDB() {
@@ -140,7 +140,8 @@
 	}
 }
 
-// Names of any kind stand under identifiers of their own, on one line, in fields that receivers keep whole; so does what is late.
+// Any pair of names must have identifiers of its own, also for late values, in one line and in fields that receivers don't
+// truncate.
 func TestHostileNames(t *testing.T) {
 	names := []string{
 		"permit.lookup v2", "permit%2Elookup v2", `a"b`, "a\nb", "a/b-c", "", "late", "%late", strings.Repeat("x.", 150),
@@ -169,7 +170,7 @@
 	}
 }
 
-// A list that no packet holds is an error, and nothing is left out silently.
+// A value list that doesn't fit in a packet is an error and isn't silently left out.
 func TestTooLongList(t *testing.T) {
 	l := ValueList{Host: "h", Plugin: "p", Type: "t", Values: make([]Value, 200)}
 	if packets, err := NewEncoder(1024, nil).Packets([]ValueList{l}); !errors.Is(err, ErrTooLong) || packets != nil {
--- a/report/counts_test.go
+++ b/report/counts_test.go
@@ -9,10 +9,11 @@
 	"pgregory.net/rapid"
 )
 
-func shape(classes, tenants, pairs int) Config {
+func testConfig(classes, tenants, pairs int) Config {
 	s := Config{MaxPairs: pairs}
 	for i := range classes {
-		s.Classes = append(s.Classes, Class{Name: fmt.Sprint("class ", i), LatencyTarget: 100 * time.Millisecond, Value: 3, LateValue: 0.5})
+		s.Classes = append(s.Classes,
+			Class{Name: fmt.Sprint("class ", i), LatencyTarget: 100 * time.Millisecond, Value: 3, LateValue: 0.5})
 	}
 	for i := range tenants {
 		s.Tenants = append(s.Tenants, fmt.Sprint("tenant ", i))
@@ -20,51 +21,51 @@
 	return s
 }
 
-// In every snapshot what was asked is what has ended and what is open, and no more has ended than came.
+// In snapshots taken during concurrent counting, no request ends before it was received, and classes are the sum of their pairs.
 func TestSnapshotsAreConsistent(t *testing.T) {
-	c := New(shape(2, 3, 4))
-	c.RequestReceived(7, 0, false) // a class that there is not
+	c := New(testConfig(2, 3, 4))
+	c.RequestReceived(7, 0, false) // an unknown class
 	var counting sync.WaitGroup
 	for i := range 4 {
 		counting.Go(func() {
 			for n := range 5000 {
 				c.RequestReceived(i%2, n%5-1, n%7 == 0)
 				c.AttemptSent()
-				c.AttemptEnded(AttemptOutcome(n%int(outcomes)), n%3 == 0)
+				c.AttemptEnded(AttemptOutcome(n%int(numAttemptOutcomes)), n%3 == 0)
 				c.RequestEnded(i%2, n%5-1, RequestOutcome(n%3), time.Duration(n%200)*time.Millisecond)
 			}
 		})
 	}
 	done := make(chan bool)
 	go func() { counting.Wait(); close(done) }()
-	for over := false; !over; {
+	for finished := false; !finished; {
 		select {
 		case <-done:
-			over = true
+			finished = true
 		default:
 		}
 		s := c.Snapshot()
-		var of [2]RequestCounts
+		var byClass [2]RequestCounts
 		for i := range s.Pairs {
 			p := &s.Pairs[i]
-			if p.Open < 0 || p.Retries > p.Received { // Open is what is left of Asked
+			if p.Open < 0 || p.Retries > p.Received { // Open is Received less all ended requests
 				t.Fatalf("pair %+v", p)
 			}
-			of[p.Class].add(&p.RequestCounts)
+			byClass[p.Class].add(&p.RequestCounts)
 		}
-		if of[0] != s.Classes[0] || of[1] != s.Classes[1] || len(s.Pairs) > 2+4 {
-			t.Fatalf("classes %+v, of %d pairs %+v", s.Classes, len(s.Pairs), of)
+		if byClass[0] != s.Classes[0] || byClass[1] != s.Classes[1] || len(s.Pairs) > 2+4 {
+			t.Fatalf("classes %+v, sums of %d pairs %+v", s.Classes, len(s.Pairs), byClass)
 		}
-		if over && (s.Open != 0 || s.Sends != 20000 || s.Classes[0].Received+s.Classes[1].Received != 20000) {
-			t.Errorf("in the end %+v", s.Classes)
+		if finished && (s.Open != 0 || s.Sends != 20000 || s.Classes[0].Received+s.Classes[1].Received != 20000) {
+			t.Errorf("final classes %+v", s.Classes)
 		}
 	}
 	(*Counts)(nil).RequestReceived(0, 0, false)
 }
 
-// 500 classes and 100 tenants are counted in a bounded table: what is beyond it stands under one name, and classes are right.
+// With 500 classes and 100 tenants, pairs beyond MaxPairs are counted as Overflow, and the sums of the classes are right.
 func TestTooManyPairsOverflow(t *testing.T) {
-	c := New(shape(500, 100, 300))
+	c := New(testConfig(500, 100, 300))
 	for round := range 2 {
 		for class := range 500 {
 			for tenant := range 100 {
@@ -74,16 +75,16 @@
 		}
 	}
 	s := c.Snapshot()
-	own, over := 0, int64(0)
+	own, overflow := 0, int64(0)
 	for _, p := range s.Pairs {
 		if p.Tenant >= 0 {
 			own++
 		} else {
-			over += p.Served
+			overflow += p.Served
 		}
 	}
-	if own != 300 || over != 2*(50000-300) {
-		t.Errorf("%d pairs of their own, %d beyond", own, over)
+	if own != 300 || overflow != 2*(50000-300) {
+		t.Errorf("%d pairs with their own counters, %d requests in overflow", own, overflow)
 	}
 	for i, k := range s.Classes {
 		if k.Served != 200 || k.Retries != 100 {
@@ -97,16 +98,16 @@
 	}
 }
 
-// What a histogram tells of a time is at most 6.25 % off.
+// The error of a duration that a histogram returns is at most 6.25 %.
 func TestHistogramError(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		took := time.Duration(rapid.Int64Range(int64(leastTook), int64(2*time.Minute)).Draw(t, "took"))
+		took := time.Duration(rapid.Int64Range(int64(minDuration), int64(2*time.Minute)).Draw(t, "took"))
 		var h Histogram
 		h.Add(took)
 		b := h.Snapshot()
 		got, ok := quantile(b[:], 0.5)
 		if off := float64(got-took) / float64(took); !ok || off > 0.0626 || off < -0.0626 {
-			t.Fatalf("%v is told as %v", took, got)
+			t.Fatalf("%v is reported as %v", took, got)
 		}
 	})
 	var h Histogram
@@ -123,9 +124,9 @@
 	h.Add(time.Hour)
 }
 
-// A series says what was counted, whatever was counted before.
+// Totals cover all that was counted, deltas only what was counted between two samples.
 func TestRenderShowsDeltasAndTotals(t *testing.T) {
-	c, table := New(shape(1, 1, 0)), NewTable()
+	c, table := New(testConfig(1, 1, 0)), NewTable()
 	count := func(n int) {
 		for i := range n {
 			c.RequestReceived(0, 0, i == 0)
@@ -161,7 +162,7 @@
 	}
 }
 
-// Servers come and go for months: their places are used again, but not while an interval is kept in which they stood.
+// A long series of servers that are added and removed must not grow the table: their gauges' indices are reused after Prune.
 func TestGaugePlacesAreReused(t *testing.T) {
 	table := NewTable()
 	for at := range int64(5000) {
@@ -171,7 +172,7 @@
 		}
 	}
 	if _, gauges := table.Sizes(); gauges > 102 {
-		t.Errorf("%d places", gauges)
+		t.Errorf("%d gauges", gauges)
 	}
 	for i := range 2 * Servers.MaxRows {
 		table.Row(Servers, 5000, fmt.Sprint("t-", i))
@@ -182,7 +183,7 @@
 }
 
 func BenchmarkRecord(b *testing.B) {
-	c := New(shape(50, 20, 0))
+	c := New(testConfig(50, 20, 0))
 	b.ReportAllocs()
 	i := 0
 	for b.Loop() { // a request with one attempt
@@ -194,9 +195,9 @@
 	}
 }
 
-// The largest table that the bounds allow with 500 classes and 100 tenants, of which all ask.
+// The largest table that the bounds allow, with 500 classes and 100 tenants that all have requests.
 func BenchmarkCollectLargest(b *testing.B) {
-	c := New(shape(500, 100, 0))
+	c := New(testConfig(500, 100, 0))
 	for class := range 500 {
 		for tenant := range 100 {
 			c.RequestReceived(class, tenant, false)
@@ -211,7 +212,7 @@
 }
 
 func TestCountingAllocatesNothing(t *testing.T) {
-	c := New(shape(5, 5, 0))
+	c := New(testConfig(5, 5, 0))
 	if n := testing.AllocsPerRun(100,
 		func() {
 			c.RequestReceived(1, 2, true)
@@ -223,7 +224,7 @@
 	}
 }
 
-// Names that differ stay apart, and what was escaped comes back.
+// Unescape reverses Escape, so that different names stay different.
 func FuzzEscape(f *testing.F) {
 	for _, s := range []string{"", "plate-reserve", "permit.lookup v2", "permit%2Elookup v2", `a"b'`, "a\nb", "%", "%~",
 		"ü/ö", string(make([]byte, 300))} {
@@ -232,7 +233,7 @@
 	f.Fuzz(func(t *testing.T, name string) {
 		e := Escape(name, 200)
 		for i := range len(e) {
-			if !safe(e[i]) && e[i] != '%' && e[i] != '~' {
+			if !isPlainByte(e[i]) && e[i] != '%' && e[i] != '~' {
 				t.Fatalf("%q is escaped as %q", name, e)
 			}
 		}
--- a/report/graphite/graphite.go
+++ b/report/graphite/graphite.go
@@ -1,8 +1,8 @@
-// Package graphite writes readings in the two forms that Graphite's receiver takes over TCP: lines of text, and pickled lists
-// behind their length. It owns the series' paths and the bytes; it does no I/O.
+// Package graphite encodes readings in the two protocols of Graphite's TCP receiver: plain text lines, and pickled lists with
+// a length prefix. It owns the paths of series and the encoding; it does no I/O.
 //
-// Counters go out twice: PATH.total, what they came to since the process began, and PATH.count, what they grew by in the
-// interval. What is written again under the same path and time changes nothing, and a total heals what was lost before it.
+// A counter is sent as two series: PATH.total is its value since the start of the process, PATH.count its growth in the
+// interval. Sending the same path and time again changes nothing, and a total is right even if earlier points were lost.
 package graphite
 
 import (
@@ -14,37 +14,38 @@
 	"firplank/report"
 )
 
-// Form is how readings are written.
+// Format is a protocol of Graphite's receiver.
 type Format uint8
 
-// The forms.
+// The formats.
 const (
 	Plaintext Format = iota
 	Pickle
 )
 
-// mostComponent bounds an escaped name: receivers keep each as a folder or file, which may have 255 bytes with an ending.
-const mostComponent = 200
+// maxComponentBytes limits an escaped name. Receivers store each path component as a folder or file, whose name may have 255
+// bytes including a suffix.
+const maxComponentBytes = 200
 
-// Encoder writes readings. It remembers the paths of rows, a few dozen bytes for each series. It is not safe for concurrent
-// use.
+// Encoder encodes readings. It caches the paths of rows, which need a few dozen bytes for each series. It isn't safe for
+// concurrent use.
 type Encoder struct {
-	form   Format
+	format Format
 	prefix string
 	tagged bool
-	names  map[*report.Row][]series
+	paths  map[*report.Row][]fieldPaths
 }
 
-// series is the path of a field, and for a counter that of its growth.
-type series struct{ path, growth string }
+// fieldPaths holds the path of a field's series; countPath is that of a counter's growth.
+type fieldPaths struct{ path, countPath string }
 
-// New returns an encoder. A prefix is written as it is, and then a dot. Tagged series have their labels behind the path, as
-// Graphite 1.1 and later takes them.
-func New(form Format, prefix string, tagged bool) *Encoder {
-	return &Encoder{form: form, prefix: prefix, tagged: tagged, names: map[*report.Row][]series{}}
+// New returns an encoder. The prefix is written as it is, followed by a dot. Tagged series have their labels as tags after the
+// path, which Graphite supports from version 1.1 on.
+func New(format Format, prefix string, tagged bool) *Encoder {
+	return &Encoder{format: format, prefix: prefix, tagged: tagged, paths: map[*report.Row][]fieldPaths{}}
 }
 
-// Path returns the path of a figure; suffix is behind it, after a dot, where it is not empty.
+// Path returns the path of a field's series, with a suffix after a dot unless it is empty.
 func Path(prefix string, tagged bool, f *report.Family, labels []string, field, suffix string) string {
 	parts := []string{prefix, f.Name}
 	if prefix == "" {
@@ -53,9 +54,9 @@
 	tags := ""
 	for i, l := range labels {
 		if tagged {
-			tags += ";" + f.Labels[i] + "=" + report.Escape(l, mostComponent)
+			tags += ";" + f.Labels[i] + "=" + report.Escape(l, maxComponentBytes)
 		} else {
-			parts = append(parts, report.Escape(l, mostComponent))
+			parts = append(parts, report.Escape(l, maxComponentBytes))
 		}
 	}
 	parts = append(parts, field)
@@ -71,127 +72,128 @@
 	CountSuffix = "count"
 )
 
-func (e *Encoder) series(r *report.Row) []series {
-	known, ok := e.names[r]
+// rowPaths returns the paths of a row's fields.
+func (e *Encoder) rowPaths(r *report.Row) []fieldPaths {
+	known, ok := e.paths[r]
 	if ok {
 		return known
 	}
 	shown := len(r.Family.ShownCounters())
 	for i, f := range r.Family.Fields() {
-		s := series{path: Path(e.prefix, e.tagged, r.Family, r.Labels, f.Name, "")}
+		s := fieldPaths{path: Path(e.prefix, e.tagged, r.Family, r.Labels, f.Name, "")}
 		if i < shown {
 			s.path = Path(e.prefix, e.tagged, r.Family, r.Labels, f.Name, TotalSuffix)
-			s.growth = Path(e.prefix, e.tagged, r.Family, r.Labels, f.Name, CountSuffix)
+			s.countPath = Path(e.prefix, e.tagged, r.Family, r.Labels, f.Name, CountSuffix)
 		}
 		known = append(known, s)
 	}
-	e.names[r] = known
+	e.paths[r] = known
 	return known
 }
 
-// Forget drops the paths of rows that are no more.
+// Prune removes cached paths of rows that no longer exist.
 func (e *Encoder) Prune(rows []*report.Row) {
-	if len(e.names) <= 2*len(rows) {
+	if len(e.paths) <= 2*len(rows) {
 		return
 	}
-	kept := make(map[*report.Row][]series, len(rows))
+	kept := make(map[*report.Row][]fieldPaths, len(rows))
 	for _, r := range rows {
-		if s, ok := e.names[r]; ok {
+		if s, ok := e.paths[r]; ok {
 			kept[r] = s
 		}
 	}
-	e.names = kept
+	e.paths = kept
 }
 
 // Append appends a reading to a buffer.
 func (e *Encoder) Append(b []byte, r *report.Reading) []byte {
-	w := &writer{form: e.form, b: b, at: r.End.Unix()}
+	w := &writer{format: e.format, b: b, timestamp: r.End.Unix()}
 	for i := range r.Rows {
 		row := &r.Rows[i]
-		names := e.series(row.Row)
+		names := e.rowPaths(row.Row)
 		for k, total := range row.Totals {
-			w.whole(names[k].path, total)
-			w.whole(names[k].growth, row.Deltas[k])
+			w.writeInt(names[k].path, total)
+			w.writeInt(names[k].countPath, row.Deltas[k])
 		}
 		for k, v := range row.Gauges {
 			if !math.IsNaN(v) {
-				w.float(names[len(row.Totals)+k].path, v)
+				w.writeFloat(names[len(row.Totals)+k].path, v)
 			}
 		}
 	}
-	w.end()
+	w.endList()
 	return w.b
 }
 
-// mostPickled is how many points a pickled list holds; receivers take lists of 1 MiB.
-const mostPickled = 1000
+// maxPointsPerList limits the points of a pickled list, as receivers accept lists of up to 1 MiB.
+const maxPointsPerList = 1000
 
-// writer writes points.
+// writer appends points to a buffer.
 type writer struct {
-	form  Format
-	b     []byte
-	at    int64 // Unix seconds
-	begin int   // of the open list's length
-	n     int   // points in it
+	format    Format
+	b         []byte
+	timestamp int64 // Unix seconds
+	listStart int   // offset of the open list's length prefix
+	points    int   // in the open list
 }
 
-func (w *writer) whole(path string, v int64) {
-	if w.form == Plaintext {
+func (w *writer) writeInt(path string, v int64) {
+	if w.format == Plaintext {
 		w.b = append(append(w.b, path...), ' ')
 		w.b = strconv.AppendInt(w.b, v, 10)
-		w.stamp()
+		w.writeTimestamp()
 		return
 	}
-	w.open(path)
+	w.beginPoint(path)
 	w.b = appendInt(w.b, v)
-	w.close()
+	w.endPoint()
 }
 
-func (w *writer) float(path string, v float64) {
-	if w.form == Plaintext {
+func (w *writer) writeFloat(path string, v float64) {
+	if w.format == Plaintext {
 		w.b = append(append(w.b, path...), ' ')
 		w.b = strconv.AppendFloat(w.b, v, 'f', -1, 64)
-		w.stamp()
+		w.writeTimestamp()
 		return
 	}
-	w.open(path)
+	w.beginPoint(path)
 	w.b = binary.BigEndian.AppendUint64(append(w.b, 'G'), math.Float64bits(v)) // BINFLOAT
-	w.close()
+	w.endPoint()
 }
 
-func (w *writer) stamp() {
-	w.b = strconv.AppendInt(append(w.b, ' '), w.at, 10)
+func (w *writer) writeTimestamp() {
+	w.b = strconv.AppendInt(append(w.b, ' '), w.timestamp, 10)
 	w.b = append(w.b, '\n')
 }
 
-// open begins a point of a pickled list, (path, (time, value)), by protocol 2.
-func (w *writer) open(path string) {
-	if w.n == 0 {
-		w.begin = len(w.b)
+// beginPoint writes the path and time of a point of a pickled list, which is (path, (time, value)), in pickle protocol 2.
+func (w *writer) beginPoint(path string) {
+	if w.points == 0 {
+		w.listStart = len(w.b)
 		w.b = append(w.b, 0, 0, 0, 0, 0x80, 2, ']', '(') // length, PROTO 2, EMPTY_LIST, MARK
 	}
 	w.b = binary.LittleEndian.AppendUint32(append(w.b, 'X'), uint32(len(path))) // BINUNICODE
-	w.b = appendInt(append(w.b, path...), w.at)
+	w.b = appendInt(append(w.b, path...), w.timestamp)
 }
 
-func (w *writer) close() {
+func (w *writer) endPoint() {
 	w.b = append(w.b, 0x86, 0x86) // TUPLE2 twice
-	if w.n++; w.n == mostPickled {
-		w.end()
+	if w.points++; w.points == maxPointsPerList {
+		w.endList()
 	}
 }
 
-// end ends the open list.
-func (w *writer) end() {
-	if w.n == 0 {
+// endList completes the open list and sets its length prefix.
+func (w *writer) endList() {
+	if w.points == 0 {
 		return
 	}
 	w.b = append(w.b, 'e', '.') // APPENDS, STOP
-	binary.BigEndian.PutUint32(w.b[w.begin:], uint32(len(w.b)-w.begin-4))
-	w.n = 0
+	binary.BigEndian.PutUint32(w.b[w.listStart:], uint32(len(w.b)-w.listStart-4))
+	w.points = 0
 }
 
-// appendInt writes BININT where that holds the number, else LONG1 of 8 bytes.
+// appendInt writes v as BININT if it fits in 32 bits, else as LONG1 of 8 bytes.
 func appendInt(b []byte, v int64) []byte {
 	if v >= math.MinInt32 && v <= math.MaxInt32 {
 		return binary.LittleEndian.AppendUint32(append(b, 'J'), uint32(int32(v)))
--- a/report/graphite/graphite_test.go
+++ b/report/graphite/graphite_test.go
@@ -15,7 +15,7 @@
 	"firplank/report"
 )
 
-// reading is one interval of a class, and a server.
+// reading returns the reading of one interval with one class.
 func reading(class string, total, growth int64, gauge float64, at time.Time) *report.Reading {
 	t := report.NewTable()
 	f := &report.Family{
@@ -26,17 +26,17 @@
 	return t.Render(at, 10*time.Second, []int64{growth}, []int64{total}, []float64{gauge})
 }
 
-var at = time.Unix(1_800_000_010, 0)
+var testTime = time.Unix(1_800_000_010, 0)
 
-// The bytes of both forms, for names that would be two levels or another's.
+// Checks the bytes of both formats for a name that would be split into two path components without escaping.
 func TestEncodedBytes(t *testing.T) {
-	r := reading("permit.lookup v2", 70000, 3, 2.5, at)
+	r := reading("permit.lookup v2", 70000, 3, 2.5, testTime)
 	const path = "firplank.n1.requests.permit%2Elookup%20v2."
 	want := path + "asked.total 70000 1800000010\n" + path + "asked.count 3 1800000010\n" + path + "open 2.5 1800000010\n"
 	if got := string(New(Plaintext, "firplank.n1", false).Append(nil, r)); got != want {
 		t.Errorf("lines\n%s", got)
 	}
-	// Made by hand of the protocol's description: PROTO 2, EMPTY_LIST, MARK; for each point BINUNICODE path, BININT time,
+	// Written by hand from the protocol's description: PROTO 2, EMPTY_LIST, MARK; for each point BINUNICODE path, BININT time,
 	// BININT or BINFLOAT value, TUPLE2, TUPLE2; APPENDS, STOP.
 	point := func(field, value string) string {
 		p := path + field
@@ -52,12 +52,12 @@
 	if got := string(New(Plaintext, "f", true).Append(nil, r)); !strings.HasPrefix(got, tagged) {
 		t.Errorf("tagged\n%s", got)
 	}
-	if got := string(New(Plaintext, "f", false).Append(nil, reading("a", 1, 1, math.NaN(), at))); strings.Contains(got, "open") {
-		t.Errorf("a gauge that is not there is told:\n%s", got)
+	if got := string(New(Plaintext, "f", false).Append(nil, reading("a", 1, 1, math.NaN(), testTime))); strings.Contains(got, "open") {
+		t.Errorf("a gauge without a value is sent:\n%s", got)
 	}
 }
 
-// The receiver's own reading of what was written, for any name and number.
+// The receiver must decode from both formats what was encoded, for any name and number.
 func FuzzForms(f *testing.F) {
 	f.Add("plate-reserve", int64(1<<40), int64(5), 0.25)
 	f.Add("a\nb \"c\" .;~{", int64(-1), int64(1<<31), -1e300)
@@ -65,8 +65,8 @@
 		if math.IsNaN(gauge) || math.IsInf(gauge, 0) {
 			return
 		}
-		r := reading(class, total, growth, gauge, at)
-		names := New(Plaintext, "p", false).series(r.Rows[0].Row)
+		r := reading(class, total, growth, gauge, testTime)
+		names := New(Plaintext, "p", false).rowPaths(r.Rows[0].Row)
 		lines := string(New(Plaintext, "p", false).Append(nil, r))
 		if strings.Count(lines, "\n") != 3 {
 			t.Fatalf("%q", lines)
@@ -77,8 +77,9 @@
 			t.Fatal(err)
 		}
 		want := fmt.Sprint([]any{
-			receiver.Tuple{names[0].path, receiver.Tuple{at.Unix(), total}}, receiver.Tuple{names[0].growth, receiver.Tuple{at.Unix(), growth}},
-			receiver.Tuple{names[1].path, receiver.Tuple{at.Unix(), gauge}},
+			receiver.Tuple{names[0].path, receiver.Tuple{testTime.Unix(), total}},
+			receiver.Tuple{names[0].countPath, receiver.Tuple{testTime.Unix(), growth}},
+			receiver.Tuple{names[1].path, receiver.Tuple{testTime.Unix(), gauge}},
 		})
 		if got := fmt.Sprint(list); got != want {
 			t.Fatalf("%s, want %s", got, want)
@@ -86,7 +87,7 @@
 	})
 }
 
-// A long list is told in several, none beyond what receivers take.
+// A long reading is split into several lists, none longer than receivers accept.
 func TestLongLists(t *testing.T) {
 	table := report.NewTable()
 	f := &report.Family{Name: "f", Labels: []string{"class"}, MaxRows: 5000, Counters: []report.Field{{Name: "n"}}}
@@ -95,7 +96,7 @@
 		table.Row(f, 0, fmt.Sprint("class ", i))
 		totals[i] = int64(i)
 	}
-	text := New(Pickle, "p", false).Append(nil, table.Render(at, time.Second, totals, totals, nil))
+	text := New(Pickle, "p", false).Append(nil, table.Render(testTime, time.Second, totals, totals, nil))
 	points := 0
 	for len(text) > 0 {
 		n := int(binary.BigEndian.Uint32(text))
@@ -111,13 +112,13 @@
 	}
 }
 
-// Python's own reading of a pickled list, where there is a Python.
+// Python's pickle module must decode a list, if Python is installed.
 func TestPythonReadsPickles(t *testing.T) {
 	python, err := exec.LookPath("python3")
 	if err != nil {
 		t.Skip("no python3")
 	}
-	text := New(Pickle, "p", false).Append(nil, reading("a b", 1<<40, 3, 2.5, at))
+	text := New(Pickle, "p", false).Append(nil, reading("a b", 1<<40, 3, 2.5, testTime))
 	cmd := exec.Command(python, "-c", "import pickle, sys; print(pickle.loads(sys.stdin.buffer.read()[4:]))")
 	cmd.Stdin = strings.NewReader(string(text))
 	out, err := cmd.CombinedOutput()
@@ -128,7 +129,7 @@
 	}
 }
 
-// Names of any kind arrive as series of their own, which the receiver takes.
+// Any name must result in a series of its own that the receiver accepts.
 func TestHostileNames(t *testing.T) {
 	carbon, err := receiver.NewCarbon(false)
 	if err != nil {
@@ -145,14 +146,14 @@
 		t.Fatal(err)
 	}
 	for _, n := range names {
-		_, _ = c.Write(enc.Append(nil, reading(n, 1, 1, 1, at)))
+		_, _ = c.Write(enc.Append(nil, reading(n, 1, 1, 1, testTime)))
 	}
 	_ = c.Close()
 	for end := time.Now().Add(10 * time.Second); len(carbon.Paths()) < 3*len(names) && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
 	paths := carbon.Paths()
 	if same, other := carbon.Overwritten(); len(paths) != 3*len(names) || same+other > 0 || len(carbon.Malformed()) > 0 {
-		t.Errorf("%d series of %d names, %v", len(paths), len(names), carbon.Malformed())
+		t.Errorf("%d series for %d names, malformed: %v", len(paths), len(names), carbon.Malformed())
 	}
 	for _, p := range paths {
 		for _, part := range strings.Split(p, ".") {
@@ -161,12 +162,12 @@
 			}
 		}
 		if strings.Count(p, ".") != 3 && strings.Count(p, ".") != 4 {
-			t.Errorf("levels of %s", p)
+			t.Errorf("wrong number of path components: %s", p)
 		}
 	}
 }
 
-// An interval of the largest table that the bounds allow with 500 classes and 100 tenants.
+// An interval of the largest table that the bounds allow, with 500 classes and 100 tenants.
 func BenchmarkAppendLargest(b *testing.B) {
 	s := report.Config{}
 	for i := range 500 {
@@ -181,8 +182,8 @@
 			c.RequestReceived(class, tenant, false)
 		}
 	}
-	sample := c.Collect(table, &report.State{Time: at})
-	r := table.Render(at, 10*time.Second, sample.Counters, sample.Counters, sample.Gauges)
+	sample := c.Collect(table, &report.State{Time: testTime})
+	r := table.Render(testTime, 10*time.Second, sample.Counters, sample.Counters, sample.Gauges)
 	for _, form := range []Format{Plaintext, Pickle} {
 		enc, text := New(form, "firplank.n1", false), []byte(nil)
 		b.Run(fmt.Sprint(form), func(b *testing.B) {
--- a/report/spool/interval.go
+++ b/report/spool/interval.go
@@ -1,8 +1,9 @@
-// Package spool keeps intervals that no receiver has taken yet, within a bound of bytes. It owns their packed form, which of
-// them are put together when there is no room, and what counters came to at the end of each; it does no I/O, has no clock, and
-// knows no receiver. Nothing that was counted is dropped: when room is short resolution goes, the oldest first.
+// Package spool buffers intervals until a receiver has got them, within a limit of bytes. It owns their packed form, decides
+// which of them are merged when space runs out, and computes the counters' totals at the end of each. It does no I/O, has no
+// clock and doesn't know the receiver. No counts are dropped: when space runs out resolution is reduced, in the oldest
+// intervals first.
 //
-// interval.go is one interval, spool.go the list of them. Begin with Spool.
+// interval.go holds one interval, spool.go the list of them. Start reading at Spool.
 package spool
 
 import (
@@ -13,21 +14,21 @@
 	"time"
 )
 
-// Interval is what one interval came to, packed: of the counters those that grew, with what they grew by, of the gauges those
-// that have a value. It is never changed, so that several spools can share it.
+// Interval holds the values of one interval in packed form: the growth of counters that grew, and the gauges that have a value.
+// It is immutable, so several spools can share it.
 type Interval struct {
 	End      time.Time
 	Duration time.Duration
 
-	counters []byte // (places skipped, growth) as varints
-	gauges   []byte // (places skipped, value)
+	counters []byte // (skipped indices, growth) as varints
+	gauges   []byte // (skipped indices, value)
 }
 
-// Pack packs an interval. No growth is below 0; NaN is no gauge.
-func Pack(end time.Time, span time.Duration, growth []int64, gauges []float64) *Interval {
+// Pack packs an interval. deltas are never negative; a gauge that is NaN has no value.
+func Pack(end time.Time, span time.Duration, deltas []int64, gauges []float64) *Interval {
 	iv := &Interval{End: end, Duration: span}
 	last := -1
-	for i, d := range growth {
+	for i, d := range deltas {
 		if d > 0 {
 			iv.counters = binary.AppendUvarint(iv.counters, uint64(i-last-1))
 			iv.counters = binary.AppendUvarint(iv.counters, uint64(d))
@@ -46,7 +47,8 @@
 	return iv
 }
 
-// appendFloat writes whole numbers, which most are, as varints of twice their value and 1; others after a 0.
+// appendFloat encodes whole numbers, which are the most frequent, as a varint of twice their value plus 1, and others as a 0
+// byte and 8 bytes.
 func appendFloat(b []byte, v float64) []byte {
 	if v < 1<<52 && !math.Signbit(v) && v == math.Trunc(v) {
 		return binary.AppendUvarint(b, uint64(v)<<1|1)
@@ -54,25 +56,25 @@
 	return binary.LittleEndian.AppendUint64(append(b, 0), math.Float64bits(v))
 }
 
-// overhead is what an interval holds besides its packed bytes.
-const overhead = 144
+// intervalOverheadBytes is the memory of an interval besides its packed bytes.
+const intervalOverheadBytes = 144
 
-// Size is how many bytes it holds.
-func (iv *Interval) Size() int { return overhead + len(iv.counters) + len(iv.gauges) }
+// Size returns the memory of the interval in bytes.
+func (iv *Interval) Size() int { return intervalOverheadBytes + len(iv.counters) + len(iv.gauges) }
 
-var errPacked = errors.New("spool: a packed interval is not whole")
+var errMalformed = errors.New("spool: malformed packed interval")
 
-// each calls do for each of the places in packed bytes; value reads one.
-func each(b []byte, value func([]byte) (rest []byte, err error), at func(place int)) error {
+// forEach calls visit with each index in packed bytes, and then decode, which returns the bytes after the value.
+func forEach(b []byte, decode func([]byte) (rest []byte, err error), visit func(place int)) error {
 	place := -1
 	for len(b) > 0 {
 		skipped, n := binary.Uvarint(b)
 		if n <= 0 || skipped > math.MaxInt32 {
-			return errPacked
+			return errMalformed
 		}
 		place += int(skipped) + 1
-		at(place)
-		rest, err := value(b[n:])
+		visit(place)
+		rest, err := decode(b[n:])
 		if err != nil {
 			return err
 		}
@@ -81,14 +83,14 @@
 	return nil
 }
 
-// AddTo adds the growth to counters, which grow where they are too short.
+// AddTo adds the growth to counters, which are extended if they are too short.
 func (iv *Interval) AddTo(counters []int64) []int64 {
 	place := 0
-	// What is packed is checked where it comes from: what cannot be read ends it here.
-	_ = each(iv.counters, func(b []byte) ([]byte, error) {
+	// Pack has made these bytes, so they are well-formed; malformed ones would only end the loop.
+	_ = forEach(iv.counters, func(b []byte) ([]byte, error) {
 		d, n := binary.Uvarint(b)
 		if n <= 0 {
-			return nil, errPacked
+			return nil, errMalformed
 		}
 		if place >= len(counters) {
 			counters = append(counters, make([]int64, place+1-len(counters))...)
@@ -99,19 +101,19 @@
 	return counters
 }
 
-// Gauges writes the gauges over those given, which grow where they are too short.
+// Gauges writes the gauges into those given, which are extended if they are too short.
 func (iv *Interval) Gauges(gauges []float64) []float64 {
 	place := 0
 	// The same as in AddTo.
-	_ = each(iv.gauges, func(b []byte) ([]byte, error) {
+	_ = forEach(iv.gauges, func(b []byte) ([]byte, error) {
 		whole, n := binary.Uvarint(b)
 		v := float64(whole >> 1)
 		switch {
 		case n <= 0:
-			return nil, errPacked
+			return nil, errMalformed
 		case whole == 0:
 			if len(b) < 9 {
-				return nil, errPacked
+				return nil, errMalformed
 			}
 			v, n = math.Float64frombits(binary.LittleEndian.Uint64(b[1:])), 9
 		}
@@ -124,7 +126,7 @@
 	return gauges
 }
 
-// Merge puts an interval and the one after it together: growth adds up, of the gauges the later hold.
+// Merge merges an interval with the one after it. The growth of counters is added; gauges are those of b.
 func Merge(a, b *Interval) *Interval {
 	m := Pack(b.End, a.Duration+b.Duration, b.AddTo(a.AddTo(nil)), nil)
 	m.gauges = b.gauges
