--- a/cmd/firplank-lab/explore_calls.go
+++ b/cmd/firplank-lab/explore_calls.go
@@ -19,7 +19,7 @@
 func (c *exploreCallsCommand) Run(_ context.Context, out io.Writer) error {
 	printer := output.New(out)
 	if !c.Defects {
-		seed, breach := calls.Search(calls.Usual, nil, c.Seed, c.Orders, c.Deep)
+		seed, breach := calls.Search(calls.DefaultBounds, nil, c.Seed, c.Orders, c.Deep)
 		if breach != nil {
 			printer.Printf("order %d: %v\n", seed, breach)
 			return errExplorationFailed
@@ -29,7 +29,7 @@
 	}
 	return reportDefects(printer, "order", len(calls.Defects), func(i int) defectResult {
 		d := &calls.Defects[i]
-		seed, breach := calls.Search(calls.Usual, d, c.Seed, c.Orders, c.Deep)
+		seed, breach := calls.Search(calls.DefaultBounds, d, c.Seed, c.Orders, c.Deep)
 		return defectResult{d.Name, seed, breach}
 	})
 }
--- a/cmd/firplank-lab/explore_catchup.go
+++ b/cmd/firplank-lab/explore_catchup.go
@@ -37,7 +37,7 @@
 // searchDefects searches for each planted defect. A miss counts as an error only for defects that the search is known to find.
 func (c *exploreCatchupCommand) searchDefects(printer *output.Printer) error {
 	missed := 0
-	for _, d := range catchup.Planted {
+	for _, d := range catchup.PlantedDefects {
 		p := catchup.Small
 		p.Defect = d.Defect
 		seed, r := catchup.Search(p, c.Seed, 50)
--- a/lab/explore/calls/calls_test.go
+++ b/lab/explore/calls/calls_test.go
@@ -9,12 +9,12 @@
 
 // Whatever connections, servers and last hops do, nobody gets another's answer, nothing runs twice, and what was
 // promised not to run does not.
-func TestNothingRunsTwiceAndAnswersFindTheirRequests(t *testing.T) {
-	few := Bounds{Requests: 1, Faults: 2, Minutes: 1}
+func TestRequestsRunAtMostOnceAndGetTheirOwnResponse(t *testing.T) {
+	few := Bounds{Requests: 1, Faults: 2, Evictions: 1}
 	if r := explore.Exhaust(Start(few, nil), explore.Limits{Depth: 4, States: 100_000}); r.Breach != nil || !r.Complete {
 		t.Error(r)
 	}
-	for _, b := range []Bounds{Usual, Refusing} {
+	for _, b := range []Bounds{DefaultBounds, RefusingBounds} {
 		if seed, breach := Search(b, nil, 1, 1000, Steps); breach != nil {
 			t.Errorf("order %d of %+v: %v", seed, b, breach)
 		}
@@ -25,12 +25,12 @@
 func TestPlantedDefectsAreFound(t *testing.T) {
 	for i := range Defects {
 		d := &Defects[i]
-		if _, breach := Search(Usual, d, d.Seed, 1, Steps); breach == nil {
+		if _, breach := Search(DefaultBounds, d, d.Seed, 1, Steps); breach == nil {
 			t.Errorf("%s: not found", d.Name)
 		} else {
 			t.Logf("%s: %v", d.Name, breach)
 		}
-		if _, breach := Search(Usual, nil, d.Seed, 1, Steps); breach != nil {
+		if _, breach := Search(DefaultBounds, nil, d.Seed, 1, Steps); breach != nil {
 			t.Errorf("%s: the same order breaks it without the defect: %v", d.Name, breach)
 		}
 	}
@@ -40,13 +40,13 @@
 func TestRequestsAreServed(t *testing.T) {
 	answers := map[status]int{}
 	for seed := range uint64(200) {
-		w := Start(Usual, nil)().(*world)
-		w.walk(seed, 60)
+		w := Start(DefaultBounds, nil)().(*world)
+		w.playRandom(seed, 60)
 		for _, s := range w.history.answers {
 			answers[s]++
 		}
 	}
-	for _, s := range []status{served, failed, broken} {
+	for _, s := range []status{served, failed, unknown} {
 		if answers[s] < 20 {
 			t.Errorf("%d answers with %d", answers[s], s)
 		}
@@ -56,15 +56,15 @@
 // Once faults cease, every request comes to an end: no slot, no query and no attempt is forgotten. Without minutes that
 // pass, as a query about an attempt that was evicted meanwhile waits for its deadline, which is not explored.
 func TestRequestsEndOnceFaultsCease(t *testing.T) {
-	bounds := Refusing
-	bounds.Minutes = 0
+	bounds := RefusingBounds
+	bounds.Evictions = 0
 	for seed := range uint64(500) {
 		w := Start(bounds, nil)().(*world)
-		w.walk(seed, Steps)
+		w.playRandom(seed, Steps)
 		w.faults = w.bounds.Faults
 		rng := rand.New(rand.NewPCG(seed, 1))
 		for range 5000 {
-			w.collect(true)
+			w.collectChoices(true)
 			if len(w.choices) == 0 || w.ended() {
 				break
 			}
--- a/lab/explore/calls/check.go
+++ b/lab/explore/calls/check.go
@@ -16,18 +16,18 @@
 	served  status = 200
 	failed  status = 500 // by a server
 	refused status = 503 // a promise that it has not run, and will not
-	broken  status = 502 // no promise
+	unknown status = 502 // no promise
 )
 
-func (h *history) note() {
+func (h *history) init() {
 	if h.runs == nil {
 		h.runs, h.answers = map[string]int{}, map[string]status{}
 	}
 }
 
 // ran notes that a server has begun a request.
-func (h *history) ran(id string) {
-	h.note()
+func (h *history) recordStart(id string) {
+	h.init()
 	h.runs[id]++
 	if h.runs[id] > 1 {
 		h.fail("%s has run twice", id)
@@ -38,8 +38,8 @@
 }
 
 // answered notes what a request's client gets, with the body of the response, which names the request that it was made for.
-func (h *history) answered(id string, s status, body string) {
-	h.note()
+func (h *history) recordAnswer(id string, s status, body string) {
+	h.init()
 	if h.answers[id] != 0 {
 		h.fail("%s is answered twice", id)
 	}
--- a/lab/explore/calls/lasthop.go
+++ b/lab/explore/calls/lasthop.go
@@ -58,7 +58,7 @@
 }
 
 // silent reports whether nobody listened at the server's address, and it has not been heard since.
-func (h *lastHop) silent() bool {
+func (h *lastHop) unresponsive() bool {
 	var e directory.Entry
 	h.gate.Admission.FillEntry(&e)
 	return e.State == directory.Unresponsive
@@ -73,40 +73,40 @@
 	for _, c := range h.conns {
 		c.choices()
 	}
-	h.w.fault(h.restart, "last hop %d restarts", h.number)
-	if h.silent() {
-		h.w.add(h.heartbeat, "the server of last hop %d sends a heartbeat", h.number)
+	h.w.addFault(h.restart, "last hop %d restarts", h.number)
+	if h.unresponsive() {
+		h.w.addChoice(h.heartbeat, "the server of last hop %d sends a heartbeat", h.number)
 	}
 }
 
 // restart loses all state of the process; its server goes on.
 func (h *lastHop) restart() {
-	if !h.w.defect.sameIncarnation {
+	if !h.w.defect.keepsIncarnation {
 		h.incarnation++
 	}
 	h.start()
 	for _, c := range h.conns {
-		c.lost = true
+		c.closed = true
 	}
-	h.conns = slices.DeleteFunc(h.conns, func(c *serverConn) bool { return c.asked == "" })
+	h.conns = slices.DeleteFunc(h.conns, func(c *serverConn) bool { return c.requestID == "" })
 	for _, l := range h.w.links {
-		if l.to == h.number && l.coming == 0 && !l.gone && !l.answered {
-			l.gone = true
-			h.w.sender.broke(l)
+		if l.lastHop == h.number && l.undelivered == 0 && !l.closed && !l.answered {
+			l.closed = true
+			h.w.sender.handleClose(l)
 		}
 	}
 }
 
 // arrive takes in an attempt or a query. Where reached is false nobody listens at the server's address.
-func (h *lastHop) arrive(l *link, reached bool) {
+func (h *lastHop) receive(l *link, serverReachable bool) {
 	if l.query != nil {
 		h.answerQuery(l)
 		return
 	}
 	d := h.gate.Begin(h.w.now, h.requestOf(l))
 	switch {
-	case d.Admitted() && reached:
-		h.pass(l)
+	case d.Admitted() && serverReachable:
+		h.forward(l)
 	case d.Admitted():
 		h.finish(l, lasthop.Result[response]{NotStarted: true, Refused: true}, notReceived)
 	case d.Attempt == attempts.Duplicate:
@@ -127,7 +127,7 @@
 // answerQuery answers a query about an attempt.
 func (h *lastHop) answerQuery(l *link) {
 	gate := &h.gate
-	if h.w.defect.lateBar && h.gate.Outcomes.Check(l.id) == attempts.Admitted {
+	if h.w.defect.doesNotBar && h.gate.Outcomes.Check(l.id) == attempts.Admitted {
 		gate = &lasthop.Gate[*link, response]{Outcomes: newLog(h.incarnation)} // asked of another log, this one bars nothing
 	}
 	status, cached := gate.Query(h.w.now, l.id, l)
@@ -156,30 +156,30 @@
 )
 
 // pass writes an attempt to the server, on a connection that has nothing to read as far as is seen, or on a new one.
-func (h *lastHop) pass(l *link) {
+func (h *lastHop) forward(l *link) {
 	for _, c := range h.conns {
-		if c.link == nil && !c.lost && !c.seen {
-			c.begin(l)
+		if c.attempt == nil && !c.closed && !c.unsolicited {
+			c.send(l)
 			return
 		}
 	}
 	c := &serverConn{w: h.w, hop: h}
 	h.conns = append(h.conns, c)
-	c.begin(l)
+	c.send(l)
 }
 
 // ended takes in what the server's connection brought for an attempt; nil: it broke.
-func (h *lastHop) ended(l *link, p *httpback.MatchedResponse) {
-	got, result := indeterminate, lasthop.Result[response]{Health: admission.Failure}
+func (h *lastHop) handleServerResult(l *link, p *httpback.MatchedResponse) {
+	resp, result := indeterminate, lasthop.Result[response]{Health: admission.Failure}
 	if p != nil {
 		seen := responseOf(l.request.id, p)
-		if named := p.Header.Get("Try-Id") != ""; h.w.defect.anyRejection && !named || h.w.defect.byPosition && named {
+		if named := p.Header.Get("Try-Id") != ""; h.w.defect.acceptsUnnamedRejection && !named || h.w.defect.matchesByPosition && named {
 			seen.MatchesRequest = true
 		}
 		evidence := attempts.FromServer(seen)
 		if outcome, ok := outcomeOf(evidence); ok {
 			result.Responded, result.Health = true, serverResultOf(evidence)
-			got = response{
+			resp = response{
 				outcome:    outcome,
 				status:     p.Status,
 				id:         p.Header.Get("Try-Id"),
@@ -188,21 +188,21 @@
 			}
 		}
 	}
-	result.Response, result.CacheBytes = got, len(got.bytes())
-	h.finish(l, result, got)
+	result.Response, result.CacheBytes = resp, len(resp.bytes())
+	h.finish(l, result, resp)
 }
 
 // finish takes in how an attempt has ended, whose sender gets a response; queries that wait get the same, but where nothing has begun.
-func (h *lastHop) finish(l *link, result lasthop.Result[response], got response) {
+func (h *lastHop) finish(l *link, result lasthop.Result[response], resp response) {
 	done := h.gate.Finish(h.w.now, h.requestOf(l), result)
-	toQueries := got
+	toQueries := resp
 	if result.NotStarted {
 		toQueries = barred
 	}
 	for _, query := range done.WaitingQueries {
 		query.reply(toQueries)
 	}
-	l.reply(got)
+	l.reply(resp)
 }
 
 // serverResultOf is what evidence of a server's response means for its health.
--- a/lab/explore/calls/link.go
+++ b/lab/explore/calls/link.go
@@ -13,46 +13,46 @@
 type link struct {
 	w       *world
 	request *request
-	to      int
+	lastHop int
 	id      attempts.ID
 	query   *inflight.Query // nil: an attempt
 
 	forwarded int // how often the request was sent before
 
-	coming   int    // copies of it that the last hop has yet to read: a connection that broke may have brought it all the same
-	answered bool   // by the last hop
-	gone     bool   // the sender has let go of the connection
-	back     []byte // of the response, what the sender has yet to read
-	pair     httpback.ResponseMatcher
+	undelivered int    // copies of it that the last hop has yet to read: a connection that broke may have brought it all the same
+	answered    bool   // by the last hop
+	closed      bool   // the sender has let go of the connection
+	unread      []byte // of the response, what the sender has yet to read
+	matcher     httpback.ResponseMatcher
 }
 
 func (l *link) choices() {
 	w, name := l.w, l.name()
-	if l.coming > 0 {
-		w.add(func() { l.coming--; w.hops[l.to].arrive(l, true) }, "%s comes to last hop %d", name, l.to)
-		if l.query == nil && w.refused < w.bounds.Refusals {
-			w.fault(func() { w.refused++; l.coming--; w.hops[l.to].arrive(l, false) },
+	if l.undelivered > 0 {
+		w.addChoice(func() { l.undelivered--; w.hops[l.lastHop].receive(l, true) }, "%s comes to last hop %d", name, l.lastHop)
+		if l.query == nil && w.refusals < w.bounds.Refusals {
+			w.addFault(func() { w.refusals++; l.undelivered--; w.hops[l.lastHop].receive(l, false) },
 				"%s comes to last hop %d, whose server refuses the connection",
-				name, l.to)
+				name, l.lastHop)
 		}
-		if l.query != nil && l.coming == 1 {
-			w.fault(func() { l.coming++ }, "%s will come twice", name)
+		if l.query != nil && l.undelivered == 1 {
+			w.addFault(func() { l.undelivered++ }, "%s will come twice", name)
 		}
 		if l.query != nil {
-			w.fault(func() { l.coming--; l.reply(notReceived) }, "last hop %d rejects %s unread", l.to, name)
+			w.addFault(func() { l.undelivered--; l.reply(notReceived) }, "last hop %d rejects %s unread", l.lastHop, name)
 		}
-		if l.gone {
-			w.add(func() { l.coming = 0 }, "%s is lost", name)
+		if l.closed {
+			w.addChoice(func() { l.undelivered = 0 }, "%s is lost", name)
 		}
 	}
-	if l.gone {
+	if l.closed {
 		return
 	}
-	if n := len(l.back); n > 0 {
-		w.add(func() { l.read(n) }, "the sender reads the response to %s", name)
-		w.add(func() { l.read((n + 1) / 2) }, "the sender reads half of what comes to %s", name)
+	if n := len(l.unread); n > 0 {
+		w.addChoice(func() { l.read(n) }, "the sender reads the response to %s", name)
+		w.addChoice(func() { l.read((n + 1) / 2) }, "the sender reads half of what comes to %s", name)
 	}
-	w.fault(func() { l.gone = true; w.sender.broke(l) }, "the connection of %s breaks at its sender", name)
+	w.addFault(func() { l.closed = true; w.sender.handleClose(l) }, "the connection of %s breaks at its sender", name)
 }
 
 func (l *link) name() string {
@@ -64,29 +64,29 @@
 
 // read reads some bytes of the response.
 func (l *link) read(n int) {
-	b := l.back[:n]
-	l.back = l.back[n:]
-	p, err := l.pair.Feed(b, false, func(h http.Header) bool { return l.w.belongsTo(l.request.id, h) })
+	b := l.unread[:n]
+	l.unread = l.unread[n:]
+	p, err := l.matcher.Feed(b, false, func(h http.Header) bool { return l.w.belongsTo(l.request.id, h) })
 	switch {
 	case err != nil:
-		l.gone = true
-		l.w.sender.broke(l)
+		l.closed = true
+		l.w.sender.handleClose(l)
 	case p != nil:
-		l.gone = true
-		l.w.sender.respond(l, p)
+		l.closed = true
+		l.w.sender.handleResponse(l, p)
 	}
 }
 
 // belongsTo reports whether a response may be that to a request: it names it, or none.
 func (w *world) belongsTo(id string, h http.Header) bool {
 	name := h.Get("Try-Id")
-	return name == "" || name == id || w.defect.byPosition
+	return name == "" || name == id || w.defect.matchesByPosition
 }
 
 // reply answers an attempt or a query, once on its connection: another copy of a query has its own.
 func (l *link) reply(r response) {
 	if !l.answered {
-		l.answered, l.back = true, r.bytes()
+		l.answered, l.unread = true, r.bytes()
 	}
 }
 
--- a/lab/explore/calls/sender.go
+++ b/lab/explore/calls/sender.go
@@ -26,13 +26,13 @@
 type request struct {
 	id       string
 	attempts int // that a server may have seen, or may yet
-	sent     int
-	rejected [hops]bool // by whose server: none gets it again, as an old rejection may come in the place of the next
+	sends    int
+	rejected [lastHopCount]bool // by whose server: none gets it again, as an old rejection may come in the place of the next
 	done     bool
 }
 
 func newSender(w *world) sender {
-	s := sender{w: w, inFlight: inflight.New[*link]("s.1"), announced: make([]uint64, hops)}
+	s := sender{w: w, inFlight: inflight.New[*link]("s.1"), announced: make([]uint64, lastHopCount)}
 	for i, h := range w.hops {
 		s.announce(i, h.incarnation)
 	}
@@ -47,7 +47,7 @@
 func (s *sender) choices() {
 	if len(s.requests) < s.w.bounds.Requests {
 		id := fmt.Sprint("r", len(s.requests)+1)
-		s.w.add(func() {
+		s.w.addChoice(func() {
 			r := &request{id: id}
 			s.requests = append(s.requests, r)
 			s.send(r)
@@ -55,14 +55,14 @@
 	}
 	for i, h := range s.w.hops {
 		if s.announced[i] != h.incarnation {
-			s.w.add(func() { s.announce(i, h.incarnation) }, "the directory announces the restart of last hop %d", i)
+			s.w.addChoice(func() { s.announce(i, h.incarnation) }, "the directory announces the restart of last hop %d", i)
 		}
 	}
 }
 
 // send writes an attempt of a request to the last hop whose turn it is.
 func (s *sender) send(r *request) {
-	to := r.sent % hops
+	to := r.sends % lastHopCount
 	if r.rejected[to] {
 		to = 1 - to
 	}
@@ -70,17 +70,17 @@
 		s.finish(r, refused, "")
 		return
 	}
-	l := &link{w: s.w, request: r, to: to, forwarded: r.sent, coming: 1}
-	r.sent++
+	l := &link{w: s.w, request: r, lastHop: to, forwarded: r.sends, undelivered: 1}
+	r.sends++
 	r.attempts++
 	l.id = s.inFlight.Begin(l, addr(to))
 	s.w.links = append(s.w.links, l)
 }
 
 // broke takes in that a connection broke without a complete response.
-func (s *sender) broke(l *link) {
-	if s.w.defect.brokenIsNotStarted {
-		s.conclude(l, attempts.NeverExecuted, "")
+func (s *sender) handleClose(l *link) {
+	if s.w.defect.closedIsNotStarted {
+		s.handleEvidence(l, attempts.NeverExecuted, "")
 		return
 	}
 	unanswered, ok := s.inFlight.HandleClose(l)
@@ -90,45 +90,45 @@
 	case l.query != nil:
 		s.query(l, l.query.Next(timeLeft))
 	default:
-		s.conclude(l, attempts.Inconclusive, "")
+		s.handleEvidence(l, attempts.Inconclusive, "")
 	}
 }
 
 // query asks about an attempt; nil: no more, and its outcome stays unknown.
 func (s *sender) query(l *link, q *inflight.Query) {
 	if q == nil {
-		s.conclude(l, attempts.Inconclusive, "")
+		s.handleEvidence(l, attempts.Inconclusive, "")
 		return
 	}
-	to := l.to
-	if s.w.defect.queriesAnother {
+	to := l.lastHop
+	if s.w.defect.queriesOtherHop {
 		to = 1 - to
 		q.Attempt.ID.Incarnation = s.announced[to]
 	}
-	asking := &link{w: s.w, request: l.request, to: to, id: q.Attempt.ID, query: q, coming: 1}
-	s.inFlight.BeginQuery(asking, q)
-	s.w.links = append(s.w.links, asking)
+	queryLink := &link{w: s.w, request: l.request, lastHop: to, id: q.Attempt.ID, query: q, undelivered: 1}
+	s.inFlight.BeginQuery(queryLink, q)
+	s.w.links = append(s.w.links, queryLink)
 }
 
 // respond takes in a complete response on a connection.
-func (s *sender) respond(l *link, p *httpback.MatchedResponse) {
+func (s *sender) handleResponse(l *link, p *httpback.MatchedResponse) {
 	outcome, incarnation := attempts.Outcome(p.Header.Get("Firplank-Fate")), uint64(0)
 	if n, err := strconv.ParseUint(p.Header.Get("Firplank-Life"), 16, 64); err == nil {
 		incarnation = n
 	}
 	evidence := s.inFlight.HandleResponse(l, outcome, responseOf(l.request.id, p), incarnation)
 	if l.query != nil && !l.query.Answered() {
-		if !s.w.defect.rejectedQueryIsProof {
-			s.broke(l)
+		if !s.w.defect.rejectedQueryIsNotStarted {
+			s.handleClose(l)
 			return
 		}
 		evidence = attempts.NeverExecuted
 	}
-	s.conclude(l, evidence, string(p.Body))
+	s.handleEvidence(l, evidence, string(p.Body))
 }
 
 // conclude goes on with a request by what is proven of its attempt.
-func (s *sender) conclude(l *link, evidence attempts.Evidence, body string) {
+func (s *sender) handleEvidence(l *link, evidence attempts.Evidence, body string) {
 	r := l.request
 	if r.done {
 		s.w.history.fail("%s: two ends of one attempt", r.id)
@@ -142,22 +142,22 @@
 	case attempts.NeverExecuted, attempts.RejectedByServer:
 		if evidence == attempts.NeverExecuted {
 			r.attempts--
-		} else if !s.w.defect.sameServer {
-			r.rejected[l.to] = true
+		} else if !s.w.defect.retriesRejectingServer {
+			r.rejected[l.lastHop] = true
 		}
-		if r.attempts >= maxAttempts || r.sent >= 2*maxAttempts {
+		if r.attempts >= maxAttempts || r.sends >= 2*maxAttempts {
 			s.finish(r, refused, "")
 			return
 		}
 		s.send(r)
 	default:
-		s.finish(r, broken, "")
+		s.finish(r, unknown, "")
 	}
 }
 
 func (s *sender) finish(r *request, st status, body string) {
 	r.done = true
-	s.w.history.answered(r.id, st, body)
+	s.w.history.recordAnswer(r.id, st, body)
 }
 
 // responseOf is what there is to see of a response to a request.
--- a/lab/explore/catchup/catchup.go
+++ b/lab/explore/catchup/catchup.go
@@ -45,15 +45,15 @@
 
 // Result is what a run came to.
 type Result struct {
-	Breach  error
-	Took    time.Duration // of virtual time
-	Changes int           // that were acknowledged
-	Reads   int
-	Losses  int // of power
-	Wipes   int // disks that were lost
-	Kills   int
-	Refused int // spans in which a disk refused
-	CatchUp CatchUp
+	Breach      error
+	Took        time.Duration // of virtual time
+	Changes     int           // that were acknowledged
+	Reads       int
+	PowerLosses int // of power
+	DisksLost   int // disks that were lost
+	Kills       int
+	DisksFull   int // spans in which a disk refused
+	CatchUp     CatchUp
 }
 
 // String implements fmt.Stringer.
@@ -62,31 +62,31 @@
 		return r.Breach.Error()
 	}
 	return fmt.Sprintf("%d changes and %d reads in %.1f s; %d kills, %d losses of power, %d disks lost, %d full; %s",
-		r.Changes, r.Reads, r.Took.Seconds(), r.Kills, r.Losses, r.Wipes, r.Refused, r.CatchUp)
+		r.Changes, r.Reads, r.Took.Seconds(), r.Kills, r.PowerLosses, r.DisksLost, r.DisksFull, r.CatchUp)
 }
 
 // world is the control machines and all around them. It isn't safe for concurrent use.
 type world struct {
-	plan     Plan
-	rng      *rand.Rand
-	now      time.Duration
-	schedule schedule
-	machines []*machine
-	history  *history
-	result   Result
-	clients  clients
-	absent   *machine // that misses half of the changes; nil: not yet chosen
-	faults   int      // left to be injected
+	plan       Plan
+	rng        *rand.Rand
+	now        time.Duration
+	schedule   schedule
+	machines   []*machine
+	history    *history
+	result     Result
+	clients    clients
+	absent     *machine // that misses half of the changes; nil: not yet chosen
+	faultsLeft int      // left to be injected
 }
 
 // Run plays the run that a seed draws.
 func Run(p Plan, seed uint64) Result {
 	w := &world{
-		plan:    p,
-		rng:     rand.New(rand.NewPCG(seed, 0x51ab)),
-		history: newHistory(),
-		clients: clients{pending: map[uint64]*operation{}},
-		faults:  p.Faults,
+		plan:       p,
+		rng:        rand.New(rand.NewPCG(seed, 0x51ab)),
+		history:    newHistory(),
+		clients:    clients{pending: map[uint64]*operation{}},
+		faultsLeft: p.Faults,
 	}
 	for i := range members {
 		w.machines = append(w.machines, newMachine(w, i))
@@ -98,8 +98,8 @@
 		w.nextChange()
 	}
 	w.after(readInterval, w.read)
-	w.after(firstFault, w.fault)
-	w.play(time.Duration(p.Changes) * maxTimePerChange)
+	w.after(firstFault, w.injectFaults)
+	w.run(time.Duration(p.Changes) * maxTimePerChange)
 	return w.finish()
 }
 
@@ -119,7 +119,7 @@
 
 // play carries out events until all changes are made and quietTime has passed since, a check fails, or the limit is
 // reached.
-func (w *world) play(limit time.Duration) {
+func (w *world) run(limit time.Duration) {
 	var end time.Duration // 0: changes are left
 	for w.schedule.Len() > 0 && w.history.breach == nil && w.now < limit {
 		if w.clients.acknowledged == w.plan.Changes && end == 0 {
--- a/lab/explore/catchup/catchup_test.go
+++ b/lab/explore/catchup/catchup_test.go
@@ -17,7 +17,7 @@
 }
 
 // A member that missed half of all changes is brought up to date by the bytes of a few values.
-func TestLongAbsenceCostsNoMoreThanAShortOne(t *testing.T) {
+func TestCatchUpBytesDoNotGrowWithMissedChanges(t *testing.T) {
 	r := Run(Plan{Changes: 100, BodyBytes: 2000}, 1)
 	if t.Log(r); r.Breach != nil || r.CatchUp.Missed < 45 || r.CatchUp.Values > 8 {
 		t.Errorf("%v", r)
@@ -27,7 +27,7 @@
 // A search that finds nothing has to be one that would.
 func TestPlantedDefectsAreFound(t *testing.T) {
 	found := 0
-	for _, d := range Planted {
+	for _, d := range PlantedDefects {
 		if !d.Found {
 			continue
 		}
--- a/lab/explore/catchup/clients.go
+++ b/lab/explore/catchup/clients.go
@@ -27,7 +27,7 @@
 	version uint32 // 0: a read
 	body    []byte
 	began   time.Duration
-	at      *machine // nil: it went down
+	machine *machine // nil: it went down
 }
 
 func (o *operation) isRead() bool { return o.version == 0 }
@@ -62,9 +62,9 @@
 	id := c.lastID
 	m := w.machines[w.rng.IntN(members)]
 	if m.isUp() {
-		o.at = m
+		o.machine = m
 		c.pending[id] = o
-		m.handle(o.event(id))
+		m.apply(o.event(id))
 	}
 	w.after(requestTimeout, func() {
 		if m.isUp() {
@@ -85,9 +85,9 @@
 }
 
 // completed takes in the outcome of an operation at a machine.
-func (w *world) completed(m *machine, outcome register.Outcome) {
+func (w *world) handleOutcome(m *machine, outcome register.Outcome) {
 	o := w.clients.pending[outcome.ID]
-	if o == nil || o.at != m {
+	if o == nil || o.machine != m {
 		return
 	}
 	delete(w.clients.pending, outcome.ID)
@@ -105,12 +105,12 @@
 }
 
 // wentDown drops what a machine was to answer.
-func (c *clients) wentDown(m *machine) {
+func (c *clients) machineStopped(m *machine) {
 	for id, o := range c.pending {
-		if o.at != m {
+		if o.machine != m {
 			continue
 		}
-		o.at = nil
+		o.machine = nil
 		if o.isRead() {
 			delete(c.pending, id)
 		}
--- a/lab/explore/catchup/defects.go
+++ b/lab/explore/catchup/defects.go
@@ -33,7 +33,7 @@
 
 // Planted are the defects that a search in Small runs looks for. Those that it isn't known to find are found by
 // lab/explore/register.
-var Planted = []struct {
+var PlantedDefects = []struct {
 	Name   string
 	Defect Defect
 	Found  bool
@@ -84,14 +84,14 @@
 }
 
 // atStart lets a machine publish too early.
-func (d Defect) atStart(m *machine, onDisk *register.State) {
+func (d Defect) publishEarly(m *machine, onDisk *register.State) {
 	if d == PublishesDiskState && onDisk != nil && onDisk.Value.Version > 0 {
 		m.history.inForce(m.name, onDisk.Value.Version, onDisk.Value.Body, m.now, m.now)
 	}
 }
 
 // writing lets a write count as synced when it begins.
-func (d Defect) writing(m *machine, w persist.Write) {
+func (d Defect) completeWriteEarly(m *machine, w persist.Write) {
 	if d == EarlyOutput {
 		m.pipeline.WriteCompleted(m.now, w.Number, nil)
 	}
--- a/lab/explore/catchup/disk.go
+++ b/lab/explore/catchup/disk.go
@@ -12,7 +12,7 @@
 
 const (
 	// maxOperationsToLoss bounds after how many operations a disk that is to lose power does so.
-	maxOperationsToLoss = 6
+	maxOperationsUntilLoss = 6
 	// renamedName is that of the files which pebble syncs under one name and then renames.
 	renamedName = "next"
 )
@@ -24,9 +24,9 @@
 	rng  *rand.Rand
 	full bool
 
-	losingPower      bool
-	operationsToLoss int
-	left             *disk // what a power loss left; nil: there was none
+	powerLossPending    bool
+	operationsUntilLoss int
+	afterPowerLoss      *disk // what a power loss left; nil: there was none
 
 	syncedForRename []byte // what was synced last of a file that is to be renamed
 }
@@ -46,11 +46,11 @@
 	if op.Kind == errorfs.OpFileSync && filepath.Base(op.Path) == renamedName {
 		defer func() { d.syncedForRename = slices.Clone(content(d.MemFS, op.Path)) }()
 	}
-	if d.losingPower && d.left == nil {
-		if d.operationsToLoss == 0 {
-			d.left = d.powerLoss()
+	if d.powerLossPending && d.afterPowerLoss == nil {
+		if d.operationsUntilLoss == 0 {
+			d.afterPowerLoss = d.powerLoss()
 		}
-		d.operationsToLoss--
+		d.operationsUntilLoss--
 	}
 	return nil
 }
@@ -58,10 +58,10 @@
 // String implements errorfs.Injector.
 func (d *disk) String() string { return "a disk" }
 
-func (d *disk) hasLostPower() bool { return d.left != nil }
+func (d *disk) hasLostPower() bool { return d.afterPowerLoss != nil }
 
 // losePowerSoon has the power lost within the next operations.
 func (d *disk) losePowerSoon() {
-	d.losingPower = true
-	d.operationsToLoss = d.rng.IntN(maxOperationsToLoss)
+	d.powerLossPending = true
+	d.operationsUntilLoss = d.rng.IntN(maxOperationsUntilLoss)
 }
--- a/lab/explore/catchup/faults.go
+++ b/lab/explore/catchup/faults.go
@@ -3,23 +3,23 @@
 import "time"
 
 // fault injects a fault where one is due by the changes made, and comes again.
-func (w *world) fault() {
+func (w *world) injectFaults() {
 	acknowledged := w.clients.acknowledged
 	if acknowledged >= w.plan.Changes {
 		return
 	}
-	w.leaveOrReturn()
-	injected := w.plan.Faults - w.faults
-	if w.faults > 0 && acknowledged*w.plan.Faults >= injected*w.plan.Changes {
-		w.faults--
+	w.stopOrRestartAbsent()
+	injected := w.plan.Faults - w.faultsLeft
+	if w.faultsLeft > 0 && acknowledged*w.plan.Faults >= injected*w.plan.Changes {
+		w.faultsLeft--
 		w.history.faultOccurred(w.now)
 		w.inject(w.machines[w.rng.IntN(members)])
 	}
-	w.after(time.Duration(20+w.rng.IntN(60))*time.Millisecond, w.fault)
+	w.after(time.Duration(20+w.rng.IntN(60))*time.Millisecond, w.injectFaults)
 }
 
 // leaveOrReturn stops one machine after a quarter of all changes, and starts it again after three.
-func (w *world) leaveOrReturn() {
+func (w *world) stopOrRestartAbsent() {
 	quarter := w.plan.Changes / 4
 	switch {
 	case w.absent == nil && w.clients.acknowledged >= quarter:
@@ -59,7 +59,7 @@
 		w.refuseWrites(m, 4*down)
 		return
 	case w.othersHaveCaughtUp(m):
-		w.result.Wipes++
+		w.result.DisksLost++
 		m.stop(newDisk(w.rng))
 		m.earlier = nil
 	default:
@@ -69,7 +69,7 @@
 }
 
 func (w *world) losePower(m *machine) {
-	w.result.Losses++
+	w.result.PowerLosses++
 	m.stop(m.disk.powerLoss())
 }
 
@@ -85,7 +85,7 @@
 }
 
 func (w *world) refuseWrites(m *machine, span time.Duration) {
-	w.result.Refused++
+	w.result.DisksFull++
 	d := m.disk
 	d.full = true
 	w.after(span, func() {
@@ -96,9 +96,9 @@
 
 // powerLostInWrite goes on after a power loss in the middle of a write.
 func (m *machine) powerLostInWrite() {
-	m.result.Losses++
+	m.result.PowerLosses++
 	m.history.faultOccurred(m.now)
-	m.stop(m.disk.left)
+	m.stop(m.disk.afterPowerLoss)
 	m.restartAfter(m, m.downTime())
 }
 
@@ -118,12 +118,12 @@
 
 // othersHaveCaughtUp reports whether all machines but one are up with what was acknowledged: no more than one disk is
 // lost at a time.
-func (w *world) othersHaveCaughtUp(but *machine) bool {
+func (w *world) othersHaveCaughtUp(except *machine) bool {
 	for _, m := range w.machines {
-		if m == but {
+		if m == except {
 			continue
 		}
-		if !m.isUp() || w.history.isCatchingUp(m.name) || m.disk.full || m.disk.losingPower {
+		if !m.isUp() || w.history.isCatchingUp(m.name) || m.disk.full || m.disk.powerLossPending {
 			return false
 		}
 		if !m.pipeline.Replica().State().Voter {
@@ -137,7 +137,7 @@
 func (w *world) endFaults() {
 	for _, m := range w.machines {
 		m.disk.full = false
-		m.disk.losingPower = false
+		m.disk.powerLossPending = false
 	}
 	w.history.faultOccurred(w.now)
 }
--- a/lab/explore/catchup/history.go
+++ b/lab/explore/catchup/history.go
@@ -9,14 +9,14 @@
 
 // history is what operators, readers and sidecars received, and when. It knows of no ballot, disk or message.
 type history struct {
-	bodies       map[uint32][]byte // by version
-	acked        map[uint32]bool
-	seen         []observation // by rising time and version
-	reads        int
-	breach       error // the first
-	catchingUp   map[string]*catchingUp
-	catchUp      CatchUp
-	largestFrame int // with a value, in bytes
+	bodies               map[uint32][]byte // by version
+	acknowledgedVersions map[uint32]bool
+	observations         []observation // by rising time and version
+	reads                int
+	breach               error // the first
+	catchingUp           map[string]*catchingUp
+	catchUp              CatchUp
+	largestFrame         int // with a value, in bytes
 }
 
 // observation is the highest version that anybody received up to a time: a request that begins later may not return
@@ -28,9 +28,9 @@
 
 func newHistory() *history {
 	return &history{
-		bodies:     map[uint32][]byte{},
-		acked:      map[uint32]bool{},
-		catchingUp: map[string]*catchingUp{},
+		bodies:               map[uint32][]byte{},
+		acknowledgedVersions: map[uint32]bool{},
+		catchingUp:           map[string]*catchingUp{},
 	}
 }
 
@@ -43,20 +43,20 @@
 
 func (h *history) sent(version uint32, body []byte) { h.bodies[version] = body }
 
-func (h *history) isAcknowledged(version uint32) bool { return h.acked[version] }
+func (h *history) isAcknowledged(version uint32) bool { return h.acknowledgedVersions[version] }
 
 // highestBefore is the highest version that anybody received before a time.
 func (h *history) highestBefore(at time.Duration) uint32 {
-	i := sort.Search(len(h.seen), func(i int) bool { return h.seen[i].at >= at })
+	i := sort.Search(len(h.observations), func(i int) bool { return h.observations[i].at >= at })
 	if i == 0 {
 		return 0
 	}
-	return h.seen[i-1].version
+	return h.observations[i-1].version
 }
 
 func (h *history) observe(version uint32, at time.Duration) {
-	if n := len(h.seen); n == 0 || version > h.seen[n-1].version {
-		h.seen = append(h.seen, observation{at: at, version: version})
+	if n := len(h.observations); n == 0 || version > h.observations[n-1].version {
+		h.observations = append(h.observations, observation{at: at, version: version})
 	}
 }
 
@@ -83,10 +83,10 @@
 	if newest < version {
 		h.fail("version %d is acknowledged, and the newest is %d", version, newest)
 	}
-	h.acked[version] = true
+	h.acknowledgedVersions[version] = true
 	h.observe(newest, now)
 	for _, c := range h.catchingUp {
-		c.changes++
+		c.changesSince++
 	}
 }
 
@@ -94,7 +94,7 @@
 func (h *history) inForce(machine string, version uint32, body []byte, asOf, now time.Duration) {
 	h.check("a sidecar below "+machine, version, body, asOf)
 	h.observe(version, now)
-	if c := h.catchingUp[machine]; c != nil && version >= c.want {
+	if c := h.catchingUp[machine]; c != nil && version >= c.wantedVersion {
 		c.published = true
 	}
 }
--- a/lab/explore/catchup/link.go
+++ b/lab/explore/catchup/link.go
@@ -55,5 +55,5 @@
 		body = len(msg.Value.Body)
 	}
 	m.history.received(m.name, len(frame), body)
-	m.handle(register.MessageReceived{Message: msg})
+	m.apply(register.MessageReceived{Message: msg})
 }
--- a/lab/explore/catchup/machine.go
+++ b/lab/explore/catchup/machine.go
@@ -13,13 +13,13 @@
 
 const (
 	// folder is the data folder on each machine's disk.
-	folder = "/data"
+	dataDir = "/data"
 	// restartDelay is after what time a start that the disk refused is repeated.
 	restartDelay = 100 * time.Millisecond
 	// maxTickDelay is how long a machine goes without a tick that it doesn't ask for.
 	maxTickDelay = time.Second
 	// earlierStates bounds the states that a machine keeps for defects to return to.
-	earlierStates = 30
+	maxEarlierStates = 30
 )
 
 // machine is a control machine: a replica and its persistence pipeline over a store, as the control plane puts them
@@ -32,7 +32,7 @@
 	store    *storage.Store
 	pipeline *persistence.Pipeline // nil: the machine is down
 	process  int                   // rises with each start and end of a process
-	tickAt   time.Duration         // for which a tick is scheduled; 0: none is
+	nextTick time.Duration         // for which a tick is scheduled; 0: none is
 }
 
 func newMachine(w *world, i int) *machine {
@@ -57,23 +57,23 @@
 	if m.isUp() {
 		return
 	}
-	again := func() { m.start(firstStart) }
-	store, recovered, err := storage.OpenFS(errorfs.Wrap(m.disk.MemFS, m.disk), folder)
+	retry := func() { m.start(firstStart) }
+	store, recovered, err := storage.OpenFS(errorfs.Wrap(m.disk.MemFS, m.disk), dataDir)
 	if err != nil {
-		m.after(restartDelay, again)
+		m.after(restartDelay, retry)
 		return
 	}
 	m.process++
 	m.store = store
-	m.tickAt = 0
+	m.nextTick = 0
 	mayVote := m.plan.Defect.alterRecovery(m, &recovered, recovered.MayVoteWithoutRejoin(firstStart))
 	replica := register.New(m.name, machineNames(), mayVote, recovered.State, m.rng.Uint64())
 	if err := m.activate(replica, mayVote); err != nil || m.disk.hasLostPower() {
-		m.stop(m.disk.left)
-		m.after(restartDelay, again)
+		m.stop(m.disk.afterPowerLoss)
+		m.after(restartDelay, retry)
 		return
 	}
-	m.run(replica, recovered.State)
+	m.join(replica, recovered.State)
 }
 
 func (m *machine) activate(replica *register.Replica, mayVote bool) error {
@@ -85,7 +85,7 @@
 }
 
 // run lets a replica over the state that was recovered take part.
-func (m *machine) run(replica *register.Replica, recovered *register.State) {
+func (m *machine) join(replica *register.Replica, recovered *register.State) {
 	var onDisk register.State
 	if recovered != nil {
 		onDisk = *recovered
@@ -93,14 +93,14 @@
 	m.pipeline = persistence.New(replica, onDisk, m)
 	m.history.faultOccurred(m.now)
 	m.history.started(m.name, onDisk.Value.Version, m.now)
-	m.plan.Defect.atStart(m, recovered)
-	m.handle(register.PeerConnected{})
+	m.plan.Defect.publishEarly(m, recovered)
+	m.apply(register.PeerConnected{})
 }
 
 // stop ends the process; after a power loss, the disk is what that left.
 func (m *machine) stop(left *disk) {
 	m.history.stopped(m.name)
-	m.clients.wentDown(m)
+	m.clients.machineStopped(m)
 	if m.store != nil {
 		_ = m.store.Close() // as a process that ends: its disk may refuse
 	}
@@ -113,7 +113,7 @@
 }
 
 // handle hands an event to the replica.
-func (m *machine) handle(ev register.Event) {
+func (m *machine) apply(ev register.Event) {
 	if !m.isUp() {
 		return
 	}
@@ -133,7 +133,7 @@
 // Write implements persistence.Sink: the disk takes writeTime.
 func (m *machine) Write(w persist.Write) {
 	process := m.process
-	m.plan.Defect.writing(m, w)
+	m.plan.Defect.completeWriteEarly(m, w)
 	m.after(writeTime, func() {
 		if m.process == process {
 			m.write(w)
@@ -151,7 +151,7 @@
 	if err == nil {
 		m.store.RecordSynced()
 		m.earlier = append(m.earlier, *w.State)
-		m.earlier = m.earlier[max(0, len(m.earlier)-earlierStates):]
+		m.earlier = m.earlier[max(0, len(m.earlier)-maxEarlierStates):]
 		m.history.onDisk(m.name, w.State.Value.Version, m.now)
 	}
 	m.pipeline.WriteCompleted(m.now, w.Number, err)
@@ -166,7 +166,7 @@
 }
 
 // Complete implements persistence.Sink.
-func (m *machine) Complete(o register.Outcome) { m.completed(m, o) }
+func (m *machine) Complete(o register.Outcome) { m.handleOutcome(m, o) }
 
 // scheduleTick schedules a tick for when the pipeline asks for one, unless an earlier one is scheduled.
 func (m *machine) scheduleTick() {
@@ -175,16 +175,16 @@
 		next = m.now + maxTickDelay
 	}
 	next = max(next, m.now+time.Millisecond)
-	if m.tickAt > m.now && m.tickAt <= next {
+	if m.nextTick > m.now && m.nextTick <= next {
 		return
 	}
-	m.tickAt = next
+	m.nextTick = next
 	process := m.process
 	m.after(next-m.now, func() {
-		if m.process != process || m.tickAt != next {
+		if m.process != process || m.nextTick != next {
 			return
 		}
-		m.tickAt = 0
+		m.nextTick = 0
 		m.history.checkDeadlines(m.now)
 		m.pipeline.Tick(m.now)
 		m.afterStep()
--- a/lab/explore/catchup/recovery.go
+++ b/lab/explore/catchup/recovery.go
@@ -32,18 +32,18 @@
 
 // catchingUp is a machine that has started and has not caught up.
 type catchingUp struct {
-	since     time.Duration // from when its time counts
-	want      uint32        // version
-	missed    uint32        // changes
-	bytes     int           // received
-	published bool
-	changes   int // acknowledged meanwhile
+	since         time.Duration // from when its time counts
+	wantedVersion uint32        // version
+	missedChanges uint32        // changes
+	bytes         int           // received
+	published     bool
+	changesSince  int // acknowledged meanwhile
 }
 
 // started takes in that a machine started with a version on its disk.
 func (h *history) started(machine string, version uint32, now time.Duration) {
 	want := h.highestBefore(now + 1)
-	h.catchingUp[machine] = &catchingUp{since: now, want: want, missed: want - min(want, version)}
+	h.catchingUp[machine] = &catchingUp{since: now, wantedVersion: want, missedChanges: want - min(want, version)}
 }
 
 func (h *history) stopped(machine string) { delete(h.catchingUp, machine) }
@@ -70,17 +70,17 @@
 // onDisk takes in what a machine has on its disk, which is the last condition for having caught up.
 func (h *history) onDisk(machine string, version uint32, now time.Duration) {
 	c := h.catchingUp[machine]
-	if c == nil || !c.published || version < c.want {
+	if c == nil || !c.published || version < c.wantedVersion {
 		return
 	}
 	delete(h.catchingUp, machine)
-	if limit := (CatchUpValues+c.changes)*h.largestFrame + CatchUpBytes; c.bytes > limit {
+	if limit := (CatchUpValues+c.changesSince)*h.largestFrame + CatchUpBytes; c.bytes > limit {
 		h.fail("%s was sent %d bytes until it had caught up, %d at most is promised", machine, c.bytes, limit)
 	}
 	worst := &h.catchUp
 	worst.Starts++
 	worst.Time = max(worst.Time, now-c.since)
-	worst.Missed = max(worst.Missed, c.missed)
+	worst.Missed = max(worst.Missed, c.missedChanges)
 	if h.largestFrame > 0 {
 		worst.Values = max(worst.Values, float64(c.bytes)/float64(h.largestFrame))
 	}
@@ -90,7 +90,7 @@
 func (h *history) checkDeadlines(now time.Duration) {
 	for machine, c := range h.catchingUp {
 		if now > c.since+CatchUpTime {
-			h.fail("%s has not caught up to version %d (handed out: %v) in %v", machine, c.want, c.published, CatchUpTime)
+			h.fail("%s has not caught up to version %d (handed out: %v) in %v", machine, c.wantedVersion, c.published, CatchUpTime)
 		}
 	}
 }
--- a/lab/explore/cutoff/control.go
+++ b/lab/explore/cutoff/control.go
@@ -34,7 +34,7 @@
 		status codec.NodeStatus
 		known  []dissemination.ControlMachine // LastSeen is the negated age
 	}
-	inForce struct {
+	inForceReport struct {
 		from   int
 		lowest uint32
 	}
@@ -49,10 +49,10 @@
 
 // operation is an operator's call at a control machine.
 type operation struct {
-	call     int
+	id       int
 	put      bool
 	version  uint32
-	at       *controlMachine // the machine that it is sent to
+	machine  *controlMachine // the machine that it is sent to
 	answered bool
 }
 
@@ -70,14 +70,14 @@
 	if o.put {
 		version = o.version
 	}
-	o.at.w.answer(o.call, o.at.id, status, version)
+	o.machine.w.answer(o.id, o.machine.id, status, version)
 }
 
 // controlMachine is a control machine: the glue of mesh/controlplane in virtual time. What it decides are the shipped packages'.
 type controlMachine struct {
 	w               *world
 	id, incarnation int
-	start           time.Duration
+	startedAt       time.Duration
 	disk            *register.State
 	replica         *register.Replica
 	pipeline        *persistence.Pipeline
@@ -95,12 +95,12 @@
 
 func (c *controlMachine) incarnationNow() int { return c.incarnation }
 
-func (c *controlMachine) now() time.Duration { return c.w.now - c.start }
+func (c *controlMachine) now() time.Duration { return c.w.now - c.startedAt }
 
 // boot starts the machine over what its disk has.
 func (c *controlMachine) boot(first bool) {
 	c.w.lastIncarnation++
-	c.incarnation, c.start = c.w.lastIncarnation, c.w.now
+	c.incarnation, c.startedAt = c.w.lastIncarnation, c.w.now
 	c.replica = register.New(addr(c.id), c.w.seeds(), first && c.disk == nil, c.disk, c.w.rng.Uint64())
 	c.hub, c.pipeline = publishing.New[*conn](uncompressed, durations), persistence.New(c.replica, c.replica.State(), c)
 	c.operations = operations.NewTable(c.operationsRegister(), c.nextID, durations)
@@ -168,7 +168,7 @@
 
 // Send implements persistence.Sink.
 func (c *controlMachine) Send(m *register.Message) {
-	to := c.w.find(m.To)
+	to := c.w.nodeID(m.To)
 	if to == c.id {
 		return
 	}
@@ -209,7 +209,7 @@
 
 // operationsRegister is what operations are proposed to.
 func (c *controlMachine) operationsRegister() operations.Register {
-	if c.w.defect.unchecked {
+	if c.w.defect.skipsQuorumCheck {
 		return alwaysInContact{c.pipeline}
 	}
 	return c.pipeline
@@ -217,31 +217,31 @@
 
 // lowest is the lowest version in force below this machine.
 func (c *controlMachine) lowest() uint32 {
-	if c.w.defect.noWait {
+	if c.w.defect.skipsSidecarAcks {
 		return dissemination.Unconstrained
 	}
 	return c.hub.LowestInForce(c.now())
 }
 
 // propose takes an operator's call.
-func (c *controlMachine) propose(call *operation, text []byte) {
+func (c *controlMachine) propose(op *operation, text []byte) {
 	v, _, _ := c.replica.Committed()
 	switch {
-	case c.w.defect.refuses && c.pipeline.Health(c.now()).CheckAccepting(c.now(), durations.Dissemination.QuorumTimeout) != nil:
-		c.w.answer(call.call, c.id, 409, call.version)
+	case c.w.defect.rejectsPermanently && c.pipeline.Health(c.now()).CheckAccepting(c.now(), durations.Dissemination.QuorumTimeout) != nil:
+		c.w.answer(op.id, c.id, 409, op.version)
 		return
-	case call.put && c.w.defect.alone, !call.put && c.w.defect.localRead:
-		c.w.answer(call.call, c.id, 200, max(call.version, v.Version))
+	case op.put && c.w.defect.acksWithoutMajority, !op.put && c.w.defect.readsLocalState:
+		c.w.answer(op.id, c.id, 200, max(op.version, v.Version))
 		return
 	}
 	request := operations.Request(operations.Read{})
-	if call.put {
-		request = operations.Write{Version: call.version, Content: register.ContentOf(text), Body: text}
+	if op.put {
+		request = operations.Write{Version: op.version, Content: register.ContentOf(text), Body: text}
 	}
-	call.at = c
-	id, incarnation := c.operations.Propose(c.now(), request, call), c.incarnation
+	op.machine = c
+	id, incarnation := c.operations.Propose(c.now(), request, op), c.incarnation
 	c.w.after(durations.Operations.Timeout, func() {
-		if c.incarnation == incarnation && !call.answered {
+		if c.incarnation == incarnation && !op.answered {
 			c.operations.Cancel(id)
 		}
 	})
@@ -258,7 +258,7 @@
 		c.handleHello(m, now)
 	case lease.Message:
 		c.reconciler.HandleLease(now, m)
-	case inForce:
+	case inForceReport:
 		c.handleInForce(m.from, m.lowest, now)
 	case subscribe:
 		c.hub.Subscribe(l, m.ack, now)
@@ -304,7 +304,7 @@
 // reconnect makes the connection to a machine anew.
 func (c *controlMachine) reconnect(p *peers.Peer[*conn]) {
 	c.peers.SetConn(p.Addr, nil, c.now())
-	c.maintainConn(c.w.find(p.Addr))
+	c.maintainConn(c.w.nodeID(p.Addr))
 }
 
 // step does what is due, and sees to it that it is called again.
@@ -323,7 +323,7 @@
 	if at, ok := c.pipeline.NextTick(now); ok {
 		next = min(next, at)
 	}
-	c.w.wake(c, c.incarnation, &c.wakeAt, c.start+max(next, now+time.Millisecond))
+	c.w.wake(c, c.incarnation, &c.wakeAt, c.startedAt+max(next, now+time.Millisecond))
 }
 
 func (c *controlMachine) broadcastHello(now time.Duration) {
@@ -340,7 +340,7 @@
 
 // handleInForce takes in the lowest version in force below another machine.
 func (c *controlMachine) handleInForce(from int, lowest uint32, now time.Duration) {
-	if !c.w.defect.noWait {
+	if !c.w.defect.skipsSidecarAcks {
 		c.operations.PeerAcknowledged(addr(from), lowest, now)
 	}
 }
@@ -350,14 +350,14 @@
 	lowest, changed := c.hub.Announce(now)
 	if changed {
 		for _, p := range c.peers.All() {
-			c.w.net.send(p.Conn, c.id, inForce{c.id, lowest}, 60)
+			c.w.net.send(p.Conn, c.id, inForceReport{c.id, lowest}, 60)
 		}
 	}
 	return c.operations.Acknowledge(now, lowest)
 }
 
 func (c *controlMachine) updateSubscribers(now time.Duration) time.Duration {
-	if c.w.defect.noAge && c.hub.Publisher.AsOf != dissemination.TimeUnknown {
+	if c.w.defect.reportsFresh && c.hub.Publisher.AsOf != dissemination.TimeUnknown {
 		c.hub.Publisher.AsOf = now
 	}
 	updates, next := c.hub.Updates(now)
--- a/lab/explore/cutoff/cutoff.go
+++ b/lab/explore/cutoff/cutoff.go
@@ -25,61 +25,61 @@
 
 // Scenario is one day.
 type Scenario struct {
-	Direction Direction
-	Standby   bool // the machine that is cut off is no member of the register
-	Leader    bool // it holds the lease under which members are replaced
-	Zone      bool // the sidecars of its zone are cut off with it
-	Returns   bool // the other control machines are restarted during the cut, one after the other
-	Seed      uint64
+	Direction     Direction
+	Standby       bool // the machine that is cut off is no member of the register
+	HoldsLease    bool // it holds the lease under which members are replaced
+	CutZone       bool // the sidecars of its zone are cut off with it
+	RestartOthers bool // the other control machines are restarted during the cut, one after the other
+	Seed          uint64
 }
 
 // String describes the scenario.
 func (s Scenario) String() string {
 	return fmt.Sprintf("cut %s, standby %v, leader %v, zone %v, restarts of the others %v, seed %d",
-		[...]string{"both ways", "inward", "outward"}[s.Direction], s.Standby, s.Leader, s.Zone, s.Returns, s.Seed)
+		[...]string{"both ways", "inward", "outward"}[s.Direction], s.Standby, s.HoldsLease, s.CutZone, s.RestartOthers, s.Seed)
 }
 
 // Defect is a mistake planted in the surroundings of the decisions, as if they made it. The zero value has none.
 type Defect struct {
-	Name       string
-	anyAge     bool // a sidecar is ready with a configuration of any age
-	noAge      bool // a control machine reports its configuration as fresh, whenever a quorum last answered
-	alone      bool // an order is confirmed without a majority
-	localRead  bool // a read is answered from what this machine holds
-	refuses    bool // a machine without contact refuses for good
-	queue      bool // each version is sent in full, behind those that are under way
-	lastDelta  bool // only the last difference is sent, and taken as applied whatever its base
-	noWait     bool // a confirmation does not wait for the sidecars
-	stays      bool // a sidecar stays with its parent, however old that one's updates are
-	goesBack   bool // a sidecar forgets what it has when it changes parents
-	unchecked  bool // a machine takes and holds calls without contact with a majority
-	neverReady bool // a sidecar waits for a fresh update for ever
+	Name                string
+	readyAtAnyAge       bool // a sidecar is ready with a configuration of any age
+	reportsFresh        bool // a control machine reports its configuration as fresh, whenever a quorum last answered
+	acksWithoutMajority bool // an order is confirmed without a majority
+	readsLocalState     bool // a read is answered from what this machine holds
+	rejectsPermanently  bool // a machine without contact refuses for good
+	queuesFullTexts     bool // each version is sent in full, behind those that are under way
+	sendsOnlyLastDelta  bool // only the last difference is sent, and taken as applied whatever its base
+	skipsSidecarAcks    bool // a confirmation does not wait for the sidecars
+	keepsStaleParent    bool // a sidecar stays with its parent, however old that one's updates are
+	resetsOnReparent    bool // a sidecar forgets what it has when it changes parents
+	skipsQuorumCheck    bool // a machine takes and holds calls without contact with a majority
+	neverReady          bool // a sidecar waits for a fresh update for ever
 }
 
 // Defects are mistakes that a search has to find.
 var Defects = []Defect{
-	{Name: "a sidecar is ready with a configuration of any age", anyAge: true},
-	{Name: "a control machine calls its configuration fresh without a majority", noAge: true},
-	{Name: "an order is confirmed without a majority", alone: true},
-	{Name: "a read is answered from local state", localRead: true},
-	{Name: "a machine without contact refuses for good", refuses: true},
-	{Name: "overtaken versions are queued in full", queue: true},
-	{Name: "a difference is applied to the wrong base", lastDelta: true},
-	{Name: "a confirmation does not wait for the sidecars", noWait: true},
-	{Name: "a sidecar stays with a parent that has lost the majority", stays: true},
-	{Name: "a sidecar forgets its version when it changes parents", goesBack: true},
-	{Name: "a machine takes and holds calls without contact with a majority", unchecked: true},
+	{Name: "a sidecar is ready with a configuration of any age", readyAtAnyAge: true},
+	{Name: "a control machine calls its configuration fresh without a majority", reportsFresh: true},
+	{Name: "an order is confirmed without a majority", acksWithoutMajority: true},
+	{Name: "a read is answered from local state", readsLocalState: true},
+	{Name: "a machine without contact refuses for good", rejectsPermanently: true},
+	{Name: "overtaken versions are queued in full", queuesFullTexts: true},
+	{Name: "a difference is applied to the wrong base", sendsOnlyLastDelta: true},
+	{Name: "a confirmation does not wait for the sidecars", skipsSidecarAcks: true},
+	{Name: "a sidecar stays with a parent that has lost the majority", keepsStaleParent: true},
+	{Name: "a sidecar forgets its version when it changes parents", resetsOnReparent: true},
+	{Name: "a machine takes and holds calls without contact with a majority", skipsQuorumCheck: true},
 	{Name: "a sidecar that reaches no majority is never ready", neverReady: true},
 }
 
 // Times of a day.
 const (
-	began    = 4 * time.Second // operators order and read from then on
-	cutAt    = 10 * time.Second
-	cutFor   = 20 * time.Second
-	dayEnds  = 37 * time.Second
-	stormAt  = 26 * time.Second // and through the end of the cut
-	stormFor = 6 * time.Second
+	operatorStart = 4 * time.Second // operators order and read from then on
+	cutStart      = 10 * time.Second
+	cutDuration   = 20 * time.Second
+	dayEnd        = 37 * time.Second
+	stormStart    = 26 * time.Second // and through the end of the cut
+	stormDuration = 6 * time.Second
 )
 
 // Scenarios are the days of a search: every combination of what a Scenario holds, and so many seeds of each.
@@ -88,7 +88,7 @@
 		for bits := range 16 {
 			for _, d := range []Direction{Both, Inward, Outward} {
 				all = append(all, Scenario{
-					Direction: d, Standby: bits&1 > 0, Leader: bits&2 > 0, Zone: bits&4 > 0, Returns: bits&8 > 0, Seed: seed,
+					Direction: d, Standby: bits&1 > 0, HoldsLease: bits&2 > 0, CutZone: bits&4 > 0, RestartOthers: bits&8 > 0, Seed: seed,
 				})
 			}
 		}
@@ -97,28 +97,28 @@
 }
 
 // Quick are a few days that hold each direction and each variant.
-func Quick() []Scenario {
+func QuickScenarios() []Scenario {
 	return []Scenario{
 		{Direction: Both, Seed: 1},
-		{Direction: Both, Zone: true, Leader: true, Seed: 2},
-		{Direction: Inward, Returns: true, Leader: true, Seed: 3},
-		{Direction: Outward, Standby: true, Zone: true, Returns: true, Seed: 4},
-		{Direction: Inward, Standby: true, Zone: true, Seed: 5},
-		{Direction: Outward, Zone: true, Seed: 6},
+		{Direction: Both, CutZone: true, HoldsLease: true, Seed: 2},
+		{Direction: Inward, RestartOthers: true, HoldsLease: true, Seed: 3},
+		{Direction: Outward, Standby: true, CutZone: true, RestartOthers: true, Seed: 4},
+		{Direction: Inward, Standby: true, CutZone: true, Seed: 5},
+		{Direction: Outward, CutZone: true, Seed: 6},
 	}
 }
 
 // playUntilBreach plays a day only as long as nothing is broken.
 func playUntilBreach(s Scenario, d *Defect) error {
-	w := begin(s, d)
+	w := newWorld(s, d)
 	c := newChecker(w.history)
-	for at := time.Second; at <= dayEnds; at += time.Second {
+	for at := time.Second; at <= dayEnd; at += time.Second {
 		w.run(at)
-		if err := c.follow(w.history); err != nil {
+		if err := c.consume(w.history); err != nil {
 			return err
 		}
 	}
-	return c.end()
+	return c.finish()
 }
 
 // Search plays days until one breaks a rule; nil: none does.
--- a/lab/explore/cutoff/cutoff_test.go
+++ b/lab/explore/cutoff/cutoff_test.go
@@ -7,8 +7,8 @@
 
 // One control machine is cut off for 20 s, in each direction and in both, as the last to propose and not, as a member and not, with
 // sidecars restarted on either side and a storm of changes over narrow links.
-func TestCutOffMachineNeitherConfirmsNorMisleads(t *testing.T) {
-	played, day, breach := Search(Quick(), nil)
+func TestCutOffMachineNeitherAcknowledgesNorServesStaleData(t *testing.T) {
+	played, day, breach := Search(QuickScenarios(), nil)
 	if breach != nil {
 		t.Fatalf("%v: %v", day, breach)
 	}
@@ -18,7 +18,7 @@
 // A search that finds nothing has to be one that would.
 func TestPlantedDefectsAreFound(t *testing.T) {
 	for i := range Defects {
-		played, day, breach := Search(Quick(), &Defects[i])
+		played, day, breach := Search(QuickScenarios(), &Defects[i])
 		if breach == nil {
 			t.Errorf("%s: not found in %d days", Defects[i].Name, played)
 			continue
@@ -27,8 +27,8 @@
 	}
 }
 
-func TestDayIsTheSameAgain(t *testing.T) {
-	day := Quick()[3]
+func TestPlayIsDeterministic(t *testing.T) {
+	day := QuickScenarios()[3]
 	if !reflect.DeepEqual(Play(day, nil), Play(day, nil)) {
 		t.Error("two plays of one day differ")
 	}
--- a/lab/explore/cutoff/history.go
+++ b/lab/explore/cutoff/history.go
@@ -7,20 +7,20 @@
 
 // The kinds.
 const (
-	Sent     Kind = iota + 1 // an order: Call, Version, Text's hash, to Machine
-	Answered                 // an order or a read: Call, Version, Status, by Machine
-	ReadSent                 // Call, to Machine
-	CutBegan                 // Machine, and its sidecars where Zone
+	WriteSent Kind = iota + 1 // an order: Call, Version, Text's hash, to Machine
+	Answered                  // an order or a read: Call, Version, Status, by Machine
+	ReadSent                  // Call, to Machine
+	CutBegan                  // Machine, and its sidecars where Zone
 	CutEnded
 	MachineStopped
 	MachineStarted
 	SidecarStopped // Sidecar
 	SidecarStarted
-	Ready    // Sidecar, Version
-	TookUp   // Sidecar, Version, Text's hash
-	Joined   // Sidecar has its updates from Parent now
-	Parted   // ... no more
-	ReachCut // Sidecar reaches only the machine that is cut off
+	Ready        // Sidecar, Version
+	Adopted      // Sidecar, Version, Text's hash
+	ParentJoined // Sidecar has its updates from Parent now
+	ParentLost   // ... no more
+	TargetOnly   // Sidecar reaches only the machine that is cut off
 )
 
 // Event is something that an onlooker saw.
--- a/lab/explore/cutoff/network.go
+++ b/lab/explore/cutoff/network.go
@@ -8,7 +8,7 @@
 
 const (
 	latency           = 1 * time.Millisecond
-	dialFails         = 500 * time.Millisecond
+	dialTimeout       = 500 * time.Millisecond
 	retransmitTimeout = 2500 * time.Millisecond // how long what was sent may be without an acknowledgement
 )
 
@@ -64,12 +64,12 @@
 // network is the machines' links. Nothing passes from a to b while blocked(a, b).
 type network struct {
 	*clock
-	nodes   []node
-	blocked func(from, to int) bool
-	speed   []int           // bytes a second of each node's link
-	free    []time.Duration // when it is
-	conns   []*conn         // that are open, and some that are not
-	number  int             // of the newest
+	nodes          []node
+	blocked        func(from, to int) bool
+	bandwidth      []int           // bytes a second of each node's link
+	linkFreeAt     []time.Duration // when it is
+	conns          []*conn         // that are open, and some that are not
+	lastConnNumber int             // of the newest
 }
 
 // conn is a connection between two nodes.
@@ -80,7 +80,7 @@
 	open         bool
 	stalled      bool
 	held         [2][]any // what came while the way was cut, by the end that it is for
-	last         [2]time.Duration
+	lastArrival  [2]time.Duration
 }
 
 func (c *conn) side(id int) int {
@@ -97,7 +97,7 @@
 		switch {
 		case n.nodes[from].incarnationNow() != incarnation:
 		case n.blocked(from, to) || n.blocked(to, from):
-			n.after(dialFails, func() {
+			n.after(dialTimeout, func() {
 				if n.nodes[from].incarnationNow() == incarnation {
 					then(nil)
 				}
@@ -105,8 +105,8 @@
 		case n.nodes[to].incarnationNow() == 0:
 			then(nil)
 		default:
-			n.number++
-			c := &conn{number: n.number, ends: [2]int{from, to}, incarnations: [2]int{incarnation, n.nodes[to].incarnationNow()}, open: true}
+			n.lastConnNumber++
+			c := &conn{number: n.lastConnNumber, ends: [2]int{from, to}, incarnations: [2]int{incarnation, n.nodes[to].incarnationNow()}, open: true}
 			n.conns = append(n.conns, c)
 			then(c)
 		}
@@ -119,9 +119,9 @@
 		return
 	}
 	side := 1 - c.side(from)
-	n.free[from] = max(n.free[from], n.now) + time.Duration(bytes)*time.Second/time.Duration(n.speed[from])
-	at := max(n.free[from]+latency, c.last[side])
-	c.last[side] = at
+	n.linkFreeAt[from] = max(n.linkFreeAt[from], n.now) + time.Duration(bytes)*time.Second/time.Duration(n.bandwidth[from])
+	at := max(n.linkFreeAt[from]+latency, c.lastArrival[side])
+	c.lastArrival[side] = at
 	n.after(at-n.now, func() { n.arrive(c, side, message) })
 }
 
--- a/lab/explore/cutoff/operator.go
+++ b/lab/explore/cutoff/operator.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	callTimeout = time.Second // after which an operator asks elsewhere
-	between     = 100 * time.Millisecond
-	readEvery   = 250 * time.Millisecond
+	callTimeout  = time.Second // after which an operator asks elsewhere
+	retryDelay   = 100 * time.Millisecond
+	readInterval = 250 * time.Millisecond
 )
 
 // operator sends orders and reads to control machines, as the protocol describes it.
@@ -17,83 +17,83 @@
 	w       *world
 	version uint32
 	calls   int
-	open    map[int]func(status int) // of calls that wait for an answer
+	pending map[int]func(status int) // of calls that wait for an answer
 }
 
-func (o *operator) begin(w *world) {
-	o.w, o.open = w, map[int]func(int){}
-	for at := began; at < dayEnds-2*time.Second; {
+func (o *operator) scheduleCalls(w *world) {
+	o.w, o.pending = w, map[int]func(int){}
+	for at := operatorStart; at < dayEnd-2*time.Second; {
 		w.after(at, func() {
 			o.version++
-			o.order(o.version, w.rng.IntN(machines))
+			o.write(o.version, w.rng.IntN(machines))
 		})
-		gap := usual
-		if at >= stormAt && at < stormAt+stormFor {
-			gap = storm
+		gap := writeInterval
+		if at >= stormStart && at < stormStart+stormDuration {
+			gap = stormWriteInterval
 		}
 		at += gap
 	}
-	for at := began; at < dayEnds-time.Second; at += readEvery {
+	for at := operatorStart; at < dayEnd-time.Second; at += readInterval {
 		w.after(at, o.read)
 	}
 }
 
 // first is the machine that is asked first: on most calls during the cut the one that is cut off.
-func (o *operator) first(drawn int) int {
+func (o *operator) firstMachine(drawn int) int {
 	if o.w.cut && o.w.rng.IntN(3) > 0 {
 		return o.w.target
 	}
 	return drawn
 }
 
-func (o *operator) order(version uint32, to int) {
+func (o *operator) write(version uint32, to int) {
 	text := textOf(version)
-	o.w.history.add(Event{At: o.w.now, Kind: Sent, Version: version, Text: delta.Hash(text)})
-	o.try(version, text, o.first(to))
+	o.w.history.add(Event{At: o.w.now, Kind: WriteSent, Version: version, Text: delta.Hash(text)})
+	o.tryWrite(version, text, o.firstMachine(to))
 }
 
-func (o *operator) try(version uint32, text []byte, to int) {
-	again := func() {
-		o.w.after(between, func() { o.try(version, text, (to+1+o.w.rng.IntN(machines-1))%machines) })
+func (o *operator) tryWrite(version uint32, text []byte, to int) {
+	retry := func() {
+		o.w.after(retryDelay, func() { o.tryWrite(version, text, (to+1+o.w.rng.IntN(machines-1))%machines) })
 	}
 	o.call(to, &operation{put: true, version: version}, text, func(status int) {
 		if status == 0 || status >= 500 {
-			again()
+			retry()
 		}
 	})
 }
 
 func (o *operator) read() {
-	to := o.first(o.w.rng.IntN(machines))
+	to := o.firstMachine(o.w.rng.IntN(machines))
 	o.calls++
 	o.w.history.add(Event{At: o.w.now, Kind: ReadSent, Call: o.calls, Machine: to})
-	o.send(o.calls, to, &operation{call: o.calls}, nil, func(int) {})
+	o.send(o.calls, to, &operation{id: o.calls}, nil, func(int) {})
 }
 
-func (o *operator) call(to int, c *operation, text []byte, then func(status int)) {
+func (o *operator) call(to int, op *operation, text []byte, then func(status int)) {
 	o.calls++
-	c.call = o.calls
-	o.w.history.add(Event{At: o.w.now, Kind: Sent, Call: c.call, Version: c.version, Machine: to, Text: delta.Hash(text)})
-	o.send(c.call, to, c, text, then)
+	op.id = o.calls
+	o.w.history.add(Event{At: o.w.now, Kind: WriteSent, Call: op.id, Version: op.version, Machine: to, Text: delta.Hash(text)})
+	o.send(op.id, to, op, text, then)
 }
 
 // send brings a call to a machine. Its end is reported once: by its answer, or with 0 after a silence or where nobody listens.
-func (o *operator) send(call, to int, c *operation, text []byte, then func(status int)) {
-	o.open[call] = then
+func (o *operator) send(call, to int, op *operation, text []byte, then func(status int)) {
+	o.pending[call] = then
 	o.w.after(latency, func() {
 		m := o.w.controls[to]
 		if m.incarnation == 0 {
 			o.end(call, 0)
 			return
 		}
-		m.propose(c, text)
+		m.propose(op, text)
 	})
 	o.w.after(callTimeout, func() { o.end(call, 0) })
 }
 
 func (o *operator) end(call, status int) {
-	if then := o.open[call]; then != nil {
-		delete(o.open, call)
+	if then := o.pending[call]; then != nil {
+		delete(o.pending, call)
 		then(status)
 	}
 }
@@ -102,7 +102,7 @@
 func (w *world) answer(call, machine, status int, version uint32) {
 	w.after(latency, func() {
 		o := &w.operator
-		if o.open[call] == nil {
+		if o.pending[call] == nil {
 			return
 		}
 		w.history.add(Event{At: w.now, Kind: Answered, Call: call, Machine: machine, Status: status, Version: version})
--- a/lab/explore/cutoff/reconcile.go
+++ b/lab/explore/cutoff/reconcile.go
@@ -15,7 +15,7 @@
 // of a connection does not notice its close.
 func (c *controlMachine) reconcileMembers(now time.Duration) {
 	for _, p := range c.peers.Silent(now, durations.Replacement.DetectionTimeout/2) {
-		if to := c.w.find(p.Addr); c.w.blocked(c.id, to) || c.w.blocked(to, c.id) {
+		if to := c.w.nodeID(p.Addr); c.w.blocked(c.id, to) || c.w.blocked(to, c.id) {
 			c.reconnect(p)
 		} else {
 			c.w.net.close(p.Conn)
--- a/lab/explore/cutoff/sidecar.go
+++ b/lab/explore/cutoff/sidecar.go
@@ -33,7 +33,7 @@
 	id          int // its number among the network's nodes
 	incarnation int // 0: it does not run
 	zone        string
-	start       time.Duration
+	startedAt   time.Duration
 	seeds       []string
 	policy      *dissemination.Subscriber
 	node        *distribution.Node
@@ -55,13 +55,13 @@
 
 func (s *sidecar) incarnationNow() int { return s.incarnation }
 
-func (s *sidecar) now() time.Duration { return s.w.now - s.start }
+func (s *sidecar) now() time.Duration { return s.w.now - s.startedAt }
 
 func (s *sidecar) boot() {
 	s.w.lastIncarnation++
-	s.incarnation, s.start = s.w.lastIncarnation, s.w.now
+	s.incarnation, s.startedAt = s.w.lastIncarnation, s.w.now
 	updates := durations.Dissemination
-	if s.w.defect.anyAge {
+	if s.w.defect.readyAtAnyAge {
 		updates.MaxReadyAge = time.Hour
 	}
 	if s.w.defect.neverReady {
@@ -91,11 +91,11 @@
 		s.parentLost()
 	}
 	s.node.Handle(s.now(), distribution.ConnClosed{Conn: link{c}})
-	s.perform()
+	s.performActions()
 }
 
 func (s *sidecar) parentLost() {
-	s.w.history.add(Event{At: s.w.now, Kind: Parted, Sidecar: s.id})
+	s.w.history.add(Event{At: s.w.now, Kind: ParentLost, Sidecar: s.id})
 }
 
 func (s *sidecar) receive(c *conn, message any) {
@@ -107,11 +107,11 @@
 	case *wire.FrameT: // of another sidecar
 		f = m
 	}
-	if s.w.defect.lastDelta {
-		s.takeAnyDelta(f)
+	if s.w.defect.sendsOnlyLastDelta {
+		s.forceDeltas(f)
 	}
 	s.node.Handle(now, distribution.FrameReceived{Conn: link{c}, Frame: f})
-	s.perform()
+	s.performActions()
 	s.step()
 }
 
@@ -131,20 +131,20 @@
 	s.w.fillDirectory(s)
 	s.node.CheckReady(now)
 	s.node.Reparent(now)
-	s.perform()
+	s.performActions()
 	s.maintain(now)
-	s.perform()
+	s.performActions()
 	s.node.Adopt()
 	next := min(now+durations.Subscription.TickInterval, s.node.Publish(now))
-	s.perform()
-	s.w.wake(s, s.incarnation, &s.wakeAt, s.start+max(next, now+time.Millisecond))
+	s.performActions()
+	s.w.wake(s, s.incarnation, &s.wakeAt, s.startedAt+max(next, now+time.Millisecond))
 }
 
 // maintain keeps up the subscription; with a planted defect, as if the parent's updates were always fresh.
 func (s *sidecar) maintain(now time.Duration) {
 	state := s.node.State()
 	asOf := state.AsOf
-	if s.w.defect.stays && s.node.Parent() != nil {
+	if s.w.defect.keepsStaleParent && s.node.Parent() != nil {
 		state.AsOf = now
 	}
 	s.node.Maintain(now, 0)
@@ -153,8 +153,8 @@
 
 // perform does what the node wants done. What goes to subscribers goes in the order of their connections, so that a
 // day is the same again.
-func (s *sidecar) perform() {
-	var down []distribution.Send
+func (s *sidecar) performActions() {
+	var toSubscribers []distribution.Send
 	for _, a := range s.node.TakeActions() {
 		switch a := a.(type) {
 		case distribution.Dial:
@@ -164,43 +164,43 @@
 			s.w.net.close(a.Conn.(link).conn)
 		case distribution.Send:
 			if a.Frame.Kind == wire.Subscribe || a.Frame.Kind == wire.Report {
-				s.sendUp(a.To.(link).conn, a.Frame)
+				s.sendToParent(a.To.(link).conn, a.Frame)
 			} else {
-				down = append(down, a)
+				toSubscribers = append(toSubscribers, a)
 			}
 		case distribution.UpdateRejected: // the full text is asked for
 		}
 	}
-	slices.SortStableFunc(down, func(a, b distribution.Send) int {
+	slices.SortStableFunc(toSubscribers, func(a, b distribution.Send) int {
 		return cmp.Compare(a.To.(link).number, b.To.(link).number)
 	})
-	for _, a := range down {
-		s.sendDown(a.To.(link).conn, a.Frame)
+	for _, a := range toSubscribers {
+		s.sendToSubscriber(a.To.(link).conn, a.Frame)
 	}
 }
 
 // dial connects to a parent.
 func (s *sidecar) dial(addr string) {
-	s.w.net.dial(s.id, s.w.find(addr), func(c *conn) {
+	s.w.net.dial(s.id, s.w.nodeID(addr), func(c *conn) {
 		now := s.now()
 		if c == nil {
 			s.node.Handle(now, distribution.ParentDialed{Err: errUnreachable})
-			s.perform()
+			s.performActions()
 			s.step()
 			return
 		}
-		s.w.history.add(Event{At: s.w.now, Kind: Joined, Sidecar: s.id, Parent: s.w.find(addr)})
-		if s.w.defect.goesBack {
+		s.w.history.add(Event{At: s.w.now, Kind: ParentJoined, Sidecar: s.id, Parent: s.w.nodeID(addr)})
+		if s.w.defect.resetsOnReparent {
 			s.node, s.inForce = distribution.New(s.entry(), s.policy, host{s}, durations), 0
 		}
 		s.node.Handle(now, distribution.ParentDialed{Conn: link{c}})
-		s.perform()
+		s.performActions()
 		s.step()
 	})
 }
 
 // sendUp sends a subscription or a report to the parent.
-func (s *sidecar) sendUp(c *conn, f *wire.FrameT) {
+func (s *sidecar) sendToParent(c *conn, f *wire.FrameT) {
 	bytes := frameBytes + entryBytes*len(f.Entries)
 	switch {
 	case c.ends[1] >= machines:
@@ -213,12 +213,12 @@
 }
 
 // sendDown sends an update or a dismissal to a subscriber, or to who would be one.
-func (s *sidecar) sendDown(c *conn, f *wire.FrameT) {
+func (s *sidecar) sendToSubscriber(c *conn, f *wire.FrameT) {
 	if f.Kind == wire.GoAway {
 		s.w.net.send(c, s.id, f, goAwayBytes)
 		return
 	}
-	s.plant(c, f)
+	s.applyPublisherDefects(c, f)
 	bytes := frameBytes + entryBytes*len(f.Entries)
 	if f.Value != nil {
 		bytes += len(f.Value.Body) / packingRatio
@@ -230,11 +230,11 @@
 }
 
 // plant puts the planted defects of publishers into an update, as world.sendUpdate does into those of control machines.
-func (s *sidecar) plant(c *conn, f *wire.FrameT) {
-	if s.w.defect.lastDelta && len(f.Deltas) > 1 {
+func (s *sidecar) applyPublisherDefects(c *conn, f *wire.FrameT) {
+	if s.w.defect.sendsOnlyLastDelta && len(f.Deltas) > 1 {
 		f.Deltas = f.Deltas[len(f.Deltas)-1:]
 	}
-	if s.w.defect.queue && (f.Value != nil || len(f.Deltas) > 0) {
+	if s.w.defect.queuesFullTexts && (f.Value != nil || len(f.Deltas) > 0) {
 		f.Value, f.Deltas = &wire.ValueT{Version: f.Version, Body: s.node.State().Text}, nil
 		s.node.Handle(s.now(), distribution.FrameReceived{Conn: link{c}, Frame: &wire.FrameT{
 			Kind: wire.Report, Id: f.Id, Version: f.Version, LowestVersion: f.Version,
@@ -243,7 +243,7 @@
 }
 
 // takeAnyDelta has deltas that do not apply count as applied.
-func (s *sidecar) takeAnyDelta(f *wire.FrameT) {
+func (s *sidecar) forceDeltas(f *wire.FrameT) {
 	state := s.node.State()
 	if len(f.Deltas) == 0 || f.Version <= state.Version {
 		return
@@ -273,7 +273,7 @@
 func (h host) Adopt(version uint32, text []byte) (inForce uint32) {
 	s := h.s
 	s.inForce = version
-	s.w.history.add(Event{At: s.w.now, Kind: TookUp, Sidecar: s.id, Version: version, Text: delta.Hash(text)})
+	s.w.history.add(Event{At: s.w.now, Kind: Adopted, Sidecar: s.id, Version: version, Text: delta.Hash(text)})
 	return version
 }
 
--- a/lab/explore/cutoff/world.go
+++ b/lab/explore/cutoff/world.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	machines = 4 // control machines, of which the first three are members
-	perZone  = 8 // sidecars in each of two zones: enough for a relay tree
-	routes   = 30
-	wide     = 1 << 20  // bytes a second of a control machine's link
-	narrow   = 40 << 10 // ... of a sidecar's, as what requests leave of it
-	usual    = time.Second
-	storm    = 70 * time.Millisecond
+	machines           = 4 // control machines, of which the first three are members
+	sidecarsPerZone    = 8 // sidecars in each of two zones: enough for a relay tree
+	routes             = 30
+	controlBandwidth   = 1 << 20  // bytes a second of a control machine's link
+	sidecarBandwidth   = 40 << 10 // ... of a sidecar's, as what requests leave of it
+	writeInterval      = time.Second
+	stormWriteInterval = 70 * time.Millisecond
 )
 
 // world is a day under way.
@@ -40,20 +40,20 @@
 
 // Play plays a day and returns what an onlooker saw.
 func Play(s Scenario, d *Defect) *History {
-	w := begin(s, d)
-	w.run(dayEnds)
+	w := newWorld(s, d)
+	w.run(dayEnd)
 	return w.history
 }
 
 // begin sets up a day.
-func begin(s Scenario, d *Defect) *world {
+func newWorld(s Scenario, d *Defect) *world {
 	if d == nil {
 		d = &Defect{}
 	}
 	w := &world{scenario: s, defect: d, rng: rand.New(rand.NewPCG(s.Seed, 0xc07))}
-	w.history = &History{Machines: machines, Sidecars: 2 * perZone, Ends: dayEnds}
+	w.history = &History{Machines: machines, Sidecars: 2 * sidecarsPerZone, Ends: dayEnd}
 	w.build()
-	w.plan()
+	w.scheduleFaults()
 	return w
 }
 
@@ -63,15 +63,15 @@
 		c := &controlMachine{w: w, id: id}
 		w.controls = append(w.controls, c)
 		w.net.nodes = append(w.net.nodes, c)
-		w.net.speed = append(w.net.speed, wide)
+		w.net.bandwidth = append(w.net.bandwidth, controlBandwidth)
 	}
-	for i := range 2 * perZone {
+	for i := range 2 * sidecarsPerZone {
 		s := &sidecar{w: w, id: machines + i, zone: zoneOf(i), seeds: w.seeds()}
 		w.sidecars = append(w.sidecars, s)
 		w.net.nodes = append(w.net.nodes, s)
-		w.net.speed = append(w.net.speed, narrow)
+		w.net.bandwidth = append(w.net.bandwidth, sidecarBandwidth)
 	}
-	w.net.free = make([]time.Duration, len(w.net.nodes))
+	w.net.linkFreeAt = make([]time.Duration, len(w.net.nodes))
 	for i, c := range w.controls {
 		w.after(time.Duration(i)*time.Millisecond, func() { c.boot(true) })
 	}
@@ -85,11 +85,11 @@
 
 // newSeeds are those of a sidecar when it is restarted: the machine that is cut off alone, where it reaches that
 // one and so hears of the others, or else some that it reaches.
-func (w *world) newSeeds(s *sidecar, lonely bool) []string {
+func (w *world) newSeeds(s *sidecar, targetOnly bool) []string {
 	switch {
-	case lonely && (!w.scenario.Zone || w.apart(s.id)):
+	case targetOnly && (!w.scenario.CutZone || w.onTargetSide(s.id)):
 		return []string{addr(w.target)}
-	case w.scenario.Zone:
+	case w.scenario.CutZone:
 		return []string{addr(w.target), addr((w.target + 1) % machines)}
 	}
 	return w.seeds()
@@ -100,73 +100,73 @@
 	if !w.cut {
 		return false
 	}
-	in, out := w.apart(from), w.apart(to)
-	if in == out || !w.scenario.Zone && (from >= machines || to >= machines) {
+	fromTargetSide, toTargetSide := w.onTargetSide(from), w.onTargetSide(to)
+	if fromTargetSide == toTargetSide || !w.scenario.CutZone && (from >= machines || to >= machines) {
 		return false
 	}
 	switch w.scenario.Direction {
 	case Inward:
-		return out
+		return toTargetSide
 	case Outward:
-		return in
+		return fromTargetSide
 	}
 	return true
 }
 
 // apart reports whether a node is on the side of the machine that is cut off.
-func (w *world) apart(id int) bool {
+func (w *world) onTargetSide(id int) bool {
 	if id < machines {
 		return id == w.target
 	}
-	return w.scenario.Zone && w.sidecars[id-machines].zone == zoneOf(w.target)
+	return w.scenario.CutZone && w.sidecars[id-machines].zone == zoneOf(w.target)
 }
 
 // plan sets what happens on the day.
-func (w *world) plan() {
+func (w *world) scheduleFaults() {
 	at := func(t time.Duration, do func()) { w.after(t, do) }
-	at(cutAt, func() {
-		w.target = w.choose()
+	at(cutStart, func() {
+		w.target = w.chooseTarget()
 		w.history.add(Event{At: w.now, Kind: CutBegan, Machine: w.target})
 		w.cut = true
 		for _, s := range w.sidecars {
-			if w.apart(s.id) {
-				w.history.add(Event{At: w.now, Kind: ReachCut, Sidecar: s.id})
+			if w.onTargetSide(s.id) {
+				w.history.add(Event{At: w.now, Kind: TargetOnly, Sidecar: s.id})
 			}
 		}
 	})
-	at(cutAt+cutFor, func() {
+	at(cutStart+cutDuration, func() {
 		w.history.add(Event{At: w.now, Kind: CutEnded, Machine: w.target})
 		w.cut = false
 		w.net.heal()
 	})
 	for i := range 6 { // on either side
-		s := w.sidecars[w.rng.IntN(perZone)*2+i%2]
-		w.restartSidecar(s, cutAt+time.Duration(2+3*i)*time.Second+time.Duration(w.rng.IntN(900))*time.Millisecond, i >= 2)
+		s := w.sidecars[w.rng.IntN(sidecarsPerZone)*2+i%2]
+		w.restartSidecar(s, cutStart+time.Duration(2+3*i)*time.Second+time.Duration(w.rng.IntN(900))*time.Millisecond, i >= 2)
 	}
-	if w.scenario.Returns {
+	if w.scenario.RestartOthers {
 		for i := range machines {
-			w.restartControl(w.controls[i], cutAt+time.Duration(4+2*i)*time.Second)
+			w.restartControl(w.controls[i], cutStart+time.Duration(4+2*i)*time.Second)
 		}
 	}
-	w.operator.begin(w)
+	w.operator.scheduleCalls(w)
 }
 
 // choose returns the machine to cut off: a member, or the one that is none; the holder of the lease, or another.
-func (w *world) choose() int {
+func (w *world) chooseTarget() int {
 	for id, c := range w.controls {
 		member := slices.Contains(c.replica.Members(), addr(id))
-		if member != w.scenario.Standby && c.reconciler.LeaseHeld(c.now()) == w.scenario.Leader {
+		if member != w.scenario.Standby && c.reconciler.LeaseHeld(c.now()) == w.scenario.HoldsLease {
 			return id
 		}
 	}
 	return 1 // there is no such machine on this day
 }
 
-func (w *world) restartSidecar(s *sidecar, at time.Duration, lonely bool) {
+func (w *world) restartSidecar(s *sidecar, at time.Duration, targetOnly bool) {
 	w.after(at, func() {
 		if s.incarnation > 0 {
 			s.stop()
-			s.seeds = w.newSeeds(s, lonely)
+			s.seeds = w.newSeeds(s, targetOnly)
 			w.after(200*time.Millisecond, s.boot)
 		}
 	})
@@ -227,7 +227,7 @@
 }
 
 // find returns the node with an address.
-func (w *world) find(addr string) int {
+func (w *world) nodeID(addr string) int {
 	id, err := strconv.Atoi(addr[1:])
 	if err != nil {
 		panic(err) // addresses are made here
@@ -238,10 +238,10 @@
 // sendUpdate sends an update of a publisher, at a time of the sender's clock.
 func (w *world) sendUpdate(p *dissemination.Publisher, from int, to *conn, n dissemination.Update, now time.Duration) {
 	u := update{update: n, age: -1}
-	if w.defect.lastDelta && len(n.Deltas) > 1 {
+	if w.defect.sendsOnlyLastDelta && len(n.Deltas) > 1 {
 		u.update.Deltas = n.Deltas[len(n.Deltas)-1:]
 	}
-	if w.defect.queue && (n.FullText || len(n.Deltas) > 0) {
+	if w.defect.queuesFullTexts && (n.FullText || len(n.Deltas) > 0) {
 		u.update.FullText, u.update.Deltas = true, nil
 		p.HandleAck(n.SubscriberID, dissemination.Ack{Nonce: n.Nonce, Version: n.Version, LowestInForce: n.Version}, now)
 	}
--- a/lab/explore/explore.go
+++ b/lab/explore/explore.go
@@ -89,23 +89,23 @@
 // Exhaust plays every order of choices up to a depth. States that were reached with as many choices left are not played again.
 func Exhaust(start func() System, l Limits) Result {
 	s := exhaustiveSearch{
-		start:  start,
-		limits: l,
-		left:   map[uint64]int{},
-		result: Result{Depth: l.Depth, Complete: true},
+		start:     start,
+		limits:    l,
+		remaining: map[uint64]int{},
+		result:    Result{Depth: l.Depth, Complete: true},
 	}
 	s.visit(start())
-	s.result.States = len(s.left)
+	s.result.States = len(s.remaining)
 	return s.result
 }
 
 // exhaustiveSearch is a search in depth first.
 type exhaustiveSearch struct {
-	start    func() System
-	limits   Limits
-	left     map[uint64]int // of each state that was visited, the choices that were left then
-	schedule []int          // that led to the present state
-	result   Result
+	start     func() System
+	limits    Limits
+	remaining map[uint64]int // of each state that was visited, the choices that were left then
+	schedule  []int          // that led to the present state
+	result    Result
 }
 
 // visit plays all orders from a state on, and reports whether the search continues.
@@ -115,14 +115,14 @@
 		return false
 	}
 	state, left := system.State(), s.limits.Depth-len(s.schedule)
-	if before, visited := s.left[state]; visited && before >= left {
+	if before, visited := s.remaining[state]; visited && before >= left {
 		return true
 	}
-	if len(s.left) >= s.limits.States {
+	if len(s.remaining) >= s.limits.States {
 		s.result.Complete = false
 		return false
 	}
-	s.left[state] = left
+	s.remaining[state] = left
 	return left == 0 || s.branch(system)
 }
 
@@ -137,9 +137,9 @@
 		next.Do(choice)
 		s.result.Steps++
 		s.schedule = append(s.schedule, choice)
-		goOn := s.visit(next)
+		continues := s.visit(next)
 		s.schedule = s.schedule[:len(s.schedule)-1]
-		if !goOn {
+		if !continues {
 			return false
 		}
 	}
--- a/lab/explore/explore_test.go
+++ b/lab/explore/explore_test.go
@@ -30,7 +30,7 @@
 }
 
 // A search up to the depth of a breach finds it and shrinks its schedule; one that is less deep plays every order and finds none.
-func TestExhaustFindsWhatIsWithinItsDepth(t *testing.T) {
+func TestExhaustFindsBreachesWithinItsDepth(t *testing.T) {
 	r := Exhaust(startCounter(6), Limits{Depth: 3, States: 100})
 	if !errors.Is(r.Breach, errTooHigh) || !slices.Equal(r.Schedule, []int{2, 2, 2}) || len(r.Trace) != 3 {
 		t.Errorf("depth 3: %v", r)
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestRandomFindsAndRepeats(t *testing.T) {
+func TestRandomFindsABreachAndIsDeterministic(t *testing.T) {
 	r := Random(startCounter(20), 1, 10, 40)
 	if !errors.Is(r.Breach, errTooHigh) || Play(startCounter(20), r.Schedule).Broken() == nil {
 		t.Errorf("%v", r)
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestOrderFingerprintTellsOrdersApart(t *testing.T) {
+func TestOrderFingerprintDistinguishesOrders(t *testing.T) {
 	const depth, choices = 6, 5
 	seen := map[OrderFingerprint]bool{}
 	var visit func(f OrderFingerprint, left int)
