--- a/lab/explore/calls/calls.go
+++ b/lab/explore/calls/calls.go
@@ -1,10 +1,9 @@
-// Package calls explores the path of requests that must not run twice: a sending sidecar, two last hops and their
-// servers, and the connections between them, which time out, break at any byte, bring responses late, twice, early and
-// in pieces, while last hops restart, servers refuse connections, and queries about attempts come late and more than
-// once. The decisions are the shipped ones: mesh/dataplane/inflight at the sender, mesh/dataplane/lasthop with
-// mesh/attempts and mesh/admission at the last hops, and the pairing of responses with requests of
-// internal/upstream/http. check.go holds the history against what a client was promised, and knows nothing of any of
-// them.
+// Package calls is a model checker for the path of requests that must run at most once: a sending sidecar, two last
+// hops with their servers, and the connections between them. Connections time out, break at any byte and deliver
+// responses late, twice, early and in pieces. Last hops restart, servers refuse connections, and queries about attempts
+// arrive late and more than once. The decisions are the shipped ones: mesh/dataplane/inflight at the sender,
+// mesh/dataplane/lasthop with mesh/attempts and mesh/admission at the last hops, and the response matching of
+// internal/upstream/http. check.go compares the history with what clients were promised and uses none of these packages.
 //
 // Start reading at Start.
 package calls
@@ -18,38 +17,38 @@
 	"firplank/mesh/attempts"
 )
 
-// Bounds bound what may happen in one order.
+// Bounds limit the events of one order.
 type Bounds struct {
 	Requests  int
-	Faults    int // connections broken or refused, restarts, surplus and early responses, repeated queries
-	Evictions int // spans after which last hops have evicted what they had logged
-	Refusals  int // of connections to a server, which count as faults too
+	Faults    int // broken or refused connections, restarts, surplus and early responses, repeated queries
+	Evictions int // advances of the clock after which last hops have evicted their logged attempts
+	Refusals  int // refused connections to a server; they count as faults too
 }
 
-// Usual bounds are those of the tests. They have no refusals, which would make the orders that find the rarest defect rarer still.
+// DefaultBounds are those of most tests. They have no refusals, which would make orders that find the rarest defect even rarer.
 var DefaultBounds = Bounds{Requests: 4, Faults: 8, Evictions: 1}
 
-// Refusing bounds are the usual ones with refusals.
+// RefusingBounds are the default ones with refusals.
 var RefusingBounds = Bounds{Requests: 4, Faults: 8, Evictions: 1, Refusals: 2}
 
-// Defect is a mistake planted in the surroundings, as if the decisions made it.
+// Defect is a mistake that the model makes in place of the shipped code, to prove that the search finds such mistakes.
 type Defect struct {
 	Name string
-	Seed uint64 // of an order that finds it
-
-	doesNotBar                bool // a query is answered that its attempt has not started, and nothing bars it
-	keepsIncarnation          bool // a last hop that has restarted speaks for the process before it
-	forgetsEvicted            bool // what the log has evicted is as if it had never come
-	matchesByPosition         bool // whatever comes next is the response
-	acceptsUnnamedRejection   bool // a rejection is believed whomever it names
-	closedIsNotStarted        bool // a connection that broke proves that nothing ran
-	runningIsNotStarted       bool // an attempt that runs is answered as not started
-	rejectedQueryIsNotStarted bool // a query that was rejected proves that its attempt has not started
+	Seed uint64 // seed of an order that finds the defect
+
+	doesNotBar                bool // a query is answered with "not started", but the attempt is not barred from starting later
+	keepsIncarnation          bool // a restarted last hop answers for the previous process
+	forgetsEvicted            bool // an evicted attempt is treated as never received
+	matchesByPosition         bool // the next response on a connection is accepted as that of the request
+	acceptsUnnamedRejection   bool // a rejection without a request ID is accepted
+	closedIsNotStarted        bool // a broken connection proves that the attempt did not run
+	runningIsNotStarted       bool // a running attempt is reported as not started
+	rejectedQueryIsNotStarted bool // a rejected query proves that the attempt has not started
 	queriesOtherHop           bool // the query goes to the other last hop
-	retriesRejectingServer    bool // a server that has rejected a request gets it again
+	retriesRejectingServer    bool // a request is sent again to a server that rejected it
 }
 
-// Defects are those that a search must find.
+// Defects are the planted defects that a search must find.
 var Defects = []Defect{
 	{Name: "an attempt is told as not started, and is not barred", Seed: 78, doesNotBar: true},
 	{Name: "a restarted last hop speaks for the process before it", Seed: 5, keepsIncarnation: true},
@@ -65,28 +64,28 @@
 
 const (
 	lastHopCount  = 2
-	maxAttempts   = 3 // servers that may see a request
+	maxAttempts   = 3 // attempts of one request that may reach a server
 	evictionDelay = attempts.Retention + time.Second
 )
 
-// world is all of it.
+// world is the modelled system: sender, last hops, servers and connections.
 type world struct {
 	bounds      Bounds
 	defect      Defect
 	now         time.Duration
 	faults      int
 	evictions   int
-	refusals    int // connections to servers
+	refusals    int // refused connections to servers
 	sender      sender
 	hops        []*lastHop
-	links       []*link // attempts and queries on their way between sidecars
-	history     history // all that the checker sees
+	links       []*link // attempts and queries between sidecars
+	history     history // all that the checker reads
 	choices     []explore.Choice
-	withNames   bool // choices get names
+	withNames   bool // whether choices get names, which cost time
 	fingerprint explore.OrderFingerprint
 }
 
-// Start returns what Exhaust and Random begin at; without a defect as shipped.
+// Start returns the initial state for Exhaust and Random. A nil defect runs the shipped decisions.
 func Start(b Bounds, d *Defect) func() explore.System {
 	return func() explore.System {
 		w := &world{bounds: b}
@@ -104,7 +103,7 @@
 // Broken implements explore.System.
 func (w *world) Broken() error { return w.history.broken() }
 
-// State implements explore.System: no two orders are taken for the same.
+// State implements explore.System. It fingerprints the order of choices, so no two orders count as one state.
 func (w *world) State() uint64 { return uint64(w.fingerprint) }
 
 // Do implements explore.System.
@@ -122,7 +121,7 @@
 	w.choices = append(w.choices, c)
 }
 
-// fault adds a choice that uses up one of the faults.
+// addFault adds a choice that counts against the limit of faults.
 func (w *world) addFault(do func(), format string, args ...any) {
 	if w.faults < w.bounds.Faults {
 		w.addChoice(func() { w.faults++; do() }, format, args...)
@@ -135,7 +134,7 @@
 	return explore.Names(w.choices)
 }
 
-// collect gathers what may happen next.
+// collectChoices lists the events that may happen next.
 func (w *world) collectChoices(named bool) {
 	w.choices, w.withNames = w.choices[:0], named
 	w.sender.choices()
@@ -146,15 +145,15 @@
 		h.choices()
 	}
 	if w.evictions < w.bounds.Evictions {
-		w.addChoice(func() { w.evictions++; w.now += evictionDelay; w.forgetEvicted() }, "a minute passes")
+		w.addChoice(func() { w.evictions++; w.now += evictionDelay; w.forgetEvicted() }, "the clock advances by a minute")
 	}
 }
 
-// Steps is how many steps the orders have by which defects are known to be found.
+// Steps is the length of the orders that the seeds of Defects refer to.
 const Steps = 50
 
-// Search plays orders drawn from seeds that follow one another, each of so many steps, and returns the seed of the
-// first that breaks a promise.
+// Search plays random orders of the given number of steps, one for each of consecutive seeds. It returns the seed and
+// the breach of the first order that breaks a promise, or 0 and nil.
 func Search(b Bounds, d *Defect, seed, orders uint64, steps int) (uint64, error) {
 	for end := seed + orders; seed < end; seed++ {
 		w := Start(b, d)().(*world)
@@ -166,7 +165,7 @@
 	return 0, nil
 }
 
-// walk takes steps drawn from a seed.
+// playRandom plays up to the given number of steps, drawn from a seed.
 func (w *world) playRandom(seed uint64, steps int) {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	for range steps {
@@ -178,7 +177,7 @@
 	}
 }
 
-// forget is the defect of a log that keeps no floor.
+// forgetEvicted applies the defect of a log that keeps no lower bound for evicted attempts.
 func (w *world) forgetEvicted() {
 	if !w.defect.forgetsEvicted {
 		return
--- a/lab/explore/calls/calls_test.go
+++ b/lab/explore/calls/calls_test.go
@@ -7,8 +7,8 @@
 	"firplank/lab/explore"
 )
 
-// Whatever connections, servers and last hops do, nobody gets another's answer, nothing runs twice, and what was
-// promised not to run does not.
+// Under every explored fault of connections, servers and last hops, each client gets the response to its own request,
+// no request runs twice, and a request that was reported as not executed never runs.
 func TestRequestsRunAtMostOnceAndGetTheirOwnResponse(t *testing.T) {
 	few := Bounds{Requests: 1, Faults: 2, Evictions: 1}
 	if r := explore.Exhaust(Start(few, nil), explore.Limits{Depth: 4, States: 100_000}); r.Breach != nil || !r.Complete {
@@ -21,7 +21,7 @@
 	}
 }
 
-// A search that finds nothing has to be one that would.
+// Guards against a search that cannot detect faults: every planted defect is found, and the same order passes without it.
 func TestPlantedDefectsAreFound(t *testing.T) {
 	for i := range Defects {
 		d := &Defects[i]
@@ -31,12 +31,12 @@
 			t.Logf("%s: %v", d.Name, breach)
 		}
 		if _, breach := Search(DefaultBounds, nil, d.Seed, 1, Steps); breach != nil {
-			t.Errorf("%s: the same order breaks it without the defect: %v", d.Name, breach)
+			t.Errorf("%s: the same order has a breach without the defect: %v", d.Name, breach)
 		}
 	}
 }
 
-// Orders that end well are among those that are searched: a path that never answers keeps every promise.
+// Guards against vacuous passes: a path that never answers would keep every promise, so many orders must end with each status.
 func TestRequestsAreServed(t *testing.T) {
 	answers := map[status]int{}
 	for seed := range uint64(200) {
@@ -48,13 +48,13 @@
 	}
 	for _, s := range []status{served, failed, unknown} {
 		if answers[s] < 20 {
-			t.Errorf("%d answers with %d", answers[s], s)
+			t.Errorf("%d answers with status %d, want at least 20", answers[s], s)
 		}
 	}
 }
 
-// Once faults cease, every request comes to an end: no slot, no query and no attempt is forgotten. Without minutes that
-// pass, as a query about an attempt that was evicted meanwhile waits for its deadline, which is not explored.
+// Once faults cease, every request is answered, so no slot, query or attempt leaks. The clock does not advance here: a
+// query about an attempt that was evicted meanwhile would wait for its deadline, which is not modelled.
 func TestRequestsEndOnceFaultsCease(t *testing.T) {
 	bounds := RefusingBounds
 	bounds.Evictions = 0
@@ -71,7 +71,7 @@
 			w.choices[rng.IntN(len(w.choices))].Do()
 		}
 		if err := w.Broken(); err != nil || !w.ended() {
-			t.Fatalf("order %d: %d of %d requests answered, breach %v, left to do: %v", seed, len(w.history.answers),
+			t.Fatalf("order %d: %d of %d requests answered, breach %v, remaining choices: %v", seed, len(w.history.answers),
 				bounds.Requests, err, w.Choices())
 		}
 	}
--- a/lab/explore/calls/check.go
+++ b/lab/explore/calls/check.go
@@ -2,21 +2,21 @@
 
 import "fmt"
 
-// history is what happened, as a client and the servers saw it.
+// history is what the clients and the servers observed.
 type history struct {
-	runs    map[string]int    // by the request's id
-	answers map[string]status // what its client got
+	runs    map[string]int    // starts by request ID
+	answers map[string]status // by request ID
 	breach  error
 }
 
-// status is an answer as a client reads it.
+// status is the status of a response as the client receives it.
 type status int
 
 const (
 	served  status = 200
-	failed  status = 500 // by a server
-	refused status = 503 // a promise that it has not run, and will not
-	unknown status = 502 // no promise
+	failed  status = 500 // the server executed the request and failed
+	refused status = 503 // a promise that the request has not run and will not run
+	unknown status = 502 // no promise either way
 )
 
 func (h *history) init() {
@@ -25,19 +25,19 @@
 	}
 }
 
-// ran notes that a server has begun a request.
+// recordStart records that a server has started a request.
 func (h *history) recordStart(id string) {
 	h.init()
 	h.runs[id]++
 	if h.runs[id] > 1 {
-		h.fail("%s has run twice", id)
+		h.fail("%s ran twice", id)
 	}
 	if h.answers[id] == refused {
-		h.fail("%s runs after its client was promised that it would not", id)
+		h.fail("%s runs after its client was told that it would not", id)
 	}
 }
 
-// answered notes what a request's client gets, with the body of the response, which names the request that it was made for.
+// recordAnswer records the response to a client. The body is the ID of the request that the server answered.
 func (h *history) recordAnswer(id string, s status, body string) {
 	h.init()
 	if h.answers[id] != 0 {
@@ -46,11 +46,11 @@
 	h.answers[id] = s
 	switch {
 	case s == refused && h.runs[id] > 0:
-		h.fail("%s has run, and its client is promised that it has not", id)
+		h.fail("%s has run, but its client is told that it has not", id)
 	case (s == served || s == failed) && body != id:
-		h.fail("%s gets the answer of %q", id, body)
+		h.fail("%s gets the response to %q", id, body)
 	case (s == served || s == failed) && h.runs[id] == 0:
-		h.fail("%s has not run, and its client is told that it has", id)
+		h.fail("%s has not run, but its client is told that it has", id)
 	}
 }
 
--- a/lab/explore/calls/lasthop.go
+++ b/lab/explore/calls/lasthop.go
@@ -14,7 +14,7 @@
 	"firplank/mesh/timing"
 )
 
-// serverSlots is more than all requests need, and heartbeatTimeout longer than any order takes: neither is explored here.
+// Slots and the heartbeat time-out are large enough never to limit an order. Neither is explored here.
 const (
 	serverSlots      = 64
 	heartbeatTimeout = time.Hour
@@ -24,14 +24,14 @@
 	return attempts.New[*link, response](incarnation)
 }
 
-// lastHop is the sidecar of a server, with its connections to that server.
+// lastHop is the sidecar beside a server, with its connections to that server.
 type lastHop struct {
 	w           *world
 	number      int
 	incarnation uint64
-	heartbeats  uint64 // of its server, as they are numbered
+	heartbeats  uint64 // sequence number of its server's last heartbeat
 	gate        lasthop.Gate[*link, response]
-	conns       []*serverConn // that stand
+	conns       []*serverConn // open, or closed with a request that the server still has
 }
 
 func newLastHop(w *world, number int) *lastHop {
@@ -40,7 +40,7 @@
 	return h
 }
 
-// start begins a process, which knows its server by that server's next heartbeat.
+// start starts a process, which registers its server by the server's next heartbeat.
 func (h *lastHop) start() {
 	h.gate = lasthop.Gate[*link, response]{
 		Admission: admission.New(timing.Server{HeartbeatTimeout: heartbeatTimeout}),
@@ -57,14 +57,14 @@
 	})
 }
 
-// silent reports whether nobody listened at the server's address, and it has not been heard since.
+// unresponsive reports whether the server refused a connection and has sent no heartbeat since.
 func (h *lastHop) unresponsive() bool {
 	var e directory.Entry
 	h.gate.Admission.FillEntry(&e)
 	return e.State == directory.Unresponsive
 }
 
-// serverID is the id of a last hop's server, and addr the last hop's own address.
+// serverID returns the ID of a last hop's server.
 func serverID(number int) string { return fmt.Sprint("server", number) }
 
 func addr(number int) string { return fmt.Sprint("hop", number) }
@@ -79,7 +79,7 @@
 	}
 }
 
-// restart loses all state of the process; its server goes on.
+// restart loses all state of the process. Its server keeps running.
 func (h *lastHop) restart() {
 	if !h.w.defect.keepsIncarnation {
 		h.incarnation++
@@ -97,7 +97,7 @@
 	}
 }
 
-// arrive takes in an attempt or a query. Where reached is false nobody listens at the server's address.
+// receive handles an attempt or a query. If serverReachable is false, the server refuses the connection.
 func (h *lastHop) receive(l *link, serverReachable bool) {
 	if l.query != nil {
 		h.answerQuery(l)
@@ -128,7 +128,7 @@
 func (h *lastHop) answerQuery(l *link) {
 	gate := &h.gate
 	if h.w.defect.doesNotBar && h.gate.Outcomes.Check(l.id) == attempts.Admitted {
-		gate = &lasthop.Gate[*link, response]{Outcomes: newLog(h.incarnation)} // asked of another log, this one bars nothing
+		gate = &lasthop.Gate[*link, response]{Outcomes: newLog(h.incarnation)} // a query at another log bars nothing in this one
 	}
 	status, cached := gate.Query(h.w.now, l.id, l)
 	for _, query := range gate.Expire(h.w.now) {
@@ -138,7 +138,7 @@
 		status = attempts.NotStarted
 	}
 	switch status {
-	case attempts.Running: // finish answers it
+	case attempts.Running: // finish replies later
 	case attempts.NotStarted:
 		l.reply(barred)
 	case attempts.Finished:
@@ -148,14 +148,14 @@
 	}
 }
 
-// What a last hop answers by itself.
+// Responses that the last hop makes itself.
 var (
 	barred        = response{outcome: attempts.Barred, status: http.StatusServiceUnavailable}
 	notReceived   = response{outcome: attempts.NotReceived, status: http.StatusServiceUnavailable}
 	indeterminate = response{outcome: attempts.Indeterminate, status: http.StatusBadGateway}
 )
 
-// pass writes an attempt to the server, on a connection that has nothing to read as far as is seen, or on a new one.
+// forward sends an attempt to the server, on an idle connection with no unsolicited data noticed, or on a new one.
 func (h *lastHop) forward(l *link) {
 	for _, c := range h.conns {
 		if c.attempt == nil && !c.closed && !c.unsolicited {
@@ -168,7 +168,7 @@
 	c.send(l)
 }
 
-// ended takes in what the server's connection brought for an attempt; nil: it broke.
+// handleServerResult handles the server's response to an attempt. A nil response means that the connection broke.
 func (h *lastHop) handleServerResult(l *link, p *httpback.MatchedResponse) {
 	resp, result := indeterminate, lasthop.Result[response]{Health: admission.Failure}
 	if p != nil {
@@ -192,7 +192,7 @@
 	h.finish(l, result, resp)
 }
 
-// finish takes in how an attempt has ended, whose sender gets a response; queries that wait get the same, but where nothing has begun.
+// finish records the result of an attempt and replies to its sender and to waiting queries. If it never started, queries get barred.
 func (h *lastHop) finish(l *link, result lasthop.Result[response], resp response) {
 	done := h.gate.Finish(h.w.now, h.requestOf(l), result)
 	toQueries := resp
@@ -205,7 +205,7 @@
 	l.reply(resp)
 }
 
-// serverResultOf is what evidence of a server's response means for its health.
+// serverResultOf returns what a server's response means for its health.
 func serverResultOf(e attempts.Evidence) admission.Result {
 	switch e {
 	case attempts.Succeeded:
--- a/lab/explore/calls/link.go
+++ b/lab/explore/calls/link.go
@@ -9,37 +9,37 @@
 	"firplank/mesh/dataplane/inflight"
 )
 
-// link is one request on a connection between two sidecars: an attempt, or a query about one.
+// link is a connection between two sidecars that carries one request: an attempt, or a query about one.
 type link struct {
 	w       *world
 	request *request
 	lastHop int
 	id      attempts.ID
-	query   *inflight.Query // nil: an attempt
+	query   *inflight.Query // nil for an attempt
 
-	forwarded int // how often the request was sent before
+	forwarded int // earlier attempts of the request
 
-	undelivered int    // copies of it that the last hop has yet to read: a connection that broke may have brought it all the same
-	answered    bool   // by the last hop
-	closed      bool   // the sender has let go of the connection
-	unread      []byte // of the response, what the sender has yet to read
+	undelivered int    // copies that the last hop has not read; a broken connection may still deliver them
+	answered    bool   // the last hop has replied
+	closed      bool   // at the sender
+	unread      []byte // bytes of the response that the sender has not read
 	matcher     httpback.ResponseMatcher
 }
 
 func (l *link) choices() {
 	w, name := l.w, l.name()
 	if l.undelivered > 0 {
-		w.addChoice(func() { l.undelivered--; w.hops[l.lastHop].receive(l, true) }, "%s comes to last hop %d", name, l.lastHop)
+		w.addChoice(func() { l.undelivered--; w.hops[l.lastHop].receive(l, true) }, "%s reaches last hop %d", name, l.lastHop)
 		if l.query == nil && w.refusals < w.bounds.Refusals {
 			w.addFault(func() { w.refusals++; l.undelivered--; w.hops[l.lastHop].receive(l, false) },
-				"%s comes to last hop %d, whose server refuses the connection",
+				"%s reaches last hop %d, whose server refuses the connection",
 				name, l.lastHop)
 		}
 		if l.query != nil && l.undelivered == 1 {
-			w.addFault(func() { l.undelivered++ }, "%s will come twice", name)
+			w.addFault(func() { l.undelivered++ }, "%s is duplicated", name)
 		}
 		if l.query != nil {
-			w.addFault(func() { l.undelivered--; l.reply(notReceived) }, "last hop %d rejects %s unread", l.lastHop, name)
+			w.addFault(func() { l.undelivered--; l.reply(notReceived) }, "last hop %d rejects %s without reading it", l.lastHop, name)
 		}
 		if l.closed {
 			w.addChoice(func() { l.undelivered = 0 }, "%s is lost", name)
@@ -50,7 +50,7 @@
 	}
 	if n := len(l.unread); n > 0 {
 		w.addChoice(func() { l.read(n) }, "the sender reads the response to %s", name)
-		w.addChoice(func() { l.read((n + 1) / 2) }, "the sender reads half of what comes to %s", name)
+		w.addChoice(func() { l.read((n + 1) / 2) }, "the sender reads half of the response to %s", name)
 	}
 	w.addFault(func() { l.closed = true; w.sender.handleClose(l) }, "the connection of %s breaks at its sender", name)
 }
@@ -77,27 +77,27 @@
 	}
 }
 
-// belongsTo reports whether a response may be that to a request: it names it, or none.
+// belongsTo reports whether a response may belong to a request: it has the request's ID, or none.
 func (w *world) belongsTo(id string, h http.Header) bool {
 	name := h.Get("Try-Id")
 	return name == "" || name == id || w.defect.matchesByPosition
 }
 
-// reply answers an attempt or a query, once on its connection: another copy of a query has its own.
+// reply responds to an attempt or a query. Only the first reply on a link is sent, also when a query is received twice.
 func (l *link) reply(r response) {
 	if !l.answered {
 		l.answered, l.unread = true, r.bytes()
 	}
 }
 
-// response is what a last hop answers.
+// response is a last hop's response.
 type response struct {
 	outcome     attempts.Outcome
 	status      int
-	id          string // that the server's response names; empty: it is the last hop's own
+	id          string // request ID in the server's response; empty for the last hop's own responses
 	body        string
 	postmarked  bool
-	incarnation uint64 // of the last hop; 0: not named
+	incarnation uint64 // of the last hop; 0 if not sent
 }
 
 func (r response) bytes() []byte {
--- a/lab/explore/calls/sender.go
+++ b/lab/explore/calls/sender.go
@@ -11,23 +11,23 @@
 	"firplank/mesh/dataplane/inflight"
 )
 
-// timeLeft is what each request has left for queries: deadlines are not explored.
+// timeLeft is the time that each request has left for queries. Deadlines are not explored.
 const timeLeft = time.Minute
 
-// sender is the sidecar of the client.
+// sender is the client's sidecar.
 type sender struct {
 	w         *world
 	inFlight  *inflight.Tracker[*link]
-	announced []uint64 // incarnations of the last hops, as the directory has announced them
+	announced []uint64 // incarnations of the last hops that the directory has announced
 	requests  []*request
 }
 
-// request is a client's request at its sender.
+// request is a client's request at the sender.
 type request struct {
 	id       string
-	attempts int // that a server may have seen, or may yet
+	attempts int // that have reached a server or still may
 	sends    int
-	rejected [lastHopCount]bool // by whose server: none gets it again, as an old rejection may come in the place of the next
+	rejected [lastHopCount]bool // by last hop; no retry there: an old rejection could be matched to it
 	done     bool
 }
 
@@ -60,7 +60,7 @@
 	}
 }
 
-// send writes an attempt of a request to the last hop whose turn it is.
+// send sends an attempt of a request to the next last hop whose server has not rejected it.
 func (s *sender) send(r *request) {
 	to := r.sends % lastHopCount
 	if r.rejected[to] {
@@ -77,7 +77,7 @@
 	s.w.links = append(s.w.links, l)
 }
 
-// broke takes in that a connection broke without a complete response.
+// handleClose handles a connection that broke before its response was complete.
 func (s *sender) handleClose(l *link) {
 	if s.w.defect.closedIsNotStarted {
 		s.handleEvidence(l, attempts.NeverExecuted, "")
@@ -94,7 +94,7 @@
 	}
 }
 
-// query asks about an attempt; nil: no more, and its outcome stays unknown.
+// query sends a query about an attempt. A nil query means that none is left and the outcome stays unknown.
 func (s *sender) query(l *link, q *inflight.Query) {
 	if q == nil {
 		s.handleEvidence(l, attempts.Inconclusive, "")
@@ -110,7 +110,7 @@
 	s.w.links = append(s.w.links, queryLink)
 }
 
-// respond takes in a complete response on a connection.
+// handleResponse handles a complete response.
 func (s *sender) handleResponse(l *link, p *httpback.MatchedResponse) {
 	outcome, incarnation := attempts.Outcome(p.Header.Get("Firplank-Fate")), uint64(0)
 	if n, err := strconv.ParseUint(p.Header.Get("Firplank-Life"), 16, 64); err == nil {
@@ -127,11 +127,11 @@
 	s.handleEvidence(l, evidence, string(p.Body))
 }
 
-// conclude goes on with a request by what is proven of its attempt.
+// handleEvidence answers or retries a request according to the evidence about its attempt.
 func (s *sender) handleEvidence(l *link, evidence attempts.Evidence, body string) {
 	r := l.request
 	if r.done {
-		s.w.history.fail("%s: two ends of one attempt", r.id)
+		s.w.history.fail("%s: an attempt ended after its request was answered", r.id)
 		return
 	}
 	switch evidence {
@@ -160,7 +160,7 @@
 	s.w.history.recordAnswer(r.id, st, body)
 }
 
-// responseOf is what there is to see of a response to a request.
+// responseOf returns the properties of a response that evidence is derived from.
 func responseOf(id string, p *httpback.MatchedResponse) attempts.Response {
 	return attempts.Response{
 		Success:        p.Status == http.StatusOK,
--- a/lab/explore/calls/server.go
+++ b/lab/explore/calls/server.go
@@ -12,18 +12,18 @@
 type serverConn struct {
 	w           *world
 	hop         *lastHop
-	attempt     *link // whose response the last hop waits for
-	closed      bool  // the last hop is gone; the server does not know yet
-	unsolicited bool  // something came while it was idle: it carries nothing more
+	attempt     *link // whose response the last hop waits for; nil if idle
+	closed      bool  // at the last hop; the server has not noticed
+	unsolicited bool  // data arrived while the connection was idle, so it is not reused
 
-	requestID    string // the request that the server has, and has not answered
-	started      bool   // ... and has begun
-	lastResponse []byte // what the server has sent before
-	unread       []byte // what the last hop has yet to read
+	requestID    string // the request that the server has not answered yet; empty if none
+	started      bool   // the server has started that request
+	lastResponse []byte // the server's last response
+	unread       []byte // bytes that the last hop has not read
 	matcher      httpback.ResponseMatcher
 }
 
-// begin writes a request.
+// send sends an attempt's request to the server.
 func (c *serverConn) send(l *link) {
 	c.attempt, c.matcher, c.requestID, c.started = l, httpback.ResponseMatcher{}, l.request.id, false
 }
@@ -32,7 +32,7 @@
 	w := c.w
 	if id := c.requestID; id != "" {
 		if !c.started {
-			w.addChoice(func() { c.startRequest() }, "server %d begins %s", c.hop.number, id)
+			w.addChoice(func() { c.startRequest() }, "server %d starts %s", c.hop.number, id)
 			w.addChoice(func() {
 				c.respond(fmt.Sprintf("HTTP/1.1 503 X\r\nNot-Delivered: 1\r\nTry-Id: %s\r\nContent-Length: 0\r\n\r\n", id))
 			},
@@ -40,7 +40,7 @@
 			w.addFault(func() {
 				c.unread = append(c.unread, "HTTP/1.1 503 X\r\nNot-Delivered: 1\r\nContent-Length: 0\r\n\r\n"...)
 			},
-				"server %d rejects without a name ahead of its response to %s", c.hop.number, id)
+				"server %d sends a rejection without a request ID before its response to %s", c.hop.number, id)
 		} else {
 			for _, status := range []int{http.StatusOK, http.StatusInternalServerError} {
 				w.addChoice(func() {
@@ -57,17 +57,17 @@
 		w.addChoice(func() { c.read((n + 1) / 2) }, "last hop %d reads half of what its server has sent", c.hop.number)
 	}
 	if c.attempt != nil && !c.closed {
-		w.addFault(c.connLost, "the connection of last hop %d to its server breaks under %s", c.hop.number, c.attempt.request.id)
+		w.addFault(c.connLost, "the connection of last hop %d to its server breaks during %s", c.hop.number, c.attempt.request.id)
 	}
 }
 
-// run begins a request, of which the server may know nothing else.
+// startRequest starts the request. The server has no memory of earlier requests and would start one twice.
 func (c *serverConn) startRequest() {
 	c.started = true
 	c.w.history.recordStart(c.requestID)
 }
 
-// respond answers the request that the server has.
+// respond sends the response to the current request.
 func (c *serverConn) respond(text string) {
 	c.requestID, c.lastResponse = "", []byte(text)
 	c.unread = append(c.unread, text...)
@@ -76,7 +76,7 @@
 	}
 }
 
-// read reads some bytes, which belong to the request that is out, or to none.
+// read reads n bytes. They belong to the attempt in flight; without one they are unsolicited.
 func (c *serverConn) read(n int) {
 	b := c.unread[:n]
 	c.unread = c.unread[n:]
@@ -101,7 +101,7 @@
 	}
 }
 
-// broke ends the connection under a request, which the server may go on with, or begin, all the same.
+// connLost breaks the connection during a request. The server may still start or finish that request.
 func (c *serverConn) connLost() {
 	l := c.attempt
 	c.attempt, c.closed = nil, true
@@ -109,7 +109,7 @@
 	c.hop.handleServerResult(l, nil)
 }
 
-// leave forgets a connection that nothing more can happen on.
+// removeIfDone removes a connection if its server has no unanswered request or if it received unsolicited data.
 func (c *serverConn) removeIfDone() {
 	if c.requestID == "" || c.unsolicited {
 		c.hop.conns = slices.DeleteFunc(c.hop.conns, func(o *serverConn) bool { return o == c })
--- a/lab/explore/catchup/catchup.go
+++ b/lab/explore/catchup/catchup.go
@@ -1,13 +1,13 @@
-// Package catchup plays long runs of the register's control machines: hundreds of changes while members are killed,
-// lose power in the middle of a write, lose their disks, have disks that refuse, and one of them is away for half of
-// the changes. It runs the shipped replicas, persistence pipeline, codec and store, the last on a file system in memory
-// that keeps any part of what was not synced. What operators, readers and sidecars received is checked against a
-// history that knows nothing of how the register works (history.go).
+// Package catchup simulates long runs of the register's control machines: hundreds of changes while members are killed,
+// lose power in the middle of a write, lose their disks or have full disks, and one member is down for half of the
+// changes. It runs the shipped replicas, persistence pipeline, codec and store. The store's file system is in memory and
+// keeps an arbitrary part of the unsynced data on a power loss. What operators, readers and sidecars receive is checked
+// against a history that does not depend on how the register works (history.go).
 //
-// A seed decides all of a run: the same plan and seed give the same result. docs/design/control-safety-4.md has what
-// was searched and found.
+// A run is deterministic: the same plan and seed give the same result. docs/design/control-safety-4.md lists the searches
+// and their results.
 //
-// Begin with Run.
+// Start reading at Run.
 package catchup
 
 import (
@@ -16,16 +16,15 @@
 	"time"
 )
 
-// Plan is how long a run is, and what goes wrong in it.
+// Plan sets the length and the faults of a run.
 type Plan struct {
 	Changes   int
 	BodyBytes int
-	Faults    int // kills, power losses, lost and refusing disks
+	Faults    int // kills, power losses, lost and full disks
 	Defect    Defect
 }
 
-// Small is a run for tests: short, and full of faults. Full is one of 2,000 changes, of 1,000 of which one member sees
-// none.
+// Small is a short run with many faults, for tests. Full has 2,000 changes, of which one member misses 1,000.
 var (
 	Small = Plan{Changes: 30, BodyBytes: 1000, Faults: 60}
 	Full  = Plan{Changes: 2000, BodyBytes: 4000, Faults: 300}
@@ -35,24 +34,24 @@
 	members = 3
 	// writeTime is how long a disk takes to sync.
 	writeTime = 4 * time.Millisecond
-	// maxTimePerChange bounds a run: beyond it the members make no progress.
+	// maxTimePerChange bounds a run: one that takes longer makes no progress.
 	maxTimePerChange = 3 * time.Second
-	// quietTime is how long a run goes on without faults after the last change.
+	// quietTime is how long a run continues without faults after the last change.
 	quietTime = 5 * time.Second
 	// firstFault is when the first fault is injected.
 	firstFault = 200 * time.Millisecond
 )
 
-// Result is what a run came to.
+// Result is the outcome of a run.
 type Result struct {
 	Breach      error
-	Took        time.Duration // of virtual time
-	Changes     int           // that were acknowledged
+	Took        time.Duration // virtual time
+	Changes     int           // acknowledged
 	Reads       int
-	PowerLosses int // of power
-	DisksLost   int // disks that were lost
+	PowerLosses int
+	DisksLost   int
 	Kills       int
-	DisksFull   int // spans in which a disk refused
+	DisksFull   int // periods in which a disk was full
 	CatchUp     CatchUp
 }
 
@@ -65,7 +64,7 @@
 		r.Changes, r.Reads, r.Took.Seconds(), r.Kills, r.PowerLosses, r.DisksLost, r.DisksFull, r.CatchUp)
 }
 
-// world is the control machines and all around them. It isn't safe for concurrent use.
+// world is the simulation: control machines, their disks and links, and clients. It isn't safe for concurrent use.
 type world struct {
 	plan       Plan
 	rng        *rand.Rand
@@ -75,11 +74,11 @@
 	history    *history
 	result     Result
 	clients    clients
-	absent     *machine // that misses half of the changes; nil: not yet chosen
-	faultsLeft int      // left to be injected
+	absent     *machine // the machine that misses half of the changes; nil until it is chosen
+	faultsLeft int      // still to be injected
 }
 
-// Run plays the run that a seed draws.
+// Run simulates the run that a seed determines.
 func Run(p Plan, seed uint64) Result {
 	w := &world{
 		plan:       p,
@@ -106,7 +105,7 @@
 func (w *world) finish() Result {
 	acknowledged := w.clients.acknowledged
 	if w.history.breach == nil && acknowledged < w.plan.Changes {
-		w.history.fail("%d of %d changes after %v: the core is stuck", acknowledged, w.plan.Changes, w.now)
+		w.history.fail("%d of %d changes after %v: the control machines make no progress", acknowledged, w.plan.Changes, w.now)
 	}
 	r := w.result
 	r.Breach = w.history.breach
@@ -117,10 +116,9 @@
 	return r
 }
 
-// play carries out events until all changes are made and quietTime has passed since, a check fails, or the limit is
-// reached.
+// run processes events until quietTime after the last change, a failed check or the limit.
 func (w *world) run(limit time.Duration) {
-	var end time.Duration // 0: changes are left
+	var end time.Duration // 0 until all changes are acknowledged
 	for w.schedule.Len() > 0 && w.history.breach == nil && w.now < limit {
 		if w.clients.acknowledged == w.plan.Changes && end == 0 {
 			end = w.now + quietTime
--- a/lab/explore/catchup/catchup_test.go
+++ b/lab/explore/catchup/catchup_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// However a member's process, power or disk ends, and however long it is away: nobody receives an older state than
-// others received before, and it catches up within the time and the bytes that are stated.
+// Guards against stale state and slow recovery after kills, power losses and lost or full disks: nobody receives an older
+// state than others received before, and a restarted member catches up within CatchUpTime and the stated bytes.
 func TestRestartedMembersCatchUp(t *testing.T) {
 	for seed := range uint64(2) {
 		r := Run(Small, seed)
@@ -11,12 +11,12 @@
 			t.Errorf("run %d: %v", seed, r.Breach)
 		}
 		if again := Run(Small, seed); seed == 0 && again != r {
-			t.Errorf("the same run went another way: %v", again)
+			t.Errorf("the same run gave another result: %v", again)
 		}
 	}
 }
 
-// A member that missed half of all changes is brought up to date by the bytes of a few values.
+// A member that missed half of all changes catches up with the bytes of a few values, not with those of every missed change.
 func TestCatchUpBytesDoNotGrowWithMissedChanges(t *testing.T) {
 	r := Run(Plan{Changes: 100, BodyBytes: 2000}, 1)
 	if t.Log(r); r.Breach != nil || r.CatchUp.Missed < 45 || r.CatchUp.Values > 8 {
@@ -24,7 +24,7 @@
 	}
 }
 
-// A search that finds nothing has to be one that would.
+// Guards against a search that cannot detect faults: it finds the planted defects that it is known to find.
 func TestPlantedDefectsAreFound(t *testing.T) {
 	found := 0
 	for _, d := range PlantedDefects {
@@ -42,6 +42,6 @@
 		t.Logf("%s: run %d: %v", d.Name, seed, r.Breach)
 	}
 	if found < 4 {
-		t.Errorf("%d planted defects are found", found)
+		t.Errorf("%d planted defects found, want at least 4", found)
 	}
 }
--- a/lab/explore/catchup/clients.go
+++ b/lab/explore/catchup/clients.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// operators work at the same time, each with one change in flight.
+	// operators is the number of concurrent operators, each with one change in flight.
 	operators = 2
-	// requestTimeout is after what time a change is sent again, to any machine.
+	// requestTimeout is the time after which a change is sent again, to a random machine.
 	requestTimeout = 700 * time.Millisecond
 	readInterval   = 20 * time.Millisecond
 )
 
-// clients are the operators that make changes, and a reader.
+// clients are the operators, which make changes, and a reader.
 type clients struct {
 	lastID       uint64
-	pending      map[uint64]*operation // by the ID of the request
-	lastVersion  uint32                // of the last change that was begun
+	pending      map[uint64]*operation // by request ID
+	lastVersion  uint32                // of the last change that was started
 	acknowledged int                   // changes
 }
 
@@ -27,12 +27,12 @@
 	version uint32 // 0: a read
 	body    []byte
 	began   time.Duration
-	machine *machine // nil: it went down
+	machine *machine // that the operation was sent to; nil once it has stopped
 }
 
 func (o *operation) isRead() bool { return o.version == 0 }
 
-// nextChange has an operator begin the next change.
+// nextChange starts an operator's next change.
 func (w *world) nextChange() {
 	c := &w.clients
 	if int(c.lastVersion) >= w.plan.Changes {
@@ -47,7 +47,7 @@
 	w.request(&operation{version: c.lastVersion, body: body, began: w.now})
 }
 
-// read has the reader send a read, again and again.
+// read sends a read and schedules the next one.
 func (w *world) read() {
 	if w.machines[0].isUp() || w.machines[1].isUp() {
 		w.request(&operation{began: w.now})
@@ -55,7 +55,7 @@
 	w.after(readInterval, w.read)
 }
 
-// request sends an operation to some machine; a change also to others, until it is acknowledged.
+// request sends an operation to a random machine. A change is sent again after each time-out until it is acknowledged.
 func (w *world) request(o *operation) {
 	c := &w.clients
 	c.lastID++
@@ -84,7 +84,7 @@
 	return register.Put{ID: id, Version: o.version, Content: register.ContentOf(o.body), Body: o.body}
 }
 
-// completed takes in the outcome of an operation at a machine.
+// handleOutcome handles the outcome of an operation at a machine.
 func (w *world) handleOutcome(m *machine, outcome register.Outcome) {
 	o := w.clients.pending[outcome.ID]
 	if o == nil || o.machine != m {
@@ -94,7 +94,7 @@
 	value := &outcome.Value
 	switch {
 	case outcome.Result != register.Confirmed:
-		w.history.fail("version %d was refused", o.version)
+		w.history.fail("version %d was rejected", o.version)
 	case o.isRead():
 		w.history.read(value.Version, value.Body, o.began, w.now)
 	case !w.history.isAcknowledged(o.version):
@@ -104,7 +104,7 @@
 	}
 }
 
-// wentDown drops what a machine was to answer.
+// machineStopped drops the operations that a stopped machine will not answer.
 func (c *clients) machineStopped(m *machine) {
 	for id, o := range c.pending {
 		if o.machine != m {
--- a/lab/explore/catchup/defects.go
+++ b/lab/explore/catchup/defects.go
@@ -6,33 +6,33 @@
 	"firplank/mesh/storage"
 )
 
-// Defect is a mistake planted around the shipped parts, as if the store, the start or the register made it.
+// Defect is a mistake that the simulation makes as if the store, the recovery or the register made it.
 type Defect int
 
 // The defects.
 const (
-	// NoDefect: the parts as they are shipped.
+	// NoDefect runs the shipped code.
 	NoDefect Defect = iota
-	// EarlyOutput: what rests on a state leaves before it is synced.
+	// EarlyOutput: replies that depend on a state are sent before the state is synced.
 	EarlyOutput
-	// StaleState: a start finds the state of some writes before.
+	// StaleState: a start recovers the state of an earlier write.
 	StaleState
-	// StaleValue: a start finds the ballots, with the value of some writes before.
+	// StaleValue: a start recovers the current ballots with the value of an earlier write.
 	StaleValue
-	// LostPromise: a start finds the value, and no later promise.
+	// LostPromise: a start recovers the value but no later promise.
 	LostPromise
-	// VotesWithoutRejoin: a disk that lost everything votes without a rejoin.
+	// VotesWithoutRejoin: a machine that lost its disk votes without rejoining.
 	VotesWithoutRejoin
-	// PublishesDiskState: a machine publishes what its disk holds as the newest.
+	// PublishesDiskState: a machine publishes the value on its disk as the newest.
 	PublishesDiskState
-	// WithheldValues: replies carry no value to a machine that has an older one, nor do commits.
+	// WithheldValues: replies and commits carry no value to a machine that has an older one.
 	WithheldValues
-	// RepeatedValues: what carries a value is sent five times.
+	// RepeatedValues: messages with a value are sent five times.
 	RepeatedValues
 )
 
-// Planted are the defects that a search in Small runs looks for. Those that it isn't known to find are found by
-// lab/explore/register.
+// PlantedDefects are the defects that a search with Small runs looks for. The searches of lab/explore/register find those
+// with Found false.
 var PlantedDefects = []struct {
 	Name   string
 	Defect Defect
@@ -51,7 +51,7 @@
 // repeats is how often RepeatedValues sends a message.
 const repeats = 5
 
-// Search plays runs until one breaks, and returns its seed and how.
+// Search simulates runs until one has a breach, and returns its seed and result.
 func Search(p Plan, from, runs uint64) (seed uint64, r Result) {
 	for seed = from; seed < from+runs; seed++ {
 		if r = Run(p, seed); r.Breach != nil {
@@ -61,7 +61,7 @@
 	return seed, r
 }
 
-// alterRecovery alters what a start recovers, and returns whether the replica votes without a rejoin.
+// alterRecovery alters the recovered state and returns whether the replica votes without rejoining.
 func (d Defect) alterRecovery(m *machine, recovered *storage.Recovered, mayVote bool) bool {
 	if recovered.State == nil {
 		return mayVote || d == VotesWithoutRejoin
@@ -83,21 +83,21 @@
 	return mayVote
 }
 
-// atStart lets a machine publish too early.
+// publishEarly publishes the value on the disk at the start, for PublishesDiskState.
 func (d Defect) publishEarly(m *machine, onDisk *register.State) {
 	if d == PublishesDiskState && onDisk != nil && onDisk.Value.Version > 0 {
 		m.history.inForce(m.name, onDisk.Value.Version, onDisk.Value.Body, m.now, m.now)
 	}
 }
 
-// writing lets a write count as synced when it begins.
+// completeWriteEarly reports a write as synced when it begins, for EarlyOutput.
 func (d Defect) completeWriteEarly(m *machine, w persist.Write) {
 	if d == EarlyOutput {
 		m.pipeline.WriteCompleted(m.now, w.Number, nil)
 	}
 }
 
-// copies is how often a message is sent over a link that neither loses nor duplicates it.
+// copies returns how often a message is sent, apart from loss and duplication by the link.
 func (d Defect) copies(msg *register.Message) int {
 	if d == RepeatedValues && msg.Value != nil {
 		return repeats
@@ -105,7 +105,7 @@
 	return 1
 }
 
-// drops alters a message, and reports whether it is dropped.
+// drops alters a message and reports whether it is dropped, for WithheldValues.
 func (d Defect) drops(m *machine, msg *register.Message) bool {
 	if d != WithheldValues {
 		return false
--- a/lab/explore/catchup/disk.go
+++ b/lab/explore/catchup/disk.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// maxOperationsToLoss bounds after how many operations a disk that is to lose power does so.
+	// maxOperationsUntilLoss bounds the number of operations before a pending power loss.
 	maxOperationsUntilLoss = 6
-	// renamedName is that of the files which pebble syncs under one name and then renames.
+	// renamedName is the name under which pebble syncs files that it then renames.
 	renamedName = "next"
 )
 
-// disk is a file system in memory that may refuse changes, and may lose power at any of them. It implements
-// errorfs.Injector.
+// disk is a file system in memory that may reject changes as if it were full, and may lose power at any change. It
+// implements errorfs.Injector.
 type disk struct {
 	*vfs.MemFS
 	rng  *rand.Rand
@@ -26,9 +26,9 @@
 
 	powerLossPending    bool
 	operationsUntilLoss int
-	afterPowerLoss      *disk // what a power loss left; nil: there was none
+	afterPowerLoss      *disk // state that the power loss left; nil before it
 
-	syncedForRename []byte // what was synced last of a file that is to be renamed
+	syncedForRename []byte // last synced content of a file that is to be renamed
 }
 
 func newDisk(rng *rand.Rand) *disk {
@@ -60,7 +60,7 @@
 
 func (d *disk) hasLostPower() bool { return d.afterPowerLoss != nil }
 
-// losePowerSoon has the power lost within the next operations.
+// losePowerSoon schedules a power loss within the next operations.
 func (d *disk) losePowerSoon() {
 	d.powerLossPending = true
 	d.operationsUntilLoss = d.rng.IntN(maxOperationsUntilLoss)
--- a/lab/explore/catchup/faults.go
+++ b/lab/explore/catchup/faults.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// fault injects a fault where one is due by the changes made, and comes again.
+// injectFaults injects a fault if one is due for the number of acknowledged changes, and schedules its next call.
 func (w *world) injectFaults() {
 	acknowledged := w.clients.acknowledged
 	if acknowledged >= w.plan.Changes {
@@ -18,7 +18,7 @@
 	w.after(time.Duration(20+w.rng.IntN(60))*time.Millisecond, w.injectFaults)
 }
 
-// leaveOrReturn stops one machine after a quarter of all changes, and starts it again after three.
+// stopOrRestartAbsent stops one machine after a quarter of all changes and restarts it after three quarters.
 func (w *world) stopOrRestartAbsent() {
 	quarter := w.plan.Changes / 4
 	switch {
@@ -40,7 +40,7 @@
 	return m == w.absent && w.clients.acknowledged < 3*(w.plan.Changes/4)
 }
 
-// inject injects one of the faults in a machine.
+// inject injects a random fault at a machine.
 func (w *world) inject(m *machine) {
 	if !m.isUp() {
 		return
@@ -73,7 +73,7 @@
 	m.stop(m.disk.powerLoss())
 }
 
-// losePowerEverywhere has all machines lose power; the first is restarted by the caller.
+// losePowerEverywhere simulates a power loss at all machines. The caller restarts the first.
 func (w *world) losePowerEverywhere(first *machine) {
 	for _, m := range w.machines {
 		if m != first && m.isUp() {
@@ -94,7 +94,7 @@
 	})
 }
 
-// powerLostInWrite goes on after a power loss in the middle of a write.
+// powerLostInWrite stops and restarts the machine after a power loss in the middle of a write.
 func (m *machine) powerLostInWrite() {
 	m.result.PowerLosses++
 	m.history.faultOccurred(m.now)
@@ -102,7 +102,7 @@
 	m.restartAfter(m, m.downTime())
 }
 
-// downTime draws how long a machine is down.
+// downTime returns a random time for which a machine is down.
 func (w *world) downTime() time.Duration {
 	return time.Duration(20+w.rng.IntN(400)) * time.Millisecond
 }
@@ -116,8 +116,8 @@
 	})
 }
 
-// othersHaveCaughtUp reports whether all machines but one are up with what was acknowledged: no more than one disk is
-// lost at a time.
+// othersHaveCaughtUp reports whether all other machines are up, caught up and without a disk fault. A disk may be lost
+// only then, so that no more than one is lost at a time.
 func (w *world) othersHaveCaughtUp(except *machine) bool {
 	for _, m := range w.machines {
 		if m == except {
@@ -133,7 +133,7 @@
 	return true
 }
 
-// endFaults ends all that goes wrong.
+// endFaults ends all faults.
 func (w *world) endFaults() {
 	for _, m := range w.machines {
 		m.disk.full = false
--- a/lab/explore/catchup/history.go
+++ b/lab/explore/catchup/history.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// history is what operators, readers and sidecars received, and when. It knows of no ballot, disk or message.
+// history is what operators, readers and sidecars received, and when. It does not depend on ballots, disks or messages.
 type history struct {
 	bodies               map[uint32][]byte // by version
 	acknowledgedVersions map[uint32]bool
-	observations         []observation // by rising time and version
+	observations         []observation // with rising times and versions
 	reads                int
 	breach               error // the first
 	catchingUp           map[string]*catchingUp
 	catchUp              CatchUp
-	largestFrame         int // with a value, in bytes
+	largestFrame         int // largest frame with a value, in bytes
 }
 
-// observation is the highest version that anybody received up to a time: a request that begins later may not return
-// less.
+// observation is the highest version that any client or sidecar received up to a time. A request that begins later must
+// not return a lower one.
 type observation struct {
 	at      time.Duration
 	version uint32
@@ -34,7 +34,7 @@
 	}
 }
 
-// fail notes a breach of what is promised.
+// fail records the first breach.
 func (h *history) fail(format string, args ...any) {
 	if h.breach == nil {
 		h.breach = fmt.Errorf(format, args...)
@@ -45,7 +45,7 @@
 
 func (h *history) isAcknowledged(version uint32) bool { return h.acknowledgedVersions[version] }
 
-// highestBefore is the highest version that anybody received before a time.
+// highestBefore returns the highest version that any client or sidecar received before a time.
 func (h *history) highestBefore(at time.Duration) uint32 {
 	i := sort.Search(len(h.observations), func(i int) bool { return h.observations[i].at >= at })
 	if i == 0 {
@@ -60,24 +60,24 @@
 	}
 }
 
-// check compares a version that somebody received with what others received before the request began.
+// check compares a received version with those that were received before the request began, and its content with the sent one.
 func (h *history) check(who string, version uint32, body []byte, began time.Duration) {
 	if least := h.highestBefore(began); version < least {
 		h.fail("%s received version %d after version %d had been received", who, version, least)
 	}
 	if version > 0 && !bytes.Equal(body, h.bodies[version]) {
-		h.fail("%s received version %d with another content than was sent", who, version)
+		h.fail("%s received version %d with different content than was sent", who, version)
 	}
 }
 
-// read takes in the result of a read.
+// read records the result of a read.
 func (h *history) read(version uint32, body []byte, began, now time.Duration) {
 	h.reads++
 	h.check("a reader", version, body, began)
 	h.observe(version, now)
 }
 
-// acknowledged takes in the result of a change, with the newest value at that time.
+// acknowledged records the acknowledgement of a change, with the newest value at that time.
 func (h *history) acknowledged(version, newest uint32, body []byte, began, now time.Duration) {
 	h.check("an operator", newest, body, began)
 	if newest < version {
@@ -90,7 +90,7 @@
 	}
 }
 
-// inForce takes in what a machine publishes to its sidecars as the newest of a time.
+// inForce records that a machine publishes a value to its sidecars as the newest one as of a time.
 func (h *history) inForce(machine string, version uint32, body []byte, asOf, now time.Duration) {
 	h.check("a sidecar below "+machine, version, body, asOf)
 	h.observe(version, now)
--- a/lab/explore/catchup/link.go
+++ b/lab/explore/catchup/link.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// minDelay is what a message takes at least, and delaySpread by how much more, drawn evenly.
+	// A message is delayed by minDelay and up to delaySpread more, uniformly distributed.
 	minDelay    = time.Millisecond
 	delaySpread = 3 * time.Millisecond
 )
 
-// Send implements persistence.Sink, over a link that delays, reorders, and at times loses or duplicates messages.
+// Send implements persistence.Sink, over a link that delays and reorders messages, and loses or duplicates a few.
 func (m *machine) Send(msg *register.Message) {
 	if m.plan.Defect.drops(m, msg) {
 		return
@@ -41,12 +41,12 @@
 	}
 	f, err := wire.ReadFrame(bytes.NewReader(frame))
 	if err != nil {
-		m.history.fail("a frame that cannot be read: %v", err)
+		m.history.fail("cannot read a frame: %v", err)
 		return
 	}
 	msg, ok := codec.RegisterFromFrame(f)
 	if !ok {
-		m.history.fail("a frame of kind %d", f.Kind)
+		m.history.fail("unexpected frame of kind %d", f.Kind)
 		return
 	}
 	msg.To = m.name
--- a/lab/explore/catchup/machine.go
+++ b/lab/explore/catchup/machine.go
@@ -12,27 +12,27 @@
 )
 
 const (
-	// folder is the data folder on each machine's disk.
+	// dataDir is the data directory on each machine's disk.
 	dataDir = "/data"
-	// restartDelay is after what time a start that the disk refused is repeated.
+	// restartDelay is the delay before a failed start is retried.
 	restartDelay = 100 * time.Millisecond
-	// maxTickDelay is how long a machine goes without a tick that it doesn't ask for.
+	// maxTickDelay is the interval between ticks while the pipeline requests none.
 	maxTickDelay = time.Second
-	// earlierStates bounds the states that a machine keeps for defects to return to.
+	// maxEarlierStates bounds the earlier states that a machine keeps for defects.
 	maxEarlierStates = 30
 )
 
-// machine is a control machine: a replica and its persistence pipeline over a store, as the control plane puts them
-// together, and the disk that outlives its processes. It implements persistence.Sink.
+// machine is a control machine: a replica and its persistence pipeline over a store, wired as in the control plane, and
+// the disk that survives restarts. It implements persistence.Sink.
 type machine struct {
 	*world
 	name     string
 	disk     *disk
-	earlier  []register.State // that were written, for defects
+	earlier  []register.State // written states, for defects
 	store    *storage.Store
-	pipeline *persistence.Pipeline // nil: the machine is down
-	process  int                   // rises with each start and end of a process
-	nextTick time.Duration         // for which a tick is scheduled; 0: none is
+	pipeline *persistence.Pipeline // nil while the machine is down
+	process  int                   // incremented at each start and stop of a process
+	nextTick time.Duration         // time of the scheduled tick; 0 if there is none
 }
 
 func newMachine(w *world, i int) *machine {
@@ -52,7 +52,7 @@
 
 func (m *machine) isUp() bool { return m.pipeline != nil }
 
-// start begins a process over what the disk holds.
+// start starts a process on the machine's disk. A failed start is retried.
 func (m *machine) start(firstStart bool) {
 	if m.isUp() {
 		return
@@ -84,7 +84,7 @@
 	return m.store.Activate(&first)
 }
 
-// run lets a replica over the state that was recovered take part.
+// join starts the pipeline of a recovered replica, which then takes part in the register.
 func (m *machine) join(replica *register.Replica, recovered *register.State) {
 	var onDisk register.State
 	if recovered != nil {
@@ -97,12 +97,12 @@
 	m.apply(register.PeerConnected{})
 }
 
-// stop ends the process; after a power loss, the disk is what that left.
+// stop ends the process. After a power loss or the loss of a disk, the given disk replaces the machine's.
 func (m *machine) stop(left *disk) {
 	m.history.stopped(m.name)
 	m.clients.machineStopped(m)
 	if m.store != nil {
-		_ = m.store.Close() // as a process that ends: its disk may refuse
+		_ = m.store.Close() // the process ends anyway, and a full disk may fail the close
 	}
 	m.process++
 	m.pipeline = nil
@@ -112,7 +112,7 @@
 	}
 }
 
-// handle hands an event to the replica.
+// apply applies an event to the replica.
 func (m *machine) apply(ev register.Event) {
 	if !m.isUp() {
 		return
@@ -121,7 +121,7 @@
 	m.afterStep()
 }
 
-// afterStep notes what the disk has, and schedules the next tick.
+// afterStep records the version on disk and schedules the next tick.
 func (m *machine) afterStep() {
 	state := m.pipeline.Replica().State()
 	if m.pipeline.OnDisk().Accepted == state.Accepted {
@@ -130,7 +130,7 @@
 	m.scheduleTick()
 }
 
-// Write implements persistence.Sink: the disk takes writeTime.
+// Write implements persistence.Sink. The write takes writeTime.
 func (m *machine) Write(w persist.Write) {
 	process := m.process
 	m.plan.Defect.completeWriteEarly(m, w)
@@ -141,7 +141,7 @@
 	})
 }
 
-// write saves a state; the power may be lost in the middle of it.
+// write saves a state. Power may be lost in the middle of it.
 func (m *machine) write(w persist.Write) {
 	err := m.store.Save(w.State)
 	if m.disk.hasLostPower() {
@@ -158,7 +158,7 @@
 	m.afterStep()
 }
 
-// Publish implements persistence.Sink: sidecars below the machine receive the value.
+// Publish implements persistence.Sink. The sidecars below the machine receive the value at once.
 func (m *machine) Publish(c persist.Committed) {
 	if c.Known && c.Value.Version > 0 {
 		m.history.inForce(m.name, c.Value.Version, c.Value.Body, c.AsOf, m.now)
@@ -168,7 +168,7 @@
 // Complete implements persistence.Sink.
 func (m *machine) Complete(o register.Outcome) { m.handleOutcome(m, o) }
 
-// scheduleTick schedules a tick for when the pipeline asks for one, unless an earlier one is scheduled.
+// scheduleTick schedules a tick for the time that the pipeline requests, unless an earlier one is scheduled.
 func (m *machine) scheduleTick() {
 	next, ok := m.pipeline.NextTick(m.now)
 	if !ok {
--- a/lab/explore/catchup/powerloss.go
+++ b/lab/explore/catchup/powerloss.go
@@ -9,11 +9,11 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 )
 
-// blockSize is what of a write survives a power loss entirely or not at all, in bytes.
+// blockSize is the unit, in bytes, of a write that survives a power loss entirely or not at all.
 const blockSize = 512
 
-// powerLoss returns the disk as it may be found after a power loss now: of what was not synced, each name and each
-// block survives or not, or all do, or none.
+// powerLoss returns a possible state of the disk after a power loss now. Of the unsynced names and blocks all survive,
+// none, or each with probability one half.
 func (d *disk) powerLoss() *disk {
 	synced := d.CrashClone(vfs.CrashCloneCfg{})
 	written := d.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: 100, RNG: rand.New(rand.NewPCG(1, 1))})
@@ -24,19 +24,19 @@
 	return left
 }
 
-// merge copies a folder of what was synced, and of what was only written that which survives.
+// merge copies a directory: what was synced, and the unsynced parts that survive.
 func (d *disk) merge(synced, written *vfs.MemFS, dir string, survives func() bool) {
 	if err := d.MkdirAll(dir, 0o755); err != nil {
 		panic(err)
 	}
-	syncedNames, _ := synced.List(dir) // none, where the folder isn't there
+	syncedNames, _ := synced.List(dir) // no names if the directory does not exist
 	writtenNames, _ := written.List(dir)
 	names := slices.Concat(syncedNames, writtenNames)
 	slices.Sort(names)
 	for _, name := range slices.Compact(names) {
 		path := filepath.Join(dir, name)
 		isSynced, isWritten := slices.Contains(syncedNames, name), slices.Contains(writtenNames, name)
-		// A new name may not survive; one that was removed may come back.
+		// A new name may be lost, and a removed one may reappear.
 		if isSynced != isWritten && !survives() == isWritten {
 			continue
 		}
@@ -45,7 +45,7 @@
 			continue
 		}
 		before, after := content(synced, path), content(written, path)
-		if !isSynced && bytes.HasPrefix(after, d.syncedForRename) { // synced under another name
+		if !isSynced && bytes.HasPrefix(after, d.syncedForRename) { // synced under the name before the rename
 			before = d.syncedForRename
 		}
 		d.put(path, mergeBlocks(before, after, survives))
@@ -53,7 +53,7 @@
 	syncAndClose(d.OpenDir(dir))
 }
 
-// mergeBlocks returns a file's synced bytes with those blocks that were written later and survive.
+// mergeBlocks returns a file's synced bytes with the later written blocks that survive.
 func mergeBlocks(synced, written []byte, survives func() bool) []byte {
 	out := slices.Clone(synced)
 	for i := 0; i < len(written); i += blockSize {
@@ -77,7 +77,7 @@
 	return err == nil && info.IsDir()
 }
 
-// content returns a file's bytes; nil where it isn't there.
+// content returns a file's bytes, or nil if it does not exist.
 func content(fs *vfs.MemFS, path string) []byte {
 	if _, err := fs.Stat(path); err != nil {
 		return nil
@@ -100,7 +100,7 @@
 	syncAndClose(f, nil)
 }
 
-// syncAndClose takes the results of opening a file. Memory refuses nothing.
+// syncAndClose takes the results of opening a file, syncs and closes it. It panics on errors, which do not occur in memory.
 func syncAndClose(f vfs.File, err error) {
 	if err == nil {
 		err = f.Sync()
--- a/lab/explore/catchup/recovery.go
+++ b/lab/explore/catchup/recovery.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	// CatchUpTime is within what time of its start, or of the last fault after it, a machine has to publish what was
-	// acknowledged before, and have it on its disk.
+	// CatchUpTime is the time from a machine's start, or from the last fault after it, within which the machine must
+	// have published, and stored on its disk, the newest version received by anyone before the start.
 	CatchUpTime = 2500 * time.Millisecond
-	// CatchUpValues bounds the bytes that it is sent until then: so many values, however many changes it has missed, and
-	// one more for each change made meanwhile.
+	// CatchUpValues bounds the bytes sent to the machine until then: this many values, however many changes it missed,
+	// and one more for each change made meanwhile.
 	CatchUpValues = 16
-	// CatchUpBytes is what it may be sent besides.
+	// CatchUpBytes bounds the bytes sent to it besides values.
 	CatchUpBytes = 16 << 10
 )
 
-// CatchUp is the worst of all machines that started.
+// CatchUp has the worst figures of all machines that caught up after a start.
 type CatchUp struct {
-	Starts int           // that have caught up
-	Time   time.Duration // until the newest was published and on disk
-	Values float64       // bytes that the machine was sent until then, in values of the largest size
-	Missed uint32        // changes that it had missed
+	Starts int           // starts after which the machine caught up
+	Time   time.Duration // until the newest version was published and on disk
+	Values float64       // bytes sent to the machine until then, in values of the largest size
+	Missed uint32        // changes missed before the start
 }
 
 // String implements fmt.Stringer.
@@ -30,17 +30,17 @@
 		c.Starts, c.Time.Seconds(), c.Values, c.Missed)
 }
 
-// catchingUp is a machine that has started and has not caught up.
+// catchingUp is the progress of a machine that has started and not caught up yet.
 type catchingUp struct {
-	since         time.Duration // from when its time counts
-	wantedVersion uint32        // version
-	missedChanges uint32        // changes
-	bytes         int           // received
+	since         time.Duration // start of the period that CatchUpTime bounds
+	wantedVersion uint32
+	missedChanges uint32
+	bytes         int // received
 	published     bool
-	changesSince  int // acknowledged meanwhile
+	changesSince  int // acknowledged since the start
 }
 
-// started takes in that a machine started with a version on its disk.
+// started records that a machine started with a version on its disk.
 func (h *history) started(machine string, version uint32, now time.Duration) {
 	want := h.highestBefore(now + 1)
 	h.catchingUp[machine] = &catchingUp{since: now, wantedVersion: want, missedChanges: want - min(want, version)}
@@ -50,14 +50,14 @@
 
 func (h *history) isCatchingUp(machine string) bool { return h.catchingUp[machine] != nil }
 
-// faultOccurred restarts the time of all that have not caught up.
+// faultOccurred restarts the catch-up period of all machines that have not caught up.
 func (h *history) faultOccurred(now time.Duration) {
 	for _, c := range h.catchingUp {
 		c.since = now
 	}
 }
 
-// received takes in the bytes of a frame, and those of the value in it.
+// received records the sizes of a received frame and of the value in it; 0 if it has none.
 func (h *history) received(machine string, frame, value int) {
 	if value > 0 {
 		h.largestFrame = max(h.largestFrame, frame)
@@ -67,7 +67,7 @@
 	}
 }
 
-// onDisk takes in what a machine has on its disk, which is the last condition for having caught up.
+// onDisk records the version on a machine's disk. A machine that has published the newest version has then caught up.
 func (h *history) onDisk(machine string, version uint32, now time.Duration) {
 	c := h.catchingUp[machine]
 	if c == nil || !c.published || version < c.wantedVersion {
@@ -75,7 +75,7 @@
 	}
 	delete(h.catchingUp, machine)
 	if limit := (CatchUpValues+c.changesSince)*h.largestFrame + CatchUpBytes; c.bytes > limit {
-		h.fail("%s was sent %d bytes until it had caught up, %d at most is promised", machine, c.bytes, limit)
+		h.fail("%s was sent %d bytes before it caught up, the limit is %d", machine, c.bytes, limit)
 	}
 	worst := &h.catchUp
 	worst.Starts++
@@ -86,11 +86,11 @@
 	}
 }
 
-// checkDeadlines fails where a machine has not caught up in time.
+// checkDeadlines records a breach if a machine has not caught up in time.
 func (h *history) checkDeadlines(now time.Duration) {
 	for machine, c := range h.catchingUp {
 		if now > c.since+CatchUpTime {
-			h.fail("%s has not caught up to version %d (handed out: %v) in %v", machine, c.wantedVersion, c.published, CatchUpTime)
+			h.fail("%s has not caught up to version %d (published: %v) in %v", machine, c.wantedVersion, c.published, CatchUpTime)
 		}
 	}
 }
--- a/lab/explore/catchup/schedule.go
+++ b/lab/explore/catchup/schedule.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// scheduled is an event of a run.
+// scheduled is a scheduled event.
 type scheduled struct {
 	at    time.Duration
-	order int // of events at one time
+	order int // order of insertion, which decides between events at the same time
 	do    func()
 }
 
-// schedule is the events to come, the earliest first; of one time, in the order in which they were added. It implements
-// heap.Interface.
+// schedule holds the future events by time, and those of the same time in the order in which they were added. It
+// implements heap.Interface.
 type schedule struct {
 	events []scheduled
 	added  int
@@ -24,7 +24,7 @@
 	heap.Push(s, scheduled{at: at, order: s.added, do: do})
 }
 
-// next removes and returns the earliest event; there has to be one.
+// next removes and returns the earliest event. It panics if there is none.
 func (s *schedule) next() scheduled { return heap.Pop(s).(scheduled) }
 
 // Len implements heap.Interface.
--- a/lab/explore/cutoff/check.go
+++ b/lab/explore/cutoff/check.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Bounds that a day is held against: those of the rules, and those that docs/design/control-safety-1.md states.
+// Bounds that a day is checked against: those of the timing rules, and those that docs/design/control-safety-1.md states.
 const (
 	inForceBound       = 3 * time.Second
 	unsettledExtension = 10 * time.Second
 	contactDuration    = 5 * time.Second
 	ackBound           = 6 * time.Second
-	minWaitForSidecars = 650 * time.Millisecond // a confirmation comes sooner only if all in touch have the version
-	readyBound         = 4 * time.Second        // where a majority can be reached
-	readyFallbackBound = 10 * time.Second       // ... and where none can
+	minWaitForSidecars = 650 * time.Millisecond // an earlier acknowledgement requires the version on all sidecars in contact
+	readyBound         = 4 * time.Second        // if a majority is reachable
+	readyFallbackBound = 10 * time.Second       // if none is
 	rejectionStart     = 2500 * time.Millisecond
 	rejectionBound     = 50 * time.Millisecond
 	recoveryTime       = 3 * time.Second // after the end of the cut
@@ -22,13 +22,13 @@
 	sampleInterval     = 50 * time.Millisecond
 )
 
-// confirmed is the highest version that was acknowledged up to a time.
+// acknowledgement is the highest version that was acknowledged up to a time.
 type acknowledgement struct {
 	at      time.Duration
 	version uint32
 }
 
-// sent is a call that waits for its answer.
+// pendingCall is a call without a response yet.
 type pendingCall struct {
 	at      time.Duration
 	machine int
@@ -36,20 +36,20 @@
 	read    bool
 }
 
-// seen is what is known of a sidecar.
+// sidecarState is the state of a sidecar according to the history.
 type sidecarState struct {
-	running, ready, targetOnly bool // far: it reaches only the machine that is cut off
+	running, ready, targetOnly bool // targetOnly: of the control machines it reaches only the one that is cut off
 	started                    time.Duration
 	version                    uint32
 	parent                     int
-	parentSince                time.Duration // ... since; below 0: it has none
+	parentSince                time.Duration // when it joined the parent; below 0 if it has none
 }
 
-// checker holds a history against the rules.
+// checker checks a history against the rules.
 type checker struct {
 	now         time.Duration
 	consumed    int           // events
-	nextSample  time.Duration // when to look next
+	nextSample  time.Duration // time of the next periodic check
 	endTime     time.Duration
 	machines    int
 	acks        []acknowledgement
@@ -60,8 +60,8 @@
 	cut         bool
 	target      int
 	cutAt       time.Duration
-	healedAt    time.Duration // below 0: not yet
-	disturbedAt time.Duration // when the core was last disturbed
+	healedAt    time.Duration // end of the cut; below 0 before it
+	disturbedAt time.Duration // when the control machines were last disturbed
 }
 
 // Check returns the first breach of a rule.
@@ -81,7 +81,7 @@
 	}
 }
 
-// follow takes in what has been added to a history.
+// consume processes the events that were added to a history.
 func (c *checker) consume(h *History) error {
 	for ; c.consumed < len(h.Events); c.consumed++ {
 		e := h.Events[c.consumed]
@@ -149,7 +149,7 @@
 	}
 }
 
-// acked is the highest version that was acknowledged by a time.
+// ackedVersion returns the highest version that was acknowledged up to a time.
 func (c *checker) ackedVersion(at time.Duration) uint32 {
 	for i := len(c.acks) - 1; i >= 0; i-- {
 		if c.acks[i].at <= at {
@@ -166,16 +166,16 @@
 	switch {
 	case e.Status == 503:
 		if cutOff && call.at > c.cutAt+rejectionStart && e.At-call.at > rejectionBound {
-			return fmt.Errorf("machine %d is cut off and has left a call pending for %v", call.machine, e.At-call.at)
+			return fmt.Errorf("machine %d is cut off and left a call pending for %v", call.machine, e.At-call.at)
 		}
 		return c.checkRejection(call, cutOff)
 	case e.Status != 200:
-		return fmt.Errorf("machine %d has refused for good: %d", call.machine, e.Status)
+		return fmt.Errorf("machine %d rejected a call permanently: %d", call.machine, e.Status)
 	case cutOff:
-		return fmt.Errorf("machine %d is cut off and has answered a call of %.3f s", call.machine, call.at.Seconds())
+		return fmt.Errorf("machine %d is cut off and answered a call sent at %.3f s", call.machine, call.at.Seconds())
 	case call.read:
 		if acked := c.ackedVersion(call.at); e.Version < acked {
-			return fmt.Errorf("machine %d reads version %d, and %d was acknowledged before", call.machine, e.Version, acked)
+			return fmt.Errorf("machine %d read version %d, but %d was acknowledged before", call.machine, e.Version, acked)
 		}
 		return nil
 	}
@@ -191,19 +191,19 @@
 	return nil
 }
 
-// orderly finds calls that are turned away by a machine that has been in contact, or when all is to be in order again.
+// checkRejection finds rejected calls at machines that are in contact with a majority, or that should have recovered from the cut.
 func (c *checker) checkRejection(call pendingCall, cutOff bool) error {
 	switch {
 	case c.healedAt >= 0 && call.at > c.healedAt+recoveryTime:
-		return fmt.Errorf("machine %d still turns calls away", call.machine)
+		return fmt.Errorf("machine %d still rejects calls", call.machine)
 	case !cutOff && c.settled(call.at):
-		return fmt.Errorf("machine %d is not cut off and turns a call away", call.machine)
+		return fmt.Errorf("machine %d is not cut off and rejects a call", call.machine)
 	}
 	return nil
 }
 
-// connected reports whether a sidecar has its updates from a control machine, or from sidecars that do, for a while. One that is changing
-// parents is not waited for, nor one below the machine that is cut off: nobody who confirms can know of it.
+// connected reports whether a sidecar has had a path of parents to a control machine for parentSettleTime. Acknowledgements do not wait
+// for a sidecar that is changing parents, nor for one below the machine that is cut off, which the acknowledging machine cannot know of.
 func (c *checker) connected(s *sidecarState) bool {
 	for hops := 0; hops < 3; hops++ {
 		if !s.running || s.parentSince < 0 || c.now-s.parentSince < parentSettleTime {
@@ -217,32 +217,32 @@
 	return false
 }
 
-// inForceAtAll finds a sidecar in touch that lacks a version which is confirmed without a wait.
+// checkInForceEverywhere finds sidecars in contact that lack a version which is acknowledged without waiting for sidecars.
 func (c *checker) checkInForceEverywhere(version uint32) error {
 	for id, s := range c.sidecars {
 		if c.inContact(s, c.now) && s.ready && c.connected(s) && s.version < version {
-			return fmt.Errorf("version %d is confirmed at once, and sidecar %d has %d", version, id, s.version)
+			return fmt.Errorf("version %d is acknowledged at once, but sidecar %d has %d", version, id, s.version)
 		}
 	}
 	return nil
 }
 
-// unanswered finds calls to the machine that is cut off which it has left without an answer.
+// checkUnanswered finds calls that the machine that is cut off has not answered in time.
 func (c *checker) checkUnanswered() error {
 	for _, call := range c.calls {
 		if call.machine == c.target && call.at > c.cutAt+rejectionStart && c.now-call.at > rejectionBound {
-			return fmt.Errorf("machine %d is cut off and has not answered a call of %.3f s", call.machine, call.at.Seconds())
+			return fmt.Errorf("machine %d is cut off and has not answered a call sent at %.3f s", call.machine, call.at.Seconds())
 		}
 	}
 	return nil
 }
 
-// reaches reports whether a sidecar reaches a majority, all through a span that ends now.
+// reachesMajority reports whether a sidecar has been able to reach a majority ever since the given time.
 func (c *checker) reachesMajority(s *sidecarState, since time.Duration) bool {
 	return !s.targetOnly || !c.cut && since > c.healedAt || !c.cut && c.healedAt < 0
 }
 
-// undisturbed is a sidecar that ran, with paths to the majority, for the span that being in touch wants.
+// undisturbed reports whether a sidecar has run, with a path to the majority, for contactDuration.
 func (c *checker) undisturbed(s *sidecarState, at time.Duration) bool {
 	return s.running && at-s.started >= contactDuration && c.reachesMajority(s, at-contactDuration)
 }
@@ -259,7 +259,7 @@
 	s := c.sidecar(e.Sidecar)
 	s.ready = true
 	if acked := c.ackedVersion(e.At - inForceBound); c.reachesMajority(s, s.started) && e.Version < acked {
-		return fmt.Errorf("sidecar %d is ready with version %d, and %d was to be in force", e.Sidecar, e.Version, acked)
+		return fmt.Errorf("sidecar %d is ready with version %d, but %d should be in force", e.Sidecar, e.Version, acked)
 	}
 	return nil
 }
@@ -270,13 +270,13 @@
 	case e.Version < s.version:
 		return fmt.Errorf("sidecar %d goes back from version %d to %d", e.Sidecar, s.version, e.Version)
 	case c.textHashes[e.Version] != e.Text:
-		return fmt.Errorf("sidecar %d has a text that is not that of version %d", e.Sidecar, e.Version)
+		return fmt.Errorf("sidecar %d has a text that differs from that of version %d", e.Sidecar, e.Version)
 	}
 	s.version = e.Version
 	return nil
 }
 
-// look finds what is wrong at a time.
+// checkAt checks all sidecars and pending writes at a time.
 func (c *checker) checkAt(at time.Duration) error {
 	for id, s := range c.sidecars {
 		if err := c.checkSidecar(id, s, at); err != nil {
@@ -285,7 +285,7 @@
 	}
 	for version, since := range c.firstSent {
 		if at-since > ackBound {
-			return fmt.Errorf("version %d, sent at %.3f s, is not acknowledged", version, since.Seconds())
+			return fmt.Errorf("version %d, sent at %.3f s, is not acknowledged in time", version, since.Seconds())
 		}
 	}
 	return nil
@@ -301,7 +301,7 @@
 			limit = readyBound
 		}
 		if at-max(s.started, c.acks[0].at) > limit {
-			return fmt.Errorf("sidecar %d, started at %.3f s, is not ready", id, s.started.Seconds())
+			return fmt.Errorf("sidecar %d, started at %.3f s, is not ready in time", id, s.started.Seconds())
 		}
 		return nil
 	}
@@ -315,15 +315,15 @@
 		return nil
 	}
 	if acked := c.ackedVersion(at - bound); s.version < acked {
-		return fmt.Errorf("sidecar %d has version %d, and %d was acknowledged %v before", id, s.version, acked, bound)
+		return fmt.Errorf("sidecar %d has version %d, but %d was acknowledged %v before", id, s.version, acked, bound)
 	}
 	return nil
 }
 
-// end checks the complete history once the day is over.
+// finish checks the end of the complete history.
 func (c *checker) finish() error {
 	if len(c.acks) == 0 {
-		return fmt.Errorf("nothing was acknowledged")
+		return fmt.Errorf("no write was acknowledged")
 	}
 	return c.checkAt(c.endTime)
 }
--- a/lab/explore/cutoff/control.go
+++ b/lab/explore/cutoff/control.go
@@ -26,13 +26,13 @@
 	writeTime      = time.Millisecond
 )
 
-// Messages between control machines, beside the register's, and between publishers and subscribers.
+// Messages between control machines, apart from the register's, and between publishers and subscribers.
 type (
 	hello struct {
 		from   int
 		lowest uint32
 		status codec.NodeStatus
-		known  []dissemination.ControlMachine // LastSeen is the negated age
+		known  []dissemination.ControlMachine // LastSeen is the negative age
 	}
 	inForceReport struct {
 		from   int
@@ -42,17 +42,17 @@
 	ack       struct{ ack dissemination.Ack }
 	update    struct {
 		update dissemination.Update
-		age    time.Duration // of the edition as the newest; below 0: not known
-		text   []byte        // of an update with the full text
+		age    time.Duration // since the edition was known to be the newest; below 0 if unknown
+		text   []byte        // if the update has the full text
 	}
 )
 
-// operation is an operator's call at a control machine.
+// operation is an operator's call to a control machine.
 type operation struct {
 	id       int
 	put      bool
 	version  uint32
-	machine  *controlMachine // the machine that it is sent to
+	machine  *controlMachine // the machine that received it
 	answered bool
 }
 
@@ -73,7 +73,7 @@
 	o.machine.w.answer(o.id, o.machine.id, status, version)
 }
 
-// controlMachine is a control machine: the glue of mesh/controlplane in virtual time. What it decides are the shipped packages'.
+// controlMachine is a control machine in virtual time. It replaces the wiring of mesh/controlplane; the shipped packages decide.
 type controlMachine struct {
 	w               *world
 	id, incarnation int
@@ -97,7 +97,7 @@
 
 func (c *controlMachine) now() time.Duration { return c.w.now - c.startedAt }
 
-// boot starts the machine over what its disk has.
+// boot starts the machine with the state on its disk.
 func (c *controlMachine) boot(first bool) {
 	c.w.lastIncarnation++
 	c.incarnation, c.startedAt = c.w.lastIncarnation, c.w.now
@@ -153,7 +153,7 @@
 	}
 }
 
-// Write implements persistence.Sink: the disk has the state a little later.
+// Write implements persistence.Sink. The state is on the disk after writeTime.
 func (c *controlMachine) Write(w persist.Write) {
 	incarnation := c.incarnation
 	c.w.after(writeTime, func() {
@@ -186,7 +186,7 @@
 	}
 }
 
-// uncompressed is the text of a configuration that is not compressed.
+// uncompressed stands in for compression and returns the text itself.
 func uncompressed(body []byte) ([]byte, error) { return body, nil }
 
 // Complete implements persistence.Sink.
@@ -199,7 +199,7 @@
 	return c.lastID
 }
 
-// alwaysInContact is a pipeline that always holds that a quorum answers.
+// alwaysInContact is a pipeline that always reports a responding quorum, for the defect skipsQuorumCheck.
 type alwaysInContact struct{ *persistence.Pipeline }
 
 // Health implements operations.Register.
@@ -207,7 +207,7 @@
 	return operations.Health{LastQuorum: now}
 }
 
-// operationsRegister is what operations are proposed to.
+// operationsRegister returns the register that operations are proposed to.
 func (c *controlMachine) operationsRegister() operations.Register {
 	if c.w.defect.skipsQuorumCheck {
 		return alwaysInContact{c.pipeline}
@@ -215,7 +215,7 @@
 	return c.pipeline
 }
 
-// lowest is the lowest version in force below this machine.
+// lowest returns the lowest version in force below this machine.
 func (c *controlMachine) lowest() uint32 {
 	if c.w.defect.skipsSidecarAcks {
 		return dissemination.Unconstrained
@@ -223,7 +223,7 @@
 	return c.hub.LowestInForce(c.now())
 }
 
-// propose takes an operator's call.
+// propose handles an operator's call.
 func (c *controlMachine) propose(op *operation, text []byte) {
 	v, _, _ := c.replica.Committed()
 	switch {
@@ -288,12 +288,12 @@
 	c.w.net.send(c.connTo(to), c.id, h, 200)
 }
 
-// knownMachines are the control machines that this one knows of.
+// knownMachines returns the control machines that this one knows of.
 func (c *controlMachine) knownMachines(now time.Duration) []dissemination.ControlMachine {
 	return c.peers.Known(now, c.replica.Members())
 }
 
-// connTo is the connection to another machine; nil: there is none.
+// connTo returns the connection to another machine, or nil.
 func (c *controlMachine) connTo(to string) *conn {
 	if p := c.peers.Get(to); p != nil {
 		return p.Conn
@@ -301,13 +301,13 @@
 	return nil
 }
 
-// reconnect makes the connection to a machine anew.
+// reconnect replaces the connection to a machine.
 func (c *controlMachine) reconnect(p *peers.Peer[*conn]) {
 	c.peers.SetConn(p.Addr, nil, c.now())
 	c.maintainConn(c.w.nodeID(p.Addr))
 }
 
-// step does what is due, and sees to it that it is called again.
+// step does what is due and schedules its next call.
 func (c *controlMachine) step() {
 	now := c.now()
 	if now >= c.nextHello {
@@ -338,14 +338,14 @@
 	}
 }
 
-// handleInForce takes in the lowest version in force below another machine.
+// handleInForce handles the lowest version in force below another machine.
 func (c *controlMachine) handleInForce(from int, lowest uint32, now time.Duration) {
 	if !c.w.defect.skipsSidecarAcks {
 		c.operations.PeerAcknowledged(addr(from), lowest, now)
 	}
 }
 
-// acknowledge confirms what has waited for the sidecars, and tells the others what is in force below this machine.
+// acknowledge completes writes that waited for sidecars, and reports to peers the lowest version in force below this machine.
 func (c *controlMachine) acknowledge(now time.Duration) time.Duration {
 	lowest, changed := c.hub.Announce(now)
 	if changed {
--- a/lab/explore/cutoff/cutoff.go
+++ b/lab/explore/cutoff/cutoff.go
@@ -1,9 +1,9 @@
-// Package cutoff plays days in virtual time on which one control machine is cut off from the others for twenty seconds.
-// It runs the shipped parts of the control machines (mesh/controlplane's persistence, operations, publishing, peers and
-// reconcile over register.Replica and lease.Lease) and of the sidecars (mesh/dataplane/distribution). Sidecars are
-// restarted meanwhile, changes come in a storm, links are narrow, and operators order and read at the machine that is
-// cut off all the while. What becomes of it is a History, and Check holds that against the rules; it knows nothing of
-// how the decisions are made.
+// Package cutoff simulates days in virtual time on which one control machine is partitioned from the others for twenty
+// seconds. It runs the shipped parts of the control machines (mesh/controlplane's persistence, operations, publishing,
+// peers and reconcile over register.Replica and lease.Lease) and of the sidecars (mesh/dataplane/distribution). During
+// the partition sidecars are restarted, the rate of writes rises, links have little bandwidth, and operators write and
+// read at the machine that is cut off. A day yields a History, which Check checks against the rules without any
+// knowledge of how decisions are made.
 //
 // Start reading at Play.
 package cutoff
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Direction is which way nothing passes between the machine that is cut off and the other control machines.
+// Direction is the direction in which messages between the machine that is cut off and the other control machines are blocked.
 type Direction uint8
 
 // The directions.
@@ -26,10 +26,10 @@
 // Scenario is one day.
 type Scenario struct {
 	Direction     Direction
-	Standby       bool // the machine that is cut off is no member of the register
-	HoldsLease    bool // it holds the lease under which members are replaced
+	Standby       bool // the machine that is cut off is not a member of the register
+	HoldsLease    bool // it holds the lease for replacing members
 	CutZone       bool // the sidecars of its zone are cut off with it
-	RestartOthers bool // the other control machines are restarted during the cut, one after the other
+	RestartOthers bool // the other control machines are restarted one after the other during the cut
 	Seed          uint64
 }
 
@@ -39,24 +39,24 @@
 		[...]string{"both ways", "inward", "outward"}[s.Direction], s.Standby, s.HoldsLease, s.CutZone, s.RestartOthers, s.Seed)
 }
 
-// Defect is a mistake planted in the surroundings of the decisions, as if they made it. The zero value has none.
+// Defect is a mistake that the simulation makes as if the shipped code made it. The zero value has none.
 type Defect struct {
 	Name                string
 	readyAtAnyAge       bool // a sidecar is ready with a configuration of any age
-	reportsFresh        bool // a control machine reports its configuration as fresh, whenever a quorum last answered
-	acksWithoutMajority bool // an order is confirmed without a majority
-	readsLocalState     bool // a read is answered from what this machine holds
-	rejectsPermanently  bool // a machine without contact refuses for good
-	queuesFullTexts     bool // each version is sent in full, behind those that are under way
-	sendsOnlyLastDelta  bool // only the last difference is sent, and taken as applied whatever its base
-	skipsSidecarAcks    bool // a confirmation does not wait for the sidecars
-	keepsStaleParent    bool // a sidecar stays with its parent, however old that one's updates are
-	resetsOnReparent    bool // a sidecar forgets what it has when it changes parents
-	skipsQuorumCheck    bool // a machine takes and holds calls without contact with a majority
-	neverReady          bool // a sidecar waits for a fresh update for ever
+	reportsFresh        bool // a control machine reports its configuration as fresh although no quorum answers
+	acksWithoutMajority bool // a write is acknowledged without a majority
+	readsLocalState     bool // a read is answered from local state
+	rejectsPermanently  bool // a machine without contact to a majority rejects calls permanently
+	queuesFullTexts     bool // each version is sent in full, queued behind those in flight
+	sendsOnlyLastDelta  bool // only the last delta is sent, and counts as applied whatever its base
+	skipsSidecarAcks    bool // an acknowledgement does not wait for the sidecars
+	keepsStaleParent    bool // a sidecar stays with its parent however old the parent's updates are
+	resetsOnReparent    bool // a sidecar drops its configuration when it changes parents
+	skipsQuorumCheck    bool // a machine accepts calls and keeps them pending without contact to a majority
+	neverReady          bool // a sidecar waits for a fresh update without limit
 }
 
-// Defects are mistakes that a search has to find.
+// Defects are the planted defects that a search must find.
 var Defects = []Defect{
 	{Name: "a sidecar is ready with a configuration of any age", readyAtAnyAge: true},
 	{Name: "a control machine calls its configuration fresh without a majority", reportsFresh: true},
@@ -74,15 +74,15 @@
 
 // Times of a day.
 const (
-	operatorStart = 4 * time.Second // operators order and read from then on
+	operatorStart = 4 * time.Second // first writes and reads
 	cutStart      = 10 * time.Second
 	cutDuration   = 20 * time.Second
 	dayEnd        = 37 * time.Second
-	stormStart    = 26 * time.Second // and through the end of the cut
+	stormStart    = 26 * time.Second // the storm lasts beyond the end of the cut
 	stormDuration = 6 * time.Second
 )
 
-// Scenarios are the days of a search: every combination of what a Scenario holds, and so many seeds of each.
+// Scenarios returns the days of a search: every combination of a Scenario's fields, each with the given number of seeds.
 func Scenarios(seeds uint64) (all []Scenario) {
 	for seed := uint64(1); seed <= seeds; seed++ {
 		for bits := range 16 {
@@ -96,7 +96,7 @@
 	return all
 }
 
-// Quick are a few days that hold each direction and each variant.
+// QuickScenarios returns a few days that cover each direction and each variant.
 func QuickScenarios() []Scenario {
 	return []Scenario{
 		{Direction: Both, Seed: 1},
@@ -108,7 +108,7 @@
 	}
 }
 
-// playUntilBreach plays a day only as long as nothing is broken.
+// playUntilBreach simulates a day until the first breach.
 func playUntilBreach(s Scenario, d *Defect) error {
 	w := newWorld(s, d)
 	c := newChecker(w.history)
@@ -121,7 +121,7 @@
 	return c.finish()
 }
 
-// Search plays days until one breaks a rule; nil: none does.
+// Search simulates days until one breaks a rule. A nil breach means that none does.
 func Search(days []Scenario, d *Defect) (played int, day Scenario, breach error) {
 	for _, s := range days {
 		played++
--- a/lab/explore/cutoff/cutoff_test.go
+++ b/lab/explore/cutoff/cutoff_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// One control machine is cut off for 20 s, in each direction and in both, as the last to propose and not, as a member and not, with
-// sidecars restarted on either side and a storm of changes over narrow links.
+// Guards against false acknowledgements and stale reads or configurations while a control machine is cut off for 20 s: in either or both
+// directions, as lease holder or not, as member or standby, with sidecar restarts on both sides and a burst of writes over slow links.
 func TestCutOffMachineNeitherAcknowledgesNorServesStaleData(t *testing.T) {
 	played, day, breach := Search(QuickScenarios(), nil)
 	if breach != nil {
@@ -15,7 +15,7 @@
 	t.Logf("%d days, no breach", played)
 }
 
-// A search that finds nothing has to be one that would.
+// Guards against a search that cannot detect faults: every planted defect is found.
 func TestPlantedDefectsAreFound(t *testing.T) {
 	for i := range Defects {
 		played, day, breach := Search(QuickScenarios(), &Defects[i])
@@ -30,6 +30,6 @@
 func TestPlayIsDeterministic(t *testing.T) {
 	day := QuickScenarios()[3]
 	if !reflect.DeepEqual(Play(day, nil), Play(day, nil)) {
-		t.Error("two plays of one day differ")
+		t.Error("two runs of the same day differ")
 	}
 }
--- a/lab/explore/cutoff/history.go
+++ b/lab/explore/cutoff/history.go
@@ -2,45 +2,45 @@
 
 import "time"
 
-// Kind is the kind of something that happened.
+// Kind is the kind of an Event.
 type Kind uint8
 
 // The kinds.
 const (
-	WriteSent Kind = iota + 1 // an order: Call, Version, Text's hash, to Machine
-	Answered                  // an order or a read: Call, Version, Status, by Machine
+	WriteSent Kind = iota + 1 // write: Call, Version, hash of the text, to Machine; Call 0 precedes the first call
+	Answered                  // response to a write or read: Call, Version, Status, by Machine
 	ReadSent                  // Call, to Machine
-	CutBegan                  // Machine, and its sidecars where Zone
+	CutBegan                  // of Machine, with the sidecars of its zone if CutZone
 	CutEnded
 	MachineStopped
 	MachineStarted
 	SidecarStopped // Sidecar
 	SidecarStarted
 	Ready        // Sidecar, Version
-	Adopted      // Sidecar, Version, Text's hash
-	ParentJoined // Sidecar has its updates from Parent now
-	ParentLost   // ... no more
-	TargetOnly   // Sidecar reaches only the machine that is cut off
+	Adopted      // Sidecar, Version, hash of the text
+	ParentJoined // Sidecar receives updates from Parent from now on
+	ParentLost   // Sidecar has no parent from now on
+	TargetOnly   // Sidecar reaches no control machine but the one that is cut off
 )
 
-// Event is something that an onlooker saw.
+// Event is an externally visible event.
 type Event struct {
 	At      time.Duration
 	Kind    Kind
 	Call    int
 	Machine int
 	Sidecar int
-	Parent  int // a sidecar, or a control machine where it is below Machines
+	Parent  int // a control machine if below Machines, else a sidecar
 	Version uint32
 	Text    uint64
 	Status  int
 }
 
-// History is what an onlooker saw on a day.
+// History is the externally visible behaviour of a day.
 type History struct {
 	Machines, Sidecars int
 	Ends               time.Duration
-	Events             []Event // in the order of time
+	Events             []Event // in order of time
 }
 
 func (h *History) add(e Event) { h.Events = append(h.Events, e) }
--- a/lab/explore/cutoff/network.go
+++ b/lab/explore/cutoff/network.go
@@ -9,10 +9,10 @@
 const (
 	latency           = 1 * time.Millisecond
 	dialTimeout       = 500 * time.Millisecond
-	retransmitTimeout = 2500 * time.Millisecond // how long what was sent may be without an acknowledgement
+	retransmitTimeout = 2500 * time.Millisecond // after which a connection whose way is blocked is closed
 )
 
-// event is something that is due.
+// event is a scheduled event.
 type event struct {
 	at  time.Duration
 	seq uint64
@@ -34,7 +34,7 @@
 	return last
 }
 
-// clock is virtual time.
+// clock is virtual time with its scheduled events.
 type clock struct {
 	now time.Duration
 	seq uint64
@@ -54,32 +54,32 @@
 	}
 }
 
-// node is one end of connections.
+// node is an endpoint of connections.
 type node interface {
 	connClosed(c *conn)
 	receive(c *conn, message any)
-	incarnationNow() int // a number for each run of the process; 0: it does not run
+	incarnationNow() int // unique to each run of the process; 0 while it is stopped
 }
 
-// network is the machines' links. Nothing passes from a to b while blocked(a, b).
+// network connects the nodes. Nothing passes from a to b while blocked(a, b).
 type network struct {
 	*clock
 	nodes          []node
 	blocked        func(from, to int) bool
-	bandwidth      []int           // bytes a second of each node's link
-	linkFreeAt     []time.Duration // when it is
-	conns          []*conn         // that are open, and some that are not
+	bandwidth      []int           // of each node's link, in bytes per second
+	linkFreeAt     []time.Duration // when each node's link has sent its backlog
+	conns          []*conn         // open connections, and closed ones until the next cleanup
 	lastConnNumber int             // of the newest
 }
 
 // conn is a connection between two nodes.
 type conn struct {
-	number       int // in the order of their beginnings
+	number       int // in order of creation
 	ends         [2]int
 	incarnations [2]int
 	open         bool
 	stalled      bool
-	held         [2][]any // what came while the way was cut, by the end that it is for
+	held         [2][]any // messages held back by the cut, by receiving end
 	lastArrival  [2]time.Duration
 }
 
@@ -90,7 +90,7 @@
 	return 1
 }
 
-// dial connects two nodes, and tells of it at once or after a while.
+// dial connects two nodes and calls then with the connection, or with nil if it fails.
 func (n *network) dial(from, to int, then func(*conn)) {
 	incarnation := n.nodes[from].incarnationNow()
 	n.after(2*latency, func() {
@@ -113,7 +113,7 @@
 	})
 }
 
-// send sends a message of some bytes from one end.
+// send sends a message of the given size from one end.
 func (n *network) send(c *conn, from int, message any, bytes int) {
 	if c == nil || !c.open {
 		return
@@ -146,7 +146,7 @@
 	n.nodes[to].receive(c, message)
 }
 
-// stall ends a connection whose way stays cut.
+// stall closes a connection that stays blocked for retransmitTimeout.
 func (n *network) stall(c *conn) {
 	if c.stalled {
 		return
@@ -159,7 +159,7 @@
 	})
 }
 
-// heal passes on what was held up by a cut that is over.
+// heal delivers the messages that were held back by the cut.
 func (n *network) heal() {
 	for _, c := range n.conns {
 		if c.open && c.stalled {
@@ -168,7 +168,7 @@
 	}
 }
 
-// stopped ends the connections of a node that has stopped; where the way is cut the other end does not notice.
+// stopped closes the connections of a node that has stopped. While blocked, the other end does not notice.
 func (n *network) stopped(id int) {
 	for _, c := range n.conns {
 		other := c.ends[1-c.side(id)]
--- a/lab/explore/cutoff/operator.go
+++ b/lab/explore/cutoff/operator.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	callTimeout  = time.Second // after which an operator asks elsewhere
+	callTimeout  = time.Second // after which an operator retries at another machine
 	retryDelay   = 100 * time.Millisecond
 	readInterval = 250 * time.Millisecond
 )
 
-// operator sends orders and reads to control machines, as the protocol describes it.
+// operator sends writes and reads to control machines, as the protocol describes it.
 type operator struct {
 	w       *world
 	version uint32
 	calls   int
-	pending map[int]func(status int) // of calls that wait for an answer
+	pending map[int]func(status int) // callbacks of calls without a response yet
 }
 
 func (o *operator) scheduleCalls(w *world) {
@@ -38,7 +38,7 @@
 	}
 }
 
-// first is the machine that is asked first: on most calls during the cut the one that is cut off.
+// firstMachine returns the machine to call first: during the cut mostly the one that is cut off, else the drawn one.
 func (o *operator) firstMachine(drawn int) int {
 	if o.w.cut && o.w.rng.IntN(3) > 0 {
 		return o.w.target
@@ -77,7 +77,7 @@
 	o.send(op.id, to, op, text, then)
 }
 
-// send brings a call to a machine. Its end is reported once: by its answer, or with 0 after a silence or where nobody listens.
+// send sends a call to a machine. It calls then once, with the response's status, or 0 after a time-out or if the machine is down.
 func (o *operator) send(call, to int, op *operation, text []byte, then func(status int)) {
 	o.pending[call] = then
 	o.w.after(latency, func() {
@@ -98,7 +98,7 @@
 	}
 }
 
-// answer brings a machine's answer to the operator, who may wait for it no more.
+// answer sends a machine's response to the operator, which ignores it after the time-out.
 func (w *world) answer(call, machine, status int, version uint32) {
 	w.after(latency, func() {
 		o := &w.operator
--- a/lab/explore/cutoff/reconcile.go
+++ b/lab/explore/cutoff/reconcile.go
@@ -8,11 +8,11 @@
 	"firplank/mesh/timing"
 )
 
-// durations are those of a deployment with the pages' settings.
+// durations are those of a deployment with the documented settings.
 var durations = timing.DefaultInForce(inForceBound)
 
-// ack closes connections over which nothing comes, and has the shipped reconciler look at the members. Where the way is cut the other end
-// of a connection does not notice its close.
+// reconcileMembers closes connections to silent peers and ticks the shipped reconciler. While a connection is blocked, its other end does
+// not notice the close.
 func (c *controlMachine) reconcileMembers(now time.Duration) {
 	for _, p := range c.peers.Silent(now, durations.Replacement.DetectionTimeout/2) {
 		if to := c.w.nodeID(p.Addr); c.w.blocked(c.id, to) || c.w.blocked(to, c.id) {
@@ -36,5 +36,5 @@
 // RepairCompleted implements reconcile.Sink.
 func (c *controlMachine) RepairCompleted(int, time.Duration) {}
 
-// Depart implements reconcile.Sink; no machine departs on these days.
+// Depart implements reconcile.Sink. No machine departs on these days.
 func (c *controlMachine) Depart(error, bool) {}
--- a/lab/explore/cutoff/sidecar.go
+++ b/lab/explore/cutoff/sidecar.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	// Bytes of a frame without its configuration, and of one entry.
+	// Estimated sizes: a frame without configuration and entries, a GoAway, and one directory entry.
 	frameBytes   = 100
 	goAwayBytes  = 40
 	entryBytes   = 30
-	packingRatio = 3 // of a configuration's text
+	packingRatio = 3 // compression ratio of a configuration's text
 )
 
 var errUnreachable = errors.New("parent unreachable")
@@ -30,8 +30,8 @@
 // sidecar is the shipped distribution.Node in virtual time.
 type sidecar struct {
 	w           *world
-	id          int // its number among the network's nodes
-	incarnation int // 0: it does not run
+	id          int // index among the network's nodes
+	incarnation int // 0 while it is stopped
 	zone        string
 	startedAt   time.Duration
 	seeds       []string
@@ -42,7 +42,7 @@
 	wakeAt      time.Duration
 }
 
-// link is a connection as a Node knows it, which only compares it.
+// link is a connection as seen by a Node, which only compares connections.
 type link struct{ *conn }
 
 // Send implements subscribers.Conn.
@@ -75,7 +75,7 @@
 	s.step()
 }
 
-// entry is what the directory has of the sidecar.
+// entry returns the sidecar's directory entry.
 func (s *sidecar) entry() directory.Entry {
 	return directory.Entry{Node: s.name(), Incarnation: uint64(s.incarnation), Sequence: 1, PeerAddr: s.name(), Zone: s.zone}
 }
@@ -115,7 +115,7 @@
 	s.step()
 }
 
-// frame makes a frame of a control machine's update, by the clock of who receives it.
+// frame converts a control machine's update to a frame, with ages relative to the receiver's clock.
 func (u update) frame(now time.Duration) *wire.FrameT {
 	n := u.update
 	n.AsOf = dissemination.TimeUnknown
@@ -125,7 +125,7 @@
 	return codec.UpdateToFrame(&n, u.text, now)
 }
 
-// step does what is due, and sees to it that it is called again.
+// step does what is due and schedules its next call.
 func (s *sidecar) step() {
 	now := s.now()
 	s.w.fillDirectory(s)
@@ -140,7 +140,7 @@
 	s.w.wake(s, s.incarnation, &s.wakeAt, s.startedAt+max(next, now+time.Millisecond))
 }
 
-// maintain keeps up the subscription; with a planted defect, as if the parent's updates were always fresh.
+// maintain maintains the subscription. With the defect keepsStaleParent it does so as if the parent's updates were always fresh.
 func (s *sidecar) maintain(now time.Duration) {
 	state := s.node.State()
 	asOf := state.AsOf
@@ -151,8 +151,8 @@
 	state.AsOf = asOf
 }
 
-// perform does what the node wants done. What goes to subscribers goes in the order of their connections, so that a
-// day is the same again.
+// performActions carries out the node's actions. Messages to subscribers are sent in the order of their connections, so
+// that a day is deterministic.
 func (s *sidecar) performActions() {
 	var toSubscribers []distribution.Send
 	for _, a := range s.node.TakeActions() {
@@ -168,7 +168,7 @@
 			} else {
 				toSubscribers = append(toSubscribers, a)
 			}
-		case distribution.UpdateRejected: // the full text is asked for
+		case distribution.UpdateRejected: // the node requests the full text by itself
 		}
 	}
 	slices.SortStableFunc(toSubscribers, func(a, b distribution.Send) int {
@@ -199,7 +199,7 @@
 	})
 }
 
-// sendUp sends a subscription or a report to the parent.
+// sendToParent sends a subscription or a report to the parent.
 func (s *sidecar) sendToParent(c *conn, f *wire.FrameT) {
 	bytes := frameBytes + entryBytes*len(f.Entries)
 	switch {
@@ -212,7 +212,7 @@
 	}
 }
 
-// sendDown sends an update or a dismissal to a subscriber, or to who would be one.
+// sendToSubscriber sends an update or a GoAway to a subscriber or a rejected one.
 func (s *sidecar) sendToSubscriber(c *conn, f *wire.FrameT) {
 	if f.Kind == wire.GoAway {
 		s.w.net.send(c, s.id, f, goAwayBytes)
@@ -229,7 +229,7 @@
 	s.w.net.send(c, s.id, f, bytes)
 }
 
-// plant puts the planted defects of publishers into an update, as world.sendUpdate does into those of control machines.
+// applyPublisherDefects applies the defects of publishers to an update, as world.sendUpdate does for control machines.
 func (s *sidecar) applyPublisherDefects(c *conn, f *wire.FrameT) {
 	if s.w.defect.sendsOnlyLastDelta && len(f.Deltas) > 1 {
 		f.Deltas = f.Deltas[len(f.Deltas)-1:]
@@ -242,7 +242,7 @@
 	}
 }
 
-// takeAnyDelta has deltas that do not apply count as applied.
+// forceDeltas makes deltas that do not apply count as applied.
 func (s *sidecar) forceDeltas(f *wire.FrameT) {
 	state := s.node.State()
 	if len(f.Deltas) == 0 || f.Version <= state.Version {
@@ -253,7 +253,7 @@
 	}
 }
 
-// host is what a sidecar does for its node. Texts are not compressed.
+// host implements distribution.Host for a sidecar. Texts are not compressed.
 type host struct{ s *sidecar }
 
 var _ distribution.Host = host{}
@@ -269,7 +269,7 @@
 // Pack implements distribution.Host.
 func (host) Pack(_ uint32, text []byte) []byte { return text }
 
-// Adopt implements distribution.Host: every configuration can be used.
+// Adopt implements distribution.Host. Every configuration is usable.
 func (h host) Adopt(version uint32, text []byte) (inForce uint32) {
 	s := h.s
 	s.inForce = version
--- a/lab/explore/cutoff/world.go
+++ b/lab/explore/cutoff/world.go
@@ -14,13 +14,13 @@
 	machines           = 4 // control machines, of which the first three are members
 	sidecarsPerZone    = 8 // sidecars in each of two zones: enough for a relay tree
 	routes             = 30
-	controlBandwidth   = 1 << 20  // bytes a second of a control machine's link
-	sidecarBandwidth   = 40 << 10 // ... of a sidecar's, as what requests leave of it
+	controlBandwidth   = 1 << 20  // bytes per second of a control machine's link
+	sidecarBandwidth   = 40 << 10 // bytes per second that requests leave of a sidecar's link
 	writeInterval      = time.Second
 	stormWriteInterval = 70 * time.Millisecond
 )
 
-// world is a day under way.
+// world is the state of a simulated day.
 type world struct {
 	clock
 	scenario        Scenario
@@ -38,14 +38,14 @@
 
 func zoneOf(machine int) string { return string(rune('a' + machine%2)) }
 
-// Play plays a day and returns what an onlooker saw.
+// Play simulates a day and returns its history.
 func Play(s Scenario, d *Defect) *History {
 	w := newWorld(s, d)
 	w.run(dayEnd)
 	return w.history
 }
 
-// begin sets up a day.
+// newWorld sets up a day.
 func newWorld(s Scenario, d *Defect) *world {
 	if d == nil {
 		d = &Defect{}
@@ -80,11 +80,11 @@
 	}
 }
 
-// seeds are the machines in the settings of a process: the members.
+// seeds returns the control machines in a process's settings: the members.
 func (w *world) seeds() []string { return []string{addr(0), addr(1), addr(2)} }
 
-// newSeeds are those of a sidecar when it is restarted: the machine that is cut off alone, where it reaches that
-// one and so hears of the others, or else some that it reaches.
+// newSeeds returns the seeds of a restarted sidecar. With targetOnly it is only the machine that is cut off, provided
+// that the sidecar reaches it and learns of the others there. Otherwise the seeds include some that it reaches.
 func (w *world) newSeeds(s *sidecar, targetOnly bool) []string {
 	switch {
 	case targetOnly && (!w.scenario.CutZone || w.onTargetSide(s.id)):
@@ -113,7 +113,7 @@
 	return true
 }
 
-// apart reports whether a node is on the side of the machine that is cut off.
+// onTargetSide reports whether a node is on the side of the machine that is cut off.
 func (w *world) onTargetSide(id int) bool {
 	if id < machines {
 		return id == w.target
@@ -121,7 +121,7 @@
 	return w.scenario.CutZone && w.sidecars[id-machines].zone == zoneOf(w.target)
 }
 
-// plan sets what happens on the day.
+// scheduleFaults schedules the cut, the restarts and the operators' calls.
 func (w *world) scheduleFaults() {
 	at := func(t time.Duration, do func()) { w.after(t, do) }
 	at(cutStart, func() {
@@ -139,7 +139,7 @@
 		w.cut = false
 		w.net.heal()
 	})
-	for i := range 6 { // on either side
+	for i := range 6 { // alternately in both zones
 		s := w.sidecars[w.rng.IntN(sidecarsPerZone)*2+i%2]
 		w.restartSidecar(s, cutStart+time.Duration(2+3*i)*time.Second+time.Duration(w.rng.IntN(900))*time.Millisecond, i >= 2)
 	}
@@ -151,7 +151,7 @@
 	w.operator.scheduleCalls(w)
 }
 
-// choose returns the machine to cut off: a member, or the one that is none; the holder of the lease, or another.
+// chooseTarget returns the machine to cut off: a member or the standby, the lease holder or another, as the scenario says.
 func (w *world) chooseTarget() int {
 	for id, c := range w.controls {
 		member := slices.Contains(c.replica.Members(), addr(id))
@@ -159,7 +159,7 @@
 			return id
 		}
 	}
-	return 1 // there is no such machine on this day
+	return 1 // no machine fits the scenario on this day
 }
 
 func (w *world) restartSidecar(s *sidecar, at time.Duration, targetOnly bool) {
@@ -186,13 +186,13 @@
 	})
 }
 
-// stepper is a node that is to be called at times.
+// stepper is a node whose step is called at scheduled times.
 type stepper interface {
 	node
 	step()
 }
 
-// wake has a node's step called at a time, or sooner if that is set already.
+// wake schedules a call of a node's step, unless an earlier one is scheduled.
 func (w *world) wake(n stepper, incarnation int, wakeAt *time.Duration, at time.Duration) {
 	at = max(at, w.now)
 	if *wakeAt > w.now && *wakeAt <= at {
@@ -206,8 +206,8 @@
 	})
 }
 
-// fillDirectory brings what a sidecar knows of the others up to date: the control machines of this world announce no
-// sidecars.
+// fillDirectory updates a sidecar's directory entries of the other sidecars, as the control machines of this simulation
+// announce none.
 func (w *world) fillDirectory(s *sidecar) {
 	d := s.node.State().Directory
 	for _, other := range w.sidecars {
@@ -226,16 +226,16 @@
 	}
 }
 
-// find returns the node with an address.
+// nodeID returns the ID of the node with an address.
 func (w *world) nodeID(addr string) int {
 	id, err := strconv.Atoi(addr[1:])
 	if err != nil {
-		panic(err) // addresses are made here
+		panic(err) // addresses come from this package only
 	}
 	return id
 }
 
-// sendUpdate sends an update of a publisher, at a time of the sender's clock.
+// sendUpdate sends a publisher's update. The time is that of the sender's clock.
 func (w *world) sendUpdate(p *dissemination.Publisher, from int, to *conn, n dissemination.Update, now time.Duration) {
 	u := update{update: n, age: -1}
 	if w.defect.sendsOnlyLastDelta && len(n.Deltas) > 1 {
@@ -248,7 +248,7 @@
 	bytes := 100
 	if u.update.FullText {
 		u.text = p.Text
-		bytes += len(u.text) / 3 // packed
+		bytes += len(u.text) / 3 // compressed
 	}
 	for _, d := range u.update.Deltas {
 		bytes += len(d.Bytes)
@@ -259,7 +259,7 @@
 	w.net.send(to, from, u, bytes)
 }
 
-// textOf is the configuration of a version: each differs from the one before it in one route.
+// textOf returns the configuration of a version. Each version differs from the previous one in one route.
 func textOf(version uint32) []byte {
 	var out []byte
 	for route := range uint32(routes) {
--- a/lab/explore/explore.go
+++ b/lab/explore/explore.go
@@ -1,9 +1,9 @@
-// Package explore plays a module that does no I/O against everything that its surroundings may do, in every order up to a depth and at
-// random beyond it, and looks for a moment at which an invariant is broken: a model checker of the program's own code. It is independent of
-// the modules: a System is one with its surroundings, and offers the events that may happen next. A schedule that breaks an invariant is
-// shrunk to a short one, which a test can play again.
+// Package explore is a model checker for the program's own code. It runs modules without I/O against all events of their environment, in
+// every order up to a depth and in random orders beyond it, and checks invariants after every step. It does not depend on the modules: a
+// System is a module with a model of its environment, and offers the events that may happen next. A schedule that breaks an invariant is
+// shrunk to a short one, which a test can replay.
 //
-// Start reading at Exhaust, whose memory Limits.States bounds, and Random, which keeps no states.
+// Start reading at Exhaust, whose memory use is bounded by Limits.States, and Random, which stores no states.
 package explore
 
 import (
@@ -12,19 +12,19 @@
 	"strings"
 )
 
-// System is a module in its surroundings. It is deterministic: the same choices lead to the same state. It is not safe for concurrent use.
+// System is a module with a model of its environment. The same choices must lead to the same state. It is not safe for concurrent use.
 type System interface {
-	// Choices names the events that may happen next; none: the order ends here. The names are those of the moment and need not be unique.
+	// Choices names the events that may happen next. If there is none, the order ends. Names depend on the state and need not be unique.
 	Choices() []string
-	// Do lets one of them happen.
+	// Do performs the choice with the given index.
 	Do(choice int)
-	// Broken returns the first breach of an invariant, which stays.
+	// Broken returns the first breach of an invariant, or nil. A breach persists.
 	Broken() error
-	// State is a fingerprint of all that can make a difference from now on.
+	// State returns a fingerprint of everything that can influence later steps.
 	State() uint64
 }
 
-// Choice is something that may happen, for Systems to keep.
+// Choice is an event that may happen next, as Systems store it.
 type Choice struct {
 	Name string
 	Do   func()
@@ -39,8 +39,8 @@
 	return names
 }
 
-// OrderFingerprint is a fingerprint of the choices that were made, for Systems that take no two orders for the same state. The zero value
-// is that of no choice. It is like FNV-1a, but over whole numbers, and folded, as a multiplication mixes upwards only.
+// OrderFingerprint is a fingerprint of a sequence of choices, for Systems in which different orders never count as the same state. The
+// zero value is that of no choices. It is like FNV-1a over integers, with a fold, as multiplication mixes only towards higher bits.
 type OrderFingerprint uint64
 
 // Add returns the fingerprint with one more choice.
@@ -55,22 +55,22 @@
 
 // Limits bound a search.
 type Limits struct {
-	Depth  int // choices in a row
-	States int // that are told apart; beyond it the search ends
+	Depth  int // choices in an order
+	States int // distinct states; beyond it the search ends
 }
 
-// Result is what a search found.
+// Result is the result of a search.
 type Result struct {
-	States   int // that were told apart
+	States   int // distinct states
 	Steps    int
 	Depth    int
-	Complete bool  // every order up to the depth was played
-	Breach   error // the first breach of an invariant; nil: none was found
-	Schedule []int // the choices that lead to it, shrunk
+	Complete bool  // every order up to the depth was explored
+	Breach   error // the first breach of an invariant, or nil
+	Schedule []int // the shrunk choices that lead to it
 	Trace    []string
 }
 
-// String returns the result in a line or, with a breach, in one for each step.
+// String returns the result in one line or, after a breach, with one line for each step.
 func (r Result) String() string {
 	if r.Breach == nil {
 		return fmt.Sprintf("%d states, %d steps, depth %d, complete: %v, no breach", r.States, r.Steps, r.Depth, r.Complete)
@@ -79,14 +79,14 @@
 		r.Breach, strings.Join(r.Trace, "\n  "), r.Schedule, r.States, r.Steps)
 }
 
-// recordBreach sets the breach that a schedule leads to.
+// recordBreach shrinks a schedule and records the breach that it leads to.
 func (r *Result) recordBreach(start func() System, schedule []int) {
 	r.Schedule = Shrink(start, schedule)
 	system, trace := play(start, r.Schedule)
 	r.Breach, r.Trace = system.Broken(), trace
 }
 
-// Exhaust plays every order of choices up to a depth. States that were reached with as many choices left are not played again.
+// Exhaust explores every order of choices up to a depth. A state that was visited with as many choices remaining is not explored again.
 func Exhaust(start func() System, l Limits) Result {
 	s := exhaustiveSearch{
 		start:     start,
@@ -99,16 +99,16 @@
 	return s.result
 }
 
-// exhaustiveSearch is a search in depth first.
+// exhaustiveSearch is a depth-first search.
 type exhaustiveSearch struct {
 	start     func() System
 	limits    Limits
-	remaining map[uint64]int // of each state that was visited, the choices that were left then
-	schedule  []int          // that led to the present state
+	remaining map[uint64]int // largest number of remaining choices with which each state was visited
+	schedule  []int          // choices that led to the present state
 	result    Result
 }
 
-// visit plays all orders from a state on, and reports whether the search continues.
+// visit explores all orders from a state and reports whether the search continues.
 func (s *exhaustiveSearch) visit(system System) bool {
 	if system.Broken() != nil {
 		s.result.recordBreach(s.start, s.schedule)
@@ -131,7 +131,7 @@
 	choices := len(system.Choices())
 	for choice := range choices {
 		next := system
-		if choice < choices-1 { // the last choice continues with the system itself, the others play it anew
+		if choice < choices-1 { // the last choice reuses the system, the others replay the schedule
 			next = Play(s.start, s.schedule)
 		}
 		next.Do(choice)
@@ -146,7 +146,7 @@
 	return true
 }
 
-// Random plays so many orders of up to depth choices, drawn from a seed, until one breaks an invariant.
+// Random plays the given number of random orders of up to depth choices, until one breaks an invariant. The seed determines the orders.
 func Random(start func() System, seed uint64, orders, depth int) Result {
 	r := Result{Depth: depth}
 	for order := range orders {
@@ -171,7 +171,7 @@
 	return r
 }
 
-// Play returns the system after a schedule. Choices that the system does not offer are left out.
+// Play returns the system after a schedule. Choices that the system does not offer are skipped.
 func Play(start func() System, schedule []int) System {
 	system, _ := play(start, schedule)
 	return system
--- a/lab/explore/explore_test.go
+++ b/lab/explore/explore_test.go
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// A search up to the depth of a breach finds it and shrinks its schedule; one that is less deep plays every order and finds none.
+// A search to the depth of a breach finds it and shrinks its schedule. A less deep one explores every order and finds none.
 func TestExhaustFindsBreachesWithinItsDepth(t *testing.T) {
 	r := Exhaust(startCounter(6), Limits{Depth: 3, States: 100})
 	if !errors.Is(r.Breach, errTooHigh) || !slices.Equal(r.Schedule, []int{2, 2, 2}) || len(r.Trace) != 3 {
@@ -54,7 +54,7 @@
 	}
 }
 
-// A shrunk schedule breaks the invariant and has no choice that is not needed; the given one stays.
+// A shrunk schedule breaks the invariant and has no unnecessary choice. The given schedule is not modified.
 func TestShrink(t *testing.T) {
 	given := []int{0, 2, 1, 0, 0, 2, 2, 1}
 	before := slices.Clone(given)
--- a/lab/explore/shrink.go
+++ b/lab/explore/shrink.go
@@ -4,8 +4,8 @@
 	"slices"
 )
 
-// Shrink returns a schedule that breaks an invariant, as the given one does, and of which no part can be left out and no choice be an
-// earlier one. It is delta debugging (Zeller, Hildebrandt, 2002) by removals of halving size. The given schedule is not changed.
+// Shrink returns a shorter schedule that still breaks an invariant: no part of it can be removed and no choice replaced by one with a lower
+// index. It is delta debugging (Zeller, Hildebrandt, 2002) with removals of halving size. The given schedule is not modified.
 func Shrink(start func() System, schedule []int) []int {
 	breaks := func(candidate []int) bool { return Play(start, candidate).Broken() != nil }
 	schedule = slices.Clone(schedule)
@@ -18,7 +18,7 @@
 	return schedule
 }
 
-// removeParts leaves out parts of a schedule, from half of it down to single choices.
+// removeParts removes parts of a schedule, from half of it down to single choices, while it still breaks an invariant.
 func removeParts(schedule []int, breaks func([]int) bool) (smaller []int, changed bool) {
 	for size := max(1, len(schedule)/2); size >= 1; size /= 2 {
 		for at := 0; at+size <= len(schedule); {
@@ -33,7 +33,7 @@
 	return schedule, changed
 }
 
-// lowerChoices replaces each choice by the first that will do.
+// lowerChoices replaces each choice by the lowest index that still breaks an invariant.
 func lowerChoices(schedule []int, breaks func([]int) bool) (smaller []int, changed bool) {
 	for at := range schedule {
 		for choice := range schedule[at] {
--- a/lab/explore/talk/talk.go
+++ b/lab/explore/talk/talk.go
@@ -1,6 +1,6 @@
-// Package talk explores what sidecars tell one another: several fleet.Nodes whose datagrams come, come late, twice, in another order or
-// not at all, and whose processes crash, start anew with a clock that may have gone back, and stand still. Held against them is what
-// their processes truly counted.
+// Package talk is a model checker for the gossip between sidecars: several fleet.Nodes whose datagrams are delayed, duplicated, reordered
+// and lost, and whose processes crash, restart with a clock that may have gone back, and pause. The aggregates that the nodes report are
+// compared with the requests that the processes counted.
 package talk
 
 import (
@@ -14,14 +14,14 @@
 )
 
 const (
-	roundInterval        = 500 * time.Millisecond // that passes between two rounds
-	maxRequestsPerSecond = 40                     // requests a second that a member takes at most
-	// Of so many lives none is closed before its words can have come: what is known to any is known to all then.
+	roundInterval        = 500 * time.Millisecond // time between two rounds
+	maxRequestsPerSecond = 40                     // rate limit of each member
+	// With at most this many runs, none is closed before its counters can have spread: what one member knows then reaches all.
 	maxRetainedRuns = 3
-	maxInFlight     = 24 // datagrams on their way; beyond it the oldest are lost
+	maxInFlight     = 24 // datagrams; beyond it the oldest are lost
 )
 
-// Bounds say how much may happen in a run.
+// Bounds set the number of members and limit the faults of an order.
 type Bounds struct{ Members, Faults int }
 
 type datagram struct {
@@ -32,27 +32,27 @@
 type process struct {
 	node        *fleet.Node
 	started     time.Duration
-	admitted    uint64 // by this life
+	admitted    uint64 // requests admitted by this run
 	paused      bool
 	starts      int
-	clockOffset time.Duration // of its clock against the others'
+	clockOffset time.Duration // of its wall clock relative to the others
 	limiter     fleet.RateLimiter
-	knownRuns   map[processRun]bool // lives that this one has heard of, its own among them
+	knownRuns   map[processRun]bool // runs that this one knows of, including itself
 }
 
-// life is one process of a member, from its start to its end, whatever it calls itself in between.
+// processRun is one run of a member's process. It stays the same when the process changes its incarnation.
 type processRun struct{ member, number int }
 
 type world struct {
 	bounds        Bounds
 	defect        fleet.Defect
 	now           time.Duration
-	processes     []process // node nil: it does not run
-	admitted      []uint64  // taken, by member, over all lives
+	processes     []process // a nil node is not running
+	admitted      []uint64  // requests by member, over all runs
 	runs          map[fleet.Incarnation]processRun
 	admittedByRun map[processRun]uint64
 	inFlight      []datagram
-	cut           bool // between the first member and the others
+	cut           bool // member 0 is partitioned from the others
 	faults        int
 	settled       bool
 	steps         int
@@ -60,7 +60,7 @@
 	choices       []explore.Choice
 }
 
-// Start returns what Exhaust and Random begin at.
+// Start returns the initial state for Exhaust and Random.
 func Start(b Bounds, d fleet.Defect) func() explore.System {
 	return func() explore.System {
 		w := &world{bounds: b, defect: d, processes: make([]process, b.Members), admitted: make([]uint64, b.Members),
@@ -85,11 +85,12 @@
 		panic(err)
 	}
 	n.Plant(w.defect)
-	p.node, p.started, p.admitted, p.paused, p.limiter, p.knownRuns = n, w.now, 0, false, fleet.NewRateLimiter(maxRequestsPerSecond), map[processRun]bool{}
+	p.node, p.started, p.admitted, p.paused, p.limiter, p.knownRuns =
+		n, w.now, 0, false, fleet.NewRateLimiter(maxRequestsPerSecond), map[processRun]bool{}
 	w.recordKnownRuns(i)
 }
 
-// learn notes which lives a process has heard of.
+// recordKnownRuns records which runs a process knows of.
 func (w *world) recordKnownRuns(i int) {
 	p := &w.processes[i]
 	w.runs[p.node.Incarnation(i)] = processRun{i, p.starts}
@@ -100,8 +101,8 @@
 	}
 }
 
-// knowable is what was taken by lives that any process has heard of that is there now, and so what a bound has to hold: what was taken by
-// others is gone with the last that knew of them.
+// knownAdmitted returns the number of requests admitted by runs that any running process knows of. Upper bounds must cover it. Requests of
+// other runs are forgotten with the last process that knew of them.
 func (w *world) knownAdmitted() (sum uint64) {
 	for l, n := range w.admittedByRun {
 		if slices.ContainsFunc(w.processes, func(p process) bool { return p.node != nil && p.knownRuns[l] }) {
@@ -113,8 +114,8 @@
 
 func (w *world) Broken() error { return w.breach }
 
-// State prints what there is but for the nodes' inner state, which follows from it in all but rare cases: a search by
-// it may leave out orders, never report a breach that is none.
+// State fingerprints all but the nodes' internal state, which follows from the rest except in rare cases. A search may
+// therefore skip some orders, but never reports a false breach.
 func (w *world) State() uint64 {
 	h := fnv.New64a()
 	_, _ = fmt.Fprint(h, w.now, w.admitted, w.inFlight, w.cut, w.faults, w.settled, w.steps%8) // a hash's Write does not fail
@@ -136,45 +137,45 @@
 	add := func(do func(), format string, args ...any) {
 		w.choices = append(w.choices, explore.Choice{Name: fmt.Sprintf("%7.2f s  ", w.now.Seconds()) + fmt.Sprintf(format, args...), Do: do})
 	}
-	add(w.round, "time passes, and all say something")
-	add(w.deliverAll, "all that is on its way comes")
+	add(w.round, "time passes, and every member sends")
+	add(w.deliverAll, "all datagrams in flight arrive")
 	add(func() {
 		for range 3 {
 			w.round()
 			w.deliverAll()
 			w.check()
 		}
-	}, "three rounds pass, and all comes")
+	}, "three rounds pass, and all datagrams arrive")
 	for i := range w.processes {
 		if p := &w.processes[i]; p.node != nil && !p.paused {
-			add(func() { w.admitRequests(i) }, "member %d takes requests", i)
+			add(func() { w.admitRequests(i) }, "member %d admits requests", i)
 		}
 	}
 	for k := range min(len(w.inFlight), 3) {
-		add(func() { w.deliver(k, false) }, "a datagram from %d to %d comes", w.inFlight[k].from, w.inFlight[k].to)
+		add(func() { w.deliver(k, false) }, "a datagram from %d to %d arrives", w.inFlight[k].from, w.inFlight[k].to)
 	}
 	if w.steps%8 == 7 {
-		add(w.settle, "all run, and all comes, for long")
+		add(w.settle, "all faults end, and 60 rounds pass")
 	}
 	if w.faults == w.bounds.Faults {
 		return explore.Names(w.choices)
 	}
 	if len(w.inFlight) > 0 {
-		add(func() { w.faults++; w.deliver(len(w.inFlight)-1, true) }, "the latest datagram comes, and will come again")
-		add(func() { w.faults++; w.inFlight = w.inFlight[:0] }, "all that is on its way is lost")
+		add(func() { w.faults++; w.deliver(len(w.inFlight)-1, true) }, "the latest datagram arrives, and is duplicated")
+		add(func() { w.faults++; w.inFlight = w.inFlight[:0] }, "all datagrams in flight are lost")
 	}
-	add(func() { w.faults++; w.cut = !w.cut }, "the link of member 0 to the others is cut, or mended")
+	add(func() { w.faults++; w.cut = !w.cut }, "member 0 is partitioned from the others, or the partition heals")
 	for i := range w.processes {
 		p := &w.processes[i]
 		if p.node == nil {
-			add(func() { w.start(i, 0) }, "member %d starts anew", i)
-			add(func() { w.start(i, time.Hour) }, "member %d starts anew with its clock an hour back", i)
+			add(func() { w.start(i, 0) }, "member %d starts again", i)
+			add(func() { w.start(i, time.Hour) }, "member %d starts again with its clock an hour back", i)
 			continue
 		}
 		add(func() { w.faults++; p.node = nil }, "member %d crashes", i)
-		add(func() { w.faults++; w.start(i, 0) }, "member %d is started anew at once", i)
-		add(func() { w.faults++; w.restartThreeTimes(i) }, "member %d takes requests and is started anew, three times", i)
-		add(func() { w.faults++; p.paused = !p.paused }, "member %d stands still, or goes on", i)
+		add(func() { w.faults++; w.start(i, 0) }, "member %d restarts at once", i)
+		add(func() { w.faults++; w.restartThreeTimes(i) }, "member %d admits requests and restarts, three times", i)
+		add(func() { w.faults++; p.paused = !p.paused }, "member %d pauses, or resumes", i)
 	}
 	return explore.Names(w.choices)
 }
@@ -186,12 +187,12 @@
 	w.check()
 }
 
-// at is a process's own time: their clocks differ by 500 parts in a million each way.
+// localTime returns a process's own time since its start. The clocks drift by up to 500 parts per million either way.
 func (w *world) localTime(i int) time.Duration {
 	return time.Duration(float64(w.now-w.processes[i].started) * (1 + 0.0005*float64(i%3-1)))
 }
 
-// round lets time pass and has all that run say something.
+// round advances the time and ticks every running member.
 func (w *world) round() {
 	w.now += roundInterval
 	for i := range w.processes {
@@ -204,7 +205,9 @@
 	if p.node == nil || p.paused {
 		return
 	}
-	w.sendActions(i, p.node.Handle(w.localTime(i), fleet.Tick{Counters: []fleet.Counters{{fleet.Received: p.admitted, fleet.Served: p.admitted}}}))
+	w.sendActions(i, p.node.Handle(w.localTime(i), fleet.Tick{
+		Counters: []fleet.Counters{{fleet.Received: p.admitted, fleet.Served: p.admitted}},
+	}))
 }
 
 func (w *world) sendActions(i int, actions []fleet.Action) {
@@ -222,7 +225,7 @@
 	}
 }
 
-// take has a member take as many requests as its pace allows now, up to seven.
+// admitRequests admits as many requests as a member's rate limiter allows now, up to seven.
 func (w *world) admitRequests(i int) {
 	p := &w.processes[i]
 	for range 7 {
@@ -264,10 +267,10 @@
 	}
 }
 
-// settle mends all, and lets it run until all must know all that is known to any.
+// settle ends all faults and plays enough rounds for every member to learn what any running member knows.
 func (w *world) settle() {
 	w.settled, w.cut = true, false
-	known := make([]uint64, len(w.processes)) // by whoever runs, of each
+	known := make([]uint64, len(w.processes)) // received requests by member, as known to any running member
 	for i := range w.processes {
 		if p := &w.processes[i]; p.node != nil {
 			for j, v := range p.node.View() {
@@ -290,20 +293,20 @@
 	for i := range w.processes {
 		s := w.processes[i].node.Sums()
 		if s.Cells[0] != first.Cells[0] {
-			w.fail("after all was mended member 0 counts %d and member %d %d", first.Cells[0][fleet.Received], i, s.Cells[0][fleet.Received])
+			w.fail("after all faults ended member 0 counts %d and member %d %d", first.Cells[0][fleet.Received], i, s.Cells[0][fleet.Received])
 		}
 		for j, v := range w.processes[i].node.View() {
 			if v.Counters[fleet.Received] < known[j] && w.processes[j].starts <= maxRetainedRuns {
-				w.fail("after all was mended member %d knows %d of member %d, of which %d were known", i, v.Counters[fleet.Received], j, known[j])
+				w.fail("after all faults ended member %d knows %d of member %d, but %d were known", i, v.Counters[fleet.Received], j, known[j])
 			}
 		}
 		if v := w.processes[i].node.View()[i]; v.Counters[fleet.Received] < w.processes[i].admitted {
-			w.fail("member %d tells %d of %d of its own", i, v.Counters[fleet.Received], w.processes[i].admitted)
+			w.fail("member %d reports %d of its own %d requests", i, v.Counters[fleet.Received], w.processes[i].admitted)
 		}
 	}
 }
 
-// check holds what each member tells against the truth.
+// check compares each member's aggregates with the true counts.
 func (w *world) check() {
 	total, known := uint64(0), w.knownAdmitted()
 	for _, t := range w.admitted {
@@ -316,14 +319,14 @@
 		}
 		s := p.node.Sums()
 		if lowerBound := s.Cells[0][fleet.Received]; lowerBound > total {
-			w.fail("member %d says that at least %d were taken: it were %d", i, lowerBound, total)
+			w.fail("member %d reports a lower bound of %d: the true count is %d", i, lowerBound, total)
 		}
 		if upperBound := s.UpperBound(0, fleet.Received); s.Unbounded == 0 && upperBound < known && !p.node.Stale(w.localTime(i)) {
-			w.fail("member %d says that at most %d were taken: it were %d", i, upperBound, known)
+			w.fail("member %d reports an upper bound of %d: the known count is %d", i, upperBound, known)
 		}
 		for j, v := range p.node.View() {
 			if v.Counters[fleet.Received] > w.admitted[j] {
-				w.fail("member %d says that member %d has taken %d: it were %d", i, j, v.Counters[fleet.Received], w.admitted[j])
+				w.fail("member %d reports %[3]d for member %[2]d: the true count is %[4]d", i, j, v.Counters[fleet.Received], w.admitted[j])
 			}
 		}
 	}
