--- a/lab/explore/catchup/catchup.go
+++ b/lab/explore/catchup/catchup.go
@@ -32,13 +32,13 @@
 
 const (
 	members = 3
-	// writeTime is how long a disk takes to sync.
+	// writeTime is the time that a disk takes to sync a write.
 	writeTime = 4 * time.Millisecond
 	// maxTimePerChange bounds a run: one that takes longer makes no progress.
 	maxTimePerChange = 3 * time.Second
 	// quietTime is how long a run continues without faults after the last change.
 	quietTime = 5 * time.Second
-	// firstFault is when the first fault is injected.
+	// firstFault is the time of the first fault.
 	firstFault = 200 * time.Millisecond
 )
 
--- a/lab/explore/catchup/history.go
+++ b/lab/explore/catchup/history.go
@@ -13,7 +13,7 @@
 	acknowledgedVersions map[uint32]bool
 	observations         []observation // with rising times and versions
 	reads                int
-	breach               error // the first
+	breach               error // the first one
 	catchingUp           map[string]*catchingUp
 	catchUp              CatchUp
 	largestFrame         int // largest frame with a value, in bytes
--- a/lab/explore/catchup/recovery.go
+++ b/lab/explore/catchup/recovery.go
@@ -35,7 +35,7 @@
 	since         time.Duration // start of the period that CatchUpTime bounds
 	wantedVersion uint32
 	missedChanges uint32
-	bytes         int // received
+	bytes         int // received since the start
 	published     bool
 	changesSince  int // acknowledged since the start
 }
--- a/lab/explore/cutoff/check.go
+++ b/lab/explore/cutoff/check.go
@@ -48,7 +48,7 @@
 // checker checks a history against the rules.
 type checker struct {
 	now         time.Duration
-	consumed    int           // events
+	consumed    int           // number of processed events
 	nextSample  time.Duration // time of the next periodic check
 	endTime     time.Duration
 	machines    int
--- a/lab/explore/cutoff/cutoff.go
+++ b/lab/explore/cutoff/cutoff.go
@@ -23,7 +23,7 @@
 	Outward
 )
 
-// Scenario is one day.
+// Scenario describes one simulated day.
 type Scenario struct {
 	Direction     Direction
 	Standby       bool // the machine that is cut off is not a member of the register
--- a/lab/explore/cutoff/network.go
+++ b/lab/explore/cutoff/network.go
@@ -69,7 +69,7 @@
 	bandwidth      []int           // of each node's link, in bytes per second
 	linkFreeAt     []time.Duration // when each node's link has sent its backlog
 	conns          []*conn         // open connections, and closed ones until the next cleanup
-	lastConnNumber int             // of the newest
+	lastConnNumber int
 }
 
 // conn is a connection between two nodes.
--- a/lab/explore/cutoff/world.go
+++ b/lab/explore/cutoff/world.go
@@ -95,7 +95,7 @@
 	return w.seeds()
 }
 
-// blocked reports whether the cut stops what goes from one node to another.
+// blocked reports whether the cut blocks messages from one node to another.
 func (w *world) blocked(from, to int) bool {
 	if !w.cut {
 		return false
