--- a/lab/run/alone.go
+++ b/lab/run/alone.go
@@ -59,13 +59,13 @@
 	if s.Clients.RPC() {
 		rpcAddrs = addrs
 	}
-	callers := standin.NewCallers(standin.CallersConfig{
-		Scenario: s, Plan: plan, Addrs: addrs, RPCAddrs: rpcAddrs, Clock: clock, Observer: seen, MostOpen: max(16, s.Limits.Sockets/3),
+	callers := standin.NewClients(standin.ClientsConfig{
+		Scenario: s, Plan: plan, Addrs: addrs, RPCAddrs: rpcAddrs, Clock: clock, Observer: seen, MaxOpenConns: max(16, s.Limits.Sockets/3),
 		Linger: answerSlack*time.Millisecond + ruleSlack,
 	})
 	tallies := callers.Run(ctx)
 	time.Sleep(settle)
 	r := newReport(s, tallies, j.Close(clock()), seen)
-	r.Program, r.Late = "the sidecars given", callers.Late()
+	r.Program, r.Late = "the sidecars given", callers.MaxStartDelay()
 	return r, nil
 }
--- a/lab/run/faults.go
+++ b/lab/run/faults.go
@@ -184,11 +184,11 @@
 	case "replace":
 		return st.replace(sl)
 	case "silent":
-		sl.server.Silence(-1, true)
+		sl.server.SetSilent(-1, true)
 	case "cut":
-		sl.server.Silence(int(f.Size), true)
+		sl.server.SetSilent(int(f.Size), true)
 	case "drain":
-		sl.server.Drain(true)
+		sl.server.SetDraining(true)
 		st.roster.Set(sl.entry, "draining")
 	case "error":
 		sl.server.SetErrors(f.Share)
@@ -208,12 +208,12 @@
 		if err := sl.server.Restart(); err != nil {
 			return err
 		}
-		sl.entry.UpFrom = time.Now()
+		sl.entry.UpSince = time.Now()
 		st.roster.Set(sl.entry, "ready")
 	case "silent":
-		sl.server.Silence(-1, false)
+		sl.server.SetSilent(-1, false)
 	case "cut":
-		sl.server.Silence(int(f.Size), false)
+		sl.server.SetSilent(int(f.Size), false)
 	case "drain":
 		sl.server.Crash()
 		st.roster.Set(sl.entry, "gone")
@@ -239,7 +239,7 @@
 	defer st.mu.Unlock()
 	sl.server.Close()
 	sl.server = next
-	sl.entry.ID, sl.entry.UpFrom = next.ID(), time.Now()
+	sl.entry.ID, sl.entry.UpSince = next.ID(), time.Now()
 	st.roster.Set(sl.entry, "ready")
 	return nil
 }
@@ -279,7 +279,7 @@
 		st.judge.Down(n.number, st.clock())
 		return n.pause(true)
 	case "hup":
-		if _, err := writeConfig(st.dir, st.s, n.number, n.address(), st.roster.Other(n.number),
+		if _, err := writeConfig(st.dir, st.s, n.number, n.address(), st.roster.SecondAddr(n.number),
 			st.roster.Current(n.number), st.links); err != nil {
 			return err
 		}
@@ -293,7 +293,7 @@
 			case <-time.After(awayAfter):
 			case <-ctx.Done():
 			}
-			st.callers.SetAway(n.number, true)
+			st.callers.SetShuttingDown(n.number, true)
 			if err := n.awaitEnd(); err != nil {
 				st.failed(err)
 			}
@@ -329,5 +329,5 @@
 		return
 	}
 	st.judge.Up(n.number, st.clock())
-	st.callers.SetAway(n.number, false)
+	st.callers.SetShuttingDown(n.number, false)
 }
--- a/lab/run/html_test.go
+++ b/lab/run/html_test.go
@@ -24,7 +24,7 @@
 	for i := range 200 {
 		seen.Received("t", "s-1", 0, time.Duration(i)*50*time.Millisecond)
 	}
-	tallies := []standin.Tally{
+	tallies := []standin.ArrivalOutcome{
 		{Class: 0, At: time.Second, End: scenario.Served, Took: 20 * time.Millisecond, Tries: 1},
 		{Class: 0, At: 2 * time.Second, End: scenario.Refused, Tries: 2, RefusedIn: time.Millisecond},
 	}
@@ -66,7 +66,7 @@
 		t.Fatal(err)
 	}
 	aim := scenario.MS(s.Classes[0].AimMS)
-	tallies := []standin.Tally{
+	tallies := []standin.ArrivalOutcome{
 		{End: scenario.Served, Took: aim, Tries: 1}, {End: scenario.Served, Took: aim + 1, Tries: 2},
 		{End: scenario.Refused, Tries: 3, RefusedIn: 4 * time.Millisecond}, {End: scenario.Lost, Tries: 1}, {End: scenario.Failed, Tries: 1},
 	}
--- a/lab/run/report.go
+++ b/lab/run/report.go
@@ -84,7 +84,7 @@
 // Good reports whether no rule was broken and nothing crashed.
 func (r *Report) Good() bool { return r.Verdict.Kept() && len(r.Crashes) == 0 }
 
-func newReport(s *scenario.Scenario, tallies []standin.Tally, v *judge.Verdict, seen *recorder) *Report {
+func newReport(s *scenario.Scenario, tallies []standin.ArrivalOutcome, v *judge.Verdict, seen *recorder) *Report {
 	r := &Report{
 		Scenario: s.Name, Seed: s.Seed, LengthS: s.LengthS, Verdict: v, Faults: s.Faults,
 		Servers: seen.servers, Attempts: seen.attempts, order: seen.order,
@@ -147,7 +147,7 @@
 }
 
 // addTeams reckons what each team was served, and Jain's index of it. Tallies are in the order of their times.
-func (r *Report) addTeams(s *scenario.Scenario, tallies []standin.Tally) {
+func (r *Report) addTeams(s *scenario.Scenario, tallies []standin.ArrivalOutcome) {
 	sum, squares := 0.0, 0.0
 	for tenant := range s.Tenants {
 		if s.Tenants[tenant].Contract == nil {
@@ -176,7 +176,7 @@
 	}
 }
 
-func (r *Row) add(t *standin.Tally, c *scenario.Class) {
+func (r *Row) add(t *standin.ArrivalOutcome, c *scenario.Class) {
 	r.Asked++
 	r.Tries += t.Tries
 	r.asked += c.Worth
--- a/lab/run/run.go
+++ b/lab/run/run.go
@@ -72,7 +72,7 @@
 	looks  int           // at what sidecars tell
 
 	unremembered uint64 // requests of lives that ended together with all others
-	callers      *standin.Callers
+	callers      *standin.Clients
 	dir          string
 	slack        time.Duration // beyond the time limits of the rules
 
@@ -126,8 +126,8 @@
 	}
 	var err error
 	st.roster, err = standin.NewRoster(standin.RosterConfig{
-		Push: s.Roster.Mode == "push", Delay: scenario.MS(s.Roster.DelayMS), PerCall: perCall,
-		MostWait: scenario.MS(s.Roster.MostWaitMS), AlwaysFull: s.Roster.AlwaysFull, Clock: st.clock, Notary: st.judge,
+		Push: s.Roster.Mode == "push", ChangeDelay: scenario.MS(s.Roster.DelayMS), ServiceTime: perCall,
+		MaxQueueWait: scenario.MS(s.Roster.MostWaitMS), AlwaysFull: s.Roster.AlwaysFull, Clock: st.clock, Observer: st.judge,
 	}, s.Sidecars)
 	if err != nil {
 		return err
@@ -226,8 +226,8 @@
 	}
 	server, err := standin.NewServer(standin.ServerConfig{
 		ID: fmt.Sprintf("s-%02d", number), Cell: cell, Spec: spec, Cold: cold, Classes: classes, Reports: reports, Probes: true,
-		Handshake: scenario.MS(f.HandshakeMS), MostConns: f.MostConns, Idle: scenario.MS(f.IdleS * 1000),
-		RPC: k.RPC(), Clock: st.clock, Witness: st.seen,
+		HandshakeWork: scenario.MS(f.HandshakeMS), MaxConns: f.MostConns, IdleTimeout: scenario.MS(f.IdleS * 1000),
+		RPC: k.RPC(), Clock: st.clock, Observer: st.seen,
 	}, st.s.Sidecars)
 	if err != nil {
 		return nil, err
@@ -235,7 +235,7 @@
 	sl := &slot{candidate: scenario.Candidate{Number: number, Cell: cell, Kind: k.Name}, server: server}
 	sl.entry = standin.Entry{ID: server.ID(), Addr: server.Addr, Zone: zone, Kind: k.Name, Cell: cell, Size: k.Cores * k.Speed / 2}
 	if cold {
-		sl.entry.UpFrom = time.Now()
+		sl.entry.UpSince = time.Now()
 		st.roster.Set(sl.entry, "ready")
 	} else {
 		st.roster.SetNow(sl.entry, "ready")
@@ -249,7 +249,7 @@
 // play plays the plan on what was started, ends it and reports.
 func (st *stage) play(ctx context.Context, plan *scenario.Plan, opts Options) (*Report, error) {
 	addrs, rpcAddrs := st.addresses()
-	held, err := standin.Hold(ctx, addrs, st.s.Clients.Held)
+	held, err := standin.OpenHeldConns(ctx, addrs, st.s.Clients.Held)
 	if err != nil {
 		return nil, err
 	}
@@ -257,9 +257,9 @@
 	// The plan's times count from here; all else goes by the one clock.
 	offset := st.clock()
 	st.seen.begin(offset)
-	st.callers = standin.NewCallers(standin.CallersConfig{
+	st.callers = standin.NewClients(standin.ClientsConfig{
 		Scenario: st.s, Plan: shifted(plan, offset), Addrs: addrs, RPCAddrs: rpcAddrs, Clock: st.clock, Observer: st.seen, Held: held,
-		MostOpen: max(16, st.s.Limits.Sockets/3), Linger: answerSlack*time.Millisecond + st.slack,
+		MaxOpenConns: max(16, st.s.Limits.Sockets/3), Linger: answerSlack*time.Millisecond + st.slack,
 	})
 	tallies := st.callAmongFaults(ctx, offset, opts)
 	time.Sleep(settle) // what is on its way to a server past its answer has to be seen
@@ -301,7 +301,7 @@
 }
 
 // callAmongFaults plays the clients, and the faults beside them, until all clients have ended.
-func (st *stage) callAmongFaults(ctx context.Context, offset time.Duration, opts Options) []standin.Tally {
+func (st *stage) callAmongFaults(ctx context.Context, offset time.Duration, opts Options) []standin.ArrivalOutcome {
 	faultsCtx, endFaults := context.WithCancel(ctx)
 	defer endFaults()
 	var faults sync.WaitGroup
@@ -341,7 +341,7 @@
 }
 
 // report has the judge close, and reports on all that was seen, by the plan's times.
-func (st *stage) report(tallies []standin.Tally, offset time.Duration) *Report {
+func (st *stage) report(tallies []standin.ArrivalOutcome, offset time.Duration) *Report {
 	verdict := st.judge.Close(st.clock())
 	for i := range verdict.Findings {
 		verdict.Findings[i].At -= offset
@@ -353,7 +353,7 @@
 	if st.carbon != nil {
 		r.Told = told(st.s, st.carbon, time.Now().Add(offset-st.clock()))
 	}
-	r.RosterCalls, r.Late = st.roster.Calls(), st.callers.Late()
+	r.RosterCalls, r.Late = st.roster.Calls(), st.callers.MaxStartDelay()
 	r.Looks, r.Agreed = st.looks, st.agreed
 	if st.links != nil {
 		r.Carried, r.LostOnTheWay = st.links.Counts()
--- a/lab/run/throughput.go
+++ b/lab/run/throughput.go
@@ -120,8 +120,8 @@
 
 // echoFleet starts servers that answer at once, and their roster.
 func echoFleet(sc *scenario.Scenario, rpc bool, sidecars int) (_ *standin.Roster, end func(), err error) {
-	roster, err := standin.NewRoster(standin.RosterConfig{MostWait: time.Second, Clock: standin.StartClock(),
-		Notary: judge.New(judge.Config{})}, sidecars)
+	roster, err := standin.NewRoster(standin.RosterConfig{MaxQueueWait: time.Second, Clock: standin.StartClock(),
+		Observer: judge.New(judge.Config{})}, sidecars)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/lab/standin/cell.go
+++ b/lab/standin/cell.go
@@ -11,19 +11,19 @@
 type Cell struct {
 	mu      sync.Mutex
 	memory  *model.Memory
-	waiting map[string][]chan<- bool
+	waiters map[string][]chan<- bool
 }
 
 // NewCell returns a cell that remembers nothing.
-func NewCell() *Cell { return &Cell{memory: model.NewMemory(), waiting: map[string][]chan<- bool{}} }
+func NewCell() *Cell { return &Cell{memory: model.NewMemory(), waiters: map[string][]chan<- bool{}} }
 
 // take tells what is known of key. With KeyRunning, ended is sent whether the first ran to its end.
-func (c *Cell) take(now time.Duration, key string, window time.Duration, ended chan<- bool) model.KeyState {
+func (c *Cell) claim(now time.Duration, key string, window time.Duration, ended chan<- bool) model.KeyState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	state := c.memory.Take(now, key, window)
 	if state == model.KeyRunning {
-		c.waiting[key] = append(c.waiting[key], ended)
+		c.waiters[key] = append(c.waiters[key], ended)
 	}
 	return state
 }
@@ -38,7 +38,7 @@
 	if ran {
 		c.memory.Finish(key)
 	}
-	c.tell(key, ran)
+	c.notifyWaiters(key, ran)
 }
 
 // forget takes back a key that was turned away. A nil cell remembers nothing.
@@ -49,12 +49,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.memory.Forget(key)
-	c.tell(key, false)
+	c.notifyWaiters(key, false)
 }
 
-func (c *Cell) tell(key string, ran bool) {
-	for _, w := range c.waiting[key] {
+func (c *Cell) notifyWaiters(key string, ran bool) {
+	for _, w := range c.waiters[key] {
 		w <- ran // has room for the one that ever comes
 	}
-	delete(c.waiting, key)
+	delete(c.waiters, key)
 }
--- a/lab/standin/client.go
+++ b/lab/standin/client.go
@@ -13,7 +13,7 @@
 )
 
 // Tally is what became of one arrival, over all its tries.
-type Tally struct {
+type ArrivalOutcome struct {
 	Arrival   int
 	Class     int
 	Tenant    int
@@ -25,37 +25,37 @@
 }
 
 // CallersConfig describes the clients of a run.
-type CallersConfig struct {
-	Scenario *scenario.Scenario
-	Plan     *scenario.Plan
-	Addrs    []string // of the sidecars
-	RPCAddrs []string // ... for MessagePack-RPC, where the clients speak that
-	Clock    Clock
-	Observer Observer
-	MostOpen int   // connections to one sidecar, beside those that are held; tries beyond it wait for one
-	Held     *Held // connections that some arrivals go out on; nil: none
+type ClientsConfig struct {
+	Scenario     *scenario.Scenario
+	Plan         *scenario.Plan
+	Addrs        []string // of the sidecars
+	RPCAddrs     []string // ... for MessagePack-RPC, where the clients speak that
+	Clock        Clock
+	Observer     ClientObserver
+	MaxOpenConns int        // connections to one sidecar, beside those that are held; tries beyond it wait for one
+	Held         *HeldConns // connections that some arrivals go out on; nil: none
 	// Linger is how long a client goes on reading after it has given a try up, so that a final answer that comes just in
 	// time is seen. What is served by then is of no use to it any more.
 	Linger time.Duration
 }
 
 // Callers are the clients of a run: each arrival is begun at its planned time, whatever became of those before it.
-type Callers struct {
-	cfg   CallersConfig
-	pools []*callerPool
-	rpc   []*rpcPool
-	tally []Tally
-	late  atomic.Int64 // nanoseconds by which the latest start came after its plan
+type Clients struct {
+	cfg           ClientsConfig
+	pools         []*clientPool
+	rpc           []*rpcPool
+	outcomes      []ArrivalOutcome
+	maxStartDelay atomic.Int64 // nanoseconds by which the latest start came after its plan
 }
 
 // NewCallers returns clients that have not begun.
-func NewCallers(cfg CallersConfig) *Callers {
-	if cfg.MostOpen == 0 {
-		cfg.MostOpen = 256
+func NewClients(cfg ClientsConfig) *Clients {
+	if cfg.MaxOpenConns == 0 {
+		cfg.MaxOpenConns = 256
 	}
-	c := &Callers{cfg: cfg, tally: make([]Tally, len(cfg.Plan.Arrivals))}
+	c := &Clients{cfg: cfg, outcomes: make([]ArrivalOutcome, len(cfg.Plan.Arrivals))}
 	for _, addr := range cfg.Addrs {
-		c.pools = append(c.pools, &callerPool{addr: addr, room: make(chan struct{}, cfg.MostOpen)})
+		c.pools = append(c.pools, &clientPool{addr: addr, openSlots: make(chan struct{}, cfg.MaxOpenConns)})
 	}
 	for _, addr := range cfg.RPCAddrs {
 		c.rpc = append(c.rpc, &rpcPool{addr: addr})
@@ -64,7 +64,7 @@
 }
 
 // Run plays all arrivals and returns when the last has ended, or ctx does.
-func (c *Callers) Run(ctx context.Context) []Tally {
+func (c *Clients) Run(ctx context.Context) []ArrivalOutcome {
 	var tasks sync.WaitGroup
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -77,13 +77,13 @@
 			case <-timer.C:
 			case <-ctx.Done():
 				tasks.Wait()
-				return c.tally[:i]
+				return c.outcomes[:i]
 			}
 		}
-		if late := int64(c.cfg.Clock() - a.At); late > c.late.Load() {
-			c.late.Store(late)
+		if late := int64(c.cfg.Clock() - a.At); late > c.maxStartDelay.Load() {
+			c.maxStartDelay.Store(late)
 		}
-		tasks.Go(func() { c.tally[a.Number] = c.arrive(ctx, a) })
+		tasks.Go(func() { c.outcomes[a.Number] = c.runArrival(ctx, a) })
 	}
 	tasks.Wait()
 	for _, p := range c.pools {
@@ -92,19 +92,19 @@
 	for _, p := range c.rpc {
 		p.close()
 	}
-	return c.tally
+	return c.outcomes
 }
 
 // Late returns by how much the latest arrival was begun after its planned time.
-func (c *Callers) Late() time.Duration { return time.Duration(c.late.Load()) }
+func (c *Clients) MaxStartDelay() time.Duration { return time.Duration(c.maxStartDelay.Load()) }
 
 // arrive plays one arrival with its retries.
-func (c *Callers) arrive(ctx context.Context, a *scenario.Arrival) Tally {
+func (c *Clients) runArrival(ctx context.Context, a *scenario.Arrival) ArrivalOutcome {
 	s := c.cfg.Scenario
 	class := &s.Classes[a.Class]
 	deadline := a.At + scenario.MS(class.DeadlineMS)
 	random := model.Rand(s.Seed, "tries", strconv.Itoa(a.Number))
-	t := Tally{Arrival: a.Number, Class: a.Class, Tenant: a.Tenant, At: a.At}
+	t := ArrivalOutcome{Arrival: a.Number, Class: a.Class, Tenant: a.Tenant, At: a.At}
 	for try := 0; ; try++ {
 		t.Tries++
 		sidecar := a.Sidecar
@@ -112,11 +112,11 @@
 			sidecar = (a.Sidecar + try) % len(c.pools)
 		}
 		began := c.cfg.Clock()
-		give := min(deadline, began+time.Duration(s.Clients.TryShare*float64(scenario.MS(class.DeadlineMS))))
+		giveUpAt := min(deadline, began+time.Duration(s.Clients.TryShare*float64(scenario.MS(class.DeadlineMS))))
 		if try > 0 && s.Clients.Retries == try {
-			give = deadline // the last one waits as long as anyone would
+			giveUpAt = deadline // the last one waits as long as anyone would
 		}
-		result := c.try(a, try, sidecar, give)
+		result := c.attemptOnce(a, try, sidecar, giveUpAt)
 		t.End = result.end
 		now := c.cfg.Clock()
 		if t.End == scenario.Refused {
@@ -125,8 +125,8 @@
 		if t.End == scenario.Served {
 			t.Took = now - a.At
 		}
-		wait, again := s.Clients.Again(random, class.Effect, try, t.End, result.after, deadline-now)
-		if !again || a.Quirk == scenario.HangsUp {
+		wait, retry := s.Clients.Again(random, class.Effect, try, t.End, result.retryAfter, deadline-now)
+		if !retry || a.Quirk == scenario.HangsUp {
 			return t
 		}
 		select {
@@ -139,42 +139,42 @@
 
 // attempt is one try of an arrival's request.
 type attempt struct {
-	arrival *scenario.Arrival
-	number  int // of the try, from 0
-	sidecar int
-	trace   string
-	give    time.Duration // when the client gives it up
+	arrival  *scenario.Arrival
+	number   int // of the try, from 0
+	sidecar  int
+	trace    string
+	giveUpAt time.Duration // when the client gives it up
 }
 
 // sent is the attempt as the judge is told of it.
-func (t *attempt) sent(at time.Duration) judge.Try {
+func (t *attempt) judgeTry(at time.Duration) judge.Try {
 	a := t.arrival
-	return judge.Try{Trace: t.trace, Arrival: a.Number, Class: a.Class, Key: a.Key, Sidecar: t.sidecar, Sent: at, Deadline: t.give}
+	return judge.Try{Trace: t.trace, Arrival: a.Number, Class: a.Class, Key: a.Key, Sidecar: t.sidecar, Sent: at, Deadline: t.giveUpAt}
 }
 
 // result is how an attempt ended.
 type result struct {
-	end   scenario.Ending
-	after time.Duration // how long the client was asked to wait
-	stale bool          // the connection had been closed before; nothing was answered
+	end        scenario.Ending
+	retryAfter time.Duration // how long the client was asked to wait
+	stale      bool          // the connection had been closed before; nothing was answered
 }
 
 // lost is the result of an attempt without an answer.
-var lost = result{end: scenario.Lost}
+var lostResult = result{end: scenario.Lost}
 
 // closedBefore is that of an attempt whose connection turns out to be closed.
-var closedBefore = result{end: scenario.Lost, stale: true}
+var staleResult = result{end: scenario.Lost, stale: true}
 
 // try sends a request once. A kept connection that turns out to be closed is no answer: the request is sent once more
 // on a new one.
-func (c *Callers) try(a *scenario.Arrival, number, sidecar int, give time.Duration) result {
+func (c *Clients) attemptOnce(a *scenario.Arrival, number, sidecar int, giveUpAt time.Duration) result {
 	p := c.pools[sidecar]
 	held := c.cfg.Held.take(a, number, sidecar)
 	if held == nil {
-		p.room <- struct{}{}
-		defer func() { <-p.room }()
+		p.openSlots <- struct{}{}
+		defer func() { <-p.openSlots }()
 	}
-	t := &attempt{arrival: a, number: number, sidecar: sidecar, trace: a.Trace(c.cfg.Scenario.Seed, number), give: give}
+	t := &attempt{arrival: a, number: number, sidecar: sidecar, trace: a.Trace(c.cfg.Scenario.Seed, number), giveUpAt: giveUpAt}
 	if c.cfg.Scenario.Clients.RPC() {
 		return c.tryRPC(t)
 	}
@@ -184,11 +184,11 @@
 			conn, err = p.get(c.cfg.Observer, c.cfg.Clock)
 		}
 		if err != nil {
-			return lost // it never reached the sidecar
+			return lostResult // it never reached the sidecar
 		}
-		kept := conn.used
-		r := c.exchange(conn, t)
-		if r.stale && kept {
+		reused := conn.used
+		r := c.exchangeHTTP(conn, t)
+		if r.stale && reused {
 			continue
 		}
 		return r
@@ -196,4 +196,6 @@
 }
 
 // SetAway says whether a sidecar is about to end, or has ended, by plan: it gets no new connections then.
-func (c *Callers) SetAway(sidecar int, away bool) { c.pools[sidecar].away.Store(away) }
+func (c *Clients) SetShuttingDown(sidecar int, shuttingDown bool) {
+	c.pools[sidecar].shuttingDown.Store(shuttingDown)
+}
--- a/lab/standin/clienthttp.go
+++ b/lab/standin/clienthttp.go
@@ -19,76 +19,76 @@
 	"firplank/lab/scenario"
 )
 
-var errUnread = errors.New("the connection ended before anything came")
+var errClosedBeforeResponse = errors.New("the connection ended before anything came")
 
 // exchange sends a request and reads its answer.
-func (c *Callers) exchange(conn *callerConn, t *attempt) result {
-	left := t.give - c.cfg.Clock()
+func (c *Clients) exchangeHTTP(conn *clientConn, t *attempt) result {
+	left := t.giveUpAt - c.cfg.Clock()
 	if left <= 0 {
 		c.pools[t.sidecar].put(conn)
-		return lost
+		return lostResult
 	}
 	_ = conn.SetDeadline(time.Now().Add(left + c.cfg.Linger)) // fails only on a closed connection, as the next call on it does
 	// Told first: a server may see the request before Write returns.
-	c.cfg.Observer.Sent(t.sent(c.cfg.Clock()))
+	c.cfg.Observer.Sent(t.judgeTry(c.cfg.Clock()))
 	if _, err := io.WriteString(conn, c.request(t.arrival, t.number, t.trace, left)); err != nil {
 		_ = conn.Close() // the connection is released even where this fails
 		if conn.used {
-			return closedBefore
+			return staleResult
 		}
 		c.cfg.Observer.Answered(t.trace, c.cfg.Clock(), judge.Broken, "")
-		return lost
+		return lostResult
 	}
 	switch t.arrival.Quirk {
 	case scenario.HangsUp:
 		time.Sleep(min(t.arrival.GoesAt, left))
 		c.cfg.Observer.Gone(t.trace, c.cfg.Clock())
 		_ = conn.Close() // the connection is released even where this fails
-		return lost
+		return lostResult
 	case scenario.HalfCloses:
 		_ = conn.Conn.(*net.TCPConn).CloseWrite() // fails only where the connection is closed already
 	case scenario.ReadsSlowly:
 		conn.in = bufio.NewReaderSize(&slowReader{conn.Conn}, 16)
 	}
-	answer, err := readAnswer(conn.in)
+	answer, err := readHTTPResponse(conn.in)
 	if err != nil {
-		return c.unanswered(conn, t, c.cfg.Clock(), err)
+		return c.handleReadError(conn, t, c.cfg.Clock(), err)
 	}
-	return c.answered(conn, t, c.cfg.Clock(), answer)
+	return c.handleResponse(conn, t, c.cfg.Clock(), answer)
 }
 
 // unanswered ends a connection that gave no whole answer.
-func (c *Callers) unanswered(conn *callerConn, t *attempt, now time.Duration, err error) result {
+func (c *Clients) handleReadError(conn *clientConn, t *attempt, now time.Duration, err error) result {
 	_ = conn.Close() // the connection is released even where this fails
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() {
-		return lost // the judge finds it unanswered
+		return lostResult // the judge finds it unanswered
 	}
 	// Who has ended its sending knows that the sidecar has seen that: it is no crossing of two closes.
-	if errors.Is(err, errUnread) && conn.used && t.arrival.Quirk != scenario.HalfCloses {
-		return closedBefore
+	if errors.Is(err, errClosedBeforeResponse) && conn.used && t.arrival.Quirk != scenario.HalfCloses {
+		return staleResult
 	}
 	c.cfg.Observer.Answered(t.trace, now, judge.Broken, "")
-	return lost
+	return lostResult
 }
 
 // answered tells the judge of an answer, and keeps the connection where it may be used again.
-func (c *Callers) answered(conn *callerConn, t *attempt, now time.Duration, answer *clientAnswer) result {
+func (c *Clients) handleResponse(conn *clientConn, t *attempt, now time.Duration, answer *clientResponse) result {
 	if conn.in.Buffered() > 0 {
 		c.cfg.Observer.Extra(t.trace, now)
-		answer.closes = true
+		answer.closeConn = true
 	}
-	c.cfg.Observer.Answered(t.trace, now, answer.judged, answer.made)
-	if now > t.give {
+	c.cfg.Observer.Answered(t.trace, now, answer.judged, answer.bodyTrace)
+	if now > t.giveUpAt {
 		answer.end = scenario.Lost
 	}
-	conn.last, conn.used = t.trace, true
-	if answer.closes || t.arrival.Quirk != scenario.Usual {
+	conn.lastTrace, conn.used = t.trace, true
+	if answer.closeConn || t.arrival.Quirk != scenario.Usual {
 		_ = conn.Close() // the connection is released even where this fails
 	} else {
 		c.pools[t.sidecar].put(conn)
 	}
-	return result{end: answer.end, after: answer.after}
+	return result{end: answer.end, retryAfter: answer.retryAfter}
 }
 
 // slowReader takes its time over each read.
@@ -100,7 +100,7 @@
 }
 
 // request renders a request as the protocol has it.
-func (c *Callers) request(a *scenario.Arrival, try int, trace string, left time.Duration) string {
+func (c *Clients) request(a *scenario.Arrival, try int, trace string, left time.Duration) string {
 	s := c.cfg.Scenario
 	class := &s.Classes[a.Class]
 	var b strings.Builder
@@ -131,21 +131,21 @@
 	return b.String()
 }
 
-type clientAnswer struct {
-	end    scenario.Ending
-	judged judge.Answer
-	after  time.Duration
-	made   string
-	closes bool
+type clientResponse struct {
+	end        scenario.Ending
+	judged     judge.Answer
+	retryAfter time.Duration
+	bodyTrace  string
+	closeConn  bool
 }
 
 // mostAnswer bounds what a client reads of an answer.
-const mostAnswer = 1 << 20
+const maxResponseBytes = 1 << 20
 
-func readAnswer(in *bufio.Reader) (*clientAnswer, error) {
+func readHTTPResponse(in *bufio.Reader) (*clientResponse, error) {
 	if _, err := in.Peek(1); err != nil {
 		if errors.Is(err, io.EOF) || strings.Contains(err.Error(), "reset") {
-			return nil, errUnread
+			return nil, errClosedBeforeResponse
 		}
 		return nil, err
 	}
@@ -153,11 +153,11 @@
 	if err != nil {
 		return nil, err
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, mostAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return nil, err
 	}
-	a := &clientAnswer{end: scenario.Failed, judged: judge.Failed, closes: resp.Close}
+	a := &clientResponse{end: scenario.Failed, judged: judge.Failed, closeConn: resp.Close}
 	if resp.Header.Get("Content-Type") == "application/msgpack" {
 		text := ""
 		if err := msgpack.Unmarshal(body, &text); err != nil {
@@ -167,15 +167,15 @@
 	}
 	switch resp.StatusCode {
 	case http.StatusOK:
-		made, _, _ := strings.Cut(string(body), " ")
-		a.made = made
+		bodyTrace, _, _ := strings.Cut(string(body), " ")
+		a.bodyTrace = bodyTrace
 		if strings.HasSuffix(string(body), ".\n") { // else it is not whole, and the client can tell
 			a.end, a.judged = scenario.Served, judge.Served
 		}
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		a.end, a.judged = scenario.Refused, judge.Refused
 		if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && s > 0 {
-			a.after = time.Duration(s * float64(time.Second))
+			a.retryAfter = time.Duration(s * float64(time.Second))
 		}
 	}
 	return a, nil
--- a/lab/standin/clientpool.go
+++ b/lab/standin/clientpool.go
@@ -14,58 +14,58 @@
 )
 
 // callerPool keeps the clients' connections to one sidecar.
-type callerPool struct {
-	addr string
-	room chan struct{}
-	away atomic.Bool // it is about to end, and gets no new connections
+type clientPool struct {
+	addr         string
+	openSlots    chan struct{}
+	shuttingDown atomic.Bool // it is about to end, and gets no new connections
 
 	mu   sync.Mutex
-	idle []*callerConn
+	idle []*clientConn
 }
 
-type callerConn struct {
+type clientConn struct {
 	net.Conn
-	in   *bufio.Reader
-	last string // the request that was answered last
-	used bool
+	in        *bufio.Reader
+	lastTrace string // the request that was answered last
+	used      bool
 }
 
-var errAway = errors.New("client: the sidecar is about to end")
+var errShuttingDown = errors.New("client: the sidecar is about to end")
 
 // get returns a kept connection on which nothing has come, or a new one.
-func (p *callerPool) get(o Observer, clock Clock) (*callerConn, error) {
+func (p *clientPool) get(o ClientObserver, clock Clock) (*clientConn, error) {
 	p.mu.Lock()
-	var c *callerConn
+	var c *clientConn
 	if n := len(p.idle); n > 0 {
 		c, p.idle = p.idle[n-1], p.idle[:n-1]
 	}
 	p.mu.Unlock()
 	if c != nil {
-		switch waiting(c.Conn) {
-		case nothing:
+		switch checkConn(c.Conn) {
+		case connQuiet:
 			return c, nil
-		case something: // it belongs to no request: an answer too many
-			o.Extra(c.last, clock())
+		case connDataPending: // it belongs to no request: an answer too many
+			o.Extra(c.lastTrace, clock())
 		}
 		_ = c.Close() // the connection is released even where this fails
 	}
-	if p.away.Load() {
-		return nil, errAway
+	if p.shuttingDown.Load() {
+		return nil, errShuttingDown
 	}
 	conn, err := net.DialTimeout("tcp", p.addr, 2*time.Second)
 	if err != nil {
 		return nil, fmt.Errorf("client: %w", err)
 	}
-	return &callerConn{Conn: conn, in: bufio.NewReader(conn)}, nil
+	return &clientConn{Conn: conn, in: bufio.NewReader(conn)}, nil
 }
 
-func (p *callerPool) put(c *callerConn) {
+func (p *clientPool) put(c *clientConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idle = append(p.idle, c)
 }
 
-func (p *callerPool) close() {
+func (p *clientPool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idle {
@@ -75,27 +75,27 @@
 }
 
 // What waiting finds on a connection that nobody reads.
-type found int
+type connState int
 
 const (
-	nothing found = iota
-	something
-	itsEnd
+	connQuiet connState = iota
+	connDataPending
+	connEnded
 )
 
-func waiting(c net.Conn) (state found) {
+func checkConn(c net.Conn) (state connState) {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
-		return itsEnd
+		return connEnded
 	}
-	state = itsEnd
+	state = connEnded
 	_ = raw.Control(func(fd uintptr) { // which fails on a closed one
 		var b [1]byte
 		switch n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT); {
 		case err == syscall.EAGAIN:
-			state = nothing
+			state = connQuiet
 		case err == nil && n > 0:
-			state = something
+			state = connDataPending
 		}
 	})
 	return state
--- a/lab/standin/flood.go
+++ b/lab/standin/flood.go
@@ -43,11 +43,11 @@
 	if err != nil {
 		return
 	}
-	defer func() { _ = c.Close() }()                          // the connection is released even where this fails
-	defer context.AfterFunc(ctx, func() { _ = c.Close() })()  // the connection is released even where this fails
-	_ = c.SetDeadline(time.Now().Add(10 * time.Second))       // fails only on a closed connection, as the next call on it does
-	_, _ = io.WriteString(c, text)                            // the peer may be gone, which the next read says
-	_, _ = io.Copy(io.Discard, io.LimitReader(c, mostAnswer)) // read only to be dropped
+	defer func() { _ = c.Close() }()                                // the connection is released even where this fails
+	defer context.AfterFunc(ctx, func() { _ = c.Close() })()        // the connection is released even where this fails
+	_ = c.SetDeadline(time.Now().Add(10 * time.Second))             // fails only on a closed connection, as the next call on it does
+	_, _ = io.WriteString(c, text)                                  // the peer may be gone, which the next read says
+	_, _ = io.Copy(io.Discard, io.LimitReader(c, maxResponseBytes)) // read only to be dropped
 }
 
 // FloodRPC keeps connections open to an address for MessagePack-RPC that say nothing, or send what is no request, until
--- a/lab/standin/held.go
+++ b/lab/standin/held.go
@@ -13,17 +13,17 @@
 )
 
 // Held are connections that clients keep open all day and hardly use, as counter terminals do.
-type Held struct {
+type HeldConns struct {
 	mu    sync.Mutex
-	conns [][]*callerConn // by sidecar; nil where it is in use, or gone
+	conns [][]*clientConn // by sidecar; nil where it is in use, or gone
 }
 
 // Hold opens so many connections to each sidecar, and asks on each once whether it is up, so that it is known to speak HTTP.
-func Hold(ctx context.Context, addrs []string, each int) (*Held, error) {
-	h := &Held{conns: make([][]*callerConn, len(addrs))}
+func OpenHeldConns(ctx context.Context, addrs []string, each int) (*HeldConns, error) {
+	h := &HeldConns{conns: make([][]*clientConn, len(addrs))}
 	for sidecar, addr := range addrs {
 		for i := range each {
-			c, err := hold(ctx, addr)
+			c, err := openHeldConn(ctx, addr)
 			if err != nil {
 				h.Close()
 				return nil, fmt.Errorf("held connection %d to sidecar %d: %w", i, sidecar, err)
@@ -34,15 +34,15 @@
 	return h, nil
 }
 
-func hold(ctx context.Context, addr string) (*callerConn, error) {
+func openHeldConn(ctx context.Context, addr string) (*clientConn, error) {
 	nc, err := (&net.Dialer{Timeout: 2 * time.Second}).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	c := &callerConn{Conn: nc, in: bufio.NewReaderSize(nc, 512), used: true}
+	c := &clientConn{Conn: nc, in: bufio.NewReaderSize(nc, 512), used: true}
 	_ = c.SetDeadline(time.Now().Add(5 * time.Second)) // fails only on a closed connection, as the next call on it does
 	if _, err = io.WriteString(c, "GET /up HTTP/1.1\r\nHost: lab.svc\r\n\r\n"); err == nil {
-		_, err = readAnswer(c.in)
+		_, err = readHTTPResponse(c.in)
 	}
 	if err != nil {
 		_ = c.Close() // the connection is released even where this fails
@@ -53,7 +53,7 @@
 }
 
 // take gives the connection of a first try that goes out on one.
-func (h *Held) take(a *scenario.Arrival, try, sidecar int) *callerConn {
+func (h *HeldConns) take(a *scenario.Arrival, try, sidecar int) *clientConn {
 	if h == nil || a.Held == 0 || try > 0 {
 		return nil
 	}
@@ -65,7 +65,7 @@
 }
 
 // Close closes those that were not taken; the others are with the clients' own.
-func (h *Held) Close() {
+func (h *HeldConns) Close() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, conns := range h.conns {
--- a/lab/standin/roster.go
+++ b/lab/standin/roster.go
@@ -10,24 +10,24 @@
 
 // Entry is a server as the roster lists it.
 type Entry struct {
-	ID     string
-	Addr   func(sidecar int) string
-	Zone   string
-	Kind   string
-	Cell   int
-	Size   float64
-	UpFrom time.Time // zero: long ago
+	ID      string
+	Addr    func(sidecar int) string
+	Zone    string
+	Kind    string
+	Cell    int
+	Size    float64
+	UpSince time.Time // zero: long ago
 }
 
 // RosterConfig describes a stand-in roster.
 type RosterConfig struct {
-	Push       bool          // an agent beside each sidecar: it answers at once, with what it has been sent
-	Delay      time.Duration // how late it knows of a change
-	PerCall    time.Duration // how long a call takes it; calls are worked through in turn
-	MostWait   time.Duration // a call that has to wait longer in turn fails
-	AlwaysFull bool          // whole lists in place of changes
-	Clock      Clock
-	Notary     Notary
+	Push         bool          // an agent beside each sidecar: it answers at once, with what it has been sent
+	ChangeDelay  time.Duration // how late it knows of a change
+	ServiceTime  time.Duration // how long a call takes it; calls are worked through in turn
+	MaxQueueWait time.Duration // a call that has to wait longer in turn fails
+	AlwaysFull   bool          // whole lists in place of changes
+	Clock        Clock
+	Observer     RosterObserver
 }
 
 // Roster is a stand-in for discovery. Each sidecar has an address of its own, so that it is told the addresses of its
@@ -37,23 +37,23 @@
 	addrs   []string
 	servers []*http.Server
 
-	mu       sync.Mutex
-	revision int64
-	members  map[string]*listedEntry
-	order    []string
-	changed  chan struct{} // closed when something has changed
-	down     bool
-	slow     time.Duration
-	garble   bool
-	broken   float64 // share of the answers that break off
-	busy     float64 // share of the calls that are turned away ...
-	busyFor  time.Duration
-	served   int
-	muted    chan struct{} // closed when the watches that are open fall silent
-	freeAt   time.Duration // when the calls before are worked through
-	calls    int
-	tasks    sync.WaitGroup
-	ended    chan struct{}
+	mu             sync.Mutex
+	revision       int64
+	members        map[string]*listedEntry
+	order          []string
+	changed        chan struct{} // closed when something has changed
+	down           bool
+	extraDelay     time.Duration
+	malformed      bool
+	truncatedShare float64 // share of the answers that break off
+	busyShare      float64 // share of the calls that are turned away ...
+	busyDelay      time.Duration
+	shareCount     int
+	muted          chan struct{} // closed when the watches that are open fall silent
+	idleAt         time.Duration // when the calls before are worked through
+	calls          int
+	tasks          sync.WaitGroup
+	closed         chan struct{}
 }
 
 type listedEntry struct {
@@ -67,7 +67,7 @@
 func NewRoster(cfg RosterConfig, sidecars int) (*Roster, error) {
 	r := &Roster{
 		cfg: cfg, members: map[string]*listedEntry{}, changed: make(chan struct{}), muted: make(chan struct{}),
-		ended: make(chan struct{}), revision: 40,
+		closed: make(chan struct{}), revision: 40,
 	}
 	for i := range 2 * sidecars {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -86,19 +86,19 @@
 func (r *Roster) Addr(sidecar int) string { return r.addrs[sidecar] }
 
 // Other is the sidecar's second address, with the same list.
-func (r *Roster) Other(sidecar int) string { return r.addrs[len(r.addrs)/2+sidecar] }
+func (r *Roster) SecondAddr(sidecar int) string { return r.addrs[len(r.addrs)/2+sidecar] }
 
 // Set lists a server in a phase ("ready", "draining" or "gone") after the roster's delay.
 func (r *Roster) Set(e Entry, phase string) {
-	if r.cfg.Delay == 0 {
+	if r.cfg.ChangeDelay == 0 {
 		r.apply(e, phase)
 		return
 	}
 	r.tasks.Go(func() {
 		select {
-		case <-time.After(r.cfg.Delay):
+		case <-time.After(r.cfg.ChangeDelay):
 			r.apply(e, phase)
-		case <-r.ended:
+		case <-r.closed:
 		}
 	})
 }
@@ -116,12 +116,12 @@
 	}
 	r.revision++
 	r.members[e.ID] = &listedEntry{e, phase, r.revision}
-	r.cfg.Notary.Changed(e.ID, phase == "ready", r.cfg.Clock())
-	r.wake()
+	r.cfg.Observer.Changed(e.ID, phase == "ready", r.cfg.Clock())
+	r.wakeWatches()
 }
 
 // wake ends the waiting of watches. The caller holds mu.
-func (r *Roster) wake() {
+func (r *Roster) wakeWatches() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
@@ -143,11 +143,11 @@
 // Close ends the roster and waits for all that it started.
 func (r *Roster) Close() {
 	select {
-	case <-r.ended:
+	case <-r.closed:
 		return
 	default:
 	}
-	close(r.ended)
+	close(r.closed)
 	for _, s := range r.servers {
 		_ = s.Close() // serving ends either way
 	}
--- a/lab/standin/rosterfaults.go
+++ b/lab/standin/rosterfaults.go
@@ -11,36 +11,36 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.down = down
-	r.wake()
+	r.wakeWatches()
 }
 
 // SetSlow makes answers later by d, and SetGarble makes them no lists.
 func (r *Roster) SetSlow(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.slow = d
+	r.extraDelay = d
 }
 
 // SetGarble makes answers what is no list.
 func (r *Roster) SetGarble(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.garble = on
-	r.wake()
+	r.malformed = on
+	r.wakeWatches()
 }
 
 // SetBreak has a share of the answers break off.
 func (r *Roster) SetBreak(share float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.broken = share
+	r.truncatedShare = share
 }
 
 // SetBusy has a share of the calls turned away after a time.
 func (r *Roster) SetBusy(share float64, after time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.busy, r.busyFor = share, after
+	r.busyShare, r.busyDelay = share, after
 }
 
 // Mute has the watches that are open fall silent.
@@ -65,5 +65,5 @@
 			m.revision = i
 		}
 	}
-	r.wake()
+	r.wakeWatches()
 }
--- a/lab/standin/rosterserve.go
+++ b/lab/standin/rosterserve.go
@@ -17,7 +17,7 @@
 )
 
 // mostHold bounds a watch.
-const mostHold = time.Minute
+const maxHold = time.Minute
 
 // Member is the form of an entry on the wire.
 type Member struct {
@@ -39,13 +39,13 @@
 }
 
 // spread reports of a share of the calls, evenly. The caller holds mu.
-func (r *Roster) spread(share float64) bool {
-	r.served++
-	return int(float64(r.served)*share) > int(float64(r.served-1)*share)
+func (r *Roster) selectShare(share float64) bool {
+	r.shareCount++
+	return int(float64(r.shareCount)*share) > int(float64(r.shareCount-1)*share)
 }
 
 // breakOff writes part of an answer and ends it in one of three ways.
-func (r *Roster) breakOff(w http.ResponseWriter, text []byte, way int) {
+func (r *Roster) truncateResponse(w http.ResponseWriter, text []byte, ending int) {
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 	_, _ = w.Write(text[:len(text)/2])        // fails only where the client is gone
 	_ = http.NewResponseController(w).Flush() // fails only where the client is gone
@@ -53,15 +53,15 @@
 	if err != nil {
 		return
 	}
-	if way == 0 { // it stops, until the other side ends the connection
+	if ending == 0 { // it stops, until the other side ends the connection
 		r.tasks.Go(func() {
-			defer func() { _ = conn.Close() }()                // the connection is released even where this fails
-			_ = conn.SetReadDeadline(time.Now().Add(mostHold)) // fails only on a closed connection, as the next call on it does
-			_, _ = io.Copy(io.Discard, conn)                   // read only to be dropped
+			defer func() { _ = conn.Close() }()               // the connection is released even where this fails
+			_ = conn.SetReadDeadline(time.Now().Add(maxHold)) // fails only on a closed connection, as the next call on it does
+			_, _ = io.Copy(io.Discard, conn)                  // read only to be dropped
 		})
 		return
 	}
-	if tcp, ok := conn.(*net.TCPConn); ok && way == 1 {
+	if tcp, ok := conn.(*net.TCPConn); ok && ending == 1 {
 		_ = tcp.SetLinger(0) // without it the connection closes in the ordinary way
 	}
 	_ = conn.Close() // the connection is released even where this fails
@@ -78,8 +78,8 @@
 		out := Member{
 			ID: id, HostPort: m.Addr(sidecar), Locality: m.Zone, Flavor: m.Kind, Cell: m.Cell, Phase: m.phase, Size: m.Size,
 		}
-		if !m.UpFrom.IsZero() {
-			out.UpSince = m.UpFrom.UnixMilli()
+		if !m.UpSince.IsZero() {
+			out.UpSince = m.UpSince.UnixMilli()
 		}
 		l.Members = append(l.Members, out)
 	}
@@ -91,10 +91,10 @@
 	sidecar int
 	from    int64 // the revision that the caller knows; below 0: none
 	hold    time.Duration
-	ends    func(judge.CallEnd, time.Duration) // is told how it ended, and when
+	onEnd   func(judge.CallEnd, time.Duration) // is told how it ended, and when
 }
 
-var errNoNumber = errors.New("from or hold_ms is no number")
+var errNotNumber = errors.New("from or hold_ms is no number")
 
 // parseCall reads what a caller asks for.
 func parseCall(query url.Values) (rosterCall, error) {
@@ -105,13 +105,13 @@
 	}
 	from, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
-		return c, errNoNumber
+		return c, errNotNumber
 	}
 	ms, err := strconv.Atoi(query.Get("hold_ms"))
 	if err != nil {
-		return c, errNoNumber
+		return c, errNotNumber
 	}
-	c.from, c.hold = from, min(time.Duration(ms)*time.Millisecond, mostHold)
+	c.from, c.hold = from, min(time.Duration(ms)*time.Millisecond, maxHold)
 	return c, nil
 }
 
@@ -128,19 +128,19 @@
 	}
 	ctx, cancel := context.WithCancel(req.Context())
 	defer cancel()
-	call.sidecar, call.ends = sidecar, r.cfg.Notary.Call(sidecar, r.cfg.Clock(), call.hold, call.from >= 0)
+	call.sidecar, call.onEnd = sidecar, r.cfg.Observer.Call(sidecar, r.cfg.Clock(), call.hold, call.from >= 0)
 	r.mu.Lock()
-	muted, turned, after := r.muted, r.spread(r.busy), r.busyFor
+	muted, rejected, after := r.muted, r.selectShare(r.busyShare), r.busyDelay
 	r.mu.Unlock()
-	if turned {
-		r.turnAway(ctx, w, &call, after)
+	if rejected {
+		r.rejectBusy(ctx, w, &call, after)
 		return
 	}
-	if !r.inTurn(ctx) || !r.await(ctx, muted, call.from, call.hold) {
+	if !r.waitTurn(ctx) || !r.awaitChange(ctx, muted, call.from, call.hold) {
 		if ctx.Err() != nil {
-			call.ends(judge.CallLeft, r.cfg.Clock())
+			call.onEnd(judge.CallLeft, r.cfg.Clock())
 		} else {
-			call.ends(judge.CallTurnedAway, r.cfg.Clock())
+			call.onEnd(judge.CallTurnedAway, r.cfg.Clock())
 		}
 		panic(http.ErrAbortHandler) // as one that is out of reach
 	}
@@ -148,27 +148,27 @@
 }
 
 // turnAway answers after a while that the roster is busy.
-func (r *Roster) turnAway(ctx context.Context, w http.ResponseWriter, call *rosterCall, after time.Duration) {
+func (r *Roster) rejectBusy(ctx context.Context, w http.ResponseWriter, call *rosterCall, after time.Duration) {
 	if !r.sleep(ctx, after) {
-		call.ends(judge.CallLeft, r.cfg.Clock())
+		call.onEnd(judge.CallLeft, r.cfg.Clock())
 		return
 	}
-	call.ends(judge.CallTurnedAway, r.cfg.Clock())
+	call.onEnd(judge.CallTurnedAway, r.cfg.Clock())
 	http.Error(w, "busy", http.StatusServiceUnavailable)
 }
 
 // garbled is an answer that is no list.
-const garbled = `{"revision":9,"complete":true,"members":[{"id":"","host_port":"nowhere","phase":"odd"}`
+const malformedList = `{"revision":9,"complete":true,"members":[{"id":"","host_port":"nowhere","phase":"odd"}`
 
 // reply writes the list as of now, garbled or broken off where such a fault is in force.
 func (r *Roster) reply(w http.ResponseWriter, call *rosterCall) {
 	r.mu.Lock()
-	l, garble, broken := r.list(call.sidecar, call.from), r.garble, r.broken > 0 && r.spread(r.broken)
+	l, malformed, truncated := r.list(call.sidecar, call.from), r.malformed, r.truncatedShare > 0 && r.selectShare(r.truncatedShare)
 	notices := r.notices(l.Complete, call.from)
 	r.mu.Unlock()
-	if garble {
-		call.ends(judge.CallBroken, r.cfg.Clock())
-		_, _ = io.WriteString(w, garbled) // fails only where the client is gone
+	if malformed {
+		call.onEnd(judge.CallBroken, r.cfg.Clock())
+		_, _ = io.WriteString(w, malformedList) // fails only where the client is gone
 		return
 	}
 	text, err := json.Marshal(l)
@@ -176,25 +176,25 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	if broken {
-		call.ends(judge.CallBroken, r.cfg.Clock())
+	if truncated {
+		call.onEnd(judge.CallBroken, r.cfg.Clock())
 		r.mu.Lock()
-		way := r.served % 3
+		ending := r.shareCount % 3
 		r.mu.Unlock()
-		r.breakOff(w, text, way)
+		r.truncateResponse(w, text, ending)
 		return
 	}
 	if _, err := w.Write(text); err != nil {
-		call.ends(judge.CallLeft, r.cfg.Clock())
+		call.onEnd(judge.CallLeft, r.cfg.Clock())
 		return
 	}
 	if http.NewResponseController(w).Flush() != nil {
-		call.ends(judge.CallLeft, r.cfg.Clock())
+		call.onEnd(judge.CallLeft, r.cfg.Clock())
 		return
 	}
-	call.ends(judge.CallWritten, r.cfg.Clock())
+	call.onEnd(judge.CallWritten, r.cfg.Clock())
 	for id, ready := range notices {
-		r.cfg.Notary.Told(call.sidecar, id, ready, r.cfg.Clock())
+		r.cfg.Observer.Told(call.sidecar, id, ready, r.cfg.Clock())
 	}
 }
 
@@ -213,7 +213,7 @@
 }
 
 // inTurn waits until the calls before this one are worked through; false where that takes too long.
-func (r *Roster) inTurn(ctx context.Context) bool {
+func (r *Roster) waitTurn(ctx context.Context) bool {
 	r.mu.Lock()
 	r.calls++
 	if r.down && !r.cfg.Push {
@@ -221,13 +221,13 @@
 		return false
 	}
 	now := r.cfg.Clock()
-	start := max(now, r.freeAt)
-	if r.cfg.MostWait > 0 && start-now > r.cfg.MostWait {
+	start := max(now, r.idleAt)
+	if r.cfg.MaxQueueWait > 0 && start-now > r.cfg.MaxQueueWait {
 		r.mu.Unlock()
 		return false
 	}
-	r.freeAt = start + r.cfg.PerCall
-	wait := r.freeAt - now + r.slow
+	r.idleAt = start + r.cfg.ServiceTime
+	wait := r.idleAt - now + r.extraDelay
 	r.mu.Unlock()
 	return r.sleep(ctx, wait)
 }
@@ -242,31 +242,31 @@
 	case <-timer.C:
 		return true
 	case <-ctx.Done():
-	case <-r.ended:
+	case <-r.closed:
 	}
 	return false
 }
 
 // await holds a watch until there is news; false where the roster goes out of reach.
-func (r *Roster) await(ctx context.Context, muted <-chan struct{}, from int64, hold time.Duration) bool {
+func (r *Roster) awaitChange(ctx context.Context, muted <-chan struct{}, from int64, hold time.Duration) bool {
 	timer := time.NewTimer(hold)
 	defer timer.Stop()
 	for {
 		select {
 		case <-muted:
-			r.sleep(ctx, mostHold)
+			r.sleep(ctx, maxHold)
 			return false
 		default:
 		}
 		r.mu.Lock()
 		changed := r.changed
 		down := r.down && !r.cfg.Push
-		news := from < 0 || from != r.revision && !(r.down && r.cfg.Push)
+		hasChanges := from < 0 || from != r.revision && !(r.down && r.cfg.Push)
 		r.mu.Unlock()
 		if down {
 			return false
 		}
-		if news || hold <= 0 {
+		if hasChanges || hold <= 0 {
 			return true
 		}
 		select {
@@ -276,7 +276,7 @@
 			return true
 		case <-ctx.Done():
 			return false
-		case <-r.ended:
+		case <-r.closed:
 			return false
 		}
 	}
--- a/lab/standin/rpcclient.go
+++ b/lab/standin/rpcclient.go
@@ -16,7 +16,7 @@
 )
 
 // rpcAnswer is a response frame, or how the connection ended.
-type rpcAnswer struct {
+type rpcResponse struct {
 	failure any
 	result  any
 	at      time.Duration
@@ -27,16 +27,16 @@
 type rpcClient struct {
 	net.Conn
 	clock    Clock
-	observer Observer
+	observer ClientObserver
 	done     sync.WaitGroup
 
-	mu      sync.Mutex
-	lastID  uint32
-	open    map[uint32]chan rpcAnswer
-	givenUp map[uint32]bool
-	last    string // the request that was answered last
-	used    bool
-	ended   bool
+	mu        sync.Mutex
+	lastID    uint32
+	open      map[uint32]chan rpcResponse
+	givenUp   map[uint32]bool
+	lastTrace string // the request that was answered last
+	used      bool
+	ended     bool
 }
 
 func (c *rpcClient) close() {
@@ -53,7 +53,7 @@
 // read hands responses to who waits for them, until the connection ends.
 func (c *rpcClient) read(in *bufio.Reader) {
 	for {
-		id, a, err := readResponse(in)
+		id, a, err := readRPCResponse(in)
 		c.mu.Lock()
 		a.at, a.err = c.clock(), err
 		if err != nil {
@@ -65,7 +65,7 @@
 			c.mu.Unlock()
 			return
 		}
-		w, last := c.open[id], c.last
+		w, lastTrace := c.open[id], c.lastTrace
 		late := c.givenUp[id]
 		delete(c.open, id)
 		delete(c.givenUp, id)
@@ -75,14 +75,14 @@
 		case w != nil:
 			w <- a
 		case !late:
-			c.observer.Extra(last, a.at)
+			c.observer.Extra(lastTrace, a.at)
 		}
 	}
 }
 
 var errNoResponse = errors.New("client: no response frame")
 
-func readResponse(in *bufio.Reader) (id uint32, a rpcAnswer, err error) {
+func readRPCResponse(in *bufio.Reader) (id uint32, a rpcResponse, err error) {
 	dec := msgpack.NewDecoder(in)
 	if n, err := dec.DecodeArrayLen(); err != nil || n != 4 {
 		return 0, a, errors.Join(errNoResponse, err)
@@ -102,8 +102,8 @@
 }
 
 // send writes a request and returns where its response comes.
-func (c *rpcClient) send(method string, params []byte) (uint32, <-chan rpcAnswer, error) {
-	w := make(chan rpcAnswer, 1)
+func (c *rpcClient) send(method string, params []byte) (uint32, <-chan rpcResponse, error) {
+	w := make(chan rpcResponse, 1)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.ended {
@@ -131,7 +131,7 @@
 }
 
 // params are what a try says; HTTP clients send them as a body where servers speak MessagePack-RPC.
-func (c *Callers) params(a *scenario.Arrival, try int, trace string, left time.Duration) []byte {
+func (c *Clients) params(a *scenario.Arrival, try int, trace string, left time.Duration) []byte {
 	s := c.cfg.Scenario
 	fields := map[string]any{
 		"trace": trace, "tenant": s.Tenants[a.Tenant].Name, "object": a.Object,
@@ -147,11 +147,11 @@
 }
 
 // tryRPC sends a request once. One that crossed the end of its connection is sent once more on a new one.
-func (c *Callers) tryRPC(t *attempt) result {
+func (c *Clients) tryRPC(t *attempt) result {
 	for {
 		conn, err := c.rpcConn(c.rpc[t.sidecar], t.arrival, t.sidecar)
 		if err != nil {
-			return lost // it never reached the sidecar
+			return lostResult // it never reached the sidecar
 		}
 		r := c.exchangeRPC(conn, t)
 		if t.arrival.Quirk != scenario.Usual {
@@ -164,55 +164,55 @@
 }
 
 // exchangeRPC sends a request and waits for its response.
-func (c *Callers) exchangeRPC(conn *rpcClient, t *attempt) result {
+func (c *Clients) exchangeRPC(conn *rpcClient, t *attempt) result {
 	a := t.arrival
-	left := t.give - c.cfg.Clock()
+	left := t.giveUpAt - c.cfg.Clock()
 	if left <= 0 {
-		return lost
+		return lostResult
 	}
 	sent := c.cfg.Clock()
-	c.cfg.Observer.Sent(t.sent(sent))
+	c.cfg.Observer.Sent(t.judgeTry(sent))
 	id, answered, err := conn.send(c.cfg.Scenario.Classes[a.Class].Name, c.params(a, t.number, t.trace, left))
 	if err != nil {
-		return closedBefore
+		return staleResult
 	}
 	switch a.Quirk {
 	case scenario.HangsUp:
 		time.Sleep(min(a.GoesAt, left))
 		c.cfg.Observer.Gone(t.trace, c.cfg.Clock())
-		return lost
+		return lostResult
 	case scenario.HalfCloses:
 		_ = conn.Conn.(*net.TCPConn).CloseWrite() // fails only where the connection is closed already
 	}
 	timer := time.NewTimer(left + c.cfg.Linger)
 	defer timer.Stop()
-	var r rpcAnswer
+	var r rpcResponse
 	select {
 	case r = <-answered:
 	case <-timer.C:
 		conn.giveUp(id) // the judge finds it unanswered
-		return lost
+		return lostResult
 	}
 	if r.err != nil {
-		if conn.used && a.Quirk != scenario.HalfCloses && r.at-sent < crossing && errors.Is(r.err, io.EOF) {
-			return closedBefore
+		if conn.used && a.Quirk != scenario.HalfCloses && r.at-sent < closeRaceWindow && errors.Is(r.err, io.EOF) {
+			return staleResult
 		}
 		c.cfg.Observer.Answered(t.trace, r.at, judge.Broken, "")
-		return lost
+		return lostResult
 	}
 	conn.mu.Lock()
-	conn.last = t.trace
+	conn.lastTrace = t.trace
 	conn.mu.Unlock()
-	end, judged, after, made := r.read()
-	c.cfg.Observer.Answered(t.trace, r.at, judged, made)
-	if r.at > t.give {
+	end, judged, retryAfter, bodyTrace := r.classify()
+	c.cfg.Observer.Answered(t.trace, r.at, judged, bodyTrace)
+	if r.at > t.giveUpAt {
 		end = scenario.Lost
 	}
-	return result{end: end, after: after}
+	return result{end: end, retryAfter: retryAfter}
 }
 
 // read tells what a response comes to.
-func (r *rpcAnswer) read() (end scenario.Ending, judged judge.Answer, after time.Duration, made string) {
+func (r *rpcResponse) classify() (end scenario.Ending, judged judge.Answer, retryAfter time.Duration, bodyTrace string) {
 	if fields, ok := r.failure.(map[string]any); ok {
 		if fields["code"] != "refused" {
 			return scenario.Failed, judge.Failed, 0, ""
@@ -224,9 +224,9 @@
 	if r.failure != nil || !ok {
 		return scenario.Failed, judge.Failed, 0, ""
 	}
-	made, _, _ = strings.Cut(text, " ")
+	bodyTrace, _, _ = strings.Cut(text, " ")
 	if !strings.HasSuffix(text, ".\n") {
-		return scenario.Failed, judge.Failed, 0, made
+		return scenario.Failed, judge.Failed, 0, bodyTrace
 	}
-	return scenario.Served, judge.Served, 0, made
+	return scenario.Served, judge.Served, 0, bodyTrace
 }
--- a/lab/standin/rpcpool.go
+++ b/lab/standin/rpcpool.go
@@ -15,9 +15,9 @@
 
 const (
 	// rpcShared is how many connections the clients of one sidecar share.
-	rpcShared = 2
+	sharedRPCConns = 2
 	// crossing is how long before the end of a connection a frame may have been sent that the sidecar had not read.
-	crossing = 100 * time.Millisecond
+	closeRaceWindow = 100 * time.Millisecond
 )
 
 // rpcPool keeps the connections to one sidecar over which tries are pipelined.
@@ -26,16 +26,16 @@
 
 	mu     sync.Mutex
 	next   int
-	shared [rpcShared]*rpcClient
+	shared [sharedRPCConns]*rpcClient
 }
 
-func (p *rpcPool) dial(cfg *CallersConfig, slow bool) (*rpcClient, error) {
+func (p *rpcPool) dial(cfg *ClientsConfig, slow bool) (*rpcClient, error) {
 	conn, err := net.DialTimeout("tcp", p.addr, 2*time.Second)
 	if err != nil {
 		return nil, fmt.Errorf("client: %w", err)
 	}
 	c := &rpcClient{
-		Conn: conn, clock: cfg.Clock, observer: cfg.Observer, open: map[uint32]chan rpcAnswer{}, givenUp: map[uint32]bool{},
+		Conn: conn, clock: cfg.Clock, observer: cfg.Observer, open: map[uint32]chan rpcResponse{}, givenUp: map[uint32]bool{},
 	}
 	from := io.Reader(conn)
 	if slow {
@@ -46,15 +46,15 @@
 }
 
 // get returns one of the shared connections, a new one in place of one that has ended.
-func (p *rpcPool) get(cfg *CallersConfig, away bool) (*rpcClient, error) {
+func (p *rpcPool) get(cfg *ClientsConfig, shuttingDown bool) (*rpcClient, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.next = (p.next + 1) % rpcShared
+	p.next = (p.next + 1) % sharedRPCConns
 	if c := p.shared[p.next]; c != nil && !c.isEnded() {
 		return c, nil
 	}
-	if away {
-		return nil, errAway
+	if shuttingDown {
+		return nil, errShuttingDown
 	}
 	c, err := p.dial(cfg, false)
 	if err != nil {
@@ -78,13 +78,13 @@
 }
 
 // rpcConn returns a shared connection, or one of its own for a client that is odd.
-func (c *Callers) rpcConn(p *rpcPool, a *scenario.Arrival, sidecar int) (*rpcClient, error) {
-	away := c.pools[sidecar].away.Load()
+func (c *Clients) rpcConn(p *rpcPool, a *scenario.Arrival, sidecar int) (*rpcClient, error) {
+	shuttingDown := c.pools[sidecar].shuttingDown.Load()
 	if a.Quirk == scenario.Usual {
-		return p.get(&c.cfg, away)
+		return p.get(&c.cfg, shuttingDown)
 	}
-	if away {
-		return nil, errAway
+	if shuttingDown {
+		return nil, errShuttingDown
 	}
 	return p.dial(&c.cfg, a.Quirk == scenario.ReadsSlowly)
 }
--- a/lab/standin/rpcserver.go
+++ b/lab/standin/rpcserver.go
@@ -20,21 +20,21 @@
 
 // rpcRequest is a request frame as a server reads it.
 type rpcRequest struct {
-	id     uint32
-	method string
-	fields map[string]any // the first param
-	first  time.Duration
-	silent bool // a notification
+	id           uint32
+	method       string
+	fields       map[string]any // the first param
+	firstByteAt  time.Duration
+	notification bool // a notification
 }
 
-var errNoFrame = errors.New("no frame of a client's")
+var errNotRequest = errors.New("no frame of a client's")
 
 // readRequest reads a request or notification.
 func (s *Server) readRequest(in *bufio.Reader) (*rpcRequest, error) {
 	if _, err := in.Peek(1); err != nil {
 		return nil, err
 	}
-	req := &rpcRequest{first: s.cfg.Clock()}
+	req := &rpcRequest{firstByteAt: s.cfg.Clock()}
 	dec := msgpack.NewDecoder(in) // which reads no further than it decodes
 	n, err := dec.DecodeArrayLen()
 	if err != nil {
@@ -42,10 +42,10 @@
 	}
 	kind, err := dec.DecodeInt()
 	if err != nil || !(n == 4 && kind == 0 || n == 3 && kind == 2) {
-		return nil, errNoFrame
+		return nil, errNotRequest
 	}
-	req.silent = kind == 2
-	if !req.silent {
+	req.notification = kind == 2
+	if !req.notification {
 		if req.id, err = dec.DecodeUint32(); err != nil {
 			return nil, err
 		}
@@ -63,13 +63,13 @@
 	return req, nil
 }
 
-func (r *rpcRequest) text(key string) string {
+func (r *rpcRequest) stringField(key string) string {
 	v, _ := r.fields[key].(string)
 	return v
 }
 
 // left is how long the client waits.
-func (r *rpcRequest) left() time.Duration {
+func (r *rpcRequest) timeLeft() time.Duration {
 	ms, ok := r.fields["left_ms"].(float64)
 	if !ok {
 		return time.Minute
@@ -80,17 +80,17 @@
 // rpcConn is a connection with many requests in work.
 type rpcConn struct {
 	*serverConn
-	writing sync.Mutex
+	writeMu sync.Mutex
 }
 
 // serveRPC answers what comes on a connection, each request when it is done.
 func (s *Server) serveRPC(c *serverConn) {
 	rc := &rpcConn{serverConn: c}
-	gone := make(chan incoming)
+	connClosed := make(chan incoming)
 	var working sync.WaitGroup
 	var mu sync.Mutex
 	open := 0
-	idle := time.AfterFunc(cmp.Or(s.cfg.Idle, time.Hour), func() {
+	idle := time.AfterFunc(cmp.Or(s.cfg.IdleTimeout, time.Hour), func() {
 		mu.Lock()
 		defer mu.Unlock()
 		if open == 0 {
@@ -103,7 +103,7 @@
 		if err != nil {
 			break
 		}
-		if s.quiet(c.link) {
+		if s.isSilent(c.link) {
 			continue
 		}
 		mu.Lock()
@@ -111,21 +111,21 @@
 		mu.Unlock()
 		working.Go(func() {
 			r := s.handle(c, request{
-				trace: req.text("trace"), class: req.method, key: req.text("key"), left: req.left(), first: req.first,
+				trace: req.stringField("trace"), class: req.method, key: req.stringField("key"), timeLeft: req.timeLeft(), firstByteAt: req.firstByteAt,
 				probe: req.method == "alive",
-			}, gone)
+			}, connClosed)
 			mu.Lock()
 			open--
 			if open == 0 {
-				idle.Reset(cmp.Or(s.cfg.Idle, time.Hour))
+				idle.Reset(cmp.Or(s.cfg.IdleTimeout, time.Hour))
 			}
 			mu.Unlock()
-			if r != nil && !req.silent && !s.quiet(c.link) {
+			if r != nil && !req.notification && !s.isSilent(c.link) {
 				s.writeRPC(rc, req.id, r)
 			}
 		})
 	}
-	close(gone)
+	close(connClosed)
 	working.Wait()
 }
 
@@ -151,15 +151,15 @@
 
 // writeRPC sends a reply, spoilt as the fault says: in each form the frame is what the HTTP answer of that form is.
 func (s *Server) writeRPC(c *rpcConn, id uint32, r *reply) {
-	c.writing.Lock()
-	defer c.writing.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	plain := r.frame(id)
-	ends := false // the connection is of no further use
+	closeConn := false // the connection is of no further use
 	switch r.spoil.Form {
 	case "noise":
-		plain, ends = []byte("\xc1\x16\x03 no frame at all"), true
+		plain, closeConn = []byte("\xc1\x16\x03 no frame at all"), true
 	case "endless_head": // arrays in arrays, without end
-		spoilt(c, strings.Repeat("\x91", 10000), mostSpoilt/10000)
+		writeRepeatedly(c, strings.Repeat("\x91", 10000), maxSpoilBytes/10000)
 		return
 	case "short_length":
 		half := len(r.body) / 2
@@ -167,10 +167,10 @@
 	case "long_length":
 		plain = bytes.TrimSuffix(encode([]any{1, id, nil, r.body + strings.Repeat("x", 100)}), bytes.Repeat([]byte("x"), 100))
 	case "huge_length":
-		spoilt(c, "\x94\x01\x07\xc0\xdb\xff\xff\xff\xff"+strings.Repeat("more ", 2000), mostSpoilt/10000)
+		writeRepeatedly(c, "\x94\x01\x07\xc0\xdb\xff\xff\xff\xff"+strings.Repeat("more ", 2000), maxSpoilBytes/10000)
 		return
 	case "cut_off":
-		plain, ends = plain[:len(plain)/2], true
+		plain, closeConn = plain[:len(plain)/2], true
 	case "interim":
 		plain = append(encode([]any{2, "progress", []any{0.5}}), plain...)
 	case "wrong_id":
@@ -190,13 +190,13 @@
 		again := bytes.Clone(plain)
 		s.tasks.Go(func() {
 			time.Sleep(r.spoil.Delay)
-			c.writing.Lock()
-			defer c.writing.Unlock()
+			c.writeMu.Lock()
+			defer c.writeMu.Unlock()
 			_, _ = c.Write(again) // the peer may be gone, which the next read says
 		})
 	}
 	_, _ = c.Write(plain) // the peer may be gone, which the next read says
-	if ends {
+	if closeConn {
 		_ = c.Close() // the connection is released even where this fails
 	}
 }
--- a/lab/standin/server.go
+++ b/lab/standin/server.go
@@ -20,19 +20,19 @@
 
 // ServerConfig describes a stand-in server.
 type ServerConfig struct {
-	ID        string
-	Cell      int
-	Spec      model.Spec
-	Cold      bool
-	Classes   map[string]ServerClass
-	Reports   []string // figures of the load report, of inflight, queue, util and qps; none: no reports
-	Probes    bool
-	Handshake time.Duration // work that a new connection costs
-	MostConns int           // open at once; 0: no cap
-	Idle      time.Duration // after which an unused connection is closed; 0: never
-	RPC       bool          // it speaks MessagePack-RPC in place of HTTP
-	Clock     Clock
-	Witness   Witness
+	ID            string
+	Cell          int
+	Spec          model.Spec
+	Cold          bool
+	Classes       map[string]ServerClass
+	Reports       []string // figures of the load report, of inflight, queue, util and qps; none: no reports
+	Probes        bool
+	HandshakeWork time.Duration // work that a new connection costs
+	MaxConns      int           // open at once; 0: no cap
+	IdleTimeout   time.Duration // after which an unused connection is closed; 0: never
+	RPC           bool          // it speaks MessagePack-RPC in place of HTTP
+	Clock         Clock
+	Observer      ServerObserver
 }
 
 // Spoil is what a server does to some of its answers.
@@ -65,23 +65,23 @@
 
 // link is the way from one sidecar.
 type link struct {
-	ln     net.Listener
-	place  *Reservation // while nothing listens
-	silent bool
+	ln          net.Listener
+	reservation *Reservation // while nothing listens
+	silent      bool
 }
 
 type job struct {
 	trace string
-	ended chan end
+	ended chan jobEnd
 }
 
 // end is how a job ended.
-type end int
+type jobEnd int
 
 const (
-	ranWell end = iota
-	ranOver     // it expired while it waited
-	brokeOff
+	jobFinished jobEnd = iota
+	jobExpired         // it expired while it waited
+	jobInterrupted
 )
 
 // NewServer starts a server that listens on as many addresses as there are links.
@@ -126,12 +126,12 @@
 	if !s.running {
 		return
 	}
-	s.deliver(s.model.Advance(s.cfg.Clock()))
+	s.endJobs(s.model.Advance(s.cfg.Clock()))
 	s.schedule()
 }
 
 // deliver tells the connections what has ended. The caller holds mu.
-func (s *Server) deliver(done []model.Done) {
+func (s *Server) endJobs(done []model.Done) {
 	for _, d := range done {
 		j := s.jobs[d.ID]
 		if j == nil {
@@ -139,11 +139,11 @@
 		}
 		delete(s.jobs, d.ID)
 		if d.Over {
-			j.ended <- ranOver
+			j.ended <- jobExpired
 			continue
 		}
-		s.cfg.Witness.Ran(j.trace, s.cfg.ID, s.cfg.Cell, d.Began)
-		j.ended <- ranWell
+		s.cfg.Observer.Ran(j.trace, s.cfg.ID, s.cfg.Cell, d.Began)
+		j.ended <- jobFinished
 	}
 }
 
@@ -161,8 +161,8 @@
 	s.mu.Lock()
 	s.timer.Stop()
 	for _, l := range s.links {
-		l.place.Release()
-		l.place = nil
+		l.reservation.Release()
+		l.reservation = nil
 	}
 	s.mu.Unlock()
 	s.tasks.Wait()
--- a/lab/standin/serverconn.go
+++ b/lab/standin/serverconn.go
@@ -14,7 +14,7 @@
 type serverConn struct {
 	net.Conn
 	link    int
-	surplus bool // beyond the cap
+	overCap bool // beyond the cap
 }
 
 func (s *Server) accept(number int, ln net.Listener) {
@@ -28,11 +28,11 @@
 			s.mu.Lock()
 			if !s.running {
 				s.mu.Unlock()
-				reset(c)
+				resetConn(c)
 				continue
 			}
-			s.model.AddWork(s.cfg.Handshake)
-			sc.surplus = s.cfg.MostConns > 0 && len(s.conns) >= s.cfg.MostConns
+			s.model.AddWork(s.cfg.HandshakeWork)
+			sc.overCap = s.cfg.MaxConns > 0 && len(s.conns) >= s.cfg.MaxConns
 			s.conns[sc] = true
 			s.mu.Unlock()
 			s.tasks.Go(func() { s.serve(sc) })
@@ -41,7 +41,7 @@
 }
 
 // reset ends a connection as the death of its process would.
-func reset(c net.Conn) {
+func resetConn(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0) // without it the connection closes in the ordinary way
 	}
@@ -51,7 +51,7 @@
 // incoming is a request that a connection brought.
 type incoming struct {
 	*http.Request
-	first time.Duration
+	firstByteAt time.Duration
 }
 
 // serve answers what comes on a connection, one request after the other.
@@ -70,19 +70,19 @@
 	defer close(stop)
 	requests := s.readRequests(c, stop)
 	// The connection is released even where this fails.
-	idle := time.AfterFunc(cmp.Or(s.cfg.Idle, time.Hour), func() { _ = c.Close() })
+	idle := time.AfterFunc(cmp.Or(s.cfg.IdleTimeout, time.Hour), func() { _ = c.Close() })
 	defer idle.Stop()
 	for req := range requests {
 		idle.Stop()
-		if s.quiet(c.link) { // the machine is cut off: nothing has come, and nothing is ever said
+		if s.isSilent(c.link) { // the machine is cut off: nothing has come, and nothing is ever said
 			continue
 		}
 		text := s.answer(c, req, requests)
-		if text == nil || s.quiet(c.link) || !s.write(c, text) {
-			linger(requests)
+		if text == nil || s.isSilent(c.link) || !s.write(c, text) {
+			awaitPeerClose(requests)
 			return
 		}
-		idle.Reset(cmp.Or(s.cfg.Idle, time.Hour))
+		idle.Reset(cmp.Or(s.cfg.IdleTimeout, time.Hour))
 	}
 }
 
@@ -95,7 +95,7 @@
 			if _, err := in.Peek(1); err != nil {
 				return
 			}
-			req := incoming{first: s.cfg.Clock()}
+			req := incoming{firstByteAt: s.cfg.Clock()}
 			var err error
 			if req.Request, err = http.ReadRequest(in); err != nil {
 				return
@@ -115,12 +115,12 @@
 }
 
 // linger keeps a connection that is of no further use open until the other side ends it, as some machines do.
-func linger(requests <-chan incoming) {
+func awaitPeerClose(requests <-chan incoming) {
 	for range requests {
 	}
 }
 
-func (s *Server) quiet(number int) bool {
+func (s *Server) isSilent(number int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.links[number].silent
--- a/lab/standin/serverfaults.go
+++ b/lab/standin/serverfaults.go
@@ -10,16 +10,16 @@
 )
 
 // breakOff ends all work: what was begun may have had its effect. The caller holds mu.
-func (s *Server) breakOff() {
-	s.deliver(s.model.Advance(s.cfg.Clock()))
+func (s *Server) abortWork() {
+	s.endJobs(s.model.Advance(s.cfg.Clock()))
 	for _, w := range s.model.Working() {
 		if j := s.jobs[w.ID]; j != nil {
-			s.cfg.Witness.Ran(j.trace, s.cfg.ID, s.cfg.Cell, w.Began)
+			s.cfg.Observer.Ran(j.trace, s.cfg.ID, s.cfg.Cell, w.Began)
 		}
 	}
 	for id, j := range s.jobs {
 		delete(s.jobs, id)
-		j.ended <- brokeOff
+		j.ended <- jobInterrupted
 	}
 	s.model.Clear()
 }
@@ -32,18 +32,18 @@
 		return
 	}
 	s.running = false
-	s.breakOff()
+	s.abortWork()
 	conns := make([]*serverConn, 0, len(s.conns))
 	for c := range s.conns {
 		conns = append(conns, c)
 	}
 	for i, l := range s.links {
 		_ = l.ln.Close() // accepting ends either way
-		l.place = Reserve(s.addrs[i])
+		l.reservation = Reserve(s.addrs[i])
 	}
 	s.mu.Unlock()
 	for _, c := range conns {
-		reset(c.Conn)
+		resetConn(c.Conn)
 	}
 }
 
@@ -57,13 +57,13 @@
 	s.model = model.NewServer(s.cfg.Spec, s.cfg.Clock(), true)
 	s.running, s.draining = true, false
 	for i, l := range s.links {
-		l.place.Release()
+		l.reservation.Release()
 		ln, err := relisten(s.addrs[i])
 		if err != nil {
 			s.running = false
 			return fmt.Errorf("server %s: start again: %w", s.cfg.ID, err)
 		}
-		l.ln, l.place, l.silent = ln, nil, false
+		l.ln, l.reservation, l.silent = ln, nil, false
 		s.accept(i, ln)
 	}
 	return nil
@@ -81,8 +81,8 @@
 	}
 	n.timer = time.AfterFunc(time.Hour, n.tick)
 	for i, l := range s.links {
-		l.place.Release()
-		l.place = nil
+		l.reservation.Release()
+		l.reservation = nil
 		ln, err := relisten(s.addrs[i])
 		if err != nil {
 			n.Close()
@@ -97,7 +97,7 @@
 }
 
 // Drain makes the server turn new requests away, or ends that.
-func (s *Server) Drain(on bool) {
+func (s *Server) SetDraining(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining = on
@@ -107,7 +107,7 @@
 func (s *Server) SetSlow(factor float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.deliver(s.model.SetSlow(s.cfg.Clock(), factor))
+	s.endJobs(s.model.SetSlow(s.cfg.Clock(), factor))
 	s.schedule()
 }
 
@@ -134,7 +134,7 @@
 
 // Silence cuts a link, or all of them with -1: nothing that comes on it is read any more and nothing is said. When it
 // ends, what was open is reset. New connections come up all the same, as the kernel completes them, and stay silent.
-func (s *Server) Silence(number int, on bool) {
+func (s *Server) SetSilent(number int, on bool) {
 	s.mu.Lock()
 	var cut []*serverConn
 	for i, l := range s.links {
@@ -151,6 +151,6 @@
 	}
 	s.mu.Unlock()
 	for _, c := range cut {
-		reset(c.Conn)
+		resetConn(c.Conn)
 	}
 }
--- a/lab/standin/serverhandle.go
+++ b/lab/standin/serverhandle.go
@@ -13,11 +13,11 @@
 
 // reply is an answer to be written.
 type reply struct {
-	status  int
-	head    string
-	body    string
-	spoil   Spoil
-	hangsUp bool
+	status    int
+	header    string
+	body      string
+	spoil     Spoil
+	closeConn bool
 }
 
 func (s *Server) answer(c *serverConn, req incoming, more <-chan incoming) *reply {
@@ -26,16 +26,16 @@
 	}
 	h := req.Header
 	return s.handle(c, request{
-		trace: h.Get("X-Trace-Id"), class: h.Get("X-Qos"), key: h.Get("Idempotency-Key"), left: expiry(h.Get("X-Expires-In")),
-		first: req.first, probe: req.URL.Path == "/alive",
+		trace: h.Get("X-Trace-Id"), class: h.Get("X-Qos"), key: h.Get("Idempotency-Key"), timeLeft: parseExpiry(h.Get("X-Expires-In")),
+		firstByteAt: req.firstByteAt, probe: req.URL.Path == "/alive",
 	}, more)
 }
 
 // request is a request as any protocol tells it.
 type request struct {
 	trace, class, key string
-	left              time.Duration
-	first             time.Duration // when its first byte came
+	timeLeft          time.Duration
+	firstByteAt       time.Duration // when its first byte came
 	probe             bool
 }
 
@@ -50,23 +50,23 @@
 	if trace == "" || !known {
 		return &reply{status: http.StatusBadRequest, body: "no trace, or no such class\n"}
 	}
-	s.cfg.Witness.Received(trace, s.cfg.ID, c.link, req.first)
+	s.cfg.Observer.Received(trace, s.cfg.ID, c.link, req.firstByteAt)
 	s.mu.Lock()
-	away := s.draining || c.surplus || !s.running
+	rejecting := s.draining || c.overCap || !s.running
 	s.mu.Unlock()
-	if away {
-		return s.turnedAway()
+	if rejecting {
+		return s.neverRanReply()
 	}
 	if class.Keyed && key != "" {
-		repeated := make(chan bool, 1)
-		switch class.Cell.take(s.cfg.Clock(), key, class.Window, repeated) {
+		firstEnded := make(chan bool, 1)
+		switch class.Cell.claim(s.cfg.Clock(), key, class.Window, firstEnded) {
 		case model.KeyDone:
-			return s.served(trace)
+			return s.successReply(trace)
 		case model.KeyRunning:
 			select {
-			case ran := <-repeated:
+			case ran := <-firstEnded:
 				if ran {
-					return s.served(trace)
+					return s.successReply(trace)
 				}
 				return &reply{status: http.StatusInternalServerError, body: "the first one broke off\n"}
 			case <-more: // closed, or a second request where none may come
@@ -76,65 +76,65 @@
 	} else {
 		class.Cell = nil
 	}
-	return s.work(trace, key, class, req.left, more)
+	return s.runJob(trace, key, class, req.timeLeft, more)
 }
 
 // work runs a request through the model.
-func (s *Server) work(trace, key string, class ServerClass, left time.Duration, more <-chan incoming) *reply {
-	id, j, verdict := s.offer(trace, class, left)
+func (s *Server) runJob(trace, key string, class ServerClass, left time.Duration, more <-chan incoming) *reply {
+	id, j, verdict := s.offerJob(trace, class, left)
 	switch verdict {
 	case model.TurnedAway:
 		class.Cell.forget(key)
-		return s.turnedAway()
+		return s.neverRanReply()
 	case model.Fell:
 		class.Cell.forget(key)
 		s.tasks.Go(s.Crash)
 		return nil
 	}
-	var how end
+	var end jobEnd
 	select {
-	case how = <-j.ended:
+	case end = <-j.ended:
 	case <-more: // the other side has given it up
-		if s.drop(id) {
+		if s.dropQueued(id) {
 			class.Cell.forget(key)
 			return nil
 		}
-		how = <-j.ended // what is in work goes on, and is remembered
+		end = <-j.ended // what is in work goes on, and is remembered
 	}
-	switch how {
-	case ranOver:
+	switch end {
+	case jobExpired:
 		class.Cell.forget(key)
-		return s.turnedAway()
-	case brokeOff:
+		return s.neverRanReply()
+	case jobInterrupted:
 		class.Cell.finish(key, false)
 		return nil
 	}
 	class.Cell.finish(key, true)
-	return s.served(trace)
+	return s.successReply(trace)
 }
 
 // offer asks the model to take a request in.
-func (s *Server) offer(trace string, class ServerClass, left time.Duration) (id uint64, j *job, verdict model.Verdict) {
+func (s *Server) offerJob(trace string, class ServerClass, left time.Duration) (id uint64, j *job, verdict model.Verdict) {
 	work, wait := class.Work(trace)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.cfg.Clock()
-	s.deliver(s.model.Advance(now))
+	s.endJobs(s.model.Advance(now))
 	s.lastJob++
-	id, j = s.lastJob, &job{trace: trace, ended: make(chan end, 1)}
+	id, j = s.lastJob, &job{trace: trace, ended: make(chan jobEnd, 1)}
 	verdict = s.model.Offer(now, model.Job{ID: id, Work: work, Wait: wait, Expires: now + left})
 	switch verdict {
 	case model.Accepted:
 		s.jobs[id] = j
 		s.schedule()
 	case model.Fell:
-		s.cfg.Witness.PushedOver(s.cfg.ID, now)
+		s.cfg.Observer.PushedOver(s.cfg.ID, now)
 	}
 	return id, j, verdict
 }
 
 // drop takes a request back that is not in work yet; false where it is.
-func (s *Server) drop(id uint64) bool {
+func (s *Server) dropQueued(id uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.model.Drop(id) {
@@ -144,12 +144,12 @@
 	return true
 }
 
-func (s *Server) turnedAway() *reply {
-	return &reply{status: http.StatusServiceUnavailable, head: "X-Never-Ran: 1\r\n", body: "turned away\n"}
+func (s *Server) neverRanReply() *reply {
+	return &reply{status: http.StatusServiceUnavailable, header: "X-Never-Ran: 1\r\n", body: "turned away\n"}
 }
 
 // served makes the answer of success: the first word of its body is the request's id, and a full stop ends it.
-func (s *Server) served(trace string) *reply {
+func (s *Server) successReply(trace string) *reply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.random.Float64() < s.errors {
@@ -159,12 +159,12 @@
 	if s.spoil.Form != "" && s.random.Float64() < s.spoil.Share {
 		r.spoil = s.spoil
 	}
-	s.cfg.Witness.Finished(trace)
+	s.cfg.Observer.Finished(trace)
 	return r
 }
 
 // expiry reads the header of the time left; one that cannot be read means a long time.
-func expiry(text string) time.Duration {
+func parseExpiry(text string) time.Duration {
 	for suffix, unit := range map[string]time.Duration{"m": time.Millisecond, "u": time.Microsecond} {
 		if number, ok := strings.CutSuffix(text, suffix); ok {
 			if v, err := strconv.ParseFloat(number, 64); err == nil && v >= 0 {
--- a/lab/standin/spoil.go
+++ b/lab/standin/spoil.go
@@ -10,7 +10,7 @@
 )
 
 // mostSpoilt bounds what an answer without end sends: enough to break a reader that sets no bound of its own.
-const mostSpoilt = 4 << 20
+const maxSpoilBytes = 4 << 20
 
 // write sends a reply and reports whether the connection is of further use.
 func (s *Server) write(c *serverConn, r *reply) bool {
@@ -21,21 +21,21 @@
 		report = "TEXT util=NaN, qps=x,,"
 	}
 	if report != "" {
-		r.head += "Endpoint-Load-Metrics: " + report + "\r\n"
+		r.header += "Endpoint-Load-Metrics: " + report + "\r\n"
 	}
 	plain := r.text(len(r.body))
 	switch r.spoil.Form {
 	case "noise":
-		return spoilt(c, "\x00\xff\x16\x03 no answer at all", 1)
+		return writeRepeatedly(c, "\x00\xff\x16\x03 no answer at all", 1)
 	case "endless_head":
-		return spoilt(c, "HTTP/1.1 200 OK\r\n"+strings.Repeat("X-More: and more of it\r\n", 400), mostSpoilt/9600)
+		return writeRepeatedly(c, "HTTP/1.1 200 OK\r\n"+strings.Repeat("X-More: and more of it\r\n", 400), maxSpoilBytes/9600)
 	case "short_length":
 		_, err := io.WriteString(c, r.text(len(r.body)/2))
 		return err == nil
 	case "long_length":
-		return spoilt(c, r.text(len(r.body)+100), 1)
+		return writeRepeatedly(c, r.text(len(r.body)+100), 1)
 	case "huge_length":
-		return spoilt(c, r.text(3<<30)+strings.Repeat("more ", 2000), mostSpoilt/10000)
+		return writeRepeatedly(c, r.text(3<<30)+strings.Repeat("more ", 2000), maxSpoilBytes/10000)
 	case "cut_off":
 		_, _ = io.WriteString(c, plain[:len(plain)-len(r.body)/2]) // the peer may be gone, which the next read says
 		_ = c.Close()                                              // the connection is released even where this fails
@@ -61,11 +61,11 @@
 		})
 	}
 	_, err := io.WriteString(c, plain)
-	return err == nil && !r.hangsUp
+	return err == nil && !r.closeConn
 }
 
 // spoilt sends text several times, until the other side has had enough; the connection is of no use then.
-func spoilt(c io.Writer, text string, times int) bool {
+func writeRepeatedly(c io.Writer, text string, times int) bool {
 	for range times {
 		if _, err := io.WriteString(c, text); err != nil {
 			break
@@ -76,6 +76,6 @@
 
 func (r *reply) text(length int) string {
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s", r.status, http.StatusText(r.status), r.head, length, r.body)
+	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s", r.status, http.StatusText(r.status), r.header, length, r.body)
 	return b.String()
 }
--- a/lab/standin/standin.go
+++ b/lab/standin/standin.go
@@ -20,7 +20,7 @@
 }
 
 // Witness is told what a server saw; *judge.Judge is one.
-type Witness interface {
+type ServerObserver interface {
 	Received(trace, server string, sidecar int, first time.Duration)
 	Ran(trace, server string, cell int, at time.Duration)
 	Finished(trace string)
@@ -28,14 +28,14 @@
 }
 
 // Notary is told what the roster says to whom; *judge.Judge is one.
-type Notary interface {
+type RosterObserver interface {
 	Changed(server string, ready bool, at time.Duration)
 	Told(sidecar int, server string, ready bool, at time.Duration)
 	Call(sidecar int, at, hold time.Duration, waits bool) func(judge.CallEnd, time.Duration)
 }
 
 // Observer is told what clients saw; *judge.Judge is one.
-type Observer interface {
+type ClientObserver interface {
 	Sent(judge.Try)
 	Answered(trace string, at time.Duration, a judge.Answer, made string)
 	Extra(trace string, at time.Duration)
@@ -43,7 +43,7 @@
 }
 
 var (
-	_ Witness  = (*judge.Judge)(nil)
-	_ Notary   = (*judge.Judge)(nil)
-	_ Observer = (*judge.Judge)(nil)
+	_ ServerObserver = (*judge.Judge)(nil)
+	_ RosterObserver = (*judge.Judge)(nil)
+	_ ClientObserver = (*judge.Judge)(nil)
 )
--- a/lab/standin/standin_test.go
+++ b/lab/standin/standin_test.go
@@ -23,54 +23,54 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // patience bounds every wait; no test takes that long unless it fails.
-const patience = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
 // witness notes what servers saw.
-type witness struct {
-	mu       sync.Mutex
-	received []string
-	ran      []string
-	fell     []string
-	told     []string
+type recorder struct {
+	mu         sync.Mutex
+	received   []string
+	ran        []string
+	pushedOver []string
+	notified   []string
 }
 
-func (w *witness) note(list *[]string, format string, args ...any) {
+func (w *recorder) note(list *[]string, format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	*list = append(*list, fmt.Sprintf(format, args...))
 }
 
-func (w *witness) Received(trace, server string, sidecar int, _ time.Duration) {
+func (w *recorder) Received(trace, server string, sidecar int, _ time.Duration) {
 	w.note(&w.received, "%s %s %d", trace, server, sidecar)
 }
 
-func (w *witness) Ran(trace, server string, _ int, _ time.Duration) {
+func (w *recorder) Ran(trace, server string, _ int, _ time.Duration) {
 	w.note(&w.ran, "%s %s", trace, server)
 }
-func (w *witness) Finished(string)                           {}
-func (w *witness) PushedOver(server string, _ time.Duration) { w.note(&w.fell, "%s", server) }
-func (w *witness) Changed(string, bool, time.Duration)       {}
-func (w *witness) Call(int, time.Duration, time.Duration, bool) func(judge.CallEnd, time.Duration) {
+func (w *recorder) Finished(string)                           {}
+func (w *recorder) PushedOver(server string, _ time.Duration) { w.note(&w.pushedOver, "%s", server) }
+func (w *recorder) Changed(string, bool, time.Duration)       {}
+func (w *recorder) Call(int, time.Duration, time.Duration, bool) func(judge.CallEnd, time.Duration) {
 	return func(judge.CallEnd, time.Duration) {}
 }
 
-func (w *witness) Told(sidecar int, server string, ready bool, _ time.Duration) {
-	w.note(&w.told, "%d %s %v", sidecar, server, ready)
+func (w *recorder) Told(sidecar int, server string, ready bool, _ time.Duration) {
+	w.note(&w.notified, "%d %s %v", sidecar, server, ready)
 }
 
-func (w *witness) list(list *[]string) []string {
+func (w *recorder) list(list *[]string) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]string(nil), *list...)
 }
 
 // testServer starts a server whose requests take some work.
-func testServer(t *testing.T, work time.Duration, change func(*ServerConfig)) (*Server, *witness) {
+func testServer(t *testing.T, work time.Duration, change func(*ServerConfig)) (*Server, *recorder) {
 	t.Helper()
-	w, cell := &witness{}, NewCell()
+	w, cell := &recorder{}, NewCell()
 	cost := func(string) (time.Duration, time.Duration) { return work, 0 }
 	cfg := ServerConfig{
-		ID: "s-1", Spec: model.Spec{Cores: 1, Speed: 1, Slots: 1, Queue: 1}, Clock: StartClock(), Witness: w, Probes: true,
+		ID: "s-1", Spec: model.Spec{Cores: 1, Speed: 1, Slots: 1, Queue: 1}, Clock: StartClock(), Observer: w, Probes: true,
 		Classes: map[string]ServerClass{
 			"read": {Work: cost}, "keyed": {Keyed: true, Cell: cell, Window: time.Minute, Work: cost},
 		},
@@ -98,7 +98,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(waitTimeout))
 	t.Cleanup(func() { _ = c.Close() })
 	return &conn{t, c, bufio.NewReader(c)}
 }
@@ -175,7 +175,7 @@
 	}
 }
 
-func TestServerTurnsAwayUnseen(t *testing.T) {
+func TestServerRejectsWithoutRunning(t *testing.T) {
 	s, w := testServer(t, 200*time.Millisecond, nil)
 	var busy []*conn
 	for i := range 2 { // one slot, and room for one
@@ -190,12 +190,12 @@
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("X-Never-Ran") != "1" {
 		t.Errorf("answer %v", resp)
 	}
-	s.Drain(true)
+	s.SetDraining(true)
 	c.send("t10", "read", "")
 	if resp, _ := c.read(); resp.Header.Get("X-Never-Ran") != "1" {
 		t.Errorf("draining: %v", resp)
 	}
-	s.Drain(false)
+	s.SetDraining(false)
 	for _, c := range busy {
 		c.read()
 	}
@@ -212,7 +212,7 @@
 
 func awaitHeld(t *testing.T, s *Server, n int) {
 	t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); ; time.Sleep(time.Millisecond) {
 		if got, _ := s.Held(); got == n {
 			return
 		}
@@ -223,8 +223,8 @@
 }
 
 // A connection beyond the cap is not reset: what comes on it is turned away unseen.
-func TestServerHoldsSoManyConnections(t *testing.T) {
-	s, w := testServer(t, time.Millisecond, func(c *ServerConfig) { c.MostConns = 1 })
+func TestServerRejectsBeyondConnectionCap(t *testing.T) {
+	s, w := testServer(t, time.Millisecond, func(c *ServerConfig) { c.MaxConns = 1 })
 	first := dial(t, s.Addr(0))
 	first.send("t1", "read", "")
 	first.read()
@@ -240,7 +240,7 @@
 
 // An unused connection is closed after the server's time, one with a request open is not.
 func TestServerClosesIdleConnections(t *testing.T) {
-	s, _ := testServer(t, 100*time.Millisecond, func(c *ServerConfig) { c.Idle = 20 * time.Millisecond })
+	s, _ := testServer(t, 100*time.Millisecond, func(c *ServerConfig) { c.IdleTimeout = 20 * time.Millisecond })
 	c := dial(t, s.Addr(0))
 	c.send("t1", "read", "")
 	c.read()
@@ -250,7 +250,7 @@
 }
 
 // Waiting work is dropped when its client closes; what is in work goes on.
-func TestServerDropsWhatIsGivenUp(t *testing.T) {
+func TestServerDropsAbandonedQueuedWork(t *testing.T) {
 	s, w := testServer(t, 100*time.Millisecond, nil)
 	first, second := dial(t, s.Addr(0)), dial(t, s.Addr(0))
 	first.send("t1", "read", "")
@@ -302,19 +302,19 @@
 }
 
 // A cut link says nothing and hears nothing; when it is back, what was open is reset.
-func TestServerGoesSilent(t *testing.T) {
+func TestSilentLinkReceivesNothing(t *testing.T) {
 	s, w := testServer(t, time.Millisecond, nil)
 	c := dial(t, s.Addr(0))
 	c.send("t1", "read", "")
 	c.read()
-	s.Silence(0, true)
+	s.SetSilent(0, true)
 	c.send("t2", "read", "")
 	_ = c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	if _, err := c.in.ReadByte(); err == nil || !strings.Contains(err.Error(), "timeout") {
 		t.Errorf("the silent machine: %v", err)
 	}
-	s.Silence(0, false)
-	_ = c.SetReadDeadline(time.Now().Add(patience))
+	s.SetSilent(0, false)
+	_ = c.SetReadDeadline(time.Now().Add(waitTimeout))
 	if _, err := c.in.ReadByte(); err == nil {
 		t.Error("the connection goes on")
 	}
@@ -323,7 +323,7 @@
 	}
 }
 
-func TestColdServerFallsOverOnSockets(t *testing.T) {
+func TestOverloadedColdServerCrashes(t *testing.T) {
 	s, w := testServer(t, time.Second, func(c *ServerConfig) {
 		c.Cold = true
 		c.Spec = model.Spec{Cores: 1, Speed: 1, ColdFrom: 0.1, ColdFor: time.Minute, FallMultiple: 2, FallFor: time.Second}
@@ -333,7 +333,7 @@
 	if _, err := c.in.ReadByte(); err == nil {
 		t.Error("it answers")
 	}
-	if got := w.list(&w.fell); len(got) != 1 {
+	if got := w.list(&w.pushedOver); len(got) != 1 {
 		t.Errorf("fell %v", got)
 	}
 }
@@ -343,10 +343,10 @@
 	"noise": func(c *conn) error {
 		_ = c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 		_, err := http.ReadResponse(c.in, nil)
-		return want(err != nil, "an answer")
+		return expect(err != nil, "an answer")
 	},
-	"endless_head": func(c *conn) error { n, _ := io.CopyN(io.Discard, c.in, 1<<20); return want(n == 1<<20, "an end") },
-	"short_length": func(c *conn) error { c.read(); return want(c.in.Buffered() > 0, "nothing behind it") },
+	"endless_head": func(c *conn) error { n, _ := io.CopyN(io.Discard, c.in, 1<<20); return expect(n == 1<<20, "an end") },
+	"short_length": func(c *conn) error { c.read(); return expect(c.in.Buffered() > 0, "nothing behind it") },
 	"long_length": func(c *conn) error {
 		resp, err := http.ReadResponse(c.in, nil)
 		if err != nil {
@@ -354,11 +354,11 @@
 		}
 		_ = c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 		_, err = io.ReadAll(resp.Body)
-		return want(err != nil, "a whole body")
+		return expect(err != nil, "a whole body")
 	},
 	"huge_length": func(c *conn) error {
 		resp, err := http.ReadResponse(c.in, nil)
-		return want(err == nil && resp.ContentLength == 3<<30, "no such length")
+		return expect(err == nil && resp.ContentLength == 3<<30, "no such length")
 	},
 	"cut_off": func(c *conn) error {
 		resp, err := http.ReadResponse(c.in, nil)
@@ -366,21 +366,21 @@
 			return err
 		}
 		_, err = io.ReadAll(resp.Body)
-		return want(errors.Is(err, io.ErrUnexpectedEOF), "a whole body")
+		return expect(errors.Is(err, io.ErrUnexpectedEOF), "a whole body")
 	},
 	"interim": func(c *conn) error {
 		resp, _ := c.read()
-		return want(resp.StatusCode == http.StatusEarlyHints, "no interim answer")
+		return expect(resp.StatusCode == http.StatusEarlyHints, "no interim answer")
 	},
 	"bad_report": func(c *conn) error {
 		resp, _ := c.read()
-		return want(strings.Contains(resp.Header.Get("Endpoint-Load-Metrics"), "NaN"), "a good report")
+		return expect(strings.Contains(resp.Header.Get("Endpoint-Load-Metrics"), "NaN"), "a good report")
 	},
-	"pieces": func(c *conn) error { _, body := c.read(); return want(body == "t by s-1.\n", "another body") },
+	"pieces": func(c *conn) error { _, body := c.read(); return expect(body == "t by s-1.\n", "another body") },
 	"second_copy": func(c *conn) error {
 		_, a := c.read()
 		_, b := c.read()
-		return want(a == b, "no second copy")
+		return expect(a == b, "no second copy")
 	},
 }
 
@@ -399,17 +399,17 @@
 	}
 }
 
-func want(ok bool, otherwise string) error {
+func expect(ok bool, otherwise string) error {
 	if !ok {
 		return errors.New("there is " + otherwise)
 	}
 	return nil
 }
 
-func testRoster(t *testing.T, change func(*RosterConfig)) (*Roster, *witness) {
+func testRoster(t *testing.T, change func(*RosterConfig)) (*Roster, *recorder) {
 	t.Helper()
-	w := &witness{}
-	cfg := RosterConfig{Clock: StartClock(), Notary: w}
+	w := &recorder{}
+	cfg := RosterConfig{Clock: StartClock(), Observer: w}
 	if change != nil {
 		change(&cfg)
 	}
@@ -430,7 +430,7 @@
 
 func ask(t *testing.T, addr, query string) (List, error) {
 	t.Helper()
-	client := &http.Client{Timeout: patience}
+	client := &http.Client{Timeout: waitTimeout}
 	defer client.CloseIdleConnections()
 	resp, err := client.Get("http://" + addr + "/discovery/hosts" + query)
 	if err != nil {
@@ -452,7 +452,7 @@
 	if err != nil || !whole.Complete || len(whole.Members) != 2 || whole.Members[0].HostPort != "127.0.0.1:7001" {
 		t.Fatalf("%+v, %v", whole, err)
 	}
-	awaitTold(t, w, 2)
+	awaitNotified(t, w, 2)
 	got := make(chan List, 1)
 	go func() {
 		l, _ := ask(t, r.Addr(1), fmt.Sprintf("?from=%d&hold_ms=20000", whole.Revision))
@@ -467,22 +467,22 @@
 		if l.Complete || len(l.Members) != 1 || l.Members[0].Phase != "gone" || l.Revision <= whole.Revision {
 			t.Errorf("change %+v", l)
 		}
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("the watch does not end")
 	}
 	if l, err := ask(t, r.Addr(0), fmt.Sprintf("?from=%d&hold_ms=1", whole.Revision+1)); err != nil || len(l.Members) != 0 {
 		t.Errorf("nothing is new: %+v, %v", l, err)
 	}
-	if told := awaitTold(t, w, 3); told[len(told)-1] != "1 b false" {
+	if told := awaitNotified(t, w, 3); told[len(told)-1] != "1 b false" {
 		t.Errorf("told %v", told)
 	}
 }
 
 // awaitTold waits until the witness has so many notes of what the roster has answered: it gets them behind the answer.
-func awaitTold(t *testing.T, w *witness, count int) (told []string) {
+func awaitNotified(t *testing.T, w *recorder, count int) (told []string) {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		if told = w.list(&w.told); len(told) >= count {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
+		if told = w.list(&w.notified); len(told) >= count {
 			return told
 		}
 	}
@@ -491,7 +491,7 @@
 }
 
 // After a restart the revision is lower, and who asks from the old one gets the whole list.
-func TestRosterRestartsLower(t *testing.T) {
+func TestRosterRestartLowersRevision(t *testing.T) {
 	r, _ := testRoster(t, nil)
 	for _, id := range []string{"a", "b", "c"} {
 		r.Set(entry(id), "ready")
@@ -508,8 +508,8 @@
 	}
 }
 
-func TestRosterOutOfReach(t *testing.T) {
-	r, _ := testRoster(t, func(c *RosterConfig) { c.PerCall, c.MostWait = 50*time.Millisecond, 20*time.Millisecond })
+func TestRosterFailsWhenOverloadedDownOrMalformed(t *testing.T) {
+	r, _ := testRoster(t, func(c *RosterConfig) { c.ServiceTime, c.MaxQueueWait = 50*time.Millisecond, 20*time.Millisecond })
 	failed := make(chan error, 8)
 	for range 8 {
 		go func() {
@@ -538,7 +538,7 @@
 }
 
 // An agent answers at once with what it had before discovery went silent.
-func TestAgentIsSilentWhileDown(t *testing.T) {
+func TestAgentAnswersLastListWhileDown(t *testing.T) {
 	r, _ := testRoster(t, func(c *RosterConfig) { c.Push = true })
 	r.Set(entry("a"), "ready")
 	r.SetDown(true)
