--- a/lab/standin/address.go
+++ b/lab/standin/address.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// Reservation keeps a port from being given to others while nothing listens there: connections to it are refused.
+// Reservation keeps a port bound while nothing listens on it, so that no other process gets it and connections to it are refused.
 type Reservation struct{ fd int }
 
-// Reserve binds a socket to an address that a listener has just left. Where that fails the address is free for others,
-// which only makes a restart there fail.
+// Reserve binds a socket to an address whose listener was just closed. It returns nil if that fails: another process may then
+// take the port, in which case a later restart on it fails.
 func Reserve(addr string) *Reservation {
 	ap, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -30,14 +30,14 @@
 	return &Reservation{fd}
 }
 
-// Release frees the address.
+// Release frees the address. A nil Reservation is a no-op.
 func (r *Reservation) Release() {
 	if r != nil {
 		_ = syscall.Close(r.fd) // the descriptor is released even where this fails
 	}
 }
 
-// relisten listens at an address that was reserved. Connections of the time before may hold it for a moment.
+// relisten listens on an address that was reserved. It retries for up to 500 ms while earlier connections still hold the address.
 func relisten(addr string) (ln net.Listener, err error) {
 	for range 50 {
 		if ln, err = net.Listen("tcp", addr); !errors.Is(err, syscall.EADDRINUSE) {
--- a/lab/standin/cell.go
+++ b/lab/standin/cell.go
@@ -7,17 +7,19 @@
 	"firplank/lab/model"
 )
 
-// Cell is the memory of keys that a group of servers shares. A repeat that comes while the first is in work waits for it.
+// Cell is the table of idempotency keys that a group of servers shares. A repeat that arrives while the first request with
+// its key is still running waits for that one. Cell is safe for concurrent use.
 type Cell struct {
 	mu      sync.Mutex
 	memory  *model.Memory
 	waiters map[string][]chan<- bool
 }
 
-// NewCell returns a cell that remembers nothing.
+// NewCell returns an empty cell.
 func NewCell() *Cell { return &Cell{memory: model.NewMemory(), waiters: map[string][]chan<- bool{}} }
 
-// take tells what is known of key. With KeyRunning, ended is sent whether the first ran to its end.
+// claim returns the state of key and records a new one for window. With KeyRunning, ended later receives whether the first
+// request ran to its end.
 func (c *Cell) claim(now time.Duration, key string, window time.Duration, ended chan<- bool) model.KeyState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -28,7 +30,7 @@
 	return state
 }
 
-// finish ends the work on a key: it ran, or broke off. A nil cell remembers nothing.
+// finish records that the work on a key ended, either completed (ran) or interrupted. It is a no-op on a nil cell.
 func (c *Cell) finish(key string, ran bool) {
 	if c == nil {
 		return
@@ -41,7 +43,7 @@
 	c.notifyWaiters(key, ran)
 }
 
-// forget takes back a key that was turned away. A nil cell remembers nothing.
+// forget removes the key of a request that was rejected. It is a no-op on a nil cell.
 func (c *Cell) forget(key string) {
 	if c == nil {
 		return
@@ -54,7 +56,7 @@
 
 func (c *Cell) notifyWaiters(key string, ran bool) {
 	for _, w := range c.waiters[key] {
-		w <- ran // has room for the one that ever comes
+		w <- ran // buffered for the single value it receives
 	}
 	delete(c.waiters, key)
 }
--- a/lab/standin/client.go
+++ b/lab/standin/client.go
@@ -12,43 +12,43 @@
 	"firplank/lab/scenario"
 )
 
-// Tally is what became of one arrival, over all its tries.
+// ArrivalOutcome is the result of one arrival, over all its tries.
 type ArrivalOutcome struct {
 	Arrival   int
 	Class     int
 	Tenant    int
-	At        time.Duration // planned
+	At        time.Duration // planned start
 	End       scenario.Ending
-	Took      time.Duration // from At, where it was served
+	Took      time.Duration // from At to the response, if it was served
 	Tries     int
-	RefusedIn time.Duration // the longest that a try took to be refused; 0 if none was
+	RefusedIn time.Duration // longest time until a refusal of one of its tries; 0 if none was refused
 }
 
-// CallersConfig describes the clients of a run.
+// ClientsConfig configures the clients of a run.
 type ClientsConfig struct {
 	Scenario     *scenario.Scenario
 	Plan         *scenario.Plan
 	Addrs        []string // of the sidecars
-	RPCAddrs     []string // ... for MessagePack-RPC, where the clients speak that
+	RPCAddrs     []string // of the sidecars for MessagePack-RPC, if the clients use it
 	Clock        Clock
 	Observer     ClientObserver
-	MaxOpenConns int        // connections to one sidecar, beside those that are held; tries beyond it wait for one
-	Held         *HeldConns // connections that some arrivals go out on; nil: none
-	// Linger is how long a client goes on reading after it has given a try up, so that a final answer that comes just in
-	// time is seen. What is served by then is of no use to it any more.
+	MaxOpenConns int        // connections to one sidecar besides the held ones; further tries wait for one; 0: 256
+	Held         *HeldConns // long-lived connections that some arrivals use; nil: none
+	// Linger is how long a client keeps reading after it gave up a try, so that the judge sees a final response that was
+	// just in time. A response in that period doesn't count as served.
 	Linger time.Duration
 }
 
-// Callers are the clients of a run: each arrival is begun at its planned time, whatever became of those before it.
+// Clients are the clients of a run. Each arrival starts at its planned time, independently of earlier ones (open loop).
 type Clients struct {
 	cfg           ClientsConfig
 	pools         []*clientPool
 	rpc           []*rpcPool
 	outcomes      []ArrivalOutcome
-	maxStartDelay atomic.Int64 // nanoseconds by which the latest start came after its plan
+	maxStartDelay atomic.Int64 // nanoseconds; largest delay of a start against the plan
 }
 
-// NewCallers returns clients that have not begun.
+// NewClients returns clients that send nothing until Run.
 func NewClients(cfg ClientsConfig) *Clients {
 	if cfg.MaxOpenConns == 0 {
 		cfg.MaxOpenConns = 256
@@ -63,7 +63,8 @@
 	return c
 }
 
-// Run plays all arrivals and returns when the last has ended, or ctx does.
+// Run starts all arrivals at their times and returns their outcomes when the last has ended. When ctx ends, it starts no
+// further arrival, waits for the open ones and returns the outcomes so far.
 func (c *Clients) Run(ctx context.Context) []ArrivalOutcome {
 	var tasks sync.WaitGroup
 	timer := time.NewTimer(0)
@@ -95,10 +96,10 @@
 	return c.outcomes
 }
 
-// Late returns by how much the latest arrival was begun after its planned time.
+// MaxStartDelay returns the largest delay with which an arrival started against its planned time.
 func (c *Clients) MaxStartDelay() time.Duration { return time.Duration(c.maxStartDelay.Load()) }
 
-// arrive plays one arrival with its retries.
+// runArrival sends one arrival's request with its retries.
 func (c *Clients) runArrival(ctx context.Context, a *scenario.Arrival) ArrivalOutcome {
 	s := c.cfg.Scenario
 	class := &s.Classes[a.Class]
@@ -114,7 +115,7 @@
 		began := c.cfg.Clock()
 		giveUpAt := min(deadline, began+time.Duration(s.Clients.TryShare*float64(scenario.MS(class.DeadlineMS))))
 		if try > 0 && s.Clients.Retries == try {
-			giveUpAt = deadline // the last one waits as long as anyone would
+			giveUpAt = deadline // the last try waits until the deadline
 		}
 		result := c.attemptOnce(a, try, sidecar, giveUpAt)
 		t.End = result.end
@@ -143,10 +144,10 @@
 	number   int // of the try, from 0
 	sidecar  int
 	trace    string
-	giveUpAt time.Duration // when the client gives it up
+	giveUpAt time.Duration // when the client gives up
 }
 
-// sent is the attempt as the judge is told of it.
+// judgeTry returns the attempt in the form that the judge takes.
 func (t *attempt) judgeTry(at time.Duration) judge.Try {
 	a := t.arrival
 	return judge.Try{Trace: t.trace, Arrival: a.Number, Class: a.Class, Key: a.Key, Sidecar: t.sidecar, Sent: at, Deadline: t.giveUpAt}
@@ -155,18 +156,18 @@
 // result is how an attempt ended.
 type result struct {
 	end        scenario.Ending
-	retryAfter time.Duration // how long the client was asked to wait
-	stale      bool          // the connection had been closed before; nothing was answered
+	retryAfter time.Duration // delay that the response asks for; 0 if none
+	stale      bool          // the reused connection was already closed, without a response
 }
 
-// lost is the result of an attempt without an answer.
+// lostResult is the result of an attempt without a response.
 var lostResult = result{end: scenario.Lost}
 
-// closedBefore is that of an attempt whose connection turns out to be closed.
+// staleResult is the result of an attempt whose reused connection turns out to be closed.
 var staleResult = result{end: scenario.Lost, stale: true}
 
-// try sends a request once. A kept connection that turns out to be closed is no answer: the request is sent once more
-// on a new one.
+// attemptOnce sends a request once. If a reused connection turns out to be closed, it sends the request again on another one,
+// within the same try.
 func (c *Clients) attemptOnce(a *scenario.Arrival, number, sidecar int, giveUpAt time.Duration) result {
 	p := c.pools[sidecar]
 	held := c.cfg.Held.take(a, number, sidecar)
@@ -184,7 +185,7 @@
 			conn, err = p.get(c.cfg.Observer, c.cfg.Clock)
 		}
 		if err != nil {
-			return lostResult // it never reached the sidecar
+			return lostResult // the request never reached the sidecar
 		}
 		reused := conn.used
 		r := c.exchangeHTTP(conn, t)
@@ -195,7 +196,7 @@
 	}
 }
 
-// SetAway says whether a sidecar is about to end, or has ended, by plan: it gets no new connections then.
+// SetShuttingDown marks a sidecar as terminating or terminated by the scenario. While marked, it gets no new connections.
 func (c *Clients) SetShuttingDown(sidecar int, shuttingDown bool) {
 	c.pools[sidecar].shuttingDown.Store(shuttingDown)
 }
--- a/lab/standin/clienthttp.go
+++ b/lab/standin/clienthttp.go
@@ -1,6 +1,6 @@
 package standin
 
-// This file is an exchange of a client's over HTTP.
+// This file implements the clients' HTTP exchange.
 
 import (
 	"bufio"
@@ -19,9 +19,9 @@
 	"firplank/lab/scenario"
 )
 
-var errClosedBeforeResponse = errors.New("the connection ended before anything came")
+var errClosedBeforeResponse = errors.New("connection closed before the first byte of a response")
 
-// exchange sends a request and reads its answer.
+// exchangeHTTP sends a request and reads its response.
 func (c *Clients) exchangeHTTP(conn *clientConn, t *attempt) result {
 	left := t.giveUpAt - c.cfg.Clock()
 	if left <= 0 {
@@ -29,7 +29,7 @@
 		return lostResult
 	}
 	_ = conn.SetDeadline(time.Now().Add(left + c.cfg.Linger)) // fails only on a closed connection, as the next call on it does
-	// Told first: a server may see the request before Write returns.
+	// Reported to the judge first, as a server may receive the request before Write returns.
 	c.cfg.Observer.Sent(t.judgeTry(c.cfg.Clock()))
 	if _, err := io.WriteString(conn, c.request(t.arrival, t.number, t.trace, left)); err != nil {
 		_ = conn.Close() // the connection is released even where this fails
@@ -57,14 +57,14 @@
 	return c.handleResponse(conn, t, c.cfg.Clock(), answer)
 }
 
-// unanswered ends a connection that gave no whole answer.
+// handleReadError closes a connection on which no complete response arrived, and returns the attempt's result.
 func (c *Clients) handleReadError(conn *clientConn, t *attempt, now time.Duration, err error) result {
 	_ = conn.Close() // the connection is released even where this fails
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() {
-		return lostResult // the judge finds it unanswered
+		return lostResult // the judge reports the missing response
 	}
-	// Who has ended its sending knows that the sidecar has seen that: it is no crossing of two closes.
+	// After a half-close the sidecar has received the whole request, so its close can't have crossed the request on the wire.
 	if errors.Is(err, errClosedBeforeResponse) && conn.used && t.arrival.Quirk != scenario.HalfCloses {
 		return staleResult
 	}
@@ -72,7 +72,7 @@
 	return lostResult
 }
 
-// answered tells the judge of an answer, and keeps the connection where it may be used again.
+// handleResponse reports a response to the judge and returns the connection to the pool if it can be reused.
 func (c *Clients) handleResponse(conn *clientConn, t *attempt, now time.Duration, answer *clientResponse) result {
 	if conn.in.Buffered() > 0 {
 		c.cfg.Observer.Extra(t.trace, now)
@@ -91,7 +91,7 @@
 	return result{end: answer.end, retryAfter: answer.retryAfter}
 }
 
-// slowReader takes its time over each read.
+// slowReader reads at most 16 bytes every 2 ms.
 type slowReader struct{ from io.Reader }
 
 func (s *slowReader) Read(p []byte) (int, error) {
@@ -99,7 +99,7 @@
 	return s.from.Read(p[:min(len(p), 16)])
 }
 
-// request renders a request as the protocol has it.
+// request returns the bytes of a request in the format of the protocol's pages.
 func (c *Clients) request(a *scenario.Arrival, try int, trace string, left time.Duration) string {
 	s := c.cfg.Scenario
 	class := &s.Classes[a.Class]
@@ -109,7 +109,7 @@
 		method, body = "GET", ""
 	}
 	path := "/" + a.Object
-	if s.RPCServers() { // by the path they know the method
+	if s.RPCServers() { // MessagePack-RPC servers get the method from the path
 		method, path, body = "POST", "", string(c.params(a, try, trace, left))
 	}
 	fmt.Fprintf(&b, "%s /api/%s%s HTTP/1.1\r\nHost: lab.svc\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Customer: "+
@@ -139,7 +139,7 @@
 	closeConn  bool
 }
 
-// mostAnswer bounds what a client reads of an answer.
+// maxResponseBytes bounds what a client reads of a response body.
 const maxResponseBytes = 1 << 20
 
 func readHTTPResponse(in *bufio.Reader) (*clientResponse, error) {
@@ -169,7 +169,7 @@
 	case http.StatusOK:
 		bodyTrace, _, _ := strings.Cut(string(body), " ")
 		a.bodyTrace = bodyTrace
-		if strings.HasSuffix(string(body), ".\n") { // else it is not whole, and the client can tell
+		if strings.HasSuffix(string(body), ".\n") { // otherwise the body is truncated, which the client detects
 			a.end, a.judged = scenario.Served, judge.Served
 		}
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
--- a/lab/standin/clientpool.go
+++ b/lab/standin/clientpool.go
@@ -1,6 +1,6 @@
 package standin
 
-// This file keeps the clients' HTTP connections to a sidecar.
+// This file implements the clients' pool of HTTP connections to a sidecar.
 
 import (
 	"bufio"
@@ -13,11 +13,11 @@
 	"time"
 )
 
-// callerPool keeps the clients' connections to one sidecar.
+// clientPool holds the clients' connections to one sidecar.
 type clientPool struct {
 	addr         string
 	openSlots    chan struct{}
-	shuttingDown atomic.Bool // it is about to end, and gets no new connections
+	shuttingDown atomic.Bool // the sidecar is terminating and gets no new connections
 
 	mu   sync.Mutex
 	idle []*clientConn
@@ -26,13 +26,13 @@
 type clientConn struct {
 	net.Conn
 	in        *bufio.Reader
-	lastTrace string // the request that was answered last
+	lastTrace string // trace of the request whose response came last
 	used      bool
 }
 
-var errShuttingDown = errors.New("client: the sidecar is about to end")
+var errShuttingDown = errors.New("client: the sidecar is shutting down")
 
-// get returns a kept connection on which nothing has come, or a new one.
+// get returns an idle connection without unread data, or a new one.
 func (p *clientPool) get(o ClientObserver, clock Clock) (*clientConn, error) {
 	p.mu.Lock()
 	var c *clientConn
@@ -44,7 +44,7 @@
 		switch checkConn(c.Conn) {
 		case connQuiet:
 			return c, nil
-		case connDataPending: // it belongs to no request: an answer too many
+		case connDataPending: // data that belongs to no request: a surplus response
 			o.Extra(c.lastTrace, clock())
 		}
 		_ = c.Close() // the connection is released even where this fails
@@ -74,7 +74,7 @@
 	p.idle = nil
 }
 
-// What waiting finds on a connection that nobody reads.
+// connState is the state of an idle connection, as found by checkConn.
 type connState int
 
 const (
@@ -89,7 +89,7 @@
 		return connEnded
 	}
 	state = connEnded
-	_ = raw.Control(func(fd uintptr) { // which fails on a closed one
+	_ = raw.Control(func(fd uintptr) { // Control fails if the connection is closed: the state remains connEnded
 		var b [1]byte
 		switch n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT); {
 		case err == syscall.EAGAIN:
--- a/lab/standin/flood.go
+++ b/lab/standin/flood.go
@@ -1,6 +1,6 @@
 package standin
 
-// This file has clients that do harm.
+// This file implements misbehaving clients.
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Flood keeps connections open that say nothing, or send what is no request, until ctx ends.
+// Flood keeps a number of connections open that send nothing or malformed requests, until ctx ends.
 func Flood(ctx context.Context, addr string, connections int) {
 	flood(ctx, addr, connections, []string{
 		"", // silent
@@ -21,7 +21,7 @@
 	})
 }
 
-// flood keeps connections open on which one of the texts is sent.
+// flood keeps a number of connections open, each of which sends one of the texts. Closed ones are replaced after 20 ms.
 func flood(ctx context.Context, addr string, connections int, texts []string) {
 	var tasks sync.WaitGroup
 	for i := range connections {
@@ -46,18 +46,17 @@
 	defer func() { _ = c.Close() }()                                // the connection is released even where this fails
 	defer context.AfterFunc(ctx, func() { _ = c.Close() })()        // the connection is released even where this fails
 	_ = c.SetDeadline(time.Now().Add(10 * time.Second))             // fails only on a closed connection, as the next call on it does
-	_, _ = io.WriteString(c, text)                                  // the peer may be gone, which the next read says
-	_, _ = io.Copy(io.Discard, io.LimitReader(c, maxResponseBytes)) // read only to be dropped
+	_, _ = io.WriteString(c, text)                                  // a closed connection is reported by the next read
+	_, _ = io.Copy(io.Discard, io.LimitReader(c, maxResponseBytes)) // discarded
 }
 
-// FloodRPC keeps connections open to an address for MessagePack-RPC that say nothing, or send what is no request, until
-// ctx ends.
+// FloodRPC is Flood for an address that serves MessagePack-RPC.
 func FloodRPC(ctx context.Context, addr string, connections int) {
 	flood(ctx, addr, connections, []string{
 		"",                                  // silent
 		"GET / HTTP/1.1\r\nHost: x\r\n\r\n", // another protocol
-		"\x94\x00\x07\xa4half",              // half a request
-		"\x94\x00\x07\xdb\xff\xff\xff\xff",  // 4 GiB are announced
+		"\x94\x00\x07\xa4half",              // truncated request
+		"\x94\x00\x07\xdb\xff\xff\xff\xff",  // announces a string of 4 GiB
 		"\x94\x00\xcf\x00\x00\x00\x01\x00\x00\x00\x00\xa1m\x90", // an id of 2^32
 		strings.Repeat("\x91", 100000),
 	})
--- a/lab/standin/held.go
+++ b/lab/standin/held.go
@@ -12,13 +12,14 @@
 	"firplank/lab/scenario"
 )
 
-// Held are connections that clients keep open all day and hardly use, as counter terminals do.
+// HeldConns are connections that clients keep open for the whole run and rarely use, such as those of counter terminals.
 type HeldConns struct {
 	mu    sync.Mutex
-	conns [][]*clientConn // by sidecar; nil where it is in use, or gone
+	conns [][]*clientConn // by sidecar; nil: taken or closed
 }
 
-// Hold opens so many connections to each sidecar, and asks on each once whether it is up, so that it is known to speak HTTP.
+// OpenHeldConns opens a number of connections (each) to every sidecar. It sends GET /up once on each, so that the sidecar
+// recognizes it as HTTP.
 func OpenHeldConns(ctx context.Context, addrs []string, each int) (*HeldConns, error) {
 	h := &HeldConns{conns: make([][]*clientConn, len(addrs))}
 	for sidecar, addr := range addrs {
@@ -52,7 +53,7 @@
 	return c, nil
 }
 
-// take gives the connection of a first try that goes out on one.
+// take returns the held connection that an arrival's first try uses, or nil if it uses none.
 func (h *HeldConns) take(a *scenario.Arrival, try, sidecar int) *clientConn {
 	if h == nil || a.Held == 0 || try > 0 {
 		return nil
@@ -64,7 +65,7 @@
 	return c
 }
 
-// Close closes those that were not taken; the others are with the clients' own.
+// Close closes the connections that were not taken. Taken ones are in the clients' pools.
 func (h *HeldConns) Close() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/lab/standin/roster.go
+++ b/lab/standin/roster.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Entry is a server as the roster lists it.
+// Entry is a server in the roster's list.
 type Entry struct {
 	ID      string
 	Addr    func(sidecar int) string
@@ -16,22 +16,22 @@
 	Kind    string
 	Cell    int
 	Size    float64
-	UpSince time.Time // zero: long ago
+	UpSince time.Time // zero: long ago, sent as 0
 }
 
-// RosterConfig describes a stand-in roster.
+// RosterConfig configures a stand-in roster.
 type RosterConfig struct {
-	Push         bool          // an agent beside each sidecar: it answers at once, with what it has been sent
-	ChangeDelay  time.Duration // how late it knows of a change
-	ServiceTime  time.Duration // how long a call takes it; calls are worked through in turn
-	MaxQueueWait time.Duration // a call that has to wait longer in turn fails
-	AlwaysFull   bool          // whole lists in place of changes
+	Push         bool          // acts as an agent beside each sidecar, which answers at once with its last list
+	ChangeDelay  time.Duration // delay until it lists a change
+	ServiceTime  time.Duration // per call; calls are handled one after the other
+	MaxQueueWait time.Duration // calls that would queue for longer fail; 0: no bound
+	AlwaysFull   bool          // sends complete lists instead of changes
 	Clock        Clock
 	Observer     RosterObserver
 }
 
-// Roster is a stand-in for discovery. Each sidecar has an address of its own, so that it is told the addresses of its
-// own links.
+// Roster is a stand-in for the discovery service. Each sidecar calls it at an address of its own, so that each gets the
+// servers' addresses of its own links.
 type Roster struct {
 	cfg     RosterConfig
 	addrs   []string
@@ -41,16 +41,16 @@
 	revision       int64
 	members        map[string]*listedEntry
 	order          []string
-	changed        chan struct{} // closed when something has changed
+	changed        chan struct{} // closed at the next change, to wake watches
 	down           bool
 	extraDelay     time.Duration
 	malformed      bool
-	truncatedShare float64 // share of the answers that break off
-	busyShare      float64 // share of the calls that are turned away ...
+	truncatedShare float64 // share of the responses that are truncated
+	busyShare      float64 // share of the calls that are rejected
 	busyDelay      time.Duration
 	shareCount     int
-	muted          chan struct{} // closed when the watches that are open fall silent
-	idleAt         time.Duration // when the calls before are worked through
+	muted          chan struct{} // closed when the open watches stop responding
+	idleAt         time.Duration // when all calls so far will have been handled
 	calls          int
 	tasks          sync.WaitGroup
 	closed         chan struct{}
@@ -62,8 +62,8 @@
 	revision int64
 }
 
-// NewRoster starts a roster for a number of sidecars. Each has two addresses, of which Addr is the first and Other the
-// one that a new configuration may name.
+// NewRoster starts a roster for a number of sidecars. Each has two addresses with the same list: Addr, and SecondAddr for a
+// changed configuration.
 func NewRoster(cfg RosterConfig, sidecars int) (*Roster, error) {
 	r := &Roster{
 		cfg: cfg, members: map[string]*listedEntry{}, changed: make(chan struct{}), muted: make(chan struct{}),
@@ -77,18 +77,18 @@
 		}
 		server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) { r.serve(w, req, i%sidecars) })}
 		r.addrs, r.servers = append(r.addrs, ln.Addr().String()), append(r.servers, server)
-		r.tasks.Go(func() { _ = server.Serve(ln) }) // until Close, of which it says nothing else
+		r.tasks.Go(func() { _ = server.Serve(ln) }) // always returns an error after Close
 	}
 	return r, nil
 }
 
-// Addr is where a sidecar asks.
+// Addr returns the address at which a sidecar calls the roster.
 func (r *Roster) Addr(sidecar int) string { return r.addrs[sidecar] }
 
-// Other is the sidecar's second address, with the same list.
+// SecondAddr returns the sidecar's second address, which serves the same list.
 func (r *Roster) SecondAddr(sidecar int) string { return r.addrs[len(r.addrs)/2+sidecar] }
 
-// Set lists a server in a phase ("ready", "draining" or "gone") after the roster's delay.
+// Set lists a server in a phase ("ready", "draining" or "gone") after RosterConfig.ChangeDelay.
 func (r *Roster) Set(e Entry, phase string) {
 	if r.cfg.ChangeDelay == 0 {
 		r.apply(e, phase)
@@ -103,7 +103,7 @@
 	})
 }
 
-// SetNow lists a server without delay, as at the start of a run.
+// SetNow lists a server without delay, for the start of a run.
 func (r *Roster) SetNow(e Entry, phase string) { r.apply(e, phase) }
 
 func (r *Roster) apply(e Entry, phase string) {
@@ -120,27 +120,27 @@
 	r.wakeWatches()
 }
 
-// wake ends the waiting of watches. The caller holds mu.
+// wakeWatches makes all open watches check for changes. The caller holds mu.
 func (r *Roster) wakeWatches() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// Calls returns how many calls came.
+// Calls returns the number of calls received.
 func (r *Roster) Calls() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.calls
 }
 
-// Current returns the whole list for a sidecar.
+// Current returns the complete list for a sidecar.
 func (r *Roster) Current(sidecar int) List {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.list(sidecar, -1)
 }
 
-// Close ends the roster and waits for all that it started.
+// Close stops the roster and waits for its goroutines. Further calls are no-ops.
 func (r *Roster) Close() {
 	select {
 	case <-r.closed:
--- a/lab/standin/rosterfaults.go
+++ b/lab/standin/rosterfaults.go
@@ -1,12 +1,13 @@
 package standin
 
-// This file makes the roster fail on command.
+// This file injects faults into the roster.
 
 import (
 	"time"
 )
 
-// SetDown puts the roster out of reach: calls are reset and watches end. An agent stays up and learns nothing.
+// SetDown makes the roster unreachable: calls are reset and watches end. With RosterConfig.Push, the agent keeps answering
+// but gets no changes.
 func (r *Roster) SetDown(down bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -14,14 +15,14 @@
 	r.wakeWatches()
 }
 
-// SetSlow makes answers later by d, and SetGarble makes them no lists.
+// SetSlow delays responses by d.
 func (r *Roster) SetSlow(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.extraDelay = d
 }
 
-// SetGarble makes answers what is no list.
+// SetGarble makes responses malformed.
 func (r *Roster) SetGarble(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -29,21 +30,21 @@
 	r.wakeWatches()
 }
 
-// SetBreak has a share of the answers break off.
+// SetBreak truncates a share of the responses.
 func (r *Roster) SetBreak(share float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.truncatedShare = share
 }
 
-// SetBusy has a share of the calls turned away after a time.
+// SetBusy rejects a share of the calls with 503 after a delay.
 func (r *Roster) SetBusy(share float64, after time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.busyShare, r.busyDelay = share, after
 }
 
-// Mute has the watches that are open fall silent.
+// Mute makes the open watches stop responding, on connections that stay open.
 func (r *Roster) Mute() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -51,7 +52,8 @@
 	r.muted = make(chan struct{})
 }
 
-// Restart lets the roster come back as one that has lost its place: its revisions begin anew, below those of before.
+// Restart simulates a restart without stored state: revisions start again below the earlier ones, and servers that are gone
+// are no longer listed.
 func (r *Roster) Restart() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/lab/standin/rosterserve.go
+++ b/lab/standin/rosterserve.go
@@ -1,6 +1,6 @@
 package standin
 
-// This file answers calls to the roster.
+// This file serves calls to the roster.
 
 import (
 	"context"
@@ -16,10 +16,10 @@
 	"firplank/lab/judge"
 )
 
-// mostHold bounds a watch.
+// maxHold bounds the duration of a watch.
 const maxHold = time.Minute
 
-// Member is the form of an entry on the wire.
+// Member is the wire format of an entry.
 type Member struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
@@ -31,43 +31,45 @@
 	UpSince  int64   `json:"up_since_ms"`
 }
 
-// List is the form of an answer on the wire.
+// List is the wire format of a response.
 type List struct {
 	Revision int64    `json:"revision"`
 	Complete bool     `json:"complete"`
 	Members  []Member `json:"members"`
 }
 
-// spread reports of a share of the calls, evenly. The caller holds mu.
+// selectShare counts the call and reports whether it belongs to the given share of calls, evenly distributed. The caller
+// holds mu.
 func (r *Roster) selectShare(share float64) bool {
 	r.shareCount++
 	return int(float64(r.shareCount)*share) > int(float64(r.shareCount-1)*share)
 }
 
-// breakOff writes part of an answer and ends it in one of three ways.
+// truncateResponse writes the first half of a response, and then stalls (ending 0), resets (1) or closes the connection (2).
 func (r *Roster) truncateResponse(w http.ResponseWriter, text []byte, ending int) {
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
-	_, _ = w.Write(text[:len(text)/2])        // fails only where the client is gone
-	_ = http.NewResponseController(w).Flush() // fails only where the client is gone
+	_, _ = w.Write(text[:len(text)/2])        // fails only if the client has disconnected
+	_ = http.NewResponseController(w).Flush() // fails only if the client has disconnected
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
 	}
-	if ending == 0 { // it stops, until the other side ends the connection
+	if ending == 0 { // stalls until the client closes the connection
 		r.tasks.Go(func() {
 			defer func() { _ = conn.Close() }()               // the connection is released even where this fails
 			_ = conn.SetReadDeadline(time.Now().Add(maxHold)) // fails only on a closed connection, as the next call on it does
-			_, _ = io.Copy(io.Discard, conn)                  // read only to be dropped
+			_, _ = io.Copy(io.Discard, conn)                  // discarded
 		})
 		return
 	}
 	if tcp, ok := conn.(*net.TCPConn); ok && ending == 1 {
-		_ = tcp.SetLinger(0) // without it the connection closes in the ordinary way
+		_ = tcp.SetLinger(0) // if this fails the connection is closed without a reset
 	}
 	_ = conn.Close() // the connection is released even where this fails
 }
 
-// list renders what is newer than from, or the whole list where from is below 0. The caller holds mu.
+// list returns the changes after revision from, or the complete list if from is negative or above the present revision.
+// The caller holds mu.
 func (r *Roster) list(sidecar int, from int64) List {
 	l := List{Revision: r.revision, Complete: from < 0 || from > r.revision || r.cfg.AlwaysFull, Members: []Member{}}
 	for _, id := range r.order {
@@ -89,14 +91,14 @@
 // rosterCall is one call to the roster.
 type rosterCall struct {
 	sidecar int
-	from    int64 // the revision that the caller knows; below 0: none
+	from    int64 // the revision that the caller has; negative: none
 	hold    time.Duration
-	onEnd   func(judge.CallEnd, time.Duration) // is told how it ended, and when
+	onEnd   func(judge.CallEnd, time.Duration) // called with how the call ended, and when
 }
 
 var errNotNumber = errors.New("from or hold_ms is no number")
 
-// parseCall reads what a caller asks for.
+// parseCall parses the query of a call.
 func parseCall(query url.Values) (rosterCall, error) {
 	c := rosterCall{from: -1}
 	text := query.Get("from")
@@ -115,7 +117,7 @@
 	return c, nil
 }
 
-// serve answers a call, if the faults in force let it be answered.
+// serve handles a call, subject to the injected faults.
 func (r *Roster) serve(w http.ResponseWriter, req *http.Request, sidecar int) {
 	if req.Method != http.MethodGet || req.URL.Path != "/discovery/hosts" {
 		http.NotFound(w, req)
@@ -142,12 +144,12 @@
 		} else {
 			call.onEnd(judge.CallTurnedAway, r.cfg.Clock())
 		}
-		panic(http.ErrAbortHandler) // as one that is out of reach
+		panic(http.ErrAbortHandler) // resets the connection, like an unreachable service
 	}
 	r.reply(w, &call)
 }
 
-// turnAway answers after a while that the roster is busy.
+// rejectBusy responds with 503 after a delay.
 func (r *Roster) rejectBusy(ctx context.Context, w http.ResponseWriter, call *rosterCall, after time.Duration) {
 	if !r.sleep(ctx, after) {
 		call.onEnd(judge.CallLeft, r.cfg.Clock())
@@ -157,10 +159,10 @@
 	http.Error(w, "busy", http.StatusServiceUnavailable)
 }
 
-// garbled is an answer that is no list.
+// malformedList is a truncated list with invalid members.
 const malformedList = `{"revision":9,"complete":true,"members":[{"id":"","host_port":"nowhere","phase":"odd"}`
 
-// reply writes the list as of now, garbled or broken off where such a fault is in force.
+// reply writes the present list, malformed or truncated if such a fault is injected.
 func (r *Roster) reply(w http.ResponseWriter, call *rosterCall) {
 	r.mu.Lock()
 	l, malformed, truncated := r.list(call.sidecar, call.from), r.malformed, r.truncatedShare > 0 && r.selectShare(r.truncatedShare)
@@ -168,7 +170,7 @@
 	r.mu.Unlock()
 	if malformed {
 		call.onEnd(judge.CallBroken, r.cfg.Clock())
-		_, _ = io.WriteString(w, malformedList) // fails only where the client is gone
+		_, _ = io.WriteString(w, malformedList) // fails only if the client has disconnected
 		return
 	}
 	text, err := json.Marshal(l)
@@ -198,7 +200,7 @@
 	}
 }
 
-// notices returns which servers a list tells of, and whether they are ready. The caller holds mu.
+// notices returns the servers that a list has news of, with whether each is ready. The caller holds mu.
 func (r *Roster) notices(complete bool, from int64) map[string]bool {
 	notices := make(map[string]bool, len(r.order))
 	for _, id := range r.order {
@@ -212,7 +214,8 @@
 	return notices
 }
 
-// inTurn waits until the calls before this one are worked through; false where that takes too long.
+// waitTurn waits until the calls before this one have been handled. It returns false if the queue is too long, the roster is
+// down or the call ends.
 func (r *Roster) waitTurn(ctx context.Context) bool {
 	r.mu.Lock()
 	r.calls++
@@ -247,7 +250,8 @@
 	return false
 }
 
-// await holds a watch until there is news; false where the roster goes out of reach.
+// awaitChange holds a watch until there are changes or hold is over. It returns false if the roster becomes unreachable, the
+// watch is muted or the call ends.
 func (r *Roster) awaitChange(ctx context.Context, muted <-chan struct{}, from int64, hold time.Duration) bool {
 	timer := time.NewTimer(hold)
 	defer timer.Stop()
--- a/lab/standin/rpcclient.go
+++ b/lab/standin/rpcclient.go
@@ -15,7 +15,7 @@
 	"firplank/lab/scenario"
 )
 
-// rpcAnswer is a response frame, or how the connection ended.
+// rpcResponse is a response frame, or the error that ended the connection.
 type rpcResponse struct {
 	failure any
 	result  any
@@ -23,7 +23,7 @@
 	err     error
 }
 
-// rpcClient is a connection with many requests open.
+// rpcClient is a connection with several requests in flight.
 type rpcClient struct {
 	net.Conn
 	clock    Clock
@@ -34,7 +34,7 @@
 	lastID    uint32
 	open      map[uint32]chan rpcResponse
 	givenUp   map[uint32]bool
-	lastTrace string // the request that was answered last
+	lastTrace string // trace of the request whose response came last
 	used      bool
 	ended     bool
 }
@@ -50,7 +50,8 @@
 	return c.ended
 }
 
-// read hands responses to who waits for them, until the connection ends.
+// read delivers responses to the waiting requests until the connection ends. A response to no open request is reported as a
+// surplus one, unless its client gave up earlier.
 func (c *rpcClient) read(in *bufio.Reader) {
 	for {
 		id, a, err := readRPCResponse(in)
@@ -80,7 +81,7 @@
 	}
 }
 
-var errNoResponse = errors.New("client: no response frame")
+var errNoResponse = errors.New("client: not a response frame")
 
 func readRPCResponse(in *bufio.Reader) (id uint32, a rpcResponse, err error) {
 	dec := msgpack.NewDecoder(in)
@@ -101,7 +102,7 @@
 	return id, a, err
 }
 
-// send writes a request and returns where its response comes.
+// send writes a request and returns its id and the channel of its response.
 func (c *rpcClient) send(method string, params []byte) (uint32, <-chan rpcResponse, error) {
 	w := make(chan rpcResponse, 1)
 	c.mu.Lock()
@@ -114,7 +115,7 @@
 	c.open[id] = w
 	_ = c.Conn.SetWriteDeadline(time.Now().Add(time.Second)) // fails only on a closed connection, as the next call on it does
 	frame := encode([]any{0, id, method, nil})
-	_, err := c.Write(append(frame[:len(frame)-1], params...)) // in place of the nil
+	_, err := c.Write(append(frame[:len(frame)-1], params...)) // replaces the encoded nil
 	if err != nil {
 		delete(c.open, id)
 	}
@@ -130,7 +131,7 @@
 	}
 }
 
-// params are what a try says; HTTP clients send them as a body where servers speak MessagePack-RPC.
+// params encodes the parameters of a try. HTTP clients send them as the body if the servers speak MessagePack-RPC.
 func (c *Clients) params(a *scenario.Arrival, try int, trace string, left time.Duration) []byte {
 	s := c.cfg.Scenario
 	fields := map[string]any{
@@ -146,12 +147,13 @@
 	return encode([]any{fields})
 }
 
-// tryRPC sends a request once. One that crossed the end of its connection is sent once more on a new one.
+// tryRPC sends a request once. If the request crossed the close of its connection, it is sent again on another one, within the
+// same try.
 func (c *Clients) tryRPC(t *attempt) result {
 	for {
 		conn, err := c.rpcConn(c.rpc[t.sidecar], t.arrival, t.sidecar)
 		if err != nil {
-			return lostResult // it never reached the sidecar
+			return lostResult // the request never reached the sidecar
 		}
 		r := c.exchangeRPC(conn, t)
 		if t.arrival.Quirk != scenario.Usual {
@@ -163,7 +165,7 @@
 	}
 }
 
-// exchangeRPC sends a request and waits for its response.
+// exchangeRPC sends a request and waits for its response until the client's limit and Linger are over.
 func (c *Clients) exchangeRPC(conn *rpcClient, t *attempt) result {
 	a := t.arrival
 	left := t.giveUpAt - c.cfg.Clock()
@@ -190,7 +192,7 @@
 	select {
 	case r = <-answered:
 	case <-timer.C:
-		conn.giveUp(id) // the judge finds it unanswered
+		conn.giveUp(id) // the judge reports the missing response
 		return lostResult
 	}
 	if r.err != nil {
@@ -211,7 +213,8 @@
 	return result{end: end, retryAfter: retryAfter}
 }
 
-// read tells what a response comes to.
+// classify returns the outcome of a response for the client and for the judge, the delay before a retry, and the trace that
+// its body names.
 func (r *rpcResponse) classify() (end scenario.Ending, judged judge.Answer, retryAfter time.Duration, bodyTrace string) {
 	if fields, ok := r.failure.(map[string]any); ok {
 		if fields["code"] != "refused" {
--- a/lab/standin/rpcpool.go
+++ b/lab/standin/rpcpool.go
@@ -1,6 +1,6 @@
 package standin
 
-// This file keeps the clients' MessagePack-RPC connections to a sidecar.
+// This file implements the clients' pool of MessagePack-RPC connections to a sidecar.
 
 import (
 	"bufio"
@@ -14,13 +14,14 @@
 )
 
 const (
-	// rpcShared is how many connections the clients of one sidecar share.
+	// sharedRPCConns is the number of connections that the clients of one sidecar share.
 	sharedRPCConns = 2
-	// crossing is how long before the end of a connection a frame may have been sent that the sidecar had not read.
+	// closeRaceWindow is how long before the end of a connection a request may have been sent without the sidecar having
+	// read it.
 	closeRaceWindow = 100 * time.Millisecond
 )
 
-// rpcPool keeps the connections to one sidecar over which tries are pipelined.
+// rpcPool holds the connections to one sidecar on which tries are multiplexed.
 type rpcPool struct {
 	addr string
 
@@ -45,7 +46,7 @@
 	return c, nil
 }
 
-// get returns one of the shared connections, a new one in place of one that has ended.
+// get returns the next of the shared connections, in rotation. One that has ended is replaced by a new one.
 func (p *rpcPool) get(cfg *ClientsConfig, shuttingDown bool) (*rpcClient, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -77,7 +78,7 @@
 	}
 }
 
-// rpcConn returns a shared connection, or one of its own for a client that is odd.
+// rpcConn returns a shared connection, or a dedicated one for a client with a quirk.
 func (c *Clients) rpcConn(p *rpcPool, a *scenario.Arrival, sidecar int) (*rpcClient, error) {
 	shuttingDown := c.pools[sidecar].shuttingDown.Load()
 	if a.Quirk == scenario.Usual {
--- a/lab/standin/rpcserver.go
+++ b/lab/standin/rpcserver.go
@@ -15,8 +15,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// The stand-ins for MessagePack-RPC read and write with a library that the sidecar does not use, so that they share no
-// mistake with it.
+// The stand-ins encode and decode MessagePack-RPC with a library that the sidecar does not use, so that they share no bugs
+// with it.
 
 // rpcRequest is a request frame as a server reads it.
 type rpcRequest struct {
@@ -27,7 +27,7 @@
 	notification bool // a notification
 }
 
-var errNotRequest = errors.New("no frame of a client's")
+var errNotRequest = errors.New("not a request or notification frame")
 
 // readRequest reads a request or notification.
 func (s *Server) readRequest(in *bufio.Reader) (*rpcRequest, error) {
@@ -35,7 +35,7 @@
 		return nil, err
 	}
 	req := &rpcRequest{firstByteAt: s.cfg.Clock()}
-	dec := msgpack.NewDecoder(in) // which reads no further than it decodes
+	dec := msgpack.NewDecoder(in) // does not read ahead of what it decodes
 	n, err := dec.DecodeArrayLen()
 	if err != nil {
 		return nil, err
@@ -68,7 +68,7 @@
 	return v
 }
 
-// left is how long the client waits.
+// left returns the time until the client's deadline; a minute if the request names none.
 func (r *rpcRequest) timeLeft() time.Duration {
 	ms, ok := r.fields["left_ms"].(float64)
 	if !ok {
@@ -77,13 +77,13 @@
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// rpcConn is a connection with many requests in work.
+// rpcConn is a connection with several requests in progress.
 type rpcConn struct {
 	*serverConn
 	writeMu sync.Mutex
 }
 
-// serveRPC answers what comes on a connection, each request when it is done.
+// serveRPC serves requests of a connection concurrently and writes each response when it is ready.
 func (s *Server) serveRPC(c *serverConn) {
 	rc := &rpcConn{serverConn: c}
 	connClosed := make(chan incoming)
@@ -129,7 +129,7 @@
 	working.Wait()
 }
 
-// encode encodes what cannot fail.
+// encode encodes values that are always encodable and panics otherwise.
 func encode(v any) []byte {
 	b, err := msgpack.Marshal(v)
 	if err != nil {
@@ -138,7 +138,7 @@
 	return b
 }
 
-// frame renders a reply.
+// frame returns the response frame of a reply.
 func (r *reply) frame(id uint32) []byte {
 	switch r.status {
 	case http.StatusOK:
@@ -149,16 +149,17 @@
 	return encode([]any{1, id, map[string]any{"code": "error", "message": r.body}, nil})
 }
 
-// writeRPC sends a reply, spoilt as the fault says: in each form the frame is what the HTTP answer of that form is.
+// writeRPC sends a reply, corrupted if the fault says so. Each form corrupts the frame in the way that the same form corrupts
+// an HTTP response.
 func (s *Server) writeRPC(c *rpcConn, id uint32, r *reply) {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
 	plain := r.frame(id)
-	closeConn := false // the connection is of no further use
+	closeConn := false // the connection can't be used further
 	switch r.spoil.Form {
 	case "noise":
 		plain, closeConn = []byte("\xc1\x16\x03 no frame at all"), true
-	case "endless_head": // arrays in arrays, without end
+	case "endless_head": // nested arrays without end
 		writeRepeatedly(c, strings.Repeat("\x91", 10000), maxSpoilBytes/10000)
 		return
 	case "short_length":
@@ -192,10 +193,10 @@
 			time.Sleep(r.spoil.Delay)
 			c.writeMu.Lock()
 			defer c.writeMu.Unlock()
-			_, _ = c.Write(again) // the peer may be gone, which the next read says
+			_, _ = c.Write(again) // a closed connection is reported by the next read
 		})
 	}
-	_, _ = c.Write(plain) // the peer may be gone, which the next read says
+	_, _ = c.Write(plain) // a closed connection is reported by the next read
 	if closeConn {
 		_ = c.Close() // the connection is released even where this fails
 	}
--- a/lab/standin/server.go
+++ b/lab/standin/server.go
@@ -10,40 +10,40 @@
 	"firplank/lab/model"
 )
 
-// ServerClass is a class as servers know it.
+// ServerClass is a request class as configured at a server.
 type ServerClass struct {
 	Keyed  bool
-	Cell   *Cell // the memory that drops repeats of a keyed one
+	Cell   *Cell // key table that drops repeats of keyed requests
 	Window time.Duration
 	Work   func(trace string) (work, wait time.Duration)
 }
 
-// ServerConfig describes a stand-in server.
+// ServerConfig configures a stand-in server.
 type ServerConfig struct {
 	ID            string
 	Cell          int
 	Spec          model.Spec
 	Cold          bool
 	Classes       map[string]ServerClass
-	Reports       []string // figures of the load report, of inflight, queue, util and qps; none: no reports
+	Reports       []string // fields of the load report: inflight, queue, util, qps; empty: no reports
 	Probes        bool
-	HandshakeWork time.Duration // work that a new connection costs
-	MaxConns      int           // open at once; 0: no cap
-	IdleTimeout   time.Duration // after which an unused connection is closed; 0: never
-	RPC           bool          // it speaks MessagePack-RPC in place of HTTP
+	HandshakeWork time.Duration // core time that a new connection costs
+	MaxConns      int           // open at the same time; 0: no limit
+	IdleTimeout   time.Duration // before an unused connection is closed; 0: an hour
+	RPC           bool          // speaks MessagePack-RPC instead of HTTP
 	Clock         Clock
 	Observer      ServerObserver
 }
 
-// Spoil is what a server does to some of its answers.
+// Spoil says how a server corrupts some of its responses.
 type Spoil struct {
-	Form  string        // of scenario's forms; "": nothing
-	Share float64       // of the answers
-	Delay time.Duration // before a second copy
+	Form  string        // one of the forms of lab/scenario; "": none
+	Share float64       // of the successful responses
+	Delay time.Duration // before the second copy of form second_copy
 }
 
-// Server is a stand-in server. It listens on one address for each sidecar, so that it knows who asks and a single link
-// can be cut. The zero value is not usable; Close ends it.
+// Server is a stand-in server. It listens on one address per sidecar, so that it can tell the sidecars apart and a single link
+// can be cut. The zero value is not usable. Close stops it.
 type Server struct {
 	cfg   ServerConfig
 	addrs []string
@@ -63,10 +63,10 @@
 	tasks    sync.WaitGroup
 }
 
-// link is the way from one sidecar.
+// link is the listener for one sidecar.
 type link struct {
 	ln          net.Listener
-	reservation *Reservation // while nothing listens
+	reservation *Reservation // of the address, while nothing listens
 	silent      bool
 }
 
@@ -80,7 +80,7 @@
 
 const (
 	jobFinished jobEnd = iota
-	jobExpired         // it expired while it waited
+	jobExpired         // its deadline passed while it was queued
 	jobInterrupted
 )
 
@@ -107,10 +107,10 @@
 	return s, nil
 }
 
-// ID returns the name of the server.
+// ID returns the server's id.
 func (s *Server) ID() string { return s.cfg.ID }
 
-// Addr returns the address at which the sidecar of a number finds the server.
+// Addr returns the address for the sidecar with number link.
 func (s *Server) Addr(link int) string { return s.addrs[link] }
 
 // schedule sets the timer to the model's next event. The caller holds mu.
@@ -130,7 +130,7 @@
 	s.schedule()
 }
 
-// deliver tells the connections what has ended. The caller holds mu.
+// endJobs notifies the connections of the jobs that ended. The caller holds mu.
 func (s *Server) endJobs(done []model.Done) {
 	for _, d := range done {
 		j := s.jobs[d.ID]
@@ -147,7 +147,7 @@
 	}
 }
 
-// Held returns how many requests are in work or wait, and how many connections are open.
+// Held returns the number of requests that run or are queued, and the number of open connections.
 func (s *Server) Held() (requests, conns int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,7 +155,7 @@
 	return work + queue, len(s.conns)
 }
 
-// Close ends the server and waits for all that it started.
+// Close stops the server and waits for its goroutines.
 func (s *Server) Close() {
 	s.Crash()
 	s.mu.Lock()
--- a/lab/standin/serverconn.go
+++ b/lab/standin/serverconn.go
@@ -1,6 +1,6 @@
 package standin
 
-// This file is a server's connection that speaks HTTP.
+// This file implements a server's HTTP connections.
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 type serverConn struct {
 	net.Conn
 	link    int
-	overCap bool // beyond the cap
+	overCap bool // beyond ServerConfig.MaxConns
 }
 
 func (s *Server) accept(number int, ln net.Listener) {
@@ -40,21 +40,21 @@
 	})
 }
 
-// reset ends a connection as the death of its process would.
+// resetConn closes a connection with a reset, as when its process is killed.
 func resetConn(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // without it the connection closes in the ordinary way
+		_ = tcp.SetLinger(0) // if this fails the connection is closed without a reset
 	}
 	_ = c.Close() // the connection is released even where this fails
 }
 
-// incoming is a request that a connection brought.
+// incoming is an HTTP request read from a connection.
 type incoming struct {
 	*http.Request
 	firstByteAt time.Duration
 }
 
-// serve answers what comes on a connection, one request after the other.
+// serve serves the requests of a connection one after the other.
 func (s *Server) serve(c *serverConn) {
 	defer func() {
 		s.mu.Lock()
@@ -74,7 +74,7 @@
 	defer idle.Stop()
 	for req := range requests {
 		idle.Stop()
-		if s.isSilent(c.link) { // the machine is cut off: nothing has come, and nothing is ever said
+		if s.isSilent(c.link) { // the link is cut: the request counts as not received and gets no response
 			continue
 		}
 		text := s.answer(c, req, requests)
@@ -86,7 +86,7 @@
 	}
 }
 
-// readRequests reads what comes on a connection until it ends or stop is closed.
+// readRequests reads requests from a connection until it ends or stop is closed.
 func (s *Server) readRequests(c *serverConn, stop <-chan struct{}) <-chan incoming {
 	requests := make(chan incoming)
 	s.tasks.Go(func() {
@@ -100,7 +100,7 @@
 			if req.Request, err = http.ReadRequest(in); err != nil {
 				return
 			}
-			// Read at once, or the next Peek would find the rest of it.
+			// The body is read here, as the next Peek would otherwise return its bytes.
 			if _, err = io.Copy(io.Discard, io.LimitReader(req.Body, 64<<10)); err != nil {
 				return
 			}
@@ -114,7 +114,7 @@
 	return requests
 }
 
-// linger keeps a connection that is of no further use open until the other side ends it, as some machines do.
+// awaitPeerClose keeps a connection open that is no longer served until the peer closes it, as some hosts do.
 func awaitPeerClose(requests <-chan incoming) {
 	for range requests {
 	}
--- a/lab/standin/serverfaults.go
+++ b/lab/standin/serverfaults.go
@@ -1,6 +1,6 @@
 package standin
 
-// This file makes a server fail on command.
+// This file injects faults into a server.
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"firplank/lab/model"
 )
 
-// breakOff ends all work: what was begun may have had its effect. The caller holds mu.
+// abortWork ends all jobs. Running ones are reported as executed, since they may have had their effect. The caller holds mu.
 func (s *Server) abortWork() {
 	s.endJobs(s.model.Advance(s.cfg.Clock()))
 	for _, w := range s.model.Working() {
@@ -24,7 +24,7 @@
 	s.model.Clear()
 }
 
-// Crash ends the server as the death of its process does: connections are reset and new ones refused.
+// Crash ends the server as if its process were killed: connections are reset and new ones refused.
 func (s *Server) Crash() {
 	s.mu.Lock()
 	if !s.running {
@@ -38,7 +38,7 @@
 		conns = append(conns, c)
 	}
 	for i, l := range s.links {
-		_ = l.ln.Close() // accepting ends either way
+		_ = l.ln.Close() // the accept loop ends in any case
 		l.reservation = Reserve(s.addrs[i])
 	}
 	s.mu.Unlock()
@@ -47,7 +47,7 @@
 	}
 }
 
-// Restart starts a crashed server again at its addresses, cold.
+// Restart starts a crashed server again on its addresses, cold.
 func (s *Server) Restart() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,7 +61,7 @@
 		ln, err := relisten(s.addrs[i])
 		if err != nil {
 			s.running = false
-			return fmt.Errorf("server %s: start again: %w", s.cfg.ID, err)
+			return fmt.Errorf("server %s: restart: %w", s.cfg.ID, err)
 		}
 		l.ln, l.reservation, l.silent = ln, nil, false
 		s.accept(i, ln)
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// Replace starts another server, under a new id, at the addresses of this one, which has crashed.
+// Replace starts another server under a new id on the addresses of this one, which must have crashed.
 func (s *Server) Replace(id string) (*Server, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,20 +90,20 @@
 		}
 		n.links = append(n.links, &link{ln: ln})
 	}
-	for i, l := range n.links { // not before all are there: connections look at them
+	for i, l := range n.links { // only when all links exist, as connections access them
 		n.accept(i, l.ln)
 	}
 	return n, nil
 }
 
-// Drain makes the server turn new requests away, or ends that.
+// SetDraining makes the server reject new requests, or accept them again.
 func (s *Server) SetDraining(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining = on
 }
 
-// SetSlow makes work take factor times as long.
+// SetSlow makes work take factor times as long; 1 restores the normal speed.
 func (s *Server) SetSlow(factor float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,29 +111,30 @@
 	s.schedule()
 }
 
-// SetSpoil spoils answers from now on.
+// SetSpoil corrupts responses from now on.
 func (s *Server) SetSpoil(sp Spoil) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.spoil = sp
 }
 
-// SetErrors makes a share of the answers 500, after the work.
+// SetErrors turns a share of the responses into status 500, after the work is done.
 func (s *Server) SetErrors(share float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.errors = share
 }
 
-// SetReportDelay makes load reports older by d.
+// SetReportDelay delays load reports by d, in addition to the delay of the model's Spec.
 func (s *Server) SetReportDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.model.SetReportDelay(s.cfg.Spec.ReportDelay + d)
 }
 
-// Silence cuts a link, or all of them with -1: nothing that comes on it is read any more and nothing is said. When it
-// ends, what was open is reset. New connections come up all the same, as the kernel completes them, and stay silent.
+// SetSilent cuts a link, or all links if number is -1: requests on it are ignored and nothing is sent. When the cut ends, the
+// open connections are reset. New connections are still established during the cut, since the kernel completes them, but get
+// no response.
 func (s *Server) SetSilent(number int, on bool) {
 	s.mu.Lock()
 	var cut []*serverConn
--- a/lab/standin/serverhandle.go
+++ b/lab/standin/serverhandle.go
@@ -1,6 +1,6 @@
 package standin
 
-// This file is what a server does with a request, whatever protocol told it.
+// This file handles a server's requests independently of their protocol.
 
 import (
 	"net/http"
@@ -11,7 +11,7 @@
 	"firplank/lab/model"
 )
 
-// reply is an answer to be written.
+// reply is a response to be written.
 type reply struct {
 	status    int
 	header    string
@@ -31,16 +31,16 @@
 	}, more)
 }
 
-// request is a request as any protocol tells it.
+// request is a request independent of its protocol.
 type request struct {
 	trace, class, key string
 	timeLeft          time.Duration
-	firstByteAt       time.Duration // when its first byte came
+	firstByteAt       time.Duration // when its first byte arrived
 	probe             bool
 }
 
-// handle gives a request its reply, or none where the connection ends with it. Something comes on more, or it is closed,
-// when the other side has given the request up.
+// handle returns the reply to a request, or nil if the connection ends without one. A value on more, or its close, means
+// that the client gave up the request.
 func (s *Server) handle(c *serverConn, req request, more <-chan incoming) *reply {
 	if req.probe {
 		return s.probe(false)
@@ -69,7 +69,7 @@
 					return s.successReply(trace)
 				}
 				return &reply{status: http.StatusInternalServerError, body: "the first one broke off\n"}
-			case <-more: // closed, or a second request where none may come
+			case <-more: // closed, or a second request before the first response
 				return nil
 			}
 		}
@@ -79,7 +79,7 @@
 	return s.runJob(trace, key, class, req.timeLeft, more)
 }
 
-// work runs a request through the model.
+// runJob runs a request through the model and returns its reply; nil if it gets none.
 func (s *Server) runJob(trace, key string, class ServerClass, left time.Duration, more <-chan incoming) *reply {
 	id, j, verdict := s.offerJob(trace, class, left)
 	switch verdict {
@@ -94,12 +94,12 @@
 	var end jobEnd
 	select {
 	case end = <-j.ended:
-	case <-more: // the other side has given it up
+	case <-more: // the client gave up
 		if s.dropQueued(id) {
 			class.Cell.forget(key)
 			return nil
 		}
-		end = <-j.ended // what is in work goes on, and is remembered
+		end = <-j.ended // a running job continues, and its key is kept
 	}
 	switch end {
 	case jobExpired:
@@ -113,7 +113,7 @@
 	return s.successReply(trace)
 }
 
-// offer asks the model to take a request in.
+// offerJob offers a request to the model and registers it if it is accepted.
 func (s *Server) offerJob(trace string, class ServerClass, left time.Duration) (id uint64, j *job, verdict model.Verdict) {
 	work, wait := class.Work(trace)
 	s.mu.Lock()
@@ -133,7 +133,7 @@
 	return id, j, verdict
 }
 
-// drop takes a request back that is not in work yet; false where it is.
+// dropQueued removes a queued request. It returns false if the request is already running or has ended.
 func (s *Server) dropQueued(id uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,7 +148,8 @@
 	return &reply{status: http.StatusServiceUnavailable, header: "X-Never-Ran: 1\r\n", body: "turned away\n"}
 }
 
-// served makes the answer of success: the first word of its body is the request's id, and a full stop ends it.
+// successReply returns the response to a completed request, or an error or corrupted one if such a fault is injected. The first
+// word of the body is the request's trace, and a full stop ends it.
 func (s *Server) successReply(trace string) *reply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -163,7 +164,7 @@
 	return r
 }
 
-// expiry reads the header of the time left; one that cannot be read means a long time.
+// parseExpiry parses the header with the remaining time; a minute if it is missing or malformed.
 func parseExpiry(text string) time.Duration {
 	for suffix, unit := range map[string]time.Duration{"m": time.Millisecond, "u": time.Microsecond} {
 		if number, ok := strings.CutSuffix(text, suffix); ok {
--- a/lab/standin/serverload.go
+++ b/lab/standin/serverload.go
@@ -1,6 +1,6 @@
 package standin
 
-// This file answers probes and questions about the load.
+// This file serves health probes and load reports.
 
 import (
 	"fmt"
@@ -26,7 +26,7 @@
 	return r
 }
 
-// report renders the load report as it is seen now. The caller holds mu.
+// report returns the present load report in its wire format; "" if there is none. The caller holds mu.
 func (s *Server) report() string {
 	l, ok := s.model.Report(s.cfg.Clock())
 	if !ok || len(s.cfg.Reports) == 0 {
--- a/lab/standin/spoil.go
+++ b/lab/standin/spoil.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// mostSpoilt bounds what an answer without end sends: enough to break a reader that sets no bound of its own.
+// maxSpoilBytes bounds a response without end. It is large enough to fail a reader without a bound of its own.
 const maxSpoilBytes = 4 << 20
 
-// write sends a reply and reports whether the connection is of further use.
+// write sends a reply, corrupted if the fault says so, and reports whether the connection can be used further.
 func (s *Server) write(c *serverConn, r *reply) bool {
 	s.mu.Lock()
 	report := s.report()
@@ -37,7 +37,7 @@
 	case "huge_length":
 		return writeRepeatedly(c, r.text(3<<30)+strings.Repeat("more ", 2000), maxSpoilBytes/10000)
 	case "cut_off":
-		_, _ = io.WriteString(c, plain[:len(plain)-len(r.body)/2]) // the peer may be gone, which the next read says
+		_, _ = io.WriteString(c, plain[:len(plain)-len(r.body)/2]) // a closed connection is reported by the next read
 		_ = c.Close()                                              // the connection is released even where this fails
 		return false
 	case "interim":
@@ -57,14 +57,15 @@
 		copyOf := plain
 		s.tasks.Go(func() {
 			time.Sleep(r.spoil.Delay)
-			_, _ = io.WriteString(c, copyOf) // the peer may be gone, which the next read says
+			_, _ = io.WriteString(c, copyOf) // a closed connection is reported by the next read
 		})
 	}
 	_, err := io.WriteString(c, plain)
 	return err == nil && !r.closeConn
 }
 
-// spoilt sends text several times, until the other side has had enough; the connection is of no use then.
+// writeRepeatedly sends text a number of times or until a write fails. It returns false, as the connection can't be used
+// further.
 func writeRepeatedly(c io.Writer, text string, times int) bool {
 	for range times {
 		if _, err := io.WriteString(c, text); err != nil {
--- a/lab/standin/standin.go
+++ b/lab/standin/standin.go
@@ -1,7 +1,7 @@
-// Package standin puts the laboratory's models on loopback sockets: servers, a roster and clients that behave as the
-// protocol's pages describe, and that go wrong on command. It owns sockets, timers and the bytes on the wire; what
-// happens when is decided in lab/model and lab/scenario, and whether a rule was broken in lab/judge. It knows nothing
-// of sidecars but their addresses. Each stand-in can be used alone.
+// Package standin runs the laboratory's models on loopback sockets: servers, a roster (the discovery service) and clients that
+// follow the protocol's pages and inject faults on request. It contains the sockets, timers and wire formats. The times of
+// events are decided in lab/model and lab/scenario, and violations of rules in lab/judge. Of sidecars it knows only the
+// addresses. Each stand-in can be used alone.
 package standin
 
 import (
@@ -10,7 +10,7 @@
 	"firplank/lab/judge"
 )
 
-// Clock tells the time since the run's start.
+// Clock returns the time since the start of the run.
 type Clock func() time.Duration
 
 // StartClock returns a clock that starts now.
@@ -19,7 +19,7 @@
 	return func() time.Duration { return time.Since(start) }
 }
 
-// Witness is told what a server saw; *judge.Judge is one.
+// ServerObserver receives the events of a server. *judge.Judge implements it.
 type ServerObserver interface {
 	Received(trace, server string, sidecar int, first time.Duration)
 	Ran(trace, server string, cell int, at time.Duration)
@@ -27,14 +27,14 @@
 	PushedOver(server string, at time.Duration)
 }
 
-// Notary is told what the roster says to whom; *judge.Judge is one.
+// RosterObserver receives the changes of the roster's list and what was sent to whom. *judge.Judge implements it.
 type RosterObserver interface {
 	Changed(server string, ready bool, at time.Duration)
 	Told(sidecar int, server string, ready bool, at time.Duration)
 	Call(sidecar int, at, hold time.Duration, waits bool) func(judge.CallEnd, time.Duration)
 }
 
-// Observer is told what clients saw; *judge.Judge is one.
+// ClientObserver receives the events of clients. *judge.Judge implements it.
 type ClientObserver interface {
 	Sent(judge.Try)
 	Answered(trace string, at time.Duration, a judge.Answer, made string)
--- a/lab/standin/standin_test.go
+++ b/lab/standin/standin_test.go
@@ -22,10 +22,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// patience bounds every wait; no test takes that long unless it fails.
+// waitTimeout bounds every wait. Only a failing test takes that long.
 const waitTimeout = 20 * time.Second
 
-// witness notes what servers saw.
+// recorder records the events of servers and rosters.
 type recorder struct {
 	mu         sync.Mutex
 	received   []string
@@ -64,7 +64,7 @@
 	return append([]string(nil), *list...)
 }
 
-// testServer starts a server whose requests take some work.
+// testServer starts a server with one core, one slot and a queue of one, whose requests each take the given work.
 func testServer(t *testing.T, work time.Duration, change func(*ServerConfig)) (*Server, *recorder) {
 	t.Helper()
 	w, cell := &recorder{}, NewCell()
@@ -157,7 +157,7 @@
 	}
 }
 
-// A repeat that comes while the first is in work runs nothing and gets its answer; so does one that comes later.
+// A repeat of a keyed request must not run, whether it arrives during or after the first one. It gets the same result.
 func TestServerDropsRepeats(t *testing.T) {
 	s, w := testServer(t, 30*time.Millisecond, nil)
 	a, b := dial(t, s.Addr(0)), dial(t, s.Addr(0))
@@ -178,7 +178,7 @@
 func TestServerRejectsWithoutRunning(t *testing.T) {
 	s, w := testServer(t, 200*time.Millisecond, nil)
 	var busy []*conn
-	for i := range 2 { // one slot, and room for one
+	for i := range 2 { // one slot and a queue of one
 		c := dial(t, s.Addr(0))
 		c.send(fmt.Sprint("t", i), "read", "")
 		busy = append(busy, c)
@@ -199,9 +199,9 @@
 	for _, c := range busy {
 		c.read()
 	}
-	c.send("t11", "keyed", "k") // the key that was turned away is not remembered
+	c.send("t11", "keyed", "k") // the key of a rejected request is not kept
 	if resp, _ := c.read(); resp.StatusCode != http.StatusOK {
-		t.Errorf("later: %s", resp.Status)
+		t.Errorf("repeat after the rejection: %s", resp.Status)
 	}
 	for _, line := range w.list(&w.ran) {
 		if strings.HasPrefix(line, "t9 ") || strings.HasPrefix(line, "t10 ") {
@@ -217,12 +217,12 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("the server does not come to hold %d", n)
+			t.Fatalf("timed out waiting for the server to hold %d requests", n)
 		}
 	}
 }
 
-// A connection beyond the cap is not reset: what comes on it is turned away unseen.
+// A connection beyond the limit is not reset: its requests are rejected without running.
 func TestServerRejectsBeyondConnectionCap(t *testing.T) {
 	s, w := testServer(t, time.Millisecond, func(c *ServerConfig) { c.MaxConns = 1 })
 	first := dial(t, s.Addr(0))
@@ -231,25 +231,25 @@
 	second := dial(t, s.Addr(0))
 	second.send("t2", "read", "")
 	if resp, _ := second.read(); resp.Header.Get("X-Never-Ran") != "1" {
-		t.Errorf("beyond the cap: %s", resp.Status)
+		t.Errorf("beyond the limit: %s", resp.Status)
 	}
 	if got := w.list(&w.ran); len(got) != 1 {
 		t.Errorf("ran %v", got)
 	}
 }
 
-// An unused connection is closed after the server's time, one with a request open is not.
+// An unused connection is closed after the idle time-out, one with an open request is not.
 func TestServerClosesIdleConnections(t *testing.T) {
 	s, _ := testServer(t, 100*time.Millisecond, func(c *ServerConfig) { c.IdleTimeout = 20 * time.Millisecond })
 	c := dial(t, s.Addr(0))
 	c.send("t1", "read", "")
 	c.read()
 	if _, err := c.in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("the idle connection ends with %v", err)
+		t.Errorf("the idle connection ended with %v", err)
 	}
 }
 
-// Waiting work is dropped when its client closes; what is in work goes on.
+// A queued request is dropped when its client closes the connection. A running one continues.
 func TestServerDropsAbandonedQueuedWork(t *testing.T) {
 	s, w := testServer(t, 100*time.Millisecond, nil)
 	first, second := dial(t, s.Addr(0)), dial(t, s.Addr(0))
@@ -266,8 +266,8 @@
 	}
 }
 
-// A crash resets connections, is seen as a refused connection, and what was in work counts as run. A restart, and a
-// successor, listen at the same address.
+// A crash resets open connections and refuses new ones, and running requests count as executed. A restarted server and a
+// replacement listen on the same address.
 func TestServerCrashesAndReturns(t *testing.T) {
 	s, w := testServer(t, time.Hour, func(c *ServerConfig) { c.Spec.Slots = 0 })
 	c := dial(t, s.Addr(0))
@@ -275,7 +275,7 @@
 	awaitHeld(t, s, 1)
 	s.Crash()
 	if _, err := c.in.ReadByte(); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("an open connection ends with %v", err)
+		t.Errorf("an open connection ended with %v", err)
 	}
 	if _, err := net.Dial("tcp", s.Addr(0)); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("a new connection: %v", err)
@@ -301,7 +301,7 @@
 	}
 }
 
-// A cut link says nothing and hears nothing; when it is back, what was open is reset.
+// A cut link receives and sends nothing. When it is restored, open connections are reset.
 func TestSilentLinkReceivesNothing(t *testing.T) {
 	s, w := testServer(t, time.Millisecond, nil)
 	c := dial(t, s.Addr(0))
@@ -311,12 +311,12 @@
 	c.send("t2", "read", "")
 	_ = c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	if _, err := c.in.ReadByte(); err == nil || !strings.Contains(err.Error(), "timeout") {
-		t.Errorf("the silent machine: %v", err)
+		t.Errorf("read on the cut link: %v", err)
 	}
 	s.SetSilent(0, false)
 	_ = c.SetReadDeadline(time.Now().Add(waitTimeout))
 	if _, err := c.in.ReadByte(); err == nil {
-		t.Error("the connection goes on")
+		t.Error("the connection is still open after the cut")
 	}
 	if got := w.list(&w.received); len(got) != 1 {
 		t.Errorf("received %v", got)
@@ -331,22 +331,22 @@
 	c := dial(t, s.Addr(0))
 	c.send("t1", "read", "")
 	if _, err := c.in.ReadByte(); err == nil {
-		t.Error("it answers")
+		t.Error("the server responded after its crash")
 	}
 	if got := w.list(&w.pushedOver); len(got) != 1 {
-		t.Errorf("fell %v", got)
+		t.Errorf("pushed over %v", got)
 	}
 }
 
-// spoiltForms looks at each form of a spoilt answer.
+// spoiltForms checks each form of a corrupted response.
 var spoiltForms = map[string]func(*conn) error{
 	"noise": func(c *conn) error {
 		_ = c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 		_, err := http.ReadResponse(c.in, nil)
-		return expect(err != nil, "an answer")
+		return expect(err != nil, "a valid response")
 	},
 	"endless_head": func(c *conn) error { n, _ := io.CopyN(io.Discard, c.in, 1<<20); return expect(n == 1<<20, "an end") },
-	"short_length": func(c *conn) error { c.read(); return expect(c.in.Buffered() > 0, "nothing behind it") },
+	"short_length": func(c *conn) error { c.read(); return expect(c.in.Buffered() > 0, "no data after the body") },
 	"long_length": func(c *conn) error {
 		resp, err := http.ReadResponse(c.in, nil)
 		if err != nil {
@@ -354,11 +354,11 @@
 		}
 		_ = c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 		_, err = io.ReadAll(resp.Body)
-		return expect(err != nil, "a whole body")
+		return expect(err != nil, "a complete body")
 	},
 	"huge_length": func(c *conn) error {
 		resp, err := http.ReadResponse(c.in, nil)
-		return expect(err == nil && resp.ContentLength == 3<<30, "no such length")
+		return expect(err == nil && resp.ContentLength == 3<<30, "another length")
 	},
 	"cut_off": func(c *conn) error {
 		resp, err := http.ReadResponse(c.in, nil)
@@ -366,15 +366,15 @@
 			return err
 		}
 		_, err = io.ReadAll(resp.Body)
-		return expect(errors.Is(err, io.ErrUnexpectedEOF), "a whole body")
+		return expect(errors.Is(err, io.ErrUnexpectedEOF), "a complete body")
 	},
 	"interim": func(c *conn) error {
 		resp, _ := c.read()
-		return expect(resp.StatusCode == http.StatusEarlyHints, "no interim answer")
+		return expect(resp.StatusCode == http.StatusEarlyHints, "no interim response")
 	},
 	"bad_report": func(c *conn) error {
 		resp, _ := c.read()
-		return expect(strings.Contains(resp.Header.Get("Endpoint-Load-Metrics"), "NaN"), "a good report")
+		return expect(strings.Contains(resp.Header.Get("Endpoint-Load-Metrics"), "NaN"), "a valid report")
 	},
 	"pieces": func(c *conn) error { _, body := c.read(); return expect(body == "t by s-1.\n", "another body") },
 	"second_copy": func(c *conn) error {
@@ -384,7 +384,7 @@
 	},
 }
 
-// Each spoilt form is what its name says.
+// Each form corrupts the response in the way that its name says.
 func TestSpoiltAnswers(t *testing.T) {
 	for form, check := range spoiltForms {
 		t.Run(form, func(t *testing.T) {
@@ -465,20 +465,20 @@
 	select {
 	case l := <-got:
 		if l.Complete || len(l.Members) != 1 || l.Members[0].Phase != "gone" || l.Revision <= whole.Revision {
-			t.Errorf("change %+v", l)
+			t.Errorf("change list %+v", l)
 		}
 	case <-time.After(waitTimeout):
-		t.Fatal("the watch does not end")
+		t.Fatal("timed out waiting for the watch to end")
 	}
 	if l, err := ask(t, r.Addr(0), fmt.Sprintf("?from=%d&hold_ms=1", whole.Revision+1)); err != nil || len(l.Members) != 0 {
-		t.Errorf("nothing is new: %+v, %v", l, err)
+		t.Errorf("without changes: %+v, %v", l, err)
 	}
 	if told := awaitNotified(t, w, 3); told[len(told)-1] != "1 b false" {
-		t.Errorf("told %v", told)
+		t.Errorf("notified %v", told)
 	}
 }
 
-// awaitTold waits until the witness has so many notes of what the roster has answered: it gets them behind the answer.
+// awaitNotified waits until the recorder has count notifications. The roster reports them only after it has sent the response.
 func awaitNotified(t *testing.T, w *recorder, count int) (told []string) {
 	t.Helper()
 	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -486,11 +486,11 @@
 			return told
 		}
 	}
-	t.Fatalf("told %v", told)
+	t.Fatalf("notified %v", told)
 	return nil
 }
 
-// After a restart the revision is lower, and who asks from the old one gets the whole list.
+// After a restart the revision is lower, and a watch from the old revision must get the complete list.
 func TestRosterRestartLowersRevision(t *testing.T) {
 	r, _ := testRoster(t, nil)
 	for _, id := range []string{"a", "b", "c"} {
@@ -524,20 +524,20 @@
 		}
 	}
 	if n == 0 {
-		t.Error("calls beyond its capacity all go well")
+		t.Error("no call beyond the roster's capacity failed")
 	}
 	r.SetDown(true)
 	if _, err := ask(t, r.Addr(0), ""); err == nil {
-		t.Error("it answers while it is down")
+		t.Error("the roster responds while it is down")
 	}
 	r.SetDown(false)
 	r.SetGarble(true)
 	if _, err := ask(t, r.Addr(0), ""); err == nil {
-		t.Error("what it says can be read")
+		t.Error("the malformed list was accepted")
 	}
 }
 
-// An agent answers at once with what it had before discovery went silent.
+// An agent responds at once with its last list while discovery is down.
 func TestAgentAnswersLastListWhileDown(t *testing.T) {
 	r, _ := testRoster(t, func(c *RosterConfig) { c.Push = true })
 	r.Set(entry("a"), "ready")
