--- a/lab/explore/lists/lists.go
+++ b/lab/explore/lists/lists.go
@@ -1,7 +1,7 @@
 // Package lists explores how a sidecar follows the list of servers: a follow.Plan with a discovery that responds, truncates responses,
 // stops responding, rejects calls, changes the list or waits, in any order, and a sidecar process that freezes. The oracle is
-// judge.Telling, which implements the documented rule on when a change counts as delivered: a list that the sidecar may still use contains
-// all changes that count as delivered.
+// judge.NotificationTracker, which implements the documented rule on when a change counts as delivered: a list that the sidecar may
+// still use contains all changes that count as delivered.
 package lists
 
 import (
@@ -103,7 +103,7 @@
 	bounds                Bounds
 	defect                *Defect
 	plan                  *follow.Plan
-	oracle                judge.Telling
+	oracle                judge.NotificationTracker
 	now                   time.Duration
 	calls                 []discoveryCall
 	changes               int // number of changes so far; the revision is baseRevision plus this
@@ -123,7 +123,7 @@
 	}
 	return func() explore.System {
 		w := &world{
-			bounds: b, defect: d, baseRevision: 100, oracle: judge.Telling{AskWithin: refreshLimit},
+			bounds: b, defect: d, baseRevision: 100, oracle: judge.NotificationTracker{PollWithin: refreshLimit},
 			plan: follow.New(follow.Config{Sidecars: 1, RefreshLimit: refreshLimit, HasList: true, Revision: 100}),
 		}
 		w.handle(follow.Event{Kind: follow.Started})
@@ -225,7 +225,7 @@
 func (w *world) checkStaleness(until time.Duration) {
 	valid, _ := w.valid()
 	for c := w.receivedChanges; c < w.changes; c++ {
-		if deliveredAt := w.oracle.ToldAt(c); max(deliveredAt, w.now) < min(valid, until) && w.breach == nil {
+		if deliveredAt := w.oracle.NotifiedBy(c); max(deliveredAt, w.now) < min(valid, until) && w.breach == nil {
 			w.breach = fmt.Errorf("change %d counts as delivered from %.3f s, but the list without it is used until %.3f s",
 				c, deliveredAt.Seconds(), min(valid, until).Seconds())
 		}
@@ -252,7 +252,7 @@
 		switch a.Kind {
 		case follow.StartCall:
 			c := discoveryCall{id: a.Call, hold: a.Hold, fromRevision: a.From, startedAt: w.now, readyAt: w.now + a.Hold}
-			c.oracleCall = w.oracle.Called(w.now, a.Hold, a.From >= 0)
+			c.oracleCall = w.oracle.CallStarted(w.now, a.Hold, a.From >= 0)
 			if a.From != w.revision() { // also if the revision is one from before a reset
 				c.readyAt = w.now
 			}
@@ -260,7 +260,7 @@
 		case follow.CancelCall:
 			for i := range w.calls {
 				if w.calls[i].id == a.Call {
-					w.oracle.Left(w.calls[i].oracleCall, w.now)
+					w.oracle.CallCanceled(w.calls[i].oracleCall, w.now)
 					w.calls = append(w.calls[:i:i], w.calls[i+1:]...)
 					break
 				}
@@ -299,10 +299,10 @@
 	lost := c.fromRevision > w.revision()
 	ev := follow.Event{Kind: follow.ListReceived, Call: c.id, Revision: w.revision(), Complete: c.fromRevision < 0}
 	if !lost {
-		w.oracle.Wrote(c.oracleCall, w.now)
+		w.oracle.CallAnswered(c.oracleCall, w.now)
 		w.receivedChanges = w.changes
 	} else {
-		w.oracle.Broke(c.oracleCall, w.now)
+		w.oracle.CallBroke(c.oracleCall, w.now)
 	}
 	w.handle(ev)
 }
@@ -310,7 +310,7 @@
 func (w *world) failAnswer(i int, kind follow.Kind) {
 	w.faults++
 	c := w.removeCall(i)
-	w.oracle.Broke(c.oracleCall, w.now)
+	w.oracle.CallBroke(c.oracleCall, w.now)
 	if kind == follow.Truncated {
 		w.handle(follow.Event{Kind: follow.DataReceived, Call: c.id})
 	}
@@ -322,7 +322,7 @@
 	w.faults++
 	c := &w.calls[i]
 	c.silent = true
-	w.oracle.Broke(c.oracleCall, w.now)
+	w.oracle.CallBroke(c.oracleCall, w.now)
 	w.handle(follow.Event{Kind: follow.DataReceived, Call: c.id})
 }
 
@@ -334,6 +334,6 @@
 func (w *world) rejectCall(i int) {
 	c := w.removeCall(i)
 	w.consecutiveRejections++
-	w.oracle.Failed(c.oracleCall, w.now)
+	w.oracle.CallFailed(c.oracleCall, w.now)
 	w.handle(follow.Event{Kind: follow.Rejected, Call: c.id})
 }
--- a/lab/judge/seen.go
+++ b/lab/judge/events.go
@@ -10,12 +10,12 @@
 func (j *Judge) Sent(t Try) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.tries[t.Trace] = &try{Try: t}
+	j.tries[t.Trace] = &tryRecord{Try: t}
 }
 
 // Answered says that a client has read the last byte of an answer. made is the id that the answer's maker wrote into a
 // served answer.
-func (j *Judge) Answered(trace string, at time.Duration, a Answer, made string) {
+func (j *Judge) Answered(trace string, at time.Duration, a Answer, bodyTrace string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	t := j.tries[trace]
@@ -23,28 +23,28 @@
 		return
 	}
 	if t.answers++; t.answers > 1 {
-		j.find(Lost, at, "%s: a second answer", trace)
+		j.addFinding(Lost, at, "%s: a second answer", trace)
 		return
 	}
-	t.answer, t.at = a, at
-	if a == Served && made != trace {
-		j.find(Foreign, at, "%s: was given the answer made for %q", trace, made)
+	t.answer, t.endedAt = a, at
+	if a == Served && bodyTrace != trace {
+		j.addFinding(Foreign, at, "%s: was given the answer made for %q", trace, bodyTrace)
 	}
 }
 
 // Extra says that bytes came on a client's connection behind the answer to a request.
-func (j *Judge) Extra(trace string, at time.Duration) {
+func (j *Judge) ExtraData(trace string, at time.Duration) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.find(Lost, at, "%s: something came behind its answer", trace)
+	j.addFinding(Lost, at, "%s: something came behind its answer", trace)
 }
 
 // Gone says that the client has left before the answer; nothing is owed.
-func (j *Judge) Gone(trace string, at time.Duration) {
+func (j *Judge) ClientGone(trace string, at time.Duration) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if t := j.tries[trace]; t != nil && t.answers == 0 {
-		t.gone, t.at = true, at
+		t.clientGone, t.endedAt = true, at
 	}
 }
 
@@ -58,22 +58,22 @@
 		return
 	}
 	t.received = append(t.received, attempt{first, server})
-	for _, s := range j.tolds[told{sidecar, server}] {
+	for _, s := range j.closedSpans[sidecarServer{sidecar, server}] {
 		if first > s.from+j.cfg.DrainGrace && first < s.to {
-			j.find(Drain, first, "%s: sent by sidecar %d to %s, %v after it was told to stop", trace, sidecar, server, first-s.from)
+			j.addFinding(Drain, first, "%s: sent by sidecar %d to %s, %v after it was told to stop", trace, sidecar, server, first-s.from)
 			return
 		}
 	}
-	if j.cfg.AskWithin > 0 {
-		if change := j.closedBy(server); change >= 0 {
-			if due := j.telling(sidecar).ToldAt(change); first > due+j.cfg.DrainGrace && due != forever {
-				j.find(Drain, first, "%s: sent by sidecar %d to %s, which counts as told to be closed for %v", trace, sidecar, server, first-due)
+	if j.cfg.PollWithin > 0 {
+		if change := j.closingChange(server); change >= 0 {
+			if due := j.tracker(sidecar).NotifiedBy(change); first > due+j.cfg.DrainGrace && due != never {
+				j.addFinding(Drain, first, "%s: sent by sidecar %d to %s, which counts as told to be closed for %v", trace, sidecar, server, first-due)
 			}
 		}
 		return
 	}
-	if since, closed := j.closedSince(server); closed && j.cfg.ToldAfter > 0 && first > since+j.cfg.ToldAfter+j.cfg.DrainGrace {
-		j.find(Drain, first, "%s: sent by sidecar %d to %s, which the roster had as closed for %v", trace, sidecar, server, first-since)
+	if since, closed := j.closedSince(server); closed && j.cfg.NotifiedAfter > 0 && first > since+j.cfg.NotifiedAfter+j.cfg.DrainGrace {
+		j.addFinding(Drain, first, "%s: sent by sidecar %d to %s, which the roster had as closed for %v", trace, sidecar, server, first-since)
 	}
 }
 
@@ -96,18 +96,18 @@
 }
 
 // Down says that a sidecar does not run from now on: what it holds is the clients' to retry.
-func (j *Judge) Down(sidecar int, from time.Duration) {
+func (j *Judge) SidecarDown(sidecar int, from time.Duration) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.outages = append(j.outages, outage{sidecar, from, forever})
+	j.outages = append(j.outages, outage{sidecar, from, never})
 }
 
 // Up says that a sidecar runs again.
-func (j *Judge) Up(sidecar int, at time.Duration) {
+func (j *Judge) SidecarUp(sidecar int, at time.Duration) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for i := range j.outages {
-		if o := &j.outages[i]; o.sidecar == sidecar && o.to == forever {
+		if o := &j.outages[i]; o.sidecar == sidecar && o.to == never {
 			o.to = at
 		}
 	}
@@ -117,5 +117,5 @@
 func (j *Judge) PushedOver(server string, at time.Duration) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.find(PushedOver, at, "%s", server)
+	j.addFinding(PushedOver, at, "%s", server)
 }
--- a/lab/judge/judge.go
+++ b/lab/judge/judge.go
@@ -47,13 +47,13 @@
 
 // Config is the deployment's figures.
 type Config struct {
-	Classes    []Class
-	Slack      time.Duration // an answer so long after the deadline still counts
-	DrainGrace time.Duration
-	ToldAfter  time.Duration // a change counts as told so long after the roster had it, even if it did not arrive; 0: never
-	AskWithin  time.Duration // where sidecars ask: the limit for asking, and Telling judges; 0: ToldAfter does
-	After      time.Duration // work that arrives so long after the answer was on its way already
-	Blind      bool          // nothing is known of what servers saw
+	Classes        []Class
+	Slack          time.Duration // an answer so long after the deadline still counts
+	DrainGrace     time.Duration
+	NotifiedAfter  time.Duration // a change counts as told so long after the roster had it, even if it did not arrive; 0: never
+	PollWithin     time.Duration // where sidecars ask: the limit for asking, and Telling judges; 0: ToldAfter does
+	ArrivalSlack   time.Duration // work that arrives so long after the answer was on its way already
+	NoServerEvents bool          // nothing is known of what servers saw
 }
 
 // Answer is what a client was given.
@@ -78,15 +78,15 @@
 	Deadline time.Duration // when the client gives it up
 }
 
-type try struct {
+type tryRecord struct {
 	Try
-	answers  int
-	answer   Answer
-	at       time.Duration // of the answer
-	gone     bool          // the client left first, or never sent all of it
-	received []attempt
-	ran      []run
-	finished int // executions that came to an end with an answer, or repeats answered from memory
+	answers    int
+	answer     Answer
+	endedAt    time.Duration // of the answer
+	clientGone bool          // the client left first, or never sent all of it
+	received   []attempt
+	ran        []run
+	finished   int // executions that came to an end with an answer, or repeats answered from memory
 }
 
 type attempt struct {
@@ -109,26 +109,26 @@
 type Judge struct {
 	cfg Config
 
-	mu       sync.Mutex
-	tries    map[string]*try
-	tolds    map[told][]span // when a sidecar knew that it must not send there
-	changes  []change
-	tellings map[int]*Telling // by sidecar
-	outages  []outage
-	findings map[Rule][]Finding
-	counts   map[Rule]int
-	unknown  int
+	mu          sync.Mutex
+	tries       map[string]*tryRecord
+	closedSpans map[sidecarServer][]span // when a sidecar knew that it must not send there
+	changes     []change
+	trackers    map[int]*NotificationTracker // by sidecar
+	outages     []outage
+	findings    map[Rule][]Finding
+	counts      map[Rule]int
+	unknown     int
 }
 
 // New returns a judge that has seen nothing.
 func New(cfg Config) *Judge {
 	return &Judge{
-		cfg: cfg, tries: map[string]*try{}, tolds: map[told][]span{}, tellings: map[int]*Telling{},
+		cfg: cfg, tries: map[string]*tryRecord{}, closedSpans: map[sidecarServer][]span{}, trackers: map[int]*NotificationTracker{},
 		findings: map[Rule][]Finding{}, counts: map[Rule]int{},
 	}
 }
 
-func (j *Judge) find(rule Rule, at time.Duration, format string, args ...any) {
+func (j *Judge) addFinding(rule Rule, at time.Duration, format string, args ...any) {
 	j.counts[rule]++
 	if len(j.findings[rule]) < MostFindings {
 		j.findings[rule] = append(j.findings[rule], Finding{rule, at, fmt.Sprintf(format, args...)})
--- a/lab/judge/judge_test.go
+++ b/lab/judge/judge_test.go
@@ -18,7 +18,7 @@
 			{Effect: "safe"}, {Effect: "keyed", Group: "all", Window: time.Second},
 			{Effect: "keyed", Group: "cell", Window: time.Second}, {Effect: "unsafe"},
 		},
-		Slack: 50 * time.Millisecond, DrainGrace: 300 * time.Millisecond, ToldAfter: 6 * time.Second, After: 50 * time.Millisecond,
+		Slack: 50 * time.Millisecond, DrainGrace: 300 * time.Millisecond, NotifiedAfter: 6 * time.Second, ArrivalSlack: 50 * time.Millisecond,
 	})
 }
 
@@ -68,27 +68,27 @@
 	{"bytes behind the answer", Lost, func(j *Judge) {
 		sent(j, safe)
 		j.Answered("t", 100*ms, Failed, "")
-		j.Extra("t", 200*ms)
+		j.ExtraData("t", 200*ms)
 	}},
 	{"the client left", "", func(j *Judge) {
 		sent(j, safe)
-		j.Gone("t", 10*ms)
+		j.ClientGone("t", 10*ms)
 	}},
 	{"the sidecar was killed while it held the request", "", func(j *Judge) {
 		sent(j, safe)
-		j.Down(0, 50*ms)
+		j.SidecarDown(0, 50*ms)
 		j.Answered("t", 52*ms, Broken, "")
-		j.Up(0, 900*ms)
+		j.SidecarUp(0, 900*ms)
 	}},
 	{"another sidecar was killed", Lost, func(j *Judge) {
 		sent(j, safe)
-		j.Down(1, 50*ms)
+		j.SidecarDown(1, 50*ms)
 		j.Answered("t", 52*ms, Broken, "")
 	}},
 	{"the sidecar was killed long after", Lost, func(j *Judge) {
 		sent(j, safe)
 		j.Answered("t", 52*ms, Broken, "")
-		j.Down(0, 500*ms)
+		j.SidecarDown(0, 500*ms)
 	}},
 	{"an unsafe request runs twice", Twice, func(j *Judge) {
 		sent(j, unsafe)
@@ -125,26 +125,26 @@
 	}},
 	{"sent to a draining server after the grace", Drain, func(j *Judge) {
 		j.Changed("a", false, -350*ms)
-		j.Told(0, "a", false, -350*ms)
+		j.Notified(0, "a", false, -350*ms)
 		sent(j, safe)
 		ranOn(j, "a", 10*ms)
 		j.Answered("t", 50*ms, Served, "t")
 	}},
 	{"sent to a draining server within the grace", "", func(j *Judge) {
-		j.Told(0, "a", false, -250*ms)
+		j.Notified(0, "a", false, -250*ms)
 		sent(j, safe)
 		ranOn(j, "a", 10*ms)
 		j.Answered("t", 50*ms, Served, "t")
 	}},
 	{"sent to a server that was draining and is back", "", func(j *Judge) {
-		j.Told(0, "a", false, -5*time.Second)
-		j.Told(0, "a", true, 0)
+		j.Notified(0, "a", false, -5*time.Second)
+		j.Notified(0, "a", true, 0)
 		sent(j, safe)
 		ranOn(j, "a", 10*ms)
 		j.Answered("t", 50*ms, Served, "t")
 	}},
 	{"told to another sidecar", "", func(j *Judge) {
-		j.Told(1, "a", false, -5*time.Second)
+		j.Notified(1, "a", false, -5*time.Second)
 		sent(j, safe)
 		ranOn(j, "a", 10*ms)
 		j.Answered("t", 50*ms, Served, "t")
@@ -180,7 +180,7 @@
 }
 
 // Each of the cases breaks its rule and no other.
-func TestJudgeFinds(t *testing.T) {
+func TestJudgeReportsOnlyTheBrokenRule(t *testing.T) {
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			j := newTestJudge()
@@ -191,18 +191,18 @@
 					t.Errorf("rule %q: broken is %v; findings %v", r, broken, v.Findings)
 				}
 			}
-			if v.Kept() != (c.want == "") {
-				t.Errorf("kept is %v", v.Kept())
+			if v.Passed() != (c.want == "") {
+				t.Errorf("kept is %v", v.Passed())
 			}
 		})
 	}
 }
 
 // A run that ends before a deadline says nothing of what is still open.
-func TestEndBeforeDeadline(t *testing.T) {
+func TestOpenRequestAtEndIsNotLost(t *testing.T) {
 	j := newTestJudge()
 	sent(j, safe)
-	if v := j.Close(500 * ms); !v.Kept() {
+	if v := j.Close(500 * ms); !v.Passed() {
 		t.Errorf("findings %v", v.Findings)
 	}
 }
--- a/lab/judge/closings.go
+++ b/lab/judge/roster.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-type told struct {
+type sidecarServer struct {
 	sidecar int
 	server  string
 }
@@ -19,7 +19,7 @@
 	at     time.Duration
 }
 
-const forever = time.Duration(1<<63 - 1)
+const never = time.Duration(1<<63 - 1)
 
 // closedSince returns since when the roster has had a server as draining or gone.
 func (j *Judge) closedSince(server string) (at time.Duration, closed bool) {
@@ -37,7 +37,7 @@
 }
 
 // closedBy returns the change with which the roster closed a server; -1: it is open.
-func (j *Judge) closedBy(server string) int {
+func (j *Judge) closingChange(server string) int {
 	by := -1
 	for i, c := range j.changes {
 		if c.server != server {
@@ -53,17 +53,17 @@
 }
 
 // telling returns what counts as told to a sidecar.
-func (j *Judge) telling(sidecar int) *Telling {
-	t := j.tellings[sidecar]
+func (j *Judge) tracker(sidecar int) *NotificationTracker {
+	t := j.trackers[sidecar]
 	if t == nil {
-		t = j.newTelling(0)
-		j.tellings[sidecar] = t
+		t = j.newTracker(0)
+		j.trackers[sidecar] = t
 	}
 	return t
 }
 
-func (j *Judge) newTelling(since time.Duration) *Telling {
-	t := &Telling{AskWithin: j.cfg.AskWithin, Since: since}
+func (j *Judge) newTracker(since time.Duration) *NotificationTracker {
+	t := &NotificationTracker{PollWithin: j.cfg.PollWithin, StartedAt: since}
 	for _, c := range j.changes {
 		t.Changed(max(c.at, since))
 	}
@@ -71,23 +71,23 @@
 }
 
 // Call says that a call has reached the roster, and returns its number; ends is told of its end.
-func (j *Judge) Call(sidecar int, at, hold time.Duration, waits bool) (ends func(CallEnd, time.Duration)) {
+func (j *Judge) RosterCall(sidecar int, at, hold time.Duration, waits bool) (ends func(CallEnd, time.Duration)) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	t := j.telling(sidecar)
-	call := t.Called(at, hold, waits)
+	t := j.tracker(sidecar)
+	call := t.CallStarted(at, hold, waits)
 	return func(how CallEnd, at time.Duration) {
 		j.mu.Lock()
 		defer j.mu.Unlock()
 		switch how {
-		case CallWritten:
-			t.Wrote(call, at)
+		case CallAnswered:
+			t.CallAnswered(call, at)
 		case CallBroken:
-			t.Broke(call, at)
-		case CallTurnedAway:
-			t.Failed(call, at)
-		case CallLeft:
-			t.Left(call, at)
+			t.CallBroke(call, at)
+		case CallRejected:
+			t.CallFailed(call, at)
+		case CallCanceled:
+			t.CallCanceled(call, at)
 		}
 	}
 }
@@ -97,10 +97,10 @@
 
 // The ends.
 const (
-	CallWritten CallEnd = iota
+	CallAnswered CallEnd = iota
 	CallBroken
-	CallTurnedAway
-	CallLeft
+	CallRejected
+	CallCanceled
 )
 
 // Changed says that the roster knows of a server's state since at.
@@ -108,29 +108,29 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.changes = append(j.changes, change{server, ready, at})
-	for _, t := range j.tellings {
+	for _, t := range j.trackers {
 		t.Changed(at)
 	}
 }
 
 // Told says that the roster has written a server's state to a sidecar.
-func (j *Judge) Told(sidecar int, server string, ready bool, at time.Duration) {
+func (j *Judge) Notified(sidecar int, server string, ready bool, at time.Duration) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	key := told{sidecar, server}
-	spans := j.tolds[key]
-	open := len(spans) > 0 && spans[len(spans)-1].to == forever
+	key := sidecarServer{sidecar, server}
+	spans := j.closedSpans[key]
+	open := len(spans) > 0 && spans[len(spans)-1].to == never
 	switch {
 	case ready && open:
 		spans[len(spans)-1].to = at
 	case !ready && !open:
-		j.tolds[key] = append(spans, span{at, forever})
+		j.closedSpans[key] = append(spans, span{at, never})
 	}
 }
 
 // Started says that a sidecar starts anew: it holds the list of its configuration, and has asked nothing yet.
-func (j *Judge) Started(sidecar int, at time.Duration) {
+func (j *Judge) SidecarStarted(sidecar int, at time.Duration) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.tellings[sidecar] = j.newTelling(at)
+	j.trackers[sidecar] = j.newTracker(at)
 }
--- a/lab/judge/verdict.go
+++ b/lab/judge/verdict.go
@@ -21,7 +21,7 @@
 }
 
 // Kept reports whether no rule was broken.
-func (v *Verdict) Kept() bool { return len(v.Findings) == 0 }
+func (v *Verdict) Passed() bool { return len(v.Findings) == 0 }
 
 // Close ends the run at a time and judges it. Nothing may be told to the judge afterwards.
 func (j *Judge) Close(at time.Duration) *Verdict {
@@ -36,11 +36,11 @@
 	slices.Sort(traces)
 	for _, trace := range traces {
 		t := j.tries[trace]
-		if !j.answered(t, at) {
+		if !j.checkAnswered(t, at) {
 			v.Excused++
 		}
-		j.once(t)
-		j.nothingAfter(t)
+		j.checkExecutedOnce(t)
+		j.checkNothingAfterAnswer(t)
 		if t.Key != "" {
 			byKey[t.Key] += len(t.ran)
 		}
@@ -56,35 +56,35 @@
 }
 
 // answered judges the first rule; false if the sidecar was down and nothing is owed.
-func (j *Judge) answered(t *try, end time.Duration) bool {
-	owed := t.Deadline + j.cfg.Slack
+func (j *Judge) checkAnswered(t *tryRecord, end time.Duration) bool {
+	due := t.Deadline + j.cfg.Slack
 	switch {
-	case t.gone || t.answers > 0 && t.answer != Broken && t.at <= owed:
-	case t.answers == 0 && end < owed: // the run ended first
-	case j.wasDown(t):
+	case t.clientGone || t.answers > 0 && t.answer != Broken && t.endedAt <= due:
+	case t.answers == 0 && end < due: // the run ended first
+	case j.sidecarWasDown(t):
 		return false
 	case t.answers == 0:
-		j.find(Lost, owed, "%s: no answer by its deadline", t.Trace)
+		j.addFinding(Lost, due, "%s: no answer by its deadline", t.Trace)
 	case t.answer == Broken:
-		j.find(Lost, t.at, "%s: its connection ended with no whole answer", t.Trace)
+		j.addFinding(Lost, t.endedAt, "%s: its connection ended with no whole answer", t.Trace)
 	default:
-		j.find(Lost, t.at, "%s: answered %v after its deadline", t.Trace, t.at-t.Deadline)
+		j.addFinding(Lost, t.endedAt, "%s: answered %v after its deadline", t.Trace, t.endedAt-t.Deadline)
 	}
-	if t.answers > 0 && t.answer == Served && t.finished == 0 && !t.gone && !j.cfg.Blind {
-		j.find(Foreign, t.at, "%s: served, but no server has answered it", t.Trace)
+	if t.answers > 0 && t.answer == Served && t.finished == 0 && !t.clientGone && !j.cfg.NoServerEvents {
+		j.addFinding(Foreign, t.endedAt, "%s: served, but no server has answered it", t.Trace)
 	}
 	return true
 }
 
-func (j *Judge) wasDown(t *try) bool {
+func (j *Judge) sidecarWasDown(t *tryRecord) bool {
 	until := t.Deadline
 	if t.answers > 0 {
-		until = t.at
+		until = t.endedAt
 	}
 	// A client may see the connection end a moment before the laboratory has noted the kill.
-	const moment = 100 * time.Millisecond
+	const killReportDelay = 100 * time.Millisecond
 	for _, o := range j.outages {
-		if o.sidecar == t.Sidecar && o.from-moment <= until && t.Sent <= o.to {
+		if o.sidecar == t.Sidecar && o.from-killReportDelay <= until && t.Sent <= o.to {
 			return true
 		}
 	}
@@ -92,7 +92,7 @@
 }
 
 // once judges the second rule by what the servers ran.
-func (j *Judge) once(t *try) {
+func (j *Judge) checkExecutedOnce(t *tryRecord) {
 	c := j.cfg.Classes[t.Class]
 	if c.Effect == "safe" {
 		return
@@ -100,22 +100,22 @@
 	slices.SortFunc(t.ran, func(a, b run) int { return cmp.Compare(a.at, b.at) })
 	if len(t.ran) > 1 {
 		second := t.ran[1]
-		j.find(Twice, second.at, "%s (%s): ran on %s and again on %s %v later",
+		j.addFinding(Twice, second.at, "%s (%s): ran on %s and again on %s %v later",
 			t.Trace, c.Effect, t.ran[0].server, second.server, second.at-t.ran[0].at)
 	}
 	if t.answers > 0 && t.answer == Refused && len(t.ran) > 0 && !(c.Effect == "keyed" && c.Group != "cell") {
-		j.find(Twice, t.at, "%s (%s): refused, but %s has run it", t.Trace, c.Effect, t.ran[0].server)
+		j.addFinding(Twice, t.endedAt, "%s (%s): refused, but %s has run it", t.Trace, c.Effect, t.ran[0].server)
 	}
 }
 
-func (j *Judge) nothingAfter(t *try) {
+func (j *Judge) checkNothingAfterAnswer(t *tryRecord) {
 	over := t.Deadline + j.cfg.Slack
-	if t.answers > 0 || t.gone {
-		over = min(over, t.at)
+	if t.answers > 0 || t.clientGone {
+		over = min(over, t.endedAt)
 	}
 	for _, a := range t.received {
-		if a.at > over+j.cfg.After {
-			j.find(After, a.at, "%s: sent to %s %v after its answer or its deadline", t.Trace, a.server, a.at-over)
+		if a.at > over+j.cfg.ArrivalSlack {
+			j.addFinding(After, a.at, "%s: sent to %s %v after its answer or its deadline", t.Trace, a.server, a.at-over)
 		}
 	}
 }
--- a/lab/model/dist.go
+++ b/lab/model/dist.go
@@ -20,7 +20,7 @@
 }
 
 // longest bounds a draw, in means: a heavy tail is meant, not a request that outlives the run.
-const longest = 50
+const maxDrawMeans = 50
 
 // Check reports what makes d unusable.
 func (d Dist) Check() error {
@@ -51,7 +51,7 @@
 			factor = (a - 1) / a * math.Pow(1-r.Float64(), -1/a)
 		}
 	}
-	return time.Duration(float64(d.Mean) * min(factor, longest))
+	return time.Duration(float64(d.Mean) * min(factor, maxDrawMeans))
 }
 
 // Rand returns a source that hangs on the seed and the names alone, so that what is drawn for one purpose does not
--- a/lab/model/memory.go
+++ b/lab/model/keytable.go
@@ -15,48 +15,48 @@
 // Memory is what the servers of one cell remember of keyed requests. A key is remembered for its window, counted from
 // the first request that ran; the table is swept as it grows, and holds what came within one window at most. It is not
 // safe for concurrent use.
-type Memory struct {
-	keys  map[string]*remembered
-	sweep int // the size at which the table is next swept
+type KeyTable struct {
+	keys      map[string]*keyEntry
+	sweepSize int // the size at which the table is next swept
 }
 
-type remembered struct {
+type keyEntry struct {
 	until time.Duration
 	done  bool
 }
 
 // NewMemory returns an empty memory.
-func NewMemory() *Memory { return &Memory{keys: map[string]*remembered{}, sweep: 1024} }
+func NewKeyTable() *KeyTable { return &KeyTable{keys: map[string]*keyEntry{}, sweepSize: 1024} }
 
 // Take tells what is known of key at now, and remembers a new one for window.
-func (m *Memory) Take(now time.Duration, key string, window time.Duration) KeyState {
+func (m *KeyTable) Claim(now time.Duration, key string, window time.Duration) KeyState {
 	if r := m.keys[key]; r != nil && now < r.until {
 		if r.done {
 			return KeyDone
 		}
 		return KeyRunning
 	}
-	if len(m.keys) >= m.sweep {
+	if len(m.keys) >= m.sweepSize {
 		for k, r := range m.keys {
 			if now >= r.until {
 				delete(m.keys, k)
 			}
 		}
-		m.sweep = max(1024, 2*len(m.keys))
+		m.sweepSize = max(1024, 2*len(m.keys))
 	}
-	m.keys[key] = &remembered{until: now + window}
+	m.keys[key] = &keyEntry{until: now + window}
 	return KeyNew
 }
 
 // Finish says that the request of key has run.
-func (m *Memory) Finish(key string) {
+func (m *KeyTable) Finish(key string) {
 	if r := m.keys[key]; r != nil {
 		r.done = true
 	}
 }
 
 // Forget takes back a key whose request was turned away and never ran.
-func (m *Memory) Forget(key string) { delete(m.keys, key) }
+func (m *KeyTable) Forget(key string) { delete(m.keys, key) }
 
 // Len returns how many keys are held.
-func (m *Memory) Len() int { return len(m.keys) }
+func (m *KeyTable) Len() int { return len(m.keys) }
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestBadDistributions(t *testing.T) {
+func TestCheckRejectsBadDistributions(t *testing.T) {
 	for _, d := range []Dist{{"odd", ms, 0}, {"exp", -ms, 0}, {"exp", ms, math.NaN()}, {"pareto", ms, math.Inf(1)}} {
 		if d.Check() == nil {
 			t.Errorf("%+v is accepted", d)
@@ -56,7 +56,7 @@
 func near(a, b time.Duration) bool { return (a - b).Abs() < ms/10 }
 
 // Two cores at speed 2: the third request takes its share of them.
-func TestCoresAreShared(t *testing.T) {
+func TestRequestsShareCores(t *testing.T) {
 	s := NewServer(Spec{Cores: 2, Speed: 2}, 0, false)
 	for id := range uint64(3) {
 		s.Offer(0, Job{ID: id, Work: 60 * ms})
@@ -69,7 +69,7 @@
 }
 
 // Waiting on others takes a slot and no core.
-func TestWaitingHoldsASlotOnly(t *testing.T) {
+func TestWaitingOccupiesSlotButNoCore(t *testing.T) {
 	s := NewServer(Spec{Cores: 1, Speed: 1, Slots: 1, Queue: 5}, 0, false)
 	s.Offer(0, Job{ID: 1, Work: 10 * ms, Wait: 40 * ms})
 	s.Offer(0, Job{ID: 2, Work: 10 * ms})
@@ -84,18 +84,18 @@
 	}
 }
 
-func TestFullRoomTurnsAway(t *testing.T) {
+func TestFullQueueRejects(t *testing.T) {
 	s := NewServer(Spec{Cores: 1, Speed: 1, Slots: 1, Queue: 2}, 0, false)
 	var verdicts []Verdict
 	for id := range uint64(4) {
 		verdicts = append(verdicts, s.Offer(0, Job{ID: id, Work: ms}))
 	}
-	if want := []Verdict{Accepted, Accepted, Accepted, TurnedAway}; fmt.Sprint(verdicts) != fmt.Sprint(want) {
+	if want := []Verdict{Accepted, Accepted, Accepted, Rejected}; fmt.Sprint(verdicts) != fmt.Sprint(want) {
 		t.Errorf("verdicts %v, want %v", verdicts, want)
 	}
 }
 
-func TestHoldingTooManyIsSlower(t *testing.T) {
+func TestThrashingReducesCapacity(t *testing.T) {
 	ends := func(n uint64) time.Duration {
 		s := NewServer(Spec{Cores: 1, Speed: 1, Thrash: 0.2, ThrashAt: 2}, 0, false)
 		for id := range n {
@@ -111,17 +111,17 @@
 	}
 }
 
-func TestOverdueWaitingWorkIsDropped(t *testing.T) {
+func TestExpiredQueuedWorkIsDropped(t *testing.T) {
 	s := NewServer(Spec{Cores: 1, Speed: 1, Slots: 1, DropsExpired: true}, 0, false)
 	s.Offer(0, Job{ID: 1, Work: 50 * ms})
 	s.Offer(0, Job{ID: 2, Work: 50 * ms, Expires: 20 * ms})
 	done := s.Advance(time.Second)
-	if len(done) != 2 || !done[1].Over {
+	if len(done) != 2 || !done[1].Expired {
 		t.Errorf("%+v", done)
 	}
 }
 
-func TestDropTakesWaitingWorkOnly(t *testing.T) {
+func TestDropRemovesOnlyQueuedWork(t *testing.T) {
 	s := NewServer(Spec{Cores: 1, Speed: 1, Slots: 1}, 0, false)
 	s.Offer(0, Job{ID: 1, Work: ms})
 	s.Offer(0, Job{ID: 2, Work: ms})
@@ -150,7 +150,7 @@
 		for i := range 20 { // within a second
 			at := time.Duration(i) * 49 * ms
 			s.Advance(at)
-			fell = s.Offer(at, Job{ID: uint64(i), Work: work}) == Fell || fell
+			fell = s.Offer(at, Job{ID: uint64(i), Work: work}) == FellOver || fell
 		}
 		return fell
 	}
@@ -167,16 +167,16 @@
 
 func TestFallenServerStaysDown(t *testing.T) {
 	s := NewServer(cold(), 0, true)
-	if s.Offer(0, Job{ID: 1, Work: 5 * time.Second}) != Fell {
+	if s.Offer(0, Job{ID: 1, Work: 5 * time.Second}) != FellOver {
 		t.Fatal("it stands")
 	}
 	s.Advance(time.Minute)
-	if !s.Fallen() || s.Offer(time.Minute, Job{ID: 2, Work: ms}) != Fell {
+	if !s.Fallen() || s.Offer(time.Minute, Job{ID: 2, Work: ms}) != FellOver {
 		t.Error("it is up again")
 	}
 }
 
-func TestSlowServer(t *testing.T) {
+func TestSetSlowScalesRemainingWork(t *testing.T) {
 	s := NewServer(Spec{Cores: 1, Speed: 1}, 0, false)
 	s.Offer(0, Job{ID: 1, Work: 100 * ms})
 	s.SetSlow(50*ms, 10)
@@ -186,7 +186,7 @@
 	}
 }
 
-func TestReportsAreLate(t *testing.T) {
+func TestReportsAreDelayed(t *testing.T) {
 	s := NewServer(Spec{Cores: 2, Speed: 1, ReportEvery: 100 * ms, ReportDelay: 30 * ms}, 0, false)
 	s.Offer(0, Job{ID: 1, Work: 60 * ms})
 	s.Advance(125 * ms)
@@ -199,35 +199,35 @@
 	}
 }
 
-func TestMemoryOfKeys(t *testing.T) {
-	m := NewMemory()
+func TestKeyTableStates(t *testing.T) {
+	m := NewKeyTable()
 	steps := []struct {
 		at   time.Duration
 		want KeyState
 	}{{0, KeyNew}, {10 * ms, KeyRunning}}
 	for _, s := range steps {
-		if got := m.Take(s.at, "k", 100*ms); got != s.want {
+		if got := m.Claim(s.at, "k", 100*ms); got != s.want {
 			t.Errorf("at %v: %v", s.at, got)
 		}
 	}
 	m.Finish("k")
-	if got := m.Take(99*ms, "k", 100*ms); got != KeyDone {
+	if got := m.Claim(99*ms, "k", 100*ms); got != KeyDone {
 		t.Errorf("within the window: %v", got)
 	}
-	if got := m.Take(100*ms, "k", 100*ms); got != KeyNew {
+	if got := m.Claim(100*ms, "k", 100*ms); got != KeyNew {
 		t.Errorf("after the window, counted from the first: %v", got)
 	}
 	m.Forget("k")
-	if got := m.Take(101*ms, "k", 100*ms); got != KeyNew {
+	if got := m.Claim(101*ms, "k", 100*ms); got != KeyNew {
 		t.Errorf("after it was turned away: %v", got)
 	}
 }
 
 // The table holds what came within a window, however long the run.
-func TestMemoryIsBounded(t *testing.T) {
-	m := NewMemory()
+func TestKeyTableIsBounded(t *testing.T) {
+	m := NewKeyTable()
 	for i := range 100000 {
-		m.Take(time.Duration(i)*ms, fmt.Sprint(i), 500*ms)
+		m.Claim(time.Duration(i)*ms, fmt.Sprint(i), 500*ms)
 	}
 	if m.Len() > 2048 {
 		t.Errorf("%d keys are held", m.Len())
--- a/lab/model/server.go
+++ b/lab/model/server.go
@@ -37,16 +37,16 @@
 
 // The verdicts.
 const (
-	Accepted   Verdict = iota // in work, or waiting for a slot
-	TurnedAway                // no room: it never runs
-	Fell                      // the server fell over with this job; it runs nothing any more
+	Accepted Verdict = iota // in work, or waiting for a slot
+	Rejected                // no room: it never runs
+	FellOver                // the server fell over with this job; it runs nothing any more
 )
 
 // Done is the end of an accepted job.
 type Done struct {
-	ID    uint64
-	Began time.Duration // when work on it began
-	Over  bool          // it expired while it waited, and never ran
+	ID      uint64
+	Began   time.Duration // when work on it began
+	Expired bool          // it expired while it waited, and never ran
 }
 
 // Load is a load report.
@@ -57,13 +57,13 @@
 }
 
 // step bounds the time over which capacity is taken as constant while a server warms up.
-const step = 20 * time.Millisecond
+const warmUpStep = 20 * time.Millisecond
 
-type running struct {
-	job   Job
-	began time.Duration
-	left  float64       // seconds of work at speed 1
-	until time.Duration // the end of its waiting on others, once left is 0
+type runningJob struct {
+	job           Job
+	began         time.Duration
+	remainingWork float64       // seconds of work at speed 1
+	waitEnd       time.Duration // the end of its waiting on others, once left is 0
 }
 
 type offer struct {
@@ -74,45 +74,45 @@
 // Server is the queueing model of one server: cores shared evenly by the requests in work, slots, and a waiting room
 // of bounded length in order of arrival. It is not safe for concurrent use.
 type Server struct {
-	spec    Spec
-	started time.Duration
-	cold    bool
-	at      time.Duration // up to which time has been played
-	slow    float64       // speed is divided by it
-	work    []running
-	extra   float64 // seconds of work that hold no slot: handshakes, probes
-	queue   []Job
-	offers  []offer // while cold
-	fell    bool
-
-	busy, finished float64 // since the report was last refreshed
-	reportAt       time.Duration
-	reports        []dated
+	spec         Spec
+	started      time.Duration
+	cold         bool
+	playedTo     time.Duration // up to which time has been played
+	slowFactor   float64       // speed is divided by it
+	inWork       []runningJob
+	slotlessWork float64 // seconds of work that hold no slot: handshakes, probes
+	queue        []Job
+	recentOffers []offer // while cold
+	fallen       bool
+
+	busySeconds, finishedJobs float64 // since the report was last refreshed
+	reportAt                  time.Duration
+	reports                   []datedLoad
 }
 
-type dated struct {
-	from time.Duration
-	load Load
+type datedLoad struct {
+	visibleAt time.Duration
+	load      Load
 }
 
 // NewServer returns a server that started at the time started, cold or long ago.
 func NewServer(spec Spec, started time.Duration, cold bool) *Server {
-	return &Server{spec: spec, started: started, at: started, cold: cold && spec.ColdFor > 0, slow: 1, reportAt: started}
+	return &Server{spec: spec, started: started, playedTo: started, cold: cold && spec.ColdFor > 0, slowFactor: 1, reportAt: started}
 }
 
 // SetSlow divides the server's speed by factor from now on; 1 ends that.
 func (s *Server) SetSlow(now time.Duration, factor float64) []Done {
 	done := s.Advance(now)
-	s.slow = max(factor, 1e-3)
+	s.slowFactor = max(factor, 1e-3)
 	return done
 }
 
 // Capacity is the work at speed 1 that the server can do in a second, before what it loses by holding too many.
 func (s *Server) Capacity(now time.Duration) float64 {
-	return s.spec.Cores * s.spec.Speed / s.slow * s.warmth(now)
+	return s.spec.Cores * s.spec.Speed / s.slowFactor * s.warmFraction(now)
 }
 
-func (s *Server) warmth(now time.Duration) float64 {
+func (s *Server) warmFraction(now time.Duration) float64 {
 	if !s.cold || now >= s.started+s.spec.ColdFor {
 		return 1
 	}
@@ -121,43 +121,43 @@
 
 // Offer hands the server a job at now. Advance(now) has to come first.
 func (s *Server) Offer(now time.Duration, j Job) Verdict {
-	if s.fell || s.pushedOver(now, j.Work) {
-		s.fell = true
-		return Fell
+	if s.fallen || s.exceedsColdBudget(now, j.Work) {
+		s.fallen = true
+		return FellOver
 	}
-	if s.spec.Slots == 0 || len(s.work) < s.spec.Slots {
+	if s.spec.Slots == 0 || len(s.inWork) < s.spec.Slots {
 		s.begin(now, j)
 		return Accepted
 	}
 	if s.spec.Queue > 0 && len(s.queue) >= s.spec.Queue {
-		return TurnedAway
+		return Rejected
 	}
 	s.queue = append(s.queue, j)
 	return Accepted
 }
 
 // pushedOver counts work offered to a cold server, also what it will turn away, against the budget of the window.
-func (s *Server) pushedOver(now time.Duration, work time.Duration) bool {
-	if s.spec.FallFor == 0 || s.warmth(now) >= 1 {
-		s.offers = nil
+func (s *Server) exceedsColdBudget(now time.Duration, work time.Duration) bool {
+	if s.spec.FallFor == 0 || s.warmFraction(now) >= 1 {
+		s.recentOffers = nil
 		return false
 	}
-	s.offers = append(s.offers, offer{now, work.Seconds()})
-	for len(s.offers) > 0 && s.offers[0].at <= now-s.spec.FallFor {
-		s.offers = s.offers[1:]
+	s.recentOffers = append(s.recentOffers, offer{now, work.Seconds()})
+	for len(s.recentOffers) > 0 && s.recentOffers[0].at <= now-s.spec.FallFor {
+		s.recentOffers = s.recentOffers[1:]
 	}
 	sum := 0.0
-	for _, o := range s.offers {
+	for _, o := range s.recentOffers {
 		sum += o.work
 	}
 	return sum > s.spec.FallMultiple*s.Capacity(now)*s.spec.FallFor.Seconds()
 }
 
 // Fallen reports whether the server was pushed over.
-func (s *Server) Fallen() bool { return s.fell }
+func (s *Server) Fallen() bool { return s.fallen }
 
 // AddWork takes in work that holds no slot, such as a handshake.
-func (s *Server) AddWork(work time.Duration) { s.extra += work.Seconds() }
+func (s *Server) AddWork(work time.Duration) { s.slotlessWork += work.Seconds() }
 
 // Drop takes a job out of the queue, whose client has given it up; one in work goes on. It reports whether it did.
 func (s *Server) Drop(id uint64) bool {
@@ -171,27 +171,27 @@
 }
 
 // Clear forgets all work, as a crash does.
-func (s *Server) Clear() { s.work, s.queue, s.extra = nil, nil, 0 }
+func (s *Server) Clear() { s.inWork, s.queue, s.slotlessWork = nil, nil, 0 }
 
 func (s *Server) begin(now time.Duration, j Job) {
-	s.work = append(s.work, running{job: j, began: now, left: j.Work.Seconds(), until: now + j.Wait})
+	s.inWork = append(s.inWork, runningJob{job: j, began: now, remainingWork: j.Work.Seconds(), waitEnd: now + j.Wait})
 }
 
 // sharing returns how many share the cores, and how much work a second each of them gets.
-func (s *Server) sharing(now time.Duration) (n int, each float64) {
-	for i := range s.work {
-		if s.work[i].left > 0 {
+func (s *Server) coreShares(now time.Duration) (n int, each float64) {
+	for i := range s.inWork {
+		if s.inWork[i].remainingWork > 0 {
 			n++
 		}
 	}
-	if s.extra > 0 {
+	if s.slotlessWork > 0 {
 		n++
 	}
 	if n == 0 {
 		return 0, 0
 	}
-	speed := s.spec.Speed / s.slow * s.warmth(now)
-	if held := float64(len(s.work) + len(s.queue)); s.spec.Thrash > 0 && s.spec.ThrashAt > 0 {
+	speed := s.spec.Speed / s.slowFactor * s.warmFraction(now)
+	if held := float64(len(s.inWork) + len(s.queue)); s.spec.Thrash > 0 && s.spec.ThrashAt > 0 {
 		if beyond := held/s.spec.Cores - s.spec.ThrashAt; beyond > 0 {
 			speed *= max(0.1, 1-s.spec.Thrash*beyond/s.spec.ThrashAt)
 		}
@@ -200,106 +200,106 @@
 }
 
 // next returns how long from s.at until something ends, were nothing else to come; math.MaxInt64 if nothing will.
-func (s *Server) next() (wait time.Duration, each float64) {
-	_, each = s.sharing(s.at)
+func (s *Server) nextEvent() (wait time.Duration, each float64) {
+	_, each = s.coreShares(s.playedTo)
 	wait = math.MaxInt64
-	for i := range s.work {
-		w := &s.work[i]
-		if w.left > 0 {
-			wait = min(wait, time.Duration(math.Ceil(w.left/each*1e9)))
+	for i := range s.inWork {
+		w := &s.inWork[i]
+		if w.remainingWork > 0 {
+			wait = min(wait, time.Duration(math.Ceil(w.remainingWork/each*1e9)))
 		} else {
-			wait = min(wait, max(1, w.until-s.at)) // a moment at least, or time would stand still
+			wait = min(wait, max(1, w.waitEnd-s.playedTo)) // a moment at least, or time would stand still
 		}
 	}
-	if s.extra > 0 {
-		wait = min(wait, time.Duration(math.Ceil(s.extra/each*1e9)))
+	if s.slotlessWork > 0 {
+		wait = min(wait, time.Duration(math.Ceil(s.slotlessWork/each*1e9)))
 	}
 	return wait, each
 }
 
 // Next returns when Advance has something to do next, and false where nothing is in work.
 func (s *Server) Next() (time.Duration, bool) {
-	wait, _ := s.next()
+	wait, _ := s.nextEvent()
 	if wait == math.MaxInt64 {
 		return 0, false
 	}
-	if s.warmth(s.at) < 1 {
-		wait = min(wait, step)
+	if s.warmFraction(s.playedTo) < 1 {
+		wait = min(wait, warmUpStep)
 	}
-	return s.at + wait, true
+	return s.playedTo + wait, true
 }
 
 // Advance plays time up to now and returns the jobs that ended, in order.
 func (s *Server) Advance(now time.Duration) (done []Done) {
-	for s.at < now {
-		wait, each := s.next()
-		wait = min(wait, now-s.at)
-		if s.warmth(s.at) < 1 {
-			wait = min(wait, step)
+	for s.playedTo < now {
+		wait, each := s.nextEvent()
+		wait = min(wait, now-s.playedTo)
+		if s.warmFraction(s.playedTo) < 1 {
+			wait = min(wait, warmUpStep)
 		}
 		if s.spec.ReportEvery > 0 {
-			wait = min(wait, s.reportAt+s.spec.ReportEvery-s.at)
+			wait = min(wait, s.reportAt+s.spec.ReportEvery-s.playedTo)
 		}
 		wait = max(wait, 1)
-		n, _ := s.sharing(s.at)
-		s.busy += min(float64(n), s.spec.Cores) * wait.Seconds()
-		s.at += wait
-		done = s.play(wait.Seconds()*each, done)
-		s.refresh()
+		n, _ := s.coreShares(s.playedTo)
+		s.busySeconds += min(float64(n), s.spec.Cores) * wait.Seconds()
+		s.playedTo += wait
+		done = s.applyWork(wait.Seconds()*each, done)
+		s.refreshReport()
 	}
 	return done
 }
 
 // play gives each job in work its share and ends what is done.
-func (s *Server) play(share float64, done []Done) []Done {
-	const rest = 1e-9 // of a second; a nanosecond's rounding is no work
-	if s.extra -= share; s.extra < rest {
-		s.extra = 0
+func (s *Server) applyWork(share float64, done []Done) []Done {
+	const roundingError = 1e-9 // of a second; a nanosecond's rounding is no work
+	if s.slotlessWork -= share; s.slotlessWork < roundingError {
+		s.slotlessWork = 0
 	}
-	kept := s.work[:0]
-	for _, w := range s.work {
-		if w.left > 0 {
-			if w.left -= share; w.left < rest {
-				w.left, w.until = 0, s.at+w.job.Wait
+	kept := s.inWork[:0]
+	for _, w := range s.inWork {
+		if w.remainingWork > 0 {
+			if w.remainingWork -= share; w.remainingWork < roundingError {
+				w.remainingWork, w.waitEnd = 0, s.playedTo+w.job.Wait
 			}
 		}
-		if w.left > 0 || w.until > s.at {
+		if w.remainingWork > 0 || w.waitEnd > s.playedTo {
 			kept = append(kept, w)
 			continue
 		}
-		s.finished++
+		s.finishedJobs++
 		done = append(done, Done{ID: w.job.ID, Began: w.began})
 	}
-	s.work = kept
-	for len(s.queue) > 0 && (s.spec.Slots == 0 || len(s.work) < s.spec.Slots) {
+	s.inWork = kept
+	for len(s.queue) > 0 && (s.spec.Slots == 0 || len(s.inWork) < s.spec.Slots) {
 		j := s.queue[0]
 		s.queue = s.queue[1:]
-		if s.spec.DropsExpired && j.Expires > 0 && j.Expires <= s.at {
-			done = append(done, Done{ID: j.ID, Over: true})
+		if s.spec.DropsExpired && j.Expires > 0 && j.Expires <= s.playedTo {
+			done = append(done, Done{ID: j.ID, Expired: true})
 			continue
 		}
-		s.begin(s.at, j)
+		s.begin(s.playedTo, j)
 	}
 	return done
 }
 
 // refresh makes a new load report when its time has come.
-func (s *Server) refresh() {
-	if s.spec.ReportEvery == 0 || s.at < s.reportAt+s.spec.ReportEvery {
+func (s *Server) refreshReport() {
+	if s.spec.ReportEvery == 0 || s.playedTo < s.reportAt+s.spec.ReportEvery {
 		return
 	}
-	span := (s.at - s.reportAt).Seconds()
-	l := Load{InFlight: len(s.work), Queue: len(s.queue), Util: s.busy / span / s.spec.Cores, Rate: s.finished / span}
-	s.reports = append(s.reports, dated{s.at + s.spec.ReportDelay, l})
-	s.reportAt, s.busy, s.finished = s.at, 0, 0
+	span := (s.playedTo - s.reportAt).Seconds()
+	l := Load{InFlight: len(s.inWork), Queue: len(s.queue), Util: s.busySeconds / span / s.spec.Cores, Rate: s.finishedJobs / span}
+	s.reports = append(s.reports, datedLoad{s.playedTo + s.spec.ReportDelay, l})
+	s.reportAt, s.busySeconds, s.finishedJobs = s.playedTo, 0, 0
 }
 
 // Report returns the load report that is seen at now; false where none is.
 func (s *Server) Report(now time.Duration) (Load, bool) {
-	for len(s.reports) > 1 && s.reports[1].from <= now {
+	for len(s.reports) > 1 && s.reports[1].visibleAt <= now {
 		s.reports = s.reports[1:]
 	}
-	if len(s.reports) == 0 || s.reports[0].from > now {
+	if len(s.reports) == 0 || s.reports[0].visibleAt > now {
 		return Load{}, false
 	}
 	return s.reports[0].load, true
@@ -309,11 +309,11 @@
 func (s *Server) SetReportDelay(d time.Duration) { s.spec.ReportDelay = d }
 
 // Held returns how many jobs are in work and how many wait.
-func (s *Server) Held() (work, queue int) { return len(s.work), len(s.queue) }
+func (s *Server) Held() (work, queue int) { return len(s.inWork), len(s.queue) }
 
 // Working returns the jobs in work, with when it began.
 func (s *Server) Working() (all []Done) {
-	for _, w := range s.work {
+	for _, w := range s.inWork {
 		all = append(all, Done{ID: w.job.ID, Began: w.began})
 	}
 	return all
--- a/lab/run/alone.go
+++ b/lab/run/alone.go
@@ -53,7 +53,7 @@
 		return nil, err
 	}
 	clock := standin.StartClock()
-	j := judge.New(judge.Config{Classes: judgedClasses(s), Slack: ruleSlack, Blind: true})
+	j := judge.New(judge.Config{Classes: judgedClasses(s), Slack: ruleSlack, NoServerEvents: true})
 	seen := newRecorder(j, s.Length())
 	var rpcAddrs []string
 	if s.Clients.RPC() {
--- a/lab/run/faults.go
+++ b/lab/run/faults.go
@@ -271,12 +271,12 @@
 		if err := n.signal(syscall.SIGKILL); err != nil {
 			return err
 		}
-		st.judge.Down(n.number, st.clock())
+		st.judge.SidecarDown(n.number, st.clock())
 		err := n.awaitEnd()
 		st.noteAllDown()
 		return err
 	case "stop":
-		st.judge.Down(n.number, st.clock())
+		st.judge.SidecarDown(n.number, st.clock())
 		return n.pause(true)
 	case "hup":
 		if _, err := writeConfig(st.dir, st.s, n.number, n.address(), st.roster.SecondAddr(n.number),
@@ -309,7 +309,7 @@
 		st.tasks.Go(func() { st.startAgain(n) })
 	case "stop":
 		err := n.pause(false)
-		st.judge.Up(n.number, st.clock()+st.slack)
+		st.judge.SidecarUp(n.number, st.clock()+st.slack)
 		return err
 	}
 	return nil
@@ -319,7 +319,7 @@
 func (st *stage) startAgain(n *process) {
 	ctx, cancel := context.WithTimeout(context.Background(), startPatience)
 	defer cancel()
-	st.judge.Started(n.number, st.clock())
+	st.judge.SidecarStarted(n.number, st.clock())
 	err := n.start(ctx)
 	if err == nil {
 		err = n.awaitReady(ctx)
@@ -328,6 +328,6 @@
 		st.failed(fmt.Errorf("start again: %w", err))
 		return
 	}
-	st.judge.Up(n.number, st.clock())
+	st.judge.SidecarUp(n.number, st.clock())
 	st.callers.SetShuttingDown(n.number, false)
 }
--- a/lab/run/report.go
+++ b/lab/run/report.go
@@ -82,7 +82,7 @@
 }
 
 // Good reports whether no rule was broken and nothing crashed.
-func (r *Report) Good() bool { return r.Verdict.Kept() && len(r.Crashes) == 0 }
+func (r *Report) Good() bool { return r.Verdict.Passed() && len(r.Crashes) == 0 }
 
 func newReport(s *scenario.Scenario, tallies []standin.ArrivalOutcome, v *judge.Verdict, seen *recorder) *Report {
 	r := &Report{
--- a/lab/run/run.go
+++ b/lab/run/run.go
@@ -113,8 +113,8 @@
 	st.clock = standin.StartClock()
 	st.judge = judge.New(judge.Config{
 		Classes: judgedClasses(s), Slack: answerSlack*time.Millisecond + st.slack,
-		DrainGrace: scenario.MS(s.Fleet.DrainGraceMS) + st.slack, ToldAfter: toldAfter, After: st.slack,
-		AskWithin: asked(s),
+		DrainGrace: scenario.MS(s.Fleet.DrainGraceMS) + st.slack, NotifiedAfter: toldAfter, ArrivalSlack: st.slack,
+		PollWithin: asked(s),
 	})
 	st.seen = newRecorder(st.judge, s.Length())
 	for range s.Fleet.Cells {
--- a/lab/shed/play.go
+++ b/lab/shed/play.go
@@ -210,7 +210,7 @@
 		d.held[i]--
 		a := &d.plan.Arrivals[j.arrival]
 		end, how := scenario.Served, overload.Answered
-		if done.Over {
+		if done.Expired {
 			end, how = scenario.Failed, overload.Inconclusive
 		}
 		d.way.End(now, a.Class, now-j.began, how)
--- a/lab/standin/cell.go
+++ b/lab/standin/cell.go
@@ -11,19 +11,19 @@
 // its key is still running waits for that one. Cell is safe for concurrent use.
 type Cell struct {
 	mu      sync.Mutex
-	memory  *model.Memory
+	keys    *model.KeyTable
 	waiters map[string][]chan<- bool
 }
 
 // NewCell returns an empty cell.
-func NewCell() *Cell { return &Cell{memory: model.NewMemory(), waiters: map[string][]chan<- bool{}} }
+func NewCell() *Cell { return &Cell{keys: model.NewKeyTable(), waiters: map[string][]chan<- bool{}} }
 
 // claim returns the state of key and records a new one for window. With KeyRunning, ended later receives whether the first
 // request ran to its end.
 func (c *Cell) claim(now time.Duration, key string, window time.Duration, ended chan<- bool) model.KeyState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	state := c.memory.Take(now, key, window)
+	state := c.keys.Claim(now, key, window)
 	if state == model.KeyRunning {
 		c.waiters[key] = append(c.waiters[key], ended)
 	}
@@ -38,7 +38,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if ran {
-		c.memory.Finish(key)
+		c.keys.Finish(key)
 	}
 	c.notifyWaiters(key, ran)
 }
@@ -50,7 +50,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.memory.Forget(key)
+	c.keys.Forget(key)
 	c.notifyWaiters(key, false)
 }
 
--- a/lab/standin/clienthttp.go
+++ b/lab/standin/clienthttp.go
@@ -42,7 +42,7 @@
 	switch t.arrival.Quirk {
 	case scenario.HangsUp:
 		time.Sleep(min(t.arrival.GoesAt, left))
-		c.cfg.Observer.Gone(t.trace, c.cfg.Clock())
+		c.cfg.Observer.ClientGone(t.trace, c.cfg.Clock())
 		_ = conn.Close() // the connection is released even where this fails
 		return lostResult
 	case scenario.HalfCloses:
@@ -75,7 +75,7 @@
 // handleResponse reports a response to the judge and returns the connection to the pool if it can be reused.
 func (c *Clients) handleResponse(conn *clientConn, t *attempt, now time.Duration, answer *clientResponse) result {
 	if conn.in.Buffered() > 0 {
-		c.cfg.Observer.Extra(t.trace, now)
+		c.cfg.Observer.ExtraData(t.trace, now)
 		answer.closeConn = true
 	}
 	c.cfg.Observer.Answered(t.trace, now, answer.judged, answer.bodyTrace)
--- a/lab/standin/clientpool.go
+++ b/lab/standin/clientpool.go
@@ -45,7 +45,7 @@
 		case connQuiet:
 			return c, nil
 		case connDataPending: // data that belongs to no request: a surplus response
-			o.Extra(c.lastTrace, clock())
+			o.ExtraData(c.lastTrace, clock())
 		}
 		_ = c.Close() // the connection is released even where this fails
 	}
--- a/lab/standin/rosterserve.go
+++ b/lab/standin/rosterserve.go
@@ -130,7 +130,7 @@
 	}
 	ctx, cancel := context.WithCancel(req.Context())
 	defer cancel()
-	call.sidecar, call.onEnd = sidecar, r.cfg.Observer.Call(sidecar, r.cfg.Clock(), call.hold, call.from >= 0)
+	call.sidecar, call.onEnd = sidecar, r.cfg.Observer.RosterCall(sidecar, r.cfg.Clock(), call.hold, call.from >= 0)
 	r.mu.Lock()
 	muted, rejected, after := r.muted, r.selectShare(r.busyShare), r.busyDelay
 	r.mu.Unlock()
@@ -140,9 +140,9 @@
 	}
 	if !r.waitTurn(ctx) || !r.awaitChange(ctx, muted, call.from, call.hold) {
 		if ctx.Err() != nil {
-			call.onEnd(judge.CallLeft, r.cfg.Clock())
+			call.onEnd(judge.CallCanceled, r.cfg.Clock())
 		} else {
-			call.onEnd(judge.CallTurnedAway, r.cfg.Clock())
+			call.onEnd(judge.CallRejected, r.cfg.Clock())
 		}
 		panic(http.ErrAbortHandler) // resets the connection, like an unreachable service
 	}
@@ -152,10 +152,10 @@
 // rejectBusy responds with 503 after a delay.
 func (r *Roster) rejectBusy(ctx context.Context, w http.ResponseWriter, call *rosterCall, after time.Duration) {
 	if !r.sleep(ctx, after) {
-		call.onEnd(judge.CallLeft, r.cfg.Clock())
+		call.onEnd(judge.CallCanceled, r.cfg.Clock())
 		return
 	}
-	call.onEnd(judge.CallTurnedAway, r.cfg.Clock())
+	call.onEnd(judge.CallRejected, r.cfg.Clock())
 	http.Error(w, "busy", http.StatusServiceUnavailable)
 }
 
@@ -187,16 +187,16 @@
 		return
 	}
 	if _, err := w.Write(text); err != nil {
-		call.onEnd(judge.CallLeft, r.cfg.Clock())
+		call.onEnd(judge.CallCanceled, r.cfg.Clock())
 		return
 	}
 	if http.NewResponseController(w).Flush() != nil {
-		call.onEnd(judge.CallLeft, r.cfg.Clock())
+		call.onEnd(judge.CallCanceled, r.cfg.Clock())
 		return
 	}
-	call.onEnd(judge.CallWritten, r.cfg.Clock())
+	call.onEnd(judge.CallAnswered, r.cfg.Clock())
 	for id, ready := range notices {
-		r.cfg.Observer.Told(call.sidecar, id, ready, r.cfg.Clock())
+		r.cfg.Observer.Notified(call.sidecar, id, ready, r.cfg.Clock())
 	}
 }
 
--- a/lab/standin/rpcclient.go
+++ b/lab/standin/rpcclient.go
@@ -76,7 +76,7 @@
 		case w != nil:
 			w <- a
 		case !late:
-			c.observer.Extra(lastTrace, a.at)
+			c.observer.ExtraData(lastTrace, a.at)
 		}
 	}
 }
@@ -181,7 +181,7 @@
 	switch a.Quirk {
 	case scenario.HangsUp:
 		time.Sleep(min(a.GoesAt, left))
-		c.cfg.Observer.Gone(t.trace, c.cfg.Clock())
+		c.cfg.Observer.ClientGone(t.trace, c.cfg.Clock())
 		return lostResult
 	case scenario.HalfCloses:
 		_ = conn.Conn.(*net.TCPConn).CloseWrite() // fails only where the connection is closed already
--- a/lab/standin/server.go
+++ b/lab/standin/server.go
@@ -138,7 +138,7 @@
 			continue
 		}
 		delete(s.jobs, d.ID)
-		if d.Over {
+		if d.Expired {
 			j.ended <- jobExpired
 			continue
 		}
--- a/lab/standin/serverhandle.go
+++ b/lab/standin/serverhandle.go
@@ -83,10 +83,10 @@
 func (s *Server) runJob(trace, key string, class ServerClass, left time.Duration, more <-chan incoming) *reply {
 	id, j, verdict := s.offerJob(trace, class, left)
 	switch verdict {
-	case model.TurnedAway:
+	case model.Rejected:
 		class.Cell.forget(key)
 		return s.neverRanReply()
-	case model.Fell:
+	case model.FellOver:
 		class.Cell.forget(key)
 		s.tasks.Go(s.Crash)
 		return nil
@@ -127,7 +127,7 @@
 	case model.Accepted:
 		s.jobs[id] = j
 		s.schedule()
-	case model.Fell:
+	case model.FellOver:
 		s.cfg.Observer.PushedOver(s.cfg.ID, now)
 	}
 	return id, j, verdict
--- a/lab/standin/standin.go
+++ b/lab/standin/standin.go
@@ -30,16 +30,16 @@
 // RosterObserver receives the changes of the roster's list and what was sent to whom. *judge.Judge implements it.
 type RosterObserver interface {
 	Changed(server string, ready bool, at time.Duration)
-	Told(sidecar int, server string, ready bool, at time.Duration)
-	Call(sidecar int, at, hold time.Duration, waits bool) func(judge.CallEnd, time.Duration)
+	Notified(sidecar int, server string, ready bool, at time.Duration)
+	RosterCall(sidecar int, at, hold time.Duration, waits bool) func(judge.CallEnd, time.Duration)
 }
 
 // ClientObserver receives the events of clients. *judge.Judge implements it.
 type ClientObserver interface {
 	Sent(judge.Try)
 	Answered(trace string, at time.Duration, a judge.Answer, made string)
-	Extra(trace string, at time.Duration)
-	Gone(trace string, at time.Duration)
+	ExtraData(trace string, at time.Duration)
+	ClientGone(trace string, at time.Duration)
 }
 
 var (
--- a/lab/standin/standin_test.go
+++ b/lab/standin/standin_test.go
@@ -50,11 +50,11 @@
 func (w *recorder) Finished(string)                           {}
 func (w *recorder) PushedOver(server string, _ time.Duration) { w.note(&w.pushedOver, "%s", server) }
 func (w *recorder) Changed(string, bool, time.Duration)       {}
-func (w *recorder) Call(int, time.Duration, time.Duration, bool) func(judge.CallEnd, time.Duration) {
+func (w *recorder) RosterCall(int, time.Duration, time.Duration, bool) func(judge.CallEnd, time.Duration) {
 	return func(judge.CallEnd, time.Duration) {}
 }
 
-func (w *recorder) Told(sidecar int, server string, ready bool, _ time.Duration) {
+func (w *recorder) Notified(sidecar int, server string, ready bool, _ time.Duration) {
 	w.note(&w.notified, "%d %s %v", sidecar, server, ready)
 }
 
