--- a/cmd/firplank-lab/shed.go
+++ b/cmd/firplank-lab/shed.go
@@ -39,8 +39,8 @@
 			return err
 		}
 		for _, o := range all {
-			t.Printf("%d\t%s\t%.3f\t%.3f\t%.3f\t%d\t%d\t%d\t%d\t%s\t%s\t\n", s.Seed, o.Way, o.Share, o.OfMost, o.OfOmniscient, o.InAim, o.Late,
-				o.Refused, o.Tries, formatRecovery(o.Recovered), formatRecovery(o.NewServed))
+			t.Printf("%d\t%s\t%.3f\t%.3f\t%.3f\t%d\t%d\t%d\t%d\t%s\t%s\t\n", s.Seed, o.Policy, o.Share, o.OfClassBound, o.OfRequestBound, o.InAim,
+				o.Late, o.Refused, o.Tries, formatRecovery(o.RecoveredAfter), formatRecovery(o.NewServedAfter))
 		}
 	}
 	return t.Flush()
--- a/lab/run/alone.go
+++ b/lab/run/alone.go
@@ -32,7 +32,7 @@
 	}
 	var mine []scenario.Fault
 	for _, f := range s.Faults {
-		if f.Subject() == scenario.Servers || f.Subject() == scenario.TheRoster {
+		if f.Subject() == scenario.SubjectServers || f.Subject() == scenario.SubjectRoster {
 			mine = append(mine, f)
 		}
 	}
--- a/lab/run/config.go
+++ b/lab/run/config.go
@@ -60,7 +60,7 @@
 	return object{
 		"classes": classes, "tenants": tenants, "kinds": kinds, "zones": []string{zone}, "zone": 0, "weights": "rough",
 		"discovery": how, "my_number": number, "peers_total": s.Sidecars, "quantum_ms": 2, "over_share_worth": 0.2,
-		"clients": object{"marks_retry": s.Clients.Marks},
+		"clients": object{"marks_retry": s.Clients.MarkRetries},
 		"limits": object{
 			"cancel": true, "conn_idle_ms": s.Fleet.IdleS * 1000, "connect_timeout_ms": 250, "max_attempts": 6,
 			"max_retry_after_ms": 2000, "open_cap": 20000, "parallel_tries": true, "probes": true, "retry_after": true,
@@ -86,14 +86,14 @@
 	if s.Clients.Held > 0 {
 		all["http"] = object{"idle_s": 3600, "waiting_share": 1}
 	}
-	if s.Contracts() {
+	if s.EnforcesContracts() {
 		all["broker"] = object{"contracts": contracts, "capacity_per_s": s.Broker.Capacity}
 	}
 	if carbon != nil {
 		all["graphite"] = object{"address": carbon.Addr(), "protocol": "pickle", "prefix": toldPrefix + ".{name}", "interval_s": 1}
 	}
 	if s.Talk.Enabled {
-		all["fleet"] = object{"enabled": true, "most_per_s": s.Talk.Most}
+		all["fleet"] = object{"enabled": true, "most_per_s": s.Talk.MaxRequestsPerSecond}
 		all["operators"] = object{"listen": "127.0.0.1:0"}
 	}
 	if len(all) == 0 {
@@ -145,9 +145,9 @@
 			factor = f
 		}
 		teams = append(teams, object{
-			"name": t.Name, "tenants": []string{t.Name}, "worth_per_s": c.Worth * factor, "burst": c.Burst, "guaranteed": c.Guaranteed,
+			"name": t.Name, "tenants": []string{t.Name}, "worth_per_s": c.WorthPerSecond * factor, "burst": c.Burst, "guaranteed": c.Guaranteed,
 			"most": c.Most, "over": c.Over, "class": classes,
-			"retries": object{"share": c.Share, "floor_per_s": c.Floor, "identity": c.Identity},
+			"retries": object{"share": c.RetryShare, "floor_per_s": c.RetryFloorPerSecond, "identity": c.RetryIdentity},
 		})
 	}
 	text, err := toml.Marshal(object{"team": teams})
--- a/lab/run/faults.go
+++ b/lab/run/faults.go
@@ -67,7 +67,7 @@
 	for _, sl := range st.fleet {
 		from = append(from, sl.candidate)
 	}
-	for _, n := range st.s.Strikes(fault, from) {
+	for _, n := range st.s.AffectedBy(fault, from) {
 		slots = append(slots, st.fleet[n])
 	}
 	return slots
@@ -78,7 +78,7 @@
 	for _, n := range st.nodes {
 		from = append(from, scenario.Candidate{Number: n.number})
 	}
-	for _, n := range st.s.Strikes(fault, from) {
+	for _, n := range st.s.AffectedBy(fault, from) {
 		nodes = append(nodes, st.nodes[n])
 	}
 	return nodes
@@ -90,11 +90,11 @@
 		return func(context.Context) error { return st.recontract(f) }, nil
 	}
 	switch f.Subject() {
-	case scenario.TheRoster:
+	case scenario.SubjectRoster:
 		return st.rosterDeeds(f)
-	case scenario.Links:
+	case scenario.SubjectLinks:
 		return st.linkDeeds(f)
-	case scenario.Sidecars:
+	case scenario.SubjectSidecars:
 		var nodes []*process
 		return func(ctx context.Context) error {
 				nodes = st.struckNodes(i)
@@ -102,7 +102,7 @@
 			}, func(ctx context.Context) error {
 				return each(nodes, func(n *process) error { return st.relieveNode(ctx, f, n) })
 			}
-	case scenario.Callers:
+	case scenario.SubjectClients:
 		if f.Kind == "flood" {
 			return func(ctx context.Context) error {
 				for _, n := range st.nodes {
@@ -135,7 +135,7 @@
 
 // recontract changes a tenant's budget and tells all sidecars that run.
 func (st *stage) recontract(f *scenario.Fault) error {
-	if !st.s.Contracts() {
+	if !st.s.EnforcesContracts() {
 		return nil
 	}
 	st.mu.Lock()
--- a/lab/run/report.go
+++ b/lab/run/report.go
@@ -156,10 +156,10 @@
 		e := s.Entitlement(tenant)
 		for i := range tallies {
 			if t := &tallies[i]; t.Tenant == tenant {
-				e.Ask(t.At, s.Classes[t.Class].Worth)
+				e.AddRequest(t.At, s.Classes[t.Class].Worth)
 			}
 		}
-		team := Team{Name: s.Tenants[tenant].Name, Asked: e.Asked, Entitled: e.Worth}
+		team := Team{Name: s.Tenants[tenant].Name, Asked: e.Requested, Entitled: e.Granted}
 		for _, row := range r.Rows {
 			if row.Tenant == team.Name {
 				team.Served += row.found
--- a/lab/run/run.go
+++ b/lab/run/run.go
@@ -127,7 +127,7 @@
 	var err error
 	st.roster, err = standin.NewRoster(standin.RosterConfig{
 		Push: s.Roster.Mode == "push", ChangeDelay: scenario.MS(s.Roster.DelayMS), ServiceTime: perCall,
-		MaxQueueWait: scenario.MS(s.Roster.MostWaitMS), AlwaysFull: s.Roster.AlwaysFull, Clock: st.clock, Observer: st.judge,
+		MaxQueueWait: scenario.MS(s.Roster.MaxWaitMS), AlwaysFull: s.Roster.AlwaysFull, Clock: st.clock, Observer: st.judge,
 	}, s.Sidecars)
 	if err != nil {
 		return err
@@ -158,7 +158,7 @@
 		return err
 	}
 	s := st.s
-	if s.Contracts() {
+	if s.EnforcesContracts() {
 		if err := writeContracts(st.contracts(), s, nil); err != nil {
 			return err
 		}
@@ -175,7 +175,7 @@
 			return err
 		}
 		n := &process{number: i, program: program, config: path, cores: s.Limits.Cores, rpc: s.Clients.RPC()}
-		if s.Clients.RPC() || s.RPCServers() || s.Contracts() || s.Clients.Held > 0 || st.carbon != nil || s.Talk.Enabled {
+		if s.Clients.RPC() || s.RPCServers() || s.EnforcesContracts() || s.Clients.Held > 0 || st.carbon != nil || s.Talk.Enabled {
 			n.options = func(listen string) ([]byte, error) { return nodeOptions(s, listen, st.contracts(), st.carbon) }
 		}
 		st.nodes = append(st.nodes, n)
@@ -226,7 +226,7 @@
 	}
 	server, err := standin.NewServer(standin.ServerConfig{
 		ID: fmt.Sprintf("s-%02d", number), Cell: cell, Spec: spec, Cold: cold, Classes: classes, Reports: reports, Probes: true,
-		HandshakeWork: scenario.MS(f.HandshakeMS), MaxConns: f.MostConns, IdleTimeout: scenario.MS(f.IdleS * 1000),
+		HandshakeWork: scenario.MS(f.HandshakeMS), MaxConns: f.MaxConns, IdleTimeout: scenario.MS(f.IdleS * 1000),
 		RPC: k.RPC(), Clock: st.clock, Observer: st.seen,
 	}, st.s.Sidecars)
 	if err != nil {
--- a/lab/run/talk.go
+++ b/lab/run/talk.go
@@ -158,7 +158,7 @@
 		killed, stopped = killed || k == "kill" || k == "term", stopped || k == "stop"
 	}
 	begin, why := time.Now(), ""
-	for time.Since(begin) < scenario.MS(st.s.Talk.Agree*1000) && ctx.Err() == nil {
+	for time.Since(begin) < scenario.MS(st.s.Talk.AgreeWithinS*1000) && ctx.Err() == nil {
 		var first *peers.Status
 		why = ""
 		for _, n := range st.nodes {
--- a/lab/scenario/fault.go
+++ b/lab/scenario/fault.go
@@ -31,11 +31,11 @@
 
 // The subjects.
 const (
-	Servers Subject = iota
-	Sidecars
-	TheRoster
-	Callers
-	Links
+	SubjectServers Subject = iota
+	SubjectSidecars
+	SubjectRoster
+	SubjectClients
+	SubjectLinks
 )
 
 // Kinds lists what can go wrong: whom it strikes, and what the fault's figures mean.
@@ -44,37 +44,37 @@
 	needs   string // of size, share, for_s, form
 	About   string
 }{
-	"slow":         {Servers, "size", "work takes size times as long"},
-	"crash":        {Servers, "", "connections are reset and new ones refused; after for_s it starts again, cold, under its id"},
-	"replace":      {Servers, "", "it crashes and a new server with a new id starts at its address"},
-	"silent":       {Servers, "for_s", "its machine says nothing, and resets what is open when it is back"},
-	"drain":        {Servers, "for_s", "it drains for for_s and is then gone"},
-	"leave_return": {Servers, "for_s", "it is gone from the roster for for_s and comes back under its id, started anew"},
-	"error":        {Servers, "share", "a share of the answers is 500 after the work"},
-	"spoil":        {Servers, "share form", "a share of the answers comes spoilt"},
-	"late_reports": {Servers, "size", "load reports are size seconds older"},
-	"grow":         {Servers, "size", "size new servers start, cold"},
-	"cut":          {Servers, "for_s", "the links from sidecar number size (from 0) to the servers are silent both ways"},
-	"kill":         {Sidecars, "", "SIGKILL; started again after for_s"},
-	"stop":         {Sidecars, "for_s", "SIGSTOP, and SIGCONT after for_s"},
-	"term":         {Sidecars, "", "SIGTERM; started again when it has ended"},
-	"hup":          {Sidecars, "", "SIGHUP"},
-	"link_cut":     {Links, "for_s", "datagrams between sidecars of from and to are lost, with one_way in that direction alone"},
-	"link_slow":    {Links, "size for_s", "they come up to 2 × size seconds late, and overtake one another"},
-	"link_loss":    {Links, "share for_s", "a share is lost, and as many come twice"},
-	"link_garbage": {Links, "size for_s",
+	"slow":         {SubjectServers, "size", "work takes size times as long"},
+	"crash":        {SubjectServers, "", "connections are reset and new ones refused; after for_s it starts again, cold, under its id"},
+	"replace":      {SubjectServers, "", "it crashes and a new server with a new id starts at its address"},
+	"silent":       {SubjectServers, "for_s", "its machine says nothing, and resets what is open when it is back"},
+	"drain":        {SubjectServers, "for_s", "it drains for for_s and is then gone"},
+	"leave_return": {SubjectServers, "for_s", "it is gone from the roster for for_s and comes back under its id, started anew"},
+	"error":        {SubjectServers, "share", "a share of the answers is 500 after the work"},
+	"spoil":        {SubjectServers, "share form", "a share of the answers comes spoilt"},
+	"late_reports": {SubjectServers, "size", "load reports are size seconds older"},
+	"grow":         {SubjectServers, "size", "size new servers start, cold"},
+	"cut":          {SubjectServers, "for_s", "the links from sidecar number size (from 0) to the servers are silent both ways"},
+	"kill":         {SubjectSidecars, "", "SIGKILL; started again after for_s"},
+	"stop":         {SubjectSidecars, "for_s", "SIGSTOP, and SIGCONT after for_s"},
+	"term":         {SubjectSidecars, "", "SIGTERM; started again when it has ended"},
+	"hup":          {SubjectSidecars, "", "SIGHUP"},
+	"link_cut":     {SubjectLinks, "for_s", "datagrams between sidecars of from and to are lost, with one_way in that direction alone"},
+	"link_slow":    {SubjectLinks, "size for_s", "they come up to 2 × size seconds late, and overtake one another"},
+	"link_loss":    {SubjectLinks, "share for_s", "a share is lost, and as many come twice"},
+	"link_garbage": {SubjectLinks, "size for_s",
 		"size datagrams a second that mean nothing reach each sidecar of to, some of them from its peers' addresses"},
-	"roster_down":    {TheRoster, "for_s", "calls are reset and watches end"},
-	"roster_slow":    {TheRoster, "size", "answers come size seconds later"},
-	"roster_restart": {TheRoster, "", "it comes back with a lower revision"},
-	"roster_break":   {TheRoster, "share for_s", "a share of the answers breaks off: by an end, a reset, or by stopping in the middle"},
-	"roster_mute":    {TheRoster, "", "all watches that are open fall silent, on connections that stay open"},
-	"roster_busy":    {TheRoster, "share size for_s", "a share of the calls is turned away after size seconds"},
-	"roster_garble":  {TheRoster, "for_s", "it answers with what is no list"},
-	"surge":          {Callers, "size for_s", "arrivals are multiplied by size, or with target tenant:NAME those of one tenant"},
-	"recontract":     {Sidecars, "size", "the budget of tenant:NAME is multiplied by size, and all sidecars get SIGHUP"},
-	"rush":           {Callers, "for_s", "every held connection sends one request, at even times over for_s"},
-	"flood":          {Callers, "size for_s", "size connections are kept open that say nothing or send what is no request"},
+	"roster_down":    {SubjectRoster, "for_s", "calls are reset and watches end"},
+	"roster_slow":    {SubjectRoster, "size", "answers come size seconds later"},
+	"roster_restart": {SubjectRoster, "", "it comes back with a lower revision"},
+	"roster_break":   {SubjectRoster, "share for_s", "a share of the answers breaks off: by an end, a reset, or by stopping in the middle"},
+	"roster_mute":    {SubjectRoster, "", "all watches that are open fall silent, on connections that stay open"},
+	"roster_busy":    {SubjectRoster, "share size for_s", "a share of the calls is turned away after size seconds"},
+	"roster_garble":  {SubjectRoster, "for_s", "it answers with what is no list"},
+	"surge":          {SubjectClients, "size for_s", "arrivals are multiplied by size, or with target tenant:NAME those of one tenant"},
+	"recontract":     {SubjectSidecars, "size", "the budget of tenant:NAME is multiplied by size, and all sidecars get SIGHUP"},
+	"rush":           {SubjectClients, "for_s", "every held connection sends one request, at even times over for_s"},
+	"flood":          {SubjectClients, "size for_s", "size connections are kept open that say nothing or send what is no request"},
 }
 
 // forms of spoilt answers.
@@ -100,17 +100,17 @@
 
 // Tenant is whom a surge or a change of contract is about; empty: all.
 func (f *Fault) Tenant() string {
-	if t, err := parseTarget(f.Target); err == nil && t.what == "tenant" {
+	if t, err := parseTarget(f.Target); err == nil && t.scope == "tenant" {
 		return t.value
 	}
 	return ""
 }
 
 // At returns when the fault begins, from the start of the day.
-func (f *Fault) At() time.Duration { return seconds(f.AtS) }
+func (f *Fault) At() time.Duration { return secondsDuration(f.AtS) }
 
 // For returns how long the fault lasts.
-func (f *Fault) For() time.Duration { return seconds(f.ForS) }
+func (f *Fault) For() time.Duration { return secondsDuration(f.ForS) }
 
 func (f *Fault) check() error {
 	k, ok := kinds[f.Kind]
@@ -130,14 +130,14 @@
 			return fmt.Errorf("%s: %s is missing or out of range", f.Kind, need)
 		}
 	}
-	if k.subject == Links {
+	if k.subject == SubjectLinks {
 		for _, group := range []string{f.From, f.To} {
 			if _, err := Group(group, 1<<20); err != nil {
 				return fmt.Errorf("%s: %w", f.Kind, err)
 			}
 		}
 	}
-	if k.subject == Servers || k.subject == Sidecars || f.Kind == "surge" {
+	if k.subject == SubjectServers || k.subject == SubjectSidecars || f.Kind == "surge" {
 		if _, err := parseTarget(f.Target); err != nil {
 			return fmt.Errorf("%s: %w", f.Kind, err)
 		}
--- a/lab/scenario/plan.go
+++ b/lab/scenario/plan.go
@@ -18,7 +18,7 @@
 
 // The quirks.
 const (
-	Usual Quirk = iota
+	NoQuirk Quirk = iota
 	HangsUp
 	HalfCloses
 	ReadsSlowly
@@ -26,16 +26,16 @@
 
 // Arrival is a first try, drawn ahead: a slow answer to one does not put off the next.
 type Arrival struct {
-	Number  int
-	At      time.Duration
-	Class   int
-	Tenant  int
-	Sidecar int
-	Key     string // the idempotency key of a keyed class
-	Object  string
-	Held    int // the held connection that it goes out on, from 1; 0: any other
-	Quirk   Quirk
-	GoesAt  time.Duration // after its sending, when Quirk is HangsUp
+	Number      int
+	At          time.Duration
+	Class       int
+	Tenant      int
+	Sidecar     int
+	Key         string // the idempotency key of a keyed class
+	Object      string
+	Held        int // the held connection that it goes out on, from 1; 0: any other
+	Quirk       Quirk
+	HangUpAfter time.Duration // after its sending, when Quirk is HangsUp
 }
 
 // Trace is the id of a try of the arrival; each try has its own.
@@ -51,23 +51,23 @@
 }
 
 // mostArrivals bounds a plan's memory.
-const mostArrivals = 2_000_000
+const maxArrivals = 2_000_000
 
 // Draw draws the day of a scenario that passed its check.
 func (s *Scenario) Draw() (*Plan, error) {
 	r := model.Rand(s.Seed, "arrivals")
-	most := s.Rate * s.topSurge()
-	if most*s.LengthS > mostArrivals {
-		return nil, fmt.Errorf("%s: some %.0f arrivals: at most %d", s.Name, most*s.LengthS, mostArrivals)
+	peakRate := s.Rate * s.maxArrivalFactor()
+	if peakRate*s.LengthS > maxArrivals {
+		return nil, fmt.Errorf("%s: some %.0f arrivals: at most %d", s.Name, peakRate*s.LengthS, maxArrivals)
 	}
 	p := &Plan{}
 	for at := time.Duration(0); ; {
-		at += time.Duration(r.ExpFloat64() / most * float64(time.Second))
+		at += time.Duration(r.ExpFloat64() / peakRate * float64(time.Second))
 		if at >= s.Length() {
 			s.drawRushes(p)
 			return p, nil
 		}
-		if keep := s.Rate * s.surge(at) / most; r.Float64() >= keep {
+		if keep := s.Rate * s.arrivalFactor(at) / peakRate; r.Float64() >= keep {
 			continue
 		}
 		p.Arrivals = append(p.Arrivals, s.drawOne(r, len(p.Arrivals), at))
@@ -83,9 +83,9 @@
 		}
 		r := model.Rand(s.Seed, "rush", strconv.Itoa(i))
 		n := s.Clients.Held * s.Sidecars
-		for place, conn := range r.Perm(n) {
-			a := s.drawOne(r, len(p.Arrivals), f.At()+f.For()*time.Duration(place)/time.Duration(n))
-			a.Sidecar, a.Held, a.Quirk = conn%s.Sidecars, conn/s.Sidecars+1, Usual
+		for position, conn := range r.Perm(n) {
+			a := s.drawOne(r, len(p.Arrivals), f.At()+f.For()*time.Duration(position)/time.Duration(n))
+			a.Sidecar, a.Held, a.Quirk = conn%s.Sidecars, conn/s.Sidecars+1, NoQuirk
 			p.Arrivals = append(p.Arrivals, a)
 		}
 	}
@@ -98,7 +98,7 @@
 func (s *Scenario) drawOne(r *rand.Rand, number int, at time.Duration) Arrival {
 	a := Arrival{Number: number, At: at, Sidecar: r.IntN(s.Sidecars)}
 	a.Class = pick(r, len(s.Classes), func(i int) float64 { return s.Classes[i].Share })
-	a.Tenant = pick(r, len(s.Tenants), func(i int) float64 { return s.pull(i, at) })
+	a.Tenant = pick(r, len(s.Tenants), func(i int) float64 { return s.tenantShare(i, at) })
 	a.Object = fmt.Sprintf("%016x", r.Uint64())
 	key, quirk, goes := r.Uint64(), r.Float64(), r.Float64()
 	c := &s.Classes[a.Class]
@@ -107,7 +107,7 @@
 	}
 	switch h := &s.Clients; {
 	case quirk < h.HangUp:
-		a.Quirk, a.GoesAt = HangsUp, time.Duration(goes*0.2*float64(MS(c.DeadlineMS)))
+		a.Quirk, a.HangUpAfter = HangsUp, time.Duration(goes*0.2*float64(MS(c.DeadlineMS)))
 	case quirk < h.HangUp+h.HalfClose:
 		a.Quirk = HalfCloses
 	case quirk < h.HangUp+h.HalfClose+h.SlowReader:
@@ -131,23 +131,23 @@
 }
 
 // surge is what arrivals are multiplied by at a time, over all tenants.
-func (s *Scenario) surge(at time.Duration) float64 {
+func (s *Scenario) arrivalFactor(at time.Duration) float64 {
 	usual, now := 0.0, 0.0
 	for i := range s.Tenants {
 		usual += s.Tenants[i].Share * s.Tenants[i].Usage
-		now += s.pull(i, at)
+		now += s.tenantShare(i, at)
 	}
-	return s.surgeOf("", at) * (now / usual)
+	return s.surgeFactor("", at) * (now / usual)
 }
 
 // pull is a tenant's part of the arrivals at a time, besides what surges all of them.
-func (s *Scenario) pull(tenant int, at time.Duration) float64 {
+func (s *Scenario) tenantShare(tenant int, at time.Duration) float64 {
 	t := &s.Tenants[tenant]
-	return t.Share * t.Usage * s.surgeOf(t.Name, at)
+	return t.Share * t.Usage * s.surgeFactor(t.Name, at)
 }
 
 // surgeOf multiplies the surges of one tenant, or those of all.
-func (s *Scenario) surgeOf(tenant string, at time.Duration) float64 {
+func (s *Scenario) surgeFactor(tenant string, at time.Duration) float64 {
 	factor := 1.0
 	for i := range s.Faults {
 		if f := &s.Faults[i]; f.Kind == "surge" && f.Tenant() == tenant && at >= f.At() && at < f.At()+f.For() {
@@ -157,14 +157,14 @@
 	return factor
 }
 
-func (s *Scenario) topSurge() float64 {
-	top := 1.0
+func (s *Scenario) maxArrivalFactor() float64 {
+	highest := 1.0
 	for i := range s.Faults {
 		if s.Faults[i].Kind == "surge" { // factors change only where one begins
-			top = max(top, s.surge(s.Faults[i].At()))
+			highest = max(highest, s.arrivalFactor(s.Faults[i].At()))
 		}
 	}
-	return top
+	return highest
 }
 
 // Work returns what a try costs the server that runs it. It hangs on the seed, the class and the arrival, not on which
@@ -178,11 +178,11 @@
 }
 
 // Ending is how a try ended for the client.
-type Ending int
+type Outcome int
 
 // The endings.
 const (
-	Served Ending = iota
+	Served Outcome = iota
 	Refused
 	Failed
 	Lost // no final answer: the connection ended, or time did
@@ -190,12 +190,12 @@
 
 // Again decides whether a client tries once more after the try of this number (0 is the first) ended, and how long it
 // waits first; left is what remains of the class's deadline. A client does not repeat what may have run and is unsafe.
-func (c *Clients) Again(r *rand.Rand, effect string, try int, end Ending, retryAfter, left time.Duration) (time.Duration, bool) {
+func (c *Clients) RetryDelay(r *rand.Rand, effect string, try int, end Outcome, retryAfter, left time.Duration) (time.Duration, bool) {
 	if end == Served || try >= c.Retries || effect == "unsafe" && end != Refused {
 		return 0, false
 	}
 	wait := time.Duration(float64(MS(c.BackoffMS)) * float64(int(1)<<try) * (0.5 + r.Float64()))
-	if end == Refused && c.Honour {
+	if end == Refused && c.HonorRetryAfter {
 		wait = max(wait, retryAfter)
 	}
 	return wait, wait < left
@@ -209,18 +209,18 @@
 }
 
 type target struct {
-	what  string
+	scope string
 	value string
 	share float64
 }
 
 func parseTarget(text string) (target, error) {
-	what, value, _ := strings.Cut(text, ":")
-	t := target{what: what, value: value}
+	scope, value, _ := strings.Cut(text, ":")
+	t := target{scope: scope, value: value}
 	var err error
-	switch what {
+	switch scope {
 	case "all", "":
-		t.what = "all"
+		t.scope = "all"
 	case "kind", "tenant":
 	case "server", "cell", "sidecar":
 		_, err = strconv.Atoi(value)
@@ -240,24 +240,24 @@
 
 // Strikes returns the numbers of those that the fault strikes. What is drawn hangs on the seed and the fault's place in
 // the file.
-func (s *Scenario) Strikes(fault int, from []Candidate) (struck []int) {
+func (s *Scenario) AffectedBy(fault int, candidates []Candidate) (numbers []int) {
 	t, err := parseTarget(s.Faults[fault].Target)
 	if err != nil {
 		return nil
 	}
 	r := model.Rand(s.Seed, "fault", strconv.Itoa(fault))
-	if t.what == "share" {
-		n := max(1, int(t.share*float64(len(from))+0.5))
-		for _, i := range r.Perm(len(from))[:min(n, len(from))] {
-			struck = append(struck, from[i].Number)
+	if t.scope == "share" {
+		n := max(1, int(t.share*float64(len(candidates))+0.5))
+		for _, i := range r.Perm(len(candidates))[:min(n, len(candidates))] {
+			numbers = append(numbers, candidates[i].Number)
 		}
-		return struck
+		return numbers
 	}
-	for _, c := range from {
-		if t.what == "all" || t.what == "kind" && c.Kind == t.value || t.what == "cell" && strconv.Itoa(c.Cell) == t.value ||
-			(t.what == "server" || t.what == "sidecar") && strconv.Itoa(c.Number) == t.value {
-			struck = append(struck, c.Number)
+	for _, c := range candidates {
+		if t.scope == "all" || t.scope == "kind" && c.Kind == t.value || t.scope == "cell" && strconv.Itoa(c.Cell) == t.value ||
+			(t.scope == "server" || t.scope == "sidecar") && strconv.Itoa(c.Number) == t.value {
+			numbers = append(numbers, c.Number)
 		}
 	}
-	return struck
+	return numbers
 }
--- a/lab/scenario/read.go
+++ b/lab/scenario/read.go
@@ -61,12 +61,12 @@
 			Cells: 2, Thrash: 0.1, ThrashAt: 4, ColdFrom: 0.15, ColdS: 6, FallMultiple: 2.5, FallS: 2,
 			ReportEveryMS: 500, ReportDelayMS: 20, HandshakeMS: 1.5, IdleS: 10, DrainGraceMS: 250,
 		},
-		Clients: Clients{Retries: 1, BackoffMS: 40, Honour: true, TryShare: 0.5},
-		Roster:  Roster{Mode: "ask", DelayMS: 300, MostWaitMS: 2000},
+		Clients: Clients{Retries: 1, BackoffMS: 40, HonorRetryAfter: true, TryShare: 0.5},
+		Roster:  Roster{Mode: "ask", DelayMS: 300, MaxWaitMS: 2000},
 	}
 }
 
-func (s *Scenario) fill() {
+func (s *Scenario) applyDefaults() {
 	if len(s.Fleet.Kinds) == 0 {
 		s.Fleet.Kinds = []Kind{
 			{Name: "fast", Count: 4, Cores: 2, Speed: 1.4, SlotsPerCore: 5, QueuePerCore: 8},
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -49,7 +49,7 @@
 	ReportEveryMS float64 `toml:"report_every_ms"`
 	ReportDelayMS float64 `toml:"report_delay_ms"`
 	HandshakeMS   float64 `toml:"handshake_ms"`
-	MostConns     int     `toml:"most_conns"` // open at one server; 0: no cap
+	MaxConns      int     `toml:"most_conns"` // open at one server; 0: no cap
 	IdleS         float64 `toml:"idle_s"`
 	DrainGraceMS  float64 `toml:"drain_grace_ms"`
 }
@@ -67,17 +67,17 @@
 
 // Clients is how the callers behave.
 type Clients struct {
-	Protocol   string  `toml:"protocol"` // "http" or "msgpack-rpc"
-	Retries    int     `toml:"retries"`  // after the first try
-	BackoffMS  float64 `toml:"backoff_ms"`
-	Honour     bool    `toml:"honour"`    // wait as long as Retry-After says
-	Marks      bool    `toml:"marks"`     // mark retries
-	Failover   bool    `toml:"failover"`  // the next try goes to the next sidecar
-	TryShare   float64 `toml:"try_share"` // a try is given up after this share of the deadline
-	HangUp     float64 `toml:"hang_up"`   // share that goes away early
-	HalfClose  float64 `toml:"half_close"`
-	SlowReader float64 `toml:"slow_reader"`
-	Held       int     `toml:"held"` // connections to each sidecar that say nothing but in a rush; its options let them stay
+	Protocol        string  `toml:"protocol"` // "http" or "msgpack-rpc"
+	Retries         int     `toml:"retries"`  // after the first try
+	BackoffMS       float64 `toml:"backoff_ms"`
+	HonorRetryAfter bool    `toml:"honour"`    // wait as long as Retry-After says
+	MarkRetries     bool    `toml:"marks"`     // mark retries
+	Failover        bool    `toml:"failover"`  // the next try goes to the next sidecar
+	TryShare        float64 `toml:"try_share"` // a try is given up after this share of the deadline
+	HangUp          float64 `toml:"hang_up"`   // share that goes away early
+	HalfClose       float64 `toml:"half_close"`
+	SlowReader      float64 `toml:"slow_reader"`
+	Held            int     `toml:"held"` // connections to each sidecar that say nothing but in a rush; its options let them stay
 }
 
 // Roster is how sidecars learn of the servers.
@@ -86,15 +86,15 @@
 	DelayMS    float64 `toml:"delay_ms"`     // how late it knows of a change
 	CallsPerS  float64 `toml:"calls_per_s"`  // its capacity; 0: no bound
 	AlwaysFull bool    `toml:"always_full"`  // whole lists in place of changes
-	MostWaitMS float64 `toml:"most_wait_ms"` // a call that waits longer in turn fails
+	MaxWaitMS  float64 `toml:"most_wait_ms"` // a call that waits longer in turn fails
 }
 
 // Talk is what sidecars tell one another.
 type Talk struct {
-	Enabled bool    `toml:"enabled"`
-	Most    float64 `toml:"most_per_s"` // requests that each takes at most
+	Enabled              bool    `toml:"enabled"`
+	MaxRequestsPerSecond float64 `toml:"most_per_s"` // requests that each takes at most
 	// Agree is how long after the day all have to hold the same sums, and the true ones.
-	Agree float64 `toml:"agree_s"`
+	AgreeWithinS float64 `toml:"agree_s"`
 }
 
 // Class is a class of requests.
@@ -131,28 +131,28 @@
 
 // Contract is a tenant's, in the words of the sidecar's own files.
 type Contract struct {
-	Worth      float64 `toml:"worth_per_s"`
-	Burst      float64 `toml:"burst"`
-	Guaranteed float64 `toml:"guaranteed"`
-	Most       float64 `toml:"most"`
-	Over       string  `toml:"over"`
-	Share      float64 `toml:"retry_share"`
-	Floor      float64 `toml:"retry_floor_per_s"`
-	Identity   string  `toml:"retry_identity"`
+	WorthPerSecond      float64 `toml:"worth_per_s"`
+	Burst               float64 `toml:"burst"`
+	Guaranteed          float64 `toml:"guaranteed"`
+	Most                float64 `toml:"most"`
+	Over                string  `toml:"over"`
+	RetryShare          float64 `toml:"retry_share"`
+	RetryFloorPerSecond float64 `toml:"retry_floor_per_s"`
+	RetryIdentity       string  `toml:"retry_identity"`
 }
 
 // Contracts reports whether sidecars hold tenants to contracts. A tenant without one is nobody's then.
-func (s *Scenario) Contracts() bool {
+func (s *Scenario) EnforcesContracts() bool {
 	return !s.Broker.Off && slices.ContainsFunc(s.Tenants, func(t Tenant) bool { return t.Contract != nil })
 }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func secondsDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // MS turns milliseconds of a file into a duration.
 func MS(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
 // Length is how long clients go on arriving.
-func (s *Scenario) Length() time.Duration { return seconds(s.LengthS) }
+func (s *Scenario) Length() time.Duration { return secondsDuration(s.LengthS) }
 
 // Servers is how many servers there are at the start.
 func (s *Scenario) Servers() (n int) {
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -11,7 +11,7 @@
 	"firplank/lab/model"
 )
 
-func TestBuiltinScenariosAreGood(t *testing.T) {
+func TestBuiltinScenariosAreValid(t *testing.T) {
 	names := Builtin()
 	if len(names) < 10 {
 		t.Fatalf("there are %d", len(names))
@@ -42,7 +42,7 @@
 }
 
 // A fault in a file is told with its line or its key, and several of them at once.
-func TestBadFiles(t *testing.T) {
+func TestParseReportsAllErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		"rate = 10\nspeed = 3\n":                                       "day.toml:2: unknown key speed",
 		"rate = 10\n[fleet]\ncell = 3\n":                               "day.toml:3: unknown key fleet.cell",
@@ -71,7 +71,7 @@
 	}
 }
 
-func small(t interface{ Fatal(...any) }, text string) *Scenario {
+func parseScenario(t interface{ Fatal(...any) }, text string) *Scenario {
 	s, err := Parse("small.toml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
@@ -80,9 +80,9 @@
 }
 
 // The same seed gives the same day; another seed another one; a fault that strikes servers changes no arrival.
-func TestSameSeedSameDay(t *testing.T) {
+func TestPlanIsDeterminedBySeed(t *testing.T) {
 	draw := func(text string) *Plan {
-		p, err := small(t, text).Draw()
+		p, err := parseScenario(t, text).Draw()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -105,8 +105,8 @@
 }
 
 // The work of a request hangs on nothing but the seed and its id.
-func TestWorkIsDrawnByTrace(t *testing.T) {
-	s := small(t, "seed = 5\n")
+func TestWorkIsDeterminedByTrace(t *testing.T) {
+	s := parseScenario(t, "seed = 5\n")
 	w1, i1 := s.Work(0, "abc")
 	s.Work(0, "other")
 	if w2, i2 := s.Work(0, "abc"); w1 != w2 || i1 != i2 || w1 <= 0 {
@@ -115,7 +115,7 @@
 }
 
 func TestSurgeMultipliesArrivals(t *testing.T) {
-	s := small(t, "rate = 400\nlength_s = 20\n[[fault]]\nkind = \"surge\"\nat_s = 5\nfor_s = 5\nsize = 4\n")
+	s := parseScenario(t, "rate = 400\nlength_s = 20\n[[fault]]\nkind = \"surge\"\nat_s = 5\nfor_s = 5\nsize = 4\n")
 	p, err := s.Draw()
 	if err != nil {
 		t.Fatal(err)
@@ -134,13 +134,13 @@
 }
 
 func TestPlanIsBounded(t *testing.T) {
-	s := small(t, "rate = 20000\nlength_s = 600\n")
+	s := parseScenario(t, "rate = 20000\nlength_s = 600\n")
 	if _, err := s.Draw(); err == nil {
 		t.Error("12 million arrivals are drawn")
 	}
 }
 
-func TestStrikes(t *testing.T) {
+func TestAffectedBy(t *testing.T) {
 	var fleet []Candidate
 	for i := range 10 {
 		fleet = append(fleet, Candidate{Number: i, Cell: i % 3, Kind: []string{"fast", "wide"}[i%2]})
@@ -149,13 +149,13 @@
 		"all": {0, 1, 2, 3, 4, 5, 6, 7, 8, 9}, "": {0, 1, 2, 3, 4, 5, 6, 7, 8, 9}, "server:4": {4}, "cell:1": {1, 4, 7},
 		"kind:wide": {1, 3, 5, 7, 9}, "server:77": nil,
 	} {
-		s := small(t, "[[fault]]\nkind = \"crash\"\ntarget = \""+target+"\"\n")
-		if got := s.Strikes(0, fleet); !reflect.DeepEqual(got, want) {
+		s := parseScenario(t, "[[fault]]\nkind = \"crash\"\ntarget = \""+target+"\"\n")
+		if got := s.AffectedBy(0, fleet); !reflect.DeepEqual(got, want) {
 			t.Errorf("%q strikes %v, want %v", target, got, want)
 		}
 	}
-	s := small(t, "[[fault]]\nkind = \"crash\"\ntarget = \"share:0.3\"\n")
-	if got := s.Strikes(0, fleet); len(got) != 3 || !reflect.DeepEqual(got, s.Strikes(0, fleet)) {
+	s := parseScenario(t, "[[fault]]\nkind = \"crash\"\ntarget = \"share:0.3\"\n")
+	if got := s.AffectedBy(0, fleet); len(got) != 3 || !reflect.DeepEqual(got, s.AffectedBy(0, fleet)) {
 		t.Errorf("a share of 0.3 strikes %v", got)
 	}
 }
@@ -166,20 +166,20 @@
 	rapid.Check(t, func(t *rapid.T) {
 		c := Clients{
 			Retries: rapid.IntRange(0, 5).Draw(t, "retries"), BackoffMS: rapid.Float64Range(0, 200).Draw(t, "backoff"),
-			Honour: rapid.Bool().Draw(t, "honour"),
+			HonorRetryAfter: rapid.Bool().Draw(t, "honour"),
 		}
 		effect := rapid.SampledFrom([]string{"safe", "keyed", "unsafe"}).Draw(t, "effect")
-		try, end := rapid.IntRange(0, 6).Draw(t, "try"), Ending(rapid.IntRange(0, 3).Draw(t, "end"))
+		try, end := rapid.IntRange(0, 6).Draw(t, "try"), Outcome(rapid.IntRange(0, 3).Draw(t, "end"))
 		after := time.Duration(rapid.IntRange(0, 2000).Draw(t, "after")) * time.Millisecond
 		left := time.Duration(rapid.IntRange(-10, 3000).Draw(t, "left")) * time.Millisecond
-		wait, again := c.Again(model.Rand(1), effect, try, end, after, left)
+		wait, again := c.RetryDelay(model.Rand(1), effect, try, end, after, left)
 		if !again {
 			return
 		}
 		if end == Served || try >= c.Retries || effect == "unsafe" && end != Refused {
 			t.Fatalf("try %d that ended %v is repeated", try, end)
 		}
-		if wait >= left || c.Honour && end == Refused && wait < after {
+		if wait >= left || c.HonorRetryAfter && end == Refused && wait < after {
 			t.Fatalf("waits %v with %v left, told to wait %v", wait, left, after)
 		}
 	})
--- a/lab/shed/bound.go
+++ b/lab/shed/bound.go
@@ -14,23 +14,23 @@
 )
 
 // slice is the time over which capacity is filled; what is carried over from one to the next is a matter of aims.
-const slice = 20 * time.Millisecond
+const sliceLength = 20 * time.Millisecond
 
 // Most is the worth that an omniscient shedder serves of a plan at the most, and what all of it is worth. It fills the fleet's
 // capacity, and the processor's, with the requests of the most worth for their work, each within its aim. byClass says
 // that it knows of a request's work no more than its class, as any real one; else it knows the work of each. It is a bound:
 // parts of requests count, servers lose nothing by crowding, and first tries are all there is.
-func Most(s *scenario.Scenario, plan *scenario.Plan, byClass bool, cost time.Duration) (most, all float64) {
-	n := int(s.Length()/slice) + 1 + int(longestAim(s)/slice)
+func MaxWorth(s *scenario.Scenario, plan *scenario.Plan, byClass bool, cost time.Duration) (served, all float64) {
+	n := int(s.Length()/sliceLength) + 1 + int(longestLatencyTarget(s)/sliceLength)
 	fleet, processor := make([]float64, n), make([]float64, n)
 	for i := range n {
-		fleet[i] = s.Capacity() * slice.Seconds()
-		processor[i] = slice.Seconds() * max(s.Limits.Cores*float64(s.Sidecars), 1e-9)
+		fleet[i] = s.Capacity() * sliceLength.Seconds()
+		processor[i] = sliceLength.Seconds() * max(s.Limits.Cores*float64(s.Sidecars), 1e-9)
 		if s.Limits.Cores <= 0 || cost <= 0 {
 			processor[i] = 1e18
 		}
 	}
-	items, all := itemsOf(s, plan, byClass, n)
+	items, all := planItems(s, plan, byClass, n)
 	each := cost.Seconds()
 	for _, it := range items {
 		part := 0.0
@@ -43,9 +43,9 @@
 			fleet[i] -= take * it.work
 			processor[i] -= take * each
 		}
-		most += part * it.worth
+		served += part * it.worth
 	}
-	return most, all
+	return served, all
 }
 
 // item is a request as the bound sees it: its worth, its seconds of work, and the slices in which that may be done.
@@ -55,7 +55,7 @@
 }
 
 // itemsOf returns the requests of a plan over n slices, those of the most worth for their work first, and the worth of all.
-func itemsOf(s *scenario.Scenario, plan *scenario.Plan, byClass bool, n int) (items []item, all float64) {
+func planItems(s *scenario.Scenario, plan *scenario.Plan, byClass bool, n int) (items []item, all float64) {
 	items = make([]item, 0, len(plan.Arrivals))
 	for i := range plan.Arrivals {
 		a := &plan.Arrivals[i]
@@ -66,15 +66,15 @@
 			work = max(w.Seconds(), 1e-6)
 		}
 		// The last of its work is done a wait on others before its aim.
-		last := a.At + max(slice, scenario.MS(c.AimMS-c.WaitMS))
-		items = append(items, item{c.Worth, work, int(a.At / slice), min(n-1, int(last/slice))})
+		last := a.At + max(sliceLength, scenario.MS(c.AimMS-c.WaitMS))
+		items = append(items, item{c.Worth, work, int(a.At / sliceLength), min(n-1, int(last/sliceLength))})
 		all += c.Worth
 	}
 	slices.SortStableFunc(items, func(a, b item) int { return cmp.Compare(b.worth/b.work, a.worth/a.work) })
 	return items, all
 }
 
-func longestAim(s *scenario.Scenario) (longest time.Duration) {
+func longestLatencyTarget(s *scenario.Scenario) (longest time.Duration) {
 	for i := range s.Classes {
 		longest = max(longest, scenario.MS(s.Classes[i].AimMS))
 	}
--- a/lab/shed/play.go
+++ b/lab/shed/play.go
@@ -13,7 +13,7 @@
 )
 
 // Way is a way of turning requests away.
-type Way interface {
+type Policy interface {
 	// Offer reports whether a try of a class may come in; End tells of each that came in how it ended, as its sidecar sees it.
 	Offer(now time.Duration, class int) bool
 	End(now time.Duration, class int, took time.Duration, how overload.Outcome)
@@ -21,13 +21,13 @@
 }
 
 // Ways are the names of all ways, in the order of a comparison.
-var Ways = []string{"none", "codel", "dagor", "gradient", "limit"}
+var Policies = []string{"none", "codel", "dagor", "gradient", "limit"}
 
 // NewWay returns a way by name.
-func NewWay(name string, s *scenario.Scenario) (Way, error) {
+func NewPolicy(name string, s *scenario.Scenario) (Policy, error) {
 	switch name {
 	case "none":
-		return open{}, nil
+		return admitAll{}, nil
 	case "codel":
 		return &codel{s: s, rng: rand.New(rand.NewPCG(s.Seed, 1))}, nil
 	case "dagor":
@@ -37,7 +37,7 @@
 	case "limit":
 		return overload.NewLimit(Classes(s)), nil
 	}
-	return nil, fmt.Errorf("no way %q of shedding: there are %v", name, Ways)
+	return nil, fmt.Errorf("no way %q of shedding: there are %v", name, Policies)
 }
 
 // Classes are a scenario's as a Limit knows them.
@@ -50,18 +50,18 @@
 
 // Outcome is what a way served.
 type Outcome struct {
-	Way          string
-	Worth, Asked float64 // served and asked for
-	Share        float64 // served of asked for
-	OfMost       float64 // served of what is the most that is known by class
-	OfOmniscient float64 // ... and by request
-	InAim, Late  int
-	Refused      int
-	Tries        int
+	Policy         string
+	Worth, Offered float64 // served and asked for
+	Share          float64 // served of asked for
+	OfClassBound   float64 // served of what is the most that is known by class
+	OfRequestBound float64 // ... and by request
+	InAim, Late    int
+	Refused        int
+	Tries          int
 	// Recovered is how long after the end of the last surge a second begins in which 0.9 of the worth is served that is usually
 	// asked for, and NewServed one in which 0.9 is served of what is asked for the first time in it; negative: none does.
 	// Without a surge they tell nothing.
-	Recovered, NewServed time.Duration
+	RecoveredAfter, NewServedAfter time.Duration
 }
 
 // event is something at a time.
@@ -96,33 +96,33 @@
 }
 
 // day is a plan that is being played.
-type day struct {
-	s        *scenario.Scenario
-	plan     *scenario.Plan
-	way      Way
-	servers  []*model.Server
-	held     []int
-	versions []int
-	jobs     map[uint64]job
-	nextJob  uint64
-	events   events
-	order    int
-	out      Outcome
-	served   []float64 // worth, by tenth of a second of its arrival
-	servedAt []float64 // ... and of its service
-	asked    []float64
-	ended    []bool
+type simulation struct {
+	s              *scenario.Scenario
+	plan           *scenario.Plan
+	policy         Policy
+	servers        []*model.Server
+	held           []int
+	versions       []int
+	jobs           map[uint64]job
+	nextJob        uint64
+	events         events
+	order          int
+	outcome        Outcome
+	worthByArrival []float64 // worth, by tenth of a second of its arrival
+	worthByService []float64 // ... and of its service
+	offeredWorth   []float64
+	served         []bool
 }
 
-const tenth = 100 * time.Millisecond
+const bucketLength = 100 * time.Millisecond
 
 // Play plays a plan: each try that comes in goes to the server that holds least, as one who sees all of them sends.
 func Play(s *scenario.Scenario, plan *scenario.Plan, name string) (*Outcome, error) {
-	way, err := NewWay(name, s)
+	policy, err := NewPolicy(name, s)
 	if err != nil {
 		return nil, err
 	}
-	d := &day{s: s, plan: plan, way: way, jobs: map[uint64]job{}, ended: make([]bool, len(plan.Arrivals)), out: Outcome{Way: name}}
+	d := &simulation{s: s, plan: plan, policy: policy, jobs: map[uint64]job{}, served: make([]bool, len(plan.Arrivals)), outcome: Outcome{Policy: name}}
 	f := &s.Fleet
 	for _, k := range f.Kinds {
 		for range k.Count {
@@ -133,42 +133,42 @@
 		}
 	}
 	d.held, d.versions = make([]int, len(d.servers)), make([]int, len(d.servers))
-	n := int(s.Length()/tenth) + 1
-	d.served, d.servedAt, d.asked = make([]float64, n), make([]float64, n), make([]float64, n)
+	n := int(s.Length()/bucketLength) + 1
+	d.worthByArrival, d.worthByService, d.offeredWorth = make([]float64, n), make([]float64, n), make([]float64, n)
 	for i := range plan.Arrivals {
 		a := &plan.Arrivals[i]
 		d.push(event{at: a.At, arrival: i, server: -1})
-		d.asked[a.At/tenth] += s.Classes[a.Class].Worth
-		d.out.Asked += s.Classes[a.Class].Worth
+		d.offeredWorth[a.At/bucketLength] += s.Classes[a.Class].Worth
+		d.outcome.Offered += s.Classes[a.Class].Worth
 	}
 	tick := time.Duration(0)
 	for len(d.events) > 0 {
 		e := heap.Pop(&d.events).(event)
 		for ; tick+20*time.Millisecond <= e.at; tick += 20 * time.Millisecond {
-			way.Tick(tick)
+			policy.Tick(tick)
 		}
 		if e.server < 0 {
-			d.try(e.at, e.arrival, e.try)
+			d.runTry(e.at, e.arrival, e.try)
 		} else if d.versions[e.server] == e.version {
 			d.advance(e.at, e.server)
 		}
 	}
-	d.out.Share = d.out.Worth / d.out.Asked
-	d.recover()
-	return &d.out, nil
+	d.outcome.Share = d.outcome.Worth / d.outcome.Offered
+	d.measureRecovery()
+	return &d.outcome, nil
 }
 
-func (d *day) push(e event) {
+func (d *simulation) push(e event) {
 	d.order++
 	e.order = d.order
 	heap.Push(&d.events, e)
 }
 
-func (d *day) try(now time.Duration, arrival, try int) {
+func (d *simulation) runTry(now time.Duration, arrival, try int) {
 	a := &d.plan.Arrivals[arrival]
-	d.out.Tries++
-	if !d.way.Offer(now, a.Class) {
-		d.over(now, arrival, try, scenario.Refused)
+	d.outcome.Tries++
+	if !d.policy.Offer(now, a.Class) {
+		d.endTry(now, arrival, try, scenario.Refused)
 		return
 	}
 	best := 0
@@ -183,19 +183,19 @@
 	d.nextJob++
 	j := model.Job{ID: d.nextJob, Work: work, Wait: wait, Expires: a.At + scenario.MS(c.DeadlineMS)}
 	if d.servers[best].Offer(now, j) != model.Accepted {
-		d.way.End(now, a.Class, 0, overload.NoCapacity)
-		d.over(now, arrival, try, scenario.Refused)
+		d.policy.End(now, a.Class, 0, overload.NoCapacity)
+		d.endTry(now, arrival, try, scenario.Refused)
 		return
 	}
 	d.held[best]++
 	d.jobs[j.ID] = job{arrival, try, now}
-	d.wake(best)
+	d.scheduleServer(best)
 }
 
-func (d *day) capacity(i int) float64 { return d.servers[i].Capacity(0) }
+func (d *simulation) capacity(i int) float64 { return d.servers[i].Capacity(0) }
 
 // wake puts the server's next moment among the events.
-func (d *day) wake(i int) {
+func (d *simulation) scheduleServer(i int) {
 	d.versions[i]++
 	if at, ok := d.servers[i].Next(); ok {
 		d.push(event{at: at, server: i, version: d.versions[i]})
@@ -203,7 +203,7 @@
 }
 
 // advance plays a server up to now.
-func (d *day) advance(now time.Duration, i int) {
+func (d *simulation) advance(now time.Duration, i int) {
 	for _, done := range d.servers[i].Advance(now) {
 		j := d.jobs[done.ID]
 		delete(d.jobs, done.ID)
@@ -213,60 +213,60 @@
 		if done.Expired {
 			end, how = scenario.Failed, overload.Inconclusive
 		}
-		d.way.End(now, a.Class, now-j.began, how)
-		d.over(now, j.arrival, j.try, end)
+		d.policy.End(now, a.Class, now-j.began, how)
+		d.endTry(now, j.arrival, j.try, end)
 	}
-	d.wake(i)
+	d.scheduleServer(i)
 }
 
 // over ends a try, after which its client may try again.
-func (d *day) over(now time.Duration, arrival, try int, end scenario.Ending) {
+func (d *simulation) endTry(now time.Duration, arrival, try int, end scenario.Outcome) {
 	a := &d.plan.Arrivals[arrival]
 	c := &d.s.Classes[a.Class]
-	if end == scenario.Served && !d.ended[arrival] {
-		d.ended[arrival] = true
+	if end == scenario.Served && !d.served[arrival] {
+		d.served[arrival] = true
 		worth := 0.0
 		switch took := now - a.At; {
 		case took <= scenario.MS(c.AimMS):
 			worth = c.Worth
-			d.out.InAim++
+			d.outcome.InAim++
 		case took <= scenario.MS(c.DeadlineMS):
 			worth = c.Worth * c.LateWorth
-			d.out.Late++
+			d.outcome.Late++
 		}
-		d.out.Worth += worth
-		d.served[a.At/tenth] += worth
-		d.servedAt[min(len(d.servedAt)-1, int(now/tenth))] += worth
+		d.outcome.Worth += worth
+		d.worthByArrival[a.At/bucketLength] += worth
+		d.worthByService[min(len(d.worthByService)-1, int(now/bucketLength))] += worth
 		return
 	}
 	r := model.Rand(d.s.Seed, "tries", strconv.Itoa(arrival), strconv.Itoa(try))
-	wait, again := d.s.Clients.Again(r, c.Effect, try, end, time.Duration(float64(tenth)*(1+r.Float64())), a.At+scenario.MS(c.DeadlineMS)-now)
-	if again {
+	wait, retry := d.s.Clients.RetryDelay(r, c.Effect, try, end, time.Duration(float64(bucketLength)*(1+r.Float64())), a.At+scenario.MS(c.DeadlineMS)-now)
+	if retry {
 		d.push(event{at: now + wait, arrival: arrival, try: try + 1, server: -1})
 	} else if end == scenario.Refused {
-		d.out.Refused++
+		d.outcome.Refused++
 	}
 }
 
 // recover reckons Outcome.Recovered and NewServed.
-func (d *day) recover() {
+func (d *simulation) measureRecovery() {
 	first, last := d.s.Length(), time.Duration(0)
 	for i := range d.s.Faults {
 		if f := &d.s.Faults[i]; f.Kind == "surge" {
 			first, last = min(first, f.At()), max(last, f.At()+f.For())
 		}
 	}
-	const second = int(time.Second / tenth)
-	usual := sum(d.asked[:max(1, int(first/tenth))]) / max(1, float64(int(first/tenth))) * float64(second)
-	d.out.Recovered, d.out.NewServed = -1, -1
-	from := int(last / tenth)
-	for i := len(d.asked) - 1 - second; i >= from; i-- { // the last tenth is not whole
-		after := time.Duration(i-from) * tenth
-		if sum(d.servedAt[i:i+second]) >= 0.9*min(usual, sum(d.asked[i:i+second])) {
-			d.out.Recovered = after
+	const second = int(time.Second / bucketLength)
+	usualWorth := sum(d.offeredWorth[:max(1, int(first/bucketLength))]) / max(1, float64(int(first/bucketLength))) * float64(second)
+	d.outcome.RecoveredAfter, d.outcome.NewServedAfter = -1, -1
+	from := int(last / bucketLength)
+	for i := len(d.offeredWorth) - 1 - second; i >= from; i-- { // the last tenth is not whole
+		after := time.Duration(i-from) * bucketLength
+		if sum(d.worthByService[i:i+second]) >= 0.9*min(usualWorth, sum(d.offeredWorth[i:i+second])) {
+			d.outcome.RecoveredAfter = after
 		}
-		if sum(d.served[i:i+second]) >= 0.9*sum(d.asked[i:i+second]) {
-			d.out.NewServed = after
+		if sum(d.worthByArrival[i:i+second]) >= 0.9*sum(d.offeredWorth[i:i+second]) {
+			d.outcome.NewServedAfter = after
 		}
 	}
 }
@@ -280,14 +280,14 @@
 
 // Compare plays each way, and reckons what it served of the most.
 func Compare(s *scenario.Scenario, plan *scenario.Plan) (all []Outcome, err error) {
-	byClass, _ := Most(s, plan, true, 0)
-	byRequest, _ := Most(s, plan, false, 0)
-	for _, name := range Ways {
+	byClass, _ := MaxWorth(s, plan, true, 0)
+	byRequest, _ := MaxWorth(s, plan, false, 0)
+	for _, name := range Policies {
 		o, err := Play(s, plan, name)
 		if err != nil {
 			return nil, err
 		}
-		o.OfMost, o.OfOmniscient = o.Worth/byClass, o.Worth/byRequest
+		o.OfClassBound, o.OfRequestBound = o.Worth/byClass, o.Worth/byRequest
 		all = append(all, *o)
 	}
 	return all, nil
--- a/lab/shed/shed_test.go
+++ b/lab/shed/shed_test.go
@@ -21,19 +21,19 @@
 }
 
 // The limit serves near what could be served at all, at every load, and each other way serves less where it matters.
-func TestLimitServesNearTheMost(t *testing.T) {
+func TestLimitServesNearTheClassBound(t *testing.T) {
 	for size, least := range map[float64]float64{1: 0.995, 2: 0.98, 5: 0.92, 10: 0.9, 20: 0.87} {
 		all, err := Compare(flash(t, size, 0))
 		if err != nil {
 			t.Fatal(err)
 		}
 		best := all[len(all)-1]
-		if best.Way != "limit" || best.OfMost < least || best.OfMost > 1.01 {
-			t.Errorf("%v times: %s serves %.3f of the most", size, best.Way, best.OfMost)
+		if best.Policy != "limit" || best.OfClassBound < least || best.OfClassBound > 1.01 {
+			t.Errorf("%v times: %s serves %.3f of the most", size, best.Policy, best.OfClassBound)
 		}
 		for _, o := range all[:len(all)-1] {
 			if size >= 10 && o.Worth > 0.85*best.Worth {
-				t.Errorf("%v times: %s serves %.0f, the limit %.0f", size, o.Way, o.Worth, best.Worth)
+				t.Errorf("%v times: %s serves %.0f, the limit %.0f", size, o.Policy, o.Worth, best.Worth)
 			}
 		}
 	}
@@ -41,27 +41,27 @@
 
 // Clients that come back after a rush are a second one, which has to end: what is let in is served, and the turned away do
 // not pile up.
-func TestRecoversFromRetries(t *testing.T) {
+func TestLimitRecoversFromRetries(t *testing.T) {
 	s, plan := flash(t, 20, 5)
 	o, err := Play(s, plan, "limit")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if o.Recovered < 0 || o.Recovered.Seconds() > 1 || o.NewServed < 0 || o.Tries < 2*len(plan.Arrivals) {
-		t.Errorf("recovered after %v, new ones after %v, with %d tries of %d", o.Recovered, o.NewServed, o.Tries, len(plan.Arrivals))
+	if o.RecoveredAfter < 0 || o.RecoveredAfter.Seconds() > 1 || o.NewServedAfter < 0 || o.Tries < 2*len(plan.Arrivals) {
+		t.Errorf("recovered after %v, new ones after %v, with %d tries of %d", o.RecoveredAfter, o.NewServedAfter, o.Tries, len(plan.Arrivals))
 	}
 }
 
 // The bound is one: what fits is all served, and who knows more serves no less.
-func TestMost(t *testing.T) {
+func TestMaxWorth(t *testing.T) {
 	s, plan := flash(t, 1, 0)
-	if most, all := Most(s, plan, true, 0); most < 0.999*all || most > all*1.0001 {
+	if most, all := MaxWorth(s, plan, true, 0); most < 0.999*all || most > all*1.0001 {
 		t.Errorf("%.0f of %.0f", most, all)
 	}
 	s, plan = flash(t, 20, 0)
-	byClass, all := Most(s, plan, true, 0)
-	byRequest, _ := Most(s, plan, false, 0)
-	bounded, _ := Most(s, plan, true, 1e6) // 1 ms of a quarter of a core each: 250 a second
+	byClass, all := MaxWorth(s, plan, true, 0)
+	byRequest, _ := MaxWorth(s, plan, false, 0)
+	bounded, _ := MaxWorth(s, plan, true, 1e6) // 1 ms of a quarter of a core each: 250 a second
 	if byRequest < byClass || byClass > 0.7*all || bounded > 0.5*byClass {
 		t.Errorf("%.0f, %.0f and %.0f of %.0f", byRequest, byClass, bounded, all)
 	}
--- a/lab/standin/client.go
+++ b/lab/standin/client.go
@@ -18,7 +18,7 @@
 	Class     int
 	Tenant    int
 	At        time.Duration // planned start
-	End       scenario.Ending
+	End       scenario.Outcome
 	Took      time.Duration // from At to the response, if it was served
 	Tries     int
 	RefusedIn time.Duration // longest time until a refusal of one of its tries; 0 if none was refused
@@ -126,7 +126,7 @@
 		if t.End == scenario.Served {
 			t.Took = now - a.At
 		}
-		wait, retry := s.Clients.Again(random, class.Effect, try, t.End, result.retryAfter, deadline-now)
+		wait, retry := s.Clients.RetryDelay(random, class.Effect, try, t.End, result.retryAfter, deadline-now)
 		if !retry || a.Quirk == scenario.HangsUp {
 			return t
 		}
@@ -155,7 +155,7 @@
 
 // result is how an attempt ended.
 type result struct {
-	end        scenario.Ending
+	end        scenario.Outcome
 	retryAfter time.Duration // delay that the response asks for; 0 if none
 	stale      bool          // the reused connection was already closed, without a response
 }
--- a/lab/standin/clienthttp.go
+++ b/lab/standin/clienthttp.go
@@ -41,7 +41,7 @@
 	}
 	switch t.arrival.Quirk {
 	case scenario.HangsUp:
-		time.Sleep(min(t.arrival.GoesAt, left))
+		time.Sleep(min(t.arrival.HangUpAfter, left))
 		c.cfg.Observer.ClientGone(t.trace, c.cfg.Clock())
 		_ = conn.Close() // the connection is released even where this fails
 		return lostResult
@@ -83,7 +83,7 @@
 		answer.end = scenario.Lost
 	}
 	conn.lastTrace, conn.used = t.trace, true
-	if answer.closeConn || t.arrival.Quirk != scenario.Usual {
+	if answer.closeConn || t.arrival.Quirk != scenario.NoQuirk {
 		_ = conn.Close() // the connection is released even where this fails
 	} else {
 		c.pools[t.sidecar].put(conn)
@@ -121,7 +121,7 @@
 	if a.Key != "" {
 		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", a.Key)
 	}
-	if try > 0 && s.Clients.Marks {
+	if try > 0 && s.Clients.MarkRetries {
 		b.WriteString("X-Second-Try: 1\r\n")
 	}
 	if method == "POST" {
@@ -132,7 +132,7 @@
 }
 
 type clientResponse struct {
-	end        scenario.Ending
+	end        scenario.Outcome
 	judged     judge.Answer
 	retryAfter time.Duration
 	bodyTrace  string
--- a/lab/standin/rpcclient.go
+++ b/lab/standin/rpcclient.go
@@ -141,7 +141,7 @@
 	if a.Key != "" {
 		fields["key"] = a.Key
 	}
-	if try > 0 && s.Clients.Marks {
+	if try > 0 && s.Clients.MarkRetries {
 		fields["repeat"] = true
 	}
 	return encode([]any{fields})
@@ -156,7 +156,7 @@
 			return lostResult // the request never reached the sidecar
 		}
 		r := c.exchangeRPC(conn, t)
-		if t.arrival.Quirk != scenario.Usual {
+		if t.arrival.Quirk != scenario.NoQuirk {
 			conn.close()
 		}
 		if !r.stale {
@@ -180,7 +180,7 @@
 	}
 	switch a.Quirk {
 	case scenario.HangsUp:
-		time.Sleep(min(a.GoesAt, left))
+		time.Sleep(min(a.HangUpAfter, left))
 		c.cfg.Observer.ClientGone(t.trace, c.cfg.Clock())
 		return lostResult
 	case scenario.HalfCloses:
@@ -215,7 +215,7 @@
 
 // classify returns the outcome of a response for the client and for the judge, the delay before a retry, and the trace that
 // its body names.
-func (r *rpcResponse) classify() (end scenario.Ending, judged judge.Answer, retryAfter time.Duration, bodyTrace string) {
+func (r *rpcResponse) classify() (end scenario.Outcome, judged judge.Answer, retryAfter time.Duration, bodyTrace string) {
 	if fields, ok := r.failure.(map[string]any); ok {
 		if fields["code"] != "refused" {
 			return scenario.Failed, judge.Failed, 0, ""
--- a/lab/standin/rpcpool.go
+++ b/lab/standin/rpcpool.go
@@ -81,7 +81,7 @@
 // rpcConn returns a shared connection, or a dedicated one for a client with a quirk.
 func (c *Clients) rpcConn(p *rpcPool, a *scenario.Arrival, sidecar int) (*rpcClient, error) {
 	shuttingDown := c.pools[sidecar].shuttingDown.Load()
-	if a.Quirk == scenario.Usual {
+	if a.Quirk == scenario.NoQuirk {
 		return p.get(&c.cfg, shuttingDown)
 	}
 	if shuttingDown {
