--- a/lab/judge/events.go
+++ b/lab/judge/events.go
@@ -73,7 +73,8 @@
 		return
 	}
 	if since, closed := j.closedSince(server); closed && j.cfg.NotifiedAfter > 0 && first > since+j.cfg.NotifiedAfter+j.cfg.DrainGrace {
-		j.addFinding(Drain, first, "%s: sent by sidecar %d to %s, which the roster has listed as closed for %v", trace, sidecar, server, first-since)
+		j.addFinding(Drain, first, "%s: sent by sidecar %d to %s, which the roster has listed as closed for %v",
+			trace, sidecar, server, first-since)
 	}
 }
 
--- a/lab/scenario/check.go
+++ b/lab/scenario/check.go
@@ -1,6 +1,6 @@
 package scenario
 
-// This file tells what is wrong with a day.
+// This file validates a scenario.
 
 import (
 	"errors"
@@ -10,16 +10,16 @@
 	"firplank/lab/model"
 )
 
-// Bounds of what a file may ask of the machine.
+// Limits of a scenario file, so that a run fits on one machine.
 const (
 	maxSidecars = 64
 	maxServers  = 256
 	maxRate     = 20000
 	maxLengthS  = 600
-	maxHeld     = 15000 // of one sidecar
+	maxHeld     = 15000 // held connections, over all sidecars
 )
 
-// Check fills in what was left out and reports every fault of the rest.
+// Check sets the defaults of missing values and returns all errors of the scenario, joined.
 func (s *Scenario) Check() error {
 	s.applyDefaults()
 	var errs []error
@@ -49,7 +49,7 @@
 	for i, k := range s.Fleet.Kinds {
 		require(knownProtocol(k.Protocol), "fleet.kind %d (%q): protocol is %q: want %s or %s", i+1, k.Name, k.Protocol, HTTP, MsgpackRPC)
 		require(k.Name != "" && k.Count >= 0 && k.Cores > 0 && k.Speed > 0 && k.SlotsPerCore > 0 && k.QueuePerCore >= 0,
-			"fleet.kind %d (%q): name, cores, speed and slots_per_core are wanted, none of them 0", i+1, k.Name)
+			"fleet.kind %d (%q): name, cores, speed and slots_per_core are required and have to be more than 0", i+1, k.Name)
 	}
 	s.checkClasses(require)
 	for i := range s.Faults {
@@ -61,7 +61,7 @@
 		if name := f.Tenant(); f.Kind == "recontract" || name != "" {
 			at := slices.IndexFunc(s.Tenants, func(t Tenant) bool { return t.Name == name })
 			require(at >= 0 && (f.Kind != "recontract" || s.Tenants[at].Contract != nil),
-				"fault %d: %s: no such tenant %q, or it has no contract", i+1, f.Kind, name)
+				"fault %d: %s: tenant %q doesn't exist or has no contract", i+1, f.Kind, name)
 		}
 	}
 	return errors.Join(errs...)
@@ -72,20 +72,20 @@
 func (s *Scenario) checkClasses(require func(bool, string, ...any)) {
 	seen := map[string]bool{}
 	for _, c := range s.Classes {
-		require(c.Name != "" && !seen["c "+c.Name], "class %q: no name, or one that is there twice", c.Name)
+		require(c.Name != "" && !seen["c "+c.Name], "class %q: name is missing or not unique", c.Name)
 		seen["c "+c.Name] = true
 		require(c.Effect == "safe" || c.Effect == "keyed" || c.Effect == "unsafe",
 			"class %s: effect is %q: want safe, keyed or unsafe", c.Name, c.Effect)
 		require(c.Group == "" || c.Group == "all" || c.Group == "cell", "class %s: group is %q: want all or cell", c.Name, c.Group)
 		require(c.Effect != "keyed" || c.WindowMS > 0, "class %s: keyed without window_ms", c.Name)
 		require(c.Share > 0 && c.DeadlineMS > 0 && c.AimMS > 0 && c.Worth >= 0,
-			"class %s: share, aim_ms and deadline_ms have to be more than 0", c.Name)
+			"class %s: share, aim_ms and deadline_ms have to be more than 0, worth not below 0", c.Name)
 		if err := (model.Dist{Kind: c.Dist, Mean: MS(c.WorkMS), CV: c.CV}).Check(); err != nil {
 			require(false, "class %s: %w", c.Name, err)
 		}
 	}
 	for _, t := range s.Tenants {
-		require(t.Name != "" && t.Share > 0 && !seen["t "+t.Name], "tenant %q: no name or share, or a name that is there twice", t.Name)
+		require(t.Name != "" && t.Share > 0 && !seen["t "+t.Name], "tenant %q: name or share is missing, or the name is not unique", t.Name)
 		seen["t "+t.Name] = true
 	}
 }
--- a/lab/scenario/entitlement.go
+++ b/lab/scenario/entitlement.go
@@ -1,15 +1,15 @@
 package scenario
 
-// This file knows what a tenant may ask for by its contract.
+// This file computes what a tenant is entitled to by its contract.
 
 import (
 	"time"
 )
 
-// Entitlement reckons what a tenant's contract lets it have of what it asks for: a bucket of its burst that fills with its
-// budget, as that changes over the day, and gives any part of a request.
+// Entitlement computes which part of a tenant's requests its contract grants. It is a token bucket with the contract's burst and
+// budget, including changes of the budget during the scenario. A request can be granted in part.
 type Entitlement struct {
-	Requested, Granted float64 // so far
+	Requested, Granted float64 // worth so far
 
 	s        *Scenario
 	tenant   *Tenant
@@ -17,13 +17,13 @@
 	filledAt time.Duration
 }
 
-// Entitlement begins a day of a tenant with a contract.
+// Entitlement returns the entitlement of a tenant with a contract at the start of the scenario, with a full bucket.
 func (s *Scenario) Entitlement(tenant int) *Entitlement {
 	t := &s.Tenants[tenant]
 	return &Entitlement{s: s, tenant: t, tokens: t.Contract.Burst}
 }
 
-// Ask takes in a first try. Times do not go back.
+// AddRequest adds the first try of a request. Times must not decrease.
 func (e *Entitlement) AddRequest(at time.Duration, worth float64) {
 	for i := range e.s.Faults { // in the order of their times
 		if f := &e.s.Faults[i]; f.Kind == "recontract" && f.Tenant() == e.tenant.Name && f.At() > e.filledAt && f.At() < at {
--- a/lab/scenario/plan.go
+++ b/lab/scenario/plan.go
@@ -13,7 +13,7 @@
 	"firplank/lab/model"
 )
 
-// Quirk is what is odd about a client.
+// Quirk is an unusual behaviour of a client.
 type Quirk int
 
 // The quirks.
@@ -24,7 +24,8 @@
 	ReadsSlowly
 )
 
-// Arrival is a first try, drawn ahead: a slow answer to one does not put off the next.
+// Arrival is the first try of a request. All arrivals are drawn before the run, so that a slow response doesn't delay later
+// ones (open loop).
 type Arrival struct {
 	Number      int
 	At          time.Duration
@@ -33,32 +34,32 @@
 	Sidecar     int
 	Key         string // the idempotency key of a keyed class
 	Object      string
-	Held        int // the held connection that it goes out on, from 1; 0: any other
+	Held        int // number of the held connection that it uses, from 1; 0: none
 	Quirk       Quirk
-	HangUpAfter time.Duration // after its sending, when Quirk is HangsUp
+	HangUpAfter time.Duration // delay after sending, if Quirk is HangsUp
 }
 
-// Trace is the id of a try of the arrival; each try has its own.
+// Trace returns the id of a try of the arrival. Each try has its own id.
 func (a *Arrival) Trace(seed uint64, try int) string {
 	h := fnv.New64a()
 	_, _ = fmt.Fprintf(h, "%d/%d/%d", seed, a.Number, try) // a hash's Write does not fail
 	return fmt.Sprintf("%016x", h.Sum64())
 }
 
-// Plan is all that a day draws ahead.
+// Plan holds everything that is drawn before a run.
 type Plan struct {
 	Arrivals []Arrival
 }
 
-// mostArrivals bounds a plan's memory.
+// maxArrivals bounds a plan's memory.
 const maxArrivals = 2_000_000
 
-// Draw draws the day of a scenario that passed its check.
+// Draw draws the plan of a scenario that has passed Check. It returns an error if the plan would have too many arrivals.
 func (s *Scenario) Draw() (*Plan, error) {
 	r := model.Rand(s.Seed, "arrivals")
 	peakRate := s.Rate * s.maxArrivalFactor()
 	if peakRate*s.LengthS > maxArrivals {
-		return nil, fmt.Errorf("%s: some %.0f arrivals: at most %d", s.Name, peakRate*s.LengthS, maxArrivals)
+		return nil, fmt.Errorf("%s: about %.0f arrivals: want at most %d", s.Name, peakRate*s.LengthS, maxArrivals)
 	}
 	p := &Plan{}
 	for at := time.Duration(0); ; {
@@ -74,7 +75,7 @@
 	}
 }
 
-// drawRushes adds what held connections send.
+// drawRushes adds the requests on held connections.
 func (s *Scenario) drawRushes(p *Plan) {
 	for i := range s.Faults {
 		f := &s.Faults[i]
@@ -130,7 +131,7 @@
 	return n - 1
 }
 
-// surge is what arrivals are multiplied by at a time, over all tenants.
+// arrivalFactor returns the factor of the arrival rate at a time, over all tenants.
 func (s *Scenario) arrivalFactor(at time.Duration) float64 {
 	usual, now := 0.0, 0.0
 	for i := range s.Tenants {
@@ -140,13 +141,13 @@
 	return s.surgeFactor("", at) * (now / usual)
 }
 
-// pull is a tenant's part of the arrivals at a time, besides what surges all of them.
+// tenantShare returns a tenant's weight among the arrivals at a time, without the surges of all tenants.
 func (s *Scenario) tenantShare(tenant int, at time.Duration) float64 {
 	t := &s.Tenants[tenant]
 	return t.Share * t.Usage * s.surgeFactor(t.Name, at)
 }
 
-// surgeOf multiplies the surges of one tenant, or those of all.
+// surgeFactor returns the product of the surges of one tenant at a time, or of those that affect all if tenant is empty.
 func (s *Scenario) surgeFactor(tenant string, at time.Duration) float64 {
 	factor := 1.0
 	for i := range s.Faults {
@@ -160,15 +161,15 @@
 func (s *Scenario) maxArrivalFactor() float64 {
 	highest := 1.0
 	for i := range s.Faults {
-		if s.Faults[i].Kind == "surge" { // factors change only where one begins
+		if s.Faults[i].Kind == "surge" { // with sizes above 1 the factor rises only when a surge begins
 			highest = max(highest, s.arrivalFactor(s.Faults[i].At()))
 		}
 	}
 	return highest
 }
 
-// Work returns what a try costs the server that runs it. It hangs on the seed, the class and the arrival, not on which
-// server asks or when.
+// Work returns the core time of a try and its wait on other services. They depend on the seed, the class and the trace only,
+// not on the server or the time.
 func (s *Scenario) Work(class int, trace string) (work, wait time.Duration) {
 	c := &s.Classes[class]
 	r := model.Rand(s.Seed, "work", trace)
@@ -177,19 +178,19 @@
 	return work, wait
 }
 
-// Ending is how a try ended for the client.
+// Outcome is the outcome of a try for the client.
 type Outcome int
 
-// The endings.
+// The outcomes.
 const (
 	Served Outcome = iota
 	Refused
 	Failed
-	Lost // no final answer: the connection ended, or time did
+	Lost // no final response: the connection ended or the client gave up
 )
 
-// Again decides whether a client tries once more after the try of this number (0 is the first) ended, and how long it
-// waits first; left is what remains of the class's deadline. A client does not repeat what may have run and is unsafe.
+// RetryDelay decides whether a client retries after the try with this number (from 0), and returns the delay before the retry. left
+// is the remaining time until the deadline. An unsafe request that may have run is not retried.
 func (c *Clients) RetryDelay(r *rand.Rand, effect string, try int, end Outcome, retryAfter, left time.Duration) (time.Duration, bool) {
 	if end == Served || try >= c.Retries || effect == "unsafe" && end != Refused {
 		return 0, false
@@ -201,9 +202,9 @@
 	return wait, wait < left
 }
 
-// Candidate is a server that a fault could strike.
+// Candidate is a server or sidecar that a fault can affect.
 type Candidate struct {
-	Number int // in the order of their start
+	Number int // in the order of start
 	Cell   int
 	Kind   string
 }
@@ -238,8 +239,8 @@
 	return t, nil
 }
 
-// Strikes returns the numbers of those that the fault strikes. What is drawn hangs on the seed and the fault's place in
-// the file.
+// AffectedBy returns the numbers of the candidates that the fault affects. A random choice depends on the seed and the fault's
+// position in the file only.
 func (s *Scenario) AffectedBy(fault int, candidates []Candidate) (numbers []int) {
 	t, err := parseTarget(s.Faults[fault].Target)
 	if err != nil {
--- a/lab/scenario/read.go
+++ b/lab/scenario/read.go
@@ -1,6 +1,6 @@
 package scenario
 
-// This file reads a day, and fills in what it leaves out.
+// This file reads scenario files and sets default values.
 
 import (
 	"bytes"
@@ -36,7 +36,7 @@
 	return Parse(name+".toml", text)
 }
 
-// Parse reads and checks a scenario; errors name the file and, where one is at fault, the line or the key.
+// Parse parses and checks a scenario. Errors name the file and, if known, the line or the key.
 func Parse(file string, text []byte) (*Scenario, error) {
 	s := defaults()
 	d := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
@@ -52,7 +52,7 @@
 	return s, nil
 }
 
-// defaults is a small office: what a file leaves out is as here.
+// defaults returns the values of keys that a file leaves out: a small office.
 func defaults() *Scenario {
 	return &Scenario{
 		Seed: 1, LengthS: 10, Rate: 120, Sidecars: 2,
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -1,6 +1,6 @@
-// Package scenario reads a day of the laboratory from a TOML file and draws it ahead: which client asks for what and
-// when, and which fault strikes whom. It owns the form of the file, its checks and the plan; it does no I/O but for
-// reading the built-in files, and knows nothing of sockets. The same file and seed give the same plan.
+// Package scenario reads a scenario of the laboratory from a TOML file and draws its plan: which client sends which request at
+// which time, and what each fault affects. It defines the file format, its validation and the plan. It does no I/O except for
+// reading the built-in files, and no networking. The same file and seed give the same plan.
 package scenario
 
 import (
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// Scenario is one day. Names of times end in _s or _ms and tell the unit.
+// Scenario is one test scenario, called a day. Keys of times end in _s or _ms for their unit.
 type Scenario struct {
 	Name     string   `toml:"name"`
 	About    string   `toml:"about"`
 	Seed     uint64   `toml:"seed"`
 	LengthS  float64  `toml:"length_s"`
-	Rate     float64  `toml:"rate"` // first tries a second, over all sidecars
+	Rate     float64  `toml:"rate"` // first tries per second, over all sidecars
 	Sidecars int      `toml:"sidecars"`
 	Limits   Limits   `toml:"limits"`
 	Fleet    Fleet    `toml:"fleet"`
@@ -27,16 +27,16 @@
 	Faults   []Fault  `toml:"fault"`
 }
 
-// Limits are what a sidecar is told that it may use.
+// Limits are the resource limits in a sidecar's configuration.
 type Limits struct {
 	Cores    float64 `toml:"cores"`
 	MemoryMB float64 `toml:"memory_mb"`
 	Sockets  int     `toml:"sockets"`
 }
 
-// Fleet is the servers.
+// Fleet describes the servers.
 type Fleet struct {
-	Protocol      string  `toml:"protocol"` // of kinds that do not say; "http" if left out
+	Protocol      string  `toml:"protocol"` // of kinds without a protocol; default "http"
 	Cells         int     `toml:"cells"`
 	Kinds         []Kind  `toml:"kind"`
 	Thrash        float64 `toml:"thrash"`
@@ -49,12 +49,12 @@
 	ReportEveryMS float64 `toml:"report_every_ms"`
 	ReportDelayMS float64 `toml:"report_delay_ms"`
 	HandshakeMS   float64 `toml:"handshake_ms"`
-	MaxConns      int     `toml:"most_conns"` // open at one server; 0: no cap
+	MaxConns      int     `toml:"most_conns"` // open at one server; 0: no limit
 	IdleS         float64 `toml:"idle_s"`
 	DrainGraceMS  float64 `toml:"drain_grace_ms"`
 }
 
-// Kind is a number of servers that are alike.
+// Kind is a number of identical servers.
 type Kind struct {
 	Name         string  `toml:"name"`
 	Protocol     string  `toml:"protocol"` // "http" or "msgpack-rpc"
@@ -65,35 +65,35 @@
 	QueuePerCore int     `toml:"queue_per_core"`
 }
 
-// Clients is how the callers behave.
+// Clients describes the behaviour of the clients.
 type Clients struct {
 	Protocol        string  `toml:"protocol"` // "http" or "msgpack-rpc"
 	Retries         int     `toml:"retries"`  // after the first try
 	BackoffMS       float64 `toml:"backoff_ms"`
-	HonorRetryAfter bool    `toml:"honour"`    // wait as long as Retry-After says
+	HonorRetryAfter bool    `toml:"honour"`    // wait at least as long as Retry-After says
 	MarkRetries     bool    `toml:"marks"`     // mark retries
 	Failover        bool    `toml:"failover"`  // the next try goes to the next sidecar
-	TryShare        float64 `toml:"try_share"` // a try is given up after this share of the deadline
-	HangUp          float64 `toml:"hang_up"`   // share that goes away early
+	TryShare        float64 `toml:"try_share"` // a try times out after this share of the deadline
+	HangUp          float64 `toml:"hang_up"`   // share that disconnects before the response
 	HalfClose       float64 `toml:"half_close"`
 	SlowReader      float64 `toml:"slow_reader"`
-	Held            int     `toml:"held"` // connections to each sidecar that say nothing but in a rush; its options let them stay
+	Held            int     `toml:"held"` // connections to each sidecar, idle except in a rush; the sidecar's options let them stay
 }
 
-// Roster is how sidecars learn of the servers.
+// Roster describes the discovery service from which sidecars learn the servers.
 type Roster struct {
 	Mode       string  `toml:"mode"`         // "ask" or "push"
-	DelayMS    float64 `toml:"delay_ms"`     // how late it knows of a change
-	CallsPerS  float64 `toml:"calls_per_s"`  // its capacity; 0: no bound
-	AlwaysFull bool    `toml:"always_full"`  // whole lists in place of changes
-	MaxWaitMS  float64 `toml:"most_wait_ms"` // a call that waits longer in turn fails
+	DelayMS    float64 `toml:"delay_ms"`     // delay until it lists a change
+	CallsPerS  float64 `toml:"calls_per_s"`  // capacity; 0: unlimited
+	AlwaysFull bool    `toml:"always_full"`  // complete lists instead of changes
+	MaxWaitMS  float64 `toml:"most_wait_ms"` // calls that would queue for longer fail
 }
 
-// Talk is what sidecars tell one another.
+// Talk describes the exchange between sidecars.
 type Talk struct {
 	Enabled              bool    `toml:"enabled"`
-	MaxRequestsPerSecond float64 `toml:"most_per_s"` // requests that each takes at most
-	// Agree is how long after the day all have to hold the same sums, and the true ones.
+	MaxRequestsPerSecond float64 `toml:"most_per_s"` // limit of requests that each sidecar accepts
+	// AgreeWithinS is the time after the scenario within which all sidecars must hold the same, correct sums.
 	AgreeWithinS float64 `toml:"agree_s"`
 }
 
@@ -118,18 +118,18 @@
 type Tenant struct {
 	Name  string  `toml:"name"`
 	Share float64 `toml:"share"`
-	Usage float64 `toml:"usage"` // of its share; 1 if left out
+	Usage float64 `toml:"usage"` // factor of its share; default 1
 
-	Contract *Contract `toml:"contract"` // where the sidecars hold teams to contracts, for all classes
+	Contract *Contract `toml:"contract"` // limits over all classes, where the sidecars enforce contracts
 }
 
-// Broker is what sidecars are told besides the tenants' contracts.
+// Broker is the sidecars' configuration besides the tenants' contracts.
 type Broker struct {
 	Capacity float64 `toml:"capacity_per_s"`
-	Off      bool    `toml:"off"` // the sidecars are not told of the contracts, which the report goes by all the same
+	Off      bool    `toml:"off"` // the contracts are not in the sidecars' configuration; the report still applies them
 }
 
-// Contract is a tenant's, in the words of the sidecar's own files.
+// Contract is a tenant's contract, with the keys of the sidecar's configuration files.
 type Contract struct {
 	WorthPerSecond      float64 `toml:"worth_per_s"`
 	Burst               float64 `toml:"burst"`
@@ -141,20 +141,21 @@
 	RetryIdentity       string  `toml:"retry_identity"`
 }
 
-// Contracts reports whether sidecars hold tenants to contracts. A tenant without one is nobody's then.
+// EnforcesContracts reports whether sidecars enforce contracts. A tenant without a contract then
+// belongs to no team.
 func (s *Scenario) EnforcesContracts() bool {
 	return !s.Broker.Off && slices.ContainsFunc(s.Tenants, func(t Tenant) bool { return t.Contract != nil })
 }
 
 func secondsDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// MS turns milliseconds of a file into a duration.
+// MS converts milliseconds of a file into a duration.
 func MS(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// Length is how long clients go on arriving.
+// Length returns the time during which clients arrive.
 func (s *Scenario) Length() time.Duration { return secondsDuration(s.LengthS) }
 
-// Servers is how many servers there are at the start.
+// Servers returns the number of servers at the start.
 func (s *Scenario) Servers() (n int) {
 	for _, k := range s.Fleet.Kinds {
 		n += k.Count
@@ -162,7 +163,7 @@
 	return n
 }
 
-// Capacity is the work at speed 1 that the fleet does in a second, and Demand what the clients' first tries ask for.
+// Capacity returns the work at speed 1 that the fleet does per second.
 func (s *Scenario) Capacity() (c float64) {
 	for _, k := range s.Fleet.Kinds {
 		c += float64(k.Count) * k.Cores * k.Speed
@@ -195,7 +196,7 @@
 	return names
 }
 
-// Demand is the work a second that first tries ask for on average.
+// Demand returns the average work per second that first tries require.
 func (s *Scenario) Demand() float64 {
 	work, shares := 0.0, 0.0
 	for _, c := range s.Classes {
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -14,7 +14,7 @@
 func TestBuiltinScenariosAreValid(t *testing.T) {
 	names := Builtin()
 	if len(names) < 10 {
-		t.Fatalf("there are %d", len(names))
+		t.Fatalf("%d built-in scenarios, want 10 or more", len(names))
 	}
 	struck := map[string]bool{}
 	for _, name := range names {
@@ -41,7 +41,7 @@
 	}
 }
 
-// A fault in a file is told with its line or its key, and several of them at once.
+// Errors in a file name the line or the key, and all errors are reported at once.
 func TestParseReportsAllErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		"rate = 10\nspeed = 3\n":                                       "day.toml:2: unknown key speed",
@@ -67,7 +67,7 @@
 	}
 	_, err := Parse("day.toml", []byte("rate = 0\nsidecars = 0\n"))
 	if err == nil || !strings.Contains(err.Error(), "rate") || !strings.Contains(err.Error(), "sidecars") {
-		t.Errorf("not every fault is named: %v", err)
+		t.Errorf("not every error is reported: %v", err)
 	}
 }
 
@@ -79,7 +79,7 @@
 	return s
 }
 
-// The same seed gives the same day; another seed another one; a fault that strikes servers changes no arrival.
+// The same seed gives the same plan, another seed another one. A fault that affects servers changes no arrival.
 func TestPlanIsDeterminedBySeed(t *testing.T) {
 	draw := func(text string) *Plan {
 		p, err := parseScenario(t, text).Draw()
@@ -90,21 +90,21 @@
 	}
 	a := draw("seed = 5\n")
 	if !reflect.DeepEqual(a, draw("seed = 5\n")) {
-		t.Error("the same seed draws another day")
+		t.Error("the same seed draws another plan")
 	}
 	if !reflect.DeepEqual(a, draw("seed = 5\n[[fault]]\nkind = \"crash\"\ntarget = \"share:0.5\"\n")) {
-		t.Error("a crash changes who arrives")
+		t.Error("a crash of servers changes the arrivals")
 	}
 	if reflect.DeepEqual(a, draw("seed = 6\n")) {
-		t.Error("another seed draws the same day")
+		t.Error("another seed draws the same plan")
 	}
 	first, again, second := a.Arrivals[3].Trace(5, 0), a.Arrivals[3].Trace(5, 0), a.Arrivals[3].Trace(5, 1)
 	if first == second || first != again {
-		t.Error("ids of tries")
+		t.Error("trace is not unique for each try, or not reproducible")
 	}
 }
 
-// The work of a request hangs on nothing but the seed and its id.
+// The work of a request depends only on the seed and its trace.
 func TestWorkIsDeterminedByTrace(t *testing.T) {
 	s := parseScenario(t, "seed = 5\n")
 	w1, i1 := s.Work(0, "abc")
@@ -129,14 +129,14 @@
 		}
 	}
 	if in < 7500 || in > 8500 || out < 5600 || out > 6400 {
-		t.Errorf("%d arrivals in the surge and %d outside of it", in, out)
+		t.Errorf("%d arrivals during the surge and %d outside of it", in, out)
 	}
 }
 
 func TestPlanIsBounded(t *testing.T) {
 	s := parseScenario(t, "rate = 20000\nlength_s = 600\n")
 	if _, err := s.Draw(); err == nil {
-		t.Error("12 million arrivals are drawn")
+		t.Error("a plan of 12 million arrivals was drawn")
 	}
 }
 
@@ -151,17 +151,17 @@
 	} {
 		s := parseScenario(t, "[[fault]]\nkind = \"crash\"\ntarget = \""+target+"\"\n")
 		if got := s.AffectedBy(0, fleet); !reflect.DeepEqual(got, want) {
-			t.Errorf("%q strikes %v, want %v", target, got, want)
+			t.Errorf("%q affects %v, want %v", target, got, want)
 		}
 	}
 	s := parseScenario(t, "[[fault]]\nkind = \"crash\"\ntarget = \"share:0.3\"\n")
 	if got := s.AffectedBy(0, fleet); len(got) != 3 || !reflect.DeepEqual(got, s.AffectedBy(0, fleet)) {
-		t.Errorf("a share of 0.3 strikes %v", got)
+		t.Errorf("a share of 0.3 affects %v", got)
 	}
 }
 
-// Whatever happens: a client tries no oftener than it may, never repeats what is unsafe and may have run, waits as long
-// as it is told, and not beyond its time.
+// For any outcome, a client makes no more tries than configured, never retries an unsafe request that may have run, waits at
+// least as long as Retry-After says, and doesn't retry after its deadline.
 func TestRetryProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := Clients{
@@ -177,15 +177,15 @@
 			return
 		}
 		if end == Served || try >= c.Retries || effect == "unsafe" && end != Refused {
-			t.Fatalf("try %d that ended %v is repeated", try, end)
+			t.Fatalf("try %d with outcome %v was retried", try, end)
 		}
 		if wait >= left || c.HonorRetryAfter && end == Refused && wait < after {
-			t.Fatalf("waits %v with %v left, told to wait %v", wait, left, after)
+			t.Fatalf("waits %v with %v left, Retry-After %v", wait, left, after)
 		}
 	})
 }
 
-// Whatever the text, a scenario that is accepted can be drawn or says why not.
+// For any text, an accepted scenario can be drawn, or Draw returns an error.
 func FuzzParse(f *testing.F) {
 	for _, name := range Builtin() {
 		text, err := builtin.ReadFile("builtin/" + name + ".toml")
@@ -201,7 +201,7 @@
 		if err != nil {
 			return
 		}
-		if s.Rate*s.LengthS > 10000 { // bounded, but long for a fuzz run
+		if s.Rate*s.LengthS > 10000 { // bounded, but too slow for fuzzing
 			return
 		}
 		p, err := s.Draw()
--- a/lab/shed/bound.go
+++ b/lab/shed/bound.go
@@ -1,6 +1,6 @@
-// Package shed reckons what shedding can win on a day of overload: the most worth that anyone could have served who knew all
-// requests ahead (Most), and what a way of turning requests away serves of it against the laboratory's models of servers, in
-// virtual time, with clients that try again (Play). No sockets, no processes: what a way decides is all that differs.
+// Package shed compares load shedding policies in an overload scenario. MaxWorth computes an upper bound of the worth that can be
+// served with knowledge of all requests in advance. Play simulates a policy against the laboratory's server models, in virtual
+// time and with clients that retry. There are no sockets or processes, so that results differ only by the policy's decisions.
 //
 // Begin with Compare.
 package shed
@@ -13,13 +13,14 @@
 	"firplank/lab/scenario"
 )
 
-// slice is the time over which capacity is filled; what is carried over from one to the next is a matter of aims.
+// sliceLength is the granularity at which the bound assigns capacity. Latency targets decide in which slices a request can run.
 const sliceLength = 20 * time.Millisecond
 
-// Most is the worth that an omniscient shedder serves of a plan at the most, and what all of it is worth. It fills the fleet's
-// capacity, and the processor's, with the requests of the most worth for their work, each within its aim. byClass says
-// that it knows of a request's work no more than its class, as any real one; else it knows the work of each. It is a bound:
-// parts of requests count, servers lose nothing by crowding, and first tries are all there is.
+// MaxWorth returns an upper bound of the worth that a policy with knowledge of all arrivals can serve of a plan, and the worth of
+// all its requests. It assigns the capacity of the fleet, and of the sidecars' processors at the given cost per request, to the
+// requests with the highest worth per work, each within its latency target. With byClass it uses the mean work of a request's
+// class, as a real policy has to; otherwise the work of each request. It is a bound because parts of requests count, servers
+// don't lose capacity by thrashing, and there are no retries.
 func MaxWorth(s *scenario.Scenario, plan *scenario.Plan, byClass bool, cost time.Duration) (served, all float64) {
 	n := int(s.Length()/sliceLength) + 1 + int(longestLatencyTarget(s)/sliceLength)
 	fleet, processor := make([]float64, n), make([]float64, n)
@@ -34,7 +35,7 @@
 	each := cost.Seconds()
 	for _, it := range items {
 		part := 0.0
-		for i := it.to; i >= it.from && part < 1-1e-9; i-- { // the latest first, which leaves room for those that cannot wait
+		for i := it.to; i >= it.from && part < 1-1e-9; i-- { // latest slice first, which leaves the earlier ones to more urgent requests
 			take := min(1-part, fleet[i]/it.work)
 			if each > 0 {
 				take = min(take, processor[i]/each)
@@ -48,13 +49,13 @@
 	return served, all
 }
 
-// item is a request as the bound sees it: its worth, its seconds of work, and the slices in which that may be done.
+// item is a request of the plan: its worth, its work in seconds, and the slices in which it can run.
 type item struct {
 	worth, work float64
 	from, to    int
 }
 
-// itemsOf returns the requests of a plan over n slices, those of the most worth for their work first, and the worth of all.
+// planItems returns the requests of a plan over n slices, by descending worth per work, and the worth of all of them.
 func planItems(s *scenario.Scenario, plan *scenario.Plan, byClass bool, n int) (items []item, all float64) {
 	items = make([]item, 0, len(plan.Arrivals))
 	for i := range plan.Arrivals {
@@ -65,7 +66,7 @@
 			w, _ := s.Work(a.Class, a.Trace(s.Seed, 0))
 			work = max(w.Seconds(), 1e-6)
 		}
-		// The last of its work is done a wait on others before its aim.
+		// The work has to end before the latency target by the time of the wait on other services.
 		last := a.At + max(sliceLength, scenario.MS(c.AimMS-c.WaitMS))
 		items = append(items, item{c.Worth, work, int(a.At / sliceLength), min(n-1, int(last/sliceLength))})
 		all += c.Worth
--- a/lab/shed/play.go
+++ b/lab/shed/play.go
@@ -12,18 +12,18 @@
 	"firplank/overload"
 )
 
-// Way is a way of turning requests away.
+// Policy is a load shedding policy.
 type Policy interface {
-	// Offer reports whether a try of a class may come in; End tells of each that came in how it ended, as its sidecar sees it.
+	// Offer reports whether a try of a class is admitted. End reports the outcome of an admitted try as its sidecar sees it.
 	Offer(now time.Duration, class int) bool
 	End(now time.Duration, class int, took time.Duration, how overload.Outcome)
 	Tick(now time.Duration)
 }
 
-// Ways are the names of all ways, in the order of a comparison.
+// Policies lists the names of all policies in the order in which Compare runs them.
 var Policies = []string{"none", "codel", "dagor", "gradient", "limit"}
 
-// NewWay returns a way by name.
+// NewPolicy returns a policy by name.
 func NewPolicy(name string, s *scenario.Scenario) (Policy, error) {
 	switch name {
 	case "none":
@@ -33,14 +33,14 @@
 	case "dagor":
 		return newDagor(s), nil
 	case "gradient":
-		return overload.NewLimit(make([]overload.Class, 1)), nil // one class: worth is nothing to it
+		return overload.NewLimit(make([]overload.Class, 1)), nil // with a single class it ignores the worth
 	case "limit":
 		return overload.NewLimit(Classes(s)), nil
 	}
-	return nil, fmt.Errorf("no way %q of shedding: there are %v", name, Policies)
+	return nil, fmt.Errorf("unknown load shedding policy %q: want one of %v", name, Policies)
 }
 
-// Classes are a scenario's as a Limit knows them.
+// Classes returns a scenario's classes as the configuration of overload.NewLimit.
 func Classes(s *scenario.Scenario) (all []overload.Class) {
 	for i := range s.Classes {
 		all = append(all, overload.Class{Value: s.Classes[i].Worth, LatencyTarget: scenario.MS(s.Classes[i].AimMS)})
@@ -48,28 +48,28 @@
 	return all
 }
 
-// Outcome is what a way served.
+// Outcome is the result of a simulated policy.
 type Outcome struct {
 	Policy         string
-	Worth, Offered float64 // served and asked for
-	Share          float64 // served of asked for
-	OfClassBound   float64 // served of what is the most that is known by class
-	OfRequestBound float64 // ... and by request
+	Worth, Offered float64 // served and offered
+	Share          float64 // Worth / Offered
+	OfClassBound   float64 // Worth / MaxWorth by class
+	OfRequestBound float64 // Worth / MaxWorth by request
 	InAim, Late    int
 	Refused        int
 	Tries          int
-	// Recovered is how long after the end of the last surge a second begins in which 0.9 of the worth is served that is usually
-	// asked for, and NewServed one in which 0.9 is served of what is asked for the first time in it; negative: none does.
-	// Without a surge they tell nothing.
+	// RecoveredAfter is the time from the end of the last surge to the first second in which at least 0.9 of the usually offered
+	// worth is served. NewServedAfter is the same for a second of whose newly offered worth at least 0.9 is served. Negative:
+	// there is no such second. Both are meaningless without a surge.
 	RecoveredAfter, NewServedAfter time.Duration
 }
 
-// event is something at a time.
+// event is an event of the simulation: a try, or an event of a server.
 type event struct {
 	at      time.Duration
-	order   int // of events at one time
-	arrival int // a try, or else
-	server  int // a server whose time has come, in version
+	order   int // among events at the same time
+	arrival int // the arrival of a try, if server is negative
+	server  int // the server to advance, unless version is outdated
 	version int
 	try     int
 }
@@ -89,13 +89,13 @@
 	return x
 }
 
-// job is a try at a server.
+// job is a try that a server has accepted.
 type job struct {
 	arrival, try int
 	began        time.Duration
 }
 
-// day is a plan that is being played.
+// simulation is the state of a plan that is being simulated.
 type simulation struct {
 	s              *scenario.Scenario
 	plan           *scenario.Plan
@@ -108,21 +108,24 @@
 	events         events
 	order          int
 	outcome        Outcome
-	worthByArrival []float64 // worth, by tenth of a second of its arrival
-	worthByService []float64 // ... and of its service
+	worthByArrival []float64 // worth, in buckets by arrival
+	worthByService []float64 // worth, in buckets by service
 	offeredWorth   []float64
 	served         []bool
 }
 
 const bucketLength = 100 * time.Millisecond
 
-// Play plays a plan: each try that comes in goes to the server that holds least, as one who sees all of them sends.
+// Play simulates a plan under a policy. Each admitted try goes to the server with the fewest requests for its capacity, as if the
+// load of all servers were known.
 func Play(s *scenario.Scenario, plan *scenario.Plan, name string) (*Outcome, error) {
 	policy, err := NewPolicy(name, s)
 	if err != nil {
 		return nil, err
 	}
-	d := &simulation{s: s, plan: plan, policy: policy, jobs: map[uint64]job{}, served: make([]bool, len(plan.Arrivals)), outcome: Outcome{Policy: name}}
+	d := &simulation{
+		s: s, plan: plan, policy: policy, jobs: map[uint64]job{}, served: make([]bool, len(plan.Arrivals)), outcome: Outcome{Policy: name},
+	}
 	f := &s.Fleet
 	for _, k := range f.Kinds {
 		for range k.Count {
@@ -194,7 +197,7 @@
 
 func (d *simulation) capacity(i int) float64 { return d.servers[i].Capacity(0) }
 
-// wake puts the server's next moment among the events.
+// scheduleServer queues the server's next event and invalidates its earlier one.
 func (d *simulation) scheduleServer(i int) {
 	d.versions[i]++
 	if at, ok := d.servers[i].Next(); ok {
@@ -202,7 +205,7 @@
 	}
 }
 
-// advance plays a server up to now.
+// advance advances a server to now and ends the tries that it has completed.
 func (d *simulation) advance(now time.Duration, i int) {
 	for _, done := range d.servers[i].Advance(now) {
 		j := d.jobs[done.ID]
@@ -219,7 +222,7 @@
 	d.scheduleServer(i)
 }
 
-// over ends a try, after which its client may try again.
+// endTry records the end of a try and schedules the client's retry, if any.
 func (d *simulation) endTry(now time.Duration, arrival, try int, end scenario.Outcome) {
 	a := &d.plan.Arrivals[arrival]
 	c := &d.s.Classes[a.Class]
@@ -240,7 +243,8 @@
 		return
 	}
 	r := model.Rand(d.s.Seed, "tries", strconv.Itoa(arrival), strconv.Itoa(try))
-	wait, retry := d.s.Clients.RetryDelay(r, c.Effect, try, end, time.Duration(float64(bucketLength)*(1+r.Float64())), a.At+scenario.MS(c.DeadlineMS)-now)
+	wait, retry := d.s.Clients.RetryDelay(r, c.Effect, try, end,
+		time.Duration(float64(bucketLength)*(1+r.Float64())), a.At+scenario.MS(c.DeadlineMS)-now)
 	if retry {
 		d.push(event{at: now + wait, arrival: arrival, try: try + 1, server: -1})
 	} else if end == scenario.Refused {
@@ -248,7 +252,7 @@
 	}
 }
 
-// recover reckons Outcome.Recovered and NewServed.
+// measureRecovery sets RecoveredAfter and NewServedAfter of the outcome.
 func (d *simulation) measureRecovery() {
 	first, last := d.s.Length(), time.Duration(0)
 	for i := range d.s.Faults {
@@ -260,7 +264,7 @@
 	usualWorth := sum(d.offeredWorth[:max(1, int(first/bucketLength))]) / max(1, float64(int(first/bucketLength))) * float64(second)
 	d.outcome.RecoveredAfter, d.outcome.NewServedAfter = -1, -1
 	from := int(last / bucketLength)
-	for i := len(d.offeredWorth) - 1 - second; i >= from; i-- { // the last tenth is not whole
+	for i := len(d.offeredWorth) - 1 - second; i >= from; i-- { // the last bucket is incomplete
 		after := time.Duration(i-from) * bucketLength
 		if sum(d.worthByService[i:i+second]) >= 0.9*min(usualWorth, sum(d.offeredWorth[i:i+second])) {
 			d.outcome.RecoveredAfter = after
@@ -278,7 +282,7 @@
 	return s
 }
 
-// Compare plays each way, and reckons what it served of the most.
+// Compare simulates each policy and computes its shares of the upper bounds.
 func Compare(s *scenario.Scenario, plan *scenario.Plan) (all []Outcome, err error) {
 	byClass, _ := MaxWorth(s, plan, true, 0)
 	byRequest, _ := MaxWorth(s, plan, false, 0)
--- a/lab/shed/ways.go
+++ b/lab/shed/policies.go
@@ -9,25 +9,25 @@
 	"firplank/overload"
 )
 
-// The ways that the limit is compared with, each by its public description, with what a sidecar can see: how long its
-// tries take.
+// The policies that the limit is compared with. Each follows its published description, with the latency of tries as its only
+// input, since a sidecar observes nothing else.
 
-// open lets all in.
+// admitAll admits every try.
 type admitAll struct{}
 
 func (admitAll) Offer(time.Duration, int) bool                           { return true }
 func (admitAll) End(time.Duration, int, time.Duration, overload.Outcome) {}
 func (admitAll) Tick(time.Duration)                                      {}
 
-// codel drops more and more often while the least delay of an interval stays above a target (RFC 8289), the delay being
-// what answers take beyond the quickest.
+// codel raises the dropped share while the minimum delay of an interval is above a target (RFC 8289). The delay is the latency
+// beyond the lowest latency so far.
 type codel struct {
 	s                  *scenario.Scenario
 	rng                *rand.Rand
 	minLatency         time.Duration
-	intervalMinLatency time.Duration // of the interval
+	intervalMinLatency time.Duration // in the present interval
 	intervalStart      time.Duration
-	dropShare          float64 // that is dropped
+	dropShare          float64 // of the tries that is dropped
 }
 
 const (
@@ -61,11 +61,11 @@
 	c.intervalStart, c.intervalMinLatency = now, 0
 }
 
-// dagor lets in the classes above a level, which moves with the mean delay beyond the usual one (Zhou et al., 2018): one
-// step down for a slow window, one up for a quick one.
+// dagor admits the classes above a level of priority that follows the mean latency (Zhou et al., 2018). The level falls by 5 % after a
+// window with more than twice the lowest mean latency, and rises by one step after any other window.
 type dagor struct {
-	levels         []int // of each class: 0 is the most worth
-	level          int   // levels below are let in, in steps of a class's users
+	levels         []int // by class; 0 has the highest worth per work
+	level          int   // lower levels are admitted; each class has dagorUsers levels
 	maxLevel       int
 	latencySum     time.Duration
 	latencyCount   int
@@ -74,7 +74,7 @@
 	nextUser       int
 }
 
-// dagorUsers is into how many parts the requests of a class are divided, as DAGOR does by users.
+// dagorUsers is the number of user groups into which the requests of a class are divided, as in DAGOR.
 const dagorUsers = 16
 
 func newDagor(s *scenario.Scenario) *dagor {
@@ -118,7 +118,7 @@
 		d.minMeanLatency = mean
 	}
 	if mean > d.minMeanLatency*2 {
-		d.level = max(1, d.level-max(1, d.level/20)) // five in a hundred less
+		d.level = max(1, d.level-max(1, d.level/20)) // 5 % less
 	} else {
 		d.level = min(d.maxLevel, d.level+1)
 	}
--- a/lab/shed/shed_test.go
+++ b/lab/shed/shed_test.go
@@ -20,7 +20,7 @@
 	return s, plan
 }
 
-// The limit serves near what could be served at all, at every load, and each other way serves less where it matters.
+// The limit serves close to the upper bound at every load, and each other policy serves less under heavy overload.
 func TestLimitServesNearTheClassBound(t *testing.T) {
 	for size, least := range map[float64]float64{1: 0.995, 2: 0.98, 5: 0.92, 10: 0.9, 20: 0.87} {
 		all, err := Compare(flash(t, size, 0))
@@ -29,7 +29,7 @@
 		}
 		best := all[len(all)-1]
 		if best.Policy != "limit" || best.OfClassBound < least || best.OfClassBound > 1.01 {
-			t.Errorf("%v times: %s serves %.3f of the most", size, best.Policy, best.OfClassBound)
+			t.Errorf("%v times: %s serves %.3f of the upper bound", size, best.Policy, best.OfClassBound)
 		}
 		for _, o := range all[:len(all)-1] {
 			if size >= 10 && o.Worth > 0.85*best.Worth {
@@ -39,8 +39,8 @@
 	}
 }
 
-// Clients that come back after a rush are a second one, which has to end: what is let in is served, and the turned away do
-// not pile up.
+// Retries after a surge must not keep the system overloaded (a retry storm): admitted requests are served and rejected ones don't
+// accumulate.
 func TestLimitRecoversFromRetries(t *testing.T) {
 	s, plan := flash(t, 20, 5)
 	o, err := Play(s, plan, "limit")
@@ -48,11 +48,12 @@
 		t.Fatal(err)
 	}
 	if o.RecoveredAfter < 0 || o.RecoveredAfter.Seconds() > 1 || o.NewServedAfter < 0 || o.Tries < 2*len(plan.Arrivals) {
-		t.Errorf("recovered after %v, new ones after %v, with %d tries of %d", o.RecoveredAfter, o.NewServedAfter, o.Tries, len(plan.Arrivals))
+		t.Errorf("recovered after %v, new requests after %v, with %d tries for %d requests",
+			o.RecoveredAfter, o.NewServedAfter, o.Tries, len(plan.Arrivals))
 	}
 }
 
-// The bound is one: what fits is all served, and who knows more serves no less.
+// MaxWorth is an upper bound: without overload all requests are served, and knowledge of each request's work serves no less.
 func TestMaxWorth(t *testing.T) {
 	s, plan := flash(t, 1, 0)
 	if most, all := MaxWorth(s, plan, true, 0); most < 0.999*all || most > all*1.0001 {
