--- a/lab/scenario/entitlement.go
+++ b/lab/scenario/entitlement.go
@@ -25,7 +25,7 @@
 
 // AddRequest adds the first try of a request. Times must not decrease.
 func (e *Entitlement) AddRequest(at time.Duration, worth float64) {
-	for i := range e.s.Faults { // in the order of their times
+	for i := range e.s.Faults { // expects faults in ascending order of time
 		if f := &e.s.Faults[i]; f.Kind == "recontract" && f.Tenant() == e.tenant.Name && f.At() > e.filledAt && f.At() < at {
 			e.fill(f.At())
 		}
