--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -11,7 +11,7 @@
 
 const ms = time.Millisecond
 
-// A run of draws has the mean and the spread that were asked for.
+// Draws have the configured mean and coefficient of variation.
 func TestDistributions(t *testing.T) {
 	for _, d := range []Dist{
 		{"fixed", 20 * ms, 0}, {"exp", 20 * ms, 1}, {"lognormal", 20 * ms, 0.8}, {"pareto", 20 * ms, 0.6},
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestBadDistributions(t *testing.T) {
+func TestCheckRejectsBadDistributions(t *testing.T) {
 	for _, d := range []Dist{{"odd", ms, 0}, {"exp", -ms, 0}, {"exp", ms, math.NaN()}, {"pareto", ms, math.Inf(1)}} {
 		if d.Check() == nil {
 			t.Errorf("%+v is accepted", d)
@@ -39,7 +39,7 @@
 	}
 }
 
-// finish plays a server until all that it holds has ended, and returns when each did.
+// finish advances a server until all its jobs have ended, and returns the end of each.
 func finish(s *Server) map[uint64]time.Duration {
 	ends := map[uint64]time.Duration{}
 	for {
@@ -55,21 +55,21 @@
 
 func near(a, b time.Duration) bool { return (a - b).Abs() < ms/10 }
 
-// Two cores at speed 2: the third request takes its share of them.
-func TestCoresAreShared(t *testing.T) {
+// Three requests share two cores at speed 2 evenly.
+func TestRequestsShareCores(t *testing.T) {
 	s := NewServer(Spec{Cores: 2, Speed: 2}, 0, false)
 	for id := range uint64(3) {
 		s.Offer(0, Job{ID: id, Work: 60 * ms})
 	}
 	for id, at := range finish(s) {
 		if !near(at, 45*ms) { // 180 ms of work over 2 cores at speed 2
-			t.Errorf("job %d ends at %v", id, at)
+			t.Errorf("job %d ended at %v", id, at)
 		}
 	}
 }
 
-// Waiting on others takes a slot and no core.
-func TestWaitingHoldsASlotOnly(t *testing.T) {
+// A job that waits on other services holds a slot but no core.
+func TestWaitingOccupiesSlotButNoCore(t *testing.T) {
 	s := NewServer(Spec{Cores: 1, Speed: 1, Slots: 1, Queue: 5}, 0, false)
 	s.Offer(0, Job{ID: 1, Work: 10 * ms, Wait: 40 * ms})
 	s.Offer(0, Job{ID: 2, Work: 10 * ms})
@@ -84,18 +84,18 @@
 	}
 }
 
-func TestFullRoomTurnsAway(t *testing.T) {
+func TestFullQueueRejects(t *testing.T) {
 	s := NewServer(Spec{Cores: 1, Speed: 1, Slots: 1, Queue: 2}, 0, false)
 	var verdicts []Verdict
 	for id := range uint64(4) {
 		verdicts = append(verdicts, s.Offer(0, Job{ID: id, Work: ms}))
 	}
-	if want := []Verdict{Accepted, Accepted, Accepted, TurnedAway}; fmt.Sprint(verdicts) != fmt.Sprint(want) {
+	if want := []Verdict{Accepted, Accepted, Accepted, Rejected}; fmt.Sprint(verdicts) != fmt.Sprint(want) {
 		t.Errorf("verdicts %v, want %v", verdicts, want)
 	}
 }
 
-func TestHoldingTooManyIsSlower(t *testing.T) {
+func TestThrashingReducesCapacity(t *testing.T) {
 	ends := func(n uint64) time.Duration {
 		s := NewServer(Spec{Cores: 1, Speed: 1, Thrash: 0.2, ThrashAt: 2}, 0, false)
 		for id := range n {
@@ -104,24 +104,24 @@
 		return finish(s)[0]
 	}
 	if got := ends(2); !near(got, 20*ms) {
-		t.Errorf("two are done at %v", got)
+		t.Errorf("two jobs ended at %v", got)
 	}
-	if got := ends(6); got < 70*ms { // 60 ms, were it no slower
-		t.Errorf("six are done at %v", got)
+	if got := ends(6); got < 70*ms { // 60 ms without thrashing
+		t.Errorf("six jobs ended at %v", got)
 	}
 }
 
-func TestOverdueWaitingWorkIsDropped(t *testing.T) {
+func TestExpiredQueuedWorkIsDropped(t *testing.T) {
 	s := NewServer(Spec{Cores: 1, Speed: 1, Slots: 1, DropsExpired: true}, 0, false)
 	s.Offer(0, Job{ID: 1, Work: 50 * ms})
 	s.Offer(0, Job{ID: 2, Work: 50 * ms, Expires: 20 * ms})
 	done := s.Advance(time.Second)
-	if len(done) != 2 || !done[1].Over {
+	if len(done) != 2 || !done[1].Expired {
 		t.Errorf("%+v", done)
 	}
 }
 
-func TestDropTakesWaitingWorkOnly(t *testing.T) {
+func TestDropRemovesOnlyQueuedWork(t *testing.T) {
 	s := NewServer(Spec{Cores: 1, Speed: 1, Slots: 1}, 0, false)
 	s.Offer(0, Job{ID: 1, Work: ms})
 	s.Offer(0, Job{ID: 2, Work: ms})
@@ -143,55 +143,55 @@
 	}
 }
 
-// The budget of a window is the multiple of what the server can do in it; a warm server has none.
+// A cold server's budget of a window is FallMultiple times its capacity in it. A warm server has no such limit.
 func TestColdServerFallsOver(t *testing.T) {
 	push := func(spec Spec, isCold bool, work time.Duration) (fell bool) {
 		s := NewServer(spec, 0, isCold)
 		for i := range 20 { // within a second
 			at := time.Duration(i) * 49 * ms
 			s.Advance(at)
-			fell = s.Offer(at, Job{ID: uint64(i), Work: work}) == Fell || fell
+			fell = s.Offer(at, Job{ID: uint64(i), Work: work}) == FellOver || fell
 		}
 		return fell
 	}
-	if push(cold(), true, 45*ms) { // 0.9 s of work; the window holds 2 × 0.5 s and more
-		t.Error("it fell within its budget")
+	if push(cold(), true, 45*ms) { // 0.9 s of work; the window's budget is at least 2 × 0.5 s
+		t.Error("the server fell over within its budget")
 	}
 	if !push(cold(), true, 70*ms) { // 1.4 s
-		t.Error("it stands past its budget")
+		t.Error("the server did not fall over beyond its budget")
 	}
 	if push(cold(), false, 70*ms) {
-		t.Error("a warm server fell")
+		t.Error("a warm server fell over")
 	}
 }
 
 func TestFallenServerStaysDown(t *testing.T) {
 	s := NewServer(cold(), 0, true)
-	if s.Offer(0, Job{ID: 1, Work: 5 * time.Second}) != Fell {
-		t.Fatal("it stands")
+	if s.Offer(0, Job{ID: 1, Work: 5 * time.Second}) != FellOver {
+		t.Fatal("the server did not fall over")
 	}
 	s.Advance(time.Minute)
-	if !s.Fallen() || s.Offer(time.Minute, Job{ID: 2, Work: ms}) != Fell {
-		t.Error("it is up again")
+	if !s.Fallen() || s.Offer(time.Minute, Job{ID: 2, Work: ms}) != FellOver {
+		t.Error("the server runs again")
 	}
 }
 
-func TestSlowServer(t *testing.T) {
+func TestSetSlowScalesRemainingWork(t *testing.T) {
 	s := NewServer(Spec{Cores: 1, Speed: 1}, 0, false)
 	s.Offer(0, Job{ID: 1, Work: 100 * ms})
 	s.SetSlow(50*ms, 10)
-	s.SetSlow(150*ms, 1) // 10 ms of work were done meanwhile
+	s.SetSlow(150*ms, 1) // 10 ms of work were done since
 	if ends := finish(s); !near(ends[1], 190*ms) {
 		t.Errorf("ends %v", ends)
 	}
 }
 
-func TestReportsAreLate(t *testing.T) {
+func TestReportsAreDelayed(t *testing.T) {
 	s := NewServer(Spec{Cores: 2, Speed: 1, ReportEvery: 100 * ms, ReportDelay: 30 * ms}, 0, false)
 	s.Offer(0, Job{ID: 1, Work: 60 * ms})
 	s.Advance(125 * ms)
 	if _, ok := s.Report(125 * ms); ok {
-		t.Error("a report is seen before its delay is over")
+		t.Error("a report is visible before its delay is over")
 	}
 	l, ok := s.Report(131 * ms)
 	if !ok || math.Abs(l.Util-0.3) > 0.01 || math.Abs(l.Rate-10) > 0.1 {
@@ -199,43 +199,43 @@
 	}
 }
 
-func TestMemoryOfKeys(t *testing.T) {
-	m := NewMemory()
+func TestKeyTableStates(t *testing.T) {
+	m := NewKeyTable()
 	steps := []struct {
 		at   time.Duration
 		want KeyState
 	}{{0, KeyNew}, {10 * ms, KeyRunning}}
 	for _, s := range steps {
-		if got := m.Take(s.at, "k", 100*ms); got != s.want {
+		if got := m.Claim(s.at, "k", 100*ms); got != s.want {
 			t.Errorf("at %v: %v", s.at, got)
 		}
 	}
 	m.Finish("k")
-	if got := m.Take(99*ms, "k", 100*ms); got != KeyDone {
+	if got := m.Claim(99*ms, "k", 100*ms); got != KeyDone {
 		t.Errorf("within the window: %v", got)
 	}
-	if got := m.Take(100*ms, "k", 100*ms); got != KeyNew {
-		t.Errorf("after the window, counted from the first: %v", got)
+	if got := m.Claim(100*ms, "k", 100*ms); got != KeyNew {
+		t.Errorf("after the window, which starts with the first request: %v", got)
 	}
 	m.Forget("k")
-	if got := m.Take(101*ms, "k", 100*ms); got != KeyNew {
-		t.Errorf("after it was turned away: %v", got)
+	if got := m.Claim(101*ms, "k", 100*ms); got != KeyNew {
+		t.Errorf("after the key was removed: %v", got)
 	}
 }
 
-// The table holds what came within a window, however long the run.
-func TestMemoryIsBounded(t *testing.T) {
-	m := NewMemory()
+// The size of the table is bounded by the keys of a window, however long the run.
+func TestKeyTableIsBounded(t *testing.T) {
+	m := NewKeyTable()
 	for i := range 100000 {
-		m.Take(time.Duration(i)*ms, fmt.Sprint(i), 500*ms)
+		m.Claim(time.Duration(i)*ms, fmt.Sprint(i), 500*ms)
 	}
 	if m.Len() > 2048 {
 		t.Errorf("%d keys are held", m.Len())
 	}
 }
 
-// Whatever is offered: what was accepted ends once, work is never done faster than the cores allow, and the slots and
-// the room hold no more than they have.
+// For any sequence of offers, each accepted job ends once, work is never done faster than the cores allow, and neither slots
+// nor queue exceed their limits.
 func TestServerProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := Spec{
@@ -250,7 +250,7 @@
 		ended := func(done []Done) {
 			for _, d := range done {
 				if !open[d.ID] {
-					t.Fatalf("job %d ends twice, or was never accepted", d.ID)
+					t.Fatalf("job %d ended twice or was never accepted", d.ID)
 				}
 				delete(open, d.ID)
 			}
@@ -267,7 +267,7 @@
 				total += work
 			}
 			if work, queue := s.Held(); work > spec.Slots || queue > spec.Queue {
-				t.Fatalf("%d in work, %d waiting", work, queue)
+				t.Fatalf("%d running, %d queued", work, queue)
 			}
 		}
 		for {
@@ -279,10 +279,10 @@
 			now = at
 		}
 		if len(open) > 0 {
-			t.Fatalf("%d jobs never end", len(open))
+			t.Fatalf("%d jobs never ended", len(open))
 		}
 		if least := total.Seconds() / spec.Cores / spec.Speed; !spec.DropsExpired && now.Seconds() < least-1e-6 {
-			t.Fatalf("all is done after %v, at least %.3f s are wanted", now, least)
+			t.Fatalf("all jobs ended after %v, want at least %.3f s", now, least)
 		}
 	})
 }
--- a/lab/run/alone.go
+++ b/lab/run/alone.go
@@ -32,7 +32,7 @@
 	}
 	var mine []scenario.Fault
 	for _, f := range s.Faults {
-		if f.Subject() == scenario.Servers || f.Subject() == scenario.TheRoster {
+		if f.Subject() == scenario.SubjectServers || f.Subject() == scenario.SubjectRoster {
 			mine = append(mine, f)
 		}
 	}
@@ -53,19 +53,19 @@
 		return nil, err
 	}
 	clock := standin.StartClock()
-	j := judge.New(judge.Config{Classes: judgedClasses(s), Slack: ruleSlack, Blind: true})
+	j := judge.New(judge.Config{Classes: judgedClasses(s), Slack: ruleSlack, NoServerEvents: true})
 	seen := newRecorder(j, s.Length())
 	var rpcAddrs []string
 	if s.Clients.RPC() {
 		rpcAddrs = addrs
 	}
-	callers := standin.NewCallers(standin.CallersConfig{
-		Scenario: s, Plan: plan, Addrs: addrs, RPCAddrs: rpcAddrs, Clock: clock, Observer: seen, MostOpen: max(16, s.Limits.Sockets/3),
+	callers := standin.NewClients(standin.ClientsConfig{
+		Scenario: s, Plan: plan, Addrs: addrs, RPCAddrs: rpcAddrs, Clock: clock, Observer: seen, MaxOpenConns: max(16, s.Limits.Sockets/3),
 		Linger: answerSlack*time.Millisecond + ruleSlack,
 	})
 	tallies := callers.Run(ctx)
 	time.Sleep(settle)
 	r := newReport(s, tallies, j.Close(clock()), seen)
-	r.Program, r.Late = "the sidecars given", callers.Late()
+	r.Program, r.Late = "the sidecars given", callers.MaxStartDelay()
 	return r, nil
 }
--- a/lab/run/faults.go
+++ b/lab/run/faults.go
@@ -67,7 +67,7 @@
 	for _, sl := range st.fleet {
 		from = append(from, sl.candidate)
 	}
-	for _, n := range st.s.Strikes(fault, from) {
+	for _, n := range st.s.AffectedBy(fault, from) {
 		slots = append(slots, st.fleet[n])
 	}
 	return slots
@@ -78,7 +78,7 @@
 	for _, n := range st.nodes {
 		from = append(from, scenario.Candidate{Number: n.number})
 	}
-	for _, n := range st.s.Strikes(fault, from) {
+	for _, n := range st.s.AffectedBy(fault, from) {
 		nodes = append(nodes, st.nodes[n])
 	}
 	return nodes
@@ -90,11 +90,11 @@
 		return func(context.Context) error { return st.recontract(f) }, nil
 	}
 	switch f.Subject() {
-	case scenario.TheRoster:
+	case scenario.SubjectRoster:
 		return st.rosterDeeds(f)
-	case scenario.Links:
+	case scenario.SubjectLinks:
 		return st.linkDeeds(f)
-	case scenario.Sidecars:
+	case scenario.SubjectSidecars:
 		var nodes []*process
 		return func(ctx context.Context) error {
 				nodes = st.struckNodes(i)
@@ -102,7 +102,7 @@
 			}, func(ctx context.Context) error {
 				return each(nodes, func(n *process) error { return st.relieveNode(ctx, f, n) })
 			}
-	case scenario.Callers:
+	case scenario.SubjectClients:
 		if f.Kind == "flood" {
 			return func(ctx context.Context) error {
 				for _, n := range st.nodes {
@@ -135,7 +135,7 @@
 
 // recontract changes a tenant's budget and tells all sidecars that run.
 func (st *stage) recontract(f *scenario.Fault) error {
-	if !st.s.Contracts() {
+	if !st.s.EnforcesContracts() {
 		return nil
 	}
 	st.mu.Lock()
@@ -184,11 +184,11 @@
 	case "replace":
 		return st.replace(sl)
 	case "silent":
-		sl.server.Silence(-1, true)
+		sl.server.SetSilent(-1, true)
 	case "cut":
-		sl.server.Silence(int(f.Size), true)
+		sl.server.SetSilent(int(f.Size), true)
 	case "drain":
-		sl.server.Drain(true)
+		sl.server.SetDraining(true)
 		st.roster.Set(sl.entry, "draining")
 	case "error":
 		sl.server.SetErrors(f.Share)
@@ -208,12 +208,12 @@
 		if err := sl.server.Restart(); err != nil {
 			return err
 		}
-		sl.entry.UpFrom = time.Now()
+		sl.entry.UpSince = time.Now()
 		st.roster.Set(sl.entry, "ready")
 	case "silent":
-		sl.server.Silence(-1, false)
+		sl.server.SetSilent(-1, false)
 	case "cut":
-		sl.server.Silence(int(f.Size), false)
+		sl.server.SetSilent(int(f.Size), false)
 	case "drain":
 		sl.server.Crash()
 		st.roster.Set(sl.entry, "gone")
@@ -239,7 +239,7 @@
 	defer st.mu.Unlock()
 	sl.server.Close()
 	sl.server = next
-	sl.entry.ID, sl.entry.UpFrom = next.ID(), time.Now()
+	sl.entry.ID, sl.entry.UpSince = next.ID(), time.Now()
 	st.roster.Set(sl.entry, "ready")
 	return nil
 }
@@ -271,15 +271,15 @@
 		if err := n.signal(syscall.SIGKILL); err != nil {
 			return err
 		}
-		st.judge.Down(n.number, st.clock())
+		st.judge.SidecarDown(n.number, st.clock())
 		err := n.awaitEnd()
 		st.noteAllDown()
 		return err
 	case "stop":
-		st.judge.Down(n.number, st.clock())
+		st.judge.SidecarDown(n.number, st.clock())
 		return n.pause(true)
 	case "hup":
-		if _, err := writeConfig(st.dir, st.s, n.number, n.address(), st.roster.Other(n.number),
+		if _, err := writeConfig(st.dir, st.s, n.number, n.address(), st.roster.SecondAddr(n.number),
 			st.roster.Current(n.number), st.links); err != nil {
 			return err
 		}
@@ -293,7 +293,7 @@
 			case <-time.After(awayAfter):
 			case <-ctx.Done():
 			}
-			st.callers.SetAway(n.number, true)
+			st.callers.SetShuttingDown(n.number, true)
 			if err := n.awaitEnd(); err != nil {
 				st.failed(err)
 			}
@@ -309,7 +309,7 @@
 		st.tasks.Go(func() { st.startAgain(n) })
 	case "stop":
 		err := n.pause(false)
-		st.judge.Up(n.number, st.clock()+st.slack)
+		st.judge.SidecarUp(n.number, st.clock()+st.slack)
 		return err
 	}
 	return nil
@@ -319,7 +319,7 @@
 func (st *stage) startAgain(n *process) {
 	ctx, cancel := context.WithTimeout(context.Background(), startPatience)
 	defer cancel()
-	st.judge.Started(n.number, st.clock())
+	st.judge.SidecarStarted(n.number, st.clock())
 	err := n.start(ctx)
 	if err == nil {
 		err = n.awaitReady(ctx)
@@ -328,6 +328,6 @@
 		st.failed(fmt.Errorf("start again: %w", err))
 		return
 	}
-	st.judge.Up(n.number, st.clock())
-	st.callers.SetAway(n.number, false)
+	st.judge.SidecarUp(n.number, st.clock())
+	st.callers.SetShuttingDown(n.number, false)
 }
--- a/lab/scenario/entitlement.go
+++ b/lab/scenario/entitlement.go
@@ -1,48 +1,48 @@
 package scenario
 
-// This file knows what a tenant may ask for by its contract.
+// This file computes what a tenant is entitled to by its contract.
 
 import (
 	"time"
 )
 
-// Entitlement reckons what a tenant's contract lets it have of what it asks for: a bucket of its burst that fills with its
-// budget, as that changes over the day, and gives any part of a request.
+// Entitlement computes which part of a tenant's requests its contract grants. It is a token bucket with the contract's burst and
+// budget, including changes of the budget during the scenario. A request can be granted in part.
 type Entitlement struct {
-	Asked, Worth float64 // so far
+	Requested, Granted float64 // worth so far
 
-	s      *Scenario
-	tenant *Tenant
-	have   float64
-	at     time.Duration
+	s        *Scenario
+	tenant   *Tenant
+	tokens   float64
+	filledAt time.Duration
 }
 
-// Entitlement begins a day of a tenant with a contract.
+// Entitlement returns the entitlement of a tenant with a contract at the start of the scenario, with a full bucket.
 func (s *Scenario) Entitlement(tenant int) *Entitlement {
 	t := &s.Tenants[tenant]
-	return &Entitlement{s: s, tenant: t, have: t.Contract.Burst}
+	return &Entitlement{s: s, tenant: t, tokens: t.Contract.Burst}
 }
 
-// Ask takes in a first try. Times do not go back.
-func (e *Entitlement) Ask(at time.Duration, worth float64) {
-	for i := range e.s.Faults { // in the order of their times
-		if f := &e.s.Faults[i]; f.Kind == "recontract" && f.Tenant() == e.tenant.Name && f.At() > e.at && f.At() < at {
+// AddRequest adds the first try of a request. Times must not decrease.
+func (e *Entitlement) AddRequest(at time.Duration, worth float64) {
+	for i := range e.s.Faults { // expects faults in ascending order of time
+		if f := &e.s.Faults[i]; f.Kind == "recontract" && f.Tenant() == e.tenant.Name && f.At() > e.filledAt && f.At() < at {
 			e.fill(f.At())
 		}
 	}
 	e.fill(at)
-	got := min(worth, e.have)
-	e.have -= got
-	e.Asked, e.Worth = e.Asked+worth, e.Worth+got
+	granted := min(worth, e.tokens)
+	e.tokens -= granted
+	e.Requested, e.Granted = e.Requested+worth, e.Granted+granted
 }
 
 func (e *Entitlement) fill(to time.Duration) {
 	factor := 1.0
 	for i := range e.s.Faults {
-		if f := &e.s.Faults[i]; f.Kind == "recontract" && f.Tenant() == e.tenant.Name && f.At() <= e.at {
+		if f := &e.s.Faults[i]; f.Kind == "recontract" && f.Tenant() == e.tenant.Name && f.At() <= e.filledAt {
 			factor = f.Size
 		}
 	}
-	e.have = min(e.tenant.Contract.Burst, e.have+(to-e.at).Seconds()*e.tenant.Contract.Worth*factor)
-	e.at = to
+	e.tokens = min(e.tenant.Contract.Burst, e.tokens+(to-e.filledAt).Seconds()*e.tenant.Contract.WorthPerSecond*factor)
+	e.filledAt = to
 }
--- a/lab/scenario/read.go
+++ b/lab/scenario/read.go
@@ -1,6 +1,6 @@
 package scenario
 
-// This file reads a day, and fills in what it leaves out.
+// This file reads scenario files and sets default values.
 
 import (
 	"bytes"
@@ -36,7 +36,7 @@
 	return Parse(name+".toml", text)
 }
 
-// Parse reads and checks a scenario; errors name the file and, where one is at fault, the line or the key.
+// Parse parses and checks a scenario. Errors name the file and, if known, the line or the key.
 func Parse(file string, text []byte) (*Scenario, error) {
 	s := defaults()
 	d := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
@@ -52,7 +52,7 @@
 	return s, nil
 }
 
-// defaults is a small office: what a file leaves out is as here.
+// defaults returns the values of keys that a file leaves out: a small office.
 func defaults() *Scenario {
 	return &Scenario{
 		Seed: 1, LengthS: 10, Rate: 120, Sidecars: 2,
@@ -61,12 +61,12 @@
 			Cells: 2, Thrash: 0.1, ThrashAt: 4, ColdFrom: 0.15, ColdS: 6, FallMultiple: 2.5, FallS: 2,
 			ReportEveryMS: 500, ReportDelayMS: 20, HandshakeMS: 1.5, IdleS: 10, DrainGraceMS: 250,
 		},
-		Clients: Clients{Retries: 1, BackoffMS: 40, Honour: true, TryShare: 0.5},
-		Roster:  Roster{Mode: "ask", DelayMS: 300, MostWaitMS: 2000},
+		Clients: Clients{Retries: 1, BackoffMS: 40, HonorRetryAfter: true, TryShare: 0.5},
+		Roster:  Roster{Mode: "ask", DelayMS: 300, MaxWaitMS: 2000},
 	}
 }
 
-func (s *Scenario) fill() {
+func (s *Scenario) applyDefaults() {
 	if len(s.Fleet.Kinds) == 0 {
 		s.Fleet.Kinds = []Kind{
 			{Name: "fast", Count: 4, Cores: 2, Speed: 1.4, SlotsPerCore: 5, QueuePerCore: 8},
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -11,10 +11,10 @@
 	"firplank/lab/model"
 )
 
-func TestBuiltinScenariosAreGood(t *testing.T) {
+func TestBuiltinScenariosAreValid(t *testing.T) {
 	names := Builtin()
 	if len(names) < 10 {
-		t.Fatalf("there are %d", len(names))
+		t.Fatalf("%d built-in scenarios, want 10 or more", len(names))
 	}
 	struck := map[string]bool{}
 	for _, name := range names {
@@ -41,8 +41,8 @@
 	}
 }
 
-// A fault in a file is told with its line or its key, and several of them at once.
-func TestBadFiles(t *testing.T) {
+// Errors in a file name the line or the key, and all errors are reported at once.
+func TestParseReportsAllErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		"rate = 10\nspeed = 3\n":                                       "day.toml:2: unknown key speed",
 		"rate = 10\n[fleet]\ncell = 3\n":                               "day.toml:3: unknown key fleet.cell",
@@ -67,11 +67,11 @@
 	}
 	_, err := Parse("day.toml", []byte("rate = 0\nsidecars = 0\n"))
 	if err == nil || !strings.Contains(err.Error(), "rate") || !strings.Contains(err.Error(), "sidecars") {
-		t.Errorf("not every fault is named: %v", err)
+		t.Errorf("not every error is reported: %v", err)
 	}
 }
 
-func small(t interface{ Fatal(...any) }, text string) *Scenario {
+func parseScenario(t interface{ Fatal(...any) }, text string) *Scenario {
 	s, err := Parse("small.toml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
@@ -79,10 +79,10 @@
 	return s
 }
 
-// The same seed gives the same day; another seed another one; a fault that strikes servers changes no arrival.
-func TestSameSeedSameDay(t *testing.T) {
+// The same seed gives the same plan, another seed another one. A fault that affects servers changes no arrival.
+func TestPlanIsDeterminedBySeed(t *testing.T) {
 	draw := func(text string) *Plan {
-		p, err := small(t, text).Draw()
+		p, err := parseScenario(t, text).Draw()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -90,23 +90,23 @@
 	}
 	a := draw("seed = 5\n")
 	if !reflect.DeepEqual(a, draw("seed = 5\n")) {
-		t.Error("the same seed draws another day")
+		t.Error("the same seed draws another plan")
 	}
 	if !reflect.DeepEqual(a, draw("seed = 5\n[[fault]]\nkind = \"crash\"\ntarget = \"share:0.5\"\n")) {
-		t.Error("a crash changes who arrives")
+		t.Error("a crash of servers changes the arrivals")
 	}
 	if reflect.DeepEqual(a, draw("seed = 6\n")) {
-		t.Error("another seed draws the same day")
+		t.Error("another seed draws the same plan")
 	}
 	first, again, second := a.Arrivals[3].Trace(5, 0), a.Arrivals[3].Trace(5, 0), a.Arrivals[3].Trace(5, 1)
 	if first == second || first != again {
-		t.Error("ids of tries")
+		t.Error("trace is not unique for each try, or not reproducible")
 	}
 }
 
-// The work of a request hangs on nothing but the seed and its id.
-func TestWorkIsDrawnByTrace(t *testing.T) {
-	s := small(t, "seed = 5\n")
+// The work of a request depends only on the seed and its trace.
+func TestWorkIsDeterminedByTrace(t *testing.T) {
+	s := parseScenario(t, "seed = 5\n")
 	w1, i1 := s.Work(0, "abc")
 	s.Work(0, "other")
 	if w2, i2 := s.Work(0, "abc"); w1 != w2 || i1 != i2 || w1 <= 0 {
@@ -115,7 +115,7 @@
 }
 
 func TestSurgeMultipliesArrivals(t *testing.T) {
-	s := small(t, "rate = 400\nlength_s = 20\n[[fault]]\nkind = \"surge\"\nat_s = 5\nfor_s = 5\nsize = 4\n")
+	s := parseScenario(t, "rate = 400\nlength_s = 20\n[[fault]]\nkind = \"surge\"\nat_s = 5\nfor_s = 5\nsize = 4\n")
 	p, err := s.Draw()
 	if err != nil {
 		t.Fatal(err)
@@ -129,18 +129,18 @@
 		}
 	}
 	if in < 7500 || in > 8500 || out < 5600 || out > 6400 {
-		t.Errorf("%d arrivals in the surge and %d outside of it", in, out)
+		t.Errorf("%d arrivals during the surge and %d outside of it", in, out)
 	}
 }
 
 func TestPlanIsBounded(t *testing.T) {
-	s := small(t, "rate = 20000\nlength_s = 600\n")
+	s := parseScenario(t, "rate = 20000\nlength_s = 600\n")
 	if _, err := s.Draw(); err == nil {
-		t.Error("12 million arrivals are drawn")
+		t.Error("a plan of 12 million arrivals was drawn")
 	}
 }
 
-func TestStrikes(t *testing.T) {
+func TestAffectedBy(t *testing.T) {
 	var fleet []Candidate
 	for i := range 10 {
 		fleet = append(fleet, Candidate{Number: i, Cell: i % 3, Kind: []string{"fast", "wide"}[i%2]})
@@ -149,43 +149,43 @@
 		"all": {0, 1, 2, 3, 4, 5, 6, 7, 8, 9}, "": {0, 1, 2, 3, 4, 5, 6, 7, 8, 9}, "server:4": {4}, "cell:1": {1, 4, 7},
 		"kind:wide": {1, 3, 5, 7, 9}, "server:77": nil,
 	} {
-		s := small(t, "[[fault]]\nkind = \"crash\"\ntarget = \""+target+"\"\n")
-		if got := s.Strikes(0, fleet); !reflect.DeepEqual(got, want) {
-			t.Errorf("%q strikes %v, want %v", target, got, want)
+		s := parseScenario(t, "[[fault]]\nkind = \"crash\"\ntarget = \""+target+"\"\n")
+		if got := s.AffectedBy(0, fleet); !reflect.DeepEqual(got, want) {
+			t.Errorf("%q affects %v, want %v", target, got, want)
 		}
 	}
-	s := small(t, "[[fault]]\nkind = \"crash\"\ntarget = \"share:0.3\"\n")
-	if got := s.Strikes(0, fleet); len(got) != 3 || !reflect.DeepEqual(got, s.Strikes(0, fleet)) {
-		t.Errorf("a share of 0.3 strikes %v", got)
+	s := parseScenario(t, "[[fault]]\nkind = \"crash\"\ntarget = \"share:0.3\"\n")
+	if got := s.AffectedBy(0, fleet); len(got) != 3 || !reflect.DeepEqual(got, s.AffectedBy(0, fleet)) {
+		t.Errorf("a share of 0.3 affects %v", got)
 	}
 }
 
-// Whatever happens: a client tries no oftener than it may, never repeats what is unsafe and may have run, waits as long
-// as it is told, and not beyond its time.
+// For any outcome, a client makes no more tries than configured, never retries an unsafe request that may have run, waits at
+// least as long as Retry-After says, and doesn't retry after its deadline.
 func TestRetryProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := Clients{
 			Retries: rapid.IntRange(0, 5).Draw(t, "retries"), BackoffMS: rapid.Float64Range(0, 200).Draw(t, "backoff"),
-			Honour: rapid.Bool().Draw(t, "honour"),
+			HonorRetryAfter: rapid.Bool().Draw(t, "honour"),
 		}
 		effect := rapid.SampledFrom([]string{"safe", "keyed", "unsafe"}).Draw(t, "effect")
-		try, end := rapid.IntRange(0, 6).Draw(t, "try"), Ending(rapid.IntRange(0, 3).Draw(t, "end"))
+		try, end := rapid.IntRange(0, 6).Draw(t, "try"), Outcome(rapid.IntRange(0, 3).Draw(t, "end"))
 		after := time.Duration(rapid.IntRange(0, 2000).Draw(t, "after")) * time.Millisecond
 		left := time.Duration(rapid.IntRange(-10, 3000).Draw(t, "left")) * time.Millisecond
-		wait, again := c.Again(model.Rand(1), effect, try, end, after, left)
+		wait, again := c.RetryDelay(model.Rand(1), effect, try, end, after, left)
 		if !again {
 			return
 		}
 		if end == Served || try >= c.Retries || effect == "unsafe" && end != Refused {
-			t.Fatalf("try %d that ended %v is repeated", try, end)
+			t.Fatalf("try %d with outcome %v was retried", try, end)
 		}
-		if wait >= left || c.Honour && end == Refused && wait < after {
-			t.Fatalf("waits %v with %v left, told to wait %v", wait, left, after)
+		if wait >= left || c.HonorRetryAfter && end == Refused && wait < after {
+			t.Fatalf("waits %v with %v left, Retry-After %v", wait, left, after)
 		}
 	})
 }
 
-// Whatever the text, a scenario that is accepted can be drawn or says why not.
+// For any text, an accepted scenario can be drawn, or Draw returns an error.
 func FuzzParse(f *testing.F) {
 	for _, name := range Builtin() {
 		text, err := builtin.ReadFile("builtin/" + name + ".toml")
@@ -201,7 +201,7 @@
 		if err != nil {
 			return
 		}
-		if s.Rate*s.LengthS > 10000 { // bounded, but long for a fuzz run
+		if s.Rate*s.LengthS > 10000 { // bounded, but too slow for fuzzing
 			return
 		}
 		p, err := s.Draw()
--- a/lab/standin/client.go
+++ b/lab/standin/client.go
@@ -12,50 +12,50 @@
 	"firplank/lab/scenario"
 )
 
-// Tally is what became of one arrival, over all its tries.
-type Tally struct {
+// ArrivalOutcome is the result of one arrival, over all its tries.
+type ArrivalOutcome struct {
 	Arrival   int
 	Class     int
 	Tenant    int
-	At        time.Duration // planned
-	End       scenario.Ending
-	Took      time.Duration // from At, where it was served
+	At        time.Duration // planned start
+	End       scenario.Outcome
+	Took      time.Duration // from At to the response, if it was served
 	Tries     int
-	RefusedIn time.Duration // the longest that a try took to be refused; 0 if none was
+	RefusedIn time.Duration // longest time until a refusal of one of its tries; 0 if none was refused
 }
 
-// CallersConfig describes the clients of a run.
-type CallersConfig struct {
-	Scenario *scenario.Scenario
-	Plan     *scenario.Plan
-	Addrs    []string // of the sidecars
-	RPCAddrs []string // ... for MessagePack-RPC, where the clients speak that
-	Clock    Clock
-	Observer Observer
-	MostOpen int   // connections to one sidecar, beside those that are held; tries beyond it wait for one
-	Held     *Held // connections that some arrivals go out on; nil: none
-	// Linger is how long a client goes on reading after it has given a try up, so that a final answer that comes just in
-	// time is seen. What is served by then is of no use to it any more.
+// ClientsConfig configures the clients of a run.
+type ClientsConfig struct {
+	Scenario     *scenario.Scenario
+	Plan         *scenario.Plan
+	Addrs        []string // of the sidecars
+	RPCAddrs     []string // of the sidecars for MessagePack-RPC, if the clients use it
+	Clock        Clock
+	Observer     ClientObserver
+	MaxOpenConns int        // connections to one sidecar besides the held ones; further tries wait for one; 0: 256
+	Held         *HeldConns // long-lived connections that some arrivals use; nil: none
+	// Linger is how long a client keeps reading after it gave up a try, so that the judge sees a final response that was
+	// just in time. A response in that period doesn't count as served.
 	Linger time.Duration
 }
 
-// Callers are the clients of a run: each arrival is begun at its planned time, whatever became of those before it.
-type Callers struct {
-	cfg   CallersConfig
-	pools []*callerPool
-	rpc   []*rpcPool
-	tally []Tally
-	late  atomic.Int64 // nanoseconds by which the latest start came after its plan
+// Clients are the clients of a run. Each arrival starts at its planned time, independently of earlier ones (open loop).
+type Clients struct {
+	cfg           ClientsConfig
+	pools         []*clientPool
+	rpc           []*rpcPool
+	outcomes      []ArrivalOutcome
+	maxStartDelay atomic.Int64 // nanoseconds; largest delay of a start against the plan
 }
 
-// NewCallers returns clients that have not begun.
-func NewCallers(cfg CallersConfig) *Callers {
-	if cfg.MostOpen == 0 {
-		cfg.MostOpen = 256
+// NewClients returns clients that send nothing until Run.
+func NewClients(cfg ClientsConfig) *Clients {
+	if cfg.MaxOpenConns == 0 {
+		cfg.MaxOpenConns = 256
 	}
-	c := &Callers{cfg: cfg, tally: make([]Tally, len(cfg.Plan.Arrivals))}
+	c := &Clients{cfg: cfg, outcomes: make([]ArrivalOutcome, len(cfg.Plan.Arrivals))}
 	for _, addr := range cfg.Addrs {
-		c.pools = append(c.pools, &callerPool{addr: addr, room: make(chan struct{}, cfg.MostOpen)})
+		c.pools = append(c.pools, &clientPool{addr: addr, openSlots: make(chan struct{}, cfg.MaxOpenConns)})
 	}
 	for _, addr := range cfg.RPCAddrs {
 		c.rpc = append(c.rpc, &rpcPool{addr: addr})
@@ -63,8 +63,9 @@
 	return c
 }
 
-// Run plays all arrivals and returns when the last has ended, or ctx does.
-func (c *Callers) Run(ctx context.Context) []Tally {
+// Run starts all arrivals at their times and returns their outcomes when the last has ended. When ctx ends, it starts no
+// further arrival, waits for the open ones and returns the outcomes so far.
+func (c *Clients) Run(ctx context.Context) []ArrivalOutcome {
 	var tasks sync.WaitGroup
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -77,13 +78,13 @@
 			case <-timer.C:
 			case <-ctx.Done():
 				tasks.Wait()
-				return c.tally[:i]
+				return c.outcomes[:i]
 			}
 		}
-		if late := int64(c.cfg.Clock() - a.At); late > c.late.Load() {
-			c.late.Store(late)
+		if late := int64(c.cfg.Clock() - a.At); late > c.maxStartDelay.Load() {
+			c.maxStartDelay.Store(late)
 		}
-		tasks.Go(func() { c.tally[a.Number] = c.arrive(ctx, a) })
+		tasks.Go(func() { c.outcomes[a.Number] = c.runArrival(ctx, a) })
 	}
 	tasks.Wait()
 	for _, p := range c.pools {
@@ -92,19 +93,19 @@
 	for _, p := range c.rpc {
 		p.close()
 	}
-	return c.tally
+	return c.outcomes
 }
 
-// Late returns by how much the latest arrival was begun after its planned time.
-func (c *Callers) Late() time.Duration { return time.Duration(c.late.Load()) }
+// MaxStartDelay returns the largest delay with which an arrival started against its planned time.
+func (c *Clients) MaxStartDelay() time.Duration { return time.Duration(c.maxStartDelay.Load()) }
 
-// arrive plays one arrival with its retries.
-func (c *Callers) arrive(ctx context.Context, a *scenario.Arrival) Tally {
+// runArrival sends one arrival's request with its retries.
+func (c *Clients) runArrival(ctx context.Context, a *scenario.Arrival) ArrivalOutcome {
 	s := c.cfg.Scenario
 	class := &s.Classes[a.Class]
 	deadline := a.At + scenario.MS(class.DeadlineMS)
 	random := model.Rand(s.Seed, "tries", strconv.Itoa(a.Number))
-	t := Tally{Arrival: a.Number, Class: a.Class, Tenant: a.Tenant, At: a.At}
+	t := ArrivalOutcome{Arrival: a.Number, Class: a.Class, Tenant: a.Tenant, At: a.At}
 	for try := 0; ; try++ {
 		t.Tries++
 		sidecar := a.Sidecar
@@ -112,11 +113,11 @@
 			sidecar = (a.Sidecar + try) % len(c.pools)
 		}
 		began := c.cfg.Clock()
-		give := min(deadline, began+time.Duration(s.Clients.TryShare*float64(scenario.MS(class.DeadlineMS))))
+		giveUpAt := min(deadline, began+time.Duration(s.Clients.TryShare*float64(scenario.MS(class.DeadlineMS))))
 		if try > 0 && s.Clients.Retries == try {
-			give = deadline // the last one waits as long as anyone would
+			giveUpAt = deadline // the last try waits until the deadline
 		}
-		result := c.try(a, try, sidecar, give)
+		result := c.attemptOnce(a, try, sidecar, giveUpAt)
 		t.End = result.end
 		now := c.cfg.Clock()
 		if t.End == scenario.Refused {
@@ -125,8 +126,8 @@
 		if t.End == scenario.Served {
 			t.Took = now - a.At
 		}
-		wait, again := s.Clients.Again(random, class.Effect, try, t.End, result.after, deadline-now)
-		if !again || a.Quirk == scenario.HangsUp {
+		wait, retry := s.Clients.RetryDelay(random, class.Effect, try, t.End, result.retryAfter, deadline-now)
+		if !retry || a.Quirk == scenario.HangsUp {
 			return t
 		}
 		select {
@@ -139,42 +140,42 @@
 
 // attempt is one try of an arrival's request.
 type attempt struct {
-	arrival *scenario.Arrival
-	number  int // of the try, from 0
-	sidecar int
-	trace   string
-	give    time.Duration // when the client gives it up
+	arrival  *scenario.Arrival
+	number   int // of the try, from 0
+	sidecar  int
+	trace    string
+	giveUpAt time.Duration // when the client gives up
 }
 
-// sent is the attempt as the judge is told of it.
-func (t *attempt) sent(at time.Duration) judge.Try {
+// judgeTry returns the attempt in the form that the judge takes.
+func (t *attempt) judgeTry(at time.Duration) judge.Try {
 	a := t.arrival
-	return judge.Try{Trace: t.trace, Arrival: a.Number, Class: a.Class, Key: a.Key, Sidecar: t.sidecar, Sent: at, Deadline: t.give}
+	return judge.Try{Trace: t.trace, Arrival: a.Number, Class: a.Class, Key: a.Key, Sidecar: t.sidecar, Sent: at, Deadline: t.giveUpAt}
 }
 
 // result is how an attempt ended.
 type result struct {
-	end   scenario.Ending
-	after time.Duration // how long the client was asked to wait
-	stale bool          // the connection had been closed before; nothing was answered
+	end        scenario.Outcome
+	retryAfter time.Duration // delay that the response asks for; 0 if none
+	stale      bool          // the reused connection was already closed, without a response
 }
 
-// lost is the result of an attempt without an answer.
-var lost = result{end: scenario.Lost}
+// lostResult is the result of an attempt without a response.
+var lostResult = result{end: scenario.Lost}
 
-// closedBefore is that of an attempt whose connection turns out to be closed.
-var closedBefore = result{end: scenario.Lost, stale: true}
+// staleResult is the result of an attempt whose reused connection turns out to be closed.
+var staleResult = result{end: scenario.Lost, stale: true}
 
-// try sends a request once. A kept connection that turns out to be closed is no answer: the request is sent once more
-// on a new one.
-func (c *Callers) try(a *scenario.Arrival, number, sidecar int, give time.Duration) result {
+// attemptOnce sends a request once. If a reused connection turns out to be closed, it sends the request again on another one,
+// within the same try.
+func (c *Clients) attemptOnce(a *scenario.Arrival, number, sidecar int, giveUpAt time.Duration) result {
 	p := c.pools[sidecar]
 	held := c.cfg.Held.take(a, number, sidecar)
 	if held == nil {
-		p.room <- struct{}{}
-		defer func() { <-p.room }()
+		p.openSlots <- struct{}{}
+		defer func() { <-p.openSlots }()
 	}
-	t := &attempt{arrival: a, number: number, sidecar: sidecar, trace: a.Trace(c.cfg.Scenario.Seed, number), give: give}
+	t := &attempt{arrival: a, number: number, sidecar: sidecar, trace: a.Trace(c.cfg.Scenario.Seed, number), giveUpAt: giveUpAt}
 	if c.cfg.Scenario.Clients.RPC() {
 		return c.tryRPC(t)
 	}
@@ -184,16 +185,18 @@
 			conn, err = p.get(c.cfg.Observer, c.cfg.Clock)
 		}
 		if err != nil {
-			return lost // it never reached the sidecar
+			return lostResult // the request never reached the sidecar
 		}
-		kept := conn.used
-		r := c.exchange(conn, t)
-		if r.stale && kept {
+		reused := conn.used
+		r := c.exchangeHTTP(conn, t)
+		if r.stale && reused {
 			continue
 		}
 		return r
 	}
 }
 
-// SetAway says whether a sidecar is about to end, or has ended, by plan: it gets no new connections then.
-func (c *Callers) SetAway(sidecar int, away bool) { c.pools[sidecar].away.Store(away) }
+// SetShuttingDown marks a sidecar as terminating or terminated by the scenario. While marked, it gets no new connections.
+func (c *Clients) SetShuttingDown(sidecar int, shuttingDown bool) {
+	c.pools[sidecar].shuttingDown.Store(shuttingDown)
+}
--- a/lab/standin/clienthttp.go
+++ b/lab/standin/clienthttp.go
@@ -1,6 +1,6 @@
 package standin
 
-// This file is an exchange of a client's over HTTP.
+// This file implements the clients' HTTP exchange.
 
 import (
 	"bufio"
@@ -19,79 +19,79 @@
 	"firplank/lab/scenario"
 )
 
-var errUnread = errors.New("the connection ended before anything came")
+var errClosedBeforeResponse = errors.New("connection closed before the first byte of a response")
 
-// exchange sends a request and reads its answer.
-func (c *Callers) exchange(conn *callerConn, t *attempt) result {
-	left := t.give - c.cfg.Clock()
+// exchangeHTTP sends a request and reads its response.
+func (c *Clients) exchangeHTTP(conn *clientConn, t *attempt) result {
+	left := t.giveUpAt - c.cfg.Clock()
 	if left <= 0 {
 		c.pools[t.sidecar].put(conn)
-		return lost
+		return lostResult
 	}
 	_ = conn.SetDeadline(time.Now().Add(left + c.cfg.Linger)) // fails only on a closed connection, as the next call on it does
-	// Told first: a server may see the request before Write returns.
-	c.cfg.Observer.Sent(t.sent(c.cfg.Clock()))
+	// Reported to the judge first, as a server may receive the request before Write returns.
+	c.cfg.Observer.Sent(t.judgeTry(c.cfg.Clock()))
 	if _, err := io.WriteString(conn, c.request(t.arrival, t.number, t.trace, left)); err != nil {
 		_ = conn.Close() // the connection is released even where this fails
 		if conn.used {
-			return closedBefore
+			return staleResult
 		}
 		c.cfg.Observer.Answered(t.trace, c.cfg.Clock(), judge.Broken, "")
-		return lost
+		return lostResult
 	}
 	switch t.arrival.Quirk {
 	case scenario.HangsUp:
-		time.Sleep(min(t.arrival.GoesAt, left))
-		c.cfg.Observer.Gone(t.trace, c.cfg.Clock())
+		time.Sleep(min(t.arrival.HangUpAfter, left))
+		c.cfg.Observer.ClientGone(t.trace, c.cfg.Clock())
 		_ = conn.Close() // the connection is released even where this fails
-		return lost
+		return lostResult
 	case scenario.HalfCloses:
 		_ = conn.Conn.(*net.TCPConn).CloseWrite() // fails only where the connection is closed already
 	case scenario.ReadsSlowly:
 		conn.in = bufio.NewReaderSize(&slowReader{conn.Conn}, 16)
 	}
-	answer, err := readAnswer(conn.in)
+	answer, err := readHTTPResponse(conn.in)
 	if err != nil {
-		return c.unanswered(conn, t, c.cfg.Clock(), err)
+		return c.handleReadError(conn, t, c.cfg.Clock(), err)
 	}
-	return c.answered(conn, t, c.cfg.Clock(), answer)
+	return c.handleResponse(conn, t, c.cfg.Clock(), answer)
 }
 
-// unanswered ends a connection that gave no whole answer.
-func (c *Callers) unanswered(conn *callerConn, t *attempt, now time.Duration, err error) result {
+// handleReadError closes a connection on which no complete response arrived, and returns the attempt's result.
+func (c *Clients) handleReadError(conn *clientConn, t *attempt, now time.Duration, err error) result {
 	_ = conn.Close() // the connection is released even where this fails
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() {
-		return lost // the judge finds it unanswered
+		return lostResult // the judge reports the missing response
 	}
-	// Who has ended its sending knows that the sidecar has seen that: it is no crossing of two closes.
-	if errors.Is(err, errUnread) && conn.used && t.arrival.Quirk != scenario.HalfCloses {
-		return closedBefore
+	// After a half-close the sidecar has received the whole request, so its close can't have crossed the request on the wire.
+	if errors.Is(err, errClosedBeforeResponse) && conn.used && t.arrival.Quirk != scenario.HalfCloses {
+		return staleResult
 	}
 	c.cfg.Observer.Answered(t.trace, now, judge.Broken, "")
-	return lost
+	return lostResult
 }
 
-// answered tells the judge of an answer, and keeps the connection where it may be used again.
-func (c *Callers) answered(conn *callerConn, t *attempt, now time.Duration, answer *clientAnswer) result {
+// handleResponse reports a response to the judge and returns the connection to the pool if it can be reused.
+func (c *Clients) handleResponse(conn *clientConn, t *attempt, now time.Duration, answer *clientResponse) result {
 	if conn.in.Buffered() > 0 {
-		c.cfg.Observer.Extra(t.trace, now)
-		answer.closes = true
+		c.cfg.Observer.ExtraData(t.trace, now)
+		answer.closeConn = true
 	}
-	c.cfg.Observer.Answered(t.trace, now, answer.judged, answer.made)
-	if now > t.give {
+	c.cfg.Observer.Answered(t.trace, now, answer.judged, answer.bodyTrace)
+	if now > t.giveUpAt {
 		answer.end = scenario.Lost
 	}
-	conn.last, conn.used = t.trace, true
-	if answer.closes || t.arrival.Quirk != scenario.Usual {
+	conn.lastTrace, conn.used = t.trace, true
+	if answer.closeConn || t.arrival.Quirk != scenario.NoQuirk {
 		_ = conn.Close() // the connection is released even where this fails
 	} else {
 		c.pools[t.sidecar].put(conn)
 	}
-	return result{end: answer.end, after: answer.after}
+	return result{end: answer.end, retryAfter: answer.retryAfter}
 }
 
-// slowReader takes its time over each read.
+// slowReader reads at most 16 bytes every 2 ms.
 type slowReader struct{ from io.Reader }
 
 func (s *slowReader) Read(p []byte) (int, error) {
@@ -99,8 +99,8 @@
 	return s.from.Read(p[:min(len(p), 16)])
 }
 
-// request renders a request as the protocol has it.
-func (c *Callers) request(a *scenario.Arrival, try int, trace string, left time.Duration) string {
+// request returns the bytes of a request in the format of the protocol's pages.
+func (c *Clients) request(a *scenario.Arrival, try int, trace string, left time.Duration) string {
 	s := c.cfg.Scenario
 	class := &s.Classes[a.Class]
 	var b strings.Builder
@@ -109,7 +109,7 @@
 		method, body = "GET", ""
 	}
 	path := "/" + a.Object
-	if s.RPCServers() { // by the path they know the method
+	if s.RPCServers() { // MessagePack-RPC servers get the method from the path
 		method, path, body = "POST", "", string(c.params(a, try, trace, left))
 	}
 	fmt.Fprintf(&b, "%s /api/%s%s HTTP/1.1\r\nHost: lab.svc\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Customer: "+
@@ -121,7 +121,7 @@
 	if a.Key != "" {
 		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", a.Key)
 	}
-	if try > 0 && s.Clients.Marks {
+	if try > 0 && s.Clients.MarkRetries {
 		b.WriteString("X-Second-Try: 1\r\n")
 	}
 	if method == "POST" {
@@ -131,21 +131,21 @@
 	return b.String()
 }
 
-type clientAnswer struct {
-	end    scenario.Ending
-	judged judge.Answer
-	after  time.Duration
-	made   string
-	closes bool
+type clientResponse struct {
+	end        scenario.Outcome
+	judged     judge.Answer
+	retryAfter time.Duration
+	bodyTrace  string
+	closeConn  bool
 }
 
-// mostAnswer bounds what a client reads of an answer.
-const mostAnswer = 1 << 20
+// maxResponseBytes bounds what a client reads of a response body.
+const maxResponseBytes = 1 << 20
 
-func readAnswer(in *bufio.Reader) (*clientAnswer, error) {
+func readHTTPResponse(in *bufio.Reader) (*clientResponse, error) {
 	if _, err := in.Peek(1); err != nil {
 		if errors.Is(err, io.EOF) || strings.Contains(err.Error(), "reset") {
-			return nil, errUnread
+			return nil, errClosedBeforeResponse
 		}
 		return nil, err
 	}
@@ -153,11 +153,11 @@
 	if err != nil {
 		return nil, err
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, mostAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return nil, err
 	}
-	a := &clientAnswer{end: scenario.Failed, judged: judge.Failed, closes: resp.Close}
+	a := &clientResponse{end: scenario.Failed, judged: judge.Failed, closeConn: resp.Close}
 	if resp.Header.Get("Content-Type") == "application/msgpack" {
 		text := ""
 		if err := msgpack.Unmarshal(body, &text); err != nil {
@@ -167,15 +167,15 @@
 	}
 	switch resp.StatusCode {
 	case http.StatusOK:
-		made, _, _ := strings.Cut(string(body), " ")
-		a.made = made
-		if strings.HasSuffix(string(body), ".\n") { // else it is not whole, and the client can tell
+		bodyTrace, _, _ := strings.Cut(string(body), " ")
+		a.bodyTrace = bodyTrace
+		if strings.HasSuffix(string(body), ".\n") { // otherwise the body is truncated, which the client detects
 			a.end, a.judged = scenario.Served, judge.Served
 		}
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		a.end, a.judged = scenario.Refused, judge.Refused
 		if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && s > 0 {
-			a.after = time.Duration(s * float64(time.Second))
+			a.retryAfter = time.Duration(s * float64(time.Second))
 		}
 	}
 	return a, nil
--- a/lab/standin/rosterserve.go
+++ b/lab/standin/rosterserve.go
@@ -1,6 +1,6 @@
 package standin
 
-// This file answers calls to the roster.
+// This file serves calls to the roster.
 
 import (
 	"context"
@@ -16,10 +16,10 @@
 	"firplank/lab/judge"
 )
 
-// mostHold bounds a watch.
-const mostHold = time.Minute
+// maxHold bounds the duration of a watch.
+const maxHold = time.Minute
 
-// Member is the form of an entry on the wire.
+// Member is the wire format of an entry.
 type Member struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
@@ -31,43 +31,45 @@
 	UpSince  int64   `json:"up_since_ms"`
 }
 
-// List is the form of an answer on the wire.
+// List is the wire format of a response.
 type List struct {
 	Revision int64    `json:"revision"`
 	Complete bool     `json:"complete"`
 	Members  []Member `json:"members"`
 }
 
-// spread reports of a share of the calls, evenly. The caller holds mu.
-func (r *Roster) spread(share float64) bool {
-	r.served++
-	return int(float64(r.served)*share) > int(float64(r.served-1)*share)
+// selectShare counts the call and reports whether it belongs to the given share of calls, evenly distributed. The caller
+// holds mu.
+func (r *Roster) selectShare(share float64) bool {
+	r.shareCount++
+	return int(float64(r.shareCount)*share) > int(float64(r.shareCount-1)*share)
 }
 
-// breakOff writes part of an answer and ends it in one of three ways.
-func (r *Roster) breakOff(w http.ResponseWriter, text []byte, way int) {
+// truncateResponse writes the first half of a response, and then stalls (ending 0), resets (1) or closes the connection (2).
+func (r *Roster) truncateResponse(w http.ResponseWriter, text []byte, ending int) {
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
-	_, _ = w.Write(text[:len(text)/2])        // fails only where the client is gone
-	_ = http.NewResponseController(w).Flush() // fails only where the client is gone
+	_, _ = w.Write(text[:len(text)/2])        // fails only if the client has disconnected
+	_ = http.NewResponseController(w).Flush() // fails only if the client has disconnected
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
 	}
-	if way == 0 { // it stops, until the other side ends the connection
+	if ending == 0 { // stalls until the client closes the connection
 		r.tasks.Go(func() {
-			defer func() { _ = conn.Close() }()                // the connection is released even where this fails
-			_ = conn.SetReadDeadline(time.Now().Add(mostHold)) // fails only on a closed connection, as the next call on it does
-			_, _ = io.Copy(io.Discard, conn)                   // read only to be dropped
+			defer func() { _ = conn.Close() }()               // the connection is released even where this fails
+			_ = conn.SetReadDeadline(time.Now().Add(maxHold)) // fails only on a closed connection, as the next call on it does
+			_, _ = io.Copy(io.Discard, conn)                  // discarded
 		})
 		return
 	}
-	if tcp, ok := conn.(*net.TCPConn); ok && way == 1 {
-		_ = tcp.SetLinger(0) // without it the connection closes in the ordinary way
+	if tcp, ok := conn.(*net.TCPConn); ok && ending == 1 {
+		_ = tcp.SetLinger(0) // if this fails the connection is closed without a reset
 	}
 	_ = conn.Close() // the connection is released even where this fails
 }
 
-// list renders what is newer than from, or the whole list where from is below 0. The caller holds mu.
+// list returns the changes after revision from, or the complete list if from is negative or above the present revision.
+// The caller holds mu.
 func (r *Roster) list(sidecar int, from int64) List {
 	l := List{Revision: r.revision, Complete: from < 0 || from > r.revision || r.cfg.AlwaysFull, Members: []Member{}}
 	for _, id := range r.order {
@@ -78,8 +80,8 @@
 		out := Member{
 			ID: id, HostPort: m.Addr(sidecar), Locality: m.Zone, Flavor: m.Kind, Cell: m.Cell, Phase: m.phase, Size: m.Size,
 		}
-		if !m.UpFrom.IsZero() {
-			out.UpSince = m.UpFrom.UnixMilli()
+		if !m.UpSince.IsZero() {
+			out.UpSince = m.UpSince.UnixMilli()
 		}
 		l.Members = append(l.Members, out)
 	}
@@ -89,14 +91,14 @@
 // rosterCall is one call to the roster.
 type rosterCall struct {
 	sidecar int
-	from    int64 // the revision that the caller knows; below 0: none
+	from    int64 // the revision that the caller has; negative: none
 	hold    time.Duration
-	ends    func(judge.CallEnd, time.Duration) // is told how it ended, and when
+	onEnd   func(judge.CallEnd, time.Duration) // called with how the call ended, and when
 }
 
-var errNoNumber = errors.New("from or hold_ms is no number")
+var errNotNumber = errors.New("from or hold_ms is no number")
 
-// parseCall reads what a caller asks for.
+// parseCall parses the query of a call.
 func parseCall(query url.Values) (rosterCall, error) {
 	c := rosterCall{from: -1}
 	text := query.Get("from")
@@ -105,17 +107,17 @@
 	}
 	from, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
-		return c, errNoNumber
+		return c, errNotNumber
 	}
 	ms, err := strconv.Atoi(query.Get("hold_ms"))
 	if err != nil {
-		return c, errNoNumber
+		return c, errNotNumber
 	}
-	c.from, c.hold = from, min(time.Duration(ms)*time.Millisecond, mostHold)
+	c.from, c.hold = from, min(time.Duration(ms)*time.Millisecond, maxHold)
 	return c, nil
 }
 
-// serve answers a call, if the faults in force let it be answered.
+// serve handles a call, subject to the injected faults.
 func (r *Roster) serve(w http.ResponseWriter, req *http.Request, sidecar int) {
 	if req.Method != http.MethodGet || req.URL.Path != "/discovery/hosts" {
 		http.NotFound(w, req)
@@ -128,47 +130,47 @@
 	}
 	ctx, cancel := context.WithCancel(req.Context())
 	defer cancel()
-	call.sidecar, call.ends = sidecar, r.cfg.Notary.Call(sidecar, r.cfg.Clock(), call.hold, call.from >= 0)
+	call.sidecar, call.onEnd = sidecar, r.cfg.Observer.RosterCall(sidecar, r.cfg.Clock(), call.hold, call.from >= 0)
 	r.mu.Lock()
-	muted, turned, after := r.muted, r.spread(r.busy), r.busyFor
+	muted, rejected, after := r.muted, r.selectShare(r.busyShare), r.busyDelay
 	r.mu.Unlock()
-	if turned {
-		r.turnAway(ctx, w, &call, after)
+	if rejected {
+		r.rejectBusy(ctx, w, &call, after)
 		return
 	}
-	if !r.inTurn(ctx) || !r.await(ctx, muted, call.from, call.hold) {
+	if !r.waitTurn(ctx) || !r.awaitChange(ctx, muted, call.from, call.hold) {
 		if ctx.Err() != nil {
-			call.ends(judge.CallLeft, r.cfg.Clock())
+			call.onEnd(judge.CallCanceled, r.cfg.Clock())
 		} else {
-			call.ends(judge.CallTurnedAway, r.cfg.Clock())
+			call.onEnd(judge.CallRejected, r.cfg.Clock())
 		}
-		panic(http.ErrAbortHandler) // as one that is out of reach
+		panic(http.ErrAbortHandler) // resets the connection, like an unreachable service
 	}
 	r.reply(w, &call)
 }
 
-// turnAway answers after a while that the roster is busy.
-func (r *Roster) turnAway(ctx context.Context, w http.ResponseWriter, call *rosterCall, after time.Duration) {
+// rejectBusy responds with 503 after a delay.
+func (r *Roster) rejectBusy(ctx context.Context, w http.ResponseWriter, call *rosterCall, after time.Duration) {
 	if !r.sleep(ctx, after) {
-		call.ends(judge.CallLeft, r.cfg.Clock())
+		call.onEnd(judge.CallCanceled, r.cfg.Clock())
 		return
 	}
-	call.ends(judge.CallTurnedAway, r.cfg.Clock())
+	call.onEnd(judge.CallRejected, r.cfg.Clock())
 	http.Error(w, "busy", http.StatusServiceUnavailable)
 }
 
-// garbled is an answer that is no list.
-const garbled = `{"revision":9,"complete":true,"members":[{"id":"","host_port":"nowhere","phase":"odd"}`
+// malformedList is a truncated list with invalid members.
+const malformedList = `{"revision":9,"complete":true,"members":[{"id":"","host_port":"nowhere","phase":"odd"}`
 
-// reply writes the list as of now, garbled or broken off where such a fault is in force.
+// reply writes the present list, malformed or truncated if such a fault is injected.
 func (r *Roster) reply(w http.ResponseWriter, call *rosterCall) {
 	r.mu.Lock()
-	l, garble, broken := r.list(call.sidecar, call.from), r.garble, r.broken > 0 && r.spread(r.broken)
+	l, malformed, truncated := r.list(call.sidecar, call.from), r.malformed, r.truncatedShare > 0 && r.selectShare(r.truncatedShare)
 	notices := r.notices(l.Complete, call.from)
 	r.mu.Unlock()
-	if garble {
-		call.ends(judge.CallBroken, r.cfg.Clock())
-		_, _ = io.WriteString(w, garbled) // fails only where the client is gone
+	if malformed {
+		call.onEnd(judge.CallBroken, r.cfg.Clock())
+		_, _ = io.WriteString(w, malformedList) // fails only if the client has disconnected
 		return
 	}
 	text, err := json.Marshal(l)
@@ -176,29 +178,29 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	if broken {
-		call.ends(judge.CallBroken, r.cfg.Clock())
+	if truncated {
+		call.onEnd(judge.CallBroken, r.cfg.Clock())
 		r.mu.Lock()
-		way := r.served % 3
+		ending := r.shareCount % 3
 		r.mu.Unlock()
-		r.breakOff(w, text, way)
+		r.truncateResponse(w, text, ending)
 		return
 	}
 	if _, err := w.Write(text); err != nil {
-		call.ends(judge.CallLeft, r.cfg.Clock())
+		call.onEnd(judge.CallCanceled, r.cfg.Clock())
 		return
 	}
 	if http.NewResponseController(w).Flush() != nil {
-		call.ends(judge.CallLeft, r.cfg.Clock())
+		call.onEnd(judge.CallCanceled, r.cfg.Clock())
 		return
 	}
-	call.ends(judge.CallWritten, r.cfg.Clock())
+	call.onEnd(judge.CallAnswered, r.cfg.Clock())
 	for id, ready := range notices {
-		r.cfg.Notary.Told(call.sidecar, id, ready, r.cfg.Clock())
+		r.cfg.Observer.Notified(call.sidecar, id, ready, r.cfg.Clock())
 	}
 }
 
-// notices returns which servers a list tells of, and whether they are ready. The caller holds mu.
+// notices returns the servers that a list has news of, with whether each is ready. The caller holds mu.
 func (r *Roster) notices(complete bool, from int64) map[string]bool {
 	notices := make(map[string]bool, len(r.order))
 	for _, id := range r.order {
@@ -212,8 +214,9 @@
 	return notices
 }
 
-// inTurn waits until the calls before this one are worked through; false where that takes too long.
-func (r *Roster) inTurn(ctx context.Context) bool {
+// waitTurn waits until the calls before this one have been handled. It returns false if the queue is too long, the roster is
+// down or the call ends.
+func (r *Roster) waitTurn(ctx context.Context) bool {
 	r.mu.Lock()
 	r.calls++
 	if r.down && !r.cfg.Push {
@@ -221,13 +224,13 @@
 		return false
 	}
 	now := r.cfg.Clock()
-	start := max(now, r.freeAt)
-	if r.cfg.MostWait > 0 && start-now > r.cfg.MostWait {
+	start := max(now, r.idleAt)
+	if r.cfg.MaxQueueWait > 0 && start-now > r.cfg.MaxQueueWait {
 		r.mu.Unlock()
 		return false
 	}
-	r.freeAt = start + r.cfg.PerCall
-	wait := r.freeAt - now + r.slow
+	r.idleAt = start + r.cfg.ServiceTime
+	wait := r.idleAt - now + r.extraDelay
 	r.mu.Unlock()
 	return r.sleep(ctx, wait)
 }
@@ -242,31 +245,32 @@
 	case <-timer.C:
 		return true
 	case <-ctx.Done():
-	case <-r.ended:
+	case <-r.closed:
 	}
 	return false
 }
 
-// await holds a watch until there is news; false where the roster goes out of reach.
-func (r *Roster) await(ctx context.Context, muted <-chan struct{}, from int64, hold time.Duration) bool {
+// awaitChange holds a watch until there are changes or hold is over. It returns false if the roster becomes unreachable, the
+// watch is muted or the call ends.
+func (r *Roster) awaitChange(ctx context.Context, muted <-chan struct{}, from int64, hold time.Duration) bool {
 	timer := time.NewTimer(hold)
 	defer timer.Stop()
 	for {
 		select {
 		case <-muted:
-			r.sleep(ctx, mostHold)
+			r.sleep(ctx, maxHold)
 			return false
 		default:
 		}
 		r.mu.Lock()
 		changed := r.changed
 		down := r.down && !r.cfg.Push
-		news := from < 0 || from != r.revision && !(r.down && r.cfg.Push)
+		hasChanges := from < 0 || from != r.revision && !(r.down && r.cfg.Push)
 		r.mu.Unlock()
 		if down {
 			return false
 		}
-		if news || hold <= 0 {
+		if hasChanges || hold <= 0 {
 			return true
 		}
 		select {
@@ -276,7 +280,7 @@
 			return true
 		case <-ctx.Done():
 			return false
-		case <-r.ended:
+		case <-r.closed:
 			return false
 		}
 	}
--- a/lab/standin/rpcpool.go
+++ b/lab/standin/rpcpool.go
@@ -1,6 +1,6 @@
 package standin
 
-// This file keeps the clients' MessagePack-RPC connections to a sidecar.
+// This file implements the clients' pool of MessagePack-RPC connections to a sidecar.
 
 import (
 	"bufio"
@@ -14,28 +14,29 @@
 )
 
 const (
-	// rpcShared is how many connections the clients of one sidecar share.
-	rpcShared = 2
-	// crossing is how long before the end of a connection a frame may have been sent that the sidecar had not read.
-	crossing = 100 * time.Millisecond
+	// sharedRPCConns is the number of connections that the clients of one sidecar share.
+	sharedRPCConns = 2
+	// closeRaceWindow is how long before the end of a connection a request may have been sent without the sidecar having
+	// read it.
+	closeRaceWindow = 100 * time.Millisecond
 )
 
-// rpcPool keeps the connections to one sidecar over which tries are pipelined.
+// rpcPool holds the connections to one sidecar on which tries are multiplexed.
 type rpcPool struct {
 	addr string
 
 	mu     sync.Mutex
 	next   int
-	shared [rpcShared]*rpcClient
+	shared [sharedRPCConns]*rpcClient
 }
 
-func (p *rpcPool) dial(cfg *CallersConfig, slow bool) (*rpcClient, error) {
+func (p *rpcPool) dial(cfg *ClientsConfig, slow bool) (*rpcClient, error) {
 	conn, err := net.DialTimeout("tcp", p.addr, 2*time.Second)
 	if err != nil {
 		return nil, fmt.Errorf("client: %w", err)
 	}
 	c := &rpcClient{
-		Conn: conn, clock: cfg.Clock, observer: cfg.Observer, open: map[uint32]chan rpcAnswer{}, givenUp: map[uint32]bool{},
+		Conn: conn, clock: cfg.Clock, observer: cfg.Observer, open: map[uint32]chan rpcResponse{}, givenUp: map[uint32]bool{},
 	}
 	from := io.Reader(conn)
 	if slow {
@@ -45,16 +46,16 @@
 	return c, nil
 }
 
-// get returns one of the shared connections, a new one in place of one that has ended.
-func (p *rpcPool) get(cfg *CallersConfig, away bool) (*rpcClient, error) {
+// get returns the next of the shared connections, in rotation. One that has ended is replaced by a new one.
+func (p *rpcPool) get(cfg *ClientsConfig, shuttingDown bool) (*rpcClient, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.next = (p.next + 1) % rpcShared
+	p.next = (p.next + 1) % sharedRPCConns
 	if c := p.shared[p.next]; c != nil && !c.isEnded() {
 		return c, nil
 	}
-	if away {
-		return nil, errAway
+	if shuttingDown {
+		return nil, errShuttingDown
 	}
 	c, err := p.dial(cfg, false)
 	if err != nil {
@@ -77,14 +78,14 @@
 	}
 }
 
-// rpcConn returns a shared connection, or one of its own for a client that is odd.
-func (c *Callers) rpcConn(p *rpcPool, a *scenario.Arrival, sidecar int) (*rpcClient, error) {
-	away := c.pools[sidecar].away.Load()
-	if a.Quirk == scenario.Usual {
-		return p.get(&c.cfg, away)
+// rpcConn returns a shared connection, or a dedicated one for a client with a quirk.
+func (c *Clients) rpcConn(p *rpcPool, a *scenario.Arrival, sidecar int) (*rpcClient, error) {
+	shuttingDown := c.pools[sidecar].shuttingDown.Load()
+	if a.Quirk == scenario.NoQuirk {
+		return p.get(&c.cfg, shuttingDown)
 	}
-	if away {
-		return nil, errAway
+	if shuttingDown {
+		return nil, errShuttingDown
 	}
 	return p.dial(&c.cfg, a.Quirk == scenario.ReadsSlowly)
 }
--- a/lab/standin/serverconn.go
+++ b/lab/standin/serverconn.go
@@ -1,6 +1,6 @@
 package standin
 
-// This file is a server's connection that speaks HTTP.
+// This file implements a server's HTTP connections.
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 type serverConn struct {
 	net.Conn
 	link    int
-	surplus bool // beyond the cap
+	overCap bool // beyond ServerConfig.MaxConns
 }
 
 func (s *Server) accept(number int, ln net.Listener) {
@@ -28,11 +28,11 @@
 			s.mu.Lock()
 			if !s.running {
 				s.mu.Unlock()
-				reset(c)
+				resetConn(c)
 				continue
 			}
-			s.model.AddWork(s.cfg.Handshake)
-			sc.surplus = s.cfg.MostConns > 0 && len(s.conns) >= s.cfg.MostConns
+			s.model.AddWork(s.cfg.HandshakeWork)
+			sc.overCap = s.cfg.MaxConns > 0 && len(s.conns) >= s.cfg.MaxConns
 			s.conns[sc] = true
 			s.mu.Unlock()
 			s.tasks.Go(func() { s.serve(sc) })
@@ -40,21 +40,21 @@
 	})
 }
 
-// reset ends a connection as the death of its process would.
-func reset(c net.Conn) {
+// resetConn closes a connection with a reset, as when its process is killed.
+func resetConn(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // without it the connection closes in the ordinary way
+		_ = tcp.SetLinger(0) // if this fails the connection is closed without a reset
 	}
 	_ = c.Close() // the connection is released even where this fails
 }
 
-// incoming is a request that a connection brought.
+// incoming is an HTTP request read from a connection.
 type incoming struct {
 	*http.Request
-	first time.Duration
+	firstByteAt time.Duration
 }
 
-// serve answers what comes on a connection, one request after the other.
+// serve serves the requests of a connection one after the other.
 func (s *Server) serve(c *serverConn) {
 	defer func() {
 		s.mu.Lock()
@@ -70,23 +70,23 @@
 	defer close(stop)
 	requests := s.readRequests(c, stop)
 	// The connection is released even where this fails.
-	idle := time.AfterFunc(cmp.Or(s.cfg.Idle, time.Hour), func() { _ = c.Close() })
+	idle := time.AfterFunc(cmp.Or(s.cfg.IdleTimeout, time.Hour), func() { _ = c.Close() })
 	defer idle.Stop()
 	for req := range requests {
 		idle.Stop()
-		if s.quiet(c.link) { // the machine is cut off: nothing has come, and nothing is ever said
+		if s.isSilent(c.link) { // the link is cut: the request counts as not received and gets no response
 			continue
 		}
 		text := s.answer(c, req, requests)
-		if text == nil || s.quiet(c.link) || !s.write(c, text) {
-			linger(requests)
+		if text == nil || s.isSilent(c.link) || !s.write(c, text) {
+			awaitPeerClose(requests)
 			return
 		}
-		idle.Reset(cmp.Or(s.cfg.Idle, time.Hour))
+		idle.Reset(cmp.Or(s.cfg.IdleTimeout, time.Hour))
 	}
 }
 
-// readRequests reads what comes on a connection until it ends or stop is closed.
+// readRequests reads requests from a connection until it ends or stop is closed.
 func (s *Server) readRequests(c *serverConn, stop <-chan struct{}) <-chan incoming {
 	requests := make(chan incoming)
 	s.tasks.Go(func() {
@@ -95,12 +95,12 @@
 			if _, err := in.Peek(1); err != nil {
 				return
 			}
-			req := incoming{first: s.cfg.Clock()}
+			req := incoming{firstByteAt: s.cfg.Clock()}
 			var err error
 			if req.Request, err = http.ReadRequest(in); err != nil {
 				return
 			}
-			// Read at once, or the next Peek would find the rest of it.
+			// The body is read here, as the next Peek would otherwise return its bytes.
 			if _, err = io.Copy(io.Discard, io.LimitReader(req.Body, 64<<10)); err != nil {
 				return
 			}
@@ -114,13 +114,13 @@
 	return requests
 }
 
-// linger keeps a connection that is of no further use open until the other side ends it, as some machines do.
-func linger(requests <-chan incoming) {
+// awaitPeerClose keeps a connection open that is no longer served until the peer closes it, as some hosts do.
+func awaitPeerClose(requests <-chan incoming) {
 	for range requests {
 	}
 }
 
-func (s *Server) quiet(number int) bool {
+func (s *Server) isSilent(number int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.links[number].silent
--- a/lab/standin/serverhandle.go
+++ b/lab/standin/serverhandle.go
@@ -1,6 +1,6 @@
 package standin
 
-// This file is what a server does with a request, whatever protocol told it.
+// This file handles a server's requests independently of their protocol.
 
 import (
 	"net/http"
@@ -11,13 +11,13 @@
 	"firplank/lab/model"
 )
 
-// reply is an answer to be written.
+// reply is a response to be written.
 type reply struct {
-	status  int
-	head    string
-	body    string
-	spoil   Spoil
-	hangsUp bool
+	status    int
+	header    string
+	body      string
+	spoil     Spoil
+	closeConn bool
 }
 
 func (s *Server) answer(c *serverConn, req incoming, more <-chan incoming) *reply {
@@ -26,21 +26,21 @@
 	}
 	h := req.Header
 	return s.handle(c, request{
-		trace: h.Get("X-Trace-Id"), class: h.Get("X-Qos"), key: h.Get("Idempotency-Key"), left: expiry(h.Get("X-Expires-In")),
-		first: req.first, probe: req.URL.Path == "/alive",
+		trace: h.Get("X-Trace-Id"), class: h.Get("X-Qos"), key: h.Get("Idempotency-Key"), timeLeft: parseExpiry(h.Get("X-Expires-In")),
+		firstByteAt: req.firstByteAt, probe: req.URL.Path == "/alive",
 	}, more)
 }
 
-// request is a request as any protocol tells it.
+// request is a request independent of its protocol.
 type request struct {
 	trace, class, key string
-	left              time.Duration
-	first             time.Duration // when its first byte came
+	timeLeft          time.Duration
+	firstByteAt       time.Duration // when its first byte arrived
 	probe             bool
 }
 
-// handle gives a request its reply, or none where the connection ends with it. Something comes on more, or it is closed,
-// when the other side has given the request up.
+// handle returns the reply to a request, or nil if the connection ends without one. A value on more, or its close, means
+// that the client gave up the request.
 func (s *Server) handle(c *serverConn, req request, more <-chan incoming) *reply {
 	if req.probe {
 		return s.probe(false)
@@ -50,91 +50,91 @@
 	if trace == "" || !known {
 		return &reply{status: http.StatusBadRequest, body: "no trace, or no such class\n"}
 	}
-	s.cfg.Witness.Received(trace, s.cfg.ID, c.link, req.first)
+	s.cfg.Observer.Received(trace, s.cfg.ID, c.link, req.firstByteAt)
 	s.mu.Lock()
-	away := s.draining || c.surplus || !s.running
+	rejecting := s.draining || c.overCap || !s.running
 	s.mu.Unlock()
-	if away {
-		return s.turnedAway()
+	if rejecting {
+		return s.neverRanReply()
 	}
 	if class.Keyed && key != "" {
-		repeated := make(chan bool, 1)
-		switch class.Cell.take(s.cfg.Clock(), key, class.Window, repeated) {
+		firstEnded := make(chan bool, 1)
+		switch class.Cell.claim(s.cfg.Clock(), key, class.Window, firstEnded) {
 		case model.KeyDone:
-			return s.served(trace)
+			return s.successReply(trace)
 		case model.KeyRunning:
 			select {
-			case ran := <-repeated:
+			case ran := <-firstEnded:
 				if ran {
-					return s.served(trace)
+					return s.successReply(trace)
 				}
 				return &reply{status: http.StatusInternalServerError, body: "the first one broke off\n"}
-			case <-more: // closed, or a second request where none may come
+			case <-more: // closed, or a second request before the first response
 				return nil
 			}
 		}
 	} else {
 		class.Cell = nil
 	}
-	return s.work(trace, key, class, req.left, more)
+	return s.runJob(trace, key, class, req.timeLeft, more)
 }
 
-// work runs a request through the model.
-func (s *Server) work(trace, key string, class ServerClass, left time.Duration, more <-chan incoming) *reply {
-	id, j, verdict := s.offer(trace, class, left)
+// runJob runs a request through the model and returns its reply; nil if it gets none.
+func (s *Server) runJob(trace, key string, class ServerClass, left time.Duration, more <-chan incoming) *reply {
+	id, j, verdict := s.offerJob(trace, class, left)
 	switch verdict {
-	case model.TurnedAway:
+	case model.Rejected:
 		class.Cell.forget(key)
-		return s.turnedAway()
-	case model.Fell:
+		return s.neverRanReply()
+	case model.FellOver:
 		class.Cell.forget(key)
 		s.tasks.Go(s.Crash)
 		return nil
 	}
-	var how end
+	var end jobEnd
 	select {
-	case how = <-j.ended:
-	case <-more: // the other side has given it up
-		if s.drop(id) {
+	case end = <-j.ended:
+	case <-more: // the client gave up
+		if s.dropQueued(id) {
 			class.Cell.forget(key)
 			return nil
 		}
-		how = <-j.ended // what is in work goes on, and is remembered
+		end = <-j.ended // a running job continues, and its key is kept
 	}
-	switch how {
-	case ranOver:
+	switch end {
+	case jobExpired:
 		class.Cell.forget(key)
-		return s.turnedAway()
-	case brokeOff:
+		return s.neverRanReply()
+	case jobInterrupted:
 		class.Cell.finish(key, false)
 		return nil
 	}
 	class.Cell.finish(key, true)
-	return s.served(trace)
+	return s.successReply(trace)
 }
 
-// offer asks the model to take a request in.
-func (s *Server) offer(trace string, class ServerClass, left time.Duration) (id uint64, j *job, verdict model.Verdict) {
+// offerJob offers a request to the model and registers it if it is accepted.
+func (s *Server) offerJob(trace string, class ServerClass, left time.Duration) (id uint64, j *job, verdict model.Verdict) {
 	work, wait := class.Work(trace)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.cfg.Clock()
-	s.deliver(s.model.Advance(now))
+	s.endJobs(s.model.Advance(now))
 	s.lastJob++
-	id, j = s.lastJob, &job{trace: trace, ended: make(chan end, 1)}
+	id, j = s.lastJob, &job{trace: trace, ended: make(chan jobEnd, 1)}
 	verdict = s.model.Offer(now, model.Job{ID: id, Work: work, Wait: wait, Expires: now + left})
 	switch verdict {
 	case model.Accepted:
 		s.jobs[id] = j
 		s.schedule()
-	case model.Fell:
-		s.cfg.Witness.PushedOver(s.cfg.ID, now)
+	case model.FellOver:
+		s.cfg.Observer.PushedOver(s.cfg.ID, now)
 	}
 	return id, j, verdict
 }
 
-// drop takes a request back that is not in work yet; false where it is.
-func (s *Server) drop(id uint64) bool {
+// dropQueued removes a queued request. It returns false if the request is already running or has ended.
+func (s *Server) dropQueued(id uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.model.Drop(id) {
@@ -144,12 +144,13 @@
 	return true
 }
 
-func (s *Server) turnedAway() *reply {
-	return &reply{status: http.StatusServiceUnavailable, head: "X-Never-Ran: 1\r\n", body: "turned away\n"}
+func (s *Server) neverRanReply() *reply {
+	return &reply{status: http.StatusServiceUnavailable, header: "X-Never-Ran: 1\r\n", body: "turned away\n"}
 }
 
-// served makes the answer of success: the first word of its body is the request's id, and a full stop ends it.
-func (s *Server) served(trace string) *reply {
+// successReply returns the response to a completed request, or an error or corrupted one if such a fault is injected. The first
+// word of the body is the request's trace, and a full stop ends it.
+func (s *Server) successReply(trace string) *reply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.random.Float64() < s.errors {
@@ -159,12 +160,12 @@
 	if s.spoil.Form != "" && s.random.Float64() < s.spoil.Share {
 		r.spoil = s.spoil
 	}
-	s.cfg.Witness.Finished(trace)
+	s.cfg.Observer.Finished(trace)
 	return r
 }
 
-// expiry reads the header of the time left; one that cannot be read means a long time.
-func expiry(text string) time.Duration {
+// parseExpiry parses the header with the remaining time; a minute if it is missing or malformed.
+func parseExpiry(text string) time.Duration {
 	for suffix, unit := range map[string]time.Duration{"m": time.Millisecond, "u": time.Microsecond} {
 		if number, ok := strings.CutSuffix(text, suffix); ok {
 			if v, err := strconv.ParseFloat(number, 64); err == nil && v >= 0 {
--- a/lab/standin/spoil.go
+++ b/lab/standin/spoil.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// mostSpoilt bounds what an answer without end sends: enough to break a reader that sets no bound of its own.
-const mostSpoilt = 4 << 20
+// maxSpoilBytes bounds a response without end. It is large enough to fail a reader without a bound of its own.
+const maxSpoilBytes = 4 << 20
 
-// write sends a reply and reports whether the connection is of further use.
+// write sends a reply, corrupted if the fault says so, and reports whether the connection can be used further.
 func (s *Server) write(c *serverConn, r *reply) bool {
 	s.mu.Lock()
 	report := s.report()
@@ -21,23 +21,23 @@
 		report = "TEXT util=NaN, qps=x,,"
 	}
 	if report != "" {
-		r.head += "Endpoint-Load-Metrics: " + report + "\r\n"
+		r.header += "Endpoint-Load-Metrics: " + report + "\r\n"
 	}
 	plain := r.text(len(r.body))
 	switch r.spoil.Form {
 	case "noise":
-		return spoilt(c, "\x00\xff\x16\x03 no answer at all", 1)
+		return writeRepeatedly(c, "\x00\xff\x16\x03 no answer at all", 1)
 	case "endless_head":
-		return spoilt(c, "HTTP/1.1 200 OK\r\n"+strings.Repeat("X-More: and more of it\r\n", 400), mostSpoilt/9600)
+		return writeRepeatedly(c, "HTTP/1.1 200 OK\r\n"+strings.Repeat("X-More: and more of it\r\n", 400), maxSpoilBytes/9600)
 	case "short_length":
 		_, err := io.WriteString(c, r.text(len(r.body)/2))
 		return err == nil
 	case "long_length":
-		return spoilt(c, r.text(len(r.body)+100), 1)
+		return writeRepeatedly(c, r.text(len(r.body)+100), 1)
 	case "huge_length":
-		return spoilt(c, r.text(3<<30)+strings.Repeat("more ", 2000), mostSpoilt/10000)
+		return writeRepeatedly(c, r.text(3<<30)+strings.Repeat("more ", 2000), maxSpoilBytes/10000)
 	case "cut_off":
-		_, _ = io.WriteString(c, plain[:len(plain)-len(r.body)/2]) // the peer may be gone, which the next read says
+		_, _ = io.WriteString(c, plain[:len(plain)-len(r.body)/2]) // a closed connection is reported by the next read
 		_ = c.Close()                                              // the connection is released even where this fails
 		return false
 	case "interim":
@@ -57,15 +57,16 @@
 		copyOf := plain
 		s.tasks.Go(func() {
 			time.Sleep(r.spoil.Delay)
-			_, _ = io.WriteString(c, copyOf) // the peer may be gone, which the next read says
+			_, _ = io.WriteString(c, copyOf) // a closed connection is reported by the next read
 		})
 	}
 	_, err := io.WriteString(c, plain)
-	return err == nil && !r.hangsUp
+	return err == nil && !r.closeConn
 }
 
-// spoilt sends text several times, until the other side has had enough; the connection is of no use then.
-func spoilt(c io.Writer, text string, times int) bool {
+// writeRepeatedly sends text a number of times or until a write fails. It returns false, as the connection can't be used
+// further.
+func writeRepeatedly(c io.Writer, text string, times int) bool {
 	for range times {
 		if _, err := io.WriteString(c, text); err != nil {
 			break
@@ -76,6 +77,6 @@
 
 func (r *reply) text(length int) string {
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s", r.status, http.StatusText(r.status), r.head, length, r.body)
+	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s", r.status, http.StatusText(r.status), r.header, length, r.body)
 	return b.String()
 }
--- a/lab/standin/standin_test.go
+++ b/lab/standin/standin_test.go
@@ -22,55 +22,55 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// patience bounds every wait; no test takes that long unless it fails.
-const patience = 20 * time.Second
+// waitTimeout bounds every wait. Only a failing test takes that long.
+const waitTimeout = 20 * time.Second
 
-// witness notes what servers saw.
-type witness struct {
-	mu       sync.Mutex
-	received []string
-	ran      []string
-	fell     []string
-	told     []string
+// recorder records the events of servers and rosters.
+type recorder struct {
+	mu         sync.Mutex
+	received   []string
+	ran        []string
+	pushedOver []string
+	notified   []string
 }
 
-func (w *witness) note(list *[]string, format string, args ...any) {
+func (w *recorder) note(list *[]string, format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	*list = append(*list, fmt.Sprintf(format, args...))
 }
 
-func (w *witness) Received(trace, server string, sidecar int, _ time.Duration) {
+func (w *recorder) Received(trace, server string, sidecar int, _ time.Duration) {
 	w.note(&w.received, "%s %s %d", trace, server, sidecar)
 }
 
-func (w *witness) Ran(trace, server string, _ int, _ time.Duration) {
+func (w *recorder) Ran(trace, server string, _ int, _ time.Duration) {
 	w.note(&w.ran, "%s %s", trace, server)
 }
-func (w *witness) Finished(string)                           {}
-func (w *witness) PushedOver(server string, _ time.Duration) { w.note(&w.fell, "%s", server) }
-func (w *witness) Changed(string, bool, time.Duration)       {}
-func (w *witness) Call(int, time.Duration, time.Duration, bool) func(judge.CallEnd, time.Duration) {
+func (w *recorder) Finished(string)                           {}
+func (w *recorder) PushedOver(server string, _ time.Duration) { w.note(&w.pushedOver, "%s", server) }
+func (w *recorder) Changed(string, bool, time.Duration)       {}
+func (w *recorder) RosterCall(int, time.Duration, time.Duration, bool) func(judge.CallEnd, time.Duration) {
 	return func(judge.CallEnd, time.Duration) {}
 }
 
-func (w *witness) Told(sidecar int, server string, ready bool, _ time.Duration) {
-	w.note(&w.told, "%d %s %v", sidecar, server, ready)
+func (w *recorder) Notified(sidecar int, server string, ready bool, _ time.Duration) {
+	w.note(&w.notified, "%d %s %v", sidecar, server, ready)
 }
 
-func (w *witness) list(list *[]string) []string {
+func (w *recorder) list(list *[]string) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]string(nil), *list...)
 }
 
-// testServer starts a server whose requests take some work.
-func testServer(t *testing.T, work time.Duration, change func(*ServerConfig)) (*Server, *witness) {
+// testServer starts a server with one core, one slot and a queue of one, whose requests each take the given work.
+func testServer(t *testing.T, work time.Duration, change func(*ServerConfig)) (*Server, *recorder) {
 	t.Helper()
-	w, cell := &witness{}, NewCell()
+	w, cell := &recorder{}, NewCell()
 	cost := func(string) (time.Duration, time.Duration) { return work, 0 }
 	cfg := ServerConfig{
-		ID: "s-1", Spec: model.Spec{Cores: 1, Speed: 1, Slots: 1, Queue: 1}, Clock: StartClock(), Witness: w, Probes: true,
+		ID: "s-1", Spec: model.Spec{Cores: 1, Speed: 1, Slots: 1, Queue: 1}, Clock: StartClock(), Observer: w, Probes: true,
 		Classes: map[string]ServerClass{
 			"read": {Work: cost}, "keyed": {Keyed: true, Cell: cell, Window: time.Minute, Work: cost},
 		},
@@ -98,7 +98,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(waitTimeout))
 	t.Cleanup(func() { _ = c.Close() })
 	return &conn{t, c, bufio.NewReader(c)}
 }
@@ -157,7 +157,7 @@
 	}
 }
 
-// A repeat that comes while the first is in work runs nothing and gets its answer; so does one that comes later.
+// A repeat of a keyed request must not run, whether it arrives during or after the first one. It gets the same result.
 func TestServerDropsRepeats(t *testing.T) {
 	s, w := testServer(t, 30*time.Millisecond, nil)
 	a, b := dial(t, s.Addr(0)), dial(t, s.Addr(0))
@@ -175,10 +175,10 @@
 	}
 }
 
-func TestServerTurnsAwayUnseen(t *testing.T) {
+func TestServerRejectsWithoutRunning(t *testing.T) {
 	s, w := testServer(t, 200*time.Millisecond, nil)
 	var busy []*conn
-	for i := range 2 { // one slot, and room for one
+	for i := range 2 { // one slot and a queue of one
 		c := dial(t, s.Addr(0))
 		c.send(fmt.Sprint("t", i), "read", "")
 		busy = append(busy, c)
@@ -190,18 +190,18 @@
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("X-Never-Ran") != "1" {
 		t.Errorf("answer %v", resp)
 	}
-	s.Drain(true)
+	s.SetDraining(true)
 	c.send("t10", "read", "")
 	if resp, _ := c.read(); resp.Header.Get("X-Never-Ran") != "1" {
 		t.Errorf("draining: %v", resp)
 	}
-	s.Drain(false)
+	s.SetDraining(false)
 	for _, c := range busy {
 		c.read()
 	}
-	c.send("t11", "keyed", "k") // the key that was turned away is not remembered
+	c.send("t11", "keyed", "k") // the key of a rejected request is not kept
 	if resp, _ := c.read(); resp.StatusCode != http.StatusOK {
-		t.Errorf("later: %s", resp.Status)
+		t.Errorf("repeat after the rejection: %s", resp.Status)
 	}
 	for _, line := range w.list(&w.ran) {
 		if strings.HasPrefix(line, "t9 ") || strings.HasPrefix(line, "t10 ") {
@@ -212,45 +212,45 @@
 
 func awaitHeld(t *testing.T, s *Server, n int) {
 	t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); ; time.Sleep(time.Millisecond) {
 		if got, _ := s.Held(); got == n {
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("the server does not come to hold %d", n)
+			t.Fatalf("timed out waiting for the server to hold %d requests", n)
 		}
 	}
 }
 
-// A connection beyond the cap is not reset: what comes on it is turned away unseen.
-func TestServerHoldsSoManyConnections(t *testing.T) {
-	s, w := testServer(t, time.Millisecond, func(c *ServerConfig) { c.MostConns = 1 })
+// A connection beyond the limit is not reset: its requests are rejected without running.
+func TestServerRejectsBeyondConnectionCap(t *testing.T) {
+	s, w := testServer(t, time.Millisecond, func(c *ServerConfig) { c.MaxConns = 1 })
 	first := dial(t, s.Addr(0))
 	first.send("t1", "read", "")
 	first.read()
 	second := dial(t, s.Addr(0))
 	second.send("t2", "read", "")
 	if resp, _ := second.read(); resp.Header.Get("X-Never-Ran") != "1" {
-		t.Errorf("beyond the cap: %s", resp.Status)
+		t.Errorf("beyond the limit: %s", resp.Status)
 	}
 	if got := w.list(&w.ran); len(got) != 1 {
 		t.Errorf("ran %v", got)
 	}
 }
 
-// An unused connection is closed after the server's time, one with a request open is not.
+// An unused connection is closed after the idle time-out, one with an open request is not.
 func TestServerClosesIdleConnections(t *testing.T) {
-	s, _ := testServer(t, 100*time.Millisecond, func(c *ServerConfig) { c.Idle = 20 * time.Millisecond })
+	s, _ := testServer(t, 100*time.Millisecond, func(c *ServerConfig) { c.IdleTimeout = 20 * time.Millisecond })
 	c := dial(t, s.Addr(0))
 	c.send("t1", "read", "")
 	c.read()
 	if _, err := c.in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("the idle connection ends with %v", err)
+		t.Errorf("the idle connection ended with %v", err)
 	}
 }
 
-// Waiting work is dropped when its client closes; what is in work goes on.
-func TestServerDropsWhatIsGivenUp(t *testing.T) {
+// A queued request is dropped when its client closes the connection. A running one continues.
+func TestServerDropsAbandonedQueuedWork(t *testing.T) {
 	s, w := testServer(t, 100*time.Millisecond, nil)
 	first, second := dial(t, s.Addr(0)), dial(t, s.Addr(0))
 	first.send("t1", "read", "")
@@ -266,8 +266,8 @@
 	}
 }
 
-// A crash resets connections, is seen as a refused connection, and what was in work counts as run. A restart, and a
-// successor, listen at the same address.
+// A crash resets open connections and refuses new ones, and running requests count as executed. A restarted server and a
+// replacement listen on the same address.
 func TestServerCrashesAndReturns(t *testing.T) {
 	s, w := testServer(t, time.Hour, func(c *ServerConfig) { c.Spec.Slots = 0 })
 	c := dial(t, s.Addr(0))
@@ -275,7 +275,7 @@
 	awaitHeld(t, s, 1)
 	s.Crash()
 	if _, err := c.in.ReadByte(); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("an open connection ends with %v", err)
+		t.Errorf("an open connection ended with %v", err)
 	}
 	if _, err := net.Dial("tcp", s.Addr(0)); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("a new connection: %v", err)
@@ -301,29 +301,29 @@
 	}
 }
 
-// A cut link says nothing and hears nothing; when it is back, what was open is reset.
-func TestServerGoesSilent(t *testing.T) {
+// A cut link receives and sends nothing. When it is restored, open connections are reset.
+func TestSilentLinkReceivesNothing(t *testing.T) {
 	s, w := testServer(t, time.Millisecond, nil)
 	c := dial(t, s.Addr(0))
 	c.send("t1", "read", "")
 	c.read()
-	s.Silence(0, true)
+	s.SetSilent(0, true)
 	c.send("t2", "read", "")
 	_ = c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	if _, err := c.in.ReadByte(); err == nil || !strings.Contains(err.Error(), "timeout") {
-		t.Errorf("the silent machine: %v", err)
+		t.Errorf("read on the cut link: %v", err)
 	}
-	s.Silence(0, false)
-	_ = c.SetReadDeadline(time.Now().Add(patience))
+	s.SetSilent(0, false)
+	_ = c.SetReadDeadline(time.Now().Add(waitTimeout))
 	if _, err := c.in.ReadByte(); err == nil {
-		t.Error("the connection goes on")
+		t.Error("the connection is still open after the cut")
 	}
 	if got := w.list(&w.received); len(got) != 1 {
 		t.Errorf("received %v", got)
 	}
 }
 
-func TestColdServerFallsOverOnSockets(t *testing.T) {
+func TestOverloadedColdServerCrashes(t *testing.T) {
 	s, w := testServer(t, time.Second, func(c *ServerConfig) {
 		c.Cold = true
 		c.Spec = model.Spec{Cores: 1, Speed: 1, ColdFrom: 0.1, ColdFor: time.Minute, FallMultiple: 2, FallFor: time.Second}
@@ -331,22 +331,22 @@
 	c := dial(t, s.Addr(0))
 	c.send("t1", "read", "")
 	if _, err := c.in.ReadByte(); err == nil {
-		t.Error("it answers")
+		t.Error("the server responded after its crash")
 	}
-	if got := w.list(&w.fell); len(got) != 1 {
-		t.Errorf("fell %v", got)
+	if got := w.list(&w.pushedOver); len(got) != 1 {
+		t.Errorf("pushed over %v", got)
 	}
 }
 
-// spoiltForms looks at each form of a spoilt answer.
+// spoiltForms checks each form of a corrupted response.
 var spoiltForms = map[string]func(*conn) error{
 	"noise": func(c *conn) error {
 		_ = c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 		_, err := http.ReadResponse(c.in, nil)
-		return want(err != nil, "an answer")
+		return expect(err != nil, "a valid response")
 	},
-	"endless_head": func(c *conn) error { n, _ := io.CopyN(io.Discard, c.in, 1<<20); return want(n == 1<<20, "an end") },
-	"short_length": func(c *conn) error { c.read(); return want(c.in.Buffered() > 0, "nothing behind it") },
+	"endless_head": func(c *conn) error { n, _ := io.CopyN(io.Discard, c.in, 1<<20); return expect(n == 1<<20, "an end") },
+	"short_length": func(c *conn) error { c.read(); return expect(c.in.Buffered() > 0, "no data after the body") },
 	"long_length": func(c *conn) error {
 		resp, err := http.ReadResponse(c.in, nil)
 		if err != nil {
@@ -354,11 +354,11 @@
 		}
 		_ = c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 		_, err = io.ReadAll(resp.Body)
-		return want(err != nil, "a whole body")
+		return expect(err != nil, "a complete body")
 	},
 	"huge_length": func(c *conn) error {
 		resp, err := http.ReadResponse(c.in, nil)
-		return want(err == nil && resp.ContentLength == 3<<30, "no such length")
+		return expect(err == nil && resp.ContentLength == 3<<30, "another length")
 	},
 	"cut_off": func(c *conn) error {
 		resp, err := http.ReadResponse(c.in, nil)
@@ -366,25 +366,25 @@
 			return err
 		}
 		_, err = io.ReadAll(resp.Body)
-		return want(errors.Is(err, io.ErrUnexpectedEOF), "a whole body")
+		return expect(errors.Is(err, io.ErrUnexpectedEOF), "a complete body")
 	},
 	"interim": func(c *conn) error {
 		resp, _ := c.read()
-		return want(resp.StatusCode == http.StatusEarlyHints, "no interim answer")
+		return expect(resp.StatusCode == http.StatusEarlyHints, "no interim response")
 	},
 	"bad_report": func(c *conn) error {
 		resp, _ := c.read()
-		return want(strings.Contains(resp.Header.Get("Endpoint-Load-Metrics"), "NaN"), "a good report")
+		return expect(strings.Contains(resp.Header.Get("Endpoint-Load-Metrics"), "NaN"), "a valid report")
 	},
-	"pieces": func(c *conn) error { _, body := c.read(); return want(body == "t by s-1.\n", "another body") },
+	"pieces": func(c *conn) error { _, body := c.read(); return expect(body == "t by s-1.\n", "another body") },
 	"second_copy": func(c *conn) error {
 		_, a := c.read()
 		_, b := c.read()
-		return want(a == b, "no second copy")
+		return expect(a == b, "no second copy")
 	},
 }
 
-// Each spoilt form is what its name says.
+// Each form corrupts the response in the way that its name says.
 func TestSpoiltAnswers(t *testing.T) {
 	for form, check := range spoiltForms {
 		t.Run(form, func(t *testing.T) {
@@ -399,17 +399,17 @@
 	}
 }
 
-func want(ok bool, otherwise string) error {
+func expect(ok bool, otherwise string) error {
 	if !ok {
 		return errors.New("there is " + otherwise)
 	}
 	return nil
 }
 
-func testRoster(t *testing.T, change func(*RosterConfig)) (*Roster, *witness) {
+func testRoster(t *testing.T, change func(*RosterConfig)) (*Roster, *recorder) {
 	t.Helper()
-	w := &witness{}
-	cfg := RosterConfig{Clock: StartClock(), Notary: w}
+	w := &recorder{}
+	cfg := RosterConfig{Clock: StartClock(), Observer: w}
 	if change != nil {
 		change(&cfg)
 	}
@@ -430,7 +430,7 @@
 
 func ask(t *testing.T, addr, query string) (List, error) {
 	t.Helper()
-	client := &http.Client{Timeout: patience}
+	client := &http.Client{Timeout: waitTimeout}
 	defer client.CloseIdleConnections()
 	resp, err := client.Get("http://" + addr + "/discovery/hosts" + query)
 	if err != nil {
@@ -452,7 +452,7 @@
 	if err != nil || !whole.Complete || len(whole.Members) != 2 || whole.Members[0].HostPort != "127.0.0.1:7001" {
 		t.Fatalf("%+v, %v", whole, err)
 	}
-	awaitTold(t, w, 2)
+	awaitNotified(t, w, 2)
 	got := make(chan List, 1)
 	go func() {
 		l, _ := ask(t, r.Addr(1), fmt.Sprintf("?from=%d&hold_ms=20000", whole.Revision))
@@ -465,33 +465,33 @@
 	select {
 	case l := <-got:
 		if l.Complete || len(l.Members) != 1 || l.Members[0].Phase != "gone" || l.Revision <= whole.Revision {
-			t.Errorf("change %+v", l)
+			t.Errorf("change list %+v", l)
 		}
-	case <-time.After(patience):
-		t.Fatal("the watch does not end")
+	case <-time.After(waitTimeout):
+		t.Fatal("timed out waiting for the watch to end")
 	}
 	if l, err := ask(t, r.Addr(0), fmt.Sprintf("?from=%d&hold_ms=1", whole.Revision+1)); err != nil || len(l.Members) != 0 {
-		t.Errorf("nothing is new: %+v, %v", l, err)
+		t.Errorf("without changes: %+v, %v", l, err)
 	}
-	if told := awaitTold(t, w, 3); told[len(told)-1] != "1 b false" {
-		t.Errorf("told %v", told)
+	if told := awaitNotified(t, w, 3); told[len(told)-1] != "1 b false" {
+		t.Errorf("notified %v", told)
 	}
 }
 
-// awaitTold waits until the witness has so many notes of what the roster has answered: it gets them behind the answer.
-func awaitTold(t *testing.T, w *witness, count int) (told []string) {
+// awaitNotified waits until the recorder has count notifications. The roster reports them only after it has sent the response.
+func awaitNotified(t *testing.T, w *recorder, count int) (told []string) {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		if told = w.list(&w.told); len(told) >= count {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
+		if told = w.list(&w.notified); len(told) >= count {
 			return told
 		}
 	}
-	t.Fatalf("told %v", told)
+	t.Fatalf("notified %v", told)
 	return nil
 }
 
-// After a restart the revision is lower, and who asks from the old one gets the whole list.
-func TestRosterRestartsLower(t *testing.T) {
+// After a restart the revision is lower, and a watch from the old revision must get the complete list.
+func TestRosterRestartLowersRevision(t *testing.T) {
 	r, _ := testRoster(t, nil)
 	for _, id := range []string{"a", "b", "c"} {
 		r.Set(entry(id), "ready")
@@ -508,8 +508,8 @@
 	}
 }
 
-func TestRosterOutOfReach(t *testing.T) {
-	r, _ := testRoster(t, func(c *RosterConfig) { c.PerCall, c.MostWait = 50*time.Millisecond, 20*time.Millisecond })
+func TestRosterFailsWhenOverloadedDownOrMalformed(t *testing.T) {
+	r, _ := testRoster(t, func(c *RosterConfig) { c.ServiceTime, c.MaxQueueWait = 50*time.Millisecond, 20*time.Millisecond })
 	failed := make(chan error, 8)
 	for range 8 {
 		go func() {
@@ -524,21 +524,21 @@
 		}
 	}
 	if n == 0 {
-		t.Error("calls beyond its capacity all go well")
+		t.Error("no call beyond the roster's capacity failed")
 	}
 	r.SetDown(true)
 	if _, err := ask(t, r.Addr(0), ""); err == nil {
-		t.Error("it answers while it is down")
+		t.Error("the roster responds while it is down")
 	}
 	r.SetDown(false)
 	r.SetGarble(true)
 	if _, err := ask(t, r.Addr(0), ""); err == nil {
-		t.Error("what it says can be read")
+		t.Error("the malformed list was accepted")
 	}
 }
 
-// An agent answers at once with what it had before discovery went silent.
-func TestAgentIsSilentWhileDown(t *testing.T) {
+// An agent responds at once with its last list while discovery is down.
+func TestAgentAnswersLastListWhileDown(t *testing.T) {
 	r, _ := testRoster(t, func(c *RosterConfig) { c.Push = true })
 	r.Set(entry("a"), "ready")
 	r.SetDown(true)
