--- a/cmd/firplank-lab/soak.go
+++ b/cmd/firplank-lab/soak.go
@@ -98,7 +98,7 @@
 	printer.Printf("seed %d: %d faults (%d skipped), %d requests: %d served, %d refused, %d failed, "+
 		"%d aborted, %d expired, %d canceled, %d unreached; "+
 		"%d changes, %d acknowledged, %d reads; %d stalls; %d violations\n",
-		r.Seed, r.Troubles, r.Skipped, n.Requests, n.Served, n.Refused, n.Failed,
+		r.Seed, r.Faults, r.Skipped, n.Requests, n.Served, n.Refused, n.Failed,
 		n.Broken, n.Expired, n.Left, n.Unreached, n.Changes, n.Acknowledged, n.Reads,
 		r.Stalls, len(r.Violations))
 	printed := map[string]int{}
--- a/lab/mesh/calls_test.go
+++ b/lab/mesh/calls_test.go
@@ -12,10 +12,10 @@
 // The connections between sidecars break at all places of requests and answers, and requests arrive after their senders
 // have seen that: what must not run twice does not, what was promised not to run has not, and most is served all the
 // same, elsewhere or by the answer that was lost.
-func TestConnectionsBetweenSidecarsBreak(t *testing.T) {
+func TestBrokenConnectionsDoNotDuplicateRequests(t *testing.T) {
 	m := startWith(t, 47, true)
 	for _, x := range m.Branch {
-		x.Between.Break(&Breaks{Every: 1, Step: 37, Most: 1500, Late: 30 * time.Millisecond})
+		x.ConnRelay.SetBreakPattern(&BreakPattern{Every: 1, StepBytes: 37, MaxBytes: 1500, LastHopDelay: 30 * time.Millisecond})
 	}
 	const clients, each = 4, 60
 	var mu sync.Mutex
@@ -25,7 +25,7 @@
 		tasks.Go(func() {
 			for i := range each {
 				id := fmt.Sprintf("c%d-%d", c, i)
-				status, body, err := m.Branch[c].Ask(http.MethodPost, "plates.example", "/file/x", id, []byte(strings.Repeat("b", 7*i)))
+				status, body, err := m.Branch[c].Send(http.MethodPost, "plates.example", "/file/x", id, []byte(strings.Repeat("b", 7*i)))
 				if err != nil {
 					status = -1
 				}
@@ -49,7 +49,7 @@
 		}
 	}
 	for _, x := range m.Branch {
-		broken += x.Between.Broken.Load()
+		broken += x.ConnRelay.Broken.Load()
 	}
 	t.Logf("answers by status %v; %d connections broke", counts, broken)
 	if broken < 30 || counts[http.StatusOK] < clients*each*9/10 {
--- a/lab/mesh/between.go
+++ b/lab/mesh/connrelay.go
@@ -8,14 +8,14 @@
 )
 
 // Between stands between sidecars and one of them, and breaks the connections that it carries on demand.
-type Between struct {
+type ConnRelay struct {
 	listener net.Listener
-	to       string
+	target   string
 	name     string   // of the machine behind it
 	network  *Network // the links to it; nil: there are none
 	requests bool     // connections carry requests, whose answers may be lost
-	breaks   atomic.Pointer[Breaks]
-	number   atomic.Uint64 // of connections
+	breaks   atomic.Pointer[BreakPattern]
+	accepted atomic.Uint64 // of connections
 	Broken   atomic.Int64  // connections that were reset
 
 	mu   sync.Mutex
@@ -23,30 +23,30 @@
 }
 
 // Breaks describes how connections break.
-type Breaks struct {
+type BreakPattern struct {
 	// Every how many connections one breaks, when so many bytes have come from the sender, or from the last hop, whose
 	// counts rise by Step from one that breaks to the next, up to Most.
-	Every      uint64
-	Step, Most int64
+	Every               uint64
+	StepBytes, MaxBytes int64
 	// Late is how long after its sender has seen the connection break the last hop still gets what came of the request: it arrives late.
-	Late time.Duration
+	LastHopDelay time.Duration
 }
 
 // newBetween listens at an address ahead of a machine's own one.
-func newBetween(at, to, name string, network *Network, requests bool) (*Between, error) {
+func newConnRelay(at, to, name string, network *Network, requests bool) (*ConnRelay, error) {
 	ln, err := net.Listen("tcp", at)
 	if err != nil {
 		return nil, err
 	}
-	b := &Between{listener: ln, to: to, name: name, network: network, requests: requests, open: map[net.Conn]struct{}{}}
+	b := &ConnRelay{listener: ln, target: to, name: name, network: network, requests: requests, open: map[net.Conn]struct{}{}}
 	go b.serve()
 	return b, nil
 }
 
 // Break sets how connections break that are made from now on; nil: they do not.
-func (b *Between) Break(how *Breaks) { b.breaks.Store(how) }
+func (b *ConnRelay) SetBreakPattern(how *BreakPattern) { b.breaks.Store(how) }
 
-func (b *Between) close() {
+func (b *ConnRelay) close() {
 	_ = b.listener.Close() // accepting ends either way
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -55,18 +55,18 @@
 	}
 }
 
-func (b *Between) serve() {
+func (b *ConnRelay) serve() {
 	for {
 		c, err := b.listener.Accept()
 		if err != nil {
 			return
 		}
-		go b.carry(c.(*net.TCPConn))
+		go b.forward(c.(*net.TCPConn))
 	}
 }
 
 // hold keeps a connection to be closed in the end.
-func (b *Between) hold(c net.Conn) (release func()) {
+func (b *ConnRelay) track(c net.Conn) (release func()) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.open[c] = struct{}{}
@@ -79,18 +79,18 @@
 }
 
 // carry carries one connection until it ends or breaks.
-func (b *Between) carry(from *net.TCPConn) {
-	defer b.hold(from)()
-	sender, ok := b.arrive(from)
+func (b *ConnRelay) forward(from *net.TCPConn) {
+	defer b.track(from)()
+	sender, ok := b.admit(from)
 	if !ok {
 		return
 	}
-	there, err := net.DialTimeout("tcp", b.to, time.Second)
+	connection, err := net.DialTimeout("tcp", b.target, time.Second)
 	if err != nil {
 		return
 	}
-	to := there.(*net.TCPConn)
-	defer b.hold(to)()
+	to := connection.(*net.TCPConn)
+	defer b.track(to)()
 	up, down, late := b.limits()
 	var once sync.Once
 	broken := func() {
@@ -100,64 +100,64 @@
 			_ = from.Close()      // the connection is released even where this fails
 		})
 	}
-	ahead, back, leave := b.links(sender, func() { broken(); _ = to.Close() })
-	defer leave()
+	maySend, mayAnswer, untrack := b.linkChecks(sender, func() { broken(); _ = to.Close() })
+	defer untrack()
 	var ways sync.WaitGroup
 	ways.Go(func() {
 		defer func() { _ = to.CloseWrite() }() // fails only where the connection is closed already
-		b.copy(to, from, up, ahead, func() { broken(); time.Sleep(late) })
+		b.copy(to, from, up, maySend, func() { broken(); time.Sleep(late) })
 	})
-	b.copy(from, to, down, back, broken)
+	b.copy(from, to, down, mayAnswer, broken)
 	_ = from.CloseWrite() // fails only where the connection is closed already
 	ways.Wait()
 }
 
 // limits is after how many bytes each way of the next connection breaks; below 0: it does not.
-func (b *Between) limits() (up, down int64, late time.Duration) {
-	n := b.number.Add(1)
+func (b *ConnRelay) limits() (up, down int64, late time.Duration) {
+	n := b.accepted.Add(1)
 	how := b.breaks.Load()
 	if how == nil || n%how.Every != 0 {
 		return -1, -1, 0
 	}
-	at := int64(n/how.Every) * how.Step % how.Most
+	at := int64(n/how.Every) * how.StepBytes % how.MaxBytes
 	if n/how.Every%2 == 0 {
 		return -1, at, 0
 	}
-	return at, -1, how.Late
+	return at, -1, how.LastHopDelay
 }
 
 // arrive identifies the sender of a connection, which waits at a cut.
-func (b *Between) arrive(from *net.TCPConn) (sender string, ok bool) {
+func (b *ConnRelay) admit(from *net.TCPConn) (sender string, ok bool) {
 	if b.network == nil {
 		return "", true
 	}
 	sender = b.network.identify(from.LocalAddr().(*net.TCPAddr), from.RemoteAddr().(*net.TCPAddr))
-	return sender, b.network.pass(sender, b.name)
+	return sender, b.network.awaitLink(sender, b.name)
 }
 
 // links returns what bytes of a connection wait for ahead and on their way back; false means that the connection breaks.
-func (b *Between) links(sender string, reset func()) (ahead, back func() bool, leave func()) {
+func (b *ConnRelay) linkChecks(sender string, reset func()) (maySend, mayAnswer func() bool, untrack func()) {
 	free := func() bool { return true }
 	if b.network == nil {
 		return free, free, func() {}
 	}
-	ahead = func() bool { return b.network.pass(sender, b.name) }
-	back = func() bool {
+	maySend = func() bool { return b.network.awaitLink(sender, b.name) }
+	mayAnswer = func() bool {
 		if b.requests && b.network.losesAnswer(b.name, sender) {
 			return false
 		}
-		return b.network.pass(b.name, sender)
+		return b.network.awaitLink(b.name, sender)
 	}
-	return ahead, back, b.network.add(&relayedConn{from: sender, to: b.name, reset: reset})
+	return maySend, mayAnswer, b.network.track(&relayedConn{from: sender, to: b.name, reset: reset})
 }
 
 // copy carries bytes one way, each part once may permits it. When limit bytes have come, or may does not, it calls broken; at the limit
 // it then carries what came with the last of them all the same.
-func (b *Between) copy(to, from *net.TCPConn, limit int64, may func() bool, broken func()) {
+func (b *ConnRelay) copy(to, from *net.TCPConn, limit int64, mayPass func() bool, broken func()) {
 	buf, left := make([]byte, 16<<10), limit
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && !may() {
+		if n > 0 && !mayPass() {
 			broken()
 			return
 		}
@@ -174,7 +174,7 @@
 			}
 		}
 		if err != nil {
-			_ = may() // the end of the connection waits at a cut, too
+			_ = mayPass() // the end of the connection waits at a cut, too
 			return
 		}
 	}
--- a/lab/mesh/promises_test.go
+++ b/lab/mesh/guarantees_test.go
@@ -13,7 +13,7 @@
 )
 
 // startForPromises starts a mesh with the bounds of the users' pages.
-func startForPromises(t *testing.T, cfg Config) *Mesh {
+func startWithBounds(t *testing.T, cfg Config) *Mesh {
 	t.Helper()
 	programs, err := built()
 	must(t, err)
@@ -34,7 +34,7 @@
 			path = "/file/1"
 		}
 		must(t, Await(5*time.Second, x.Name+" serves", func() bool {
-			status, _, err := x.Ask(http.MethodGet, "plates.example", path, fmt.Sprintf("warm-%d", i), nil)
+			status, _, err := x.Send(http.MethodGet, "plates.example", path, fmt.Sprintf("warm-%d", i), nil)
 			return err == nil && status == http.StatusOK
 		}))
 	}
@@ -44,8 +44,8 @@
 // As many disks are lost at once as the tolerance allows, while all other processes are killed: what was acknowledged is
 // read back, and a further change is acknowledged. Two of three members that vote with empty disks are no majority, so
 // that a tolerance of two needs five.
-func TestAsManyDisksAsToleratedAreLostAtOnce(t *testing.T) {
-	m := startForPromises(t, Config{Net: 48, Core: 6, Tolerance: 2})
+func TestConfigurationSurvivesToleratedDiskLoss(t *testing.T) {
+	m := startWithBounds(t, Config{Net: 48, Core: 6, Tolerance: 2})
 	must(t, Await(8*time.Second, "the members are as many as the tolerance needs", func() bool {
 		s, err := status(m, m.Core[3])
 		return err == nil && len(s.Members) == 5 && s.FullyReplicated
@@ -80,9 +80,9 @@
 
 // A server leaves, its sidecar acknowledges that and is killed at once: the sidecar's next process sends the server
 // nothing later than lastPostS after the acknowledgement, though the server still answers.
-func TestAcknowledgedLeaveOutlivesItsSidecar(t *testing.T) {
+func TestAcknowledgedLeaveSurvivesSidecarKill(t *testing.T) {
 	var late atomic.Int64
-	m := startForPromises(t, Config{Net: 49, Core: 3, Tolerance: 1, Heartbeat: time.Second, Arrived: func(a Arrival) {
+	m := startWithBounds(t, Config{Net: 49, Core: 3, Tolerance: 1, Heartbeat: time.Second, Arrived: func(a Arrival) {
 		if a.SinceClosing > 2500*time.Millisecond {
 			late.Add(1)
 		}
@@ -97,7 +97,7 @@
 		must(t, Await(8*time.Second, x.Name+" is ready again", x.Ready))
 	}
 	for end, n := time.Now().Add(6*time.Second), 0; time.Now().Before(end); n++ {
-		_, _, _ = m.Branch[2+n%2].Ask(http.MethodGet, "plates.example", "/look/1", fmt.Sprintf("late-%d", n), nil) // what arrives counts
+		_, _, _ = m.Branch[2+n%2].Send(http.MethodGet, "plates.example", "/look/1", fmt.Sprintf("late-%d", n), nil) // what arrives counts
 		time.Sleep(10 * time.Millisecond)
 	}
 	if n := late.Load(); n > 0 {
@@ -106,13 +106,13 @@
 }
 
 // A server has left, all processes are killed, and a heartbeat that it sent before comes after that.
-func TestLateHeartbeatBringsNoServerBack(t *testing.T) {
+func TestLateHeartbeatDoesNotRestoreServer(t *testing.T) {
 	const (
 		inTouch  = 3 * time.Second
 		lateBeat = 1000 // above all that the server has sent
 	)
 	var inTouchFrom, late atomic.Int64
-	m := startForPromises(t, Config{Net: 56, Core: 3, Tolerance: 1, Heartbeat: time.Second, Arrived: func(a Arrival) {
+	m := startWithBounds(t, Config{Net: 56, Core: 3, Tolerance: 1, Heartbeat: time.Second, Arrived: func(a Arrival) {
 		if from := inTouchFrom.Load(); from > 0 && a.SinceClosing > 0 && a.At.UnixNano() > from {
 			late.Add(1)
 		}
@@ -135,7 +135,7 @@
 	time.Sleep(inTouch / 2)
 	must(t, Await(2*time.Second, "the late heartbeat is acknowledged", func() bool { return leaver.SendHeartbeat(lateBeat, false) }))
 	for end, n := time.Now().Add(2*inTouch), 0; time.Now().Before(end); n++ {
-		_, _, _ = m.Branch[2+n%2].Ask(http.MethodGet, "plates.example", "/look/1", fmt.Sprintf("late-%d", n), nil) // what arrives counts
+		_, _, _ = m.Branch[2+n%2].Send(http.MethodGet, "plates.example", "/look/1", fmt.Sprintf("late-%d", n), nil) // what arrives counts
 		time.Sleep(10 * time.Millisecond)
 	}
 	if n := late.Load(); n > 0 {
@@ -146,16 +146,16 @@
 // closeAndAwait has a server announce its closing, reports whether that is acknowledged, and has it send no heartbeat
 // any more.
 func closeAndAwait(s *Server) bool {
-	s.Close()
+	s.AnnounceClosing()
 	acked := Await(3*time.Second, "the closing is acknowledged", s.Acked) == nil
-	s.silent.Store(true)
+	s.heartbeatsStopped.Store(true)
 	return acked
 }
 
 // A sidecar that is asked to end answers what it has taken while its server is at work, until the last sixth of graceS,
 // and refuses what comes too late for that in place of cutting it off.
-func TestEndingSidecarAnswersOrRefuses(t *testing.T) {
-	m := startForPromises(t, Config{Net: 50, Core: 3, Tolerance: 1})
+func TestShutdownAnswersOrRejectsRequests(t *testing.T) {
+	m := startWithBounds(t, Config{Net: 50, Core: 3, Tolerance: 1})
 	x := m.Branch[2] // its server belongs to the other service, and goes on
 	ask := func(id string, work time.Duration) (status int, after time.Duration) {
 		began := time.Now()
@@ -196,8 +196,8 @@
 }
 
 // A request that comes long after SIGTERM, on a connection that is open, is refused if its time is not over before it would be cut off.
-func TestEndingSidecarRefusesWhatComesTooLate(t *testing.T) {
-	m := startForPromises(t, Config{Net: 51, Core: 3, Tolerance: 1})
+func TestShutdownRejectsRequestsThatCannotFinish(t *testing.T) {
+	m := startWithBounds(t, Config{Net: 51, Core: 3, Tolerance: 1})
 	x := m.Branch[2]
 	open := func() net.Conn {
 		c, err := net.Dial("tcp", x.outgoing())
@@ -241,11 +241,11 @@
 
 // The link of a machine is full, so that datagrams are lost on it: it is not lost by that, and what its server is at work on is not cut
 // off.
-func TestFullLinkIsNoLoss(t *testing.T) {
-	m := startForPromises(t, Config{Net: 52, Core: 3, Tolerance: 1, Links: true})
+func TestDatagramLossDoesNotCutOffRequests(t *testing.T) {
+	m := startWithBounds(t, Config{Net: 52, Core: 3, Tolerance: 1, Links: true})
 	must(t, Await(5*time.Second, "the long route is in force", func() bool {
 		status, err := m.Core[0].Put(longConfig(9))
-		served, _, _ := m.Branch[2].Ask(http.MethodGet, "plates.example", "/long/x", "warm-long", nil)
+		served, _, _ := m.Branch[2].Send(http.MethodGet, "plates.example", "/long/x", "warm-long", nil)
 		return err == nil && status == http.StatusOK && served == http.StatusOK
 	}))
 	var everybody []string
--- a/lab/mesh/leave_test.go
+++ b/lab/mesh/leave_test.go
@@ -24,7 +24,7 @@
 
 // A control machine that is asked to end hands its place to the one that stands by, within two thirds of graceS, and
 // what it had is on the others' disks.
-func TestControlMachineLeavesInOrder(t *testing.T) {
+func TestControlMachineShutdownHandsOverMembership(t *testing.T) {
 	m := start(t, 23)
 	first, err := status(m, m.Core[1])
 	must(t, err)
--- a/lab/mesh/mesh.go
+++ b/lab/mesh/mesh.go
@@ -30,17 +30,17 @@
 
 // Config describes a mesh.
 type Config struct {
-	Folder   string // for settings, disks and logs
-	Programs string // folder of firplank-proxy and firplank-control
-	Net      int    // the second number of the addresses, 127.Net.x.y, so that two meshes can stand side by side
-	Core     int
-	Services map[string]int // branch machines by the service that stands on them
-	Work     time.Duration  // of each request at a server
-	Zones    []string       // over which the machines of each role are spread in turn; empty: one zone
-	Between  bool           // a Between stands ahead of each branch machine's incoming address
-	Links    bool           // relays stand ahead of all addresses at which machines reach each other: Mesh.Network
-	Seed     uint64         // of the network's random choices
-	Bounds   []string       // of the settings; empty: defaultBounds
+	Folder     string // for settings, disks and logs
+	Programs   string // folder of firplank-proxy and firplank-control
+	Net        int    // the second number of the addresses, 127.Net.x.y, so that two meshes can stand side by side
+	Core       int
+	Services   map[string]int // branch machines by the service that stands on them
+	Work       time.Duration  // of each request at a server
+	Zones      []string       // over which the machines of each role are spread in turn; empty: one zone
+	ConnRelays bool           // a Between stands ahead of each branch machine's incoming address
+	Links      bool           // relays stand ahead of all addresses at which machines reach each other: Mesh.Network
+	Seed       uint64         // of the network's random choices
+	Bounds     []string       // of the settings; empty: defaultBounds
 	// Heartbeat is the interval of the servers' heartbeats; 0: defaultHeartbeat.
 	Heartbeat time.Duration
 	// Tolerance is how many core machines may be lost at a time.
@@ -52,7 +52,7 @@
 }
 
 // firstVersion is the version of the servers that a mesh starts with.
-const firstVersion = "v1"
+const initialVersion = "v1"
 
 const defaultHeartbeat = 300 * time.Millisecond
 
@@ -61,18 +61,18 @@
 
 // Machine is one process with its settings.
 type Machine struct {
-	Name, IP string
-	Zone     string
-	mesh     *Mesh
-	settings map[string]any
-	program  string
-	process  *exec.Cmd
-	pid      atomic.Int64 // of process
-	done     chan struct{}
-	Server   *Server    // nil on core machines
-	Between  *Between   // nil where there is none
-	peers    *Between   // ahead of the address for peers; nil: there is none
-	probes   *datagrams // the same, for datagrams
+	Name, IP   string
+	Zone       string
+	mesh       *Mesh
+	settings   map[string]any
+	program    string
+	process    *exec.Cmd
+	pid        atomic.Int64 // of process
+	done       chan struct{}
+	Server     *Server        // nil on core machines
+	ConnRelay  *ConnRelay     // nil where there is none
+	peerRelay  *ConnRelay     // ahead of the address for peers; nil: there is none
+	probeRelay *datagramRelay // the same, for datagrams
 }
 
 // Mesh is a mesh that runs.
@@ -89,11 +89,11 @@
 // ports is the first port of each machine. To it are added, where relays stand ahead of machines: advertisedPort for requests of other
 // sidecars, peerPort for peers, which listen at peerListenPort.
 const (
-	ports          = 7300
-	advertisedPort = ports + 10
-	peerListenPort = ports + 11
-	peerPort       = ports + 20
-	lastPeerPort   = ports + 35
+	basePort       = 7300
+	advertisedPort = basePort + 10
+	peerListenPort = basePort + 11
+	peerPort       = basePort + 20
+	lastPeerPort   = basePort + 35
 )
 
 // Start starts all machines. Stop ends them.
@@ -111,7 +111,7 @@
 		m.Core = append(m.Core, &Machine{Name: fmt.Sprintf("core-%d", i+1), IP: ip, Zone: cfg.Zones[i%len(cfg.Zones)],
 			mesh: m, program: "firplank-control"})
 		if i < 3 {
-			seeds = append(seeds, fmt.Sprintf("%s:%d", ip, ports+6))
+			seeds = append(seeds, fmt.Sprintf("%s:%d", ip, basePort+6))
 		}
 	}
 	n := 0
@@ -120,7 +120,7 @@
 			n++
 			ip := fmt.Sprintf("127.%d.1.%d", cfg.Net, n)
 			b := &Machine{Name: fmt.Sprintf("branch-%d", n), IP: ip, Zone: cfg.Zones[n%len(cfg.Zones)], mesh: m, program: "firplank-proxy"}
-			b.Server = &Server{machine: b, service: service, id: fmt.Sprintf("i-%08d", n), version: firstVersion}
+			b.Server = &Server{machine: b, service: service, id: fmt.Sprintf("i-%08d", n), version: initialVersion}
 			m.Branch = append(m.Branch, b)
 		}
 	}
@@ -148,30 +148,30 @@
 func (x *Machine) openRelays() (err error) {
 	at := func(port int) string { return fmt.Sprintf("%s:%d", x.IP, port) }
 	cfg, network := &x.mesh.cfg, x.mesh.Network
-	if (cfg.Between || cfg.Links) && x.Server != nil {
-		if x.Between, err = newBetween(at(advertisedPort), at(ports), x.Name, network, true); err != nil {
+	if (cfg.ConnRelays || cfg.Links) && x.Server != nil {
+		if x.ConnRelay, err = newConnRelay(at(advertisedPort), at(basePort), x.Name, network, true); err != nil {
 			return err
 		}
 	}
 	if !cfg.Links {
 		return nil
 	}
-	if x.peers, err = newBetween(at(peerPort), at(peerListenPort), x.Name, network, false); err != nil {
+	if x.peerRelay, err = newConnRelay(at(peerPort), at(peerListenPort), x.Name, network, false); err != nil {
 		return err
 	}
-	x.probes, err = newDatagrams(at(peerPort), at(peerListenPort), x.Name, network)
+	x.probeRelay, err = newDatagramRelay(at(peerPort), at(peerListenPort), x.Name, network)
 	return err
 }
 
 func (x *Machine) closeRelays() {
-	if x.Between != nil {
-		x.Between.close()
+	if x.ConnRelay != nil {
+		x.ConnRelay.close()
 	}
-	if x.peers != nil {
-		x.peers.close()
+	if x.peerRelay != nil {
+		x.peerRelay.close()
 	}
-	if x.probes != nil {
-		x.probes.close()
+	if x.probeRelay != nil {
+		x.probeRelay.close()
 	}
 }
 
@@ -189,7 +189,7 @@
 
 // settingsFile is the content of a machine's settings file; JSON is YAML.
 func (x *Machine) settingsFile(seeds []string) map[string]any {
-	at := func(port int) string { return fmt.Sprintf("%s:%d", x.IP, ports+port) }
+	at := func(port int) string { return fmt.Sprintf("%s:%d", x.IP, basePort+port) }
 	zones := map[string]string{}
 	for _, zone := range x.mesh.cfg.Zones {
 		zones[zone] = "here"
@@ -202,14 +202,14 @@
 	}
 	addresses := map[string]string{"control": at(6)}
 	s["addresses"] = addresses
-	if x.peers != nil {
+	if x.peerRelay != nil {
 		addresses["peerListen"] = fmt.Sprintf("%s:%d", x.IP, peerListenPort)
 	}
 	if x.Server == nil {
 		s["dataPath"] = filepath.Join(x.mesh.cfg.Folder, x.Name, "data")
 	} else {
 		addresses["incoming"], addresses["outgoing"], addresses["readiness"] = at(0), at(4), at(2)
-		if x.Between != nil {
+		if x.ConnRelay != nil {
 			addresses["advertised"] = fmt.Sprintf("%s:%d", x.IP, advertisedPort)
 		}
 		s["appAddr"], s["line"] = at(1), x.Server.service
@@ -297,13 +297,13 @@
 
 // Ready reports whether a branch machine wants clients.
 func (x *Machine) Ready() bool {
-	status, _, err := x.mesh.call(http.MethodGet, fmt.Sprintf("http://%s:%d/ready", x.IP, ports+2), nil, nil, time.Second)
+	status, _, err := x.mesh.call(http.MethodGet, fmt.Sprintf("http://%s:%d/ready", x.IP, basePort+2), nil, nil, time.Second)
 	return err == nil && status == http.StatusOK
 }
 
 // call makes a call and returns its answer's status and body.
-func (m *Mesh) call(method, url string, header map[string]string, body []byte, patience time.Duration) (int, []byte, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (m *Mesh) call(method, url string, header map[string]string, body []byte, timeout time.Duration) (int, []byte, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
@@ -327,21 +327,21 @@
 
 // Put puts a configuration at a core machine.
 func (x *Machine) Put(body []byte) (status int, err error) {
-	status, _, err = x.mesh.call(http.MethodPost, fmt.Sprintf("http://%s:%d/Timetable.Replace", x.IP, ports+6), nil, body, 4*time.Second)
+	status, _, err = x.mesh.call(http.MethodPost, fmt.Sprintf("http://%s:%d/Timetable.Replace", x.IP, basePort+6), nil, body, 4*time.Second)
 	return status, err
 }
 
 // Read reads the configuration back.
 func (x *Machine) Read() (status int, body []byte, err error) {
-	return x.mesh.call(http.MethodGet, fmt.Sprintf("http://%s:%d/Timetable.Read", x.IP, ports+6), nil, nil, 4*time.Second)
+	return x.mesh.call(http.MethodGet, fmt.Sprintf("http://%s:%d/Timetable.Read", x.IP, basePort+6), nil, nil, 4*time.Second)
 }
 
 // outgoing is the address of a branch machine for its clients.
-func (x *Machine) outgoing() string { return net.JoinHostPort(x.IP, strconv.Itoa(ports+4)) }
+func (x *Machine) outgoing() string { return net.JoinHostPort(x.IP, strconv.Itoa(basePort+4)) }
 
 // OutgoingURL is the URL of a path at the address of a branch machine for its clients.
 func (x *Machine) OutgoingURL(path string) string {
-	return fmt.Sprintf("http://%s:%d%s", x.IP, ports+4, path)
+	return fmt.Sprintf("http://%s:%d%s", x.IP, basePort+4, path)
 }
 
 // MetricsURL is the URL of a machine's figures.
@@ -383,8 +383,8 @@
 }
 
 // Ask sends a client's request by way of a branch machine.
-func (x *Machine) Ask(method, host, path, id string, body []byte) (status int, answer []byte, err error) {
-	return x.mesh.call(method, fmt.Sprintf("http://%s:%d%s", x.IP, ports+4, path),
+func (x *Machine) Send(method, host, path, id string, body []byte) (status int, answer []byte, err error) {
+	return x.mesh.call(method, fmt.Sprintf("http://%s:%d%s", x.IP, basePort+4, path),
 		map[string]string{"Host": host, "Try-Id": id, "Deadline-Ms": "3000"}, body, 4*time.Second)
 }
 
@@ -396,11 +396,11 @@
 }
 
 // Await waits until something holds.
-func Await(patience time.Duration, what string, holds func() bool) error {
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+func Await(timeout time.Duration, condition string, holds func() bool) error {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if holds() {
 			return nil
 		}
 	}
-	return errors.New("in vain: " + what)
+	return errors.New("in vain: " + condition)
 }
--- a/lab/mesh/mesh_test.go
+++ b/lab/mesh/mesh_test.go
@@ -66,7 +66,7 @@
 	must(t, err)
 	m, err := Start(Config{
 		Folder: t.TempDir(), Programs: programs, Net: number, Core: 4,
-		Services: map[string]int{"records": 3, "registry": 2}, Work: 20 * time.Millisecond, Between: between,
+		Services: map[string]int{"records": 3, "registry": 2}, Work: 20 * time.Millisecond, ConnRelays: between,
 	})
 	must(t, err)
 	stopAtEnd(t, m)
@@ -84,7 +84,7 @@
 	}))
 	must(t, Await(5*time.Second, "servers are known", func() bool {
 		for i, path := range []string{"/look/1", "/file/1"} {
-			status, _, err := m.Branch[i].Ask(http.MethodGet, "plates.example", path, "warm", nil)
+			status, _, err := m.Branch[i].Send(http.MethodGet, "plates.example", path, "warm", nil)
 			if err != nil || status != http.StatusOK {
 				return false
 			}
@@ -99,12 +99,12 @@
 
 // A complete mesh of real processes: two hops, who sends, routes that are not there, drains, kills of sidecars and of all of the core, a
 // disk that is lost.
-func TestSeveralProcessesWithFaultsBetween(t *testing.T) {
+func TestMeshSurvivesProcessFaults(t *testing.T) {
 	m := start(t, 21)
 	checkAnswers(t, m)
 	load := beginLoad(t, m)
 	closing := m.Branch[0].Server // a server of the records service drains
-	closing.Close()
+	closing.AnnounceClosing()
 	must(t, Await(3*time.Second, "a server's closing is acknowledged", closing.Acked))
 
 	m.Branch[4].Kill() // a sidecar beside a server of the registry service
@@ -115,11 +115,11 @@
 	must(t, Await(5*time.Second, "enough is served to tell a share", func() bool { return load.served.Load() >= enoughServed }))
 	load.end()
 	t.Logf("served %d, refused %d, failed %d; late at the closing server: %d", load.served.Load(), load.refused.Load(),
-		load.failed.Load(), closing.Late.Load())
-	if load.doubled.Load() > 0 {
-		t.Errorf("%d requests that may run once ran twice", load.doubled.Load())
+		load.failed.Load(), closing.ServedAfterAck.Load())
+	if load.duplicated.Load() > 0 {
+		t.Errorf("%d requests that may run once ran twice", load.duplicated.Load())
 	}
-	if n := closing.Late.Load(); n > 0 {
+	if n := closing.ServedAfterAck.Load(); n > 0 {
 		t.Errorf("%d requests reached a server whose closing was acknowledged", n)
 	}
 	if n := load.served.Load(); n < enoughServed || load.failed.Load() > n/10 {
@@ -130,11 +130,11 @@
 // checkAnswers checks single requests and configurations: one that is served, one without a route, and two configurations that are invalid.
 func checkAnswers(t *testing.T, m *Mesh) {
 	t.Helper()
-	status, body, err := m.Branch[0].Ask(http.MethodGet, "plates.example", "/look/9", "one", nil)
+	status, body, err := m.Branch[0].Send(http.MethodGet, "plates.example", "/look/9", "one", nil)
 	if want := "one from records for records"; err != nil || status != http.StatusOK || string(body) != want {
 		t.Errorf("answered %d %q, %v: want %q", status, body, err, want)
 	}
-	if status, _, _ := m.Branch[0].Ask(http.MethodGet, "plates.example", "/nowhere/", "two", nil); status != http.StatusNotFound {
+	if status, _, _ := m.Branch[0].Send(http.MethodGet, "plates.example", "/nowhere/", "two", nil); status != http.StatusNotFound {
 		t.Errorf("no route: answered %d", status)
 	}
 	for _, bad := range []string{`{"edition":"00000009"`, strings.Replace(string(config(9)), `"line":"records"`, `"line":"unknown"`, 1)} {
@@ -146,7 +146,7 @@
 
 // requestLoad is requests that go on until end, and what became of them.
 type requestLoad struct {
-	served, refused, failed, doubled atomic.Int64
+	served, refused, failed, duplicated atomic.Int64
 
 	stop  chan struct{}
 	tasks sync.WaitGroup
@@ -182,7 +182,7 @@
 	if number%3 == 0 {
 		method, path = http.MethodPost, "/file/x"
 	}
-	status, _, err := m.Branch[sidecar].Ask(method, "plates.example", path, id, []byte(strings.Repeat("b", 100*(number%3))))
+	status, _, err := m.Branch[sidecar].Send(method, "plates.example", path, id, []byte(strings.Repeat("b", 100*(number%3))))
 	switch {
 	case err == nil && status == http.StatusOK:
 		l.served.Add(1)
@@ -195,7 +195,7 @@
 		l.failed.Add(1)
 	}
 	if method == http.MethodPost && m.Runs(id) > 1 {
-		l.doubled.Add(1)
+		l.duplicated.Add(1)
 	}
 }
 
--- a/lab/mesh/network.go
+++ b/lab/mesh/network.go
@@ -97,7 +97,7 @@
 	return len(resets)
 }
 
-func (n *Network) add(c *relayedConn) (remove func()) {
+func (n *Network) track(c *relayedConn) (remove func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.conns[c] = struct{}{}
@@ -124,7 +124,7 @@
 }
 
 // pass waits until bytes may go over a link. It reports false where their connection breaks.
-func (n *Network) pass(from, to string) bool {
+func (n *Network) awaitLink(from, to string) bool {
 	var timeout <-chan time.Time
 	for {
 		link, changed := n.link(from, to)
@@ -146,14 +146,14 @@
 }
 
 // datagrams relays the probes that come to a machine.
-type datagrams struct {
+type datagramRelay struct {
 	conn    *net.UDPConn
 	to      *net.UDPAddr
 	name    string
 	network *Network
 }
 
-func newDatagrams(at, to, name string, n *Network) (*datagrams, error) {
+func newDatagramRelay(at, to, name string, n *Network) (*datagramRelay, error) {
 	local, err := net.ResolveUDPAddr("udp", at)
 	if err != nil {
 		return nil, err
@@ -166,13 +166,13 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &datagrams{conn: conn, to: target, name: name, network: n}
-	go d.carry()
+	d := &datagramRelay{conn: conn, to: target, name: name, network: n}
+	go d.forward()
 	return d, nil
 }
 
 // carry passes datagrams on, but for those whose link is cut. A delay is that of all that follow.
-func (d *datagrams) carry() {
+func (d *datagramRelay) forward() {
 	buf := make([]byte, 1<<16)
 	for {
 		n, _, err := d.conn.ReadFromUDP(buf)
@@ -190,7 +190,7 @@
 	}
 }
 
-func (d *datagrams) close() { _ = d.conn.Close() } // nothing is lost by an error
+func (d *datagramRelay) close() { _ = d.conn.Close() } // nothing is lost by an error
 
 // tcpTable is where the kernel lists the TCP sockets of IPv4, and inodeColumn the column of a line that is read, counted from the one
 // behind both addresses.
@@ -202,7 +202,7 @@
 // socketInode returns the inode of the socket that is the other end of a connection to this process: its local address
 // is remote, and its peer local. Empty: it is not found. The table has a line for each socket of the machine, so that only the one that
 // is wanted is taken apart.
-func socketInode(local, remote *net.TCPAddr) string {
+func inodeFromTable(local, remote *net.TCPAddr) string {
 	table, err := os.ReadFile(tcpTable)
 	if err != nil {
 		return ""
@@ -243,9 +243,9 @@
 
 // machineOf returns the name of the machine whose process is at the other end of a connection; empty: none of them.
 func (m *Mesh) machineOf(local, remote *net.TCPAddr) string {
-	inode := diagnoseInode(remote, local)
+	inode := inodeBySockDiag(remote, local)
 	if inode == "" {
-		inode = socketInode(local, remote)
+		inode = inodeFromTable(local, remote)
 	}
 	if inode == "" {
 		return ""
--- a/lab/mesh/rollout.go
+++ b/lab/mesh/rollout.go
@@ -8,7 +8,7 @@
 )
 
 // operatorPatience is how long an operator waits for the answer to a call.
-const operatorPatience = 4 * time.Second
+const operatorTimeout = 4 * time.Second
 
 // RolloutOrder is an order of a rollout, in the users' names.
 type RolloutOrder struct {
@@ -23,14 +23,14 @@
 	if err != nil {
 		return 0, err
 	}
-	status, _, err = x.mesh.call(http.MethodPost, fmt.Sprintf("http://%s:%d/Rollouts.Start", x.IP, ports+6), nil, body, operatorPatience)
+	status, _, err = x.mesh.call(http.MethodPost, fmt.Sprintf("http://%s:%d/Rollouts.Start", x.IP, basePort+6), nil, body, operatorTimeout)
 	return status, err
 }
 
 // ReadRollout reads the condition of a service's rollout at a core machine; empty: it is not known there now.
 func (x *Machine) ReadRollout(service string) (condition string) {
-	status, body, err := x.mesh.call(http.MethodGet, fmt.Sprintf("http://%s:%d/Rollouts.Read/%s", x.IP, ports+6, service), nil, nil,
-		operatorPatience)
+	status, body, err := x.mesh.call(http.MethodGet, fmt.Sprintf("http://%s:%d/Rollouts.Read/%s", x.IP, basePort+6, service), nil, nil,
+		operatorTimeout)
 	var answer struct {
 		Condition string `json:"condition"`
 	}
--- a/lab/mesh/rollout_test.go
+++ b/lab/mesh/rollout_test.go
@@ -33,7 +33,7 @@
 	}
 	counter, _ := r.byVersion.LoadOrStore(a.Version, &atomic.Int64{})
 	counter.(*atomic.Int64).Add(1)
-	if r.stopped.Load() && a.Version == firstVersion {
+	if r.stopped.Load() && a.Version == initialVersion {
 		r.late.Add(1)
 	}
 }
@@ -57,7 +57,7 @@
 	}))
 	for i, x := range r.Branch {
 		must(t, Await(10*time.Second, x.Name+" serves", func() bool {
-			status, _, err := x.Ask(http.MethodGet, "plates.example", "/file/1", fmt.Sprintf("warm-%d", i), nil)
+			status, _, err := x.Send(http.MethodGet, "plates.example", "/file/1", fmt.Sprintf("warm-%d", i), nil)
 			return err == nil && status == http.StatusOK
 		}))
 	}
@@ -67,7 +67,7 @@
 		return err == nil && status == http.StatusOK
 	}))
 	for _, x := range r.Branch[3:] {
-		x.CurrentServer().Close()
+		x.CurrentServer().AnnounceClosing()
 		must(t, Await(3*time.Second, "an old server drains", x.CurrentServer().Acked))
 	}
 	time.Sleep(200 * time.Millisecond) // what the draining servers hold
@@ -90,7 +90,7 @@
 				}
 				id := fmt.Sprintf("rollout-%d-%d", i, n)
 				r.requests.Add(1)
-				status, _, err := x.Ask(http.MethodPost, "plates.example", "/file/1", id, nil)
+				status, _, err := x.Send(http.MethodPost, "plates.example", "/file/1", id, nil)
 				switch {
 				case err == nil && status == http.StatusOK:
 					r.served.Add(1)
@@ -117,7 +117,7 @@
 
 // Old servers are stopped the moment that the rollout is delivered: no request is lost by it, none runs twice, and none comes to them. A
 // control machine is killed and comes back meanwhile.
-func TestOldServersMayStopOnDelivered(t *testing.T) {
+func TestOldServersMayStopOnceRolloutIsDelivered(t *testing.T) {
 	r := newRolloutTest(t, 53, 6, Behaviour{})
 	r.Core[0].Kill()
 	must(t, r.Core[0].Start(false))
@@ -166,7 +166,7 @@
 	r := newRolloutTest(t, 55, 6, Behaviour{})
 	must(t, Await(5*time.Second, "the route for downloads is in force", func() bool {
 		put, err := r.Core[0].Put(scanConfig(9))
-		served, _, _ := r.Branch[0].Ask(http.MethodGet, "plates.example", "/scan/x", "warm-scan", nil)
+		served, _, _ := r.Branch[0].Send(http.MethodGet, "plates.example", "/scan/x", "warm-scan", nil)
 		return err == nil && put == http.StatusOK && served == http.StatusOK
 	}))
 	var scans sync.WaitGroup
--- a/lab/mesh/server.go
+++ b/lab/mesh/server.go
@@ -31,7 +31,7 @@
 	// Remaining is the time that the request has left by its header; 0: it names none.
 	Remaining time.Duration
 	// Spoilt: the server will break the connection off.
-	Spoilt bool
+	Aborted bool
 	// SinceClosing is how long ago the closing of the server was acknowledged; 0: it was not.
 	SinceClosing time.Duration
 }
@@ -39,28 +39,28 @@
 // Server stands in for an application's server: it sends heartbeats, runs what it is sent, and counts what has run. A Server is one life:
 // its successor at the same address is another one (Machine.ReplaceServer).
 type Server struct {
-	machine   *Machine
-	service   string
-	id        string
-	version   string // of its software
-	http      *http.Server
-	stop      chan struct{}
-	once      sync.Once
-	closing   atomic.Bool
-	silent    atomic.Bool  // it sends no heartbeats any more
-	acked     atomic.Bool  // that it closes
-	ackedAt   atomic.Int64 // when, in Unix nanoseconds
-	behaviour atomic.Pointer[Behaviour]
-	calls     atomic.Int64 // that it has made
-	Served    atomic.Int64
-	Late      atomic.Int64 // requests that came after its closing was acknowledged
+	machine           *Machine
+	service           string
+	id                string
+	version           string // of its software
+	http              *http.Server
+	stop              chan struct{}
+	stopOnce          sync.Once
+	closing           atomic.Bool
+	heartbeatsStopped atomic.Bool  // it sends no heartbeats any more
+	acked             atomic.Bool  // that it closes
+	ackedAt           atomic.Int64 // when, in Unix nanoseconds
+	behaviour         atomic.Pointer[Behaviour]
+	calls             atomic.Int64 // that it has made
+	Served            atomic.Int64
+	ServedAfterAck    atomic.Int64 // requests that came after its closing was acknowledged
 }
 
 // ID is the server's id.
 func (s *Server) ID() string { return s.id }
 
 func (s *Server) start() error {
-	ln, err := net.Listen("tcp", fmt.Sprintf("%s:%d", s.machine.IP, ports+1))
+	ln, err := net.Listen("tcp", fmt.Sprintf("%s:%d", s.machine.IP, basePort+1))
 	if err != nil {
 		return err
 	}
@@ -76,7 +76,7 @@
 	if s.stop == nil {
 		return
 	}
-	s.once.Do(func() {
+	s.stopOnce.Do(func() {
 		close(s.stop)
 		_ = s.http.Close() // serving ends either way
 	})
@@ -92,7 +92,7 @@
 	before := x.CurrentServer()
 	before.Stop()
 	next := &Server{machine: x, service: before.service, id: nextServerID(before.id), version: version}
-	next.Behave(b)
+	next.SetBehaviour(b)
 	if err := next.start(); err != nil {
 		return nil, err
 	}
@@ -115,18 +115,18 @@
 // nextServerID is the id of the life after that of an id: "i-00000003", "i-00000003-2", "i-00000003-3".
 func nextServerID(id string) string {
 	const first = len("i-00000000")
-	life := 1
+	generation := 1
 	if len(id) > first {
-		life, _ = strconv.Atoi(id[first+1:]) // made here
+		generation, _ = strconv.Atoi(id[first+1:]) // made here
 	}
-	return fmt.Sprintf("%s-%d", id[:first], life+1)
+	return fmt.Sprintf("%s-%d", id[:first], generation+1)
 }
 
 // Behave has the server behave so from now on.
-func (s *Server) Behave(b Behaviour) { s.behaviour.Store(&b) }
+func (s *Server) SetBehaviour(b Behaviour) { s.behaviour.Store(&b) }
 
 // Close announces in heartbeats that the server will end. It goes on serving.
-func (s *Server) Close() { s.closing.Store(true) }
+func (s *Server) AnnounceClosing() { s.closing.Store(true) }
 
 // Acked reports whether the mesh has acknowledged that.
 func (s *Server) Acked() bool { return s.acked.Load() }
@@ -134,9 +134,9 @@
 // Leave deregisters the server, without a heartbeat that announces it before. It goes on serving, sends no more heartbeats, and reports
 // whether the mesh has acknowledged.
 func (s *Server) Leave() bool {
-	s.silent.Store(true)
+	s.heartbeatsStopped.Store(true)
 	status, _, err := s.machine.mesh.call(http.MethodPost,
-		fmt.Sprintf("http://%s:%d/Servers.Leave/%s", s.machine.IP, ports+6, s.id), nil, nil, time.Second)
+		fmt.Sprintf("http://%s:%d/Servers.Leave/%s", s.machine.IP, basePort+6, s.id), nil, nil, time.Second)
 	if err != nil || status != http.StatusOK {
 		return false
 	}
@@ -151,7 +151,7 @@
 }
 
 func (s *Server) sendHeartbeats() {
-	for sequence := 1; !s.silent.Load(); sequence++ {
+	for sequence := 1; !s.heartbeatsStopped.Load(); sequence++ {
 		closing := s.closing.Load()
 		if s.SendHeartbeat(sequence, closing) && closing {
 			s.acknowledged()
@@ -171,11 +171,11 @@
 		condition = "closing"
 	}
 	body, _ := json.Marshal(map[string]any{
-		"line": s.service, "address": fmt.Sprintf("%s:%d", s.machine.IP, ports+1), "zone": s.machine.Zone, "edition": s.version, "berths": 8,
+		"line": s.service, "address": fmt.Sprintf("%s:%d", s.machine.IP, basePort+1), "zone": s.machine.Zone, "edition": s.version, "berths": 8,
 		"condition": condition, "coldLeftS": 0, "sequence": sequence,
 	})
 	status, _, err := s.machine.mesh.call(http.MethodPost,
-		fmt.Sprintf("http://%s:%d/Servers.Beat/%s", s.machine.IP, ports+6, s.id), nil, body, time.Second)
+		fmt.Sprintf("http://%s:%d/Servers.Beat/%s", s.machine.IP, basePort+6, s.id), nil, body, time.Second)
 	return err == nil && status == http.StatusOK
 }
 
@@ -206,19 +206,19 @@
 	failed := rand.Float64() < b.Fail
 	dropped, garbled := rand.Float64() < b.Drop, rand.Float64() < b.Garble
 	s.record(Arrival{
-		RequestID: id, Sender: r.Header.Get("Sender-Line"), Remaining: remaining(r), Spoilt: dropped || garbled,
+		RequestID: id, Sender: r.Header.Get("Sender-Line"), Remaining: remaining(r), Aborted: dropped || garbled,
 	})
 	select {
-	case <-time.After(s.machine.mesh.cfg.Work + b.Delay + workOf(r)):
+	case <-time.After(s.machine.mesh.cfg.Work + b.Delay + extraWork(r)):
 	case <-r.Context().Done():
 		return
 	}
 	called := s.makeCall(r, time.Since(began))
 	switch {
 	case dropped:
-		breakOff(w, "")
+		closeConnection(w, "")
 	case garbled:
-		breakOff(w, "these bytes are no answer\r\n\r\n")
+		closeConnection(w, "these bytes are no answer\r\n\r\n")
 	default:
 		w.Header().Set("Postmark", "stand-in."+s.id)
 		if !called || failed {
@@ -226,15 +226,15 @@
 			return
 		}
 		_, _ = fmt.Fprintf(w, "%s from %s for %s", id, s.service, r.Header.Get("Sender-Line")) // fails only where the client is gone
-		writePadding(w, number(r, "bytes"))
+		writePadding(w, queryNumber(r, "bytes"))
 	}
 }
 
 // makeCall makes the call that a request asks for, by way of the server's own machine: "/look/x?calls=3" has the server call
 // "/look/x?calls=2". It ends with the request, which the server has had for a while. It reports whether that succeeded; a request that
 // asks for none has succeeded.
-func (s *Server) makeCall(r *http.Request, had time.Duration) bool {
-	depth, left := number(r, "calls"), remaining(r)-had
+func (s *Server) makeCall(r *http.Request, elapsed time.Duration) bool {
+	depth, left := queryNumber(r, "calls"), remaining(r)-elapsed
 	if depth == 0 || left <= 0 {
 		return depth == 0
 	}
@@ -273,7 +273,7 @@
 // serveHealth answers a health check as the users' page on the protocol has it.
 func (s *Server) serveHealth(w http.ResponseWriter) {
 	w.Header().Set("Served-By", s.id)
-	if s.closing.Load() || s.silent.Load() {
+	if s.closing.Load() || s.heartbeatsStopped.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
@@ -283,7 +283,7 @@
 	m, now := s.machine.mesh, time.Now()
 	arrival.Server, arrival.Service, arrival.Version, arrival.At = s.id, s.service, s.version, now
 	if s.acked.Load() {
-		s.Late.Add(1)
+		s.ServedAfterAck.Add(1)
 		arrival.SinceClosing = now.Sub(time.Unix(0, s.ackedAt.Load()))
 	}
 	m.mu.Lock()
@@ -296,12 +296,12 @@
 }
 
 // workOf is the work that a request asks for beside the usual, in milliseconds: "/look/x?work=1500".
-func workOf(r *http.Request) time.Duration {
-	return time.Duration(number(r, "work")) * time.Millisecond
+func extraWork(r *http.Request) time.Duration {
+	return time.Duration(queryNumber(r, "work")) * time.Millisecond
 }
 
 // number is a number in a request's query; 0: there is none.
-func number(r *http.Request, name string) int {
+func queryNumber(r *http.Request, name string) int {
 	n, err := strconv.Atoi(r.URL.Query().Get(name))
 	if err != nil {
 		return 0
@@ -319,7 +319,7 @@
 }
 
 // breakOff writes bytes to a request's connection, and closes it.
-func breakOff(w http.ResponseWriter, text string) {
+func closeConnection(w http.ResponseWriter, text string) {
 	conn, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
 		return
--- a/lab/mesh/sockdiag.go
+++ b/lab/mesh/sockdiag.go
@@ -25,7 +25,7 @@
 // diagnoseInode asks the kernel for the inode of the TCP socket of IPv4 whose local address is source and whose peer is at destination. In
 // contrast to a look at tcpTable it costs the same however many sockets the machine has. It returns an empty string where the kernel does
 // not tell.
-func diagnoseInode(source, destination *net.TCPAddr) string {
+func inodeBySockDiag(source, destination *net.TCPAddr) string {
 	if source.IP.To4() == nil || destination.IP.To4() == nil {
 		return ""
 	}
--- a/lab/mesh/sockdiag_test.go
+++ b/lab/mesh/sockdiag_test.go
@@ -6,7 +6,7 @@
 )
 
 // The kernel tells the same inode of a connection's other end in both ways.
-func TestInodeOfTheOtherEnd(t *testing.T) {
+func TestPeerSocketInode(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must(t, err)
 	defer func() { _ = ln.Close() }() // it has nothing to lose
@@ -17,11 +17,11 @@
 	must(t, err)
 	defer func() { _ = server.Close() }() // nothing was written
 	local, remote := server.LocalAddr().(*net.TCPAddr), server.RemoteAddr().(*net.TCPAddr)
-	byTable := socketInode(local, remote)
-	if byDiagnosis := diagnoseInode(remote, local); byTable == "" || byDiagnosis != byTable {
+	byTable := inodeFromTable(local, remote)
+	if byDiagnosis := inodeBySockDiag(remote, local); byTable == "" || byDiagnosis != byTable {
 		t.Errorf("%q by the kernel's answer, %q by its table", byDiagnosis, byTable)
 	}
-	if got := diagnoseInode(local, &net.TCPAddr{IP: remote.IP, Port: 1}); got != "" {
+	if got := inodeBySockDiag(local, &net.TCPAddr{IP: remote.IP, Port: 1}); got != "" {
 		t.Errorf("a socket that isn't there has the inode %q", got)
 	}
 }
--- a/lab/relay/relay.go
+++ b/lab/relay/relay.go
@@ -16,32 +16,32 @@
 
 // Link is how one direction between two sidecars is. The zero value carries all.
 type Link struct {
-	Cut           bool
-	Delay         time.Duration // each datagram up to twice that, so that they overtake one another
-	Loss, Doubled float64       // shares
+	Cut              bool
+	Delay            time.Duration // each datagram up to twice that, so that they overtake one another
+	Loss, Duplicated float64       // shares
 }
 
 // mostLate bounds the datagrams that are kept back at a time.
-const mostLate = 4096
+const maxDelayed = 4096
 
 // Relay is the sockets between a number of sidecars.
 type Relay struct {
-	own   []netip.AddrPort
-	socks [][]*net.UDPConn // [i][j]: the address that i knows j by
+	addresses []netip.AddrPort
+	sockets   [][]*net.UDPConn // [i][j]: the address that i knows j by
 
-	mu    sync.Mutex
-	links [][]Link // [i][j]: from i to j
-	rng   *rand.Rand
-	late  int
-	done  bool
+	mu       sync.Mutex
+	links    [][]Link // [i][j]: from i to j
+	rng      *rand.Rand
+	delayed  int
+	isClosed bool
 
-	carried, lost int
-	tasks         sync.WaitGroup
+	forwarded, lost int
+	tasks           sync.WaitGroup
 }
 
 // New opens the sockets between n sidecars, and keeps addresses for theirs until Free. Chance comes from the seed.
 func New(n int, seed uint64) (*Relay, error) {
-	r := &Relay{own: make([]netip.AddrPort, n), rng: rand.New(rand.NewPCG(seed, 0))}
+	r := &Relay{addresses: make([]netip.AddrPort, n), rng: rand.New(rand.NewPCG(seed, 0))}
 	var kept []*net.UDPConn
 	for i := range n {
 		c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -50,14 +50,14 @@
 			return nil, fmt.Errorf("relay: %w", err)
 		}
 		kept = append(kept, c)
-		r.own[i] = c.LocalAddr().(*net.UDPAddr).AddrPort()
+		r.addresses[i] = c.LocalAddr().(*net.UDPAddr).AddrPort()
 		r.links = append(r.links, make([]Link, n))
-		r.socks = append(r.socks, make([]*net.UDPConn, n))
+		r.sockets = append(r.sockets, make([]*net.UDPConn, n))
 		for j := range n {
 			if i == j {
 				continue
 			}
-			if r.socks[i][j], err = net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}); err != nil {
+			if r.sockets[i][j], err = net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}); err != nil {
 				r.Close()
 				return nil, fmt.Errorf("relay: %w", err)
 			}
@@ -69,7 +69,7 @@
 	for i := range n {
 		for j := range n {
 			if i != j {
-				r.tasks.Go(func() { r.carry(i, j) })
+				r.tasks.Go(func() { r.forward(i, j) })
 			}
 		}
 	}
@@ -77,15 +77,15 @@
 }
 
 // Own is where a sidecar listens, and Peers what it knows all by.
-func (r *Relay) Own(i int) string { return r.own[i].String() }
+func (r *Relay) Address(i int) string { return r.addresses[i].String() }
 
 // Peers returns the addresses that a sidecar knows all sidecars by.
 func (r *Relay) Peers(i int) (all []string) {
-	for j := range r.own {
+	for j := range r.addresses {
 		if i == j {
-			all = append(all, r.Own(i))
+			all = append(all, r.Address(i))
 		} else {
-			all = append(all, r.socks[i][j].LocalAddr().String())
+			all = append(all, r.sockets[i][j].LocalAddr().String())
 		}
 	}
 	return all
@@ -108,7 +108,7 @@
 func (r *Relay) Counts() (carried, lost int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.carried, r.lost
+	return r.forwarded, r.lost
 }
 
 // Flood sends datagrams that mean nothing to sidecars, so many a second to each, until ctx ends: from an address that
@@ -139,41 +139,41 @@
 			size := 1 + rng.IntN(len(b))
 			for _, i := range to {
 				c := foreign
-				if j := rng.IntN(len(r.own)); n%2 == 0 && j != i {
-					c = r.socks[i][j]
+				if j := rng.IntN(len(r.addresses)); n%2 == 0 && j != i {
+					c = r.sockets[i][j]
 				}
-				_, _ = c.WriteToUDPAddrPort(b[:size], r.own[i]) // a datagram may be lost
+				_, _ = c.WriteToUDPAddrPort(b[:size], r.addresses[i]) // a datagram may be lost
 			}
 		}
 	}
 }
 
 // carry passes on what i sends to j.
-func (r *Relay) carry(i, j int) {
+func (r *Relay) forward(i, j int) {
 	b := make([]byte, 1<<16)
 	for {
-		n, from, err := r.socks[i][j].ReadFromUDPAddrPort(b)
+		n, from, err := r.sockets[i][j].ReadFromUDPAddrPort(b)
 		if err != nil {
 			if r.closed() {
 				return
 			}
 			continue // of a datagram that found nobody
 		}
-		if from != r.own[i] {
+		if from != r.addresses[i] {
 			continue
 		}
-		for _, delay := range r.fate(i, j) {
+		for _, delay := range r.copyDelays(i, j) {
 			if delay == 0 {
-				_, _ = r.socks[j][i].WriteToUDPAddrPort(b[:n], r.own[j]) // a datagram may be lost
+				_, _ = r.sockets[j][i].WriteToUDPAddrPort(b[:n], r.addresses[j]) // a datagram may be lost
 				continue
 			}
 			data := append([]byte(nil), b[:n]...)
 			r.tasks.Add(1)
 			time.AfterFunc(delay, func() {
 				defer r.tasks.Done()
-				_, _ = r.socks[j][i].WriteToUDPAddrPort(data, r.own[j]) // a datagram may be lost
+				_, _ = r.sockets[j][i].WriteToUDPAddrPort(data, r.addresses[j]) // a datagram may be lost
 				r.mu.Lock()
-				r.late--
+				r.delayed--
 				r.mu.Unlock()
 			})
 		}
@@ -181,23 +181,23 @@
 }
 
 // fate returns how late each copy of a datagram comes; none where it is lost.
-func (r *Relay) fate(i, j int) (copies []time.Duration) {
+func (r *Relay) copyDelays(i, j int) (copies []time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	l := r.links[i][j]
-	if l.Cut || r.rng.Float64() < l.Loss || r.late >= mostLate {
+	if l.Cut || r.rng.Float64() < l.Loss || r.delayed >= maxDelayed {
 		r.lost++
 		return nil
 	}
-	r.carried++
+	r.forwarded++
 	for range 2 {
 		delay := time.Duration(0)
 		if l.Delay > 0 {
 			delay = 1 + time.Duration(r.rng.Int64N(int64(2*l.Delay)))
-			r.late++
+			r.delayed++
 		}
 		copies = append(copies, delay)
-		if r.rng.Float64() >= l.Doubled {
+		if r.rng.Float64() >= l.Duplicated {
 			break
 		}
 	}
@@ -207,15 +207,15 @@
 func (r *Relay) closed() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.done
+	return r.isClosed
 }
 
 // Close closes the sockets and waits for what is kept back.
 func (r *Relay) Close() {
 	r.mu.Lock()
-	r.done = true
+	r.isClosed = true
 	r.mu.Unlock()
-	for _, row := range r.socks {
+	for _, row := range r.sockets {
 		for _, c := range row {
 			if c != nil {
 				_ = c.Close() // the connection is released even where this fails
--- a/lab/run/config.go
+++ b/lab/run/config.go
@@ -173,7 +173,7 @@
 		"known":  known, "settings": settings(s, number),
 	}
 	if links != nil {
-		file["peer_listen"], file["peers"] = links.Own(number), links.Peers(number)
+		file["peer_listen"], file["peers"] = links.Address(number), links.Peers(number)
 	}
 	text, err := json.MarshalIndent(file, "", " ")
 	if err != nil {
--- a/lab/run/talk.go
+++ b/lab/run/talk.go
@@ -38,8 +38,8 @@
 			l.Delay = scenario.MS(f.Size * 1000)
 		}
 	case "link_loss":
-		if l.Loss, l.Doubled = 0, 0; on {
-			l.Loss, l.Doubled = f.Share, f.Share
+		if l.Loss, l.Duplicated = 0, 0; on {
+			l.Loss, l.Duplicated = f.Share, f.Share
 		}
 	}
 }
--- a/lab/soak/config.go
+++ b/lab/soak/config.go
@@ -8,79 +8,79 @@
 // The mesh's services, and the routes to them. Each version of the configuration adds a route of its own, which shows
 // whether that version, or a later one, is in force; the newest are kept.
 const (
-	host        = "plates.example"
-	safeLine    = "records"
-	unsafeLine  = "registry"
-	safePrefix  = "/look/"
-	filePrefix  = "/file/"
-	splitPrefix = "/either/" // goes to either service, by splitShares
-	pullPrefix  = "/pull/"   // a download
-	keptMarkers = 40
+	host          = "plates.example"
+	safeService   = "records"
+	unsafeService = "registry"
+	safePrefix    = "/look/"
+	filePrefix    = "/file/"
+	splitPrefix   = "/either/" // goes to either service, by splitShares
+	pullPrefix    = "/pull/"   // a download
+	keptMarkers   = 40
 )
 
 // splitShares are the weights of the services of the route with splitPrefix.
-var splitShares = map[string]int{safeLine: 60, unsafeLine: 40}
+var splitShares = map[string]int{safeService: 60, unsafeService: 40}
 
 // marker is the prefix of the route that a version adds.
-func marker(version uint32) string { return fmt.Sprintf("/since-%d/", version) }
+func markerPrefix(version uint32) string { return fmt.Sprintf("/since-%d/", version) }
 
 type (
-	routeText struct {
-		Name       string    `json:"name"`
-		Kind       string    `json:"routeKind"`
-		TargetS    float64   `json:"targetS"`
-		Precedence int       `json:"precedence"`
-		Match      matchText `json:"sorting"`
-		Action     sendText  `json:"dispatch"`
+	routeJSON struct {
+		Name       string     `json:"name"`
+		Kind       string     `json:"routeKind"`
+		TargetS    float64    `json:"targetS"`
+		Precedence int        `json:"precedence"`
+		Match      matchJSON  `json:"sorting"`
+		Action     actionJSON `json:"dispatch"`
 	}
-	matchText struct {
+	matchJSON struct {
 		Prefix string `json:"lanePrefix"`
 	}
-	sendText struct {
+	actionJSON struct {
 		Service  string      `json:"line,omitempty"`
-		Split    []shareText `json:"split,omitempty"`
+		Split    []splitJSON `json:"split,omitempty"`
 		TimeoutS float64     `json:"deadlineS"`
 		Attempts int         `json:"attempts"`
 	}
-	shareText struct {
+	splitJSON struct {
 		Service string `json:"line"`
 		Share   int    `json:"share"`
 	}
-	serviceText struct {
+	serviceJSON struct {
 		Name       string `json:"name"`
 		HealthPath string `json:"healthPath"`
 		MaxConns   int    `json:"maxConns"`
 	}
-	hostText struct {
+	hostJSON struct {
 		Host   string      `json:"depot"`
-		Routes []routeText `json:"regulations"`
+		Routes []routeJSON `json:"regulations"`
 	}
-	configText struct {
+	configJSON struct {
 		Version  string         `json:"edition"`
 		Comment  string         `json:"comment,omitempty"` // tells two contents of one version apart
 		Caps     map[string]int `json:"caps"`
-		Hosts    []hostText     `json:"gates"`
-		Services []serviceText  `json:"fleets"`
+		Hosts    []hostJSON     `json:"gates"`
+		Services []serviceJSON  `json:"fleets"`
 	}
 )
 
 // configuration is the text of a version. The comment makes it another content.
 func configuration(version uint32, comment string) []byte {
-	routes := []routeText{
-		route("look", "safe", safePrefix, safeLine, 2),
-		route("file", "unsafe", filePrefix, unsafeLine, 1),
-		route("pull", "download", pullPrefix, safeLine, 2),
+	routes := []routeJSON{
+		route("look", "safe", safePrefix, safeService, 2),
+		route("file", "unsafe", filePrefix, unsafeService, 1),
+		route("pull", "download", pullPrefix, safeService, 2),
 		splitRoute(),
 	}
 	for v := max(1, int(version)-keptMarkers); v <= int(version); v++ {
-		routes = append(routes, route(fmt.Sprintf("since-%d", v), "safe", marker(uint32(v)), safeLine, 2))
+		routes = append(routes, route(fmt.Sprintf("since-%d", v), "safe", markerPrefix(uint32(v)), safeService, 2))
 	}
-	text, err := json.Marshal(configText{
+	text, err := json.Marshal(configJSON{
 		Version:  fmt.Sprintf("%08x", version),
 		Comment:  comment,
 		Caps:     map[string]int{},
-		Hosts:    []hostText{{host, routes}},
-		Services: []serviceText{{safeLine, "/health", 100}, {unsafeLine, "/health", 100}},
+		Hosts:    []hostJSON{{host, routes}},
+		Services: []serviceJSON{{safeService, "/health", 100}, {unsafeService, "/health", 100}},
 	})
 	if err != nil {
 		panic(err) // plain structs can be encoded
@@ -91,18 +91,18 @@
 // routeTimeoutS is the routes' time-out.
 const routeTimeoutS = 3
 
-func route(name, kind, prefix, service string, attempts int) routeText {
-	return routeText{
-		Name: name, Kind: kind, TargetS: 0.5, Precedence: 1, Match: matchText{prefix},
-		Action: sendText{Service: service, TimeoutS: routeTimeoutS, Attempts: attempts},
+func route(name, kind, prefix, service string, attempts int) routeJSON {
+	return routeJSON{
+		Name: name, Kind: kind, TargetS: 0.5, Precedence: 1, Match: matchJSON{prefix},
+		Action: actionJSON{Service: service, TimeoutS: routeTimeoutS, Attempts: attempts},
 	}
 }
 
 // splitRoute is the route that goes to either service.
-func splitRoute() routeText {
+func splitRoute() routeJSON {
 	r := route("either", "safe", splitPrefix, "", 2)
-	for _, service := range []string{safeLine, unsafeLine} {
-		r.Action.Split = append(r.Action.Split, shareText{service, splitShares[service]})
+	for _, service := range []string{safeService, unsafeService} {
+		r.Action.Split = append(r.Action.Split, splitJSON{service, splitShares[service]})
 	}
 	return r
 }
@@ -113,9 +113,9 @@
 	if variant%2 == 0 {
 		return text[:len(text)/2]
 	}
-	bad := configText{
+	bad := configJSON{
 		Version: fmt.Sprintf("%08x", version), Caps: map[string]int{},
-		Hosts: []hostText{{host, []routeText{route("look", "safe", safePrefix, "nobody", 2)}}},
+		Hosts: []hostJSON{{host, []routeJSON{route("look", "safe", safePrefix, "nobody", 2)}}},
 	}
 	text, err := json.Marshal(bad)
 	if err != nil {
--- a/lab/soak/eventlog.go
+++ b/lab/soak/eventlog.go
@@ -10,8 +10,8 @@
 
 // eventLog writes JSON lines. It is safe for concurrent use.
 type eventLog struct {
-	mu sync.Mutex
-	to io.Writer
+	mu     sync.Mutex
+	writer io.Writer
 }
 
 // event is a line of the log.
@@ -23,7 +23,7 @@
 
 // Event writes a line.
 func (l *eventLog) Event(at time.Duration, name, format string, args ...any) {
-	if l.to == nil {
+	if l.writer == nil {
 		return
 	}
 	line, err := json.Marshal(event{fmt.Sprintf("%.3f", at.Seconds()), name, fmt.Sprintf(format, args...)})
@@ -32,5 +32,5 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_, _ = l.to.Write(append(line, '\n')) // the report has the violations
+	_, _ = l.writer.Write(append(line, '\n')) // the report has the violations
 }
--- a/lab/soak/troubles.go
+++ b/lab/soak/injector.go
@@ -20,60 +20,60 @@
 	// lostAnswers is the share of answers that are lost on a link that loses them.
 	lostAnswers = 0.3
 	// storm is the number of configurations of a storm.
-	storm = 8
+	stormSize = 8
 	// killTimeout is after how long beyond graceS the platform kills a process that was to end.
 	killTimeout = grace
 )
 
 // troubles carries out a plan on a mesh.
-type troubles struct {
-	run     *run
-	tasks   sync.WaitGroup
-	slowing sync.WaitGroup // goroutines of slowDown
+type injector struct {
+	run       *run
+	tasks     sync.WaitGroup
+	slowTasks sync.WaitGroup // goroutines of slowDown
 
-	mu       sync.Mutex
-	paused   map[string]bool // machines whose process a trouble has stopped
-	busy     map[string]bool // machines whose process is stopped, or about to be
-	cuts     map[int]cut     // links that are not whole, by a number
-	lastCut  int             // the number of the last one
-	wiping   bool
-	lastBack time.Time // when the last core machine was back, or the core was whole again
-	away     int       // core machines that are down or stopped, and cuts of the core
+	mu               sync.Mutex
+	paused           map[string]bool   // machines whose process a trouble has stopped
+	busy             map[string]bool   // machines whose process is stopped, or about to be
+	linkFaults       map[int]linkFault // links that are not whole, by a number
+	lastLinkFault    int               // the number of the last one
+	wiping           bool
+	lastCoreRecovery time.Time // when the last core machine was back, or the core was whole again
+	coreFaults       int       // core machines that are down or stopped, and cuts of the core
 }
 
 // cut is links that are not whole.
-type cut struct {
+type linkFault struct {
 	from, to []string
 	link     mesh.Link
 }
 
-func newTroubles(r *run) *troubles {
-	return &troubles{run: r, busy: map[string]bool{}, paused: map[string]bool{}, cuts: map[int]cut{}, lastBack: time.Now()}
+func newInjector(r *run) *injector {
+	return &injector{run: r, busy: map[string]bool{}, paused: map[string]bool{}, linkFaults: map[int]linkFault{}, lastCoreRecovery: time.Now()}
 }
 
 // play carries out a plan, and returns when all is whole again.
-func (t *troubles) play(ctx context.Context, plan []Trouble) {
+func (t *injector) runPlan(ctx context.Context, plan []Fault) {
 	for _, x := range plan {
 		sleep(ctx, x.At-t.run.now())
 		if ctx.Err() != nil {
 			break
 		}
 		t.run.log.Event(t.run.now(), "trouble", "%v", x)
-		t.tasks.Go(func() { t.carryOut(ctx, x) })
+		t.tasks.Go(func() { t.inject(ctx, x) })
 	}
 	t.tasks.Wait()
 	t.run.mesh.Network.Heal()
 }
 
 // carryOut carries out one trouble, and returns when it is over.
-func (t *troubles) carryOut(ctx context.Context, x Trouble) {
+func (t *injector) inject(ctx context.Context, x Fault) {
 	branch, core := t.run.mesh.Branch, t.run.mesh.Core
 	proxy, control := branch[x.Target%len(branch)], core[x.Target%len(core)]
 	switch x.Kind {
 	case ProxyKill:
 		t.kill(ctx, x.For, false, proxy)
 	case ProxyHerd:
-		t.kill(ctx, restartDelay, false, every(branch, 2, x.Target)...)
+		t.kill(ctx, restartDelay, false, everyNth(branch, 2, x.Target)...)
 	case ProxyPause:
 		t.pause(ctx, x.For, proxy)
 	case ProxyTerm:
@@ -97,16 +97,16 @@
 	case CloseKill:
 		t.killAfterClosing(ctx, x, proxy)
 	case ConfigStorm, ConfigRace, ConfigInvalid, ClientLeave:
-		t.misuse(ctx, x)
+		t.injectMisuse(ctx, x)
 	case ServerCrash, ServerClose, ServerLeave, ServerSlow, ServerDrop, ServerGarble, ServerRefuse:
-		t.server(ctx, x, proxy)
+		t.injectServerFault(ctx, x, proxy)
 	default:
-		t.link(ctx, x)
+		t.injectLinkFault(ctx, x)
 	}
 }
 
 // every returns each nth machine.
-func every(all []*mesh.Machine, n, offset int) (some []*mesh.Machine) {
+func everyNth(all []*mesh.Machine, n, offset int) (some []*mesh.Machine) {
 	for i, x := range all {
 		if (i+offset)%n == 0 {
 			some = append(some, x)
@@ -123,7 +123,7 @@
 }
 
 // take marks machines as busy, and returns those that were not.
-func (t *troubles) take(machines []*mesh.Machine) (taken []*mesh.Machine) {
+func (t *injector) claim(machines []*mesh.Machine) (taken []*mesh.Machine) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, x := range machines {
@@ -133,7 +133,7 @@
 		t.busy[x.Name] = true
 		taken = append(taken, x)
 		if x.Server == nil {
-			t.away++
+			t.coreFaults++
 		}
 	}
 	if len(taken) == 0 {
@@ -143,26 +143,26 @@
 }
 
 // release marks machines as whole again.
-func (t *troubles) release(machines []*mesh.Machine) {
+func (t *injector) release(machines []*mesh.Machine) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, x := range machines {
 		delete(t.busy, x.Name)
 		if x.Server == nil {
-			t.away--
-			t.lastBack = time.Now()
+			t.coreFaults--
+			t.lastCoreRecovery = time.Now()
 		}
 	}
 }
 
 // kill kills machines at once, and starts them again after a while.
-func (t *troubles) kill(ctx context.Context, after time.Duration, wipe bool, machines ...*mesh.Machine) {
-	machines = t.take(machines)
+func (t *injector) kill(ctx context.Context, after time.Duration, wipe bool, machines ...*mesh.Machine) {
+	machines = t.claim(machines)
 	if len(machines) == 0 {
 		return
 	}
 	defer t.release(machines)
-	end := t.run.judge.Disturb(t.run.now(), withCore(machines)...)
+	end := t.run.judge.BeginFault(t.run.now(), withCore(machines)...)
 	for _, x := range machines {
 		t.run.expectEnd(x, true)
 		x.Signal(syscall.SIGKILL)
@@ -183,7 +183,7 @@
 }
 
 // start starts a machine's process again.
-func (t *troubles) start(x *mesh.Machine) {
+func (t *injector) start(x *mesh.Machine) {
 	if err := x.Start(false); err != nil {
 		t.run.log.Event(t.run.now(), "laboratory", "start %s: %v", x.Name, err)
 	}
@@ -201,13 +201,13 @@
 }
 
 // pause stops a machine's process for a while.
-func (t *troubles) pause(ctx context.Context, length time.Duration, x *mesh.Machine) {
-	machines := t.take([]*mesh.Machine{x})
+func (t *injector) pause(ctx context.Context, length time.Duration, x *mesh.Machine) {
+	machines := t.claim([]*mesh.Machine{x})
 	if len(machines) == 0 {
 		return
 	}
 	defer t.release(machines)
-	end := t.run.judge.Disturb(t.run.now(), withCore(machines)...)
+	end := t.run.judge.BeginFault(t.run.now(), withCore(machines)...)
 	t.setPaused(x, true)
 	sleep(ctx, length)
 	t.setPaused(x, false)
@@ -215,8 +215,8 @@
 }
 
 // term has a machine's process end in order, and starts it again.
-func (t *troubles) term(ctx context.Context, x *mesh.Machine) {
-	machines := t.take([]*mesh.Machine{x})
+func (t *injector) term(ctx context.Context, x *mesh.Machine) {
+	machines := t.claim([]*mesh.Machine{x})
 	if len(machines) == 0 {
 		return
 	}
@@ -225,15 +225,15 @@
 	t.run.expectEnd(x, true)
 	var end func(time.Duration)
 	if x.Server == nil {
-		end = t.run.judge.Disturb(began, withCore(machines)...)
+		end = t.run.judge.BeginFault(began, withCore(machines)...)
 	} else {
-		end = t.run.judge.Stop(began, x.Name)
+		end = t.run.judge.BeginShutdown(began, x.Name)
 	}
 	x.Signal(syscall.SIGTERM)
 	select {
 	case <-x.Done():
 	case <-time.After(killTimeout):
-		t.run.judge.Break(t.run.now(), "FAULT", "%s has not ended %v after its SIGTERM", x.Name, killTimeout)
+		t.run.judge.Report(t.run.now(), "FAULT", "%s has not ended %v after its SIGTERM", x.Name, killTimeout)
 		x.Kill()
 	}
 	end(t.run.now())
@@ -241,12 +241,12 @@
 	sleep(ctx, restartDelay)
 	started := t.run.now()
 	t.start(x)
-	t.run.judge.Disturbed(started, t.run.now(), withCore(machines)...)
+	t.run.judge.AddFault(started, t.run.now(), withCore(machines)...)
 }
 
 // reload changes a machine's settings.
-func (t *troubles) reload(x *mesh.Machine) {
-	if machines := t.take([]*mesh.Machine{x}); len(machines) > 0 {
+func (t *injector) reload(x *mesh.Machine) {
+	if machines := t.claim([]*mesh.Machine{x}); len(machines) > 0 {
 		defer t.release(machines)
 		if err := x.Reload(); err != nil {
 			t.run.log.Event(t.run.now(), "laboratory", "reload: %v", err)
@@ -257,13 +257,13 @@
 // wipe kills as many control machines as the tolerance and takes their disks, unless others are lost, or were too
 // shortly before: more may be lost at a time than the mesh is to bear, but no more disks. With an odd variant all other
 // processes are killed at the same moment, whose disks remain.
-func (t *troubles) wipe(ctx context.Context, x Trouble, after time.Duration) {
-	if !t.mayWipe() {
+func (t *injector) wipe(ctx context.Context, x Fault, after time.Duration) {
+	if !t.beginWipe() {
 		t.run.skipped.Add(1)
 		t.run.log.Event(t.run.now(), "skipped", "%v: the core has not recovered", x)
 		return
 	}
-	defer t.wiped()
+	defer t.endWipe()
 	all := t.run.mesh.Core
 	var lost []*mesh.Machine
 	for i := range t.run.cfg.Tolerance {
@@ -279,17 +279,17 @@
 }
 
 // mayWipe reports whether disks may be lost now, and if so notes it.
-func (t *troubles) mayWipe() bool {
+func (t *injector) beginWipe() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.wiping || t.away > 0 || time.Since(t.lastBack) < syncTime {
+	if t.wiping || t.coreFaults > 0 || time.Since(t.lastCoreRecovery) < syncTime {
 		return false
 	}
 	t.wiping = true
 	return true
 }
 
-func (t *troubles) wiped() {
+func (t *injector) endWipe() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.wiping = false
--- a/lab/soak/judge.go
+++ b/lab/soak/judge.go
@@ -13,16 +13,16 @@
 // Bounds of the rules, as the processes are told them, and how much later than a bound something has to be to break a
 // rule with a time bound: the soak's own clocks and connections take some of it.
 const (
-	inTouch   = 3 * time.Second
-	inForce   = 2500 * time.Millisecond
-	backSlack = 250 * time.Millisecond
-	lastPost  = 2500 * time.Millisecond
-	grace     = 6 * time.Second
-	receipt   = 5 * time.Second
-	recovery  = 15 * time.Second
-	tolerance = 400 * time.Millisecond
+	inTouch     = 3 * time.Second
+	inForce     = 2500 * time.Millisecond
+	backSlack   = 250 * time.Millisecond
+	lastPost    = 2500 * time.Millisecond
+	grace       = 6 * time.Second
+	receipt     = 5 * time.Second
+	recovery    = 15 * time.Second
+	timingSlack = 400 * time.Millisecond
 	// cutShare is the part of its time that a request has to have left for its broken connection to count.
-	cutShare = 0.7
+	abortShare = 0.7
 )
 
 // Violation is a broken promise.
@@ -34,33 +34,33 @@
 
 // exchange is a request of a client and what became of it.
 type exchange struct {
-	id       string
-	machine  string // that took it
-	life     int    // of its process
-	unsafe   bool
-	marker   uint32   // the version whose route it is for; 0: none
-	wrong    bool     // a success whose body or headers are not the server's
-	services []string // that may run it
-	by       int      // which of them has, of a success
-	padding  int      // bytes of the body behind its text
-	byServer bool     // the answer is a server's own
-	body     string
-	sent     time.Duration
-	ended    time.Duration
-	deadline time.Duration // how long the client waits
-	status   int           // 0: the connection ended without a complete answer
-	ending   ending        // where there is no answer
+	id            string
+	machine       string // that took it
+	incarnation   int    // of its process
+	unsafe        bool
+	markerVersion uint32   // the version whose route it is for; 0: none
+	mismatched    bool     // a success whose body or headers are not the server's
+	services      []string // that may run it
+	serviceIndex  int      // which of them has, of a success
+	paddingBytes  int      // bytes of the body behind its text
+	fromServer    bool     // the answer is a server's own
+	body          string
+	sent          time.Duration
+	ended         time.Duration
+	deadline      time.Duration // how long the client waits
+	status        int           // 0: the connection ended without a complete answer
+	ending        ending        // where there is no answer
 }
 
 // ending is why an exchange has no answer.
 type ending uint8
 
 const (
-	answered  ending = iota
-	broken           // the connection ended
-	left             // the client left early
-	unreached        // no connection was made: nobody listens
-	expired          // the client has waited for all of its time
+	answered    ending = iota
+	broken             // the connection ended
+	cancelled          // the client left early
+	unreachable        // no connection was made: nobody listens
+	expired            // the client has waited for all of its time
 )
 
 // span is a time in which something was disturbed.
@@ -72,17 +72,17 @@
 	mu         sync.Mutex
 	violations []Violation
 
-	requests  map[string]*request
-	arrivals  map[string][]arrival     // by service
-	runs      map[string]int           // by request
-	spoilt    map[string]bool          // requests whose server broke off
-	ranOn     map[string]string        // the last server of each request
-	gone      map[string]time.Duration // when servers ended
-	promised  map[string]string        // requests that were refused, which promises that they have not run, and by whom
-	disturbed map[string][]span        // unplanned troubles by machine; of the core and of all links under core
-	stops     map[string][]span        // SIGTERMs by machine, until the process has ended
-	markers   map[[2]string]seenMarker
-	split     map[string]int // successes on the split route in calm times, by service
+	requests   map[string]*request
+	arrivals   map[string][]arrival     // by service
+	runs       map[string]int           // by request
+	aborted    map[string]bool          // requests whose server broke off
+	lastServer map[string]string        // the last server of each request
+	serverEnds map[string]time.Duration // when servers ended
+	rejectedBy map[string]string        // requests that were refused, which promises that they have not run, and by whom
+	faults     map[string][]span        // unplanned troubles by machine; of the core and of all links under core
+	shutdowns  map[string][]span        // SIGTERMs by machine, until the process has ended
+	markers    map[[2]string]seenMarker
+	split      map[string]int // successes on the split route in calm times, by service
 
 	acked     map[uint32]ack
 	newest    uint32 // of acked
@@ -118,9 +118,9 @@
 // NewJudge returns a judge that has seen nothing.
 func NewJudge() *Judge {
 	return &Judge{
-		requests: map[string]*request{}, arrivals: map[string][]arrival{}, runs: map[string]int{}, spoilt: map[string]bool{},
-		ranOn: map[string]string{}, gone: map[string]time.Duration{}, promised: map[string]string{}, disturbed: map[string][]span{},
-		stops: map[string][]span{}, markers: map[[2]string]seenMarker{}, acked: map[uint32]ack{}, split: map[string]int{},
+		requests: map[string]*request{}, arrivals: map[string][]arrival{}, runs: map[string]int{}, aborted: map[string]bool{},
+		lastServer: map[string]string{}, serverEnds: map[string]time.Duration{}, rejectedBy: map[string]string{}, faults: map[string][]span{},
+		shutdowns: map[string][]span{}, markers: map[[2]string]seenMarker{}, acked: map[uint32]ack{}, split: map[string]int{},
 	}
 }
 
@@ -139,37 +139,37 @@
 }
 
 // Break records a violation that somebody else has found.
-func (j *Judge) Break(at time.Duration, rule, format string, args ...any) {
+func (j *Judge) Report(at time.Duration, rule, format string, args ...any) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.breaks(at, rule, format, args...)
+	j.report(at, rule, format, args...)
 }
 
-func (j *Judge) breaks(at time.Duration, rule, format string, args ...any) {
+func (j *Judge) report(at time.Duration, rule, format string, args ...any) {
 	j.violations = append(j.violations, Violation{at, rule, fmt.Sprintf(format, args...)})
 }
 
 // Disturbed records an unplanned trouble of machines.
-func (j *Judge) Disturbed(from, to time.Duration, machines ...string) {
+func (j *Judge) AddFault(from, to time.Duration, machines ...string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, m := range machines {
-		j.disturbed[m] = append(j.disturbed[m], span{from, to})
+		j.faults[m] = append(j.faults[m], span{from, to})
 	}
 }
 
 // Disturb records an unplanned trouble of machines from a time on, until end is called.
-func (j *Judge) Disturb(from time.Duration, machines ...string) (end func(at time.Duration)) {
-	return j.open(j.disturbed, from, machines)
+func (j *Judge) BeginFault(from time.Duration, machines ...string) (end func(at time.Duration)) {
+	return j.openSpans(j.faults, from, machines)
 }
 
 // Stop records a SIGTERM of a machine, until end is called.
-func (j *Judge) Stop(from time.Duration, machine string) (end func(at time.Duration)) {
-	return j.open(j.stops, from, []string{machine})
+func (j *Judge) BeginShutdown(from time.Duration, machine string) (end func(at time.Duration)) {
+	return j.openSpans(j.shutdowns, from, []string{machine})
 }
 
 // open adds a span without an end to each machine.
-func (j *Judge) open(spans map[string][]span, from time.Duration, machines []string) (end func(at time.Duration)) {
+func (j *Judge) openSpans(spans map[string][]span, from time.Duration, machines []string) (end func(at time.Duration)) {
 	const never = time.Duration(1<<63 - 1)
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -188,10 +188,10 @@
 }
 
 // calm reports whether machines, and the core, were undisturbed from inTouch before a time until another.
-func (j *Judge) calm(from, to time.Duration, machines ...string) bool {
+func (j *Judge) faultFree(from, to time.Duration, machines ...string) bool {
 	for _, m := range append(machines, core) {
-		for _, s := range j.disturbed[m] {
-			if s.from <= to && s.to >= from-inTouch-tolerance {
+		for _, s := range j.faults[m] {
+			if s.from <= to && s.to >= from-inTouch-timingSlack {
 				return false
 			}
 		}
@@ -200,13 +200,13 @@
 }
 
 // calmEverywhere reports whether nothing at all was disturbed.
-func (j *Judge) calmEverywhere(from, to time.Duration) bool {
-	return j.calm(from, to, slices.Collect(maps.Keys(j.disturbed))...)
+func (j *Judge) faultFreeEverywhere(from, to time.Duration) bool {
+	return j.faultFree(from, to, slices.Collect(maps.Keys(j.faults))...)
 }
 
 // stopping returns the SIGTERM of a machine during which a request was taken.
-func (j *Judge) stopping(machine string, at time.Duration) (span, bool) {
-	for _, s := range j.stops[machine] {
+func (j *Judge) shutdownAt(machine string, at time.Duration) (span, bool) {
+	for _, s := range j.shutdowns[machine] {
 		if at >= s.from && at <= s.to+time.Second {
 			return s, true
 		}
@@ -219,25 +219,25 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.counts.Runs++
-	j.arrivedFor(at, machine, &a)
+	j.recordArrival(at, machine, &a)
 	j.runs[a.RequestID]++
-	j.ranOn[a.RequestID] = a.Server
-	if a.Spoilt {
-		j.spoilt[a.RequestID] = true
+	j.lastServer[a.RequestID] = a.Server
+	if a.Aborted {
+		j.aborted[a.RequestID] = true
 	}
-	if a.SinceClosing <= lastPost+tolerance {
+	if a.SinceClosing <= lastPost+timingSlack {
 		return
 	}
-	if !j.calm(at, at, machine) {
+	if !j.faultFree(at, at, machine) {
 		j.tolerated++
 		return
 	}
-	j.breaks(at, "DRAIN", "request %s reaches server %s %v after its closing was acknowledged", a.RequestID, a.Server, a.SinceClosing)
+	j.report(at, "DRAIN", "request %s reaches server %s %v after its closing was acknowledged", a.RequestID, a.Server, a.SinceClosing)
 }
 
 // ServerGone records the end of a server, which breaks off what it is at work on.
-func (j *Judge) ServerGone(at time.Duration, server string) {
+func (j *Judge) ServerEnded(at time.Duration, server string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.gone[server] = at
+	j.serverEnds[server] = at
 }
--- a/lab/soak/judgeanswers.go
+++ b/lab/soak/judgeanswers.go
@@ -15,19 +15,19 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.count(&x)
-	if r := j.requests[x.id]; r != nil && x.ending == left {
-		r.leftAt = x.ended
+	if r := j.requests[x.id]; r != nil && x.ending == cancelled {
+		r.cancelledAt = x.ended
 	}
-	if x.ending == expired && j.calm(x.sent, x.ended, x.machine) {
+	if x.ending == expired && j.faultFree(x.sent, x.ended, x.machine) {
 		j.counts.Held++
 	}
 	if x.ending != answered && x.ending != broken {
 		return
 	}
 	switch {
-	case x.status == http.StatusInternalServerError && x.byServer: // a call that it made has failed
+	case x.status == http.StatusInternalServerError && x.fromServer: // a call that it made has failed
 		return
-	case x.status == http.StatusGatewayTimeout && x.byServer:
+	case x.status == http.StatusGatewayTimeout && x.fromServer:
 		return
 	}
 	switch x.status {
@@ -35,23 +35,23 @@
 		j.judgeSuccess(&x)
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		if x.unsafe {
-			j.promised[x.id] = x.machine
+			j.rejectedBy[x.id] = x.machine
 		}
 	case http.StatusNotFound:
 		j.judgeNotFound(&x)
 	case 0, http.StatusBadGateway, http.StatusInternalServerError, http.StatusGatewayTimeout:
 		j.judgeBroken(&x)
 	default:
-		j.breaks(x.ended, "DENIED", "request %s at %s is answered %d", x.id, x.machine, x.status)
+		j.report(x.ended, "DENIED", "request %s at %s is answered %d", x.id, x.machine, x.status)
 	}
 }
 
 func (j *Judge) count(x *exchange) {
 	j.counts.Requests++
 	switch {
-	case x.ending == left:
+	case x.ending == cancelled:
 		j.counts.Left++
-	case x.ending == unreached:
+	case x.ending == unreachable:
 		j.counts.Unreached++
 	case x.ending == expired:
 		j.counts.Expired++
@@ -67,75 +67,77 @@
 }
 
 func (j *Judge) judgeSuccess(x *exchange) {
-	if x.wrong {
-		j.breaks(x.ended, "MIXED", "request %s at %s is answered %q", x.id, x.machine, x.body)
+	if x.mismatched {
+		j.report(x.ended, "MIXED", "request %s at %s is answered %q", x.id, x.machine, x.body)
 	}
 	if j.runs[x.id] == 0 {
-		j.breaks(x.ended, "MIXED", "request %s at %s is answered, and no server has run it", x.id, x.machine)
+		j.report(x.ended, "MIXED", "request %s at %s is answered, and no server has run it", x.id, x.machine)
 	}
-	if len(x.services) > 1 && x.by >= 0 && j.calmEverywhere(x.sent, x.ended) {
-		j.split[x.services[x.by]]++
+	if len(x.services) > 1 && x.serviceIndex >= 0 && j.faultFreeEverywhere(x.sent, x.ended) {
+		j.split[x.services[x.serviceIndex]]++
 	}
-	if x.marker == 0 {
+	if x.markerVersion == 0 {
 		return
 	}
-	key := [2]string{x.machine, fmt.Sprint(x.life)}
-	if x.marker > j.markers[key].version {
-		j.markers[key] = seenMarker{x.marker, x.ended}
+	key := [2]string{x.machine, fmt.Sprint(x.incarnation)}
+	if x.markerVersion > j.markers[key].version {
+		j.markers[key] = seenMarker{x.markerVersion, x.ended}
 	}
 }
 
 // judgeNotFound judges a 404: it is right only where no configuration has the route that may be in force.
 func (j *Judge) judgeNotFound(x *exchange) {
-	if x.marker == 0 {
-		j.breaks(x.ended, "DENIED", "request %s at %s has no route", x.id, x.machine)
+	if x.markerVersion == 0 {
+		j.report(x.ended, "DENIED", "request %s at %s has no route", x.id, x.machine)
 		return
 	}
-	if seen := j.markers[[2]string{x.machine, fmt.Sprint(x.life)}]; seen.version >= x.marker && x.sent > seen.at+backSlack+tolerance {
-		j.breaks(x.ended, "CONFIG", "machine %s goes back: version %d was in force at %v, and has no route at %v", x.machine, seen.version,
+	if seen := j.markers[[2]string{x.machine, fmt.Sprint(x.incarnation)}]; seen.version >= x.markerVersion &&
+		x.sent > seen.at+backSlack+timingSlack {
+		j.report(x.ended, "CONFIG", "machine %s goes back: version %d was in force at %v, and has no route at %v", x.machine, seen.version,
 			seen.at, x.sent)
 		return
 	}
-	a, acked := j.acked[x.marker]
-	if !acked || x.sent <= a.at+inForce+tolerance || !j.calm(x.sent, x.ended, x.machine) {
+	a, acked := j.acked[x.markerVersion]
+	if !acked || x.sent <= a.at+inForce+timingSlack || !j.faultFree(x.sent, x.ended, x.machine) {
 		return
 	}
-	j.breaks(x.ended, "CONFIG", "machine %s does not have version %d, sent at %v, acknowledged at %v", x.machine, x.marker, x.sent, a.at)
+	j.report(x.ended, "CONFIG", "machine %s does not have version %d, sent at %v, acknowledged at %v", x.machine, x.markerVersion,
+		x.sent, a.at)
 }
 
 // judgeBroken judges a connection that ended without an answer, and a failure, around a SIGTERM of the machine.
 func (j *Judge) judgeBroken(x *exchange) {
-	if gone, ended := j.gone[j.ranOn[x.id]]; j.spoilt[x.id] || ended && gone >= x.sent {
+	if gone, ended := j.serverEnds[j.lastServer[x.id]]; j.aborted[x.id] || ended && gone >= x.sent {
 		return // the server broke off
 	}
 	r := j.requests[x.id]
-	if x.ending == broken && r != nil && len(r.servers) > 0 && j.calm(x.sent, x.ended, append(r.ranAt, x.machine)...) {
+	if x.ending == broken && r != nil && len(r.servers) > 0 && j.faultFree(x.sent, x.ended, append(r.serverMachines, x.machine)...) {
 		j.counts.Dropped++
 	}
-	stop, stopping := j.stopping(x.machine, x.sent)
+	stop, stopping := j.shutdownAt(x.machine, x.sent)
 	if !stopping {
-		stop, stopping = j.stopping(x.machine, x.ended)
+		stop, stopping = j.shutdownAt(x.machine, x.ended)
 	}
-	inTime := x.ended-x.sent < time.Duration(cutShare*float64(x.deadline))
+	early := x.ended-x.sent < time.Duration(abortShare*float64(x.deadline))
 	lastSixth := x.ended >= stop.from+grace-grace/6 && x.sent <= stop.from+3*time.Second
-	if !stopping || !inTime || lastSixth || x.status == http.StatusGatewayTimeout || !j.calm(x.sent, x.ended, x.machine) {
+	if !stopping || !early || lastSixth || x.status == http.StatusGatewayTimeout || !j.faultFree(x.sent, x.ended, x.machine) {
 		return
 	}
-	j.breaks(x.ended, "LOST", "request %s at %s, sent %v after its SIGTERM, ends after %v with status %d", x.id, x.machine,
+	j.report(x.ended, "LOST", "request %s at %s, sent %v after its SIGTERM, ends after %v with status %d", x.id, x.machine,
 		x.sent-stop.from, x.ended-x.sent, x.status)
 }
 
 // finishSplit judges the shares of the services of a split route: they are off by a fifth at most, where there are enough requests.
-func (j *Judge) finishSplit(at time.Duration) {
-	const enough, off = 200, 0.2
+func (j *Judge) judgeSplit(at time.Duration) {
+	const minRequests, maxDeviation = 200, 0.2
 	all, shares := 0, 0
 	for service, share := range splitShares {
 		all, shares = all+j.split[service], shares+share
 	}
 	for service, share := range splitShares {
 		got, want := float64(j.split[service])/float64(max(1, all)), float64(share)/float64(shares)
-		if all >= enough && math.Abs(got-want) > off {
-			j.breaks(at, "CONFIG", "service %s has %.2f of %d requests on a split route, and its weight is %.2f", service, got, all, want)
+		if all >= minRequests && math.Abs(got-want) > maxDeviation {
+			j.report(at, "CONFIG", "service %s has %.2f of %d requests on a split route, and its weight is %.2f", service, got, all, want)
 		}
 	}
 }
@@ -146,14 +148,14 @@
 	defer j.mu.Unlock()
 	for _, id := range unsafeIDs {
 		if n := j.runs[id]; n > 1 {
-			j.breaks(at, "TWICE", "request %s has run %d times", id, n)
+			j.report(at, "TWICE", "request %s has run %d times", id, n)
 		}
 	}
-	j.finishBudgets(at)
-	j.finishSplit(at)
-	for id, machine := range j.promised {
+	j.judgeBudgets(at)
+	j.judgeSplit(at)
+	for id, machine := range j.rejectedBy {
 		if j.runs[id] > 0 {
-			j.breaks(at, "REFUSED", "request %s was refused at %s, and has run", id, machine)
+			j.report(at, "REFUSED", "request %s was refused at %s, and has run", id, machine)
 		}
 	}
 }
--- a/lab/soak/judgeconfig.go
+++ b/lab/soak/judgeconfig.go
@@ -21,14 +21,14 @@
 	defer j.mu.Unlock()
 	j.counts.Acknowledged++
 	if before, ok := j.acked[c.version]; ok && before.content != c.content {
-		j.breaks(at, "CONFIG", "version %d is acknowledged with two contents, %s and %s", c.version, before.content, c.content)
+		j.report(at, "CONFIG", "version %d is acknowledged with two contents, %s and %s", c.version, before.content, c.content)
 	}
 	if _, ok := j.acked[c.version]; !ok {
 		j.acked[c.version] = ack{c.content, at}
 	}
 	j.newest = max(j.newest, c.version)
-	if at-began > receipt+tolerance && j.calm(began+inTouch, at) {
-		j.breaks(at, "ACKS", "version %d is acknowledged after %v", c.version, at-began)
+	if at-began > receipt+timingSlack && j.faultFree(began+inTouch, at) {
+		j.report(at, "ACKS", "version %d is acknowledged after %v", c.version, at-began)
 	}
 }
 
@@ -37,7 +37,7 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if a, ok := j.acked[c.version]; ok && a.content == c.content {
-		j.breaks(at, "CONFIG", "version %d content %s was acknowledged, and is refused by %s", c.version, c.content, machine)
+		j.report(at, "CONFIG", "version %d content %s was acknowledged, and is refused by %s", c.version, c.content, machine)
 	}
 }
 
@@ -48,14 +48,14 @@
 	j.counts.Reads++
 	for v, a := range j.acked {
 		if v > version && sent > a.at+inForce {
-			j.breaks(at, "CONFIG", "machine %s reads version %d at %v, and %d was acknowledged at %v", machine, version, sent, v, a.at)
+			j.report(at, "CONFIG", "machine %s reads version %d at %v, and %d was acknowledged at %v", machine, version, sent, v, a.at)
 			return
 		}
 	}
 	if a, ok := j.acked[version]; ok {
 		sum := sha256.Sum256(text)
 		if content := hex.EncodeToString(sum[:8]); content != a.content {
-			j.breaks(at, "CONFIG", "machine %s reads content %s of version %d, and %s was acknowledged", machine, content, version, a.content)
+			j.report(at, "CONFIG", "machine %s reads content %s of version %d, and %s was acknowledged", machine, content, version, a.content)
 		}
 	}
 }
--- a/lab/soak/load.go
+++ b/lab/soak/load.go
@@ -32,17 +32,17 @@
 	clientDeadline = 2500 * time.Millisecond
 	thinkTime      = 25 * time.Millisecond
 	maxBodyBytes   = 20000
-	earlyLeave     = 40 * time.Millisecond
+	earlyCancel    = 40 * time.Millisecond
 )
 
 // load is the clients of all branch machines.
 type load struct {
-	run      *run
-	requests atomic.Int64
-	leaving  atomic.Bool // clients give requests up early
+	run        *run
+	requests   atomic.Int64
+	cancelling atomic.Bool // clients give requests up early
 
-	mu     sync.Mutex
-	unsafe []string // ids
+	mu        sync.Mutex
+	unsafeIDs []string // ids
 }
 
 // client sends requests to one machine, one after the other, until ctx ends.
@@ -52,7 +52,7 @@
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport}
 	for ctx.Err() == nil {
-		if !l.run.wantsClients(x) {
+		if !l.run.acceptsClients(x) {
 			sleep(ctx, 10*thinkTime)
 			continue
 		}
@@ -64,50 +64,52 @@
 // send sends one request and records what becomes of it.
 func (l *load) send(ctx context.Context, client *http.Client, x *mesh.Machine, random *rand.Rand) {
 	e := exchange{
-		id: fmt.Sprintf("r%d", l.requests.Add(1)), machine: x.Name, life: l.run.lifeOf(x), deadline: clientDeadline,
+		id: fmt.Sprintf("r%d", l.requests.Add(1)), machine: x.Name, incarnation: l.run.incarnationOf(x), deadline: clientDeadline,
 	}
-	o := l.draw(&e, random)
+	o := l.drawRequest(&e, random)
 	if e.unsafe {
 		l.mu.Lock()
-		l.unsafe = append(l.unsafe, e.id)
+		l.unsafeIDs = append(l.unsafeIDs, e.id)
 		l.mu.Unlock()
 	}
-	patience := clientDeadline + heldFor // by its own deadline the client has an answer
-	if l.leaving.Load() && random.IntN(3) == 0 {
-		patience = earlyLeave
+	timeout := clientDeadline + lateAnswerLimit // by its own deadline the client has an answer
+	if l.cancelling.Load() && random.IntN(3) == 0 {
+		timeout = earlyCancel
 	}
 	e.sent = l.run.now()
 	l.run.judge.Sent(e.sent, e.id, x.Name, clientDeadline)
-	l.exchange(ctx, client, x, o, patience, &e)
+	l.roundTrip(ctx, client, x, o, timeout, &e)
 	e.ended = l.run.now()
 	l.run.judge.Ended(e)
 }
 
 // outgoing is a request as a client sends it.
-type outgoing struct {
+type clientRequest struct {
 	method, path string
 	body         []byte
 	chunked      bool // the body is sent without its length
 }
 
 // draw draws a request, and notes in its exchange what is to be known of it.
-func (l *load) draw(e *exchange, random *rand.Rand) outgoing {
-	o := outgoing{method: http.MethodGet, path: safePrefix + "x"}
-	e.services = []string{safeLine}
+func (l *load) drawRequest(e *exchange, random *rand.Rand) clientRequest {
+	o := clientRequest{method: http.MethodGet, path: safePrefix + "x"}
+	e.services = []string{safeService}
 	switch kind := random.Float64(); {
 	case kind < unsafeShare:
-		e.unsafe, e.services = true, []string{unsafeLine}
-		o = outgoing{http.MethodPost, filePrefix + "x", bytes.Repeat([]byte("b"), random.IntN(maxBodyBytes)), random.Float64() < chunkedShare}
+		e.unsafe, e.services = true, []string{unsafeService}
+		o = clientRequest{
+			http.MethodPost, filePrefix + "x", bytes.Repeat([]byte("b"), random.IntN(maxBodyBytes)), random.Float64() < chunkedShare,
+		}
 	case kind < unsafeShare+splitShare:
-		e.services = []string{safeLine, unsafeLine}
+		e.services = []string{safeService, unsafeService}
 		o.path = splitPrefix + "x"
 	case kind < unsafeShare+splitShare+pullShare:
-		e.padding = random.IntN(maxPullBytes)
-		o.path = fmt.Sprintf("%sx?bytes=%d", pullPrefix, e.padding)
+		e.paddingBytes = random.IntN(maxPullBytes)
+		o.path = fmt.Sprintf("%sx?bytes=%d", pullPrefix, e.paddingBytes)
 		return o
 	case kind < unsafeShare+splitShare+pullShare+markerShare:
-		if e.marker = l.run.judge.Newest(); e.marker > 0 {
-			o.path = marker(e.marker) + "x"
+		if e.markerVersion = l.run.judge.Newest(); e.markerVersion > 0 {
+			o.path = markerPrefix(e.markerVersion) + "x"
 		}
 	}
 	switch extra := random.Float64(); {
@@ -120,10 +122,10 @@
 }
 
 // exchange makes a request's exchange, and enters its answer.
-func (l *load) exchange(
-	ctx context.Context, client *http.Client, x *mesh.Machine, o outgoing, patience time.Duration, e *exchange,
+func (l *load) roundTrip(
+	ctx context.Context, client *http.Client, x *mesh.Machine, o clientRequest, timeout time.Duration, e *exchange,
 ) {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	body := io.NopCloser(bytes.NewReader(o.body)) // which the transport can't send again
 	r, err := http.NewRequestWithContext(ctx, o.method, x.OutgoingURL(o.path), body)
@@ -138,40 +140,40 @@
 	r.Header.Set("Deadline-Ms", fmt.Sprint(clientDeadline.Milliseconds()))
 	response, err := client.Do(r)
 	if err != nil {
-		e.ending = endingOf(err, patience)
+		e.ending = endingOf(err, timeout)
 		return
 	}
 	text, err := io.ReadAll(io.LimitReader(response.Body, 1<<20))
 	_ = response.Body.Close() // it was read
 	if err != nil {
-		e.ending = endingOf(err, patience)
+		e.ending = endingOf(err, timeout)
 		return
 	}
 	e.status, e.body = response.StatusCode, string(text)
-	e.byServer = response.Header.Get("Postmark") != ""
+	e.fromServer = response.Header.Get("Postmark") != ""
 	if e.status == http.StatusOK {
-		e.by = slices.IndexFunc(e.services, func(service string) bool {
+		e.serviceIndex = slices.IndexFunc(e.services, func(service string) bool {
 			want := fmt.Sprintf("%s from %s for %s", e.id, service, l.run.serviceOf(e.machine))
-			return e.body == want+mesh.Padding(e.padding)
+			return e.body == want+mesh.Padding(e.paddingBytes)
 		})
-		e.wrong = e.by < 0 || !e.byServer
-		e.body = e.body[:min(len(e.body), maxQuoted)]
+		e.mismatched = e.serviceIndex < 0 || !e.fromServer
+		e.body = e.body[:min(len(e.body), maxQuotedBytes)]
 	}
 }
 
 // maxQuoted is how much of a wrong body a violation quotes.
-const maxQuoted = 200
+const maxQuotedBytes = 200
 
 // endingOf is why a request has no answer, whose client waits for so long.
-func endingOf(err error, patience time.Duration) ending {
+func endingOf(err error, timeout time.Duration) ending {
 	var operation *net.OpError
 	switch {
 	case errors.As(err, &operation) && operation.Op == "dial":
-		return unreached
+		return unreachable
 	case !errors.Is(err, context.DeadlineExceeded) && !errors.Is(err, context.Canceled):
 		return broken
-	case patience < clientDeadline || errors.Is(err, context.Canceled):
-		return left
+	case timeout < clientDeadline || errors.Is(err, context.Canceled):
+		return cancelled
 	}
 	return expired
 }
--- a/lab/soak/operator.go
+++ b/lab/soak/operator.go
@@ -31,47 +31,47 @@
 type operator struct {
 	run *run
 
-	mu       sync.Mutex
-	last     uint32              // the highest version that was sent
-	contents map[uint32][]change // all that was sent, by version
-	unclear  map[string]bool     // contents that were sent and not acknowledged
+	mu             sync.Mutex
+	lastVersion    uint32              // the highest version that was sent
+	contents       map[uint32][]change // all that was sent, by version
+	unacknowledged map[string]bool     // contents that were sent and not acknowledged
 }
 
 func newOperator(r *run) *operator {
-	return &operator{run: r, contents: map[uint32][]change{}, unclear: map[string]bool{}}
+	return &operator{run: r, contents: map[uint32][]change{}, unacknowledged: map[string]bool{}}
 }
 
 // next returns the next change, under a version of its own.
 func (o *operator) next(comment string) change {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.last++
-	return o.noteLocked(newChange(o.last, comment))
+	o.lastVersion++
+	return o.recordLocked(newChange(o.lastVersion, comment))
 }
 
 // rival returns another content under a version.
-func (o *operator) rival(version uint32) change {
+func (o *operator) conflictingChange(version uint32) change {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.noteLocked(newChange(version, "rival"))
+	return o.recordLocked(newChange(version, "rival"))
 }
 
-func (o *operator) noteLocked(c change) change {
+func (o *operator) recordLocked(c change) change {
 	o.contents[c.version] = append(o.contents[c.version], c)
-	o.unclear[c.content] = true
+	o.unacknowledged[c.content] = true
 	return c
 }
 
 // operatorPause is the time between two tries of one order.
-const operatorPause = 200 * time.Millisecond
+const operatorRetryDelay = 200 * time.Millisecond
 
 // send sends a change until it has a clear answer, to one control machine after the other, and reports whether it was
 // acknowledged.
-func (o *operator) send(ctx context.Context, c change, first int) bool {
+func (o *operator) send(ctx context.Context, c change, firstMachine int) bool {
 	r := o.run
 	began := r.now()
 	r.judge.sentChange()
-	for i := first; ctx.Err() == nil; i++ {
+	for i := firstMachine; ctx.Err() == nil; i++ {
 		x := r.mesh.Core[i%len(r.mesh.Core)]
 		status, err := x.Put(c.text)
 		switch {
@@ -85,10 +85,10 @@
 			r.judge.Conflict(r.now(), c, x.Name)
 			return false
 		case status == http.StatusBadRequest:
-			r.judge.Break(r.now(), "CONFIG", "version %d is refused as invalid by %s", c.version, x.Name)
+			r.judge.Report(r.now(), "CONFIG", "version %d is refused as invalid by %s", c.version, x.Name)
 			return false
 		}
-		sleep(ctx, operatorPause)
+		sleep(ctx, operatorRetryDelay)
 	}
 	return false
 }
@@ -96,11 +96,11 @@
 func (o *operator) acknowledged(c change) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	delete(o.unclear, c.content)
+	delete(o.unacknowledged, c.content)
 }
 
 // work sends a change every now and then, until ctx ends.
-func (o *operator) work(ctx context.Context, every time.Duration) {
+func (o *operator) sendChanges(ctx context.Context, every time.Duration) {
 	for n := 0; ctx.Err() == nil; n++ {
 		order, cancel := context.WithTimeout(ctx, recovery)
 		o.send(order, o.next(""), n)
@@ -138,7 +138,7 @@
 }
 
 // known reports whether a text was ever sent under its version.
-func (o *operator) known(version uint32, text []byte) bool {
+func (o *operator) wasSent(version uint32, text []byte) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, c := range o.contents[version] {
@@ -152,10 +152,10 @@
 // sendInvalid sends what has to be rejected.
 func (o *operator) sendInvalid(x *mesh.Machine, variant int) {
 	o.mu.Lock()
-	version := o.last + 1
+	version := o.lastVersion + 1
 	o.mu.Unlock()
 	if status, err := x.Put(invalidConfiguration(version, variant)); err == nil && status == http.StatusOK {
-		o.run.judge.Break(o.run.now(), "CONFIG", "an invalid configuration is acknowledged by %s", x.Name)
+		o.run.judge.Report(o.run.now(), "CONFIG", "an invalid configuration is acknowledged by %s", x.Name)
 	}
 }
 
--- a/lab/soak/plan.go
+++ b/lab/soak/plan.go
@@ -59,7 +59,7 @@
 }
 
 // Trouble is one trouble of a plan.
-type Trouble struct {
+type Fault struct {
 	At     time.Duration `json:"at"`  // since the start of traffic
 	For    time.Duration `json:"for"` // until it is over, or what it stopped starts again
 	Kind   Kind          `json:"kind"`
@@ -68,37 +68,37 @@
 }
 
 // String is a trouble in a line of the log.
-func (t Trouble) String() string {
+func (t Fault) String() string {
 	return fmt.Sprintf("%s target=%d other=%d for=%v", t.Kind, t.Target, t.Other, t.For)
 }
 
 const (
 	// quietAhead and quietBehind are the times without new troubles at the start and the end of a run.
-	quietAhead  = time.Second
-	quietBehind = 2 * time.Second
+	quietStart = time.Second
+	quietEnd   = 2 * time.Second
 	// minGap and gapJitter are the time between the starts of two troubles, which last minFor and forJitter: two or
 	// three overlap.
-	minGap    = 200 * time.Millisecond
-	gapJitter = 1200 * time.Millisecond
-	minFor    = 200 * time.Millisecond
-	forJitter = 3 * time.Second
-	maxChoice = 1 << 16
+	minGap         = 200 * time.Millisecond
+	gapJitter      = 1200 * time.Millisecond
+	minDuration    = 200 * time.Millisecond
+	durationJitter = 3 * time.Second
+	maxChoice      = 1 << 16
 )
 
 // Plan draws the troubles of a run from a seed: the same ones each time.
-func Plan(seed uint64, length time.Duration, only []Kind) []Trouble {
+func Plan(seed uint64, length time.Duration, only []Kind) []Fault {
 	random := rand.New(rand.NewPCG(seed, 1))
-	var plan []Trouble
-	for at := quietAhead; at < length-quietBehind; at += minGap + time.Duration(random.Int64N(int64(gapJitter))) {
-		plan = append(plan, Trouble{
+	var plan []Fault
+	for at := quietStart; at < length-quietEnd; at += minGap + time.Duration(random.Int64N(int64(gapJitter))) {
+		plan = append(plan, Fault{
 			At:     at,
-			For:    minFor + time.Duration(random.Int64N(int64(forJitter))),
+			For:    minDuration + time.Duration(random.Int64N(int64(durationJitter))),
 			Kind:   drawKind(random, only),
 			Target: random.IntN(maxChoice),
 			Other:  random.IntN(maxChoice),
 		})
 	}
-	slices.SortFunc(plan, func(a, b Trouble) int { return cmp.Compare(a.At, b.At) })
+	slices.SortFunc(plan, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
 	return plan
 }
 
--- a/lab/soak/slow.go
+++ b/lab/soak/slow.go
@@ -13,26 +13,26 @@
 
 // slowDown has all processes of the mesh run for one part in factor of the time, until ctx ends: they are stopped and continued, by their
 // machines' own periods. Nothing else of the rules changes by that, as it lasts for the whole run.
-func (t *troubles) slowDown(ctx context.Context, factor int) {
+func (t *injector) slowDown(ctx context.Context, factor int) {
 	if factor <= 1 {
 		return
 	}
 	runs := slowPeriod / time.Duration(factor)
 	for _, x := range t.run.mesh.All() {
-		t.slowing.Go(func() {
+		t.slowTasks.Go(func() {
 			for ctx.Err() == nil {
-				t.toggle(x, syscall.SIGSTOP)
+				t.signalUnlessPaused(x, syscall.SIGSTOP)
 				sleep(ctx, slowPeriod-runs)
-				t.toggle(x, syscall.SIGCONT)
+				t.signalUnlessPaused(x, syscall.SIGCONT)
 				sleep(ctx, runs)
 			}
-			t.toggle(x, syscall.SIGCONT)
+			t.signalUnlessPaused(x, syscall.SIGCONT)
 		})
 	}
 }
 
 // toggle stops or continues a machine's process, unless a trouble has it stopped.
-func (t *troubles) toggle(x *mesh.Machine, s syscall.Signal) {
+func (t *injector) signalUnlessPaused(x *mesh.Machine, s syscall.Signal) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if pid := x.PID(); pid > 0 && !t.paused[x.Name] {
@@ -41,7 +41,7 @@
 }
 
 // setPaused stops a machine's process for a trouble, or continues it.
-func (t *troubles) setPaused(x *mesh.Machine, paused bool) {
+func (t *injector) setPaused(x *mesh.Machine, paused bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.paused[x.Name] = paused
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -46,7 +46,7 @@
 type Report struct {
 	Seed       uint64        `json:"seed"`
 	Length     time.Duration `json:"length"`
-	Troubles   int           `json:"troubles"`
+	Faults     int           `json:"troubles"`
 	Skipped    int           `json:"skipped"` // troubles that would have lost more than the tolerance
 	Counts     Counts        `json:"counts"`
 	Stalls     int           `json:"stalls"` // times in which this process itself did not run
@@ -54,11 +54,11 @@
 }
 
 const (
-	clientsPause   = 700 * time.Millisecond // between two changes of the configuration
+	changeInterval = 700 * time.Millisecond // between two changes of the configuration
 	readInterval   = 150 * time.Millisecond
 	scrapeInterval = 2 * time.Second
 	readyInterval  = 500 * time.Millisecond
-	missedReady    = 2 // checks after which a machine gets no clients
+	maxMissedReady = 2 // checks after which a machine gets no clients
 	startTimeout   = 20 * time.Second
 	stallCheck     = 50 * time.Millisecond
 	stallLimit     = 250 * time.Millisecond
@@ -73,32 +73,32 @@
 	log      *eventLog
 	operator *operator
 	load     *load
-	troubles *troubles
+	injector *injector
 	began    time.Time
 	stalls   atomic.Int64
 	skipped  atomic.Int64
 
-	mu       sync.Mutex
-	lives    map[string]int  // of processes, by machine
-	awayFrom map[string]int  // readiness checks that were missed in a row
-	expected map[string]bool // machines whose process is about to end, or has ended, by our doing
-	counted  map[string]float64
-	machines map[string]*mesh.Machine
-	byServer map[string]string // machine by the first part of its servers' ids
+	mu              sync.Mutex
+	incarnations    map[string]int  // of processes, by machine
+	missedReadiness map[string]int  // readiness checks that were missed in a row
+	expectedEnds    map[string]bool // machines whose process is about to end, or has ended, by our doing
+	violationCounts map[string]float64
+	machines        map[string]*mesh.Machine
+	machineByServer map[string]string // machine by the first part of its servers' ids
 }
 
 // Run plays a run. The error is of the laboratory; what the mesh has broken is in the report.
 func Run(ctx context.Context, cfg Config) (*Report, error) {
 	r := &run{
-		cfg: cfg, judge: NewJudge(), log: &eventLog{to: cfg.Log}, lives: map[string]int{}, awayFrom: map[string]int{},
-		expected: map[string]bool{}, counted: map[string]float64{}, machines: map[string]*mesh.Machine{},
-		byServer: map[string]string{}, began: time.Now(),
+		cfg: cfg, judge: NewJudge(), log: &eventLog{writer: cfg.Log}, incarnations: map[string]int{}, missedReadiness: map[string]int{},
+		expectedEnds: map[string]bool{}, violationCounts: map[string]float64{}, machines: map[string]*mesh.Machine{},
+		machineByServer: map[string]string{}, began: time.Now(),
 	}
 	r.operator, r.load = newOperator(r), &load{run: r}
 	var err error
 	r.mesh, err = mesh.Start(mesh.Config{
 		Folder: cfg.Folder, Programs: cfg.Programs, Net: cfg.Net, Core: cfg.Core, Tolerance: cfg.Tolerance,
-		Services: map[string]int{safeLine: cfg.Branch, unsafeLine: cfg.Branch}, Work: 15 * time.Millisecond,
+		Services: map[string]int{safeService: cfg.Branch, unsafeService: cfg.Branch}, Work: 15 * time.Millisecond,
 		Zones: []string{"one", "two", "three"}, Links: true, Seed: cfg.Seed, Heartbeat: time.Second, Arrived: r.arrived, Calling: r.calling,
 		Bounds: []string{
 			"inTouchS=3", "receiptS=5", "syncS=4", "lastPostS=2.5", "graceS=6", "inForceS=2.5", "backSlackS=0.25", "recoveryS=15",
@@ -109,26 +109,26 @@
 		return nil, errors.Wrap(err, "start the mesh")
 	}
 	defer r.mesh.Stop()
-	r.nameMachines()
-	r.troubles = newTroubles(r)
-	slowed, quicken := context.WithCancel(ctx)
-	defer r.troubles.slowing.Wait()
-	defer quicken()
-	r.troubles.slowDown(slowed, cfg.Slow)
+	r.indexMachines()
+	r.injector = newInjector(r)
+	slowContext, endSlowdown := context.WithCancel(ctx)
+	defer r.injector.slowTasks.Wait()
+	defer endSlowdown()
+	r.injector.slowDown(slowContext, cfg.Slow)
 	if err := r.awaitStart(ctx); err != nil {
 		return nil, err
 	}
-	return r.play(ctx), nil
+	return r.runTraffic(ctx), nil
 }
 
 // nameMachines notes the machines by name and server.
-func (r *run) nameMachines() {
+func (r *run) indexMachines() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, x := range r.mesh.All() {
 		r.machines[x.Name] = x
 		if x.Server != nil {
-			r.byServer[x.Server.ID()] = x.Name
+			r.machineByServer[x.Server.ID()] = x.Name
 		}
 	}
 }
@@ -146,7 +146,7 @@
 }
 
 // play plays the plan with traffic, lets the mesh recover, and judges.
-func (r *run) play(ctx context.Context) *Report {
+func (r *run) runTraffic(ctx context.Context) *Report {
 	r.began = time.Now()
 	plan := Plan(r.cfg.Seed, r.cfg.Length, r.cfg.Only)
 	traffic, stop := context.WithCancel(ctx)
@@ -156,39 +156,39 @@
 			tasks.Go(func() { r.load.client(traffic, x, i*r.cfg.Clients+c) })
 		}
 	}
-	tasks.Go(func() { r.operator.work(traffic, clientsPause) })
+	tasks.Go(func() { r.operator.sendChanges(traffic, changeInterval) })
 	tasks.Go(func() { r.operator.readBack(traffic, readInterval) })
 	tasks.Go(func() { r.watchReadiness(traffic) })
 	tasks.Go(func() { r.watchInvariants(traffic) })
 	tasks.Go(func() { r.watchStalls(traffic) })
-	r.troubles.play(ctx, plan)
-	r.recover(ctx)
+	r.injector.runPlan(ctx, plan)
+	r.awaitRecovery(ctx)
 	sleep(ctx, settleTime)
 	stop()
 	tasks.Wait()
-	r.finish()
+	r.judgeEnd()
 	return &Report{
-		Seed: r.cfg.Seed, Length: r.cfg.Length, Troubles: len(plan), Skipped: int(r.skipped.Load()), Counts: r.judge.Counts(),
+		Seed: r.cfg.Seed, Length: r.cfg.Length, Faults: len(plan), Skipped: int(r.skipped.Load()), Counts: r.judge.Counts(),
 		Stalls: int(r.stalls.Load()), Violations: r.judge.Violations(),
 	}
 }
 
 // recover waits until the mesh serves again, in the time that the rules leave it.
-func (r *run) recover(ctx context.Context) {
+func (r *run) awaitRecovery(ctx context.Context) {
 	order, cancel := context.WithTimeout(ctx, recovery)
 	defer cancel()
 	if !r.operator.send(order, r.operator.next(""), 0) {
-		r.judge.Break(r.now(), "RECOVER", "no configuration is acknowledged within %v", recovery)
+		r.judge.Report(r.now(), "RECOVER", "no configuration is acknowledged within %v", recovery)
 	}
 	for _, x := range r.mesh.Branch {
 		if mesh.Await(recovery, "", x.Ready) != nil {
-			r.judge.Break(r.now(), "RECOVER", "%s is not ready within %v", x.Name, recovery)
+			r.judge.Report(r.now(), "RECOVER", "%s is not ready within %v", x.Name, recovery)
 		}
 	}
 }
 
 // finish judges the end: what is read back, the requests' runs, and the processes.
-func (r *run) finish() {
+func (r *run) judgeEnd() {
 	newest := r.judge.Newest()
 	for _, x := range r.mesh.Core {
 		var version uint32
@@ -200,13 +200,13 @@
 		})
 		switch {
 		case err != nil:
-			r.judge.Break(r.now(), "CONFIG", "%s reads no configuration back within %v", x.Name, recovery)
-		case version < newest || !r.operator.known(version, text):
-			r.judge.Break(r.now(), "CONFIG", "%s reads version %d back, and %d was acknowledged", x.Name, version, newest)
+			r.judge.Report(r.now(), "CONFIG", "%s reads no configuration back within %v", x.Name, recovery)
+		case version < newest || !r.operator.wasSent(version, text):
+			r.judge.Report(r.now(), "CONFIG", "%s reads version %d back, and %d was acknowledged", x.Name, version, newest)
 		}
 	}
 	r.load.mu.Lock()
-	r.judge.Finish(r.now(), r.load.unsafe)
+	r.judge.Finish(r.now(), r.load.unsafeIDs)
 	r.load.mu.Unlock()
 	r.scrape()
 	r.judgeProcesses()
@@ -219,19 +219,19 @@
 // which have those of processes that were killed too.
 func (r *run) judgeProcesses() {
 	for _, x := range r.mesh.All() {
-		if !r.expectedEnd(x) && ended(x) {
-			r.judge.Break(r.now(), "FAULT", "%s has ended by itself", x.Name)
+		if !r.expectedEnd(x) && hasEnded(x) {
+			r.judge.Report(r.now(), "FAULT", "%s has ended by itself", x.Name)
 		}
 		for line := range strings.Lines(x.Log()) {
-			if tellsOfFault(line) {
-				r.judge.Break(r.now(), "INVARIANT", "%s: %s", x.Name, strings.TrimSpace(line))
+			if indicatesFault(line) {
+				r.judge.Report(r.now(), "INVARIANT", "%s: %s", x.Name, strings.TrimSpace(line))
 			}
 		}
 	}
 }
 
 // tellsOfFault reports whether a line of a process's log tells of a violated invariant, a panic or a data race.
-func tellsOfFault(line string) bool {
+func indicatesFault(line string) bool {
 	for _, text := range []string{invariant.LogMessage, "panic:", "DATA RACE", "fatal error:"} {
 		if strings.Contains(line, text) {
 			return true
@@ -240,7 +240,7 @@
 	return false
 }
 
-func ended(x *mesh.Machine) bool {
+func hasEnded(x *mesh.Machine) bool {
 	select {
 	case <-x.Done():
 		return true
@@ -253,26 +253,26 @@
 func (r *run) now() time.Duration { return time.Since(r.began) }
 
 // lifeOf is which process of a machine runs.
-func (r *run) lifeOf(x *mesh.Machine) int {
+func (r *run) incarnationOf(x *mesh.Machine) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.lives[x.Name]
+	return r.incarnations[x.Name]
 }
 
 // expectEnd notes that a machine's process ends by our doing, and expectedEnd whether it does.
 func (r *run) expectEnd(x *mesh.Machine, expected bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.expected[x.Name] = expected
+	r.expectedEnds[x.Name] = expected
 	if !expected {
-		r.lives[x.Name]++
+		r.incarnations[x.Name]++
 	}
 }
 
 func (r *run) expectedEnd(x *mesh.Machine) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.expected[x.Name]
+	return r.expectedEnds[x.Name]
 }
 
 // serviceOf is the service of a machine's server.
@@ -284,21 +284,21 @@
 }
 
 // calling records that a server is about to make a call within a request: it is sent like a client's.
-func (r *run) calling(id, machine string, patience time.Duration) {
-	r.judge.Sent(r.now(), id, machine, patience)
+func (r *run) calling(id, machine string, timeout time.Duration) {
+	r.judge.Sent(r.now(), id, machine, timeout)
 }
 
 // arrived records a request that runs at a server.
 func (r *run) arrived(a mesh.Arrival) {
 	r.mu.Lock()
-	machine := r.byServer[a.Server[:min(len(a.Server), len("i-00000000"))]]
+	machine := r.machineByServer[a.Server[:min(len(a.Server), len("i-00000000"))]]
 	r.mu.Unlock()
 	r.judge.Arrived(a.At.Sub(r.began), machine, a)
 }
 
 // wantsClients reports whether the platform sends clients to a machine: it has not missed two readiness checks.
-func (r *run) wantsClients(x *mesh.Machine) bool {
+func (r *run) acceptsClients(x *mesh.Machine) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.awayFrom[x.Name] < missedReady
+	return r.missedReadiness[x.Name] < maxMissedReady
 }
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestPlanIsThatOfItsSeed(t *testing.T) {
+func TestPlanIsDeterminedBySeed(t *testing.T) {
 	first, again, other := Plan(7, time.Minute, nil), Plan(7, time.Minute, nil), Plan(8, time.Minute, nil)
 	if !slices.Equal(first, again) || slices.Equal(first, other) {
 		t.Error("a seed does not decide its plan")
@@ -87,197 +87,197 @@
 }
 
 // secondsAfter is a time of the day that tests of the judge play.
-func secondsAfter(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // Helpers of the judge's histories: a request of branch-1 that is served, a change of it, its run, and an acknowledgement.
 
-func ok(id string) exchange {
+func served(id string) exchange {
 	return exchange{
-		id: id, machine: "branch-1", sent: secondsAfter(10), ended: secondsAfter(10.1), deadline: clientDeadline, status: http.StatusOK,
+		id: id, machine: "branch-1", sent: seconds(10), ended: seconds(10.1), deadline: clientDeadline, status: http.StatusOK,
 	}
 }
 
-func with(x exchange, change func(*exchange)) exchange {
+func modify(x exchange, change func(*exchange)) exchange {
 	change(&x)
 	return x
 }
 
 func ran(j *Judge, id string, since time.Duration) {
 	if j.requests[id] == nil {
-		j.Sent(secondsAfter(9.9), id, "branch-1", clientDeadline)
+		j.Sent(seconds(9.9), id, "branch-1", clientDeadline)
 	}
-	j.Arrived(secondsAfter(10), "branch-1", mesh.Arrival{
-		RequestID: id, Server: "i-1", Service: safeLine, SinceClosing: since, Remaining: time.Second,
+	j.Arrived(seconds(10), "branch-1", mesh.Arrival{
+		RequestID: id, Server: "i-1", Service: safeService, SinceClosing: since, Remaining: time.Second,
 	})
 }
 
 func ranOn(j *Judge, id, server string, at float64, remaining time.Duration) {
-	j.Arrived(secondsAfter(at), "branch-1", mesh.Arrival{RequestID: id, Server: server, Service: safeLine, Remaining: remaining})
+	j.Arrived(seconds(at), "branch-1", mesh.Arrival{RequestID: id, Server: server, Service: safeService, Remaining: remaining})
 }
 
 // twiceConfig is what a split route breaks: the share of each of its services is off.
-var twiceConfig = strings.Join([]string{"CONFIG", "CONFIG"}, " ")
+var bothShares = strings.Join([]string{"CONFIG", "CONFIG"}, " ")
 
 // runSplit has the judge see 300 successes on the split route, so many in a hundred of them from the first service.
 func runSplit(j *Judge, safe int) {
 	for n := range 300 {
 		id := fmt.Sprintf("split-%d", n)
 		ran(j, id, 0)
-		j.Ended(with(ok(id), func(x *exchange) {
-			x.services = []string{safeLine, unsafeLine}
+		j.Ended(modify(served(id), func(x *exchange) {
+			x.services = []string{safeService, unsafeService}
 			if n%100 >= safe {
-				x.by = 1
+				x.serviceIndex = 1
 			}
 		}))
 	}
 }
 
 func acknowledge(j *Judge, at float64, c change) {
-	j.Acknowledged(secondsAfter(at), secondsAfter(at-0.1), c)
+	j.Acknowledged(seconds(at), seconds(at-0.1), c)
 }
 
-var seven = newChange(7, "")
+var version7 = newChange(7, "")
 
 // judgeCases are small histories, each with the rule that it breaks.
 var judgeCases = []struct {
 	name, want string // the rule that is broken; empty: none
 	do         func(j *Judge)
 }{
-	{"a request is served", "", func(j *Judge) { ran(j, "a", 0); j.Ended(ok("a")) }},
+	{"a request is served", "", func(j *Judge) { ran(j, "a", 0); j.Ended(served("a")) }},
 	{"a server answers that a call of its own has failed", "", func(j *Judge) {
 		ran(j, "a", 0)
-		j.Stop(secondsAfter(9), "branch-1")
-		j.Ended(with(ok("a"), func(x *exchange) { x.status, x.byServer = http.StatusInternalServerError, true }))
+		j.BeginShutdown(seconds(9), "branch-1")
+		j.Ended(modify(served("a"), func(x *exchange) { x.status, x.fromServer = http.StatusInternalServerError, true }))
 	}},
 	{"a split route by its weights", "", func(j *Judge) { runSplit(j, 62) }},
-	{"a split route all to one service", twiceConfig, func(j *Judge) { runSplit(j, 100) }},
+	{"a split route all to one service", bothShares, func(j *Judge) { runSplit(j, 100) }},
 	{"a split route with too few requests to tell", "", func(j *Judge) {
-		j.split[safeLine] = 100
+		j.split[safeService] = 100
 	}},
-	{"an answer that no server gave", "MIXED", func(j *Judge) { j.Ended(ok("a")) }},
+	{"an answer that no server gave", "MIXED", func(j *Judge) { j.Ended(served("a")) }},
 	{"another's answer", "MIXED", func(j *Judge) {
 		ran(j, "a", 0)
-		j.Ended(with(ok("a"), func(x *exchange) { x.wrong = true }))
+		j.Ended(modify(served("a"), func(x *exchange) { x.mismatched = true }))
 	}},
 	{"one that may run once runs twice", "TWICE", func(j *Judge) { ran(j, "u", 0); ran(j, "u", 0) }},
 	{"a refused one has run", "REFUSED", func(j *Judge) {
 		ran(j, "u", 0)
-		j.Ended(with(ok("u"), func(x *exchange) { x.unsafe, x.status = true, 503 }))
+		j.Ended(modify(served("u"), func(x *exchange) { x.unsafe, x.status = true, 503 }))
 	}},
-	{"no route", "DENIED", func(j *Judge) { j.Ended(with(ok("a"), func(x *exchange) { x.status = 404 })) }},
+	{"no route", "DENIED", func(j *Judge) { j.Ended(modify(served("a"), func(x *exchange) { x.status = 404 })) }},
 	{"a closing server is sent something", "DRAIN", func(j *Judge) { ran(j, "a", lastPost+time.Second) }},
 	{"a closing server is sent something in time", "", func(j *Judge) { ran(j, "a", lastPost-time.Second) }},
 	{"... by a machine in trouble", "", func(j *Judge) {
-		j.Disturbed(secondsAfter(8), secondsAfter(9), "branch-1")
+		j.AddFault(seconds(8), seconds(9), "branch-1")
 		ran(j, "a", lastPost+time.Second)
 	}},
 	{"an acknowledged version is not in force", "CONFIG", func(j *Judge) {
-		acknowledge(j, 5, seven)
-		j.Ended(with(ok("a"), func(x *exchange) { x.marker, x.status = 7, 404 }))
+		acknowledge(j, 5, version7)
+		j.Ended(modify(served("a"), func(x *exchange) { x.markerVersion, x.status = 7, 404 }))
 	}},
 	{"... and the machine is not in touch", "", func(j *Judge) {
-		acknowledge(j, 5, seven)
-		j.Disturbed(secondsAfter(8), secondsAfter(9), "branch-1")
-		j.Ended(with(ok("a"), func(x *exchange) { x.marker, x.status = 7, 404 }))
+		acknowledge(j, 5, version7)
+		j.AddFault(seconds(8), seconds(9), "branch-1")
+		j.Ended(modify(served("a"), func(x *exchange) { x.markerVersion, x.status = 7, 404 }))
 	}},
 	{"... and there was no time for it", "", func(j *Judge) {
-		acknowledge(j, 9, seven)
-		j.Ended(with(ok("a"), func(x *exchange) { x.marker, x.status = 7, 404 }))
+		acknowledge(j, 9, version7)
+		j.Ended(modify(served("a"), func(x *exchange) { x.markerVersion, x.status = 7, 404 }))
 	}},
 	{"a machine goes back, in touch or not", "CONFIG", func(j *Judge) {
-		j.Disturbed(secondsAfter(8), secondsAfter(20), "branch-1")
+		j.AddFault(seconds(8), seconds(20), "branch-1")
 		ran(j, "a", 0)
-		j.Ended(with(ok("a"), func(x *exchange) { x.marker = 7 }))
-		j.Ended(with(ok("b"), func(x *exchange) { x.marker, x.status, x.sent, x.ended = 6, 404, secondsAfter(12), secondsAfter(12.1) }))
+		j.Ended(modify(served("a"), func(x *exchange) { x.markerVersion = 7 }))
+		j.Ended(modify(served("b"), func(x *exchange) { x.markerVersion, x.status, x.sent, x.ended = 6, 404, seconds(12), seconds(12.1) }))
 	}},
 	{"a new process may be behind", "", func(j *Judge) {
 		ran(j, "a", 0)
-		j.Ended(with(ok("a"), func(x *exchange) { x.marker = 7 }))
-		j.Ended(with(ok("b"), func(x *exchange) { x.marker, x.status, x.life, x.sent = 6, 404, 1, secondsAfter(12) }))
+		j.Ended(modify(served("a"), func(x *exchange) { x.markerVersion = 7 }))
+		j.Ended(modify(served("b"), func(x *exchange) { x.markerVersion, x.status, x.incarnation, x.sent = 6, 404, 1, seconds(12) }))
 	}},
-	{"two contents of a version", "CONFIG", func(j *Judge) { acknowledge(j, 5, seven); acknowledge(j, 6, newChange(7, "rival")) }},
-	{"what was acknowledged is refused", "CONFIG", func(j *Judge) { acknowledge(j, 5, seven); j.Conflict(secondsAfter(6), seven, "core-1") }},
+	{"two contents of a version", "CONFIG", func(j *Judge) { acknowledge(j, 5, version7); acknowledge(j, 6, newChange(7, "rival")) }},
+	{"what was acknowledged is refused", "CONFIG", func(j *Judge) { acknowledge(j, 5, version7); j.Conflict(seconds(6), version7, "core-1") }},
 	{"an old configuration is read", "CONFIG", func(j *Judge) {
-		acknowledge(j, 5, seven)
+		acknowledge(j, 5, version7)
 		old := newChange(6, "")
-		j.Read(secondsAfter(8), secondsAfter(8.1), "core-1", 6, old.text)
+		j.Read(seconds(8), seconds(8.1), "core-1", 6, old.text)
 	}},
 	{"the newest is read", "", func(j *Judge) {
-		acknowledge(j, 5, seven)
-		j.Read(secondsAfter(8), secondsAfter(8.1), "core-1", 7, seven.text)
+		acknowledge(j, 5, version7)
+		j.Read(seconds(8), seconds(8.1), "core-1", 7, version7.text)
 	}},
-	{"an order waits too long", "ACKS", func(j *Judge) { j.Acknowledged(secondsAfter(20), secondsAfter(10), seven) }},
+	{"an order waits too long", "ACKS", func(j *Judge) { j.Acknowledged(seconds(20), seconds(10), version7) }},
 	{"... in a partition", "", func(j *Judge) {
-		j.Disturbed(secondsAfter(11), secondsAfter(15), core)
-		j.Acknowledged(secondsAfter(20), secondsAfter(10), seven)
+		j.AddFault(seconds(11), seconds(15), core)
+		j.Acknowledged(seconds(20), seconds(10), version7)
 	}},
 	{"a request is cut off around a SIGTERM", "LOST", func(j *Judge) {
-		j.Stop(secondsAfter(9), "branch-1")(secondsAfter(14))
-		j.Ended(with(ok("a"), func(x *exchange) { x.status = http.StatusBadGateway }))
+		j.BeginShutdown(seconds(9), "branch-1")(seconds(14))
+		j.Ended(modify(served("a"), func(x *exchange) { x.status = http.StatusBadGateway }))
 	}},
 	{"... by its server", "", func(j *Judge) {
-		j.Stop(secondsAfter(9), "branch-1")(secondsAfter(14))
-		j.Sent(secondsAfter(9.9), "a", "branch-1", clientDeadline)
-		j.Arrived(secondsAfter(10), "branch-1", mesh.Arrival{RequestID: "a", Server: "i-1", Remaining: time.Second, Spoilt: true})
-		j.Ended(with(ok("a"), func(x *exchange) { x.status = http.StatusBadGateway }))
+		j.BeginShutdown(seconds(9), "branch-1")(seconds(14))
+		j.Sent(seconds(9.9), "a", "branch-1", clientDeadline)
+		j.Arrived(seconds(10), "branch-1", mesh.Arrival{RequestID: "a", Server: "i-1", Remaining: time.Second, Aborted: true})
+		j.Ended(modify(served("a"), func(x *exchange) { x.status = http.StatusBadGateway }))
 	}},
 	{"... in the last sixth of its time", "", func(j *Judge) {
-		j.Stop(secondsAfter(9), "branch-1")(secondsAfter(14.5))
-		j.Ended(with(ok("a"), func(x *exchange) {
-			x.ending, x.status, x.ended, x.deadline = broken, 0, secondsAfter(14.2), time.Minute
+		j.BeginShutdown(seconds(9), "branch-1")(seconds(14.5))
+		j.Ended(modify(served("a"), func(x *exchange) {
+			x.ending, x.status, x.ended, x.deadline = broken, 0, seconds(14.2), time.Minute
 		}))
 	}},
 	{"a request that nobody has sent", "UNASKED", func(j *Judge) { ranOn(j, "nobody's", "i-1", 10, time.Second) }},
 	{"requests reach servers long after their clients have left", "GONE", func(j *Judge) {
-		for i := range 2 * maxGone {
+		for i := range 2 * maxAfterCancel {
 			id := fmt.Sprint(i)
-			j.Sent(secondsAfter(9), id, "branch-1", clientDeadline)
-			j.Ended(exchange{id: id, machine: "branch-1", sent: secondsAfter(9), ended: secondsAfter(9.1), ending: left})
+			j.Sent(seconds(9), id, "branch-1", clientDeadline)
+			j.Ended(exchange{id: id, machine: "branch-1", sent: seconds(9), ended: seconds(9.1), ending: cancelled})
 			ranOn(j, id, "i-1", 10.2, time.Second)
 		}
 	}},
 	{"requests have no answer after their deadline", "CONFIG", func(j *Judge) {
 		for i := range 2 * exceptions {
-			j.Ended(with(ok(fmt.Sprint(i)), func(x *exchange) { x.ending, x.status = expired, 0 }))
+			j.Ended(modify(served(fmt.Sprint(i)), func(x *exchange) { x.ending, x.status = expired, 0 }))
 		}
 	}},
 	{"requests that have run get no answer", "LOST", func(j *Judge) {
 		for i := range 2 * exceptions {
 			ran(j, fmt.Sprint(i), 0)
-			j.Ended(with(ok(fmt.Sprint(i)), func(x *exchange) { x.ending, x.status = broken, 0 }))
+			j.Ended(modify(served(fmt.Sprint(i)), func(x *exchange) { x.ending, x.status = broken, 0 }))
 		}
 	}},
 	{"... from a server in trouble", "", func(j *Judge) {
 		for i := range 2 * exceptions {
 			ran(j, fmt.Sprint(i), 0)
-			j.ServerGone(secondsAfter(10.05), "i-1")
-			j.Ended(with(ok(fmt.Sprint(i)), func(x *exchange) { x.ending, x.status = broken, 0 }))
+			j.ServerEnded(seconds(10.05), "i-1")
+			j.Ended(modify(served(fmt.Sprint(i)), func(x *exchange) { x.ending, x.status = broken, 0 }))
 		}
 	}},
 	{"servers are handed more time than is left", "BUDGET", func(j *Judge) {
-		for i := range 2 * maxExtraTime {
-			j.Sent(secondsAfter(9), fmt.Sprint(i), "branch-1", time.Second)
+		for i := range 2 * maxLateDeadlines {
+			j.Sent(seconds(9), fmt.Sprint(i), "branch-1", time.Second)
 			ranOn(j, fmt.Sprint(i), "i-1", 9.5, 2*time.Second)
 		}
 	}},
 	{"requests run on more servers than their attempts", "BUDGET", func(j *Judge) {
 		for i := range 2 * exceptions {
-			j.Sent(secondsAfter(9), fmt.Sprint(i), "branch-1", clientDeadline)
-			for server := range routeTries + 1 {
+			j.Sent(seconds(9), fmt.Sprint(i), "branch-1", clientDeadline)
+			for server := range routeAttempts + 1 {
 				ranOn(j, fmt.Sprint(i), fmt.Sprint("i-", server), 9.5, time.Second)
 			}
 		}
 	}},
 	{"a service gets too many repeats", "BUDGET", func(j *Judge) {
 		for i := range 2 * retrySlack {
-			j.Sent(secondsAfter(9), fmt.Sprint(i), "branch-1", clientDeadline)
+			j.Sent(seconds(9), fmt.Sprint(i), "branch-1", clientDeadline)
 			ranOn(j, fmt.Sprint(i), "i-1", 9.5, time.Second)
 			ranOn(j, fmt.Sprint(i), "i-2", 9.6, time.Second)
 		}
 	}},
 	{"... long after the SIGTERM", "LOST", func(j *Judge) {
-		j.Stop(secondsAfter(5), "branch-1")(secondsAfter(10.5))
-		j.Ended(with(ok("a"), func(x *exchange) { x.ending, x.status = broken, 0 }))
+		j.BeginShutdown(seconds(5), "branch-1")(seconds(10.5))
+		j.Ended(modify(served("a"), func(x *exchange) { x.ending, x.status = broken, 0 }))
 	}},
 }
 
@@ -286,7 +286,7 @@
 	for _, c := range judgeCases {
 		j := NewJudge()
 		c.do(j)
-		j.Finish(secondsAfter(30), []string{"u"})
+		j.Finish(seconds(30), []string{"u"})
 		var rules []string
 		for _, v := range j.Violations() {
 			rules = append(rules, v.Rule)
@@ -299,7 +299,7 @@
 
 // What the processes count and log as violated is found, also of processes that have ended.
 func TestViolatedInvariantsAreFound(t *testing.T) {
-	r := &run{judge: NewJudge(), counted: map[string]float64{}}
+	r := &run{judge: NewJudge(), violationCounts: map[string]float64{}}
 	for _, line := range []string{
 		`firplank_invariant_violations_total{invariant="started_once"} 0`, `firplank_requests_total{outcome="served"} 9`,
 		`firplank_invariant_violations_total{invariant="started_once"} 2`, `firplank_invariant_violations_total{invariant="started_once"} 2`,
@@ -313,7 +313,7 @@
 		`{"level":"error","msg":"invariant violated","invariant":"started_once"}`: true, "panic: runtime error": true,
 		"WARNING: DATA RACE": true, `{"level":"info","msg":"sidecar started"}`: false,
 	} {
-		if tellsOfFault(line) != want {
+		if indicatesFault(line) != want {
 			t.Errorf("%q: %v", line, !want)
 		}
 	}
--- a/lab/soak/watch.go
+++ b/lab/soak/watch.go
@@ -22,9 +22,9 @@
 				ready := x.Ready()
 				r.mu.Lock()
 				defer r.mu.Unlock()
-				r.awayFrom[x.Name]++
+				r.missedReadiness[x.Name]++
 				if ready {
-					r.awayFrom[x.Name] = 0
+					r.missedReadiness[x.Name] = 0
 				}
 			}()
 		}
@@ -72,11 +72,11 @@
 	}
 	r.mu.Lock()
 	key := machine + name
-	before := r.counted[key]
-	r.counted[key] = count
+	before := r.violationCounts[key]
+	r.violationCounts[key] = count
 	r.mu.Unlock()
 	if count > before {
-		r.judge.Break(r.now(), "INVARIANT", "%s: %s", machine, line)
+		r.judge.Report(r.now(), "INVARIANT", "%s: %s", machine, line)
 	}
 }
 
@@ -89,7 +89,7 @@
 		now := time.Now()
 		if late := now.Sub(last) - stallCheck; late > stallLimit {
 			r.stalls.Add(1)
-			r.judge.Disturbed(last.Sub(r.began), now.Sub(r.began), core)
+			r.judge.AddFault(last.Sub(r.began), now.Sub(r.began), core)
 			r.log.Event(r.now(), "stall", "this process did not run for %v", late)
 		}
 		last = now
