--- a/lab/soak/budgets.go
+++ b/lab/soak/budgets.go
@@ -7,12 +7,13 @@
 	"firplank/lab/mesh"
 )
 
-// Bounds of the rules on further sends, and of how many times a rule that is no promise for each request may be missed.
+// Bounds of the retry budget and of the time that requests have left. Rules that do not hold for each single request are broken only when
+// more requests than a maximum miss them.
 const (
 	retryRatio       = 0.2
 	retrySlack       = 60
 	retryWindow      = 10 * time.Second
-	routeAttempts    = 2 // attempts of the routes
+	routeAttempts    = 2 // as in the routes' configuration
 	lateAnswerLimit  = 500 * time.Millisecond
 	cancelLimit      = 500 * time.Millisecond
 	deadlineSlack    = 500 * time.Millisecond
@@ -21,20 +22,20 @@
 	maxLateDeadlines = 20
 )
 
-// request is what the judge knows of a request from its sending on.
+// request is the judge's record of a request, from before it is sent.
 type request struct {
-	machine        string // that its client sends it to
+	machine        string // receives it from its client
 	sent           time.Duration
-	timeout        time.Duration // how long its client says that it waits
-	cancelledAt    time.Duration // when its client left early; 0: it did not
-	servers        []string      // that ran it
-	serverMachines []string      // their machines
+	timeout        time.Duration // its deadline header, relative to sent
+	cancelledAt    time.Duration // when its client gave up early; 0: it did not
+	servers        []string      // servers that ran it, one entry per run
+	serverMachines []string      // machines of servers, in the same order
 }
 
 // arrival is a request that reached a server.
 type arrival struct {
 	at     time.Duration
-	repeat bool // it has reached one before
+	repeat bool // the request reached a server before
 }
 
 // Sent records that a client is about to send a request.
@@ -44,7 +45,7 @@
 	j.requests[id] = &request{machine: machine, sent: at, timeout: timeout}
 }
 
-// arrivedFor records an arrival of a request. One that no client sent breaks a rule. The caller holds mu.
+// recordArrival records that a request reached a server. A request that no client sent is a violation. The caller holds mu.
 func (j *Judge) recordArrival(at time.Duration, machine string, a *mesh.Arrival) {
 	r := j.requests[a.RequestID]
 	if r == nil {
@@ -64,7 +65,7 @@
 	}
 }
 
-// finishBudgets judges what is counted over requests. The caller holds mu.
+// judgeBudgets checks the rules that are counted over all requests of the run. The caller holds mu.
 func (j *Judge) judgeBudgets(at time.Duration) {
 	if n := j.counts.AfterLeaving; n > maxAfterCancel {
 		j.report(at, "GONE", "%d requests reached servers over %v after their clients had left", n, cancelLimit)
@@ -96,7 +97,8 @@
 	}
 }
 
-// finishRetries judges the repeated arrivals at a service, in each window that ends with one.
+// judgeRetries checks the retry budget of a service in each window of retryWindow that ends with an arrival. It reports the first violation
+// only.
 func (j *Judge) judgeRetries(service string, all []arrival) {
 	slices.SortFunc(all, func(a, b arrival) int { return int(a.at - b.at) })
 	windowStart, requests, repeats := 0, 0, 0
--- a/lab/soak/config.go
+++ b/lab/soak/config.go
@@ -5,23 +5,23 @@
 	"fmt"
 )
 
-// The mesh's services, and the routes to them. Each version of the configuration adds a route of its own, which shows
-// whether that version, or a later one, is in force; the newest are kept.
+// The mesh's services, and the routes to them. Each version of the configuration adds a marker route, which shows whether that version or
+// a later one is in force. A configuration contains the marker routes of the last keptMarkers versions.
 const (
 	host          = "plates.example"
 	safeService   = "records"
 	unsafeService = "registry"
 	safePrefix    = "/look/"
 	filePrefix    = "/file/"
-	splitPrefix   = "/either/" // goes to either service, by splitShares
-	pullPrefix    = "/pull/"   // a download
+	splitPrefix   = "/either/" // split between both services by splitShares
+	pullPrefix    = "/pull/"   // a route for downloads
 	keptMarkers   = 40
 )
 
-// splitShares are the weights of the services of the route with splitPrefix.
+// splitShares are the weights of the services on the route with splitPrefix.
 var splitShares = map[string]int{safeService: 60, unsafeService: 40}
 
-// marker is the prefix of the route that a version adds.
+// markerPrefix returns the prefix of a version's marker route.
 func markerPrefix(version uint32) string { return fmt.Sprintf("/since-%d/", version) }
 
 type (
@@ -57,14 +57,14 @@
 	}
 	configJSON struct {
 		Version  string         `json:"edition"`
-		Comment  string         `json:"comment,omitempty"` // tells two contents of one version apart
+		Comment  string         `json:"comment,omitempty"` // makes two contents of one version differ
 		Caps     map[string]int `json:"caps"`
 		Hosts    []hostJSON     `json:"gates"`
 		Services []serviceJSON  `json:"fleets"`
 	}
 )
 
-// configuration is the text of a version. The comment makes it another content.
+// configuration returns the configuration of a version in JSON. Different comments give different contents of the same version.
 func configuration(version uint32, comment string) []byte {
 	routes := []routeJSON{
 		route("look", "safe", safePrefix, safeService, 2),
@@ -88,7 +88,7 @@
 	return text
 }
 
-// routeTimeoutS is the routes' time-out.
+// routeTimeoutS is the time-out of all routes, in seconds.
 const routeTimeoutS = 3
 
 func route(name, kind, prefix, service string, attempts int) routeJSON {
@@ -98,7 +98,7 @@
 	}
 }
 
-// splitRoute is the route that goes to either service.
+// splitRoute returns the route that is split between both services.
 func splitRoute() routeJSON {
 	r := route("either", "safe", splitPrefix, "", 2)
 	for _, service := range []string{safeService, unsafeService} {
@@ -107,7 +107,7 @@
 	return r
 }
 
-// invalidConfiguration is a text that has to be rejected: it names an unknown service, or is cut short.
+// invalidConfiguration returns a configuration that must be rejected: truncated JSON for even variants, an unknown service for odd ones.
 func invalidConfiguration(version uint32, variant int) []byte {
 	text := configuration(version, "")
 	if variant%2 == 0 {
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -8,7 +8,7 @@
 	"firplank/lab/mesh"
 )
 
-// link carries out a trouble of links.
+// injectLinkFault carries out a fault of links.
 func (t *injector) injectLinkFault(ctx context.Context, x Fault) {
 	all, network := t.run.mesh.All(), t.run.mesh.Network
 	everybody := names(all)
@@ -42,8 +42,8 @@
 	}
 }
 
-// harm harms links for a while. The machines are those that are in trouble by it: a link belongs to both its ends, but
-// only the machine that a trouble is about counts as out of touch.
+// degradeLinks applies link faults for a time, and records machines as faulty for it. A link has two ends, but only the machine that the
+// fault is about counts as out of touch.
 func (t *injector) degradeLinks(ctx context.Context, length time.Duration, machines []*mesh.Machine, cuts ...linkFault) {
 	ofCore := len(withCore(machines)) > len(machines)
 	end := t.run.judge.BeginFault(t.run.now(), withCore(machines)...)
@@ -73,7 +73,7 @@
 	end(t.run.now())
 }
 
-// apply brings the network to the cuts that there are: the last one of a link counts.
+// apply sets the network to the link faults in force. Where several affect a link, one of them applies.
 func (t *injector) apply() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -83,7 +83,7 @@
 	}
 }
 
-// misuse carries out a trouble of operators and clients.
+// injectMisuse carries out a fault of operators or clients.
 func (t *injector) injectMisuse(ctx context.Context, x Fault) {
 	o, all := t.run.operator, t.run.mesh.Core
 	switch x.Kind {
@@ -110,7 +110,8 @@
 	}
 }
 
-// order sends a change for as long as an operator tries.
+// sendChange sends a change until it has a definite answer, for at most twice the recovery time. It reports whether the change was
+// acknowledged.
 func (t *injector) sendChange(ctx context.Context, c change, first int) bool {
 	ctx, cancel := context.WithTimeout(ctx, 2*recovery)
 	defer cancel()
@@ -133,14 +134,14 @@
 	t.kill(ctx, x.For, false, control)
 }
 
-// Times of a server that is replaced.
+// Times of a server that closes and is replaced.
 const (
 	ackPoll       = 10 * time.Millisecond
 	ackTimeout    = 3 * time.Second
-	serveAfterAck = 3500 * time.Millisecond // from the acknowledgement to the end, beyond lastPost
+	serveAfterAck = 3500 * time.Millisecond // from the acknowledgement to the server's end; longer than lastPost
 )
 
-// killAfterClosing has a server announce its closing, or leave, and kills its sidecar right after the acknowledgement.
+// killAfterClosing makes a server announce its closing, or leave, and kills its sidecar right after the acknowledgement.
 func (t *injector) killAfterClosing(ctx context.Context, x Fault, proxy *mesh.Machine) {
 	if !t.claimServer(proxy) {
 		return
@@ -151,7 +152,7 @@
 		s.Leave()
 	} else {
 		s.AnnounceClosing()
-		_ = mesh.Await(ackTimeout, "", s.Acked) // Acked is looked at next
+		_ = mesh.Await(ackTimeout, "", s.Acked) // Acked is checked next
 	}
 	if s.Acked() {
 		t.run.log.Event(t.run.now(), "closing", "server %s, acknowledged by %s, which is killed", s.ID(), proxy.Name)
@@ -161,7 +162,7 @@
 	t.replaceServer(proxy)
 }
 
-// server carries out a trouble of a server.
+// injectServerFault carries out a fault of a server.
 func (t *injector) injectServerFault(ctx context.Context, x Fault, proxy *mesh.Machine) {
 	if !t.claimServer(proxy) {
 		return
@@ -179,7 +180,7 @@
 			s.Leave()
 		} else {
 			s.AnnounceClosing()
-			_ = mesh.Await(ackTimeout, "", s.Acked) // a server without an acknowledgement ends all the same
+			_ = mesh.Await(ackTimeout, "", s.Acked) // without an acknowledgement the server ends all the same
 		}
 		sleep(ctx, serveAfterAck)
 		if x.Kind == ServerClose {
@@ -203,7 +204,7 @@
 	s.SetBehaviour(mesh.Behaviour{})
 }
 
-// replace starts the successor of a machine's server.
+// replaceServer ends a machine's server and starts its successor.
 func (t *injector) replaceServer(x *mesh.Machine) {
 	t.run.judge.ServerEnded(t.run.now(), x.CurrentServer().ID())
 	next, err := x.ReplaceServer()
@@ -214,10 +215,10 @@
 	t.run.log.Event(t.run.now(), "server", "%s is new on %s", next.ID(), x.Name)
 }
 
-// serverOf is the name under which a machine's server is busy.
+// serverKey is the key of a machine's server in busy.
 func serverKey(x *mesh.Machine) string { return "server of " + x.Name }
 
-// claimServer marks a machine's server as busy, unless it is.
+// claimServer marks a machine's server as busy. If it is already, the fault counts as skipped, and the result is false.
 func (t *injector) claimServer(x *mesh.Machine) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/lab/soak/injector.go
+++ b/lab/soak/injector.go
@@ -11,37 +11,37 @@
 )
 
 const (
-	// syncTime is how long a machine that has returned still counts as lost.
+	// syncTime is how long a control machine still counts as lost after its return.
 	syncTime = 4 * time.Second
-	// restartDelay is the platform's pause before it starts a process again.
+	// restartDelay is the platform's delay before it restarts a process.
 	restartDelay = 300 * time.Millisecond
 	// slowLink is the delay of a slow link, one way.
 	slowLink = 120 * time.Millisecond
-	// lostAnswers is the share of answers that are lost on a link that loses them.
+	// lostAnswers is the share of responses that are lost under AnswerLost.
 	lostAnswers = 0.3
-	// storm is the number of configurations of a storm.
+	// stormSize is the number of configurations that a ConfigStorm sends.
 	stormSize = 8
-	// killTimeout is after how long beyond graceS the platform kills a process that was to end.
+	// killTimeout is how long after its SIGTERM the platform kills a process that has not ended.
 	killTimeout = grace
 )
 
-// troubles carries out a plan on a mesh.
+// injector carries out a plan of faults on a mesh.
 type injector struct {
 	run       *run
 	tasks     sync.WaitGroup
 	slowTasks sync.WaitGroup // goroutines of slowDown
 
 	mu               sync.Mutex
-	paused           map[string]bool   // machines whose process a trouble has stopped
-	busy             map[string]bool   // machines whose process is stopped, or about to be
-	linkFaults       map[int]linkFault // links that are not whole, by a number
-	lastLinkFault    int               // the number of the last one
+	paused           map[string]bool   // machines whose process a fault has stopped
+	busy             map[string]bool   // machines, and servers by serverKey, that a fault affects
+	linkFaults       map[int]linkFault // link faults in force, by number
+	lastLinkFault    int               // number of the last one
 	wiping           bool
-	lastCoreRecovery time.Time // when the last core machine was back, or the core was whole again
-	coreFaults       int       // core machines that are down or stopped, and cuts of the core
+	lastCoreRecovery time.Time // when a core machine was last restored, or a fault of the core's links ended
+	coreFaults       int       // core machines that are down or stopped, and faults of the core's links
 }
 
-// cut is links that are not whole.
+// linkFault is a state of the links from some machines to others.
 type linkFault struct {
 	from, to []string
 	link     mesh.Link
@@ -51,7 +51,7 @@
 	return &injector{run: r, busy: map[string]bool{}, paused: map[string]bool{}, linkFaults: map[int]linkFault{}, lastCoreRecovery: time.Now()}
 }
 
-// play carries out a plan, and returns when all is whole again.
+// runPlan carries out a plan, and returns when all faults are over.
 func (t *injector) runPlan(ctx context.Context, plan []Fault) {
 	for _, x := range plan {
 		sleep(ctx, x.At-t.run.now())
@@ -65,7 +65,7 @@
 	t.run.mesh.Network.Heal()
 }
 
-// carryOut carries out one trouble, and returns when it is over.
+// inject carries out one fault, and returns when it is over.
 func (t *injector) inject(ctx context.Context, x Fault) {
 	branch, core := t.run.mesh.Branch, t.run.mesh.Core
 	proxy, control := branch[x.Target%len(branch)], core[x.Target%len(core)]
@@ -105,7 +105,7 @@
 	}
 }
 
-// every returns each nth machine.
+// everyNth returns each nth machine, starting from one that offset selects.
 func everyNth(all []*mesh.Machine, n, offset int) (some []*mesh.Machine) {
 	for i, x := range all {
 		if (i+offset)%n == 0 {
@@ -122,7 +122,7 @@
 	return all
 }
 
-// take marks machines as busy, and returns those that were not.
+// claim marks machines as busy, and returns those that were not busy before.
 func (t *injector) claim(machines []*mesh.Machine) (taken []*mesh.Machine) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -142,7 +142,7 @@
 	return taken
 }
 
-// release marks machines as whole again.
+// release marks machines as no longer busy.
 func (t *injector) release(machines []*mesh.Machine) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -155,7 +155,7 @@
 	}
 }
 
-// kill kills machines at once, and starts them again after a while.
+// kill kills machines at once, removes their disks if wipe is set, and starts them again after a delay.
 func (t *injector) kill(ctx context.Context, after time.Duration, wipe bool, machines ...*mesh.Machine) {
 	machines = t.claim(machines)
 	if len(machines) == 0 {
@@ -191,7 +191,7 @@
 	t.run.log.Event(t.run.now(), "started", "%s", x.Name)
 }
 
-// withCore returns the names of machines, with the core's where one is a control machine.
+// withCore returns the names of machines, followed by core if one of them is a control machine.
 func withCore(machines []*mesh.Machine) []string {
 	all := names(machines)
 	if slices.ContainsFunc(machines, func(x *mesh.Machine) bool { return x.Server == nil }) {
@@ -200,7 +200,7 @@
 	return all
 }
 
-// pause stops a machine's process for a while.
+// pause stops a machine's process for a time and continues it.
 func (t *injector) pause(ctx context.Context, length time.Duration, x *mesh.Machine) {
 	machines := t.claim([]*mesh.Machine{x})
 	if len(machines) == 0 {
@@ -214,7 +214,7 @@
 	end(t.run.now())
 }
 
-// term has a machine's process end in order, and starts it again.
+// term shuts a machine's process down gracefully, and starts it again.
 func (t *injector) term(ctx context.Context, x *mesh.Machine) {
 	machines := t.claim([]*mesh.Machine{x})
 	if len(machines) == 0 {
@@ -254,9 +254,9 @@
 	}
 }
 
-// wipe kills as many control machines as the tolerance and takes their disks, unless others are lost, or were too
-// shortly before: more may be lost at a time than the mesh is to bear, but no more disks. With an odd variant all other
-// processes are killed at the same moment, whose disks remain.
+// wipe kills as many control machines as the tolerance and removes their disks. It skips the fault while others are lost, or were within
+// syncTime: more machines than the tolerance may be down at a time, but no more disks may be lost. With an odd variant all other processes
+// are killed at the same time and keep their disks.
 func (t *injector) wipe(ctx context.Context, x Fault, after time.Duration) {
 	if !t.beginWipe() {
 		t.run.skipped.Add(1)
@@ -278,7 +278,7 @@
 	tasks.Wait()
 }
 
-// mayWipe reports whether disks may be lost now, and if so notes it.
+// beginWipe reports whether disks may be removed now. If so, no other wipe begins until endWipe.
 func (t *injector) beginWipe() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/lab/soak/judge.go
+++ b/lab/soak/judge.go
@@ -10,8 +10,9 @@
 	"firplank/lab/mesh"
 )
 
-// Bounds of the rules, as the processes are told them, and how much later than a bound something has to be to break a
-// rule with a time bound: the soak's own clocks and connections take some of it.
+// Bounds of the rules. Those with the name of a setting (inTouchS, inForceS, ...) equal what the processes get as settings. A rule with a
+// time bound is broken only when the bound is exceeded by more than timingSlack, which covers the delays of the soak's own clocks and
+// connections.
 const (
 	inTouch     = 3 * time.Second
 	inForce     = 2500 * time.Millisecond
@@ -21,76 +22,76 @@
 	receipt     = 5 * time.Second
 	recovery    = 15 * time.Second
 	timingSlack = 400 * time.Millisecond
-	// cutShare is the part of its time that a request has to have left for its broken connection to count.
+	// abortShare limits which failures during a shutdown count as LOST: only those that end within this share of the request's deadline.
 	abortShare = 0.7
 )
 
-// Violation is a broken promise.
+// Violation is one violation of a rule.
 type Violation struct {
 	At   time.Duration `json:"at"` // since the start of traffic
 	Rule string        `json:"rule"`
 	What string        `json:"what"`
 }
 
-// exchange is a request of a client and what became of it.
+// exchange is a client's request and its outcome.
 type exchange struct {
 	id            string
-	machine       string // that took it
-	incarnation   int    // of its process
+	machine       string // received it from the client
+	incarnation   int    // counts the processes of machine
 	unsafe        bool
-	markerVersion uint32   // the version whose route it is for; 0: none
-	mismatched    bool     // a success whose body or headers are not the server's
-	services      []string // that may run it
-	serviceIndex  int      // which of them has, of a success
-	paddingBytes  int      // bytes of the body behind its text
-	fromServer    bool     // the answer is a server's own
+	markerVersion uint32   // the version whose marker route is used; 0: none
+	mismatched    bool     // a success whose body or headers are not those of its server
+	services      []string // services that may run it
+	serviceIndex  int      // index in services of the one that answered with success
+	paddingBytes  int      // bytes of padding after the response's text
+	fromServer    bool     // the response was produced by a server, not by a sidecar
 	body          string
 	sent          time.Duration
 	ended         time.Duration
 	deadline      time.Duration // how long the client waits
-	status        int           // 0: the connection ended without a complete answer
-	ending        ending        // where there is no answer
+	status        int           // 0: the connection ended without a complete response
+	ending        ending        // why there is no response
 }
 
-// ending is why an exchange has no answer.
+// ending is why an exchange has no response.
 type ending uint8
 
 const (
 	answered    ending = iota
-	broken             // the connection ended
-	cancelled          // the client left early
-	unreachable        // no connection was made: nobody listens
-	expired            // the client has waited for all of its time
+	broken             // the connection ended or was reset
+	cancelled          // the client gave up early
+	unreachable        // no connection was made: no process listens
+	expired            // the client waited past its deadline
 )
 
-// span is a time in which something was disturbed.
+// span is the time of a fault or of a shutdown.
 type span struct{ from, to time.Duration }
 
-// Judge records what clients, servers and operators see, and tells which promises were broken. It knows nothing of the
-// programs. It is safe for concurrent use.
+// Judge records what clients, servers and operators observe, and reports violations of the mesh's rules. It does not use the programs'
+// internal state. It is safe for concurrent use.
 type Judge struct {
 	mu         sync.Mutex
 	violations []Violation
 
 	requests   map[string]*request
 	arrivals   map[string][]arrival     // by service
-	runs       map[string]int           // by request
-	aborted    map[string]bool          // requests whose server broke off
-	lastServer map[string]string        // the last server of each request
-	serverEnds map[string]time.Duration // when servers ended
-	rejectedBy map[string]string        // requests that were refused, which promises that they have not run, and by whom
-	faults     map[string][]span        // unplanned troubles by machine; of the core and of all links under core
-	shutdowns  map[string][]span        // SIGTERMs by machine, until the process has ended
-	markers    map[[2]string]seenMarker
-	split      map[string]int // successes on the split route in calm times, by service
+	runs       map[string]int           // by request id
+	aborted    map[string]bool          // requests whose server closed the connection without a valid response
+	lastServer map[string]string        // the last server that ran each request
+	serverEnds map[string]time.Duration // by server id
+	rejectedBy map[string]string        // machine by id of a rejected request, which must not have run
+	faults     map[string][]span        // by machine; those of the control machines as a group under core
+	shutdowns  map[string][]span        // by machine, from SIGTERM to the end of the process
+	markers    map[[2]string]seenMarker // highest version seen, by machine and incarnation
+	split      map[string]int           // successes on the split route without faults, by service
 
 	acked     map[uint32]ack
-	newest    uint32 // of acked
+	newest    uint32 // highest version in acked
 	counts    Counts
-	tolerated int // requests at closing servers while machines were disturbed
+	tolerated int // requests at closing servers during faults
 }
 
-// core is the name under which troubles of the control machines as a group are recorded.
+// core is the name under which faults of the control machines as a group are recorded.
 const core = "core"
 
 type ack struct {
@@ -103,19 +104,19 @@
 	at      time.Duration
 }
 
-// Counts are what was done and seen.
+// Counts are the numbers of operations of a run by outcome.
 type Counts struct {
-	Requests, Served, Refused, Failed  int // by the status
-	Broken, Left, Unreached, Expired   int // without one
+	Requests, Served, Refused, Failed  int // by status
+	Broken, Left, Unreached, Expired   int // no response
 	Runs, Changes, Acknowledged, Reads int
-	// AfterLeaving are arrivals long after the client had left, ExtraTime those with more time than is left.
+	// AfterLeaving counts arrivals more than cancelLimit after the client gave up, ExtraTime those with a deadline later than the client's.
 	AfterLeaving, ExtraTime int
-	// Held are requests without an answer heldFor after their client's deadline, Dropped those that a server has run and whose connection
-	// ended without an answer, both at machines in touch.
+	// Held counts requests without a response lateAnswerLimit after their client's deadline, Dropped those that a server ran and whose
+	// connection ended without a response, both at machines without faults.
 	Held, Dropped int
 }
 
-// NewJudge returns a judge that has seen nothing.
+// NewJudge returns a judge without records.
 func NewJudge() *Judge {
 	return &Judge{
 		requests: map[string]*request{}, arrivals: map[string][]arrival{}, runs: map[string]int{}, aborted: map[string]bool{},
@@ -124,21 +125,21 @@
 	}
 }
 
-// Violations returns what was broken so far.
+// Violations returns the violations so far.
 func (j *Judge) Violations() []Violation {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return slices.Clone(j.violations)
 }
 
-// Counts returns what was seen so far.
+// Counts returns the counts so far.
 func (j *Judge) Counts() Counts {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.counts
 }
 
-// Break records a violation that somebody else has found.
+// Report records a violation that was found outside the judge.
 func (j *Judge) Report(at time.Duration, rule, format string, args ...any) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -149,7 +150,7 @@
 	j.violations = append(j.violations, Violation{at, rule, fmt.Sprintf(format, args...)})
 }
 
-// Disturbed records an unplanned trouble of machines.
+// AddFault records a fault of machines that is over.
 func (j *Judge) AddFault(from, to time.Duration, machines ...string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -158,17 +159,17 @@
 	}
 }
 
-// Disturb records an unplanned trouble of machines from a time on, until end is called.
+// BeginFault records a fault of machines that lasts until end is called.
 func (j *Judge) BeginFault(from time.Duration, machines ...string) (end func(at time.Duration)) {
 	return j.openSpans(j.faults, from, machines)
 }
 
-// Stop records a SIGTERM of a machine, until end is called.
+// BeginShutdown records a SIGTERM of a machine, whose shutdown lasts until end is called.
 func (j *Judge) BeginShutdown(from time.Duration, machine string) (end func(at time.Duration)) {
 	return j.openSpans(j.shutdowns, from, []string{machine})
 }
 
-// open adds a span without an end to each machine.
+// openSpans adds a span to each machine that is open until end is called.
 func (j *Judge) openSpans(spans map[string][]span, from time.Duration, machines []string) (end func(at time.Duration)) {
 	const never = time.Duration(1<<63 - 1)
 	j.mu.Lock()
@@ -187,7 +188,7 @@
 	}
 }
 
-// calm reports whether machines, and the core, were undisturbed from inTouch before a time until another.
+// faultFree reports whether machines and the core had no faults in the time from inTouch before from until to.
 func (j *Judge) faultFree(from, to time.Duration, machines ...string) bool {
 	for _, m := range append(machines, core) {
 		for _, s := range j.faults[m] {
@@ -199,12 +200,12 @@
 	return true
 }
 
-// calmEverywhere reports whether nothing at all was disturbed.
+// faultFreeEverywhere is faultFree for all machines.
 func (j *Judge) faultFreeEverywhere(from, to time.Duration) bool {
 	return j.faultFree(from, to, slices.Collect(maps.Keys(j.faults))...)
 }
 
-// stopping returns the SIGTERM of a machine during which a request was taken.
+// shutdownAt returns the shutdown of a machine that was under way at a time, or ended at most a second before.
 func (j *Judge) shutdownAt(machine string, at time.Duration) (span, bool) {
 	for _, s := range j.shutdowns[machine] {
 		if at >= s.from && at <= s.to+time.Second {
@@ -214,7 +215,7 @@
 	return span{}, false
 }
 
-// Arrived records that a server runs a request.
+// Arrived records that a server on machine runs a request, and checks that the server is not closed.
 func (j *Judge) Arrived(at time.Duration, machine string, a mesh.Arrival) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -235,7 +236,7 @@
 	j.report(at, "DRAIN", "request %s reaches server %s %v after its closing was acknowledged", a.RequestID, a.Server, a.SinceClosing)
 }
 
-// ServerGone records the end of a server, which breaks off what it is at work on.
+// ServerEnded records the end of a server, which drops its requests in flight.
 func (j *Judge) ServerEnded(at time.Duration, server string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/lab/soak/judgeanswers.go
+++ b/lab/soak/judgeanswers.go
@@ -7,10 +7,9 @@
 	"time"
 )
 
-// This file has what the judge makes of the ends of requests: answers, connections that ended without one, and what only shows when all is
-// over.
+// This file judges the outcomes of requests: responses, connections that ended without one, and what only shows at the end of a run.
 
-// Ended records the end of a request.
+// Ended records the end of a request and judges its outcome.
 func (j *Judge) Ended(x exchange) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -25,7 +24,7 @@
 		return
 	}
 	switch {
-	case x.status == http.StatusInternalServerError && x.fromServer: // a call that it made has failed
+	case x.status == http.StatusInternalServerError && x.fromServer: // a call that the server made failed
 		return
 	case x.status == http.StatusGatewayTimeout && x.fromServer:
 		return
@@ -85,7 +84,7 @@
 	}
 }
 
-// judgeNotFound judges a 404: it is right only where no configuration has the route that may be in force.
+// judgeNotFound judges a 404, which is correct only for a marker route whose version need not be in force yet.
 func (j *Judge) judgeNotFound(x *exchange) {
 	if x.markerVersion == 0 {
 		j.report(x.ended, "DENIED", "request %s at %s has no route", x.id, x.machine)
@@ -105,10 +104,12 @@
 		x.sent, a.at)
 }
 
-// judgeBroken judges a connection that ended without an answer, and a failure, around a SIGTERM of the machine.
+// judgeBroken judges a connection that ended without a response, or a failure. Around a SIGTERM of the machine it is a
+// violation, unless abortShare of the request's deadline was used up, or the request was sent within 3 s of the SIGTERM and ended in the
+// last sixth of graceS.
 func (j *Judge) judgeBroken(x *exchange) {
 	if gone, ended := j.serverEnds[j.lastServer[x.id]]; j.aborted[x.id] || ended && gone >= x.sent {
-		return // the server broke off
+		return // the server caused it
 	}
 	r := j.requests[x.id]
 	if x.ending == broken && r != nil && len(r.servers) > 0 && j.faultFree(x.sent, x.ended, append(r.serverMachines, x.machine)...) {
@@ -127,7 +128,7 @@
 		x.sent-stop.from, x.ended-x.sent, x.status)
 }
 
-// finishSplit judges the shares of the services of a split route: they are off by a fifth at most, where there are enough requests.
+// judgeSplit checks the services' shares on the split route: they deviate from the weights by at most 0.2, given enough requests.
 func (j *Judge) judgeSplit(at time.Duration) {
 	const minRequests, maxDeviation = 200, 0.2
 	all, shares := 0, 0
@@ -142,7 +143,7 @@
 	}
 }
 
-// Finish judges what only shows at the end: requests that ran more than once, or that ran though they were refused.
+// Finish checks the rules that need the whole run: unsafe requests that ran more than once, rejected requests that ran, and budgets.
 func (j *Judge) Finish(at time.Duration, unsafeIDs []string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/lab/soak/judgeconfig.go
+++ b/lab/soak/judgeconfig.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// This file has what the judge makes of configurations: acknowledgements, refusals and reads.
+// This file judges configuration changes: acknowledgements, rejections and reads.
 
-// sentChange counts a change.
+// sentChange counts a change that an operator begins to send.
 func (j *Judge) sentChange() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.counts.Changes++
 }
 
-// Acknowledged records that a change was acknowledged, which was first sent at began.
+// Acknowledged records the acknowledgement of a change that was first sent at began.
 func (j *Judge) Acknowledged(at, began time.Duration, c change) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -32,7 +32,7 @@
 	}
 }
 
-// Conflict records that a change was refused as its version has another content.
+// Conflict records that a machine rejected a change because its version has another content.
 func (j *Judge) Conflict(at time.Duration, c change, machine string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -41,7 +41,8 @@
 	}
 }
 
-// Read records a configuration that was read back.
+// Read records the configuration that a control machine returned to a read. It must be at least as new as every version that was
+// acknowledged more than inForce before the read was sent.
 func (j *Judge) Read(sent, at time.Duration, machine string, version uint32, text []byte) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/lab/soak/load.go
+++ b/lab/soak/load.go
@@ -17,16 +17,16 @@
 	"firplank/lab/mesh"
 )
 
-// Shares of the requests, and their times.
+// Shares of the kinds of requests, and the clients' times and sizes.
 const (
 	unsafeShare    = 0.3
 	markerShare    = 0.15
 	splitShare     = 0.12
 	pullShare      = 0.06
-	callShare      = 0.12 // of those that work on a server for no longer than usual
+	callShare      = 0.12 // requests whose server makes a call of its own; never combined with longWork
 	maxCallDepth   = 4
 	longShare      = 0.06
-	chunkedShare   = 0.3 // of the bodies
+	chunkedShare   = 0.3 // of the requests with a body
 	maxPullBytes   = 200_000
 	longWork       = 1500 * time.Millisecond
 	clientDeadline = 2500 * time.Millisecond
@@ -35,17 +35,17 @@
 	earlyCancel    = 40 * time.Millisecond
 )
 
-// load is the clients of all branch machines.
+// load runs the clients of all branch machines.
 type load struct {
 	run        *run
 	requests   atomic.Int64
-	cancelling atomic.Bool // clients give requests up early
+	cancelling atomic.Bool // clients cancel a third of their requests after earlyCancel
 
 	mu        sync.Mutex
-	unsafeIDs []string // ids
+	unsafeIDs []string // ids of all unsafe requests
 }
 
-// client sends requests to one machine, one after the other, until ctx ends.
+// client sends requests to one machine, one at a time, until ctx ends.
 func (l *load) client(ctx context.Context, x *mesh.Machine, number int) {
 	random := rand.New(rand.NewPCG(l.run.cfg.Seed, uint64(number)+1000))
 	transport := &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Second}
@@ -61,7 +61,7 @@
 	}
 }
 
-// send sends one request and records what becomes of it.
+// send sends one request and records its outcome with the judge.
 func (l *load) send(ctx context.Context, client *http.Client, x *mesh.Machine, random *rand.Rand) {
 	e := exchange{
 		id: fmt.Sprintf("r%d", l.requests.Add(1)), machine: x.Name, incarnation: l.run.incarnationOf(x), deadline: clientDeadline,
@@ -72,7 +72,7 @@
 		l.unsafeIDs = append(l.unsafeIDs, e.id)
 		l.mu.Unlock()
 	}
-	timeout := clientDeadline + lateAnswerLimit // by its own deadline the client has an answer
+	timeout := clientDeadline + lateAnswerLimit // a correct mesh answers by clientDeadline
 	if l.cancelling.Load() && random.IntN(3) == 0 {
 		timeout = earlyCancel
 	}
@@ -83,14 +83,14 @@
 	l.run.judge.Ended(e)
 }
 
-// outgoing is a request as a client sends it.
+// clientRequest is a request as a client sends it.
 type clientRequest struct {
 	method, path string
 	body         []byte
-	chunked      bool // the body is sent without its length
+	chunked      bool // the body is sent without a Content-Length
 }
 
-// draw draws a request, and notes in its exchange what is to be known of it.
+// drawRequest draws a random request, and records in e what the judge needs to check its response.
 func (l *load) drawRequest(e *exchange, random *rand.Rand) clientRequest {
 	o := clientRequest{method: http.MethodGet, path: safePrefix + "x"}
 	e.services = []string{safeService}
@@ -121,16 +121,16 @@
 	return o
 }
 
-// exchange makes a request's exchange, and enters its answer.
+// roundTrip sends a request and records its response in e.
 func (l *load) roundTrip(
 	ctx context.Context, client *http.Client, x *mesh.Machine, o clientRequest, timeout time.Duration, e *exchange,
 ) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	body := io.NopCloser(bytes.NewReader(o.body)) // which the transport can't send again
+	body := io.NopCloser(bytes.NewReader(o.body)) // a type that the transport can't send again in a retry
 	r, err := http.NewRequestWithContext(ctx, o.method, x.OutgoingURL(o.path), body)
 	if err != nil {
-		panic(err) // the address is the mesh's own
+		panic(err) // not reached: the URL is valid
 	}
 	if o.method == http.MethodPost && !o.chunked {
 		r.ContentLength = int64(len(o.body))
@@ -144,7 +144,7 @@
 		return
 	}
 	text, err := io.ReadAll(io.LimitReader(response.Body, 1<<20))
-	_ = response.Body.Close() // it was read
+	_ = response.Body.Close() // the body was read
 	if err != nil {
 		e.ending = endingOf(err, timeout)
 		return
@@ -161,10 +161,10 @@
 	}
 }
 
-// maxQuoted is how much of a wrong body a violation quotes.
+// maxQuotedBytes bounds how much of a wrong body is quoted in a violation.
 const maxQuotedBytes = 200
 
-// endingOf is why a request has no answer, whose client waits for so long.
+// endingOf returns why a request without a response ended, given its error and how long its client waits.
 func endingOf(err error, timeout time.Duration) ending {
 	var operation *net.OpError
 	switch {
--- a/lab/soak/operator.go
+++ b/lab/soak/operator.go
@@ -14,7 +14,7 @@
 	"firplank/lab/mesh"
 )
 
-// change is an order of an operator: a configuration under a version.
+// change is a configuration that an operator sends under a version. content is the start of the text's SHA-256 in hex.
 type change struct {
 	version uint32
 	text    []byte
@@ -27,21 +27,21 @@
 	return change{version, text, hex.EncodeToString(sum[:8])}
 }
 
-// operator sends changes, and keeps what may be in force.
+// operator sends changes, and records all that were sent.
 type operator struct {
 	run *run
 
 	mu             sync.Mutex
-	lastVersion    uint32              // the highest version that was sent
-	contents       map[uint32][]change // all that was sent, by version
-	unacknowledged map[string]bool     // contents that were sent and not acknowledged
+	lastVersion    uint32              // highest version that was sent
+	contents       map[uint32][]change // all changes that were sent, by version
+	unacknowledged map[string]bool     // by content, of the changes that were sent
 }
 
 func newOperator(r *run) *operator {
 	return &operator{run: r, contents: map[uint32][]change{}, unacknowledged: map[string]bool{}}
 }
 
-// next returns the next change, under a version of its own.
+// next returns a change with the next version.
 func (o *operator) next(comment string) change {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -49,7 +49,7 @@
 	return o.recordLocked(newChange(o.lastVersion, comment))
 }
 
-// rival returns another content under a version.
+// conflictingChange returns a change with another content under the same version.
 func (o *operator) conflictingChange(version uint32) change {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -62,10 +62,10 @@
 	return c
 }
 
-// operatorPause is the time between two tries of one order.
+// operatorRetryDelay is the delay between two attempts to send a change.
 const operatorRetryDelay = 200 * time.Millisecond
 
-// send sends a change until it has a clear answer, to one control machine after the other, and reports whether it was
+// send sends a change to one control machine after the other until it has a definite answer or ctx ends. It reports whether the change was
 // acknowledged.
 func (o *operator) send(ctx context.Context, c change, firstMachine int) bool {
 	r := o.run
@@ -99,7 +99,7 @@
 	delete(o.unacknowledged, c.content)
 }
 
-// work sends a change every now and then, until ctx ends.
+// sendChanges sends one change after the other, with a pause between them, until ctx ends.
 func (o *operator) sendChanges(ctx context.Context, every time.Duration) {
 	for n := 0; ctx.Err() == nil; n++ {
 		order, cancel := context.WithTimeout(ctx, recovery)
@@ -109,7 +109,7 @@
 	}
 }
 
-// readBack reads the configuration at one control machine after the other, until ctx ends.
+// readBack reads the configuration from one control machine after the other until ctx ends, and records it with the judge.
 func (o *operator) readBack(ctx context.Context, every time.Duration) {
 	for n := 0; ctx.Err() == nil; n++ {
 		x := o.run.mesh.Core[n%len(o.run.mesh.Core)]
@@ -122,7 +122,7 @@
 	}
 }
 
-// versionOf is the version of a configuration's text; 0: it cannot be read.
+// versionOf returns the version of a configuration, or 0 if it cannot be parsed.
 func versionOf(text []byte) uint32 {
 	var head struct {
 		Version string `json:"edition"`
@@ -137,7 +137,7 @@
 	return uint32(v)
 }
 
-// known reports whether a text was ever sent under its version.
+// wasSent reports whether a text was ever sent under a version.
 func (o *operator) wasSent(version uint32, text []byte) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -149,7 +149,7 @@
 	return false
 }
 
-// sendInvalid sends what has to be rejected.
+// sendInvalid sends an invalid configuration. An acknowledgement of it is a violation.
 func (o *operator) sendInvalid(x *mesh.Machine, variant int) {
 	o.mu.Lock()
 	version := o.lastVersion + 1
@@ -168,5 +168,5 @@
 	}
 }
 
-// String is a change in a line of the log.
+// String returns a change as it is shown in the event log.
 func (c change) String() string { return fmt.Sprintf("version %d content %s", c.version, c.content) }
--- a/lab/soak/plan.go
+++ b/lab/soak/plan.go
@@ -8,45 +8,45 @@
 	"time"
 )
 
-// Kind is a kind of trouble.
+// Kind is a kind of fault.
 type Kind string
 
-// The kinds of troubles: of the mesh's processes, of the links between them, of servers, clients and operators.
+// The kinds of faults: of the mesh's processes, of the links between them, of servers, clients and operators.
 const (
 	ProxyKill     Kind = "proxy_kill"    // a sidecar is killed, and started again after For
 	ProxyHerd     Kind = "proxy_herd"    // half of the sidecars are killed at once
 	ProxyPause    Kind = "proxy_pause"   // a sidecar is stopped and continued (SIGSTOP, SIGCONT)
-	ProxyTerm     Kind = "proxy_term"    // a sidecar shuts down in order (SIGTERM), and is started again
+	ProxyTerm     Kind = "proxy_term"    // a sidecar shuts down gracefully (SIGTERM), and is started again
 	ProxyReload   Kind = "proxy_reload"  // a sidecar's settings change (SIGHUP)
 	ControlKill   Kind = "control_kill"  // a control machine is killed
-	ControlPause  Kind = "control_pause" // it is stopped and continued
-	ControlTerm   Kind = "control_term"  // it shuts down in order
-	ControlWipe   Kind = "control_wipe"  // as many as the tolerance are killed and lose their disks
+	ControlPause  Kind = "control_pause" // a control machine is stopped and continued
+	ControlTerm   Kind = "control_term"  // a control machine shuts down gracefully, and is started again
+	ControlWipe   Kind = "control_wipe"  // as many control machines as the tolerance are killed and lose their disks
 	ControlAll    Kind = "control_all"   // all control machines are killed at once
 	AllKill       Kind = "all_kill"      // all processes are killed at once
 	AckKill       Kind = "ack_kill"      // a control machine is killed right after it has acknowledged a configuration
-	CloseKill     Kind = "close_kill"    // a sidecar is killed right after it has acknowledged that its server closes
-	CoreHalves    Kind = "core_halves"   // the control machines are cut in two halves
-	CoreOff       Kind = "core_off"      // a control machine is cut off from all others
-	NodeCut       Kind = "node_cut"      // a sidecar is cut off from all others
-	OneWayCut     Kind = "one_way_cut"   // a machine's messages get lost, not those to it
-	LinkSlow      Kind = "link_slow"     // the links of a machine are slow
+	CloseKill     Kind = "close_kill"    // a sidecar is killed right after it has acknowledged its server's closing
+	CoreHalves    Kind = "core_halves"   // the control machines are partitioned into two halves
+	CoreOff       Kind = "core_off"      // a control machine is partitioned from all others
+	NodeCut       Kind = "node_cut"      // a sidecar is partitioned from all others
+	OneWayCut     Kind = "one_way_cut"   // messages from a machine are lost, those to it are not
+	LinkSlow      Kind = "link_slow"     // the links of a machine are delayed by slowLink
 	LinkReset     Kind = "link_reset"    // the connections of a machine are reset
-	AnswerLost    Kind = "answer_lost"   // answers of a last hop are lost with their connection
-	ServerCrash   Kind = "server_crash"  // a server ends without notice, and its successor comes
+	AnswerLost    Kind = "answer_lost"   // responses of a last hop are lost with their connection
+	ServerCrash   Kind = "server_crash"  // a server ends without notice, and is replaced
 	ServerClose   Kind = "server_close"  // a server announces its closing, leaves and is replaced
-	ServerLeave   Kind = "server_leave"  // a server leaves without announcing it, serves on, and is replaced
+	ServerLeave   Kind = "server_leave"  // a server leaves without announcing it, serves for a while, and is replaced
 	ServerSlow    Kind = "server_slow"
-	ServerDrop    Kind = "server_drop"   // a server runs requests and does not answer
-	ServerGarble  Kind = "server_garble" // a server answers with bytes that are no answer
+	ServerDrop    Kind = "server_drop"   // a server runs requests and closes the connection without a response
+	ServerGarble  Kind = "server_garble" // a server responds with bytes that are no HTTP response
 	ServerRefuse  Kind = "server_refuse"
-	ClientLeave   Kind = "client_leave" // clients give their requests up early
+	ClientLeave   Kind = "client_leave" // clients cancel requests early
 	ConfigStorm   Kind = "config_storm" // configurations in quick succession
-	ConfigRace    Kind = "config_race"  // two contents under one version, at two control machines
+	ConfigRace    Kind = "config_race"  // two contents of one version are sent at once, to two control machines
 	ConfigInvalid Kind = "config_invalid"
 )
 
-// weights are how often each kind is drawn.
+// weights are the weights by which kinds are drawn.
 var weights = []struct {
 	kind   Kind
 	weight int
@@ -58,25 +58,25 @@
 	{ClientLeave, 2}, {ConfigStorm, 2}, {ConfigRace, 2}, {ConfigInvalid, 1},
 }
 
-// Trouble is one trouble of a plan.
+// Fault is one fault of a plan.
 type Fault struct {
 	At     time.Duration `json:"at"`  // since the start of traffic
-	For    time.Duration `json:"for"` // until it is over, or what it stopped starts again
+	For    time.Duration `json:"for"` // until it is over, or the processes that it ended start again
 	Kind   Kind          `json:"kind"`
-	Target int           `json:"target"` // chooses a machine or server, as the kind has it
-	Other  int           `json:"other"`  // chooses a second one, or a variant
+	Target int           `json:"target"` // selects a machine or server, depending on the kind
+	Other  int           `json:"other"`  // selects a variant of the kind
 }
 
-// String is a trouble in a line of the log.
+// String returns a fault as it is shown in the event log.
 func (t Fault) String() string {
 	return fmt.Sprintf("%s target=%d other=%d for=%v", t.Kind, t.Target, t.Other, t.For)
 }
 
 const (
-	// quietAhead and quietBehind are the times without new troubles at the start and the end of a run.
+	// quietStart and quietEnd are the times without new faults at the start and the end of a run.
 	quietStart = time.Second
 	quietEnd   = 2 * time.Second
-	// minGap and gapJitter are the time between the starts of two troubles, which last minFor and forJitter: two or
+	// A fault starts minGap to minGap+gapJitter after the one before, and lasts minDuration to minDuration+durationJitter, so that two or
 	// three overlap.
 	minGap         = 200 * time.Millisecond
 	gapJitter      = 1200 * time.Millisecond
@@ -85,7 +85,7 @@
 	maxChoice      = 1 << 16
 )
 
-// Plan draws the troubles of a run from a seed: the same ones each time.
+// Plan draws the faults of a run. The same seed and length give the same plan. An empty only allows all kinds.
 func Plan(seed uint64, length time.Duration, only []Kind) []Fault {
 	random := rand.New(rand.NewPCG(seed, 1))
 	var plan []Fault
@@ -102,7 +102,7 @@
 	return plan
 }
 
-// drawKind draws a kind by its weight, of those in only, or of all if that is empty.
+// drawKind draws a kind by weight from those in only, or from all kinds if only is empty.
 func drawKind(random *rand.Rand, only []Kind) Kind {
 	total := 0
 	for _, w := range weights {
@@ -122,7 +122,7 @@
 	return ProxyKill
 }
 
-// Kinds lists all kinds.
+// Kinds returns all kinds of faults.
 func Kinds() (all []Kind) {
 	for _, w := range weights {
 		all = append(all, w.kind)
--- a/lab/soak/slow.go
+++ b/lab/soak/slow.go
@@ -8,11 +8,11 @@
 	"firplank/lab/mesh"
 )
 
-// slowPeriod is the period in which a process that is slowed is stopped for a while and runs for the rest.
+// slowPeriod is the period of slowDown, in which a process is stopped for one part and runs for the rest.
 const slowPeriod = 40 * time.Millisecond
 
-// slowDown has all processes of the mesh run for one part in factor of the time, until ctx ends: they are stopped and continued, by their
-// machines' own periods. Nothing else of the rules changes by that, as it lasts for the whole run.
+// slowDown lets every process of the mesh run for only one part in factor of the time, until ctx ends: each is stopped and continued in
+// turn, independently of the others. As it lasts for the whole run, it is not recorded as a fault, and all rules apply as usual.
 func (t *injector) slowDown(ctx context.Context, factor int) {
 	if factor <= 1 {
 		return
@@ -31,16 +31,16 @@
 	}
 }
 
-// toggle stops or continues a machine's process, unless a trouble has it stopped.
+// signalUnlessPaused sends a signal to a machine's process, unless a fault has stopped it.
 func (t *injector) signalUnlessPaused(x *mesh.Machine, s syscall.Signal) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if pid := x.PID(); pid > 0 && !t.paused[x.Name] {
-		_ = syscall.Kill(pid, s) // fails where the process has ended
+		_ = syscall.Kill(pid, s) // fails only where the process has ended
 	}
 }
 
-// setPaused stops a machine's process for a trouble, or continues it.
+// setPaused stops a machine's process for a fault, or continues it.
 func (t *injector) setPaused(x *mesh.Machine, paused bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -1,11 +1,9 @@
-// Package soak runs a small mesh of real processes on loopback for a while, under troubles that overlap: kills, pauses,
-// shutdowns in order, reloads, lost disks, cuts and slow links, lost answers, and servers, clients and operators that
-// misbehave. A Judge tells from what clients, servers and operators see which promises were broken, and the processes'
-// own invariants (internal/invariant) are counted with it.
+// Package soak runs a small mesh of real processes on loopback under overlapping faults: kills, pauses, graceful shutdowns, reloads, lost
+// disks, partitions, slow links, lost responses, and misbehaving servers, clients and operators. A Judge checks the mesh's rules against
+// what clients, servers and operators observe, and the processes' own invariants (internal/invariant) are checked too.
 //
-// The troubles of a run come from its seed (Plan), so that a seed plays the same ones again; real processes on a real
-// machine don't repeat to the millisecond. It needs no privilege: troubles are signals, and relays of package mesh
-// between the processes.
+// The faults of a run are drawn from its seed (Plan), so that a seed repeats the same faults; the timing of real processes does not repeat
+// exactly. No privileges are needed: faults are signals to the processes, and relays of package mesh between them.
 //
 // Start reading at Run.
 package soak
@@ -29,17 +27,17 @@
 // Config describes a run.
 type Config struct {
 	Seed      uint64
-	Length    time.Duration // of the time in which troubles begin
+	Length    time.Duration // time in which faults begin
 	Folder    string        // for settings, disks and logs
 	Programs  string        // folder of firplank-proxy and firplank-control
-	Net       int           // as of mesh.Config
+	Net       int           // as in mesh.Config
 	Core      int
-	Tolerance int // core machines that may lose their disks at once
-	Branch    int // machines of each of the two services
-	Clients   int // of each branch machine
-	Slow      int // every process runs for one part in so much of the time; 0 or 1: all of it
-	Only      []Kind
-	Log       io.Writer // gets a JSON line for each trouble, acknowledgement and violation
+	Tolerance int       // number of core machines that may lose their disks at once
+	Branch    int       // number of branch machines of each of the two services
+	Clients   int       // number of clients of each branch machine
+	Slow      int       // every process runs for only one part in Slow of the time; 0 or 1: all of the time
+	Only      []Kind    // kinds of faults to draw; empty: all
+	Log       io.Writer // gets a JSON line for each fault, acknowledgement and violation
 }
 
 // Report is the result of a run.
@@ -47,9 +45,9 @@
 	Seed       uint64        `json:"seed"`
 	Length     time.Duration `json:"length"`
 	Faults     int           `json:"troubles"`
-	Skipped    int           `json:"skipped"` // troubles that would have lost more than the tolerance
+	Skipped    int           `json:"skipped"` // faults whose target was busy, or that would have exceeded the tolerance
 	Counts     Counts        `json:"counts"`
-	Stalls     int           `json:"stalls"` // times in which this process itself did not run
+	Stalls     int           `json:"stalls"` // times at which this process itself was not scheduled
 	Violations []Violation   `json:"violations"`
 }
 
@@ -58,14 +56,14 @@
 	readInterval   = 150 * time.Millisecond
 	scrapeInterval = 2 * time.Second
 	readyInterval  = 500 * time.Millisecond
-	maxMissedReady = 2 // checks after which a machine gets no clients
+	maxMissedReady = 2 // failed checks in a row after which a machine gets no clients
 	startTimeout   = 20 * time.Second
 	stallCheck     = 50 * time.Millisecond
 	stallLimit     = 250 * time.Millisecond
-	settleTime     = 4 * time.Second // of undisturbed traffic at the end
+	settleTime     = 4 * time.Second // traffic without faults at the end of a run
 )
 
-// run is a run that is under way.
+// run is the state of a run.
 type run struct {
 	cfg      Config
 	mesh     *mesh.Mesh
@@ -79,15 +77,15 @@
 	skipped  atomic.Int64
 
 	mu              sync.Mutex
-	incarnations    map[string]int  // of processes, by machine
-	missedReadiness map[string]int  // readiness checks that were missed in a row
-	expectedEnds    map[string]bool // machines whose process is about to end, or has ended, by our doing
+	incarnations    map[string]int  // number of restarts by machine
+	missedReadiness map[string]int  // failed readiness checks in a row, by machine
+	expectedEnds    map[string]bool // machines whose process a fault ends or has ended
 	violationCounts map[string]float64
 	machines        map[string]*mesh.Machine
-	machineByServer map[string]string // machine by the first part of its servers' ids
+	machineByServer map[string]string // machine by the first part of its servers' ids, which all its servers share
 }
 
-// Run plays a run. The error is of the laboratory; what the mesh has broken is in the report.
+// Run runs a mesh under faults. An error is a failure of the laboratory itself; the mesh's violations are in the report.
 func Run(ctx context.Context, cfg Config) (*Report, error) {
 	r := &run{
 		cfg: cfg, judge: NewJudge(), log: &eventLog{writer: cfg.Log}, incarnations: map[string]int{}, missedReadiness: map[string]int{},
@@ -121,7 +119,7 @@
 	return r.runTraffic(ctx), nil
 }
 
-// nameMachines notes the machines by name and server.
+// indexMachines fills the indexes of machines by name and by server.
 func (r *run) indexMachines() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -145,7 +143,7 @@
 	})
 }
 
-// play plays the plan with traffic, lets the mesh recover, and judges.
+// runTraffic injects the planned faults under traffic, waits for the mesh to recover, and judges the run.
 func (r *run) runTraffic(ctx context.Context) *Report {
 	r.began = time.Now()
 	plan := Plan(r.cfg.Seed, r.cfg.Length, r.cfg.Only)
@@ -173,7 +171,7 @@
 	}
 }
 
-// recover waits until the mesh serves again, in the time that the rules leave it.
+// awaitRecovery waits until the mesh acknowledges a configuration and all branch machines are ready, each within the recovery time.
 func (r *run) awaitRecovery(ctx context.Context) {
 	order, cancel := context.WithTimeout(ctx, recovery)
 	defer cancel()
@@ -187,7 +185,7 @@
 	}
 }
 
-// finish judges the end: what is read back, the requests' runs, and the processes.
+// judgeEnd checks the rules at the end of a run: the configuration that is read back, how often requests ran, and the processes.
 func (r *run) judgeEnd() {
 	newest := r.judge.Newest()
 	for _, x := range r.mesh.Core {
@@ -215,8 +213,8 @@
 	}
 }
 
-// judgeProcesses looks for processes that have ended by themselves, and for violated invariants and panics in the logs,
-// which have those of processes that were killed too.
+// judgeProcesses looks for processes that have ended by themselves, and for violated invariants and panics in the logs, which include those
+// of processes that were killed.
 func (r *run) judgeProcesses() {
 	for _, x := range r.mesh.All() {
 		if !r.expectedEnd(x) && hasEnded(x) {
@@ -230,7 +228,7 @@
 	}
 }
 
-// tellsOfFault reports whether a line of a process's log tells of a violated invariant, a panic or a data race.
+// indicatesFault reports whether a line of a process's log is about a violated invariant, a panic, a fatal error or a data race.
 func indicatesFault(line string) bool {
 	for _, text := range []string{invariant.LogMessage, "panic:", "DATA RACE", "fatal error:"} {
 		if strings.Contains(line, text) {
@@ -249,17 +247,18 @@
 	}
 }
 
-// now is the time since the start of traffic.
+// now returns the time since the start of traffic.
 func (r *run) now() time.Duration { return time.Since(r.began) }
 
-// lifeOf is which process of a machine runs.
+// incarnationOf returns the number of times that a machine's process was started again.
 func (r *run) incarnationOf(x *mesh.Machine) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.incarnations[x.Name]
 }
 
-// expectEnd notes that a machine's process ends by our doing, and expectedEnd whether it does.
+// expectEnd records whether a machine's process ends because of a fault. expected is false once the process was started again, which begins
+// a new incarnation.
 func (r *run) expectEnd(x *mesh.Machine, expected bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -275,7 +274,7 @@
 	return r.expectedEnds[x.Name]
 }
 
-// serviceOf is the service of a machine's server.
+// serviceOf returns the service of a machine's server.
 func (r *run) serviceOf(machine string) string {
 	r.mu.Lock()
 	x := r.machines[machine]
@@ -283,12 +282,12 @@
 	return x.Service()
 }
 
-// calling records that a server is about to make a call within a request: it is sent like a client's.
+// calling records a call that a server is about to make within a request, as for a client's request.
 func (r *run) calling(id, machine string, timeout time.Duration) {
 	r.judge.Sent(r.now(), id, machine, timeout)
 }
 
-// arrived records a request that runs at a server.
+// arrived records a request that begins to run at a server.
 func (r *run) arrived(a mesh.Arrival) {
 	r.mu.Lock()
 	machine := r.machineByServer[a.Server[:min(len(a.Server), len("i-00000000"))]]
@@ -296,7 +295,7 @@
 	r.judge.Arrived(a.At.Sub(r.began), machine, a)
 }
 
-// wantsClients reports whether the platform sends clients to a machine: it has not missed two readiness checks.
+// acceptsClients reports whether the platform routes clients to a machine: it has not failed maxMissedReady checks in a row.
 func (r *run) acceptsClients(x *mesh.Machine) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -18,7 +18,7 @@
 
 var programFolder string
 
-// built builds the programs, once for all tests, and returns their folder.
+// built builds the programs once for all tests, and returns their folder.
 var built = sync.OnceValues(func() (string, error) {
 	return programFolder, mesh.Build(context.Background(), programFolder, false)
 })
@@ -33,7 +33,7 @@
 	os.Exit(code)
 }
 
-// The short form of the soak: real processes under overlapping troubles, with the invariants on.
+// A short soak of real processes under overlapping faults violates no rule and no invariant, and still serves requests.
 func TestShortSoak(t *testing.T) {
 	programs, err := built()
 	if err != nil {
@@ -57,10 +57,10 @@
 		}
 		t.Logf("seed %d: %+v", c.seed, *report)
 		if len(report.Violations) > 0 {
-			t.Errorf("seed %d broke promises; what happened:\n%s", c.seed, events.String())
+			t.Errorf("seed %d violated rules; events:\n%s", c.seed, events.String())
 		}
 		if report.Counts.Served < 100 || report.Counts.Acknowledged < 5 {
-			t.Errorf("seed %d got nowhere: %+v", c.seed, report.Counts)
+			t.Errorf("seed %d served or acknowledged too little: %+v", c.seed, report.Counts)
 		}
 	}
 }
@@ -68,7 +68,7 @@
 func TestPlanIsDeterminedBySeed(t *testing.T) {
 	first, again, other := Plan(7, time.Minute, nil), Plan(7, time.Minute, nil), Plan(8, time.Minute, nil)
 	if !slices.Equal(first, again) || slices.Equal(first, other) {
-		t.Error("a seed does not decide its plan")
+		t.Error("the plan is not determined by the seed")
 	}
 	overlaps := 0
 	for i, x := range first {
@@ -77,7 +77,7 @@
 		}
 	}
 	if overlaps < len(first)/2 {
-		t.Errorf("%d of %d troubles overlap", overlaps, len(first))
+		t.Errorf("%d of %d faults overlap", overlaps, len(first))
 	}
 	for _, x := range Plan(7, time.Minute, []Kind{ProxyKill, ConfigRace}) {
 		if x.Kind != ProxyKill && x.Kind != ConfigRace {
@@ -86,10 +86,10 @@
 	}
 }
 
-// secondsAfter is a time of the day that tests of the judge play.
+// seconds returns a time in a history, in seconds since the start of traffic.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Helpers of the judge's histories: a request of branch-1 that is served, a change of it, its run, and an acknowledgement.
+// Helpers for the judge's histories: a request that branch-1 serves, a modified copy of it, its run at a server, and an acknowledgement.
 
 func served(id string) exchange {
 	return exchange{
@@ -115,10 +115,10 @@
 	j.Arrived(seconds(at), "branch-1", mesh.Arrival{RequestID: id, Server: server, Service: safeService, Remaining: remaining})
 }
 
-// twiceConfig is what a split route breaks: the share of each of its services is off.
+// bothShares are the violations of a split route whose weights are not kept: the shares of both services are wrong.
 var bothShares = strings.Join([]string{"CONFIG", "CONFIG"}, " ")
 
-// runSplit has the judge see 300 successes on the split route, so many in a hundred of them from the first service.
+// runSplit records 300 successes on the split route, of which safe in a hundred are from the first service.
 func runSplit(j *Judge, safe int) {
 	for n := range 300 {
 		id := fmt.Sprintf("split-%d", n)
@@ -138,36 +138,36 @@
 
 var version7 = newChange(7, "")
 
-// judgeCases are small histories, each with the rule that it breaks.
+// judgeCases are small histories, each with the rules that it violates.
 var judgeCases = []struct {
-	name, want string // the rule that is broken; empty: none
+	name, want string // want: the violated rules; empty: none
 	do         func(j *Judge)
 }{
 	{"a request is served", "", func(j *Judge) { ran(j, "a", 0); j.Ended(served("a")) }},
-	{"a server answers that a call of its own has failed", "", func(j *Judge) {
+	{"a server reports that a call of its own has failed", "", func(j *Judge) {
 		ran(j, "a", 0)
 		j.BeginShutdown(seconds(9), "branch-1")
 		j.Ended(modify(served("a"), func(x *exchange) { x.status, x.fromServer = http.StatusInternalServerError, true }))
 	}},
-	{"a split route by its weights", "", func(j *Judge) { runSplit(j, 62) }},
-	{"a split route all to one service", bothShares, func(j *Judge) { runSplit(j, 100) }},
-	{"a split route with too few requests to tell", "", func(j *Judge) {
+	{"a split route follows its weights", "", func(j *Judge) { runSplit(j, 62) }},
+	{"a split route sends all requests to one service", bothShares, func(j *Judge) { runSplit(j, 100) }},
+	{"a split route has too few requests to judge its shares", "", func(j *Judge) {
 		j.split[safeService] = 100
 	}},
-	{"an answer that no server gave", "MIXED", func(j *Judge) { j.Ended(served("a")) }},
-	{"another's answer", "MIXED", func(j *Judge) {
+	{"a success that no server produced", "MIXED", func(j *Judge) { j.Ended(served("a")) }},
+	{"the response of another request", "MIXED", func(j *Judge) {
 		ran(j, "a", 0)
 		j.Ended(modify(served("a"), func(x *exchange) { x.mismatched = true }))
 	}},
-	{"one that may run once runs twice", "TWICE", func(j *Judge) { ran(j, "u", 0); ran(j, "u", 0) }},
-	{"a refused one has run", "REFUSED", func(j *Judge) {
+	{"an unsafe request runs twice", "TWICE", func(j *Judge) { ran(j, "u", 0); ran(j, "u", 0) }},
+	{"a rejected request has run", "REFUSED", func(j *Judge) {
 		ran(j, "u", 0)
 		j.Ended(modify(served("u"), func(x *exchange) { x.unsafe, x.status = true, 503 }))
 	}},
-	{"no route", "DENIED", func(j *Judge) { j.Ended(modify(served("a"), func(x *exchange) { x.status = 404 })) }},
-	{"a closing server is sent something", "DRAIN", func(j *Judge) { ran(j, "a", lastPost+time.Second) }},
-	{"a closing server is sent something in time", "", func(j *Judge) { ran(j, "a", lastPost-time.Second) }},
-	{"... by a machine in trouble", "", func(j *Judge) {
+	{"a request without a route", "DENIED", func(j *Judge) { j.Ended(modify(served("a"), func(x *exchange) { x.status = 404 })) }},
+	{"a closing server gets a request", "DRAIN", func(j *Judge) { ran(j, "a", lastPost+time.Second) }},
+	{"a closing server gets a request in time", "", func(j *Judge) { ran(j, "a", lastPost-time.Second) }},
+	{"... from a machine with a fault", "", func(j *Judge) {
 		j.AddFault(seconds(8), seconds(9), "branch-1")
 		ran(j, "a", lastPost+time.Second)
 	}},
@@ -180,11 +180,11 @@
 		j.AddFault(seconds(8), seconds(9), "branch-1")
 		j.Ended(modify(served("a"), func(x *exchange) { x.markerVersion, x.status = 7, 404 }))
 	}},
-	{"... and there was no time for it", "", func(j *Judge) {
+	{"... and inForceS is not over", "", func(j *Judge) {
 		acknowledge(j, 9, version7)
 		j.Ended(modify(served("a"), func(x *exchange) { x.markerVersion, x.status = 7, 404 }))
 	}},
-	{"a machine goes back, in touch or not", "CONFIG", func(j *Judge) {
+	{"a machine returns to an older version, in touch or not", "CONFIG", func(j *Judge) {
 		j.AddFault(seconds(8), seconds(20), "branch-1")
 		ran(j, "a", 0)
 		j.Ended(modify(served("a"), func(x *exchange) { x.markerVersion = 7 }))
@@ -196,17 +196,17 @@
 		j.Ended(modify(served("b"), func(x *exchange) { x.markerVersion, x.status, x.incarnation, x.sent = 6, 404, 1, seconds(12) }))
 	}},
 	{"two contents of a version", "CONFIG", func(j *Judge) { acknowledge(j, 5, version7); acknowledge(j, 6, newChange(7, "rival")) }},
-	{"what was acknowledged is refused", "CONFIG", func(j *Judge) { acknowledge(j, 5, version7); j.Conflict(seconds(6), version7, "core-1") }},
-	{"an old configuration is read", "CONFIG", func(j *Judge) {
+	{"acknowledged change is rejected", "CONFIG", func(j *Judge) { acknowledge(j, 5, version7); j.Conflict(seconds(6), version7, "core-1") }},
+	{"an outdated configuration is read", "CONFIG", func(j *Judge) {
 		acknowledge(j, 5, version7)
 		old := newChange(6, "")
 		j.Read(seconds(8), seconds(8.1), "core-1", 6, old.text)
 	}},
-	{"the newest is read", "", func(j *Judge) {
+	{"the newest configuration is read", "", func(j *Judge) {
 		acknowledge(j, 5, version7)
 		j.Read(seconds(8), seconds(8.1), "core-1", 7, version7.text)
 	}},
-	{"an order waits too long", "ACKS", func(j *Judge) { j.Acknowledged(seconds(20), seconds(10), version7) }},
+	{"an acknowledgement takes too long", "ACKS", func(j *Judge) { j.Acknowledged(seconds(20), seconds(10), version7) }},
 	{"... in a partition", "", func(j *Judge) {
 		j.AddFault(seconds(11), seconds(15), core)
 		j.Acknowledged(seconds(20), seconds(10), version7)
@@ -215,20 +215,20 @@
 		j.BeginShutdown(seconds(9), "branch-1")(seconds(14))
 		j.Ended(modify(served("a"), func(x *exchange) { x.status = http.StatusBadGateway }))
 	}},
-	{"... by its server", "", func(j *Judge) {
+	{"... because its server closed the connection", "", func(j *Judge) {
 		j.BeginShutdown(seconds(9), "branch-1")(seconds(14))
 		j.Sent(seconds(9.9), "a", "branch-1", clientDeadline)
 		j.Arrived(seconds(10), "branch-1", mesh.Arrival{RequestID: "a", Server: "i-1", Remaining: time.Second, Aborted: true})
 		j.Ended(modify(served("a"), func(x *exchange) { x.status = http.StatusBadGateway }))
 	}},
-	{"... in the last sixth of its time", "", func(j *Judge) {
+	{"... in the last sixth of graceS", "", func(j *Judge) {
 		j.BeginShutdown(seconds(9), "branch-1")(seconds(14.5))
 		j.Ended(modify(served("a"), func(x *exchange) {
 			x.ending, x.status, x.ended, x.deadline = broken, 0, seconds(14.2), time.Minute
 		}))
 	}},
-	{"a request that nobody has sent", "UNASKED", func(j *Judge) { ranOn(j, "nobody's", "i-1", 10, time.Second) }},
-	{"requests reach servers long after their clients have left", "GONE", func(j *Judge) {
+	{"a request that no client has sent", "UNASKED", func(j *Judge) { ranOn(j, "nobody's", "i-1", 10, time.Second) }},
+	{"requests reach servers long after their clients have cancelled them", "GONE", func(j *Judge) {
 		for i := range 2 * maxAfterCancel {
 			id := fmt.Sprint(i)
 			j.Sent(seconds(9), id, "branch-1", clientDeadline)
@@ -236,25 +236,25 @@
 			ranOn(j, id, "i-1", 10.2, time.Second)
 		}
 	}},
-	{"requests have no answer after their deadline", "CONFIG", func(j *Judge) {
+	{"requests have no response after their deadline", "CONFIG", func(j *Judge) {
 		for i := range 2 * exceptions {
 			j.Ended(modify(served(fmt.Sprint(i)), func(x *exchange) { x.ending, x.status = expired, 0 }))
 		}
 	}},
-	{"requests that have run get no answer", "LOST", func(j *Judge) {
+	{"requests that have run get no response", "LOST", func(j *Judge) {
 		for i := range 2 * exceptions {
 			ran(j, fmt.Sprint(i), 0)
 			j.Ended(modify(served(fmt.Sprint(i)), func(x *exchange) { x.ending, x.status = broken, 0 }))
 		}
 	}},
-	{"... from a server in trouble", "", func(j *Judge) {
+	{"... as their server has ended", "", func(j *Judge) {
 		for i := range 2 * exceptions {
 			ran(j, fmt.Sprint(i), 0)
 			j.ServerEnded(seconds(10.05), "i-1")
 			j.Ended(modify(served(fmt.Sprint(i)), func(x *exchange) { x.ending, x.status = broken, 0 }))
 		}
 	}},
-	{"servers are handed more time than is left", "BUDGET", func(j *Judge) {
+	{"servers get a later deadline than the client's", "BUDGET", func(j *Judge) {
 		for i := range 2 * maxLateDeadlines {
 			j.Sent(seconds(9), fmt.Sprint(i), "branch-1", time.Second)
 			ranOn(j, fmt.Sprint(i), "i-1", 9.5, 2*time.Second)
@@ -268,7 +268,7 @@
 			}
 		}
 	}},
-	{"a service gets too many repeats", "BUDGET", func(j *Judge) {
+	{"a service gets too many retries", "BUDGET", func(j *Judge) {
 		for i := range 2 * retrySlack {
 			j.Sent(seconds(9), fmt.Sprint(i), "branch-1", clientDeadline)
 			ranOn(j, fmt.Sprint(i), "i-1", 9.5, time.Second)
@@ -281,7 +281,7 @@
 	}},
 }
 
-// A judge that finds nothing has to be one that would: each broken promise is found, and what is allowed is not.
+// The judge reports each violation, and reports nothing that the rules allow.
 func TestJudge(t *testing.T) {
 	for _, c := range judgeCases {
 		j := NewJudge()
@@ -292,12 +292,12 @@
 			rules = append(rules, v.Rule)
 		}
 		if got := strings.Join(rules, " "); got != c.want {
-			t.Errorf("%s: broken %q, want %q", c.name, got, c.want)
+			t.Errorf("%s: violated %q, want %q", c.name, got, c.want)
 		}
 	}
 }
 
-// What the processes count and log as violated is found, also of processes that have ended.
+// Violated invariants are found in the processes' metrics, once per increase, and in their logs, which remain after a process has ended.
 func TestViolatedInvariantsAreFound(t *testing.T) {
 	r := &run{judge: NewJudge(), violationCounts: map[string]float64{}}
 	for _, line := range []string{
@@ -319,12 +319,12 @@
 	}
 }
 
-// The laboratory itself needs its programs: without them it says so.
+// Run returns an error where the programs are missing, rather than a report without violations.
 func TestRunWithoutProgramsFails(t *testing.T) {
 	_, err := Run(t.Context(), Config{
 		Folder: t.TempDir(), Programs: filepath.Join(t.TempDir(), "none"), Net: 63, Core: 1, Branch: 1, Length: time.Second,
 	})
 	if err == nil {
-		t.Error("it runs without programs")
+		t.Error("Run succeeded without programs")
 	}
 }
--- a/lab/soak/watch.go
+++ b/lab/soak/watch.go
@@ -11,14 +11,13 @@
 	"firplank/internal/telemetry"
 )
 
-// This file has what is watched while a run goes on: the platform's readiness checks, the processes' figures, and whether this process
-// itself runs.
+// This file monitors a run: the platform's readiness checks, the processes' metrics, and stalls of this process itself.
 
-// watchReadiness makes the platform's readiness checks.
+// watchReadiness makes the platform's readiness checks until ctx ends.
 func (r *run) watchReadiness(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, x := range r.mesh.Branch {
-			go func() { // ends with its check's time-out
+			go func() { // ends at the latest with the check's time-out
 				ready := x.Ready()
 				r.mu.Lock()
 				defer r.mu.Unlock()
@@ -32,7 +31,7 @@
 	}
 }
 
-// watchInvariants scrapes the figures of all machines.
+// watchInvariants scrapes the metrics of all machines until ctx ends.
 func (r *run) watchInvariants(ctx context.Context) {
 	for ctx.Err() == nil {
 		r.scrape()
@@ -40,8 +39,8 @@
 	}
 }
 
-// scrape breaks a rule for each invariant whose counter is above 0. A machine that does not answer is passed over: the
-// logs are read in the end.
+// scrape reports each invariant whose counter has risen. A machine that does not respond is skipped, as its logs are read at the end of the
+// run.
 func (r *run) scrape() {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for _, x := range r.mesh.All() {
@@ -50,7 +49,7 @@
 			continue
 		}
 		text, err := io.ReadAll(response.Body)
-		_ = response.Body.Close() // it was read
+		_ = response.Body.Close() // the body was read
 		if err != nil {
 			continue
 		}
@@ -60,7 +59,7 @@
 	}
 }
 
-// countViolations looks at one line of a machine's figures.
+// countViolations checks one line of a machine's metrics.
 func (r *run) countViolations(machine, line string) {
 	name, figure, ok := strings.Cut(line, " ")
 	if !ok || !strings.HasPrefix(name, telemetry.ViolationsName) || figure == "0" {
@@ -80,8 +79,8 @@
 	}
 }
 
-// watchStalls records when this process itself did not run: the machine was full. Rules with a time bound can't be
-// judged then, as all processes share it; the others are.
+// watchStalls records times at which this process was not scheduled, as the machine was overloaded. They count as faults of the core: all
+// processes share the machine, so that rules with a time bound can't be judged then. The other rules still are.
 func (r *run) watchStalls(ctx context.Context) {
 	last := time.Now()
 	for ctx.Err() == nil {
