--- a/lab/mesh/connrelay.go
+++ b/lab/mesh/connrelay.go
@@ -33,18 +33,18 @@
 }
 
 // newBetween listens at an address ahead of a machine's own one.
-func newConnRelay(at, to, name string, network *Network, requests bool) (*ConnRelay, error) {
-	ln, err := net.Listen("tcp", at)
+func newConnRelay(listenAddress, target, name string, network *Network, requests bool) (*ConnRelay, error) {
+	ln, err := net.Listen("tcp", listenAddress)
 	if err != nil {
 		return nil, err
 	}
-	b := &ConnRelay{listener: ln, target: to, name: name, network: network, requests: requests, open: map[net.Conn]struct{}{}}
+	b := &ConnRelay{listener: ln, target: target, name: name, network: network, requests: requests, open: map[net.Conn]struct{}{}}
 	go b.serve()
 	return b, nil
 }
 
 // Break sets how connections break that are made from now on; nil: they do not.
-func (b *ConnRelay) SetBreakPattern(how *BreakPattern) { b.breaks.Store(how) }
+func (b *ConnRelay) SetBreakPattern(pattern *BreakPattern) { b.breaks.Store(pattern) }
 
 func (b *ConnRelay) close() {
 	_ = b.listener.Close() // accepting ends either way
@@ -91,39 +91,39 @@
 	}
 	to := connection.(*net.TCPConn)
 	defer b.track(to)()
-	up, down, late := b.limits()
+	up, down, delay := b.limits()
 	var once sync.Once
-	broken := func() {
+	reset := func() {
 		once.Do(func() {
 			b.Broken.Add(1)
 			_ = from.SetLinger(0) // without it the connection closes in the ordinary way
 			_ = from.Close()      // the connection is released even where this fails
 		})
 	}
-	maySend, mayAnswer, untrack := b.linkChecks(sender, func() { broken(); _ = to.Close() })
+	maySend, mayAnswer, untrack := b.linkChecks(sender, func() { reset(); _ = to.Close() })
 	defer untrack()
-	var ways sync.WaitGroup
-	ways.Go(func() {
+	var directions sync.WaitGroup
+	directions.Go(func() {
 		defer func() { _ = to.CloseWrite() }() // fails only where the connection is closed already
-		b.copy(to, from, up, maySend, func() { broken(); time.Sleep(late) })
+		b.copy(to, from, up, maySend, func() { reset(); time.Sleep(delay) })
 	})
-	b.copy(from, to, down, mayAnswer, broken)
+	b.copy(from, to, down, mayAnswer, reset)
 	_ = from.CloseWrite() // fails only where the connection is closed already
-	ways.Wait()
+	directions.Wait()
 }
 
 // limits is after how many bytes each way of the next connection breaks; below 0: it does not.
-func (b *ConnRelay) limits() (up, down int64, late time.Duration) {
+func (b *ConnRelay) limits() (up, down int64, lastHopDelay time.Duration) {
 	n := b.accepted.Add(1)
-	how := b.breaks.Load()
-	if how == nil || n%how.Every != 0 {
+	pattern := b.breaks.Load()
+	if pattern == nil || n%pattern.Every != 0 {
 		return -1, -1, 0
 	}
-	at := int64(n/how.Every) * how.StepBytes % how.MaxBytes
-	if n/how.Every%2 == 0 {
-		return -1, at, 0
+	limit := int64(n/pattern.Every) * pattern.StepBytes % pattern.MaxBytes
+	if n/pattern.Every%2 == 0 {
+		return -1, limit, 0
 	}
-	return at, -1, how.LastHopDelay
+	return limit, -1, pattern.LastHopDelay
 }
 
 // arrive identifies the sender of a connection, which waits at a cut.
@@ -153,17 +153,17 @@
 
 // copy carries bytes one way, each part once may permits it. When limit bytes have come, or may does not, it calls broken; at the limit
 // it then carries what came with the last of them all the same.
-func (b *ConnRelay) copy(to, from *net.TCPConn, limit int64, mayPass func() bool, broken func()) {
+func (b *ConnRelay) copy(to, from *net.TCPConn, limit int64, mayPass func() bool, onBreak func()) {
 	buf, left := make([]byte, 16<<10), limit
 	for {
 		n, err := from.Read(buf)
 		if n > 0 && !mayPass() {
-			broken()
+			onBreak()
 			return
 		}
 		if limit >= 0 && n > 0 {
 			if left -= int64(n); left <= 0 {
-				broken()
+				onBreak()
 				_, _ = to.Write(buf[:n]) // the peer may be gone, which the next read reports
 				return
 			}
--- a/lab/mesh/mesh.go
+++ b/lab/mesh/mesh.go
@@ -47,7 +47,7 @@
 	Tolerance int
 	// Calling is called as a server is about to make a call of its own, within a request: with the id of the call, the machine of the server,
 	// and how long it waits; nil: nothing is. It must be safe for concurrent use.
-	Calling func(id, machine string, patience time.Duration)
+	Calling func(id, machine string, timeout time.Duration)
 	Arrived func(Arrival) // called as each request begins to run at a server; nil: nothing is. It must be safe for concurrent use
 }
 
@@ -146,20 +146,20 @@
 
 // openRelays opens the relays ahead of a machine, as far as the mesh has any.
 func (x *Machine) openRelays() (err error) {
-	at := func(port int) string { return fmt.Sprintf("%s:%d", x.IP, port) }
+	address := func(port int) string { return fmt.Sprintf("%s:%d", x.IP, port) }
 	cfg, network := &x.mesh.cfg, x.mesh.Network
 	if (cfg.ConnRelays || cfg.Links) && x.Server != nil {
-		if x.ConnRelay, err = newConnRelay(at(advertisedPort), at(basePort), x.Name, network, true); err != nil {
+		if x.ConnRelay, err = newConnRelay(address(advertisedPort), address(basePort), x.Name, network, true); err != nil {
 			return err
 		}
 	}
 	if !cfg.Links {
 		return nil
 	}
-	if x.peerRelay, err = newConnRelay(at(peerPort), at(peerListenPort), x.Name, network, false); err != nil {
+	if x.peerRelay, err = newConnRelay(address(peerPort), address(peerListenPort), x.Name, network, false); err != nil {
 		return err
 	}
-	x.probeRelay, err = newDatagramRelay(at(peerPort), at(peerListenPort), x.Name, network)
+	x.probeRelay, err = newDatagramRelay(address(peerPort), address(peerListenPort), x.Name, network)
 	return err
 }
 
@@ -189,32 +189,32 @@
 
 // settingsFile is the content of a machine's settings file; JSON is YAML.
 func (x *Machine) settingsFile(seeds []string) map[string]any {
-	at := func(port int) string { return fmt.Sprintf("%s:%d", x.IP, basePort+port) }
+	address := func(port int) string { return fmt.Sprintf("%s:%d", x.IP, basePort+port) }
 	zones := map[string]string{}
 	for _, zone := range x.mesh.cfg.Zones {
 		zones[zone] = "here"
 	}
-	s := map[string]any{
+	settings := map[string]any{
 		"nodeName": x.Name, "ip": x.IP, "zone": x.Zone, "region": "here", "zones": zones,
 		"sparePorts": []int{peerPort, lastPeerPort}, "seedNodes": seeds, "beatS": x.mesh.heartbeat().Seconds(),
 		"bounds": x.mesh.bounds(), "tolerance": map[string]int{"machines": x.mesh.cfg.Tolerance},
 		"caps": map[string]any{"fileHandles": 2000, "memoryMb": 280},
 	}
-	addresses := map[string]string{"control": at(6)}
-	s["addresses"] = addresses
+	addresses := map[string]string{"control": address(6)}
+	settings["addresses"] = addresses
 	if x.peerRelay != nil {
 		addresses["peerListen"] = fmt.Sprintf("%s:%d", x.IP, peerListenPort)
 	}
 	if x.Server == nil {
-		s["dataPath"] = filepath.Join(x.mesh.cfg.Folder, x.Name, "data")
+		settings["dataPath"] = filepath.Join(x.mesh.cfg.Folder, x.Name, "data")
 	} else {
-		addresses["incoming"], addresses["outgoing"], addresses["readiness"] = at(0), at(4), at(2)
+		addresses["incoming"], addresses["outgoing"], addresses["readiness"] = address(0), address(4), address(2)
 		if x.ConnRelay != nil {
 			addresses["advertised"] = fmt.Sprintf("%s:%d", x.IP, advertisedPort)
 		}
-		s["appAddr"], s["line"] = at(1), x.Server.service
+		settings["appAddr"], settings["line"] = address(1), x.Server.service
 	}
-	return s
+	return settings
 }
 
 // heartbeat is the interval of the servers' heartbeats.
--- a/lab/mesh/network.go
+++ b/lab/mesh/network.go
@@ -153,12 +153,12 @@
 	network *Network
 }
 
-func newDatagramRelay(at, to, name string, n *Network) (*datagramRelay, error) {
-	local, err := net.ResolveUDPAddr("udp", at)
+func newDatagramRelay(listenAddress, targetAddress, name string, n *Network) (*datagramRelay, error) {
+	local, err := net.ResolveUDPAddr("udp", listenAddress)
 	if err != nil {
 		return nil, err
 	}
-	target, err := net.ResolveUDPAddr("udp", to)
+	target, err := net.ResolveUDPAddr("udp", targetAddress)
 	if err != nil {
 		return nil, err
 	}
