--- a/lab/mesh/build.go
+++ b/lab/mesh/build.go
@@ -6,7 +6,8 @@
 	"os/exec"
 )
 
-// Build builds the mesh's programs into a folder, with the race detector if race is set. It has to be called within the module.
+// Build builds the mesh's programs, and the packages in more, into a folder, with the race detector if race is set. The working directory
+// must be within the module.
 func Build(ctx context.Context, folder string, race bool, more ...string) error {
 	args := []string{"build", "-o", folder + "/"}
 	if race {
--- a/lab/mesh/calls_test.go
+++ b/lab/mesh/calls_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// The connections between sidecars break at all places of requests and answers, and requests arrive after their senders
-// have seen that: what must not run twice does not, what was promised not to run has not, and most is served all the
-// same, elsewhere or by the answer that was lost.
+// Connections between sidecars break at varying offsets of requests and responses, and requests arrive after their senders have seen the
+// connection break. An unsafe request must not run twice, a request that was answered with 503 must not have run, and at least nine tenths
+// are served all the same.
 func TestBrokenConnectionsDoNotDuplicateRequests(t *testing.T) {
 	m := startWith(t, 47, true)
 	for _, x := range m.Branch {
@@ -30,7 +30,7 @@
 					status = -1
 				}
 				if status == http.StatusOK && !strings.HasPrefix(string(body), id+" from registry") {
-					t.Errorf("%s is answered %q", id, body)
+					t.Errorf("%s: unexpected response %q", id, body)
 				}
 				mu.Lock()
 				answers[id] = status
@@ -39,13 +39,13 @@
 		})
 	}
 	tasks.Wait()
-	time.Sleep(100 * time.Millisecond) // what comes late has come
+	time.Sleep(100 * time.Millisecond) // longer than LastHopDelay, so that delayed requests have arrived
 	counts, broken := map[int]int{}, int64(0)
 	for id, status := range answers {
 		counts[status]++
 		runs := m.Runs(id)
 		if runs > 1 || runs > 0 && status == http.StatusServiceUnavailable || runs == 0 && status == http.StatusOK {
-			t.Errorf("%s was answered %d and ran %d times", id, status, runs)
+			t.Errorf("%s: status %d and %d runs", id, status, runs)
 		}
 	}
 	for _, x := range m.Branch {
@@ -53,6 +53,6 @@
 	}
 	t.Logf("answers by status %v; %d connections broke", counts, broken)
 	if broken < 30 || counts[http.StatusOK] < clients*each*9/10 {
-		t.Errorf("%d connections broke, and %d of %d are served", broken, counts[http.StatusOK], clients*each)
+		t.Errorf("%d connections broke, %d of %d requests served", broken, counts[http.StatusOK], clients*each)
 	}
 }
--- a/lab/mesh/connrelay.go
+++ b/lab/mesh/connrelay.go
@@ -7,32 +7,34 @@
 	"time"
 )
 
-// Between stands between sidecars and one of them, and breaks the connections that it carries on demand.
+// ConnRelay relays TCP connections to one address of a machine. It applies the faults of the network's links to them, and breaks them by a
+// BreakPattern.
 type ConnRelay struct {
 	listener net.Listener
 	target   string
-	name     string   // of the machine behind it
-	network  *Network // the links to it; nil: there are none
-	requests bool     // connections carry requests, whose answers may be lost
+	name     string   // of the target machine
+	network  *Network // holds the links' faults; nil: no link faults
+	requests bool     // connections carry requests, whose responses may be lost
 	breaks   atomic.Pointer[BreakPattern]
-	accepted atomic.Uint64 // of connections
+	accepted atomic.Uint64 // connections
 	Broken   atomic.Int64  // connections that were reset
 
 	mu   sync.Mutex
 	open map[net.Conn]struct{}
 }
 
-// Breaks describes how connections break.
+// BreakPattern describes which connections break, and after how many bytes.
 type BreakPattern struct {
-	// Every how many connections one breaks, when so many bytes have come from the sender, or from the last hop, whose
-	// counts rise by Step from one that breaks to the next, up to Most.
+	// One in Every connections breaks, in turn by the bytes from the sender and by those from the last hop. The number of bytes after which
+	// it breaks rises by StepBytes from one such connection to the next, modulo MaxBytes.
 	Every               uint64
 	StepBytes, MaxBytes int64
-	// Late is how long after its sender has seen the connection break the last hop still gets what came of the request: it arrives late.
+	// LastHopDelay is how long after the reset of the sender's connection the last hop still receives the bytes of the request that had
+	// arrived, so that a request runs after its sender has seen it fail.
 	LastHopDelay time.Duration
 }
 
-// newBetween listens at an address ahead of a machine's own one.
+// newConnRelay starts a relay that listens at an address and forwards connections to target, an address of the machine with that name.
 func newConnRelay(listenAddress, target, name string, network *Network, requests bool) (*ConnRelay, error) {
 	ln, err := net.Listen("tcp", listenAddress)
 	if err != nil {
@@ -43,11 +45,11 @@
 	return b, nil
 }
 
-// Break sets how connections break that are made from now on; nil: they do not.
+// SetBreakPattern sets the pattern by which new connections break; nil: they do not break.
 func (b *ConnRelay) SetBreakPattern(pattern *BreakPattern) { b.breaks.Store(pattern) }
 
 func (b *ConnRelay) close() {
-	_ = b.listener.Close() // accepting ends either way
+	_ = b.listener.Close() // accepting ends even where this fails
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for c := range b.open {
@@ -65,7 +67,7 @@
 	}
 }
 
-// hold keeps a connection to be closed in the end.
+// track registers a connection, so that close closes it. release closes and removes it.
 func (b *ConnRelay) track(c net.Conn) (release func()) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -78,7 +80,7 @@
 	}
 }
 
-// carry carries one connection until it ends or breaks.
+// forward relays one connection until it ends or breaks.
 func (b *ConnRelay) forward(from *net.TCPConn) {
 	defer b.track(from)()
 	sender, ok := b.admit(from)
@@ -96,7 +98,7 @@
 	reset := func() {
 		once.Do(func() {
 			b.Broken.Add(1)
-			_ = from.SetLinger(0) // without it the connection closes in the ordinary way
+			_ = from.SetLinger(0) // closes with a reset; if this fails the connection closes normally
 			_ = from.Close()      // the connection is released even where this fails
 		})
 	}
@@ -112,7 +114,7 @@
 	directions.Wait()
 }
 
-// limits is after how many bytes each way of the next connection breaks; below 0: it does not.
+// limits returns after how many bytes each direction of the next connection breaks; below 0: it does not break.
 func (b *ConnRelay) limits() (up, down int64, lastHopDelay time.Duration) {
 	n := b.accepted.Add(1)
 	pattern := b.breaks.Load()
@@ -126,7 +128,7 @@
 	return limit, -1, pattern.LastHopDelay
 }
 
-// arrive identifies the sender of a connection, which waits at a cut.
+// admit identifies the sender of a connection, and waits while the link from it is cut. ok is false if the connection has to be closed.
 func (b *ConnRelay) admit(from *net.TCPConn) (sender string, ok bool) {
 	if b.network == nil {
 		return "", true
@@ -135,7 +137,8 @@
 	return sender, b.network.awaitLink(sender, b.name)
 }
 
-// links returns what bytes of a connection wait for ahead and on their way back; false means that the connection breaks.
+// linkChecks returns functions that wait until bytes may pass to the machine and back to the sender. They return false if the connection
+// breaks instead. untrack ends the registration of the connection for Network.Reset, which calls reset.
 func (b *ConnRelay) linkChecks(sender string, reset func()) (maySend, mayAnswer func() bool, untrack func()) {
 	free := func() bool { return true }
 	if b.network == nil {
@@ -151,8 +154,8 @@
 	return maySend, mayAnswer, b.network.track(&relayedConn{from: sender, to: b.name, reset: reset})
 }
 
-// copy carries bytes one way, each part once may permits it. When limit bytes have come, or may does not, it calls broken; at the limit
-// it then carries what came with the last of them all the same.
+// copy relays bytes in one direction, each part once mayPass returns true. When limit bytes have been read, or mayPass returns false, it
+// calls onBreak and ends. At the limit it still writes the last part that was read, after onBreak.
 func (b *ConnRelay) copy(to, from *net.TCPConn, limit int64, mayPass func() bool, onBreak func()) {
 	buf, left := make([]byte, 16<<10), limit
 	for {
@@ -164,7 +167,7 @@
 		if limit >= 0 && n > 0 {
 			if left -= int64(n); left <= 0 {
 				onBreak()
-				_, _ = to.Write(buf[:n]) // the peer may be gone, which the next read reports
+				_, _ = to.Write(buf[:n]) // an error has no consequence: the relay of this direction ends
 				return
 			}
 		}
@@ -174,7 +177,7 @@
 			}
 		}
 		if err != nil {
-			_ = mayPass() // the end of the connection waits at a cut, too
+			_ = mayPass() // the end of the connection, too, waits while the link is cut
 			return
 		}
 	}
--- a/lab/mesh/guarantees_test.go
+++ b/lab/mesh/guarantees_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// startForPromises starts a mesh with the bounds of the users' pages.
+// startWithBounds starts a mesh with the bounds of the users' pages, and waits until each branch machine serves.
 func startWithBounds(t *testing.T, cfg Config) *Mesh {
 	t.Helper()
 	programs, err := built()
@@ -23,7 +23,7 @@
 	m, err := Start(cfg)
 	must(t, err)
 	stopAtEnd(t, m)
-	must(t, Await(10*time.Second, "the first configuration is taken", func() bool {
+	must(t, Await(10*time.Second, "the first configuration is accepted", func() bool {
 		status, err := m.Core[0].Put(config(7))
 		return err == nil && status == http.StatusOK
 	}))
@@ -41,12 +41,12 @@
 	return m
 }
 
-// As many disks are lost at once as the tolerance allows, while all other processes are killed: what was acknowledged is
-// read back, and a further change is acknowledged. Two of three members that vote with empty disks are no majority, so
-// that a tolerance of two needs five.
+// As many disks as the tolerance allows are lost at once, while all other processes are killed. The acknowledged configuration can still be
+// read, and another change is acknowledged. With two empty disks among three members the rest is no majority, so that a tolerance of two
+// needs five members.
 func TestConfigurationSurvivesToleratedDiskLoss(t *testing.T) {
 	m := startWithBounds(t, Config{Net: 48, Core: 6, Tolerance: 2})
-	must(t, Await(8*time.Second, "the members are as many as the tolerance needs", func() bool {
+	must(t, Await(8*time.Second, "there are as many members as the tolerance needs", func() bool {
 		s, err := status(m, m.Core[3])
 		return err == nil && len(s.Members) == 5 && s.FullyReplicated
 	}))
@@ -60,7 +60,7 @@
 	for _, x := range m.All() {
 		<-x.Done()
 	}
-	for _, x := range m.Core[:2] { // members from the start, as they are named in the settings
+	for _, x := range m.Core[:2] { // members from the start, as the settings name them as seed nodes
 		must(t, x.Wipe())
 	}
 	for _, x := range m.All() {
@@ -72,14 +72,14 @@
 			return err == nil && status == http.StatusOK && string(body) == string(config(8))
 		}))
 	}
-	must(t, Await(5*time.Second, "a further configuration is acknowledged", func() bool {
+	must(t, Await(5*time.Second, "another configuration is acknowledged", func() bool {
 		status, err := m.Core[0].Put(config(9))
 		return err == nil && status == http.StatusOK
 	}))
 }
 
-// A server leaves, its sidecar acknowledges that and is killed at once: the sidecar's next process sends the server
-// nothing later than lastPostS after the acknowledgement, though the server still answers.
+// A server leaves, and its sidecar is killed right after acknowledging that. The restarted sidecar must not send requests to the server
+// later than lastPostS after the acknowledgement, although the server still responds.
 func TestAcknowledgedLeaveSurvivesSidecarKill(t *testing.T) {
 	var late atomic.Int64
 	m := startWithBounds(t, Config{Net: 49, Core: 3, Tolerance: 1, Heartbeat: time.Second, Arrived: func(a Arrival) {
@@ -90,14 +90,14 @@
 	for i, leave := range []func(s *Server) bool{(*Server).Leave, closeAndAwait} {
 		x := m.Branch[i]
 		if s := x.CurrentServer(); !leave(s) {
-			t.Fatalf("%s gets no acknowledgement", s.ID())
+			t.Fatalf("%s: leaving was not acknowledged", s.ID())
 		}
 		x.Kill()
 		must(t, x.Start(false))
 		must(t, Await(8*time.Second, x.Name+" is ready again", x.Ready))
 	}
 	for end, n := time.Now().Add(6*time.Second), 0; time.Now().Before(end); n++ {
-		_, _, _ = m.Branch[2+n%2].Send(http.MethodGet, "plates.example", "/look/1", fmt.Sprintf("late-%d", n), nil) // what arrives counts
+		_, _, _ = m.Branch[2+n%2].Send(http.MethodGet, "plates.example", "/look/1", fmt.Sprintf("late-%d", n), nil) // judged on arrival
 		time.Sleep(10 * time.Millisecond)
 	}
 	if n := late.Load(); n > 0 {
@@ -105,11 +105,12 @@
 	}
 }
 
-// A server has left, all processes are killed, and a heartbeat that it sent before comes after that.
+// A server has left, and all processes are killed and restarted. A delayed heartbeat of the server, sent before it left, must not bring it
+// back into rotation.
 func TestLateHeartbeatDoesNotRestoreServer(t *testing.T) {
 	const (
 		inTouch  = 3 * time.Second
-		lateBeat = 1000 // above all that the server has sent
+		lateBeat = 1000 // above all sequence numbers that the server has sent
 	)
 	var inTouchFrom, late atomic.Int64
 	m := startWithBounds(t, Config{Net: 56, Core: 3, Tolerance: 1, Heartbeat: time.Second, Arrived: func(a Arrival) {
@@ -119,7 +120,7 @@
 	}})
 	leaver := m.Branch[0].CurrentServer()
 	if !leaver.Leave() {
-		t.Fatalf("%s gets no acknowledgement", leaver.ID())
+		t.Fatalf("%s: leaving was not acknowledged", leaver.ID())
 	}
 	for _, x := range m.All() {
 		x.Signal(syscall.SIGKILL)
@@ -131,11 +132,11 @@
 		must(t, x.Start(false))
 	}
 	inTouchFrom.Store(time.Now().Add(inTouch).UnixNano())
-	must(t, Await(8*time.Second, "its sidecar is ready again", m.Branch[0].Ready))
+	must(t, Await(8*time.Second, "the sidecar is ready again", m.Branch[0].Ready))
 	time.Sleep(inTouch / 2)
-	must(t, Await(2*time.Second, "the late heartbeat is acknowledged", func() bool { return leaver.SendHeartbeat(lateBeat, false) }))
+	must(t, Await(2*time.Second, "the delayed heartbeat is acknowledged", func() bool { return leaver.SendHeartbeat(lateBeat, false) }))
 	for end, n := time.Now().Add(2*inTouch), 0; time.Now().Before(end); n++ {
-		_, _, _ = m.Branch[2+n%2].Send(http.MethodGet, "plates.example", "/look/1", fmt.Sprintf("late-%d", n), nil) // what arrives counts
+		_, _, _ = m.Branch[2+n%2].Send(http.MethodGet, "plates.example", "/look/1", fmt.Sprintf("late-%d", n), nil) // judged on arrival
 		time.Sleep(10 * time.Millisecond)
 	}
 	if n := late.Load(); n > 0 {
@@ -143,8 +144,8 @@
 	}
 }
 
-// closeAndAwait has a server announce its closing, reports whether that is acknowledged, and has it send no heartbeat
-// any more.
+// closeAndAwait makes a server announce its closing, waits for the acknowledgement, and ends the server's heartbeats. It reports whether
+// the closing was acknowledged.
 func closeAndAwait(s *Server) bool {
 	s.AnnounceClosing()
 	acked := Await(3*time.Second, "the closing is acknowledged", s.Acked) == nil
@@ -152,11 +153,11 @@
 	return acked
 }
 
-// A sidecar that is asked to end answers what it has taken while its server is at work, until the last sixth of graceS,
-// and refuses what comes too late for that in place of cutting it off.
+// A sidecar that gets SIGTERM completes accepted requests until the last sixth of graceS, and rejects requests that can't finish by then
+// instead of dropping them in flight.
 func TestShutdownAnswersOrRejectsRequests(t *testing.T) {
 	m := startWithBounds(t, Config{Net: 50, Core: 3, Tolerance: 1})
-	x := m.Branch[2] // its server belongs to the other service, and goes on
+	x := m.Branch[2] // its server belongs to the other service and continues to serve
 	ask := func(id string, work time.Duration) (status int, after time.Duration) {
 		began := time.Now()
 		path := fmt.Sprintf("/long/x?work=%d", work.Milliseconds())
@@ -179,23 +180,24 @@
 		answered <- status
 	}()
 	time.Sleep(1800 * time.Millisecond)
-	// The platform routes clients to the machine for about two seconds more, and those that have connections may use them longer.
+	// After SIGTERM the platform routes clients to the machine for about two seconds more, and clients may use open connections longer.
 	if status, after := ask("too long", 5500*time.Millisecond); status == http.StatusBadGateway || status == http.StatusGatewayTimeout {
 		if after < 3200*time.Millisecond { // the last sixth begins at 5 s
-			t.Errorf("a request that was taken 1.8 s after SIGTERM is cut off after %v with %d", after, status)
+			t.Errorf("a request that was accepted 1.8 s after SIGTERM was dropped after %v with %d", after, status)
 		}
 	}
 	if status := <-answered; status != http.StatusOK {
-		t.Errorf("a request that needs 4.8 s of the 6 is answered %d", status)
+		t.Errorf("a request that needs 4.8 s of the 6 s: status %d", status)
 	}
 	select {
 	case <-x.Done():
 	case <-time.After(2 * time.Second):
-		t.Error("it has not ended within graceS")
+		t.Error("the sidecar did not end within graceS")
 	}
 }
 
-// A request that comes long after SIGTERM, on a connection that is open, is refused if its time is not over before it would be cut off.
+// A request that arrives long after SIGTERM on an open connection is rejected if its deadline is later than the end of the shutdown, and
+// served otherwise.
 func TestShutdownRejectsRequestsThatCannotFinish(t *testing.T) {
 	m := startWithBounds(t, Config{Net: 51, Core: 3, Tolerance: 1})
 	x := m.Branch[2]
@@ -221,17 +223,17 @@
 		return response.StatusCode, time.Since(began)
 	}
 	if status, after := ask(long, "long", 2*time.Second); status != http.StatusServiceUnavailable || after > 500*time.Millisecond {
-		t.Errorf("one that may last longer than the process is answered %d after %v", status, after)
+		t.Errorf("a request with a deadline after the shutdown: status %d after %v", status, after)
 	}
 	if status, _ := ask(short, "short", time.Second); status != http.StatusOK {
-		t.Errorf("one that can't is answered %d", status)
+		t.Errorf("a request with a deadline within the shutdown: status %d", status)
 	}
 	if n := m.Runs("long"); n != 0 {
-		t.Errorf("the one that was refused has run %d times", n)
+		t.Errorf("the rejected request ran %d times", n)
 	}
 }
 
-// longConfig has a route with a long deadline besides.
+// longConfig returns a configuration with a single route, which has a long deadline.
 func longConfig(edition int) []byte {
 	return fmt.Appendf(nil, `{"edition":"%08x","caps":{},"gates":[{"depot":"plates.example","regulations":[
  {"name":"long","routeKind":"safe","targetS":0.5,"precedence":2,"sorting":{"lanePrefix":"/long/"},
@@ -239,8 +241,8 @@
  "fleets":[{"name":"records","healthPath":"/health","maxConns":100},{"name":"registry","healthPath":"/health","maxConns":100}]}`, edition)
 }
 
-// The link of a machine is full, so that datagrams are lost on it: it is not lost by that, and what its server is at work on is not cut
-// off.
+// All datagrams on a machine's links are lost, as on overloaded links, while connections work. The machine must not count as lost for that,
+// and the requests in flight at its server must complete.
 func TestDatagramLossDoesNotCutOffRequests(t *testing.T) {
 	m := startWithBounds(t, Config{Net: 52, Core: 3, Tolerance: 1, Links: true})
 	must(t, Await(5*time.Second, "the long route is in force", func() bool {
@@ -262,7 +264,7 @@
 			status, _, err := m.call(http.MethodGet, m.Branch[2].OutgoingURL("/long/x?work=5000"),
 				map[string]string{"Host": "plates.example", "Try-Id": id, "Deadline-Ms": "6900"}, nil, 8*time.Second)
 			if err != nil || status != http.StatusOK || m.Runs(id) != 1 {
-				t.Errorf("%s is answered %d, %v, and has run %d times", id, status, err, m.Runs(id))
+				t.Errorf("%s: status %d, %v, %d runs", id, status, err, m.Runs(id))
 			}
 		})
 	}
--- a/lab/mesh/mesh.go
+++ b/lab/mesh/mesh.go
@@ -1,8 +1,8 @@
-// Package mesh starts a complete small mesh on loopback: core machines and branch machines as real processes, each at an
-// address of its own, with stand-ins for the servers that we write ourselves. It owns processes and folders, which it
-// ends and removes; what the mesh does with requests is for who calls it to judge.
+// Package mesh starts a complete small mesh on loopback for tests: control machines (core) and sidecars (branch machines) as real
+// processes, each at an address of its own, and stand-ins for the applications' servers in this process. It starts and ends processes, and
+// injects faults into the links between them. Whether the mesh handles requests correctly is judged by the caller.
 //
-// Begin with Start.
+// Start reading at Start.
 package mesh
 
 import (
@@ -30,36 +30,36 @@
 
 // Config describes a mesh.
 type Config struct {
-	Folder     string // for settings, disks and logs
-	Programs   string // folder of firplank-proxy and firplank-control
-	Net        int    // the second number of the addresses, 127.Net.x.y, so that two meshes can stand side by side
-	Core       int
-	Services   map[string]int // branch machines by the service that stands on them
-	Work       time.Duration  // of each request at a server
-	Zones      []string       // over which the machines of each role are spread in turn; empty: one zone
-	ConnRelays bool           // a Between stands ahead of each branch machine's incoming address
-	Links      bool           // relays stand ahead of all addresses at which machines reach each other: Mesh.Network
-	Seed       uint64         // of the network's random choices
-	Bounds     []string       // of the settings; empty: defaultBounds
+	Folder     string         // for settings, disks and logs
+	Programs   string         // folder of firplank-proxy and firplank-control
+	Net        int            // second number of the addresses, 127.Net.x.y; meshes that run at the same time need different ones
+	Core       int            // number of control machines
+	Services   map[string]int // number of branch machines by the service of their servers
+	Work       time.Duration  // how long a server works on each request
+	Zones      []string       // zones to which machines are assigned in turn; empty: one zone
+	ConnRelays bool           // a ConnRelay relays to each branch machine's incoming address
+	Links      bool           // relays for all addresses at which machines reach each other, controlled by Mesh.Network
+	Seed       uint64         // seed of the network's random choices
+	Bounds     []string       // "bounds" in the settings; empty: defaultBounds
 	// Heartbeat is the interval of the servers' heartbeats; 0: defaultHeartbeat.
 	Heartbeat time.Duration
-	// Tolerance is how many core machines may be lost at a time.
+	// Tolerance is the number of core machines that may be lost at a time.
 	Tolerance int
-	// Calling is called as a server is about to make a call of its own, within a request: with the id of the call, the machine of the server,
-	// and how long it waits; nil: nothing is. It must be safe for concurrent use.
+	// Calling is called before a server makes a call of its own within a request, with the id of the call, the server's machine and the
+	// time-out of the call. It may be nil, and must be safe for concurrent use.
 	Calling func(id, machine string, timeout time.Duration)
-	Arrived func(Arrival) // called as each request begins to run at a server; nil: nothing is. It must be safe for concurrent use
+	Arrived func(Arrival) // called when a request begins to run at a server; may be nil, must be safe for concurrent use
 }
 
-// firstVersion is the version of the servers that a mesh starts with.
+// initialVersion is the version of the servers with which a mesh starts.
 const initialVersion = "v1"
 
 const defaultHeartbeat = 300 * time.Millisecond
 
-// defaultBounds are the bounds of settings where a Config has none.
+// defaultBounds are the bounds in the settings if a Config has none.
 var defaultBounds = []string{"graceS=3", "retryRatio=0.2", "retryWindowS=10", "retrySlack=60"}
 
-// Machine is one process with its settings.
+// Machine is one process with its settings, its address and, on branch machines, a server beside it.
 type Machine struct {
 	Name, IP   string
 	Zone       string
@@ -67,15 +67,15 @@
 	settings   map[string]any
 	program    string
 	process    *exec.Cmd
-	pid        atomic.Int64 // of process
+	pid        atomic.Int64 // process id of process
 	done       chan struct{}
-	Server     *Server        // nil on core machines
-	ConnRelay  *ConnRelay     // nil where there is none
-	peerRelay  *ConnRelay     // ahead of the address for peers; nil: there is none
-	probeRelay *datagramRelay // the same, for datagrams
+	Server     *Server        // current server; nil on core machines
+	ConnRelay  *ConnRelay     // for the incoming address; nil: none
+	peerRelay  *ConnRelay     // for the peer address; nil: none
+	probeRelay *datagramRelay // for datagrams to the peer address; nil: none
 }
 
-// Mesh is a mesh that runs.
+// Mesh is a running mesh.
 type Mesh struct {
 	Core, Branch []*Machine
 	Network      *Network // nil without Config.Links
@@ -83,11 +83,11 @@
 	client       *http.Client
 
 	mu   sync.Mutex
-	runs map[string]int // by id of a try
+	runs map[string]int // number of runs by request id
 }
 
-// ports is the first port of each machine. To it are added, where relays stand ahead of machines: advertisedPort for requests of other
-// sidecars, peerPort for peers, which listen at peerListenPort.
+// basePort is the first port of each machine. With relays, other machines send requests to advertisedPort and messages of peers to
+// peerPort, where the relays listen, and the machine listens for peers at peerListenPort.
 const (
 	basePort       = 7300
 	advertisedPort = basePort + 10
@@ -96,7 +96,7 @@
 	lastPeerPort   = basePort + 35
 )
 
-// Start starts all machines. Stop ends them.
+// Start starts all machines and servers, and does not wait until they are ready. Stop ends them. After an error nothing is left running.
 func Start(cfg Config) (*Mesh, error) {
 	if len(cfg.Zones) == 0 {
 		cfg.Zones = []string{"one"}
@@ -144,7 +144,7 @@
 	return m, nil
 }
 
-// openRelays opens the relays ahead of a machine, as far as the mesh has any.
+// openRelays starts a machine's relays, as far as the mesh's configuration has any.
 func (x *Machine) openRelays() (err error) {
 	address := func(port int) string { return fmt.Sprintf("%s:%d", x.IP, port) }
 	cfg, network := &x.mesh.cfg, x.mesh.Network
@@ -184,10 +184,10 @@
 	return keys
 }
 
-// All lists all machines.
+// All returns all machines, core machines first.
 func (m *Mesh) All() []*Machine { return slices.Concat(m.Core, m.Branch) }
 
-// settingsFile is the content of a machine's settings file; JSON is YAML.
+// settingsFile returns the content of a machine's settings file. It is written in JSON, which is valid YAML.
 func (x *Machine) settingsFile(seeds []string) map[string]any {
 	address := func(port int) string { return fmt.Sprintf("%s:%d", x.IP, basePort+port) }
 	zones := map[string]string{}
@@ -217,7 +217,7 @@
 	return settings
 }
 
-// heartbeat is the interval of the servers' heartbeats.
+// heartbeat returns the interval of the servers' heartbeats.
 func (m *Mesh) heartbeat() time.Duration { return cmp.Or(m.cfg.Heartbeat, defaultHeartbeat) }
 
 func (m *Mesh) bounds() []string {
@@ -227,7 +227,7 @@
 	return defaultBounds
 }
 
-// Start starts a machine's process; first: all of the mesh starts for the first time.
+// Start starts a machine's process. first is true when the whole mesh starts for the first time.
 func (x *Machine) Start(first bool) error {
 	folder := filepath.Join(x.mesh.cfg.Folder, x.Name)
 	if err := os.MkdirAll(filepath.Join(folder, "data"), 0o755); err != nil {
@@ -241,7 +241,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Close() }() // only read from
+	defer func() { _ = log.Close() }() // the process has its own descriptor of the file
 	x.process = exec.Command(filepath.Join(x.mesh.cfg.Programs, x.program))
 	x.process.Env = append(os.Environ(), "FIRPLANK_BOOT="+x.settingsPath())
 	x.process.Stdout, x.process.Stderr = log, log
@@ -258,7 +258,7 @@
 	return nil
 }
 
-// PID is the id of a machine's process; 0: none was started.
+// PID returns the id of the process that was started last, or 0 if there was none.
 func (x *Machine) PID() int { return int(x.pid.Load()) }
 
 // Done is closed when the machine's process has ended.
@@ -267,16 +267,16 @@
 // Signal sends a signal to a machine's process.
 func (x *Machine) Signal(s syscall.Signal) { _ = x.process.Process.Signal(s) } // fails only where the process has ended
 
-// Kill ends a machine's process at once, and Wipe takes its disk.
+// Kill kills a machine's process and waits until it has ended.
 func (x *Machine) Kill() {
 	x.Signal(syscall.SIGKILL)
 	<-x.done
 }
 
-// Wipe removes what is on a machine's disk, whose process has ended.
+// Wipe removes the data of a machine, whose process must have ended.
 func (x *Machine) Wipe() error { return os.RemoveAll(filepath.Join(x.mesh.cfg.Folder, x.Name, "data")) }
 
-// Stop ends all that Start has started.
+// Stop ends all servers, relays and processes.
 func (m *Mesh) Stop() {
 	for _, x := range m.All() {
 		if x.Server != nil {
@@ -289,19 +289,19 @@
 	}
 }
 
-// Log is what a machine has written.
+// Log returns what a machine's processes have logged.
 func (x *Machine) Log() string {
 	text, _ := os.ReadFile(filepath.Join(x.mesh.cfg.Folder, x.Name, "log"))
 	return string(text)
 }
 
-// Ready reports whether a branch machine wants clients.
+// Ready reports whether a branch machine's readiness check succeeds.
 func (x *Machine) Ready() bool {
 	status, _, err := x.mesh.call(http.MethodGet, fmt.Sprintf("http://%s:%d/ready", x.IP, basePort+2), nil, nil, time.Second)
 	return err == nil && status == http.StatusOK
 }
 
-// call makes a call and returns its answer's status and body.
+// call sends a request and returns the status and body of the response. "Host" in header sets the request's host.
 func (m *Mesh) call(method, url string, header map[string]string, body []byte, timeout time.Duration) (int, []byte, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -320,31 +320,31 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	defer func() { _ = resp.Body.Close() }() // the body has been read, or is not wanted
+	defer func() { _ = resp.Body.Close() }() // the body was read
 	b, err := io.ReadAll(io.LimitReader(resp.Body, 16<<20))
 	return resp.StatusCode, b, err
 }
 
-// Put puts a configuration at a core machine.
+// Put sends a configuration to a core machine.
 func (x *Machine) Put(body []byte) (status int, err error) {
 	status, _, err = x.mesh.call(http.MethodPost, fmt.Sprintf("http://%s:%d/Timetable.Replace", x.IP, basePort+6), nil, body, 4*time.Second)
 	return status, err
 }
 
-// Read reads the configuration back.
+// Read reads the configuration from a core machine.
 func (x *Machine) Read() (status int, body []byte, err error) {
 	return x.mesh.call(http.MethodGet, fmt.Sprintf("http://%s:%d/Timetable.Read", x.IP, basePort+6), nil, nil, 4*time.Second)
 }
 
-// outgoing is the address of a branch machine for its clients.
+// outgoing returns the address of a branch machine for its clients.
 func (x *Machine) outgoing() string { return net.JoinHostPort(x.IP, strconv.Itoa(basePort+4)) }
 
-// OutgoingURL is the URL of a path at the address of a branch machine for its clients.
+// OutgoingURL returns the URL of a path at a branch machine's address for clients.
 func (x *Machine) OutgoingURL(path string) string {
 	return fmt.Sprintf("http://%s:%d%s", x.IP, basePort+4, path)
 }
 
-// MetricsURL is the URL of a machine's figures.
+// MetricsURL returns the URL of a machine's metrics.
 func (x *Machine) MetricsURL() string {
 	port := telemetry.ControlPort
 	if x.Server != nil {
@@ -353,8 +353,8 @@
 	return fmt.Sprintf("http://%s:%d%s", x.IP, port, telemetry.Path)
 }
 
-// Reload changes a machine's settings file, as the platform does, and tells its process so (SIGHUP). The order of the seeds changes, and
-// nothing else.
+// Reload changes a machine's settings file, as the platform does, and has its process reload it (SIGHUP). Only the order of the seed nodes
+// changes.
 func (x *Machine) Reload() error {
 	seeds := x.settings["seedNodes"].([]string)
 	x.settings["seedNodes"] = append(slices.Clone(seeds[1:]), seeds[0])
@@ -365,7 +365,7 @@
 	return nil
 }
 
-// writeSettings replaces a machine's settings file.
+// writeSettings replaces a machine's settings file atomically.
 func (x *Machine) writeSettings() error {
 	text, err := json.MarshalIndent(x.settings, "", " ")
 	if err != nil {
@@ -382,25 +382,25 @@
 	return filepath.Join(x.mesh.cfg.Folder, x.Name, "settings.yaml")
 }
 
-// Ask sends a client's request by way of a branch machine.
+// Send sends a client's request through a branch machine and returns its response. The deadline is 3 s.
 func (x *Machine) Send(method, host, path, id string, body []byte) (status int, answer []byte, err error) {
 	return x.mesh.call(method, fmt.Sprintf("http://%s:%d%s", x.IP, basePort+4, path),
 		map[string]string{"Host": host, "Try-Id": id, "Deadline-Ms": "3000"}, body, 4*time.Second)
 }
 
-// Runs is how often a try has run.
+// Runs returns how often the request with an id has run at servers.
 func (m *Mesh) Runs(id string) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.runs[id]
 }
 
-// Await waits until something holds.
+// Await polls until holds returns true. After the time-out it returns an error with condition, which describes what was awaited.
 func Await(timeout time.Duration, condition string, holds func() bool) error {
 	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if holds() {
 			return nil
 		}
 	}
-	return errors.New("in vain: " + condition)
+	return errors.New("timed out waiting: " + condition)
 }
--- a/lab/mesh/mesh_test.go
+++ b/lab/mesh/mesh_test.go
@@ -31,7 +31,7 @@
 
 var programFolder string
 
-// built builds the programs, once for all tests, and returns their folder.
+// built builds the programs once for all tests, and returns their folder.
 var built = sync.OnceValues(func() (string, error) {
 	return programFolder, Build(context.Background(), programFolder, false)
 })
@@ -48,7 +48,7 @@
 
 func start(t *testing.T, number int) *Mesh { return startWith(t, number, false) }
 
-// stopAtEnd stops a mesh at the test's end, and shows the logs of one that failed.
+// stopAtEnd stops a mesh at the end of a test, and prints the machines' logs if the test failed.
 func stopAtEnd(t *testing.T, m *Mesh) {
 	t.Cleanup(func() {
 		m.Stop()
@@ -70,7 +70,7 @@
 	})
 	must(t, err)
 	stopAtEnd(t, m)
-	must(t, Await(10*time.Second, "the first configuration is taken", func() bool {
+	must(t, Await(10*time.Second, "the first configuration is accepted", func() bool {
 		status, err := m.Core[0].Put(config(7))
 		return err == nil && status == http.StatusOK
 	}))
@@ -94,30 +94,30 @@
 	return m
 }
 
-// enoughServed is how many requests the share of those that fail is taken of: the faults alone may be over within 0.6 s.
+// enoughServed is the minimum number of served requests for judging the share of failures: the faults may be over within 0.6 s.
 const enoughServed = 60
 
-// A complete mesh of real processes: two hops, who sends, routes that are not there, drains, kills of sidecars and of all of the core, a
-// disk that is lost.
+// A mesh of real processes serves requests over two hops, while a server drains, a sidecar is killed, and all control machines are killed,
+// one with its disk. Failures must stay below a tenth, no request may reach the drained server, and no unsafe one may run twice.
 func TestMeshSurvivesProcessFaults(t *testing.T) {
 	m := start(t, 21)
 	checkAnswers(t, m)
 	load := beginLoad(t, m)
 	closing := m.Branch[0].Server // a server of the records service drains
 	closing.AnnounceClosing()
-	must(t, Await(3*time.Second, "a server's closing is acknowledged", closing.Acked))
+	must(t, Await(3*time.Second, "the server's closing is acknowledged", closing.Acked))
 
 	m.Branch[4].Kill() // a sidecar beside a server of the registry service
 	must(t, m.Branch[4].Start(false))
-	must(t, Await(8*time.Second, "a sidecar is ready again", m.Branch[4].Ready))
+	must(t, Await(8*time.Second, "the sidecar is ready again", m.Branch[4].Ready))
 
 	loseCore(t, m)
-	must(t, Await(5*time.Second, "enough is served to tell a share", func() bool { return load.served.Load() >= enoughServed }))
+	must(t, Await(5*time.Second, "enough requests are served", func() bool { return load.served.Load() >= enoughServed }))
 	load.end()
 	t.Logf("served %d, refused %d, failed %d; late at the closing server: %d", load.served.Load(), load.refused.Load(),
 		load.failed.Load(), closing.ServedAfterAck.Load())
 	if load.duplicated.Load() > 0 {
-		t.Errorf("%d requests that may run once ran twice", load.duplicated.Load())
+		t.Errorf("%d unsafe requests ran twice", load.duplicated.Load())
 	}
 	if n := closing.ServedAfterAck.Load(); n > 0 {
 		t.Errorf("%d requests reached a server whose closing was acknowledged", n)
@@ -127,24 +127,24 @@
 	}
 }
 
-// checkAnswers checks single requests and configurations: one that is served, one without a route, and two configurations that are invalid.
+// checkAnswers checks a request that is served, one without a route, and two invalid configurations.
 func checkAnswers(t *testing.T, m *Mesh) {
 	t.Helper()
 	status, body, err := m.Branch[0].Send(http.MethodGet, "plates.example", "/look/9", "one", nil)
 	if want := "one from records for records"; err != nil || status != http.StatusOK || string(body) != want {
-		t.Errorf("answered %d %q, %v: want %q", status, body, err, want)
+		t.Errorf("got %d %q, %v; want %q", status, body, err, want)
 	}
 	if status, _, _ := m.Branch[0].Send(http.MethodGet, "plates.example", "/nowhere/", "two", nil); status != http.StatusNotFound {
-		t.Errorf("no route: answered %d", status)
+		t.Errorf("request without a route: status %d", status)
 	}
 	for _, bad := range []string{`{"edition":"00000009"`, strings.Replace(string(config(9)), `"line":"records"`, `"line":"unknown"`, 1)} {
 		if status, err := m.Core[1].Put([]byte(bad)); err != nil || status != http.StatusBadRequest {
-			t.Errorf("a configuration that is none: answered %d, %v", status, err)
+			t.Errorf("invalid configuration: status %d, %v", status, err)
 		}
 	}
 }
 
-// requestLoad is requests that go on until end, and what became of them.
+// requestLoad sends requests until end is called, and counts their outcomes.
 type requestLoad struct {
 	served, refused, failed, duplicated atomic.Int64
 
@@ -152,7 +152,7 @@
 	tasks sync.WaitGroup
 }
 
-// beginLoad sends requests by way of four sidecars that live through the test.
+// beginLoad sends requests through four sidecars that are not killed during the test.
 func beginLoad(t *testing.T, m *Mesh) *requestLoad {
 	l := &requestLoad{stop: make(chan struct{})}
 	for w := range 4 {
@@ -175,7 +175,7 @@
 	l.tasks.Wait()
 }
 
-// send sends one request and counts what became of it. An unsafe one that is refused must not have run.
+// send sends one request and counts its outcome. An unsafe request that is rejected must not have run.
 func (l *requestLoad) send(t *testing.T, m *Mesh, sidecar, number int) {
 	id := fmt.Sprintf("w%d-%d", sidecar, number)
 	method, path := http.MethodGet, "/look/x"
@@ -189,7 +189,7 @@
 	case err == nil && (status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests):
 		l.refused.Add(1)
 		if method == http.MethodPost && m.Runs(id) > 0 {
-			t.Errorf("%s was refused and has run", id)
+			t.Errorf("%s was rejected and has run", id)
 		}
 	default:
 		l.failed.Add(1)
@@ -199,23 +199,23 @@
 	}
 }
 
-// loseCore stops all control machines for a moment, and then kills them right after a configuration was acknowledged, one with its disk.
+// loseCore pauses all control machines, and then kills them right after a configuration was acknowledged. One of them loses its disk.
 func loseCore(t *testing.T, m *Mesh) {
 	t.Helper()
-	for _, x := range m.Core { // all of the core at once, right after a configuration was acknowledged
+	for _, x := range m.Core { // all at once
 		x.Signal(syscall.SIGSTOP)
 	}
 	for _, x := range m.Core {
 		x.Signal(syscall.SIGCONT)
 	}
-	must(t, Await(5*time.Second, "a configuration is taken after a stop", func() bool {
+	must(t, Await(5*time.Second, "a configuration is accepted after the pause", func() bool {
 		status, err := m.Core[2].Put(config(8))
 		return err == nil && status == http.StatusOK
 	}))
 	for _, x := range m.Core {
 		x.Kill()
 	}
-	must(t, m.Core[0].Wipe()) // and one of them has lost its disk
+	must(t, m.Core[0].Wipe()) // one of them loses its disk
 	for _, x := range m.Core {
 		must(t, x.Start(false))
 	}
--- a/lab/mesh/network.go
+++ b/lab/mesh/network.go
@@ -13,25 +13,24 @@
 	"firplank/mesh/wire"
 )
 
-// cutTimeout is for how long bytes wait at a cut until their connection breaks, as the kernel's time-out of
-// unacknowledged bytes would break it (TCP_USER_TIMEOUT of the programs).
+// cutTimeout is how long bytes wait on a cut link until their connection breaks. It models the programs' TCP_USER_TIMEOUT, with which the
+// kernel breaks connections whose bytes are not acknowledged.
 const cutTimeout = 2500 * time.Millisecond
 
-// Link is how the way from one machine to another is. The zero value carries all at once. Its network is real sockets
-// on loopback with relays of our own between: an opening connection succeeds also where the link is cut, and then says
-// nothing.
+// Link is the state of one direction between two machines. The zero value passes everything without delay. As relays accept connections on
+// loopback, opening a connection succeeds even where the link is cut, but no bytes pass.
 type Link struct {
-	Cut bool
-	// LoseDatagrams loses all datagrams, as a full link does, while connections go on.
+	Cut bool // nothing passes
+	// LoseDatagrams drops all datagrams, as an overloaded link does, but not the connections.
 	LoseDatagrams bool
 	Delay         time.Duration
-	// LoseAnswers is the share of the answers, on connections of requests, that are lost with their connection.
+	// LoseAnswers is the share of parts of responses, on connections that carry requests, that are lost together with their connection.
 	LoseAnswers float64
 }
 
-// Network is the links between the machines of a mesh. It is safe for concurrent use.
+// Network holds the state of the links between a mesh's machines. It is safe for concurrent use.
 type Network struct {
-	identify func(local, remote *net.TCPAddr) string // the machine at the other end of a connection that was accepted
+	identify func(local, remote *net.TCPAddr) string // returns the machine at the other end of an accepted connection
 
 	mu      sync.Mutex
 	links   map[[2]string]Link
@@ -56,7 +55,7 @@
 	}
 }
 
-// Set sets how the links from some machines to others are, one way.
+// Set sets the state of the links from some machines to others, in that direction only.
 func (n *Network) Set(from, to []string, link Link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -72,7 +71,7 @@
 	n.changed = make(chan struct{})
 }
 
-// Heal has all links carry all.
+// Heal removes the faults of all links.
 func (n *Network) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -81,7 +80,7 @@
 	n.changed = make(chan struct{})
 }
 
-// Reset resets the connections of a machine, which it has made or accepted.
+// Reset resets all connections that a machine has opened or accepted, and returns their number.
 func (n *Network) Reset(machine string) (count int) {
 	n.mu.Lock()
 	var resets []func()
@@ -108,14 +107,14 @@
 	}
 }
 
-// link returns how a link is, and a channel that is closed when that may have changed.
+// link returns the state of a link, and a channel that is closed when any link's state is set again.
 func (n *Network) link(from, to string) (Link, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.links[[2]string{from, to}], n.changed
 }
 
-// losesAnswer decides whether an answer that comes back over a link is lost.
+// losesAnswer decides at random whether a part of a response over a link is lost.
 func (n *Network) losesAnswer(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -123,7 +122,7 @@
 	return share > 0 && n.random.Float64() < share
 }
 
-// pass waits until bytes may go over a link. It reports false where their connection breaks.
+// awaitLink waits while a link is cut, and then for its delay. It returns false after cutTimeout, when the connection breaks.
 func (n *Network) awaitLink(from, to string) bool {
 	var timeout <-chan time.Time
 	for {
@@ -145,7 +144,7 @@
 	}
 }
 
-// datagrams relays the probes that come to a machine.
+// datagramRelay relays the datagrams to a machine's peer address (the probes of membership).
 type datagramRelay struct {
 	conn    *net.UDPConn
 	to      *net.UDPAddr
@@ -171,7 +170,7 @@
 	return d, nil
 }
 
-// carry passes datagrams on, but for those whose link is cut. A delay is that of all that follow.
+// forward relays datagrams, except those whose link is cut or loses datagrams. They are not delayed.
 func (d *datagramRelay) forward() {
 	buf := make([]byte, 1<<16)
 	for {
@@ -190,18 +189,18 @@
 	}
 }
 
-func (d *datagramRelay) close() { _ = d.conn.Close() } // nothing is lost by an error
+func (d *datagramRelay) close() { _ = d.conn.Close() } // the socket is released even where this fails
 
-// tcpTable is where the kernel lists the TCP sockets of IPv4, and inodeColumn the column of a line that is read, counted from the one
-// behind both addresses.
+// tcpTable is the kernel's table of IPv4 TCP sockets, and inodeColumn the column with the socket's inode, counted from the one after both
+// addresses.
 const (
 	tcpTable    = "/proc/net/tcp"
 	inodeColumn = 6
 )
 
-// socketInode returns the inode of the socket that is the other end of a connection to this process: its local address
-// is remote, and its peer local. Empty: it is not found. The table has a line for each socket of the machine, so that only the one that
-// is wanted is taken apart.
+// inodeFromTable returns the inode of the socket at the other end of a connection to this process, whose own address is remote and whose
+// peer is local. It returns an empty string if there is none. The table has a line for each socket of the host, so that only the matching
+// line is parsed.
 func inodeFromTable(local, remote *net.TCPAddr) string {
 	table, err := os.ReadFile(tcpTable)
 	if err != nil {
@@ -216,7 +215,7 @@
 	return fields[inodeColumn]
 }
 
-// procAddr is an address as the kernel's table has it: the IP as a little-endian number, and the port.
+// procAddr returns an address in the format of tcpTable: the IP as a little-endian number in hex, and the port.
 func procAddr(a *net.TCPAddr) string {
 	ip := a.IP.To4()
 	if ip == nil {
@@ -241,7 +240,7 @@
 	return false
 }
 
-// machineOf returns the name of the machine whose process is at the other end of a connection; empty: none of them.
+// machineOf returns the name of the machine whose process is at the other end of a connection, or an empty string if there is none.
 func (m *Mesh) machineOf(local, remote *net.TCPAddr) string {
 	inode := inodeBySockDiag(remote, local)
 	if inode == "" {
--- a/lab/mesh/rollout.go
+++ b/lab/mesh/rollout.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// operatorPatience is how long an operator waits for the answer to a call.
+// operatorTimeout is how long an operator waits for the response to a call.
 const operatorTimeout = 4 * time.Second
 
-// RolloutOrder is an order of a rollout, in the users' names.
+// RolloutOrder is an operator's request for a rollout, in the names of the operators' API.
 type RolloutOrder struct {
 	Service string  `json:"line"`
 	Target  string  `json:"toEdition"`
 	TermS   float64 `json:"overS"`
 }
 
-// StartRollout orders a rollout at a core machine.
+// StartRollout requests a rollout from a core machine.
 func (x *Machine) StartRollout(o RolloutOrder) (status int, err error) {
 	body, err := json.Marshal(o)
 	if err != nil {
@@ -27,7 +27,7 @@
 	return status, err
 }
 
-// ReadRollout reads the condition of a service's rollout at a core machine; empty: it is not known there now.
+// ReadRollout returns the condition of a service's rollout as a core machine reports it, or an empty string if that fails.
 func (x *Machine) ReadRollout(service string) (condition string) {
 	status, body, err := x.mesh.call(http.MethodGet, fmt.Sprintf("http://%s:%d/Rollouts.Read/%s", x.IP, basePort+6, service), nil, nil,
 		operatorTimeout)
--- a/lab/mesh/rollout_test.go
+++ b/lab/mesh/rollout_test.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// rolloutTest is a mesh with six servers of a service whose requests must not run twice, and requests to it.
+// rolloutTest is a mesh with six servers of a service with unsafe requests, and a load of such requests.
 type rolloutTest struct {
 	*Mesh
 	t *testing.T
 
 	requests, served, lost, late atomic.Int64
-	stopped                      atomic.Bool // servers of the old version may be stopped
-	byVersion                    sync.Map    // counters of arrivals, by version
+	stopped                      atomic.Bool // servers of the old version have been stopped
+	byVersion                    sync.Map    // arrivals by version (*atomic.Int64)
 	stop                         chan struct{}
 	load                         sync.WaitGroup
 }
@@ -38,7 +38,7 @@
 	}
 }
 
-// newRolloutTest orders a rollout to v2 under load, and starts three servers of it that behave so, in place of old ones.
+// newRolloutTest starts a rollout to v2 under load, drains three of the old servers, and replaces them by servers of v2 with a behaviour.
 func newRolloutTest(t *testing.T, net int, termS float64, b Behaviour) *rolloutTest {
 	t.Helper()
 	programs, err := built()
@@ -51,7 +51,7 @@
 	})
 	must(t, err)
 	stopAtEnd(t, r.Mesh)
-	must(t, Await(10*time.Second, "the first configuration is taken", func() bool {
+	must(t, Await(10*time.Second, "the first configuration is accepted", func() bool {
 		status, err := r.Core[0].Put(config(7))
 		return err == nil && status == http.StatusOK
 	}))
@@ -62,15 +62,15 @@
 		}))
 	}
 	r.beginLoad()
-	must(t, Await(5*time.Second, "the order is acknowledged", func() bool {
+	must(t, Await(5*time.Second, "the rollout is acknowledged", func() bool {
 		status, err := r.Core[1].StartRollout(RolloutOrder{Service: "registry", Target: "v2", TermS: termS})
 		return err == nil && status == http.StatusOK
 	}))
 	for _, x := range r.Branch[3:] {
 		x.CurrentServer().AnnounceClosing()
-		must(t, Await(3*time.Second, "an old server drains", x.CurrentServer().Acked))
+		must(t, Await(3*time.Second, "the old server's closing is acknowledged", x.CurrentServer().Acked))
 	}
-	time.Sleep(200 * time.Millisecond) // what the draining servers hold
+	time.Sleep(200 * time.Millisecond) // the draining servers complete their requests
 	for _, x := range r.Branch[3:] {
 		_, err := x.UpgradeServer("v2", b)
 		must(t, err)
@@ -78,7 +78,7 @@
 	return r
 }
 
-// beginLoad sends requests from all machines until the test ends the load.
+// beginLoad sends requests through all branch machines until endLoad.
 func (r *rolloutTest) beginLoad() {
 	for i, x := range r.Branch {
 		r.load.Go(func() {
@@ -115,8 +115,8 @@
 	must(r.t, Await(20*time.Second, "the rollout is "+want, func() bool { return r.Core[2].ReadRollout("registry") == want }))
 }
 
-// Old servers are stopped the moment that the rollout is delivered: no request is lost by it, none runs twice, and none comes to them. A
-// control machine is killed and comes back meanwhile.
+// Old servers are stopped as soon as the rollout is delivered. No request is lost, runs twice or reaches an old server after that. During
+// the rollout a control machine is killed and restarted.
 func TestOldServersMayStopOnceRolloutIsDelivered(t *testing.T) {
 	r := newRolloutTest(t, 53, 6, Behaviour{})
 	r.Core[0].Kill()
@@ -137,11 +137,11 @@
 	}
 }
 
-// A version that fails half of its requests is recalled before it had a tenth of them, and gets none after.
+// A version that fails half of its requests is recalled before it has received a tenth of all requests, and receives none afterwards.
 func TestBadVersionIsRecalledWithinItsExposure(t *testing.T) {
 	r := newRolloutTest(t, 54, 20, Behaviour{Fail: 0.5})
 	r.awaitCondition("recalled")
-	time.Sleep(time.Second) // the way down the tree
+	time.Sleep(time.Second) // propagation of the recall to all sidecars
 	atRecall, requests := r.arrivals("v2"), r.requests.Load()
 	time.Sleep(time.Second)
 	r.endLoad()
@@ -154,7 +154,7 @@
 	}
 }
 
-// scanConfig has a route for downloads from the service besides.
+// scanConfig returns config with an additional route for downloads from the service.
 func scanConfig(edition int) []byte {
 	return bytes.Replace(config(edition), []byte(`{"name":"look"`), []byte(`{"name":"scan","routeKind":"download","targetS":0.5,"precedence":2,
   "sorting":{"lanePrefix":"/scan/"},"dispatch":{"line":"registry","deadlineS":8,"attempts":1}},
@@ -162,7 +162,7 @@
 }
 
 func TestDeliveryWaitsForStreamsOfOldServers(t *testing.T) {
-	const scanBytes = 6 << 20 // some two seconds long
+	const scanBytes = 6 << 20 // takes about two seconds
 	r := newRolloutTest(t, 55, 6, Behaviour{})
 	must(t, Await(5*time.Second, "the route for downloads is in force", func() bool {
 		put, err := r.Core[0].Put(scanConfig(9))
@@ -198,8 +198,8 @@
 	close(delivered)
 	scans.Wait()
 	r.endLoad()
-	t.Logf("%d whole", whole.Load())
+	t.Logf("%d downloads complete", whole.Load())
 	if broken.Load() > 0 || whole.Load() < int64(len(r.Branch)) {
-		t.Errorf("%d downloads broken off, %d whole", broken.Load(), whole.Load())
+		t.Errorf("%d downloads broken, %d complete", broken.Load(), whole.Load())
 	}
 }
--- a/lab/mesh/server.go
+++ b/lab/mesh/server.go
@@ -14,30 +14,30 @@
 	"time"
 )
 
-// Behaviour is how a server misbehaves; the zero value is well.
+// Behaviour is how a server misbehaves. The zero value is a healthy server.
 type Behaviour struct {
-	Delay  time.Duration // of each request, beside its work
-	Drop   float64       // share of the requests that it runs, and then closes the connection without an answer
-	Garble float64       // share of the requests that it runs, and answers with bytes that are no answer
-	Refuse float64       // share of the requests that it does not run, and says so
+	Delay  time.Duration // of each request, in addition to its work
+	Drop   float64       // share of the requests that it runs and then drops, closing the connection without a response
+	Garble float64       // share of the requests that it runs, and answers with bytes that are no HTTP response
+	Refuse float64       // share of the requests that it rejects with 503 and Not-Delivered, without running them
 	Fail   float64       // share of the requests that it runs, and answers with 500
 }
 
-// Arrival is a request that a server runs.
+// Arrival is a request that begins to run at a server.
 type Arrival struct {
 	RequestID, Server, Service, Version, Sender string
 
 	At time.Time
-	// Remaining is the time that the request has left by its header; 0: it names none.
+	// Remaining is the time that the request has left by its deadline header; 0: it has none.
 	Remaining time.Duration
-	// Spoilt: the server will break the connection off.
+	// Aborted is set if the server will close the connection without a valid response.
 	Aborted bool
-	// SinceClosing is how long ago the closing of the server was acknowledged; 0: it was not.
+	// SinceClosing is how long ago the server's closing was acknowledged; 0: it was not.
 	SinceClosing time.Duration
 }
 
-// Server stands in for an application's server: it sends heartbeats, runs what it is sent, and counts what has run. A Server is one life:
-// its successor at the same address is another one (Machine.ReplaceServer).
+// Server is a stand-in for an application's server: it sends heartbeats, runs requests, and counts them. Its successor at the same address
+// is another Server with another id (Machine.ReplaceServer).
 type Server struct {
 	machine           *Machine
 	service           string
@@ -47,16 +47,16 @@
 	stop              chan struct{}
 	stopOnce          sync.Once
 	closing           atomic.Bool
-	heartbeatsStopped atomic.Bool  // it sends no heartbeats any more
-	acked             atomic.Bool  // that it closes
-	ackedAt           atomic.Int64 // when, in Unix nanoseconds
+	heartbeatsStopped atomic.Bool  // after Leave
+	acked             atomic.Bool  // its closing or leaving was acknowledged
+	ackedAt           atomic.Int64 // time of that in Unix nanoseconds
 	behaviour         atomic.Pointer[Behaviour]
-	calls             atomic.Int64 // that it has made
+	calls             atomic.Int64 // number of calls that it has made
 	Served            atomic.Int64
-	ServedAfterAck    atomic.Int64 // requests that came after its closing was acknowledged
+	ServedAfterAck    atomic.Int64 // requests that arrived after its closing was acknowledged
 }
 
-// ID is the server's id.
+// ID returns the server's id.
 func (s *Server) ID() string { return s.id }
 
 func (s *Server) start() error {
@@ -78,16 +78,16 @@
 	}
 	s.stopOnce.Do(func() {
 		close(s.stop)
-		_ = s.http.Close() // serving ends either way
+		_ = s.http.Close() // serving ends even where this fails
 	})
 }
 
-// ReplaceServer ends the machine's server without notice, and starts its successor, which has another id.
+// ReplaceServer ends the machine's server without notice, and starts its successor of the same version, which has another id.
 func (x *Machine) ReplaceServer() (*Server, error) {
 	return x.UpgradeServer(x.CurrentServer().version, Behaviour{})
 }
 
-// UpgradeServer is ReplaceServer with a successor of a version that behaves so from its start on.
+// UpgradeServer is ReplaceServer with a successor of another version, which has a behaviour from its start.
 func (x *Machine) UpgradeServer(version string, b Behaviour) (*Server, error) {
 	before := x.CurrentServer()
 	before.Stop()
@@ -102,37 +102,37 @@
 	return next, nil
 }
 
-// Service is the service that the machine's server belongs to.
+// Service returns the service of the machine's server.
 func (x *Machine) Service() string { return x.CurrentServer().service }
 
-// CurrentServer is the present life of the machine's server.
+// CurrentServer returns the machine's present server.
 func (x *Machine) CurrentServer() *Server {
 	x.mesh.mu.Lock()
 	defer x.mesh.mu.Unlock()
 	return x.Server
 }
 
-// nextServerID is the id of the life after that of an id: "i-00000003", "i-00000003-2", "i-00000003-3".
+// nextServerID returns the id of a server's successor: "i-00000003" is followed by "i-00000003-2", and that by "i-00000003-3".
 func nextServerID(id string) string {
 	const first = len("i-00000000")
 	generation := 1
 	if len(id) > first {
-		generation, _ = strconv.Atoi(id[first+1:]) // made here
+		generation, _ = strconv.Atoi(id[first+1:]) // not reached: ids are made here
 	}
 	return fmt.Sprintf("%s-%d", id[:first], generation+1)
 }
 
-// Behave has the server behave so from now on.
+// SetBehaviour sets how the server handles requests from now on.
 func (s *Server) SetBehaviour(b Behaviour) { s.behaviour.Store(&b) }
 
-// Close announces in heartbeats that the server will end. It goes on serving.
+// AnnounceClosing makes the server's heartbeats announce that it will end. It continues to serve.
 func (s *Server) AnnounceClosing() { s.closing.Store(true) }
 
-// Acked reports whether the mesh has acknowledged that.
+// Acked reports whether the mesh has acknowledged the server's closing or leaving.
 func (s *Server) Acked() bool { return s.acked.Load() }
 
-// Leave deregisters the server, without a heartbeat that announces it before. It goes on serving, sends no more heartbeats, and reports
-// whether the mesh has acknowledged.
+// Leave deregisters the server without an announcement in a heartbeat before, and ends its heartbeats. The server continues to serve. Leave
+// reports whether the mesh has acknowledged.
 func (s *Server) Leave() bool {
 	s.heartbeatsStopped.Store(true)
 	status, _, err := s.machine.mesh.call(http.MethodPost,
@@ -179,7 +179,7 @@
 	return err == nil && status == http.StatusOK
 }
 
-// ServeHTTP runs a request.
+// ServeHTTP handles health checks, rejects misdirected requests with 421, and runs all other requests.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("Try-Id")
 	w.Header().Set("Try-Id", id)
@@ -201,7 +201,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	_, _ = io.Copy(io.Discard, r.Body) // read only to be dropped
+	_, _ = io.Copy(io.Discard, r.Body) // the body is not used
 	began := time.Now()
 	failed := rand.Float64() < b.Fail
 	dropped, garbled := rand.Float64() < b.Drop, rand.Float64() < b.Garble
@@ -225,14 +225,14 @@
 			w.WriteHeader(http.StatusInternalServerError)
 			return
 		}
-		_, _ = fmt.Fprintf(w, "%s from %s for %s", id, s.service, r.Header.Get("Sender-Line")) // fails only where the client is gone
+		_, _ = fmt.Fprintf(w, "%s from %s for %s", id, s.service, r.Header.Get("Sender-Line")) // fails only where the client has disconnected
 		writePadding(w, queryNumber(r, "bytes"))
 	}
 }
 
-// makeCall makes the call that a request asks for, by way of the server's own machine: "/look/x?calls=3" has the server call
-// "/look/x?calls=2". It ends with the request, which the server has had for a while. It reports whether that succeeded; a request that
-// asks for none has succeeded.
+// makeCall makes the call that a request asks for, through the server's own sidecar: for "/look/x?calls=3" the server calls
+// "/look/x?calls=2". Its deadline is that of the request, of which elapsed is over. makeCall reports whether the call succeeded, or true if
+// the request asks for none.
 func (s *Server) makeCall(r *http.Request, elapsed time.Duration) bool {
 	depth, left := queryNumber(r, "calls"), remaining(r)-elapsed
 	if depth == 0 || left <= 0 {
@@ -248,29 +248,29 @@
 	return err == nil && status == http.StatusOK
 }
 
-// paddingChunk is how many bytes of a long answer are written at once, and paddingPause the time until the next.
+// Padding is written in chunks of paddingChunk bytes, with a pause of paddingPause after each.
 const (
 	paddingChunk = 16 << 10
 	paddingPause = 3 * time.Millisecond
 )
 
-// Padding is what follows the text of an answer that is asked to have so many bytes more.
+// Padding returns the padding of a response to a request for a number of bytes after the response's text.
 func Padding(bytes int) string { return strings.Repeat("p", bytes) }
 
-// writePadding writes an answer's padding, in pieces.
+// writePadding writes a response's padding in chunks.
 func writePadding(w http.ResponseWriter, bytes int) {
 	controller := http.NewResponseController(w)
 	for bytes > 0 {
 		n := min(bytes, paddingChunk)
 		if _, err := io.WriteString(w, Padding(n)); err != nil || controller.Flush() != nil {
-			return // the client is gone
+			return // the client has disconnected
 		}
 		bytes -= n
 		time.Sleep(paddingPause)
 	}
 }
 
-// serveHealth answers a health check as the users' page on the protocol has it.
+// serveHealth answers a health check as the users' page on the protocol specifies.
 func (s *Server) serveHealth(w http.ResponseWriter) {
 	w.Header().Set("Served-By", s.id)
 	if s.closing.Load() || s.heartbeatsStopped.Load() {
@@ -278,7 +278,7 @@
 	}
 }
 
-// record counts a request that begins to run.
+// record counts a request that begins to run, and passes it to Config.Arrived.
 func (s *Server) record(arrival Arrival) {
 	m, now := s.machine.mesh, time.Now()
 	arrival.Server, arrival.Service, arrival.Version, arrival.At = s.id, s.service, s.version, now
@@ -295,12 +295,12 @@
 	}
 }
 
-// workOf is the work that a request asks for beside the usual, in milliseconds: "/look/x?work=1500".
+// extraWork returns the work that a request asks for in addition to Config.Work, in its query in milliseconds: "/look/x?work=1500".
 func extraWork(r *http.Request) time.Duration {
 	return time.Duration(queryNumber(r, "work")) * time.Millisecond
 }
 
-// number is a number in a request's query; 0: there is none.
+// queryNumber returns a number from a request's query, or 0 if there is none or it is negative.
 func queryNumber(r *http.Request, name string) int {
 	n, err := strconv.Atoi(r.URL.Query().Get(name))
 	if err != nil {
@@ -309,7 +309,7 @@
 	return max(0, n)
 }
 
-// remaining is the time that a request has left; 0: it names none.
+// remaining returns the time that a request has left by its deadline header, or 0 if it has none.
 func remaining(r *http.Request) time.Duration {
 	millis, err := strconv.ParseFloat(r.Header.Get("Deadline-Ms"), 64)
 	if err != nil {
@@ -318,12 +318,12 @@
 	return time.Duration(millis * float64(time.Millisecond))
 }
 
-// breakOff writes bytes to a request's connection, and closes it.
+// closeConnection writes bytes to a request's connection in place of a response, and closes it.
 func closeConnection(w http.ResponseWriter, text string) {
 	conn, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
 		return
 	}
-	_, _ = conn.Write([]byte(text)) // the connection is closed either way
+	_, _ = conn.Write([]byte(text)) // the connection is closed even where this fails
 	_ = conn.Close()
 }
--- a/lab/mesh/sockdiag.go
+++ b/lab/mesh/sockdiag.go
@@ -8,23 +8,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// The layout of a request of the kernel's sock_diag for one socket (struct inet_diag_req_v2 behind a netlink header), and of its answer.
+// Layout of a request to the kernel's sock_diag for one socket (struct inet_diag_req_v2 after a netlink header), and of its response.
 const (
 	sockDiagByFamily  = 20
 	diagRequestLength = unix.NLMSG_HDRLEN + 56
-	// Of the answer.
+	// Offsets and length of the response.
 	diagPeerPortOffset = unix.NLMSG_HDRLEN + 6
 	diagInodeOffset    = unix.NLMSG_HDRLEN + 68
 	diagAnswerLength   = unix.NLMSG_HDRLEN + 72
 	diagSourceOffset   = unix.NLMSG_HDRLEN + 8
 	diagAnyCookie      = 0xffffffff
 	diagAllStates      = 0xffffffff
-	addressLength      = 16 // of an address in a request
+	addressLength      = 16 // bytes of an address in a request
 )
 
-// diagnoseInode asks the kernel for the inode of the TCP socket of IPv4 whose local address is source and whose peer is at destination. In
-// contrast to a look at tcpTable it costs the same however many sockets the machine has. It returns an empty string where the kernel does
-// not tell.
+// inodeBySockDiag asks the kernel for the inode of the IPv4 TCP socket whose local address is source and whose peer is destination. Unlike
+// reading tcpTable, its cost does not depend on the number of sockets of the host. It returns an empty string if the kernel has no answer.
 func inodeBySockDiag(source, destination *net.TCPAddr) string {
 	if source.IP.To4() == nil || destination.IP.To4() == nil {
 		return ""
@@ -38,11 +37,11 @@
 		return ""
 	}
 	answer := make([]byte, 4<<10)
-	n, _, err := unix.Recvfrom(fd, answer, unix.MSG_DONTWAIT) // an exact request is answered within its call
+	n, _, err := unix.Recvfrom(fd, answer, unix.MSG_DONTWAIT) // the kernel answers a request for one socket before sendto returns
 	if err != nil || n < diagAnswerLength || binary.NativeEndian.Uint16(answer[4:]) != sockDiagByFamily {
 		return ""
 	}
-	if binary.BigEndian.Uint16(answer[diagPeerPortOffset:]) != uint16(destination.Port) { // a listening socket, in place of one that has ended
+	if binary.BigEndian.Uint16(answer[diagPeerPortOffset:]) != uint16(destination.Port) { // a listening socket: the connection has ended
 		return ""
 	}
 	return strconv.FormatUint(uint64(binary.NativeEndian.Uint32(answer[diagInodeOffset:])), 10)
@@ -62,7 +61,7 @@
 	binary.BigEndian.PutUint16(id[2:], uint16(destination.Port))
 	copy(id[4:], source.IP.To4())
 	copy(id[4+addressLength:], destination.IP.To4())
-	const cookieOffset = 4 + 2*addressLength + 4 // behind the interface
+	const cookieOffset = 4 + 2*addressLength + 4 // after the interface number
 	binary.NativeEndian.PutUint32(id[cookieOffset:], diagAnyCookie)
 	binary.NativeEndian.PutUint32(id[cookieOffset+4:], diagAnyCookie)
 	return request
--- a/lab/mesh/sockdiag_test.go
+++ b/lab/mesh/sockdiag_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// The kernel tells the same inode of a connection's other end in both ways.
+// sock_diag and the kernel's table give the same inode for the other end of a connection.
 func TestPeerSocketInode(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must(t, err)
-	defer func() { _ = ln.Close() }() // it has nothing to lose
+	defer func() { _ = ln.Close() }() // nothing depends on it
 	client, err := net.Dial("tcp", ln.Addr().String())
 	must(t, err)
 	defer func() { _ = client.Close() }() // nothing was written
@@ -19,9 +19,9 @@
 	local, remote := server.LocalAddr().(*net.TCPAddr), server.RemoteAddr().(*net.TCPAddr)
 	byTable := inodeFromTable(local, remote)
 	if byDiagnosis := inodeBySockDiag(remote, local); byTable == "" || byDiagnosis != byTable {
-		t.Errorf("%q by the kernel's answer, %q by its table", byDiagnosis, byTable)
+		t.Errorf("%q by sock_diag, %q by the table", byDiagnosis, byTable)
 	}
 	if got := inodeBySockDiag(local, &net.TCPAddr{IP: remote.IP, Port: 1}); got != "" {
-		t.Errorf("a socket that isn't there has the inode %q", got)
+		t.Errorf("a socket that does not exist has the inode %q", got)
 	}
 }
