--- a/lab/relay/relay.go
+++ b/lab/relay/relay.go
@@ -1,7 +1,6 @@
-// Package relay stands between sidecars that send one another datagrams: each ordered pair has a socket of its own on loopback, so that a
-// sender's address is the one that its receiver knows it by, and each link can be cut, slowed, made to lose, double and
-// reorder by itself, in one direction. It knows nothing of what the datagrams say, and nothing of processes but their
-// addresses.
+// Package relay relays datagrams between sidecars on loopback and injects faults into single links. Each ordered pair of sidecars has a
+// socket of its own, so that a datagram comes from the address by which its receiver knows the sender. Each direction of a link can be cut,
+// and can delay, lose, duplicate and reorder datagrams independently of all others. The datagrams' content is not read.
 package relay
 
 import (
@@ -14,32 +13,33 @@
 	"time"
 )
 
-// Link is how one direction between two sidecars is. The zero value carries all.
+// Link is the state of one direction between two sidecars. The zero value relays everything without delay.
 type Link struct {
-	Cut              bool
-	Delay            time.Duration // each datagram up to twice that, so that they overtake one another
-	Loss, Duplicated float64       // shares
+	Cut              bool          // nothing is relayed
+	Delay            time.Duration // mean; each datagram is delayed by up to twice as much, which reorders them
+	Loss, Duplicated float64       // shares of the datagrams
 }
 
-// mostLate bounds the datagrams that are kept back at a time.
+// maxDelayed bounds the number of delayed datagrams that are held at a time. Beyond it datagrams are lost.
 const maxDelayed = 4096
 
-// Relay is the sockets between a number of sidecars.
+// Relay holds the sockets between a number of sidecars. It is safe for concurrent use.
 type Relay struct {
-	addresses []netip.AddrPort
-	sockets   [][]*net.UDPConn // [i][j]: the address that i knows j by
+	addresses []netip.AddrPort // at which the sidecars listen
+	sockets   [][]*net.UDPConn // [i][j]: the address by which i knows j
 
 	mu       sync.Mutex
 	links    [][]Link // [i][j]: from i to j
 	rng      *rand.Rand
-	delayed  int
+	delayed  int // datagrams that are held
 	isClosed bool
 
 	forwarded, lost int
 	tasks           sync.WaitGroup
 }
 
-// New opens the sockets between n sidecars, and keeps addresses for theirs until Free. Chance comes from the seed.
+// New opens the sockets between n sidecars, and picks a free address for each sidecar itself, which the caller has to bind soon. Random
+// choices come from the seed.
 func New(n int, seed uint64) (*Relay, error) {
 	r := &Relay{addresses: make([]netip.AddrPort, n), rng: rand.New(rand.NewPCG(seed, 0))}
 	var kept []*net.UDPConn
@@ -64,7 +64,7 @@
 		}
 	}
 	for _, c := range kept {
-		_ = c.Close() // the connection is released even where this fails
+		_ = c.Close() // the socket is released even where this fails
 	}
 	for i := range n {
 		for j := range n {
@@ -76,10 +76,10 @@
 	return r, nil
 }
 
-// Own is where a sidecar listens, and Peers what it knows all by.
+// Address returns the address at which a sidecar has to listen.
 func (r *Relay) Address(i int) string { return r.addresses[i].String() }
 
-// Peers returns the addresses that a sidecar knows all sidecars by.
+// Peers returns the addresses by which a sidecar knows all sidecars. Its own is the one at which it listens.
 func (r *Relay) Peers(i int) (all []string) {
 	for j := range r.addresses {
 		if i == j {
@@ -91,7 +91,7 @@
 	return all
 }
 
-// Change changes the links from some to others.
+// Change applies change to the links from some sidecars to others, in that direction only.
 func (r *Relay) Change(from, to []int, change func(*Link)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -104,21 +104,21 @@
 	}
 }
 
-// Counts returns how many datagrams were carried, and how many lost.
+// Counts returns how many datagrams were forwarded, and how many lost.
 func (r *Relay) Counts() (carried, lost int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.forwarded, r.lost
 }
 
-// Flood sends datagrams that mean nothing to sidecars, so many a second to each, until ctx ends: from an address that
-// none of them knows, and from those of their peers.
+// Flood sends random datagrams to sidecars, perSecond to each, until ctx ends. They come partly from an address that no sidecar knows, and
+// partly from the addresses of peers. A third of them starts with the bytes "fl\x01".
 func (r *Relay) Flood(ctx context.Context, to []int, perSecond float64) error {
 	foreign, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return fmt.Errorf("relay: %w", err)
 	}
-	defer func() { _ = foreign.Close() }() // the connection is released even where this fails
+	defer func() { _ = foreign.Close() }() // the socket is released even where this fails
 	const every = 10 * time.Millisecond
 	tick := time.NewTicker(every)
 	defer tick.Stop()
@@ -148,7 +148,7 @@
 	}
 }
 
-// carry passes on what i sends to j.
+// forward relays the datagrams that i sends to j, until the relay is closed.
 func (r *Relay) forward(i, j int) {
 	b := make([]byte, 1<<16)
 	for {
@@ -157,7 +157,7 @@
 			if r.closed() {
 				return
 			}
-			continue // of a datagram that found nobody
+			continue // a datagram that was sent from here found no listener
 		}
 		if from != r.addresses[i] {
 			continue
@@ -180,7 +180,7 @@
 	}
 }
 
-// fate returns how late each copy of a datagram comes; none where it is lost.
+// copyDelays returns the delay of each copy of a datagram from i to j. There is none if the datagram is lost.
 func (r *Relay) copyDelays(i, j int) (copies []time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -210,7 +210,7 @@
 	return r.isClosed
 }
 
-// Close closes the sockets and waits for what is kept back.
+// Close closes the sockets and waits until all delayed datagrams are sent or dropped.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	r.isClosed = true
@@ -218,7 +218,7 @@
 	for _, row := range r.sockets {
 		for _, c := range row {
 			if c != nil {
-				_ = c.Close() // the connection is released even where this fails
+				_ = c.Close() // the socket is released even where this fails
 			}
 		}
 	}
