--- a/lab/soak/judge.go
+++ b/lab/soak/judge.go
@@ -109,7 +109,8 @@
 	Requests, Served, Refused, Failed  int // by status
 	Broken, Left, Unreached, Expired   int // no response
 	Runs, Changes, Acknowledged, Reads int
-	// AfterLeaving counts arrivals more than cancelLimit after the client gave up, ExtraTime those with a deadline later than the client's.
+	// AfterLeaving counts arrivals more than cancelLimit after the client gave up, ExtraTime those without a deadline or with one that is more
+	// than deadlineSlack later than the client's.
 	AfterLeaving, ExtraTime int
 	// Held counts requests without a response lateAnswerLimit after their client's deadline, Dropped those that a server ran and whose
 	// connection ended without a response, both at machines without faults.
