--- a/lab/mesh/server.go
+++ b/lab/mesh/server.go
@@ -14,53 +14,53 @@
 	"time"
 )
 
-// Behaviour is how a server misbehaves; the zero value is well.
+// Behaviour is how a server misbehaves. The zero value is a healthy server.
 type Behaviour struct {
-	Delay  time.Duration // of each request, beside its work
-	Drop   float64       // share of the requests that it runs, and then closes the connection without an answer
-	Garble float64       // share of the requests that it runs, and answers with bytes that are no answer
-	Refuse float64       // share of the requests that it does not run, and says so
+	Delay  time.Duration // of each request, in addition to its work
+	Drop   float64       // share of the requests that it runs and then drops, closing the connection without a response
+	Garble float64       // share of the requests that it runs, and answers with bytes that are no HTTP response
+	Refuse float64       // share of the requests that it rejects with 503 and Not-Delivered, without running them
 	Fail   float64       // share of the requests that it runs, and answers with 500
 }
 
-// Arrival is a request that a server runs.
+// Arrival is a request that begins to run at a server.
 type Arrival struct {
 	RequestID, Server, Service, Version, Sender string
 
 	At time.Time
-	// Remaining is the time that the request has left by its header; 0: it names none.
+	// Remaining is the time that the request has left by its deadline header; 0: it has none.
 	Remaining time.Duration
-	// Spoilt: the server will break the connection off.
-	Spoilt bool
-	// SinceClosing is how long ago the closing of the server was acknowledged; 0: it was not.
+	// Aborted is set if the server will close the connection without a valid response.
+	Aborted bool
+	// SinceClosing is how long ago the server's closing was acknowledged; 0: it was not.
 	SinceClosing time.Duration
 }
 
-// Server stands in for an application's server: it sends heartbeats, runs what it is sent, and counts what has run. A Server is one life:
-// its successor at the same address is another one (Machine.ReplaceServer).
+// Server is a stand-in for an application's server: it sends heartbeats, runs requests, and counts them. Its successor at the same address
+// is another Server with another id (Machine.ReplaceServer).
 type Server struct {
-	machine   *Machine
-	service   string
-	id        string
-	version   string // of its software
-	http      *http.Server
-	stop      chan struct{}
-	once      sync.Once
-	closing   atomic.Bool
-	silent    atomic.Bool  // it sends no heartbeats any more
-	acked     atomic.Bool  // that it closes
-	ackedAt   atomic.Int64 // when, in Unix nanoseconds
-	behaviour atomic.Pointer[Behaviour]
-	calls     atomic.Int64 // that it has made
-	Served    atomic.Int64
-	Late      atomic.Int64 // requests that came after its closing was acknowledged
+	machine           *Machine
+	service           string
+	id                string
+	version           string // of its software
+	http              *http.Server
+	stop              chan struct{}
+	stopOnce          sync.Once
+	closing           atomic.Bool
+	heartbeatsStopped atomic.Bool  // after Leave
+	acked             atomic.Bool  // its closing or leaving was acknowledged
+	ackedAt           atomic.Int64 // time of that in Unix nanoseconds
+	behaviour         atomic.Pointer[Behaviour]
+	calls             atomic.Int64 // number of calls that it has made
+	Served            atomic.Int64
+	ServedAfterAck    atomic.Int64 // requests that arrived after its closing was acknowledged
 }
 
-// ID is the server's id.
+// ID returns the server's id.
 func (s *Server) ID() string { return s.id }
 
 func (s *Server) start() error {
-	ln, err := net.Listen("tcp", fmt.Sprintf("%s:%d", s.machine.IP, ports+1))
+	ln, err := net.Listen("tcp", fmt.Sprintf("%s:%d", s.machine.IP, basePort+1))
 	if err != nil {
 		return err
 	}
@@ -76,23 +76,23 @@
 	if s.stop == nil {
 		return
 	}
-	s.once.Do(func() {
+	s.stopOnce.Do(func() {
 		close(s.stop)
-		_ = s.http.Close() // serving ends either way
+		_ = s.http.Close() // serving ends even where this fails
 	})
 }
 
-// ReplaceServer ends the machine's server without notice, and starts its successor, which has another id.
+// ReplaceServer ends the machine's server without notice, and starts its successor of the same version, which has another id.
 func (x *Machine) ReplaceServer() (*Server, error) {
 	return x.UpgradeServer(x.CurrentServer().version, Behaviour{})
 }
 
-// UpgradeServer is ReplaceServer with a successor of a version that behaves so from its start on.
+// UpgradeServer is ReplaceServer with a successor of another version, which has a behaviour from its start.
 func (x *Machine) UpgradeServer(version string, b Behaviour) (*Server, error) {
 	before := x.CurrentServer()
 	before.Stop()
 	next := &Server{machine: x, service: before.service, id: nextServerID(before.id), version: version}
-	next.Behave(b)
+	next.SetBehaviour(b)
 	if err := next.start(); err != nil {
 		return nil, err
 	}
@@ -102,41 +102,41 @@
 	return next, nil
 }
 
-// Service is the service that the machine's server belongs to.
+// Service returns the service of the machine's server.
 func (x *Machine) Service() string { return x.CurrentServer().service }
 
-// CurrentServer is the present life of the machine's server.
+// CurrentServer returns the machine's present server.
 func (x *Machine) CurrentServer() *Server {
 	x.mesh.mu.Lock()
 	defer x.mesh.mu.Unlock()
 	return x.Server
 }
 
-// nextServerID is the id of the life after that of an id: "i-00000003", "i-00000003-2", "i-00000003-3".
+// nextServerID returns the id of a server's successor: "i-00000003" is followed by "i-00000003-2", and that by "i-00000003-3".
 func nextServerID(id string) string {
 	const first = len("i-00000000")
-	life := 1
+	generation := 1
 	if len(id) > first {
-		life, _ = strconv.Atoi(id[first+1:]) // made here
+		generation, _ = strconv.Atoi(id[first+1:]) // not reached: ids are made here
 	}
-	return fmt.Sprintf("%s-%d", id[:first], life+1)
+	return fmt.Sprintf("%s-%d", id[:first], generation+1)
 }
 
-// Behave has the server behave so from now on.
-func (s *Server) Behave(b Behaviour) { s.behaviour.Store(&b) }
+// SetBehaviour sets how the server handles requests from now on.
+func (s *Server) SetBehaviour(b Behaviour) { s.behaviour.Store(&b) }
 
-// Close announces in heartbeats that the server will end. It goes on serving.
-func (s *Server) Close() { s.closing.Store(true) }
+// AnnounceClosing makes the server's heartbeats announce that it will end. It continues to serve.
+func (s *Server) AnnounceClosing() { s.closing.Store(true) }
 
-// Acked reports whether the mesh has acknowledged that.
+// Acked reports whether the mesh has acknowledged the server's closing or leaving.
 func (s *Server) Acked() bool { return s.acked.Load() }
 
-// Leave deregisters the server, without a heartbeat that announces it before. It goes on serving, sends no more heartbeats, and reports
-// whether the mesh has acknowledged.
+// Leave deregisters the server without an announcement in a heartbeat before, and ends its heartbeats. The server continues to serve. Leave
+// reports whether the mesh has acknowledged.
 func (s *Server) Leave() bool {
-	s.silent.Store(true)
+	s.heartbeatsStopped.Store(true)
 	status, _, err := s.machine.mesh.call(http.MethodPost,
-		fmt.Sprintf("http://%s:%d/Servers.Leave/%s", s.machine.IP, ports+6, s.id), nil, nil, time.Second)
+		fmt.Sprintf("http://%s:%d/Servers.Leave/%s", s.machine.IP, basePort+6, s.id), nil, nil, time.Second)
 	if err != nil || status != http.StatusOK {
 		return false
 	}
@@ -151,7 +151,7 @@
 }
 
 func (s *Server) sendHeartbeats() {
-	for sequence := 1; !s.silent.Load(); sequence++ {
+	for sequence := 1; !s.heartbeatsStopped.Load(); sequence++ {
 		closing := s.closing.Load()
 		if s.SendHeartbeat(sequence, closing) && closing {
 			s.acknowledged()
@@ -171,15 +171,15 @@
 		condition = "closing"
 	}
 	body, _ := json.Marshal(map[string]any{
-		"line": s.service, "address": fmt.Sprintf("%s:%d", s.machine.IP, ports+1), "zone": s.machine.Zone, "edition": s.version, "berths": 8,
+		"line": s.service, "address": fmt.Sprintf("%s:%d", s.machine.IP, basePort+1), "zone": s.machine.Zone, "edition": s.version, "berths": 8,
 		"condition": condition, "coldLeftS": 0, "sequence": sequence,
 	})
 	status, _, err := s.machine.mesh.call(http.MethodPost,
-		fmt.Sprintf("http://%s:%d/Servers.Beat/%s", s.machine.IP, ports+6, s.id), nil, body, time.Second)
+		fmt.Sprintf("http://%s:%d/Servers.Beat/%s", s.machine.IP, basePort+6, s.id), nil, body, time.Second)
 	return err == nil && status == http.StatusOK
 }
 
-// ServeHTTP runs a request.
+// ServeHTTP handles health checks, rejects misdirected requests with 421, and runs all other requests.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("Try-Id")
 	w.Header().Set("Try-Id", id)
@@ -201,40 +201,40 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	_, _ = io.Copy(io.Discard, r.Body) // read only to be dropped
+	_, _ = io.Copy(io.Discard, r.Body) // the body is not used
 	began := time.Now()
 	failed := rand.Float64() < b.Fail
 	dropped, garbled := rand.Float64() < b.Drop, rand.Float64() < b.Garble
 	s.record(Arrival{
-		RequestID: id, Sender: r.Header.Get("Sender-Line"), Remaining: remaining(r), Spoilt: dropped || garbled,
+		RequestID: id, Sender: r.Header.Get("Sender-Line"), Remaining: remaining(r), Aborted: dropped || garbled,
 	})
 	select {
-	case <-time.After(s.machine.mesh.cfg.Work + b.Delay + workOf(r)):
+	case <-time.After(s.machine.mesh.cfg.Work + b.Delay + extraWork(r)):
 	case <-r.Context().Done():
 		return
 	}
 	called := s.makeCall(r, time.Since(began))
 	switch {
 	case dropped:
-		breakOff(w, "")
+		closeConnection(w, "")
 	case garbled:
-		breakOff(w, "these bytes are no answer\r\n\r\n")
+		closeConnection(w, "these bytes are no answer\r\n\r\n")
 	default:
 		w.Header().Set("Postmark", "stand-in."+s.id)
 		if !called || failed {
 			w.WriteHeader(http.StatusInternalServerError)
 			return
 		}
-		_, _ = fmt.Fprintf(w, "%s from %s for %s", id, s.service, r.Header.Get("Sender-Line")) // fails only where the client is gone
-		writePadding(w, number(r, "bytes"))
+		_, _ = fmt.Fprintf(w, "%s from %s for %s", id, s.service, r.Header.Get("Sender-Line")) // fails only where the client has disconnected
+		writePadding(w, queryNumber(r, "bytes"))
 	}
 }
 
-// makeCall makes the call that a request asks for, by way of the server's own machine: "/look/x?calls=3" has the server call
-// "/look/x?calls=2". It ends with the request, which the server has had for a while. It reports whether that succeeded; a request that
-// asks for none has succeeded.
-func (s *Server) makeCall(r *http.Request, had time.Duration) bool {
-	depth, left := number(r, "calls"), remaining(r)-had
+// makeCall makes the call that a request asks for, through the server's own sidecar: for "/look/x?calls=3" the server calls
+// "/look/x?calls=2". Its deadline is that of the request, of which elapsed is over. makeCall reports whether the call succeeded, or true if
+// the request asks for none.
+func (s *Server) makeCall(r *http.Request, elapsed time.Duration) bool {
+	depth, left := queryNumber(r, "calls"), remaining(r)-elapsed
 	if depth == 0 || left <= 0 {
 		return depth == 0
 	}
@@ -248,42 +248,42 @@
 	return err == nil && status == http.StatusOK
 }
 
-// paddingChunk is how many bytes of a long answer are written at once, and paddingPause the time until the next.
+// Padding is written in chunks of paddingChunk bytes, with a pause of paddingPause after each.
 const (
 	paddingChunk = 16 << 10
 	paddingPause = 3 * time.Millisecond
 )
 
-// Padding is what follows the text of an answer that is asked to have so many bytes more.
+// Padding returns the padding of a response to a request for a number of bytes after the response's text.
 func Padding(bytes int) string { return strings.Repeat("p", bytes) }
 
-// writePadding writes an answer's padding, in pieces.
+// writePadding writes a response's padding in chunks.
 func writePadding(w http.ResponseWriter, bytes int) {
 	controller := http.NewResponseController(w)
 	for bytes > 0 {
 		n := min(bytes, paddingChunk)
 		if _, err := io.WriteString(w, Padding(n)); err != nil || controller.Flush() != nil {
-			return // the client is gone
+			return // the client has disconnected
 		}
 		bytes -= n
 		time.Sleep(paddingPause)
 	}
 }
 
-// serveHealth answers a health check as the users' page on the protocol has it.
+// serveHealth answers a health check as the users' page on the protocol specifies.
 func (s *Server) serveHealth(w http.ResponseWriter) {
 	w.Header().Set("Served-By", s.id)
-	if s.closing.Load() || s.silent.Load() {
+	if s.closing.Load() || s.heartbeatsStopped.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// record counts a request that begins to run.
+// record counts a request that begins to run, and passes it to Config.Arrived.
 func (s *Server) record(arrival Arrival) {
 	m, now := s.machine.mesh, time.Now()
 	arrival.Server, arrival.Service, arrival.Version, arrival.At = s.id, s.service, s.version, now
 	if s.acked.Load() {
-		s.Late.Add(1)
+		s.ServedAfterAck.Add(1)
 		arrival.SinceClosing = now.Sub(time.Unix(0, s.ackedAt.Load()))
 	}
 	m.mu.Lock()
@@ -295,13 +295,13 @@
 	}
 }
 
-// workOf is the work that a request asks for beside the usual, in milliseconds: "/look/x?work=1500".
-func workOf(r *http.Request) time.Duration {
-	return time.Duration(number(r, "work")) * time.Millisecond
+// extraWork returns the work that a request asks for in addition to Config.Work, in its query in milliseconds: "/look/x?work=1500".
+func extraWork(r *http.Request) time.Duration {
+	return time.Duration(queryNumber(r, "work")) * time.Millisecond
 }
 
-// number is a number in a request's query; 0: there is none.
-func number(r *http.Request, name string) int {
+// queryNumber returns a number from a request's query, or 0 if there is none or it is negative.
+func queryNumber(r *http.Request, name string) int {
 	n, err := strconv.Atoi(r.URL.Query().Get(name))
 	if err != nil {
 		return 0
@@ -309,7 +309,7 @@
 	return max(0, n)
 }
 
-// remaining is the time that a request has left; 0: it names none.
+// remaining returns the time that a request has left by its deadline header, or 0 if it has none.
 func remaining(r *http.Request) time.Duration {
 	millis, err := strconv.ParseFloat(r.Header.Get("Deadline-Ms"), 64)
 	if err != nil {
@@ -318,12 +318,12 @@
 	return time.Duration(millis * float64(time.Millisecond))
 }
 
-// breakOff writes bytes to a request's connection, and closes it.
-func breakOff(w http.ResponseWriter, text string) {
+// closeConnection writes bytes to a request's connection in place of a response, and closes it.
+func closeConnection(w http.ResponseWriter, text string) {
 	conn, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
 		return
 	}
-	_, _ = conn.Write([]byte(text)) // the connection is closed either way
+	_, _ = conn.Write([]byte(text)) // the connection is closed even where this fails
 	_ = conn.Close()
 }
