--- a/cmd/firplank-lab/reckon.go
+++ b/cmd/firplank-lab/reckon.go
@@ -28,14 +28,14 @@
 func (c *reckonCommand) Run(out io.Writer) error {
 	printer := output.New(out)
 	s := scale.Shape{
-		Sidecars: c.Sidecars, Control: c.Control, Zones: c.Zones, Members: c.Members, Packed: c.Packed, ChangesS: c.Changes / secondsPerDay,
-		RestartsS: c.Restarts / secondsPerDay, Revisions: c.Revisions, Breadth: c.Breadth, Reached: c.Reached,
-		Subset: c.Subset, Difference: c.Difference,
+		Sidecars: c.Sidecars, Control: c.Control, Zones: c.Zones, Members: c.Members, PackedBytes: c.Packed, ChangesPerS: c.Changes / secondsPerDay,
+		RestartsPerS: c.Restarts / secondsPerDay, RevisionsPerRestart: c.Revisions, Fanout: c.Breadth, CalledServices: c.Reached,
+		SubsetSize: c.Subset, DeltaBytes: c.Difference,
 	}
 	scale.WriteTerms(out, "as built", s.AsBuilt())
 	printer.Println()
 	scale.WriteTerms(out, "as planned", s.Planned())
-	built, planned := s.Starts()
+	built, planned := s.StartBytes()
 	printer.Printf("\na sidecar's start: %.0f kB as built, %.0f kB as planned\n", built/1e3, planned/1e3)
 	return printer.Err()
 }
--- a/cmd/firplank-lab/scale.go
+++ b/cmd/firplank-lab/scale.go
@@ -54,9 +54,9 @@
 	}
 	plan := scale.Plan{
 		Sizes: c.Sizes, Repeats: c.Repeats, Control: c.Control, Real: c.Real, Zones: c.Zones, Services: c.Services,
-		Routes: c.Routes, PerS: c.PerS,
-		Settle: c.Settle, Quiet: c.Quiet, Changes: c.Changes, Every: c.Every, Restart: c.Restart, After: c.After, Target: c.Target,
-		MostRSS: c.MaxMB * 1e6, Net: c.Net, Folder: filepath.Join(folder, "mesh"), Programs: folder, Lab: lab,
+		Routes: c.Routes, StartsPerS: c.PerS,
+		Settle: c.Settle, Quiet: c.Quiet, Changes: c.Changes, ChangeInterval: c.Every, RestartShare: c.Restart, RestartPeriod: c.After, Target: c.Target,
+		MaxRSS: c.MaxMB * 1e6, Net: c.Net, Folder: filepath.Join(folder, "mesh"), Programs: folder, Lab: lab,
 	}
 	if err := plan.Check(); err != nil {
 		return err
@@ -96,7 +96,7 @@
 	for repeat := range plan.Repeats {
 		for _, size := range plan.Sizes {
 			start := time.Now()
-			run, err := scale.Play(ctx, plan, size, repeat+1)
+			run, err := scale.RunOnce(ctx, plan, size, repeat+1)
 			if err != nil {
 				report.Failed = append(report.Failed, err.Error())
 				fmt.Fprintln(os.Stderr, "firplank-lab:", err)
--- a/lab/scale/child.go
+++ b/lab/scale/child.go
@@ -52,15 +52,15 @@
 	}()
 	c.commands = json.NewEncoder(c.in)
 	if err := c.commands.Encode(spec); err != nil {
-		c.end()
+		c.stop()
 		return nil, fmt.Errorf("start hollow sidecars: %w", err)
 	}
 	return c, nil
 }
 
 // send has the group do something. Its answer is collected by answer.
-func (c *child) send(o Command) error {
-	if err := c.commands.Encode(o); err != nil {
+func (c *child) send(command Command) error {
+	if err := c.commands.Encode(command); err != nil {
 		return fmt.Errorf("order hollow sidecars: %w", err)
 	}
 	return nil
@@ -80,7 +80,7 @@
 }
 
 // end ends the process: by the end of its input, or else by force.
-func (c *child) end() {
+func (c *child) stop() {
 	_ = c.in.Close() // where the process has ended already
 	done := make(chan struct{})
 	go func() {
--- a/lab/scale/estimate.go
+++ b/lab/scale/estimate.go
@@ -19,16 +19,16 @@
 type Shape struct {
 	Sidecars, Control, Zones int
 	Members                  int     // of the register
-	Packed                   int     // bytes of the packed configuration
-	Difference               int     // bytes of a change sent as a difference
-	ChangesS                 float64 // changes of the configuration a second
-	RestartsS                float64 // sidecars that start anew, or fail, a second
-	Revisions                float64 // changes of the directory that each of them causes
-	Breadth                  float64 // children of a relay
+	PackedBytes              int     // bytes of the packed configuration
+	DeltaBytes               int     // bytes of a change sent as a difference
+	ChangesPerS              float64 // changes of the configuration a second
+	RestartsPerS             float64 // sidecars that start anew, or fail, a second
+	RevisionsPerRestart      float64 // changes of the directory that each of them causes
+	Fanout                   float64 // children of a relay
 
 	// What follows is of the planned mechanisms alone.
-	Reached int // services that a sidecar calls
-	Subset  int // servers of each that it is sent
+	CalledServices int // services that a sidecar calls
+	SubsetSize     int // servers of each that it is sent
 }
 
 // Term is one part of a role's load, in bytes a second, and the mechanism that carries it.
@@ -47,12 +47,12 @@
 
 // Rates of the packages that send.
 var (
-	updatesS    = float64(time.Second) / float64(timing.Default().Dissemination.HeartbeatInterval)
-	machinesS   = updatesS / 3
-	heartbeatsS = float64(time.Second) / float64(timing.Default().Subscription.ReportInterval)
-	hellosS     = 1 / 0.3 // controlplane.helloInterval
-	roundsS     = 1 / 0.3 // register.refresh
-	probesS     = 2 / 0.4 // membership.Config.ProbeInterval: pings, and acks of as many
+	updatesPerS      = float64(time.Second) / float64(timing.Default().Dissemination.HeartbeatInterval)
+	machineListsPerS = updatesPerS / 3
+	heartbeatsPerS   = float64(time.Second) / float64(timing.Default().Subscription.ReportInterval)
+	hellosPerS       = 1 / 0.3 // controlplane.helloInterval
+	roundsPerS       = 1 / 0.3 // register.refresh
+	probesPerS       = 2 / 0.4 // membership.Config.ProbeInterval: pings, and acks of as many
 )
 
 // frameSizes holds the bytes of what frames are made of.
@@ -67,7 +67,7 @@
 		PeerAddr: "127.78.16.1:7320", Zone: "zone-1", Service: "service-001",
 		Server: "i-00000001", State: directory.Accepting, Slots: 8,
 	}
-	alone := func(f *wire.FrameT) float64 { return float64(encoded(f)) }
+	alone := func(f *wire.FrameT) float64 { return float64(encodedSize(f)) }
 	with := func(t *wire.EntryT, n int) float64 {
 		f := &wire.FrameT{Kind: wire.Report, From: e.Node}
 		for range n {
@@ -105,50 +105,50 @@
 func (s Shape) AsBuilt() []Term {
 	u := sampleFrameSizes()
 	down := []Term{
-		{Part: "that all is fresh", Mechanism: "a frame each 0.35 s", In: updatesS * u.update},
-		{Part: "list of control machines", Mechanism: "whole, each third frame", In: machinesS * float64(s.Control) * u.machine},
-		{Part: "configuration", Mechanism: "differences, each reported upwards", In: s.ChangesS * (float64(s.Difference) + u.update)},
-		{Part: "directory", Mechanism: "every entry that changes, of all services", In: s.RestartsS * s.Revisions * u.entry},
+		{Part: "that all is fresh", Mechanism: "a frame each 0.35 s", In: updatesPerS * u.update},
+		{Part: "list of control machines", Mechanism: "whole, each third frame", In: machineListsPerS * float64(s.Control) * u.machine},
+		{Part: "configuration", Mechanism: "differences, each reported upwards", In: s.ChangesPerS * (float64(s.DeltaBytes) + u.update)},
+		{Part: "directory", Mechanism: "every entry that changes, of all services", In: s.RestartsPerS * s.RevisionsPerRestart * u.entry},
 	}
-	heartbeat := heartbeatsS*u.heartbeat + s.ChangesS*u.report
-	all := roleOf(Leaf, down, 0)
+	heartbeat := heartbeatsPerS*u.heartbeat + s.ChangesPerS*u.report
+	all := termsForRole(Leaf, down, 0)
 	all = append(all, Term{Leaf, "own heartbeat", "a frame each 0.7 s", 0, heartbeat})
-	probes := Term{Leaf, "probes of other sidecars", "datagrams, one asked each 0.4 s, and answers", probesS * u.probe, probesS * u.probe}
+	probes := Term{Leaf, "probes of other sidecars", "datagrams, one asked each 0.4 s, and answers", probesPerS * u.probe, probesPerS * u.probe}
 	all = append(all, probes)
-	all = append(all, roleOf(Relay, down, s.Breadth)...)
+	all = append(all, termsForRole(Relay, down, s.Fanout)...)
 	probes.Role = Relay
 	all = append(all, probes)
 	all = append(all, Term{Relay, "heartbeats, own and the children's", "a frame each, passed on one by one",
-		s.Breadth * heartbeat, (s.Breadth + 1) * heartbeat})
-	each, children := float64(s.Sidecars)/float64(s.Control), float64(s.Sidecars)/float64(s.Control)/(s.Breadth+1)
+		s.Fanout * heartbeat, (s.Fanout + 1) * heartbeat})
+	each, children := float64(s.Sidecars)/float64(s.Control), float64(s.Sidecars)/float64(s.Control)/(s.Fanout+1)
 	others := float64(s.Control - 1)
 	all = append(all, Term{ControlMachine, "heartbeats of its part of all sidecars", "a frame each, passed on by relays one by one",
 		each * heartbeat, 0})
 	for _, t := range down {
 		all = append(all, Term{ControlMachine, t.Part + ", to relays", t.Mechanism, 0, children * t.In})
 	}
-	hello := hellosS * (u.hello + float64(s.Control)*u.machine)
-	changed := s.RestartsS * s.Revisions * u.entry
+	hello := hellosPerS * (u.hello + float64(s.Control)*u.machine)
+	changed := s.RestartsPerS * s.RevisionsPerRestart * u.entry
 	members := float64(s.Members)
-	value := float64(s.Packed + register.MaxRecords*register.RecordSize)
+	value := float64(s.PackedBytes + register.MaxRecords*register.RecordSize)
 	return append(all,
 		Term{ControlMachine, "who lives, to and from the others", "an entry a sidecar and heartbeat, to each other machine",
-			others * each * heartbeatsS * u.alive, others * each * heartbeatsS * u.alive},
+			others * each * heartbeatsPerS * u.alive, others * each * heartbeatsPerS * u.alive},
 		Term{ControlMachine, "greetings with the list of control machines", "each 0.3 s to each other",
 			others * hello, others * hello},
 		Term{ControlMachine, "directory, to and from the others", "every change from each machine to each",
 			others * changed, others * changed},
 		Term{ControlMachine, "reads of the register", "a round each 0.3 s asks all members",
-			roundsS * members * u.readReply, roundsS * members * u.read},
+			roundsPerS * members * u.readReply, roundsPerS * members * u.read},
 		Term{RegisterMember, "reads by all control machines", "answers to their rounds",
-			roundsS * others * u.read, roundsS * others * u.readReply},
+			roundsPerS * others * u.read, roundsPerS * others * u.readReply},
 		Term{RegisterMember, "changes, at the one that proposes", "whole, with the record of past versions, to each other",
-			0, s.ChangesS * others * value},
+			0, s.ChangesPerS * others * value},
 	)
 }
 
 // roleOf are the terms of what comes down the tree, passed on to so many children.
-func roleOf(role string, down []Term, children float64) (all []Term) {
+func termsForRole(role string, down []Term, children float64) (all []Term) {
 	for _, t := range down {
 		t.Role, t.Out = role, children*t.In
 		all = append(all, t)
@@ -158,13 +158,13 @@
 
 // Sizes that the planned mechanisms are designed for, in bytes.
 const (
-	plannedUpdate    = 48.    // a frame with a version, a digest and an age, without the empty texts of today's
-	plannedHeartbeat = 64.    // a frame upwards with a digest of the incarnations below
-	plannedAlive     = 1. / 8 // a bit at a sidecar's number in its zone
-	plannedHello     = 96.    // versions and digests of the shards, between control machines
-	plannedFrame     = 48.    // around a difference
-	plannedFanout    = 10.    // children of a relay
-	hour             = 3600.  // seconds between two whole lists of control machines
+	plannedUpdateBytes    = 48.    // a frame with a version, a digest and an age, without the empty texts of today's
+	plannedHeartbeatBytes = 64.    // a frame upwards with a digest of the incarnations below
+	plannedLivenessBytes  = 1. / 8 // a bit at a sidecar's number in its zone
+	plannedHelloBytes     = 96.    // versions and digests of the shards, between control machines
+	plannedFrameBytes     = 48.    // around a difference
+	plannedFanout         = 10.    // children of a relay
+	machineListIntervalS  = 3600.  // seconds between two whole lists of control machines
 )
 
 // Planned reckons the loads of the mechanisms of issue 50: subsets by route, differences, digests, heartbeats as bits
@@ -174,55 +174,55 @@
 func (s Shape) Planned() []Term {
 	u := sampleFrameSizes()
 	n, control, zones := float64(s.Sidecars), float64(s.Control), float64(s.Zones)
-	change := u.entry + plannedFrame
-	changes := s.RestartsS * s.Revisions // of the whole directory, a second
-	difference := s.ChangesS * (float64(s.Difference) + plannedFrame)
+	change := u.entry + plannedFrameBytes
+	changes := s.RestartsPerS * s.RevisionsPerRestart // of the whole directory, a second
+	difference := s.ChangesPerS * (float64(s.DeltaBytes) + plannedFrameBytes)
 	down := []Term{
-		{Part: "that all is fresh", Mechanism: "version and digest each 0.35 s", In: updatesS * plannedUpdate},
-		{Part: "list of control machines", Mechanism: "when it changes, and once an hour", In: control * u.machine / hour},
+		{Part: "that all is fresh", Mechanism: "version and digest each 0.35 s", In: updatesPerS * plannedUpdateBytes},
+		{Part: "list of control machines", Mechanism: "when it changes, and once an hour", In: control * u.machine / machineListIntervalS},
 		{Part: "configuration", Mechanism: "differences", In: difference},
 	}
-	all := roleOf(Leaf, down, 0)
+	all := termsForRole(Leaf, down, 0)
 	all = append(all,
-		Term{Leaf, "directory", "the subset that its routes reach", changes * float64(s.Reached*s.Subset) / n * change, 0},
-		Term{Leaf, "own heartbeat", "a frame each 0.7 s", 0, heartbeatsS * plannedHeartbeat},
-		Term{Leaf, "probes of other sidecars", "as built, but of its subset alone", probesS * u.probe, probesS * u.probe},
+		Term{Leaf, "directory", "the subset that its routes reach", changes * float64(s.CalledServices*s.SubsetSize) / n * change, 0},
+		Term{Leaf, "own heartbeat", "a frame each 0.7 s", 0, heartbeatsPerS * plannedHeartbeatBytes},
+		Term{Leaf, "probes of other sidecars", "as built, but of its subset alone", probesPerS * u.probe, probesPerS * u.probe},
 	)
-	all = append(all, roleOf(Relay, down, plannedFanout)...)
+	all = append(all, termsForRole(Relay, down, plannedFanout)...)
 	all = append(all,
 		Term{Relay, "directory", "every change in, each child's part out (here: all)",
 			changes * change, plannedFanout * changes * change},
 		Term{Relay, "heartbeats of the zone", "bits, joined by relays, a frame a child each 0.7 s",
-			heartbeatsS * (plannedFanout*plannedHeartbeat + n/zones*plannedAlive), heartbeatsS * (plannedHeartbeat + n/zones*plannedAlive)},
-		Term{Relay, "probes of other sidecars", "as built, but of its subset alone", probesS * u.probe, probesS * u.probe},
+			heartbeatsPerS * (plannedFanout*plannedHeartbeatBytes + n/zones*plannedLivenessBytes), heartbeatsPerS * (plannedHeartbeatBytes + n/zones*plannedLivenessBytes)},
+		Term{Relay, "probes of other sidecars", "as built, but of its subset alone", probesPerS * u.probe, probesPerS * u.probe},
 	)
 	top := 2 * zones / control // relays at zones' tops that a control machine serves: two a zone, of which one passes on
 	all = append(all,
 		Term{ControlMachine, "heartbeats of its zones", "bits, one frame a zone's relay each 0.7 s",
-			top * heartbeatsS * (plannedHeartbeat + n/zones*plannedAlive), 0},
+			top * heartbeatsPerS * (plannedHeartbeatBytes + n/zones*plannedLivenessBytes), 0},
 		Term{ControlMachine, "that all is fresh, to zones' relays", "version and digest each 0.35 s",
-			0, top * updatesS * plannedUpdate},
+			0, top * updatesPerS * plannedUpdateBytes},
 		Term{ControlMachine, "configuration, to zones' relays", "differences, one crossing a zone and relay",
 			0, top * difference},
 		Term{ControlMachine, "directory of its shard, to all zones' relays", "each change once a zone and relay",
 			0, changes / control * 2 * zones * change},
 		Term{ControlMachine, "versions of shards, to and from the others", "digests each 0.3 s",
-			(control - 1) * hellosS * plannedHello, (control - 1) * hellosS * plannedHello},
+			(control - 1) * hellosPerS * plannedHelloBytes, (control - 1) * hellosPerS * plannedHelloBytes},
 		Term{ControlMachine, "reads of the register", "a round each 0.3 s asks all members",
-			roundsS * float64(s.Members) * u.readReply, roundsS * float64(s.Members) * u.read},
+			roundsPerS * float64(s.Members) * u.readReply, roundsPerS * float64(s.Members) * u.read},
 	)
 	return append(all,
 		Term{RegisterMember, "reads by all control machines", "answers to their rounds",
-			roundsS * (control - 1) * u.read, roundsS * (control - 1) * u.readReply},
+			roundsPerS * (control - 1) * u.read, roundsPerS * (control - 1) * u.readReply},
 		Term{RegisterMember, "changes, at the one that proposes", "differences to members and all others",
 			0, (control - 1) * difference},
 	)
 }
 
 // Starts is what a sidecar is sent at its start, in bytes, as built and as planned.
-func (s Shape) Starts() (built, planned float64) {
+func (s Shape) StartBytes() (built, planned float64) {
 	u := sampleFrameSizes()
-	return 2*float64(s.Sidecars)*u.entry + float64(s.Packed), float64(s.Reached*s.Subset)*u.entry + float64(s.Packed)
+	return 2*float64(s.Sidecars)*u.entry + float64(s.PackedBytes), float64(s.CalledServices*s.SubsetSize)*u.entry + float64(s.PackedBytes)
 }
 
 // WriteTerms prints terms with the sum of each role.
--- a/lab/scale/estimate_test.go
+++ b/lab/scale/estimate_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-func target() Shape {
+func targetShape() Shape {
 	return Shape{
-		Sidecars: 8400, Control: 18, Zones: 8, Members: 3, Packed: 33276, ChangesS: 0.0845, RestartsS: 0.0307, Revisions: 8, Breadth: 5,
-		Reached: 12, Subset: 24, Difference: 600,
+		Sidecars: 8400, Control: 18, Zones: 8, Members: 3, PackedBytes: 33276, ChangesPerS: 0.0845, RestartsPerS: 0.0307, RevisionsPerRestart: 8, Fanout: 5,
+		CalledServices: 12, SubsetSize: 24, DeltaBytes: 600,
 	}
 }
 
-func sum(terms []Term, role string) (in, out float64) {
+func sumForRole(terms []Term, role string) (in, out float64) {
 	for _, t := range terms {
 		if t.Role == role {
 			in, out = in+t.In, out+t.Out
@@ -23,10 +23,10 @@
 
 // What relays get from control machines is what those send them, and so on: each byte that the reckoning has sent is
 // got by somebody.
-func TestWhatIsSentIsReceived(t *testing.T) {
-	s := target()
+func TestBytesSentEqualBytesReceived(t *testing.T) {
+	s := targetShape()
 	terms := s.AsBuilt()
-	relays := float64(s.Sidecars) / (s.Breadth + 1)
+	relays := float64(s.Sidecars) / (s.Fanout + 1)
 	of := func(role, part string) (in, out float64) {
 		for _, term := range terms {
 			if term.Role == role && strings.HasPrefix(term.Part, part) {
@@ -38,54 +38,54 @@
 	for _, part := range []string{"that all is fresh", "list of control machines", "configuration", "directory"} {
 		leafIn, _ := of(Leaf, part)
 		relayIn, relayOut := of(Relay, part)
-		near(t, part+" from relays", relayOut, s.Breadth*leafIn, 1e-9)
+		assertNear(t, part+" from relays", relayOut, s.Fanout*leafIn, 1e-9)
 		_, controlOut := of(ControlMachine, part+", to relays")
-		near(t, part+" from control machines", controlOut*float64(s.Control), relayIn*relays, 1e-9)
+		assertNear(t, part+" from control machines", controlOut*float64(s.Control), relayIn*relays, 1e-9)
 	}
 	_, up := of(Relay, "heartbeats")
 	gets, _ := of(ControlMachine, "heartbeats")
-	near(t, "heartbeats", gets*float64(s.Control), up*relays, 1e-9)
+	assertNear(t, "heartbeats", gets*float64(s.Control), up*relays, 1e-9)
 	in, out := of(ControlMachine, "who lives")
-	near(t, "who lives", in, out, 1e-9)
+	assertNear(t, "who lives", in, out, 1e-9)
 }
 
-func TestOnlyControlMachinesFeelMoreSidecarsToday(t *testing.T) {
-	small, large := target(), target()
+func TestOnlyControlMachineLoadGrowsWithSidecarsAsBuilt(t *testing.T) {
+	small, large := targetShape(), targetShape()
 	small.Sidecars /= 2
-	small.RestartsS /= 2
+	small.RestartsPerS /= 2
 	for _, role := range []string{Leaf, Relay} {
-		in, out := sum(small.AsBuilt(), role)
-		in2, out2 := sum(large.AsBuilt(), role)
+		in, out := sumForRole(small.AsBuilt(), role)
+		in2, out2 := sumForRole(large.AsBuilt(), role)
 		if in2 > 1.05*in || out2 > 1.05*out { // but for the directory's changes
 			t.Errorf("%s: %.0f and %.0f to %.0f and %.0f bytes a second", role, in, out, in2, out2)
 		}
 	}
-	in, _ := sum(small.AsBuilt(), ControlMachine)
-	in2, _ := sum(large.AsBuilt(), ControlMachine)
+	in, _ := sumForRole(small.AsBuilt(), ControlMachine)
+	in2, _ := sumForRole(large.AsBuilt(), ControlMachine)
 	if in2 < 1.8*in {
 		t.Errorf("a control machine gets %.0f and %.0f bytes a second", in, in2)
 	}
 }
 
-func TestPlannedSidecarsKeepTheBudget(t *testing.T) {
+func TestPlannedSidecarLoadStaysWithinBudget(t *testing.T) {
 	const budget = 12000
 	for _, role := range []string{Leaf, Relay} {
-		if in, out := sum(target().Planned(), role); in+out > budget {
+		if in, out := sumForRole(targetShape().Planned(), role); in+out > budget {
 			t.Errorf("%s: %.0f bytes a second", role, in+out)
 		}
 	}
-	if in, out := sum(target().AsBuilt(), Relay); in+out < budget {
+	if in, out := sumForRole(targetShape().AsBuilt(), Relay); in+out < budget {
 		t.Errorf("a relay as built keeps to %.0f bytes a second, which docs/measurements/capacity-by-parts.md denies", in+out)
 	}
-	small, large := target(), target()
-	large.Sidecars, large.RestartsS = 2*large.Sidecars, 2*large.RestartsS
-	in, out := sum(small.Planned(), Leaf)
-	in2, out2 := sum(large.Planned(), Leaf)
-	near(t, "a sidecar's bytes in with twice the mesh", in2, in, 1e-9)
-	near(t, "a sidecar's bytes out with twice the mesh", out2, out, 1e-9)
+	small, large := targetShape(), targetShape()
+	large.Sidecars, large.RestartsPerS = 2*large.Sidecars, 2*large.RestartsPerS
+	in, out := sumForRole(small.Planned(), Leaf)
+	in2, out2 := sumForRole(large.Planned(), Leaf)
+	assertNear(t, "a sidecar's bytes in with twice the mesh", in2, in, 1e-9)
+	assertNear(t, "a sidecar's bytes out with twice the mesh", out2, out, 1e-9)
 }
 
-func TestUnitsAreOfFramesThatAreSent(t *testing.T) {
+func TestSampledFrameSizesArePlausible(t *testing.T) {
 	u := sampleFrameSizes()
 	for name, v := range map[string]float64{
 		"news": u.update, "beat": u.heartbeat, "report": u.report, "hello": u.hello, "alive": u.alive,
--- a/lab/scale/fit.go
+++ b/lab/scale/fit.go
@@ -13,10 +13,10 @@
 
 // Growth says how a figure grows with the mesh: as Scale × size^Power, and as Fixed + Each × size.
 type Growth struct {
-	Scale float64 `json:"scale"`
-	Power float64 `json:"power"`
-	Fixed float64 `json:"fixed"`
-	Each  float64 `json:"each"`
+	Scale     float64 `json:"scale"`
+	Power     float64 `json:"power"`
+	Intercept float64 `json:"fixed"`
+	Slope     float64 `json:"each"`
 }
 
 // Fit fits both forms to points by least squares: the power law over logarithms, the line with weights by the inverse
@@ -33,7 +33,7 @@
 	}
 	intercept, power, ok := logs.line()
 	fixed, each, ok2 := relative.line()
-	return Growth{Scale: math.Exp(intercept), Power: power, Fixed: fixed, Each: each}, ok && ok2
+	return Growth{Scale: math.Exp(intercept), Power: power, Intercept: fixed, Slope: each}, ok && ok2
 }
 
 // sums are what a weighted line is fitted from.
@@ -60,35 +60,35 @@
 func (g Growth) ByPower(size float64) float64 { return g.Scale * math.Pow(size, g.Power) }
 
 // ByLine is the figure of the straight line.
-func (g Growth) ByLine(size float64) float64 { return g.Fixed + g.Each*size }
+func (g Growth) ByLine(size float64) float64 { return g.Intercept + g.Slope*size }
 
 // Reach is what a figure comes to at a size that was not measured, and between what bounds.
-type Reach struct {
-	Growth   Growth  `json:"growth"`
-	PowerLow float64 `json:"powerLow"`
-	PowerTop float64 `json:"powerTop"`
-	Low      float64 `json:"low"`
-	Top      float64 `json:"top"`
+type Extrapolation struct {
+	Growth    Growth  `json:"growth"`
+	PowerLow  float64 `json:"powerLow"`
+	PowerHigh float64 `json:"powerTop"`
+	Low       float64 `json:"low"`
+	High      float64 `json:"top"`
 }
 
 // Extrapolate fits points and returns the range of what all fits give at a size: both forms, over all points and with
 // each one of them left out. That range is no confidence interval: it tells how much hangs on the form and on single
 // runs.
-func Extrapolate(points []Point, size float64) (Reach, bool) {
+func Extrapolate(points []Point, size float64) (Extrapolation, bool) {
 	g, ok := Fit(points)
 	if !ok {
-		return Reach{}, false
+		return Extrapolation{}, false
 	}
-	r := Reach{Growth: g, PowerLow: g.Power, PowerTop: g.Power}
-	r.Low, r.Top = min(g.ByPower(size), g.ByLine(size)), max(g.ByPower(size), g.ByLine(size))
+	r := Extrapolation{Growth: g, PowerLow: g.Power, PowerHigh: g.Power}
+	r.Low, r.High = min(g.ByPower(size), g.ByLine(size)), max(g.ByPower(size), g.ByLine(size))
 	for i := range points {
 		g, ok := Fit(slices.Delete(slices.Clone(points), i, i+1))
 		if !ok {
 			continue
 		}
-		r.PowerLow, r.PowerTop = min(r.PowerLow, g.Power), max(r.PowerTop, g.Power)
+		r.PowerLow, r.PowerHigh = min(r.PowerLow, g.Power), max(r.PowerHigh, g.Power)
 		r.Low = min(r.Low, g.ByPower(size), g.ByLine(size))
-		r.Top = max(r.Top, g.ByPower(size), g.ByLine(size))
+		r.High = max(r.High, g.ByPower(size), g.ByLine(size))
 	}
 	r.Low = max(0, r.Low) // a line through figures that hardly grow may fall below
 	return r, true
--- a/lab/scale/fit_test.go
+++ b/lab/scale/fit_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func near(t *testing.T, what string, got, want, within float64) {
+func assertNear(t *testing.T, what string, got, want, within float64) {
 	t.Helper()
 	if math.Abs(got-want) > within*max(1, math.Abs(want)) {
 		t.Errorf("%s: %v, want %v", what, got, want)
@@ -24,9 +24,9 @@
 	if !ok {
 		t.Fatal("no fit")
 	}
-	near(t, "power", g.Power, 1.21, 1e-9)
-	near(t, "scale", g.Scale, 3, 1e-9)
-	near(t, "at 8400", g.ByPower(8400), 3*math.Pow(8400, 1.21), 1e-9)
+	assertNear(t, "power", g.Power, 1.21, 1e-9)
+	assertNear(t, "scale", g.Scale, 3, 1e-9)
+	assertNear(t, "at 8400", g.ByPower(8400), 3*math.Pow(8400, 1.21), 1e-9)
 }
 
 func TestFitFindsALine(t *testing.T) {
@@ -34,21 +34,21 @@
 	if !ok {
 		t.Fatal("no fit")
 	}
-	near(t, "fixed", g.Fixed, 5, 1e-9)
-	near(t, "each", g.Each, 0.25, 1e-9)
-	near(t, "at 8400", g.ByLine(8400), 5+0.25*8400, 1e-9)
+	assertNear(t, "fixed", g.Intercept, 5, 1e-9)
+	assertNear(t, "each", g.Slope, 0.25, 1e-9)
+	assertNear(t, "at 8400", g.ByLine(8400), 5+0.25*8400, 1e-9)
 }
 
-func TestFitWeighsFiguresByTheirSize(t *testing.T) {
+func TestFitUsesRelativeWeights(t *testing.T) {
 	g, ok := Fit([]Point{{100, 10}, {10000, 900}, {10000, 1100}})
 	if !ok {
 		t.Fatal("no fit")
 	}
-	near(t, "at the small size", g.ByLine(100), 10, 1e-6)
-	near(t, "at the large one, where 200 more are as much as 2 at the small", g.ByLine(10000), 980.198, 1e-5)
+	assertNear(t, "at the small size", g.ByLine(100), 10, 1e-6)
+	assertNear(t, "at the large one, where 200 more are as much as 2 at the small", g.ByLine(10000), 980.198, 1e-5)
 }
 
-func TestFitRefusesWhatTellsNoGrowth(t *testing.T) {
+func TestFitRejectsInsufficientPoints(t *testing.T) {
 	for name, all := range map[string][]Point{
 		"nothing":         nil,
 		"one run":         {{100, 5}},
@@ -69,15 +69,15 @@
 	if !ok {
 		t.Fatal("no fit")
 	}
-	near(t, "low", r.Low, 16800, 1e-6)
-	near(t, "top", r.Top, 16800, 1e-6)
+	assertNear(t, "low", r.Low, 16800, 1e-6)
+	assertNear(t, "top", r.High, 16800, 1e-6)
 	uneven := append(exact, Point{1000, 3000}) // one run of several is off
 	r, _ = Extrapolate(uneven, 8400)
-	if r.Low > 16801 || r.Top < 20000 || r.PowerLow > 1.0001 || r.PowerTop < 1.1 {
+	if r.Low > 16801 || r.High < 20000 || r.PowerLow > 1.0001 || r.PowerHigh < 1.1 {
 		t.Errorf("the range doesn't hold the fits without a single run: %+v", r)
 	}
 	bent := points([]float64{100, 300, 1000}, func(x float64) float64 { return 500 + x })
-	if r, _ = Extrapolate(bent, 8400); r.Top < 8899 || r.Low > 5000 {
+	if r, _ = Extrapolate(bent, 8400); r.High < 8899 || r.Low > 5000 {
 		t.Errorf("the range doesn't hold both forms: %+v", r)
 	}
 }
--- a/lab/scale/group.go
+++ b/lab/scale/group.go
@@ -26,8 +26,8 @@
 
 // GroupSpec is the first line that a group's process reads.
 type GroupSpec struct {
-	Sidecars []Spec  `json:"sidecars"`
-	PerS     float64 `json:"perS"` // how many of them start a second
+	Sidecars   []Spec  `json:"sidecars"`
+	StartsPerS float64 `json:"perS"` // how many of them start a second
 }
 
 // Command is each further line. The end of the input ends the process.
@@ -44,28 +44,28 @@
 
 // Status is what a group answers: what it is now, and what has passed since its start.
 type Status struct {
-	Sidecars  int        `json:"sidecars"`
-	Ready     int        `json:"ready"`
-	Relays    int        `json:"relays"`    // sidecars with children
-	OfControl int        `json:"ofControl"` // whose parent is a control machine
-	OfRelay   int        `json:"ofRelay"`
-	Left      int        `json:"left"` // how often a parent was left as it had nothing fresh
-	Tallies   []Tally    `json:"tallies"`
-	Adoptions []Adoption `json:"adoptions"` // since the last reading
-	ReadyS    []float64  `json:"readyS"`    // from start to ready, since the last reading
+	Sidecars        int        `json:"sidecars"`
+	Ready           int        `json:"ready"`
+	Relays          int        `json:"relays"`    // sidecars with children
+	ControlChildren int        `json:"ofControl"` // whose parent is a control machine
+	RelayChildren   int        `json:"ofRelay"`
+	StaleParents    int        `json:"left"` // how often a parent was left as it had nothing fresh
+	Tallies         []Tally    `json:"tallies"`
+	Adoptions       []Adoption `json:"adoptions"` // since the last reading
+	ReadyS          []float64  `json:"readyS"`    // from start to ready, since the last reading
 }
 
 // Group is many hollow sidecars in one process.
 type Group struct {
 	spec GroupSpec
 
-	mu          sync.Mutex
-	traffic     *TrafficCounter
-	texts       map[uint32]*text
-	members     []*member
-	adoptions   []Adoption
-	readyS      []float64
-	parentsLeft int
+	mu           sync.Mutex
+	traffic      *TrafficCounter
+	texts        map[uint32]*editionText
+	members      []*member
+	adoptions    []Adoption
+	readyS       []float64
+	staleParents int
 }
 
 // member is one sidecar through its restarts.
@@ -78,10 +78,10 @@
 
 // text is an edition of the configuration, which the sidecars of a process share: in truth each machine has memory of
 // its own for it and a processor of its own to parse it.
-type text struct {
-	plain, packed         []byte
-	unpack, pack, parsing sync.Once
-	ok                    bool
+type editionText struct {
+	plain, packed                   []byte
+	unpackOnce, packOnce, parseOnce sync.Once
+	valid                           bool
 }
 
 // maxTexts bounds the editions that a group remembers.
@@ -91,7 +91,7 @@
 func RunGroup(ctx context.Context, in io.Reader, out io.Writer) error {
 	ctx, stop := context.WithCancel(ctx)
 	lines, answers := json.NewDecoder(in), json.NewEncoder(out)
-	g := &Group{traffic: NewTrafficCounter(), texts: map[uint32]*text{}}
+	g := &Group{traffic: NewTrafficCounter(), texts: map[uint32]*editionText{}}
 	if err := lines.Decode(&g.spec); err != nil {
 		stop()
 		return fmt.Errorf("read the group: %w", err)
@@ -133,7 +133,7 @@
 }
 
 func (g *Group) startAll(ctx context.Context) error {
-	pause := time.Duration(float64(time.Second) / max(g.spec.PerS, 1))
+	pause := time.Duration(float64(time.Second) / max(g.spec.StartsPerS, 1))
 	for _, s := range g.spec.Sidecars {
 		m := &member{spec: s}
 		if err := g.start(ctx, m); err != nil {
@@ -230,7 +230,7 @@
 func (g *Group) status() Status {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	r := Status{Sidecars: len(g.members), Left: g.parentsLeft, Tallies: g.traffic.Tallies(), Adoptions: g.adoptions, ReadyS: g.readyS}
+	r := Status{Sidecars: len(g.members), StaleParents: g.staleParents, Tallies: g.traffic.Tallies(), Adoptions: g.adoptions, ReadyS: g.readyS}
 	g.adoptions, g.readyS = nil, nil
 	for _, m := range g.members {
 		h := m.hollow
@@ -241,9 +241,9 @@
 			r.Relays++
 		}
 		if h.relayed.Load() {
-			r.OfRelay++
+			r.RelayChildren++
 		} else {
-			r.OfControl++
+			r.ControlChildren++
 		}
 	}
 	return r
@@ -257,12 +257,12 @@
 	g.mu.Unlock()
 }
 
-func (g *Group) text(edition uint32) *text {
+func (g *Group) editionText(edition uint32) *editionText {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	t := g.texts[edition]
 	if t == nil {
-		t = &text{}
+		t = &editionText{}
 		if len(g.texts) >= maxTexts {
 			clear(g.texts)
 		}
@@ -273,33 +273,33 @@
 
 // intern returns an edition's text as the group has it.
 func (g *Group) intern(edition uint32, plain []byte) []byte {
-	t := g.text(edition)
-	t.unpack.Do(func() { t.plain = plain })
+	t := g.editionText(edition)
+	t.unpackOnce.Do(func() { t.plain = plain })
 	return t.plain
 }
 
 // unpack returns the text of an edition that has come packed; ok is false where it is broken.
 func (g *Group) unpack(edition uint32, packed []byte) (plain []byte, ok bool) {
-	t := g.text(edition)
-	t.unpack.Do(func() { t.plain, _ = config.Unpack(packed) })
+	t := g.editionText(edition)
+	t.unpackOnce.Do(func() { t.plain, _ = config.Unpack(packed) })
 	return t.plain, t.plain != nil
 }
 
 // pack returns an edition's text made short.
 func (g *Group) pack(edition uint32, plain []byte) []byte {
-	t := g.text(edition)
-	t.pack.Do(func() { t.packed = config.Pack(plain) })
+	t := g.editionText(edition)
+	t.packOnce.Do(func() { t.packed = config.Pack(plain) })
 	return t.packed
 }
 
 // parse reports whether an edition can be used.
 func (g *Group) parse(edition uint32, plain []byte) bool {
-	t := g.text(edition)
-	t.parsing.Do(func() {
+	t := g.editionText(edition)
+	t.parseOnce.Do(func() {
 		_, err := config.Parse(plain)
-		t.ok = err == nil
+		t.valid = err == nil
 	})
-	return t.ok
+	return t.valid
 }
 
 // recordAdoption notes that an edition is in force at a sidecar.
@@ -313,8 +313,8 @@
 }
 
 // countParentLeft notes that a parent was left as it had nothing fresh.
-func (g *Group) countParentLeft() {
+func (g *Group) countStaleParent() {
 	g.mu.Lock()
-	g.parentsLeft++
+	g.staleParents++
 	g.mu.Unlock()
 }
--- a/lab/scale/group_test.go
+++ b/lab/scale/group_test.go
@@ -14,48 +14,48 @@
 
 // parentPlayed is a control machine that tells each child a configuration and notes which of them say what server
 // they have.
-type parentPlayed struct {
-	body    []byte
-	entered chan string
+type fakeParent struct {
+	body      []byte
+	announced chan string
 }
 
-func (p *parentPlayed) HandleFrame(c *transport.Conn, f *wire.FrameT) {
+func (p *fakeParent) HandleFrame(c *transport.Conn, f *wire.FrameT) {
 	switch {
 	case f.Kind == wire.Subscribe:
 		c.Send(&wire.FrameT{Kind: wire.Update, Version: 1, AgeMs: 1, Value: &wire.ValueT{Version: 1, Body: p.body}})
 	case f.Kind == wire.Report && len(f.Entries) == 1 && f.Entries[0].ServerId != "":
-		p.entered <- f.From
+		p.announced <- f.From
 	}
 }
 
-func (*parentPlayed) HandleClose(*transport.Conn) {}
+func (*fakeParent) HandleClose(*transport.Conn) {}
 
 // TestGroupOfHollowSidecars has three become ready under a parent, restarts all, and compares what is counted with
 // what has to pass.
 func TestGroupOfHollowSidecars(t *testing.T) {
-	p := plan()
+	p := testPlan()
 	text, err := json.Marshal(p.document(1))
 	if err != nil {
 		t.Fatal(err)
 	}
-	parent := &parentPlayed{config.Pack(text), make(chan string, 16)}
+	parent := &fakeParent{config.Pack(text), make(chan string, 16)}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = ln.Close() }()               // it has nothing to lose
 	go func() { _ = transport.Serve(ln, parent) }() // until the listener is closed
-	spec := GroupSpec{PerS: 1e6}
+	spec := GroupSpec{StartsPerS: 1e6}
 	for _, s := range p.hollows(p.Real + 3) {
 		s.PeerAddr, s.Seeds = freeAddress(t), []string{ln.Addr().String()}
 		spec.Sidecars = append(spec.Sidecars, s)
 	}
 	ask, end := runGroup(t, spec)
 	for range spec.Sidecars {
-		<-parent.entered
+		<-parent.announced
 	}
 	r := ask(Command{Do: Observe})
-	if r.Sidecars != 3 || r.Ready != 3 || r.OfControl != 3 || len(r.Adoptions) != 3 || len(r.ReadyS) != 3 {
+	if r.Sidecars != 3 || r.Ready != 3 || r.ControlChildren != 3 || len(r.Adoptions) != 3 || len(r.ReadyS) != 3 {
 		t.Errorf("after the start: %+v", r)
 	}
 	news := find(r.Tallies, Tally{Link: ControlToChild, Kind: "News"})
@@ -67,7 +67,7 @@
 	}
 	again := len(ask(Command{Do: Restart, Share: 1}).ReadyS) // one that is quick is ready before the answer
 	for range spec.Sidecars {
-		<-parent.entered
+		<-parent.announced
 	}
 	if r = ask(Command{Do: Observe}); r.Ready != 3 || again+len(r.ReadyS) != 3 {
 		t.Errorf("after the restart: %+v", r)
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -160,7 +160,7 @@
 		}
 	case distribution.Close:
 		if a.Reason == subscription.Stale {
-			h.group.countParentLeft()
+			h.group.countStaleParent()
 		}
 	case distribution.Dial, distribution.UpdateRejected: // not counted
 	}
--- a/lab/scale/hollow_test.go
+++ b/lab/scale/hollow_test.go
@@ -35,7 +35,7 @@
 
 // A hollow sidecar puts each version in force, and leaves a parent that sends nothing more; both are counted.
 func TestHollowSidecarFollowsChangesAndLeavesAStaleParent(t *testing.T) {
-	p := plan()
+	p := testPlan()
 	parent := &changingParent{}
 	for i := range parent.bodies {
 		text, err := json.Marshal(p.document(uint32(i + 1)))
@@ -54,7 +54,7 @@
 	defer func() { _ = ln.Close() }() // it has nothing to lose
 	spec := p.hollows(p.Real + 1)[0]
 	spec.PeerAddr, spec.Seeds = freeAddress(t), []string{ln.Addr().String()}
-	ask, end := runGroup(t, GroupSpec{PerS: 1e6, Sidecars: []Spec{spec}})
+	ask, end := runGroup(t, GroupSpec{StartsPerS: 1e6, Sidecars: []Spec{spec}})
 	var versions []uint32
 	left := 0
 	for until := time.Now().Add(10 * time.Second); left == 0 && time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
@@ -62,7 +62,7 @@
 		for _, a := range s.Adoptions {
 			versions = append(versions, a.Edition)
 		}
-		left = s.Left
+		left = s.StaleParents
 	}
 	if !slices.Equal(versions, []uint32{1, 2}) || left == 0 {
 		t.Errorf("put in force %v, left its parent %d times", versions, left)
--- a/lab/scale/parts_bench_test.go
+++ b/lab/scale/parts_bench_test.go
@@ -25,7 +25,7 @@
 
 func directoryOf(n int) *directory.Directory {
 	d := directory.New()
-	p := plan()
+	p := testPlan()
 	for i, s := range p.hollows(n + p.Real) {
 		e := *entry(i)
 		e.Node, e.PeerAddr, e.Zone, e.Service, e.Server = s.Node, s.PeerAddr, s.Zone, s.Service, fmt.Sprintf("i-%08d", i)
@@ -42,7 +42,7 @@
 
 // loop is a benchmark's loop that tells processor time, too: on a machine that others use the time that passes says
 // little.
-func loop(b *testing.B, do func()) {
+func runLoop(b *testing.B, do func()) {
 	began := processorTime()
 	for b.Loop() {
 		do()
@@ -63,7 +63,7 @@
 func BenchmarkDirectorySince(b *testing.B) {
 	atSizes(b, func(b *testing.B, n int) {
 		d := directoryOf(n)
-		loop(b, func() {
+		runLoop(b, func() {
 			if len(d.ChangedSince(d.Revision()-1)) != 1 {
 				b.Fatal("not one entry is new")
 			}
@@ -75,7 +75,7 @@
 func BenchmarkDirectoryAll(b *testing.B) {
 	atSizes(b, func(b *testing.B, n int) {
 		d := directoryOf(n)
-		loop(b, func() {
+		runLoop(b, func() {
 			d.All()
 		})
 	})
@@ -90,7 +90,7 @@
 		}
 		c := membership.New(names[0], 1, membership.DefaultConfig())
 		c.SetMembers(0, names)
-		loop(b, func() {
+		runLoop(b, func() {
 			c.SetMembers(0, names)
 		})
 	})
@@ -105,7 +105,7 @@
 		}
 		c := membership.New(names[0], 1, membership.DefaultConfig())
 		c.SetMembers(0, names)
-		loop(b, func() {
+		runLoop(b, func() {
 			c.Tick(0)
 		})
 	})
@@ -118,7 +118,7 @@
 		for _, e := range directoryOf(n).All() {
 			all = append(all, dissemination.Member{Node: e.Node, Zone: e.Zone, PeerAddr: e.PeerAddr})
 		}
-		loop(b, func() {
+		runLoop(b, func() {
 			dissemination.ParentCandidates(all[n/2].Node, all)
 		})
 	})
@@ -141,7 +141,7 @@
 				p.HandleAck(uint64(id+1), dissemination.Ack{Nonce: 1, Version: 1, LowestInForce: 1}, now)
 			}
 			e, _ := p.Directory.Get("hollow-000000")
-			loop(b, func() {
+			runLoop(b, func() {
 				e.Sequence++
 				p.Directory.Merge(e, now)
 				p.Tick(now) // the change waits for more of them
@@ -160,7 +160,7 @@
 	atSizes(b, func(b *testing.B, n int) {
 		f := codec.UpdateToFrame(&dissemination.Update{Version: 1, Entries: directoryOf(n).All()}, nil, 0)
 		size := 0
-		loop(b, func() {
+		runLoop(b, func() {
 			text := wire.Encode(f)
 			if _, err := wire.Decode(text[4:]); err != nil {
 				b.Fatal(err)
@@ -176,7 +176,7 @@
 	atSizes(b, func(b *testing.B, n int) {
 		text := wire.Encode(codec.UpdateToFrame(&dissemination.Update{Version: 1, Entries: directoryOf(n).All()}, nil, 0))
 		held := uint64(0)
-		loop(b, func() {
+		runLoop(b, func() {
 			before := heap()
 			d := directory.New()
 			f, err := wire.Decode(text[4:])
@@ -206,14 +206,14 @@
 func BenchmarkParseConfiguration(b *testing.B) {
 	for _, routes := range []int{2, 10} {
 		b.Run(fmt.Sprintf("330x%d", routes), func(b *testing.B) {
-			p := plan()
+			p := testPlan()
 			p.Routes = routes
 			text, err := json.Marshal(p.document(1))
 			if err != nil {
 				b.Fatal(err)
 			}
 			packed := config.Pack(text)
-			loop(b, func() {
+			runLoop(b, func() {
 				if _, err := config.ParsePacked(packed); err != nil {
 					b.Fatal(err)
 				}
--- a/lab/scale/phase.go
+++ b/lab/scale/phase.go
@@ -32,9 +32,9 @@
 		return err
 	}
 	p := Phase{Name: name, Seconds: after.at.Sub(before.at).Seconds(), Tallies: Since(after.tallies, before.tallies), State: r.state}
-	p.Control = between(before.control, after.control, names(r.mesh.Core))
-	p.Real = between(before.real, after.real, names(r.mesh.Branch))
-	p.Hollow = between(before.hollow, after.hollow, nil)
+	p.Control = usagesBetween(before.control, after.control, names(r.mesh.Core))
+	p.Real = usagesBetween(before.real, after.real, names(r.mesh.Branch))
+	p.Hollow = usagesBetween(before.hollow, after.hollow, nil)
 	r.run.Phases = append(r.run.Phases, p)
 	return nil
 }
@@ -46,13 +46,13 @@
 	return all
 }
 
-func between(before, after []Sample, names []string) (all []Usage) {
+func usagesBetween(before, after []Sample, names []string) (all []Usage) {
 	for i := range before {
 		name := fmt.Sprintf("group-%d", i+1)
 		if names != nil {
 			name = names[i]
 		}
-		all = append(all, Between(name, before[i], after[i]))
+		all = append(all, UsageBetween(name, before[i], after[i]))
 	}
 	return all
 }
@@ -65,7 +65,7 @@
 	out := measurement{at: time.Now(), tallies: r.tallies}
 	var rss int64
 	take := func(pid int, into *[]Sample) error {
-		s, err := Take(pid)
+		s, err := ReadSample(pid)
 		rss += s.RSS
 		*into = append(*into, s)
 		return err
@@ -85,9 +85,9 @@
 			return out, err
 		}
 	}
-	r.run.MostRSS = max(r.run.MostRSS, rss)
-	if rss > r.plan.MostRSS {
-		return out, fmt.Errorf("all processes together hold %d bytes, more than %d", rss, r.plan.MostRSS)
+	r.run.MaxRSS = max(r.run.MaxRSS, rss)
+	if rss > r.plan.MaxRSS {
+		return out, fmt.Errorf("all processes together hold %d bytes, more than %d", rss, r.plan.MaxRSS)
 	}
 	return out, nil
 }
--- a/lab/scale/plan.go
+++ b/lab/scale/plan.go
@@ -9,26 +9,26 @@
 
 // Plan describes the runs of a measurement.
 type Plan struct {
-	Sizes    []int         `json:"sizes"` // sidecars, hollow and true together
-	Repeats  int           `json:"repeats"`
-	Control  int           `json:"control"`  // true control machines
-	Real     int           `json:"real"`     // true sidecars
-	Zones    int           `json:"zones"`    // over which the sidecars are spread evenly
-	Services int           `json:"services"` // of the configuration, over which they are spread, too
-	Routes   int           `json:"routes"`   // of each service
-	PerS     float64       `json:"perS"`     // sidecars that start a second
-	Settle   time.Duration `json:"settle"`   // from all ready to the quiet time
-	Quiet    time.Duration `json:"quiet"`
-	Changes  int           `json:"changes"`
-	Every    time.Duration `json:"every"` // from a change to the next
-	Restart  float64       `json:"restart"`
-	After    time.Duration `json:"after"` // the restart, that is counted in
-	Target   int           `json:"target"`
-	MostRSS  int64         `json:"mostRSSBytes"` // of all processes together; a run beyond it ends
-	Net      int           `json:"-"`
-	Folder   string        `json:"-"`
-	Programs string        `json:"-"` // folder of firplank-proxy and firplank-control
-	Lab      string        `json:"-"` // firplank-lab
+	Sizes          []int         `json:"sizes"` // sidecars, hollow and true together
+	Repeats        int           `json:"repeats"`
+	Control        int           `json:"control"`  // true control machines
+	Real           int           `json:"real"`     // true sidecars
+	Zones          int           `json:"zones"`    // over which the sidecars are spread evenly
+	Services       int           `json:"services"` // of the configuration, over which they are spread, too
+	Routes         int           `json:"routes"`   // of each service
+	StartsPerS     float64       `json:"perS"`     // sidecars that start a second
+	Settle         time.Duration `json:"settle"`   // from all ready to the quiet time
+	Quiet          time.Duration `json:"quiet"`
+	Changes        int           `json:"changes"`
+	ChangeInterval time.Duration `json:"every"` // from a change to the next
+	RestartShare   float64       `json:"restart"`
+	RestartPeriod  time.Duration `json:"after"` // the restart, that is counted in
+	Target         int           `json:"target"`
+	MaxRSS         int64         `json:"mostRSSBytes"` // of all processes together; a run beyond it ends
+	Net            int           `json:"-"`
+	Folder         string        `json:"-"`
+	Programs       string        `json:"-"` // folder of firplank-proxy and firplank-control
+	Lab            string        `json:"-"` // firplank-lab
 }
 
 // groupSize is how many hollow sidecars share a process.
@@ -49,7 +49,7 @@
 		return fmt.Errorf("plan: no sizes, or no runs of them")
 	case p.Control < 3 || p.Control > 18:
 		return fmt.Errorf("plan: %d control machines; 3 to 18 can be run", p.Control)
-	case p.Zones < 1 || p.Services < 1 || p.Routes < 1 || p.Changes < 1 || p.Quiet < time.Second || p.Every <= 0:
+	case p.Zones < 1 || p.Services < 1 || p.Routes < 1 || p.Changes < 1 || p.Quiet < time.Second || p.ChangeInterval <= 0:
 		return fmt.Errorf("plan: zones, services, routes, changes and times have to be above 0")
 	case p.Real < 1 || p.Real > 100:
 		return fmt.Errorf("plan: %d true sidecars; 1 to 100 can be run", p.Real)
--- a/lab/scale/plan_test.go
+++ b/lab/scale/plan_test.go
@@ -8,15 +8,15 @@
 	"firplank/mesh/config"
 )
 
-func plan() Plan {
+func testPlan() Plan {
 	return Plan{
-		Sizes: []int{100, 1000}, Repeats: 1, Control: 4, Real: 12, Zones: 8, Services: 330, Routes: 2, PerS: 100, Quiet: time.Second, Changes: 1,
-		Every: time.Second, Net: 78,
+		Sizes: []int{100, 1000}, Repeats: 1, Control: 4, Real: 12, Zones: 8, Services: 330, Routes: 2, StartsPerS: 100, Quiet: time.Second, Changes: 1,
+		ChangeInterval: time.Second, Net: 78,
 	}
 }
 
-func TestCheckRefusesWhatCannotBeRun(t *testing.T) {
-	good := plan()
+func TestCheckRejectsInvalidPlans(t *testing.T) {
+	good := testPlan()
 	if err := good.Check(); err != nil {
 		t.Fatal(err)
 	}
@@ -29,15 +29,15 @@
 		"hundreds of true":   func(p *Plan) { p.Real = 101 },
 		"no time to measure": func(p *Plan) { p.Quiet = 0 },
 	} {
-		p := plan()
+		p := testPlan()
 		if spoil(&p); p.Check() == nil {
 			t.Errorf("%s is taken", name)
 		}
 	}
 }
 
-func TestHollowSidecarsHaveAddressesOfTheirOwn(t *testing.T) {
-	p := plan()
+func TestHollowSidecarsHaveUniqueAddresses(t *testing.T) {
+	p := testPlan()
 	seen, zones, lines := map[string]bool{}, map[string]bool{}, map[string]bool{}
 	all := p.hollows(maxSize)
 	for _, s := range all {
@@ -50,7 +50,7 @@
 }
 
 func TestEachEditionChangesOneService(t *testing.T) {
-	p := plan()
+	p := testPlan()
 	one, two := p.document(1), p.document(2)
 	text, err := json.Marshal(two)
 	if err != nil {
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestProcessorTimeIsReadPastAnyName(t *testing.T) {
+func TestProcessorTimeParsedAfterNameWithBrackets(t *testing.T) {
 	got, err := cpuOf("42 (a ) b 1 2) S 1 42 42 0 -1 4194304 100 0 0 0 150 50 0 0 20 0 9 0 1 2 3")
 	if err != nil || got != 2*time.Second {
 		t.Errorf("%v, %v", got, err)
--- a/lab/scale/process.go
+++ b/lab/scale/process.go
@@ -21,7 +21,7 @@
 }
 
 // Take reads the counters of a process of ours.
-func Take(pid int) (Sample, error) {
+func ReadSample(pid int) (Sample, error) {
 	s := Sample{At: time.Now()}
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -86,7 +86,7 @@
 }
 
 // Between is what was used from one sample to a later one.
-func Between(name string, a, b Sample) Usage {
+func UsageBetween(name string, a, b Sample) Usage {
 	s := b.At.Sub(a.At).Seconds()
 	return Usage{
 		Name:     name,
--- a/lab/scale/report.go
+++ b/lab/scale/report.go
@@ -17,17 +17,17 @@
 
 // Slope is how one figure grows with the number of sidecars, and what it comes to at the target.
 type Slope struct {
-	Figure string  `json:"figure"`
-	Unit   string  `json:"unit"`
-	Points []Point `json:"points"` // one a run
-	Fits   bool    `json:"fits"`   // whether there were sizes enough for Reach
-	Reach  Reach   `json:"reach"`
+	Figure        string        `json:"figure"`
+	Unit          string        `json:"unit"`
+	Points        []Point       `json:"points"` // one a run
+	Fits          bool          `json:"fits"`   // whether there were sizes enough for Reach
+	Extrapolation Extrapolation `json:"reach"`
 }
 
 // figure is something that each run has one of; below 0: this run has none.
 type figure struct {
 	name, unit string
-	of         func(*Run) float64
+	value      func(*Run) float64
 }
 
 // none is the figure of a run that has none.
@@ -39,11 +39,11 @@
 	for _, f := range figures() {
 		s := Slope{Figure: f.name, Unit: f.unit}
 		for _, r := range runs {
-			if v := f.of(r); v > 0 {
+			if v := f.value(r); v > 0 {
 				s.Points = append(s.Points, Point{float64(r.Size), v})
 			}
 		}
-		if s.Reach, s.Fits = Extrapolate(s.Points, float64(target)); len(s.Points) > 0 {
+		if s.Extrapolation, s.Fits = Extrapolate(s.Points, float64(target)); len(s.Points) > 0 {
 			all = append(all, s)
 		}
 	}
@@ -52,7 +52,7 @@
 
 func figures() []figure {
 	var all []figure
-	for _, phase := range []string{QuietTime, ChangesOn, Restarts} {
+	for _, phase := range []string{QuietPhase, ChangesPhase, RestartPhase} {
 		all = append(all, usageFigures(phase)...)
 		all = append(all, linkFigures(phase)...)
 	}
@@ -66,7 +66,7 @@
 			return meanOf(r.Changes, func(c Change) float64 { return c.InForce.P99 })
 		}},
 		figure{"all: change in force, last", "s", func(r *Run) float64 {
-			return meanOf(r.Changes, func(c Change) float64 { return c.InForce.Most })
+			return meanOf(r.Changes, func(c Change) float64 { return c.InForce.Max })
 		}},
 		figure{"all: change acknowledged", "s", func(r *Run) float64 { return meanOf(r.Changes, func(c Change) float64 { return c.Acked }) }},
 	)
@@ -92,24 +92,24 @@
 	read := func(u Usage) float64 { return u.ReadS / 1e3 }
 	written := func(u Usage) float64 { return u.WrittenS / 1e3 }
 	return []figure{
-		{phase + ": control, busiest: processor", "% of a core", usage(phase, control, cores)},
-		{phase + ": control, busiest: memory", "MB", usage(phase, control, memory)},
-		{phase + ": control, busiest: read", "kB/s", usage(phase, control, read)},
-		{phase + ": control, busiest: written", "kB/s", usage(phase, control, written)},
-		{phase + ": sidecar, busiest true one: processor", "% of a core", usage(phase, real, cores)},
-		{phase + ": sidecar, largest true one: memory", "MB", usage(phase, real, memory)},
+		{phase + ": control, busiest: processor", "% of a core", maxUsage(phase, control, cores)},
+		{phase + ": control, busiest: memory", "MB", maxUsage(phase, control, memory)},
+		{phase + ": control, busiest: read", "kB/s", maxUsage(phase, control, read)},
+		{phase + ": control, busiest: written", "kB/s", maxUsage(phase, control, written)},
+		{phase + ": sidecar, busiest true one: processor", "% of a core", maxUsage(phase, real, cores)},
+		{phase + ": sidecar, largest true one: memory", "MB", maxUsage(phase, real, memory)},
 	}
 }
 
-func usage(phase string, who func(*Phase) []Usage, what func(Usage) float64) func(*Run) float64 {
+func maxUsage(phase string, processes func(*Phase) []Usage, value func(Usage) float64) func(*Run) float64 {
 	return func(r *Run) float64 {
 		p := r.Phase(phase)
 		if p == nil {
 			return none
 		}
 		most := float64(none)
-		for _, u := range who(p) {
-			most = max(most, what(u))
+		for _, u := range processes(p) {
+			most = max(most, value(u))
 		}
 		return most
 	}
@@ -122,25 +122,25 @@
 		name string
 		each func(*Run, *Phase) float64 // by how many the link's sum is shared
 	}{
-		{ControlToChild, "down to a relay", func(_ *Run, p *Phase) float64 { return float64(p.State.OfControl) }},
-		{ChildToControl, "up from a relay", func(_ *Run, p *Phase) float64 { return float64(p.State.OfControl) }},
-		{RelayToChild, "down to a leaf", func(_ *Run, p *Phase) float64 { return float64(p.State.OfRelay) }},
-		{ChildToRelay, "up from a leaf", func(_ *Run, p *Phase) float64 { return float64(p.State.OfRelay) }},
+		{ControlToChild, "down to a relay", func(_ *Run, p *Phase) float64 { return float64(p.State.ControlChildren) }},
+		{ChildToControl, "up from a relay", func(_ *Run, p *Phase) float64 { return float64(p.State.ControlChildren) }},
+		{RelayToChild, "down to a leaf", func(_ *Run, p *Phase) float64 { return float64(p.State.RelayChildren) }},
+		{ChildToRelay, "up from a leaf", func(_ *Run, p *Phase) float64 { return float64(p.State.RelayChildren) }},
 		{ControlToControl, "control to control, each link", func(_ *Run, p *Phase) float64 { return float64(len(p.Control)) }},
 	}
 	var all []figure
 	for _, l := range links {
 		all = append(all,
-			figure{phase + ": " + l.name + ": bytes", "kB/s", linked(phase, l.link, l.each, func(t Tally) float64 {
+			figure{phase + ": " + l.name + ": bytes", "kB/s", perMachine(phase, l.link, l.each, func(t Tally) float64 {
 				return float64(t.Sizes.Total()) / 1e3
 			})},
-			figure{phase + ": " + l.name + ": frames", "1/s", linked(phase, l.link, l.each, func(t Tally) float64 { return float64(t.Frames) })},
+			figure{phase + ": " + l.name + ": frames", "1/s", perMachine(phase, l.link, l.each, func(t Tally) float64 { return float64(t.Frames) })},
 		)
 	}
 	return all
 }
 
-func linked(phase string, link Link, each func(*Run, *Phase) float64, what func(Tally) float64) func(*Run) float64 {
+func perMachine(phase string, link Link, each func(*Run, *Phase) float64, what func(Tally) float64) func(*Run) float64 {
 	return func(r *Run) float64 {
 		p := r.Phase(phase)
 		if p == nil || each(r, p) == 0 {
@@ -164,15 +164,15 @@
 		"in force p50\tp99\tlast\tacked\trestarted p99\tlast, s\tmemory of all, MB\t\n")
 	for _, run := range r.Runs {
 		s := run.Phases[len(run.Phases)-1].State
-		w.printf("%d\t%d\t%d\t%d\t%d\t%d\t", run.Size, run.Repeat, s.OfControl, s.OfRelay, s.Relays, s.Left)
-		w.printf("%.2f\t%.2f\t%.2f\t", run.Ready.P50, run.Ready.P99, run.Ready.Most)
+		w.printf("%d\t%d\t%d\t%d\t%d\t%d\t", run.Size, run.Repeat, s.ControlChildren, s.RelayChildren, s.Relays, s.StaleParents)
+		w.printf("%.2f\t%.2f\t%.2f\t", run.Ready.P50, run.Ready.P99, run.Ready.Max)
 		of := func(get func(Change) float64) float64 { return meanOf(run.Changes, get) }
 		w.printf("%.3f\t%.3f\t%.3f\t%.3f\t",
 			of(func(c Change) float64 { return c.InForce.P50 }),
 			of(func(c Change) float64 { return c.InForce.P99 }),
-			of(func(c Change) float64 { return c.InForce.Most }),
+			of(func(c Change) float64 { return c.InForce.Max }),
 			of(func(c Change) float64 { return c.Acked }))
-		w.printf("%.2f\t%.2f\t%.0f\t\n", run.Restarted.P99, run.Restarted.Most, float64(run.MostRSS)/1e6)
+		w.printf("%.2f\t%.2f\t%.0f\t\n", run.Restarted.P99, run.Restarted.Max, float64(run.MaxRSS)/1e6)
 	}
 	w.flush()
 	r.writeSlopes(out)
@@ -191,12 +191,12 @@
 	for _, s := range r.Slopes {
 		w.printf("%s, %s", s.Figure, s.Unit)
 		for _, size := range r.sizes() {
-			w.printf("\t%s", s.at(size))
+			w.printf("\t%s", s.formatMeanAt(size))
 		}
 		if s.Fits {
-			reach := s.Reach
-			w.printf("\t%.2f (%.2f to %.2f)", reach.Growth.Power, reach.PowerLow, reach.PowerTop)
-			w.printf("\t%.3g to %.3g", reach.Low, reach.Top)
+			reach := s.Extrapolation
+			w.printf("\t%.2f (%.2f to %.2f)", reach.Growth.Power, reach.PowerLow, reach.PowerHigh)
+			w.printf("\t%.3g to %.3g", reach.Low, reach.High)
 		}
 		w.printf("\n")
 	}
@@ -213,7 +213,7 @@
 }
 
 // at is the mean at a size, and how far single runs were from it at most.
-func (s *Slope) at(size int) string {
+func (s *Slope) formatMeanAt(size int) string {
 	var all []float64
 	sum := 0.
 	for _, p := range s.Points {
--- a/lab/scale/run.go
+++ b/lab/scale/run.go
@@ -32,24 +32,24 @@
 
 // State is how many hollow sidecars there are of each kind.
 type State struct {
-	Sidecars  int `json:"sidecars"`
-	Ready     int `json:"ready"`
-	Relays    int `json:"relays"`
-	OfControl int `json:"ofControl"`
-	OfRelay   int `json:"ofRelay"`
-	Left      int `json:"left"`
+	Sidecars        int `json:"sidecars"`
+	Ready           int `json:"ready"`
+	Relays          int `json:"relays"`
+	ControlChildren int `json:"ofControl"`
+	RelayChildren   int `json:"ofRelay"`
+	StaleParents    int `json:"left"`
 }
 
 // Times are the seconds until a condition is met at shares of the hollow sidecars.
 type Times struct {
-	P50  float64 `json:"p50"`
-	P99  float64 `json:"p99"`
-	Most float64 `json:"most"`
-	Of   int     `json:"of"`
+	P50   float64 `json:"p50"`
+	P99   float64 `json:"p99"`
+	Max   float64 `json:"most"`
+	Count int     `json:"of"`
 }
 
 func timesOf(all []float64) Times {
-	return Times{P50: Percentile(all, 0.5), P99: Percentile(all, 0.99), Most: Percentile(all, 1), Of: len(all)}
+	return Times{P50: Percentile(all, 0.5), P99: Percentile(all, 0.99), Max: Percentile(all, 1), Count: len(all)}
 }
 
 // Change is one change of the configuration: seconds from the operator's call.
@@ -69,7 +69,7 @@
 	Restarted   Times    `json:"restarted"` // ... after the restart
 	Phases      []Phase  `json:"phases"`
 	Changes     []Change `json:"changes"`
-	MostRSS     int64    `json:"mostRSSBytes"` // of all processes together
+	MaxRSS      int64    `json:"mostRSSBytes"` // of all processes together
 }
 
 // Phase returns a phase by its name; nil: there is none.
@@ -84,10 +84,10 @@
 
 // The phases.
 const (
-	StartUp   = "start"
-	QuietTime = "quiet"
-	ChangesOn = "changes"
-	Restarts  = "restart"
+	StartPhase   = "start"
+	QuietPhase   = "quiet"
+	ChangesPhase = "changes"
+	RestartPhase = "restart"
 )
 
 // runner is a run while it lasts.
@@ -105,21 +105,21 @@
 }
 
 // Play plays one run and ends all that it has started.
-func Play(ctx context.Context, plan *Plan, size, repeat int) (*Run, error) {
+func RunOnce(ctx context.Context, plan *Plan, size, repeat int) (*Run, error) {
 	r := &runner{plan: plan, run: &Run{Size: size, Repeat: repeat}, inForce: map[uint32][]int64{}}
 	defer r.end()
-	if err := r.start(ctx); err != nil {
+	if err := r.startReal(ctx); err != nil {
 		return nil, err
 	}
 	steps := []struct {
 		name string
 		do   func(context.Context) error
 	}{
-		{StartUp, r.startHollow},
+		{StartPhase, r.startHollow},
 		{"", func(ctx context.Context) error { return pause(ctx, plan.Settle) }},
-		{QuietTime, func(ctx context.Context) error { return pause(ctx, plan.Quiet) }},
-		{ChangesOn, r.change},
-		{Restarts, r.restart},
+		{QuietPhase, func(ctx context.Context) error { return pause(ctx, plan.Quiet) }},
+		{ChangesPhase, r.makeChanges},
+		{RestartPhase, r.restart},
 	}
 	for _, s := range steps {
 		if err := r.phase(ctx, s.name, s.do); err != nil {
@@ -131,7 +131,7 @@
 
 func (r *runner) end() {
 	for _, c := range r.children {
-		c.end()
+		c.stop()
 	}
 	if r.listener != nil {
 		r.listener.Close()
@@ -143,7 +143,7 @@
 }
 
 // start starts what is true and puts the first configuration.
-func (r *runner) start(ctx context.Context) error {
+func (r *runner) startReal(ctx context.Context) error {
 	p := r.plan
 	var zones []string
 	for i := range p.Zones {
@@ -214,7 +214,7 @@
 	all := r.plan.hollows(r.run.Size)
 	groups := (len(all) + groupSize - 1) / groupSize
 	for i := range groups {
-		spec := GroupSpec{PerS: r.plan.PerS / float64(groups)}
+		spec := GroupSpec{StartsPerS: r.plan.StartsPerS / float64(groups)}
 		for j := i; j < len(all); j += groups {
 			spec.Sidecars = append(spec.Sidecars, all[j])
 		}
@@ -224,7 +224,7 @@
 		}
 		r.children = append(r.children, c)
 	}
-	starts := time.Duration(float64(len(all)) / r.plan.PerS * float64(time.Second))
+	starts := time.Duration(float64(len(all)) / r.plan.StartsPerS * float64(time.Second))
 	if err := r.await(ctx, starts+startTimeout, func() bool { return r.state.Ready == len(all) }); err != nil {
 		return err
 	}
@@ -233,7 +233,7 @@
 }
 
 // change puts the changes and waits until the last is in force.
-func (r *runner) change(ctx context.Context) error {
+func (r *runner) makeChanges(ctx context.Context) error {
 	begins := map[uint32]time.Time{}
 	for range r.plan.Changes {
 		r.edition++
@@ -243,7 +243,7 @@
 		}
 		begins[r.edition] = began
 		r.run.Changes = append(r.run.Changes, Change{Edition: r.edition, Acked: time.Since(began).Seconds()})
-		if err := pause(ctx, r.plan.Every-time.Since(began)); err != nil {
+		if err := pause(ctx, r.plan.ChangeInterval-time.Since(began)); err != nil {
 			return err
 		}
 	}
@@ -262,14 +262,14 @@
 // restart restarts a share of the hollow sidecars at once and counts for a while.
 func (r *runner) restart(ctx context.Context) error {
 	began := time.Now()
-	if err := r.readAll(Command{Do: Restart, Share: r.plan.Restart}); err != nil {
+	if err := r.readAll(Command{Do: Restart, Share: r.plan.RestartShare}); err != nil {
 		return err
 	}
 	if err := r.await(ctx, startTimeout, func() bool { return r.state.Ready == r.state.Sidecars }); err != nil {
 		return err
 	}
 	r.run.Restarted = timesOf(r.readyS)
-	return pause(ctx, r.plan.After-time.Since(began))
+	return pause(ctx, r.plan.RestartPeriod-time.Since(began))
 }
 
 // await polls the groups until done reports true, or the timeout has passed.
@@ -291,9 +291,9 @@
 }
 
 // readAll sends a command to all groups and collects their replies.
-func (r *runner) readAll(o Command) error {
+func (r *runner) readAll(command Command) error {
 	for _, c := range r.children {
-		if err := c.send(o); err != nil {
+		if err := c.send(command); err != nil {
 			return err
 		}
 	}
@@ -312,9 +312,9 @@
 		s.Sidecars += got.Sidecars
 		s.Ready += got.Ready
 		s.Relays += got.Relays
-		s.OfControl += got.OfControl
-		s.OfRelay += got.OfRelay
-		s.Left += got.Left
+		s.ControlChildren += got.ControlChildren
+		s.RelayChildren += got.RelayChildren
+		s.StaleParents += got.StaleParents
 	}
 	return nil
 }
--- a/lab/scale/traffic.go
+++ b/lab/scale/traffic.go
@@ -57,7 +57,7 @@
 	f = normalize(*f)
 	bare := *f
 	bare.Entries, bare.Machines, bare.Value, bare.Deltas = nil, nil, nil, nil
-	s := Sizes{Header: encoded(&bare)}
+	s := Sizes{Header: encodedSize(&bare)}
 	var complete, alive []*wire.EntryT
 	for _, e := range f.Entries {
 		if _, ok := codec.EntryFromWire(e, 0); ok {
@@ -67,11 +67,11 @@
 		}
 	}
 	base := s.Header
-	s.Entries, s.Alive = entries(bare, base, complete), entries(bare, base, alive)
+	s.Entries, s.Alive = entriesSize(bare, base, complete), entriesSize(bare, base, alive)
 	if len(f.Machines) > 0 {
 		with := bare
 		with.Machines = f.Machines
-		s.Machines = encoded(&with) - base
+		s.Machines = encodedSize(&with) - base
 	}
 	if f.Value != nil {
 		s.Configuration = int64(len(f.Value.Body))
@@ -80,7 +80,7 @@
 		s.Configuration += int64(len(d.Bytes))
 	}
 	if len(complete) <= maxSampled && len(alive) <= maxSampled { // what alignment and shared tables make of it
-		s.Header += encoded(f) - s.Total()
+		s.Header += encodedSize(f) - s.Total()
 	}
 	return s
 }
@@ -124,27 +124,27 @@
 	return normal
 }
 
-func encoded(f *wire.FrameT) int64 { return int64(len(wire.Encode(f))) }
+func encodedSize(f *wire.FrameT) int64 { return int64(len(wire.Encode(f))) }
 
 // entries is what entries add to a bare frame: the first of them, with a table of its fields, and each further one,
 // which shares that.
-func entries(bare wire.FrameT, base int64, all []*wire.EntryT) int64 {
+func entriesSize(bare wire.FrameT, base int64, all []*wire.EntryT) int64 {
 	if len(all) == 0 {
 		return 0
 	}
 	some := all[:min(len(all), maxSampled)]
 	bare.Entries = some
-	sum := encoded(&bare) - base
+	sum := encodedSize(&bare) - base
 	if len(all) == len(some) {
 		return sum
 	}
 	bare.Entries = some[:1]
-	first := encoded(&bare) - base
+	first := encodedSize(&bare) - base
 	return first + (sum-first)*int64(len(all)-1)/int64(len(some)-1)
 }
 
 // flow is what an account keeps apart.
-type flow struct {
+type flowKey struct {
 	link Link
 	kind byte
 }
@@ -158,17 +158,17 @@
 }
 
 // TrafficCounter counts frames by link and kind. It is not safe for concurrent use.
-type TrafficCounter struct{ tallies map[flow]*Tally }
+type TrafficCounter struct{ tallies map[flowKey]*Tally }
 
 // NewTrafficCounter returns an empty account.
-func NewTrafficCounter() *TrafficCounter { return &TrafficCounter{tallies: map[flow]*Tally{}} }
+func NewTrafficCounter() *TrafficCounter { return &TrafficCounter{tallies: map[flowKey]*Tally{}} }
 
 // Add counts a frame.
 func (a *TrafficCounter) Add(link Link, kind byte, sizes Sizes) {
-	t := a.tallies[flow{link, kind}]
+	t := a.tallies[flowKey{link, kind}]
 	if t == nil {
 		t = &Tally{Link: link, Kind: kindName(kind)}
-		a.tallies[flow{link, kind}] = t
+		a.tallies[flowKey{link, kind}] = t
 	}
 	t.Frames++
 	t.Sizes.add(sizes)
--- a/lab/scale/traffic_test.go
+++ b/lab/scale/traffic_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestMeasureTellsWhatBytesAreMadeOf(t *testing.T) {
+func TestMeasureSplitsBytesByContent(t *testing.T) {
 	f := &wire.FrameT{Kind: wire.Update, Version: 7, Value: &wire.ValueT{Version: 7, Body: make([]byte, 5000)}}
 	for i := range 10 {
 		f.Entries = append(f.Entries, codec.EntryToWire(entry(i), 0), codec.LivenessToWire(entry(i), 0))
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestMeasureOfLongListsIsCloseToWhatIsSent(t *testing.T) {
+func TestMeasureOfLongListsApproximatesEncodedSize(t *testing.T) {
 	f := &wire.FrameT{Kind: wire.Hello, From: "127.78.0.1:7320"}
 	for i := range 3000 {
 		f.Entries = append(f.Entries, codec.LivenessToWire(entry(i), 0))
@@ -70,10 +70,10 @@
 			f.Entries = append(f.Entries, codec.EntryToWire(entry(i), 0))
 		}
 	}
-	near(t, "bytes", float64(Measure(f).Total()), float64(encoded(f)), 0.01)
+	assertNear(t, "bytes", float64(Measure(f).Total()), float64(encodedSize(f)), 0.01)
 }
 
-func TestAccountKeepsLinksAndKindsApart(t *testing.T) {
+func TestTrafficCounterSeparatesLinksAndKinds(t *testing.T) {
 	a := NewTrafficCounter()
 	a.Add(ControlToChild, wire.Update, Sizes{Header: 10, Configuration: 90})
 	a.Add(ControlToChild, wire.Update, Sizes{Header: 10})
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestSinceLeavesWhatWasCountedBefore(t *testing.T) {
+func TestSinceSubtractsEarlierTallies(t *testing.T) {
 	a, b := NewTrafficCounter(), NewTrafficCounter()
 	a.Add(ChildToControl, wire.Report, Sizes{Header: 5, Alive: 50})
 	before := a.Tallies()
