--- a/cmd/firplank-lab/reckon.go
+++ b/cmd/firplank-lab/reckon.go
@@ -28,8 +28,9 @@
 func (c *reckonCommand) Run(out io.Writer) error {
 	printer := output.New(out)
 	s := scale.Shape{
-		Sidecars: c.Sidecars, Control: c.Control, Zones: c.Zones, Members: c.Members, PackedBytes: c.Packed, ChangesPerS: c.Changes / secondsPerDay,
-		RestartsPerS: c.Restarts / secondsPerDay, RevisionsPerRestart: c.Revisions, Fanout: c.Breadth, CalledServices: c.Reached,
+		Sidecars: c.Sidecars, Control: c.Control, Zones: c.Zones, Members: c.Members, PackedBytes: c.Packed,
+		ChangesPerS: c.Changes / secondsPerDay, RestartsPerS: c.Restarts / secondsPerDay, RevisionsPerRestart: c.Revisions,
+		Fanout: c.Breadth, CalledServices: c.Reached,
 		SubsetSize: c.Subset, DeltaBytes: c.Difference,
 	}
 	scale.WriteTerms(out, "as built", s.AsBuilt())
--- a/cmd/firplank-lab/scale.go
+++ b/cmd/firplank-lab/scale.go
@@ -55,7 +55,8 @@
 	plan := scale.Plan{
 		Sizes: c.Sizes, Repeats: c.Repeats, Control: c.Control, Real: c.Real, Zones: c.Zones, Services: c.Services,
 		Routes: c.Routes, StartsPerS: c.PerS,
-		Settle: c.Settle, Quiet: c.Quiet, Changes: c.Changes, ChangeInterval: c.Every, RestartShare: c.Restart, RestartPeriod: c.After, Target: c.Target,
+		Settle: c.Settle, Quiet: c.Quiet, Changes: c.Changes, ChangeInterval: c.Every,
+		RestartShare: c.Restart, RestartPeriod: c.After, Target: c.Target,
 		MaxRSS: c.MaxMB * 1e6, Net: c.Net, Folder: filepath.Join(folder, "mesh"), Programs: folder, Lab: lab,
 	}
 	if err := plan.Check(); err != nil {
--- a/lab/scale/child.go
+++ b/lab/scale/child.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// replyTimeout bounds the wait for a group's answer, and exitTimeout for its end after its input has ended.
+// replyTimeout bounds the wait for a group's reply, exitTimeout the wait for its exit after its input was closed.
 const (
 	replyTimeout = 60 * time.Second
 	exitTimeout  = 10 * time.Second
 )
 
-// child is a group's process as the run sees it.
+// child is the run's handle on the process of a group.
 type child struct {
 	process  *exec.Cmd
 	in       io.WriteCloser
@@ -25,7 +25,7 @@
 	last     Status
 }
 
-// startChild starts a process of hollow sidecars. It ends when its input does, so it doesn't outlive this process.
+// startChild starts a process of hollow sidecars. The child exits when its input is closed, so it doesn't outlive this process.
 func startChild(ctx context.Context, lab string, spec GroupSpec) (*child, error) {
 	c := &child{process: exec.CommandContext(ctx, lab, "hollow"), replies: make(chan Status, 1)}
 	c.process.Stderr = os.Stderr
@@ -58,10 +58,10 @@
 	return c, nil
 }
 
-// send has the group do something. Its answer is collected by answer.
+// send sends a command to the group. The reply is received by reply.
 func (c *child) send(command Command) error {
 	if err := c.commands.Encode(command); err != nil {
-		return fmt.Errorf("order hollow sidecars: %w", err)
+		return fmt.Errorf("send command to hollow sidecars: %w", err)
 	}
 	return nil
 }
@@ -70,29 +70,29 @@
 	select {
 	case r, ok := <-c.replies:
 		if !ok {
-			return r, fmt.Errorf("a process of hollow sidecars has ended")
+			return r, fmt.Errorf("process of hollow sidecars has exited")
 		}
 		c.last = r
 		return r, nil
 	case <-time.After(replyTimeout):
-		return Status{}, fmt.Errorf("a process of hollow sidecars doesn't answer within %v", replyTimeout)
+		return Status{}, fmt.Errorf("no reply from hollow sidecars within %v", replyTimeout)
 	}
 }
 
-// end ends the process: by the end of its input, or else by force.
+// stop closes the input of the process, and kills the process if it doesn't exit within exitTimeout.
 func (c *child) stop() {
-	_ = c.in.Close() // where the process has ended already
+	_ = c.in.Close() // fails if the process has already exited
 	done := make(chan struct{})
 	go func() {
-		for range c.replies { // what was not collected
+		for range c.replies { // discard replies that were not received
 		}
-		_ = c.process.Wait() // killed, or it has ended by itself
+		_ = c.process.Wait() // the exit status is not used
 		close(done)
 	}()
 	select {
 	case <-done:
 	case <-time.After(exitTimeout):
-		_ = c.process.Process.Kill() // unless it has ended just now
+		_ = c.process.Process.Kill() // fails if the process has just exited
 		<-done
 	}
 }
--- a/lab/scale/control.go
+++ b/lab/scale/control.go
@@ -13,11 +13,12 @@
 	"firplank/mesh/wire"
 )
 
-// helloInterval is how often control machines speak to one another, as in mesh/controlplane.
+// helloInterval is the interval between hellos to a control machine, the same as in mesh/controlplane.
 const helloInterval = 300 * time.Millisecond
 
-// Listener is a hollow control machine: it announces itself to the real ones and counts what they send it, which is
-// what they send each other about sidecars. It is no replica of the register, knows no sidecar and has no subscribers.
+// Listener is a hollow control machine. It sends hellos to the real control machines and counts the frames that they send
+// to it, which are those that they send each other about sidecars. It is not a replica of the register, has no entries of
+// sidecars and accepts no subscribers.
 type Listener struct {
 	addr       string
 	ln         net.Listener
@@ -28,11 +29,11 @@
 	traffic *TrafficCounter
 }
 
-// Listen starts one at an address, known to the control machines at others.
+// Listen starts a Listener at an address and announces it to the control machines at others.
 func Listen(talk string, others []string) (*Listener, error) {
 	ln, err := net.Listen("tcp", talk)
 	if err != nil {
-		return nil, fmt.Errorf("start a hollow control machine: %w", err)
+		return nil, fmt.Errorf("start hollow control machine: %w", err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	l := &Listener{addr: talk, ln: ln, stop: stop, traffic: NewTrafficCounter()}
@@ -43,7 +44,7 @@
 	return l, nil
 }
 
-// sendHellos sends hellos to one control machine until ctx ends.
+// sendHellos sends hellos to one control machine until ctx is canceled.
 func (l *Listener) sendHellos(ctx context.Context, addr string) {
 	var conn *transport.Conn
 	for ctx.Err() == nil {
@@ -78,16 +79,16 @@
 // HandleClose implements transport.Handler.
 func (l *Listener) HandleClose(*transport.Conn) {}
 
-// Tallies returns what was received from all control machines together.
+// Tallies returns the traffic received from all control machines together.
 func (l *Listener) Tallies() []Tally {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.traffic.Tallies()
 }
 
-// Close ends it.
+// Close stops the listener and waits for its goroutines.
 func (l *Listener) Close() {
 	l.stop()
-	_ = l.ln.Close() // it has nothing to lose
+	_ = l.ln.Close() // a listener has no buffered data
 	l.goroutines.Wait()
 }
--- a/lab/scale/doc.go
+++ b/lab/scale/doc.go
@@ -1,8 +1,8 @@
-// Package scale measures how the load of the mesh's control side grows with the number of sidecars. A run starts real
-// control machines and some real sidecars beside many hollow ones: sidecars without proxy and server that share
-// processes and speak the same protocol by the code of the real ones. It counts frames by kind, what
-// their bytes are made of, processor time, memory and the time until a change is in force, and carries the figures on
-// to a size that isn't played. Everything stays on loopback, and a run ends what it started.
+// Package scale measures how the load of the control plane grows with the number of sidecars. A run starts real control
+// machines and some real sidecars beside many hollow ones: sidecars without proxy and server that share processes and run
+// the protocol code of the real ones. It counts frames by kind and by content, processor time, memory and the time until
+// a change is in force, and extrapolates the figures to a size that isn't run. All traffic stays on loopback, and a run
+// stops every process that it started.
 //
-// Start reading at Play; a hollow sidecar is in hollow.go, and how figures are carried on in fit.go.
+// Start reading at RunOnce. The hollow sidecar is in hollow.go, the extrapolation in fit.go.
 package scale
--- a/lab/scale/estimate.go
+++ b/lab/scale/estimate.go
@@ -14,24 +14,24 @@
 	"firplank/mesh/wire"
 )
 
-// Shape is a mesh in ordinary use. Its loads are reckoned from it by construction: the sizes are those of the codec,
-// the rates those of the constants of the packages named beside the terms. Nothing is played.
+// Shape describes a mesh in ordinary use, from which its loads are calculated without a run. Frame sizes come from the
+// codec, rates from the constants of the packages that send.
 type Shape struct {
 	Sidecars, Control, Zones int
 	Members                  int     // of the register
-	PackedBytes              int     // bytes of the packed configuration
-	DeltaBytes               int     // bytes of a change sent as a difference
-	ChangesPerS              float64 // changes of the configuration a second
-	RestartsPerS             float64 // sidecars that start anew, or fail, a second
-	RevisionsPerRestart      float64 // changes of the directory that each of them causes
+	PackedBytes              int     // of the compressed configuration
+	DeltaBytes               int     // of a configuration change sent as a delta
+	ChangesPerS              float64 // configuration changes
+	RestartsPerS             float64 // sidecars that restart or fail
+	RevisionsPerRestart      float64 // directory changes caused by each restart
 	Fanout                   float64 // children of a relay
 
-	// What follows is of the planned mechanisms alone.
-	CalledServices int // services that a sidecar calls
-	SubsetSize     int // servers of each that it is sent
+	// The remaining fields are used by Planned only.
+	CalledServices int // services that each sidecar calls
+	SubsetSize     int // servers of each called service that are sent to a sidecar
 }
 
-// Term is one part of a role's load, in bytes a second, and the mechanism that carries it.
+// Term is one part of a role's load in bytes per second, and the mechanism that causes it.
 type Term struct {
 	Role, Part, Mechanism string
 	In, Out               float64
@@ -45,7 +45,7 @@
 	RegisterMember = "register member, besides"
 )
 
-// Rates of the packages that send.
+// Rates per second of the packages that send.
 var (
 	updatesPerS      = float64(time.Second) / float64(timing.Default().Dissemination.HeartbeatInterval)
 	machineListsPerS = updatesPerS / 3
@@ -55,12 +55,12 @@
 	probesPerS       = 2 / 0.4 // membership.Config.ProbeInterval: pings, and acks of as many
 )
 
-// frameSizes holds the bytes of what frames are made of.
+// frameSizes holds the sizes in bytes of frames and of single list elements.
 type frameSizes struct {
 	update, heartbeat, report, hello, alive, entry, machine, read, readReply, probe float64
 }
 
-// sampleFrameSizes measures them by the codec, for names of the length that the measured runs have.
+// sampleFrameSizes encodes sample frames, with names as long as those of the measured runs, and returns their sizes.
 func sampleFrameSizes() frameSizes {
 	e := &directory.Entry{
 		Node: "hollow-000001", Incarnation: 1700000000000, Sequence: 2, Addr: "127.78.16.1:7300",
@@ -95,13 +95,13 @@
 		alive:     each(codec.LivenessToWire(e, 0)),
 		entry:     each(codec.EntryToWire(e, 0)),
 		machine:   (machines(11) - machines(1)) / 10,
-		probe:     alone(&wire.FrameT{Kind: wire.Probe, From: e.Node, Id: 1}) - wire.LengthSize, // a datagram has no length ahead of it
+		probe:     alone(&wire.FrameT{Kind: wire.Probe, From: e.Node, Id: 1}) - wire.LengthSize, // datagrams have no length prefix
 		read:      alone(codec.RegisterToFrame(&read)),
 		readReply: alone(codec.RegisterToFrame(&readReply)),
 	}
 }
 
-// AsBuilt reckons the loads of what stands in the code.
+// AsBuilt calculates the loads of the implemented mechanisms.
 func (s Shape) AsBuilt() []Term {
 	u := sampleFrameSizes()
 	down := []Term{
@@ -113,7 +113,8 @@
 	heartbeat := heartbeatsPerS*u.heartbeat + s.ChangesPerS*u.report
 	all := termsForRole(Leaf, down, 0)
 	all = append(all, Term{Leaf, "own heartbeat", "a frame each 0.7 s", 0, heartbeat})
-	probes := Term{Leaf, "probes of other sidecars", "datagrams, one asked each 0.4 s, and answers", probesPerS * u.probe, probesPerS * u.probe}
+	probes := Term{Leaf, "probes of other sidecars", "datagrams, one asked each 0.4 s, and answers",
+		probesPerS * u.probe, probesPerS * u.probe}
 	all = append(all, probes)
 	all = append(all, termsForRole(Relay, down, s.Fanout)...)
 	probes.Role = Relay
@@ -147,7 +148,7 @@
 	)
 }
 
-// roleOf are the terms of what comes down the tree, passed on to so many children.
+// termsForRole returns the terms of a role for what it receives from its parent and forwards to each of its children.
 func termsForRole(role string, down []Term, children float64) (all []Term) {
 	for _, t := range down {
 		t.Role, t.Out = role, children*t.In
@@ -156,26 +157,26 @@
 	return all
 }
 
-// Sizes that the planned mechanisms are designed for, in bytes.
+// Parameters of the planned mechanisms.
 const (
-	plannedUpdateBytes    = 48.    // a frame with a version, a digest and an age, without the empty texts of today's
-	plannedHeartbeatBytes = 64.    // a frame upwards with a digest of the incarnations below
-	plannedLivenessBytes  = 1. / 8 // a bit at a sidecar's number in its zone
+	plannedUpdateBytes    = 48.    // a frame with a version, a digest and an age, without the empty fields of the present frame
+	plannedHeartbeatBytes = 64.    // a frame to the parent with a digest of the incarnations below the sender
+	plannedLivenessBytes  = 1. / 8 // one bit, indexed by the sidecar's number in its zone
 	plannedHelloBytes     = 96.    // versions and digests of the shards, between control machines
-	plannedFrameBytes     = 48.    // around a difference
+	plannedFrameBytes     = 48.    // overhead of a frame with a delta
 	plannedFanout         = 10.    // children of a relay
-	machineListIntervalS  = 3600.  // seconds between two whole lists of control machines
+	machineListIntervalS  = 3600.  // seconds between two full lists of control machines
 )
 
-// Planned reckons the loads of the mechanisms of issue 50: subsets by route, differences, digests, heartbeats as bits
-// that relays join, a tree in each zone under one relay that has its news from the control machines, and a directory
-// in shards, of which each change is passed on by one control machine. The sizes of frames are designs, not
-// measurements. Of relays the one at the top of a zone is reckoned, which has the most to do.
+// Planned calculates the loads of the mechanisms of issue 50: subsets by route, deltas, digests, heartbeats as bits that
+// relays merge, a tree in each zone under one relay that receives updates from the control machines, and a sharded
+// directory in which each change is sent by one control machine. The frame sizes are design figures, not measurements.
+// The relay terms are those of the relay at the top of a zone, which has the highest load.
 func (s Shape) Planned() []Term {
 	u := sampleFrameSizes()
 	n, control, zones := float64(s.Sidecars), float64(s.Control), float64(s.Zones)
 	change := u.entry + plannedFrameBytes
-	changes := s.RestartsPerS * s.RevisionsPerRestart // of the whole directory, a second
+	changes := s.RestartsPerS * s.RevisionsPerRestart // of the whole directory, per second
 	difference := s.ChangesPerS * (float64(s.DeltaBytes) + plannedFrameBytes)
 	down := []Term{
 		{Part: "that all is fresh", Mechanism: "version and digest each 0.35 s", In: updatesPerS * plannedUpdateBytes},
@@ -193,10 +194,11 @@
 		Term{Relay, "directory", "every change in, each child's part out (here: all)",
 			changes * change, plannedFanout * changes * change},
 		Term{Relay, "heartbeats of the zone", "bits, joined by relays, a frame a child each 0.7 s",
-			heartbeatsPerS * (plannedFanout*plannedHeartbeatBytes + n/zones*plannedLivenessBytes), heartbeatsPerS * (plannedHeartbeatBytes + n/zones*plannedLivenessBytes)},
+			heartbeatsPerS * (plannedFanout*plannedHeartbeatBytes + n/zones*plannedLivenessBytes),
+			heartbeatsPerS * (plannedHeartbeatBytes + n/zones*plannedLivenessBytes)},
 		Term{Relay, "probes of other sidecars", "as built, but of its subset alone", probesPerS * u.probe, probesPerS * u.probe},
 	)
-	top := 2 * zones / control // relays at zones' tops that a control machine serves: two a zone, of which one passes on
+	top := 2 * zones / control // zone relays per control machine: two in each zone, of which one forwards
 	all = append(all,
 		Term{ControlMachine, "heartbeats of its zones", "bits, one frame a zone's relay each 0.7 s",
 			top * heartbeatsPerS * (plannedHeartbeatBytes + n/zones*plannedLivenessBytes), 0},
@@ -219,13 +221,13 @@
 	)
 }
 
-// Starts is what a sidecar is sent at its start, in bytes, as built and as planned.
+// StartBytes returns the bytes that a sidecar is sent at its start, as built and as planned.
 func (s Shape) StartBytes() (built, planned float64) {
 	u := sampleFrameSizes()
 	return 2*float64(s.Sidecars)*u.entry + float64(s.PackedBytes), float64(s.CalledServices*s.SubsetSize)*u.entry + float64(s.PackedBytes)
 }
 
-// WriteTerms prints terms with the sum of each role.
+// WriteTerms prints the terms and the sum of each role.
 func WriteTerms(out io.Writer, title string, terms []Term) {
 	_, _ = fmt.Fprintf(out, "%s, kB/s\n", title)
 	w := newTable(out, 0)
--- a/lab/scale/estimate_test.go
+++ b/lab/scale/estimate_test.go
@@ -7,7 +7,8 @@
 
 func targetShape() Shape {
 	return Shape{
-		Sidecars: 8400, Control: 18, Zones: 8, Members: 3, PackedBytes: 33276, ChangesPerS: 0.0845, RestartsPerS: 0.0307, RevisionsPerRestart: 8, Fanout: 5,
+		Sidecars: 8400, Control: 18, Zones: 8, Members: 3, PackedBytes: 33276,
+		ChangesPerS: 0.0845, RestartsPerS: 0.0307, RevisionsPerRestart: 8, Fanout: 5,
 		CalledServices: 12, SubsetSize: 24, DeltaBytes: 600,
 	}
 }
@@ -21,8 +22,8 @@
 	return in, out
 }
 
-// What relays get from control machines is what those send them, and so on: each byte that the reckoning has sent is
-// got by somebody.
+// Guards against a term that counts bytes on one end of a link only: the bytes sent by one role have to equal the bytes
+// received by the roles at the other end.
 func TestBytesSentEqualBytesReceived(t *testing.T) {
 	s := targetShape()
 	terms := s.AsBuilt()
@@ -56,14 +57,14 @@
 	for _, role := range []string{Leaf, Relay} {
 		in, out := sumForRole(small.AsBuilt(), role)
 		in2, out2 := sumForRole(large.AsBuilt(), role)
-		if in2 > 1.05*in || out2 > 1.05*out { // but for the directory's changes
-			t.Errorf("%s: %.0f and %.0f to %.0f and %.0f bytes a second", role, in, out, in2, out2)
+		if in2 > 1.05*in || out2 > 1.05*out { // 5 % for the changes of the directory
+			t.Errorf("%s: in %.0f, out %.0f bytes per second with half the sidecars; in %.0f, out %.0f with all", role, in, out, in2, out2)
 		}
 	}
 	in, _ := sumForRole(small.AsBuilt(), ControlMachine)
 	in2, _ := sumForRole(large.AsBuilt(), ControlMachine)
 	if in2 < 1.8*in {
-		t.Errorf("a control machine gets %.0f and %.0f bytes a second", in, in2)
+		t.Errorf("a control machine receives %.0f bytes per second with half the sidecars, %.0f with all; want 1.8 times as many", in, in2)
 	}
 }
 
@@ -71,18 +72,18 @@
 	const budget = 12000
 	for _, role := range []string{Leaf, Relay} {
 		if in, out := sumForRole(targetShape().Planned(), role); in+out > budget {
-			t.Errorf("%s: %.0f bytes a second", role, in+out)
+			t.Errorf("%s: %.0f bytes per second, over the budget", role, in+out)
 		}
 	}
 	if in, out := sumForRole(targetShape().AsBuilt(), Relay); in+out < budget {
-		t.Errorf("a relay as built keeps to %.0f bytes a second, which docs/measurements/capacity-by-parts.md denies", in+out)
+		t.Errorf("relay as built: %.0f bytes per second, within the budget, unlike docs/measurements/capacity-by-parts.md", in+out)
 	}
 	small, large := targetShape(), targetShape()
 	large.Sidecars, large.RestartsPerS = 2*large.Sidecars, 2*large.RestartsPerS
 	in, out := sumForRole(small.Planned(), Leaf)
 	in2, out2 := sumForRole(large.Planned(), Leaf)
-	assertNear(t, "a sidecar's bytes in with twice the mesh", in2, in, 1e-9)
-	assertNear(t, "a sidecar's bytes out with twice the mesh", out2, out, 1e-9)
+	assertNear(t, "bytes received by a sidecar with twice as many sidecars", in2, in, 1e-9)
+	assertNear(t, "bytes sent by a sidecar with twice as many sidecars", out2, out, 1e-9)
 }
 
 func TestSampledFrameSizesArePlausible(t *testing.T) {
@@ -97,6 +98,6 @@
 		}
 	}
 	if u.entry <= u.alive {
-		t.Errorf("a whole entry has %v bytes, one that only lives %v", u.entry, u.alive)
+		t.Errorf("a full entry has %v bytes, a liveness entry %v", u.entry, u.alive)
 	}
 }
--- a/lab/scale/fit.go
+++ b/lab/scale/fit.go
@@ -11,7 +11,7 @@
 	Figure float64 `json:"figure"`
 }
 
-// Growth says how a figure grows with the mesh: as Scale × size^Power, and as Fixed + Each × size.
+// Growth is the growth of a figure with the size of the mesh, as Scale × size^Power and as Intercept + Slope × size.
 type Growth struct {
 	Scale     float64 `json:"scale"`
 	Power     float64 `json:"power"`
@@ -19,9 +19,9 @@
 	Slope     float64 `json:"each"`
 }
 
-// Fit fits both forms to points by least squares: the power law over logarithms, the line with weights by the inverse
-// square of the figure, so that each size counts alike in both. It reports false where there are fewer than two sizes
-// or a figure isn't above 0.
+// Fit fits both forms to points by least squares: the power law on logarithms, the line with the inverse square of the
+// figure as weight, so that relative errors count equally at every size. It reports false if there are fewer than two
+// sizes, or if a size or figure is not above 0.
 func Fit(points []Point) (Growth, bool) {
 	var logs, relative sums
 	for _, p := range points {
@@ -36,7 +36,7 @@
 	return Growth{Scale: math.Exp(intercept), Power: power, Intercept: fixed, Slope: each}, ok && ok2
 }
 
-// sums are what a weighted line is fitted from.
+// sums accumulates the sums of a weighted linear fit.
 type sums struct{ w, x, y, xx, xy float64 }
 
 func (s *sums) add(x, y, weight float64) {
@@ -56,13 +56,13 @@
 	return (s.y - slope*s.x) / s.w, slope, true
 }
 
-// ByPower and ByLine are the figures that the two forms give for a size.
+// ByPower returns the figure that the power law gives for a size.
 func (g Growth) ByPower(size float64) float64 { return g.Scale * math.Pow(size, g.Power) }
 
-// ByLine is the figure of the straight line.
+// ByLine returns the figure that the line gives for a size.
 func (g Growth) ByLine(size float64) float64 { return g.Intercept + g.Slope*size }
 
-// Reach is what a figure comes to at a size that was not measured, and between what bounds.
+// Extrapolation is the range of a figure at a size that was not measured.
 type Extrapolation struct {
 	Growth    Growth  `json:"growth"`
 	PowerLow  float64 `json:"powerLow"`
@@ -71,9 +71,9 @@
 	High      float64 `json:"top"`
 }
 
-// Extrapolate fits points and returns the range of what all fits give at a size: both forms, over all points and with
-// each one of them left out. That range is no confidence interval: it tells how much hangs on the form and on single
-// runs.
+// Extrapolate fits points and returns the range of all fits at a size: both forms, over all points and with each single
+// point left out. The range is not a confidence interval. It shows how much the result depends on the form and on single
+// runs. Extrapolate reports false if the points cannot be fitted.
 func Extrapolate(points []Point, size float64) (Extrapolation, bool) {
 	g, ok := Fit(points)
 	if !ok {
@@ -90,11 +90,11 @@
 		r.Low = min(r.Low, g.ByPower(size), g.ByLine(size))
 		r.High = max(r.High, g.ByPower(size), g.ByLine(size))
 	}
-	r.Low = max(0, r.Low) // a line through figures that hardly grow may fall below
+	r.Low = max(0, r.Low) // a line through decreasing figures may be below 0
 	return r, true
 }
 
-// Percentile is the figure that a share of all does not pass; 0 of none.
+// Percentile returns the smallest figure that at least the given share of all figures does not exceed, or 0 if there are none.
 func Percentile(all []float64, share float64) float64 {
 	if len(all) == 0 {
 		return 0
--- a/lab/scale/fit_test.go
+++ b/lab/scale/fit_test.go
@@ -45,7 +45,7 @@
 		t.Fatal("no fit")
 	}
 	assertNear(t, "at the small size", g.ByLine(100), 10, 1e-6)
-	assertNear(t, "at the large one, where 200 more are as much as 2 at the small", g.ByLine(10000), 980.198, 1e-5)
+	assertNear(t, "at the large size, where 200 weigh as much as 2 at the small size", g.ByLine(10000), 980.198, 1e-5)
 }
 
 func TestFitRejectsInsufficientPoints(t *testing.T) {
@@ -58,7 +58,7 @@
 		"not even number": {{100, 5}, {300, math.NaN()}},
 	} {
 		if _, ok := Fit(all); ok {
-			t.Errorf("%s is fitted", name)
+			t.Errorf("%s: fit accepted", name)
 		}
 	}
 }
@@ -71,14 +71,14 @@
 	}
 	assertNear(t, "low", r.Low, 16800, 1e-6)
 	assertNear(t, "top", r.High, 16800, 1e-6)
-	uneven := append(exact, Point{1000, 3000}) // one run of several is off
+	uneven := append(exact, Point{1000, 3000}) // one outlier among the runs
 	r, _ = Extrapolate(uneven, 8400)
 	if r.Low > 16801 || r.High < 20000 || r.PowerLow > 1.0001 || r.PowerHigh < 1.1 {
-		t.Errorf("the range doesn't hold the fits without a single run: %+v", r)
+		t.Errorf("the range doesn't include the fits with one run left out: %+v", r)
 	}
 	bent := points([]float64{100, 300, 1000}, func(x float64) float64 { return 500 + x })
 	if r, _ = Extrapolate(bent, 8400); r.High < 8899 || r.Low > 5000 {
-		t.Errorf("the range doesn't hold both forms: %+v", r)
+		t.Errorf("the range doesn't include both forms: %+v", r)
 	}
 }
 
@@ -90,6 +90,6 @@
 		}
 	}
 	if Percentile(nil, 0.5) != 0 {
-		t.Error("of nothing")
+		t.Error("percentile of no figures is not 0")
 	}
 }
--- a/lab/scale/group.go
+++ b/lab/scale/group.go
@@ -15,47 +15,47 @@
 	"firplank/mesh/wire"
 )
 
-// CommandKind is what a group is to do.
+// CommandKind is the kind of a command to a group.
 type CommandKind string
 
-// The orders. Each is answered by one reading.
+// The kinds of commands. Each command is answered by one Status.
 const (
 	Observe CommandKind = "observe"
 	Restart CommandKind = "restart"
 )
 
-// GroupSpec is the first line that a group's process reads.
+// GroupSpec describes a group. It is the first JSON value that the process of the group reads.
 type GroupSpec struct {
 	Sidecars   []Spec  `json:"sidecars"`
-	StartsPerS float64 `json:"perS"` // how many of them start a second
+	StartsPerS float64 `json:"perS"` // sidecars started per second
 }
 
-// Command is each further line. The end of the input ends the process.
+// Command is each further JSON value that the process reads. The process exits at the end of its input.
 type Command struct {
 	Do    CommandKind `json:"do"`
-	Share float64     `json:"share"` // of Restart
+	Share float64     `json:"share"` // of the sidecars, for Restart
 }
 
-// Adoption is when a sidecar has put an edition in force, in nanoseconds of Unix time.
+// Adoption records when a sidecar put an edition in force, in nanoseconds of Unix time.
 type Adoption struct {
 	Edition uint32 `json:"edition"`
 	At      int64  `json:"at"`
 }
 
-// Status is what a group answers: what it is now, and what has passed since its start.
+// Status is a group's reply: its present state and the traffic since its start.
 type Status struct {
 	Sidecars        int        `json:"sidecars"`
 	Ready           int        `json:"ready"`
 	Relays          int        `json:"relays"`    // sidecars with children
 	ControlChildren int        `json:"ofControl"` // whose parent is a control machine
 	RelayChildren   int        `json:"ofRelay"`
-	StaleParents    int        `json:"left"` // how often a parent was left as it had nothing fresh
+	StaleParents    int        `json:"left"` // changes of parent because the parent was stale
 	Tallies         []Tally    `json:"tallies"`
-	Adoptions       []Adoption `json:"adoptions"` // since the last reading
-	ReadyS          []float64  `json:"readyS"`    // from start to ready, since the last reading
+	Adoptions       []Adoption `json:"adoptions"` // since the last status
+	ReadyS          []float64  `json:"readyS"`    // seconds from start to ready, since the last status
 }
 
-// Group is many hollow sidecars in one process.
+// Group runs many hollow sidecars in one process.
 type Group struct {
 	spec GroupSpec
 
@@ -68,7 +68,7 @@
 	staleParents int
 }
 
-// member is one sidecar through its restarts.
+// member is one sidecar of a group, which is kept across its restarts.
 type member struct {
 	spec   Spec
 	hollow *Hollow
@@ -76,25 +76,25 @@
 	done   chan struct{}
 }
 
-// text is an edition of the configuration, which the sidecars of a process share: in truth each machine has memory of
-// its own for it and a processor of its own to parse it.
+// editionText is an edition of the configuration, which the sidecars of a process share. In a real deployment each machine
+// has its own memory for it and its own processor to parse it.
 type editionText struct {
 	plain, packed                   []byte
 	unpackOnce, packOnce, parseOnce sync.Once
 	valid                           bool
 }
 
-// maxTexts bounds the editions that a group remembers.
+// maxTexts bounds the editions that a group caches.
 const maxTexts = 64
 
-// RunGroup reads a GroupSpec and orders from in and answers on out until in ends.
+// RunGroup reads a GroupSpec and commands from in and writes replies to out until in ends.
 func RunGroup(ctx context.Context, in io.Reader, out io.Writer) error {
 	ctx, stop := context.WithCancel(ctx)
 	lines, answers := json.NewDecoder(in), json.NewEncoder(out)
 	g := &Group{traffic: NewTrafficCounter(), texts: map[uint32]*editionText{}}
 	if err := lines.Decode(&g.spec); err != nil {
 		stop()
-		return fmt.Errorf("read the group: %w", err)
+		return fmt.Errorf("read group spec: %w", err)
 	}
 	starting := make(chan error, 1)
 	var start sync.WaitGroup
@@ -112,7 +112,7 @@
 		if err := lines.Decode(&o); err == io.EOF {
 			return nil
 		} else if err != nil {
-			return fmt.Errorf("read an order: %w", err)
+			return fmt.Errorf("read command: %w", err)
 		}
 		select {
 		case err := <-starting:
@@ -127,7 +127,7 @@
 			}
 		}
 		if err := answers.Encode(g.status()); err != nil {
-			return fmt.Errorf("answer: %w", err)
+			return fmt.Errorf("write status: %w", err)
 		}
 	}
 }
@@ -155,12 +155,12 @@
 func (g *Group) start(ctx context.Context, m *member) error {
 	ln, err := net.Listen("tcp", m.spec.PeerAddr)
 	if err != nil {
-		return fmt.Errorf("start a hollow sidecar: %w", err)
+		return fmt.Errorf("start hollow sidecar: %w", err)
 	}
 	probes, err := net.ListenPacket("udp", m.spec.PeerAddr)
 	if err != nil {
-		_ = ln.Close() // it has nothing to lose
-		return fmt.Errorf("start a hollow sidecar: %w", err)
+		_ = ln.Close() // a listener has no buffered data
+		return fmt.Errorf("start hollow sidecar: %w", err)
 	}
 	inner, stop := context.WithCancel(ctx)
 	h, done := newHollow(inner, m.spec, g), make(chan struct{})
@@ -172,13 +172,13 @@
 		var answering sync.WaitGroup
 		answering.Go(func() { answerProbes(probes, m.spec.Node) })
 		h.run(ln)
-		_ = probes.Close() // a datagram socket has nothing to lose
+		_ = probes.Close() // a datagram socket has no buffered data
 		answering.Wait()
 	}()
 	return nil
 }
 
-// answerProbes answers the failure detectors of true sidecars; a hollow one has none itself.
+// answerProbes answers the pings of the failure detectors of real sidecars. Hollow sidecars have no failure detector.
 func answerProbes(c net.PacketConn, node string) {
 	buf := make([]byte, 1<<10)
 	for {
@@ -194,7 +194,7 @@
 	}
 }
 
-// restart ends a share of the sidecars at once, evenly over all, and starts them again.
+// restart stops a share of the sidecars at once, evenly spread over all, and starts them again.
 func (g *Group) restart(ctx context.Context, share float64) error {
 	g.mu.Lock()
 	members := slices.Clone(g.members)
@@ -249,7 +249,7 @@
 	return r
 }
 
-// count counts a frame that a sidecar of the group had from its parent, or sent to it.
+// count counts a frame that a sidecar of the group received from its parent or sent to it.
 func (g *Group) count(link Link, f *wire.FrameT) {
 	sizes := Measure(f)
 	g.mu.Lock()
@@ -271,28 +271,28 @@
 	return t
 }
 
-// intern returns an edition's text as the group has it.
+// intern returns the group's shared copy of an edition's text.
 func (g *Group) intern(edition uint32, plain []byte) []byte {
 	t := g.editionText(edition)
 	t.unpackOnce.Do(func() { t.plain = plain })
 	return t.plain
 }
 
-// unpack returns the text of an edition that has come packed; ok is false where it is broken.
+// unpack returns the text of an edition that was received compressed. It reports false if the text is corrupt.
 func (g *Group) unpack(edition uint32, packed []byte) (plain []byte, ok bool) {
 	t := g.editionText(edition)
 	t.unpackOnce.Do(func() { t.plain, _ = config.Unpack(packed) })
 	return t.plain, t.plain != nil
 }
 
-// pack returns an edition's text made short.
+// pack returns the compressed text of an edition.
 func (g *Group) pack(edition uint32, plain []byte) []byte {
 	t := g.editionText(edition)
 	t.packOnce.Do(func() { t.packed = config.Pack(plain) })
 	return t.packed
 }
 
-// parse reports whether an edition can be used.
+// parse reports whether an edition is a valid configuration.
 func (g *Group) parse(edition uint32, plain []byte) bool {
 	t := g.editionText(edition)
 	t.parseOnce.Do(func() {
@@ -302,7 +302,7 @@
 	return t.valid
 }
 
-// recordAdoption notes that an edition is in force at a sidecar.
+// recordAdoption records that a sidecar put an edition in force, and the time until it was ready if this is its first.
 func (g *Group) recordAdoption(h *Hollow, edition uint32, at time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -312,7 +312,7 @@
 	}
 }
 
-// countParentLeft notes that a parent was left as it had nothing fresh.
+// countStaleParent counts a change of parent because the parent was stale.
 func (g *Group) countStaleParent() {
 	g.mu.Lock()
 	g.staleParents++
--- a/lab/scale/group_test.go
+++ b/lab/scale/group_test.go
@@ -12,8 +12,7 @@
 	"firplank/mesh/wire"
 )
 
-// parentPlayed is a control machine that tells each child a configuration and notes which of them say what server
-// they have.
+// fakeParent is a control machine that sends each child a configuration and records which children announce their server.
 type fakeParent struct {
 	body      []byte
 	announced chan string
@@ -30,8 +29,8 @@
 
 func (*fakeParent) HandleClose(*transport.Conn) {}
 
-// TestGroupOfHollowSidecars has three become ready under a parent, restarts all, and compares what is counted with
-// what has to pass.
+// Three hollow sidecars become ready under a parent and are restarted. The test compares the counted frames and bytes with
+// those that the parent sent and that the protocol requires.
 func TestGroupOfHollowSidecars(t *testing.T) {
 	p := testPlan()
 	text, err := json.Marshal(p.document(1))
@@ -43,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = ln.Close() }()               // it has nothing to lose
+	defer func() { _ = ln.Close() }()               // a listener has no buffered data
 	go func() { _ = transport.Serve(ln, parent) }() // until the listener is closed
 	spec := GroupSpec{StartsPerS: 1e6}
 	for _, s := range p.hollows(p.Real + 3) {
@@ -65,7 +64,7 @@
 	if keep := find(r.Tallies, Tally{Link: ChildToControl, Kind: "Keep"}); keep == nil || keep.Frames < 3 || keep.Sizes.Entries == 0 {
 		t.Errorf("heartbeats: %+v", keep)
 	}
-	again := len(ask(Command{Do: Restart, Share: 1}).ReadyS) // one that is quick is ready before the answer
+	again := len(ask(Command{Do: Restart, Share: 1}).ReadyS) // some may be ready again before the reply
 	for range spec.Sidecars {
 		<-parent.announced
 	}
@@ -77,7 +76,7 @@
 	}
 }
 
-// runGroup runs a group, which ask sends commands and end ends.
+// runGroup runs a group. The function ask sends it a command and returns the reply, and end stops it.
 func runGroup(t *testing.T, spec GroupSpec) (ask func(Command) Status, end func() error) {
 	t.Helper()
 	in, commands := io.Pipe()
@@ -113,6 +112,6 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = ln.Close() }() // it has nothing to lose
+	defer func() { _ = ln.Close() }() // a listener has no buffered data
 	return ln.Addr().String()
 }
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	// eventQueueSize bounds the events that wait for a sidecar's loop.
+	// eventQueueSize bounds the events that are queued for a sidecar's loop.
 	eventQueueSize = 256
-	// hollowSlots is how many requests the server beside a hollow sidecar takes at once, as it is announced.
+	// hollowSlots is the announced number of concurrent requests of the server beside a hollow sidecar.
 	hollowSlots = 8
 )
 
 // errCorruptText means that a configuration could not be decompressed.
-var errCorruptText = errors.New("text cannot be unpacked")
+var errCorruptText = errors.New("configuration text cannot be decompressed")
 
 // Spec identifies a hollow sidecar. Processes of the laboratory send it to one another as JSON.
 type Spec struct {
@@ -37,8 +37,8 @@
 	Seeds    []string
 }
 
-// Hollow is a sidecar without proxy and server: the distribution.Node of a true one over true connections. It is one
-// goroutine and those of its connections.
+// Hollow is a sidecar without proxy and server. It runs the distribution.Node of a real sidecar over real connections, in
+// one goroutine beside those of its connections.
 type Hollow struct {
 	spec    Spec
 	group   *Group
@@ -81,7 +81,7 @@
 	return h
 }
 
-// post hands an event to the loop, and reports false where that has ended.
+// post queues an event for the loop. It reports false if the loop has ended.
 func (h *Hollow) post(e distribution.Event) bool {
 	select {
 	case h.events <- e:
@@ -93,13 +93,13 @@
 
 func (h *Hollow) now() time.Duration { return time.Since(h.start) }
 
-// run runs the sidecar until the context ends, and then closes its connections.
+// run runs the sidecar until the context is canceled and then closes its connections.
 func (h *Hollow) run(ln net.Listener) {
 	var serving sync.WaitGroup
 	serving.Go(func() { _ = transport.Serve(ln, h.links) }) // until the listener is closed
 	defer serving.Wait()
 	defer h.links.Close()
-	defer func() { _ = ln.Close() }() // it has nothing to lose
+	defer func() { _ = ln.Close() }() // a listener has no buffered data
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	var tickAt time.Duration
@@ -123,7 +123,7 @@
 	}
 }
 
-// advance brings the node to what it wants, as the loop of mesh/dataplane does.
+// advance performs the node's pending actions, as the loop of mesh/dataplane does, and returns when it is next due.
 func (h *Hollow) advance(now time.Duration) (next time.Duration) {
 	h.links.Maintain(now)
 	h.node.Adopt()
@@ -143,7 +143,7 @@
 	h.subscribers.Store(int32(h.node.Subscribers()))
 }
 
-// link is which of two links there is to the parent.
+// link returns the link to the parent: control under a control machine, relay under a relay.
 func (h *Hollow) link(control, relay Link) Link {
 	if h.node.ParentIsRelay() {
 		return relay
@@ -151,7 +151,7 @@
 	return control
 }
 
-// observe counts frames to the parent, and parents that were left as they had nothing fresh.
+// observe counts frames to the parent, and changes of parent because the parent was stale.
 func (h *Hollow) observe(a distribution.Action) {
 	switch a := a.(type) {
 	case distribution.Send:
@@ -166,7 +166,7 @@
 	}
 }
 
-// host is what a hollow sidecar does for its node. The texts of configurations are the group's.
+// host implements distribution.Host for a hollow sidecar. Configuration texts are shared by the group.
 type host struct{ h *Hollow }
 
 // Unpack implements distribution.Host.
@@ -194,7 +194,7 @@
 	return h.inForce
 }
 
-// DescribeServer implements distribution.Host: the server beside never changes.
+// DescribeServer implements distribution.Host. The announced server never changes.
 func (host) DescribeServer(*directory.Entry) {}
 
 // RestoreServer implements distribution.Host.
--- a/lab/scale/hollow_test.go
+++ b/lab/scale/hollow_test.go
@@ -13,8 +13,8 @@
 	"firplank/mesh/wire"
 )
 
-// changingParent is a control machine that sends a subscriber version 1, version 2 when that is in force, and nothing
-// after it.
+// changingParent is a control machine that sends a subscriber version 1, then version 2 once version 1 is acknowledged, and
+// nothing afterwards.
 type changingParent struct{ bodies [2][]byte }
 
 func (p *changingParent) HandleFrame(c *transport.Conn, f *wire.FrameT) {
@@ -33,7 +33,7 @@
 
 func (*changingParent) HandleClose(*transport.Conn) {}
 
-// A hollow sidecar puts each version in force, and leaves a parent that sends nothing more; both are counted.
+// A hollow sidecar puts each version in force and leaves a parent that has stopped sending. Both are counted.
 func TestHollowSidecarFollowsChangesAndLeavesAStaleParent(t *testing.T) {
 	p := testPlan()
 	parent := &changingParent{}
@@ -51,7 +51,7 @@
 	var serving sync.WaitGroup
 	serving.Go(func() { _ = transport.Serve(ln, parent) }) // until the listener is closed
 	defer serving.Wait()
-	defer func() { _ = ln.Close() }() // it has nothing to lose
+	defer func() { _ = ln.Close() }() // a listener has no buffered data
 	spec := p.hollows(p.Real + 1)[0]
 	spec.PeerAddr, spec.Seeds = freeAddress(t), []string{ln.Addr().String()}
 	ask, end := runGroup(t, GroupSpec{StartsPerS: 1e6, Sidecars: []Spec{spec}})
--- a/lab/scale/parts_bench_test.go
+++ b/lab/scale/parts_bench_test.go
@@ -18,10 +18,10 @@
 	"firplank/mesh/wire"
 )
 
-// The benchmarks are the decisions whose work grows with the whole mesh, each at sizes up to the target's: what a
-// sidecar or control machine spends on one change, whoever else runs on this machine. See docs/measurements/capacity-by-parts.md.
+// The benchmarks cover the operations whose cost grows with the size of the mesh, at sizes up to the target: the cost of
+// one change for a sidecar or control machine, independent of the load of the host. See docs/measurements/capacity-by-parts.md.
 
-var partSizes = []int{1000, 3000, 8192} // directory.Most bounds the last
+var partSizes = []int{1000, 3000, 8192} // the last is the maximum number of entries of a directory
 
 func directoryOf(n int) *directory.Directory {
 	d := directory.New()
@@ -40,8 +40,7 @@
 	}
 }
 
-// loop is a benchmark's loop that tells processor time, too: on a machine that others use the time that passes says
-// little.
+// runLoop runs the loop of a benchmark and also reports processor time, because elapsed time says little on a shared host.
 func runLoop(b *testing.B, do func()) {
 	began := processorTime()
 	for b.Loop() {
@@ -58,8 +57,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkDirectorySince is one look for what is new: once for each child that has not heard of a change, and once a
-// link and 0.3 s.
+// BenchmarkDirectorySince measures a search for changed entries, which runs once for each child that lacks a change, and
+// every 0.3 s for each link.
 func BenchmarkDirectorySince(b *testing.B) {
 	atSizes(b, func(b *testing.B, n int) {
 		d := directoryOf(n)
@@ -71,7 +70,7 @@
 	})
 }
 
-// BenchmarkDirectoryAll is a copy of all entries, which a sidecar makes several times a change.
+// BenchmarkDirectoryAll measures a copy of all entries, which a sidecar makes several times for each change.
 func BenchmarkDirectoryAll(b *testing.B) {
 	atSizes(b, func(b *testing.B, n int) {
 		d := directoryOf(n)
@@ -81,7 +80,7 @@
 	})
 }
 
-// BenchmarkSetMembers is how a sidecar's failure detector learns of a change of the directory.
+// BenchmarkSetMembers measures the update of a sidecar's failure detector after a change of the directory.
 func BenchmarkSetMembers(b *testing.B) {
 	atSizes(b, func(b *testing.B, n int) {
 		var names []string
@@ -96,7 +95,7 @@
 	})
 }
 
-// BenchmarkDetectorTick is what a sidecar's failure detector does five times a second.
+// BenchmarkDetectorTick measures the tick of a sidecar's failure detector, which runs five times a second.
 func BenchmarkDetectorTick(b *testing.B) {
 	atSizes(b, func(b *testing.B, n int) {
 		var names []string
@@ -111,7 +110,7 @@
 	})
 }
 
-// BenchmarkParents is the choice of a relay.
+// BenchmarkParents measures the choice of a relay.
 func BenchmarkParents(b *testing.B) {
 	atSizes(b, func(b *testing.B, n int) {
 		var all []dissemination.Member
@@ -124,8 +123,8 @@
 	})
 }
 
-// BenchmarkTellOneChange is a publisher's work for one entry and as many children as a control machine has of the
-// target's relays, and for as many as it may have.
+// BenchmarkTellOneChange measures the cost for a publisher of one changed entry, with as many children as a control machine
+// has relays at the target's size, and with the maximum number of children.
 func BenchmarkTellOneChange(b *testing.B) {
 	for _, children := range []int{78, dissemination.MaxSubscribers} {
 		b.Run(fmt.Sprintf("8192/children=%d", children), func(b *testing.B) {
@@ -137,14 +136,14 @@
 			}
 			now := time.Hour
 			p.Tick(now)
-			for id := range children { // what they were told first is acknowledged
+			for id := range children { // acknowledge the first update
 				p.HandleAck(uint64(id+1), dissemination.Ack{Nonce: 1, Version: 1, LowestInForce: 1}, now)
 			}
 			e, _ := p.Directory.Get("hollow-000000")
 			runLoop(b, func() {
 				e.Sequence++
 				p.Directory.Merge(e, now)
-				p.Tick(now) // the change waits for more of them
+				p.Tick(now) // the change is held back to be batched
 				now += time.Second
 				news, _ := p.Tick(now)
 				for i := range news {
@@ -155,7 +154,7 @@
 	}
 }
 
-// BenchmarkWholeDirectory is what a child is told first, encoded and decoded again.
+// BenchmarkWholeDirectory measures the encoding and decoding of the first update for a child.
 func BenchmarkWholeDirectory(b *testing.B) {
 	atSizes(b, func(b *testing.B, n int) {
 		f := codec.UpdateToFrame(&dissemination.Update{Version: 1, Entries: directoryOf(n).All()}, nil, 0)
@@ -171,7 +170,7 @@
 	})
 }
 
-// BenchmarkDirectoryMemory is what a directory holds that was decoded from a frame, as those of sidecars are.
+// BenchmarkDirectoryMemory measures the memory of a directory that was decoded from a frame, as in sidecars.
 func BenchmarkDirectoryMemory(b *testing.B) {
 	atSizes(b, func(b *testing.B, n int) {
 		text := wire.Encode(codec.UpdateToFrame(&dissemination.Update{Version: 1, Entries: directoryOf(n).All()}, nil, 0))
@@ -202,7 +201,8 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkParseConfiguration is what each sidecar does with each change, at the target's services.
+// BenchmarkParseConfiguration measures the parsing of a configuration with the target's number of services, which each
+// sidecar does for each change.
 func BenchmarkParseConfiguration(b *testing.B) {
 	for _, routes := range []int{2, 10} {
 		b.Run(fmt.Sprintf("330x%d", routes), func(b *testing.B) {
--- a/lab/scale/phase.go
+++ b/lab/scale/phase.go
@@ -8,14 +8,14 @@
 	"firplank/lab/mesh"
 )
 
-// measurement is all samples at a moment.
+// measurement holds the samples of all processes at one time.
 type measurement struct {
 	at                    time.Time
 	control, real, hollow []Sample
 	tallies               []Tally
 }
 
-// phase measures what passes while something is done; without a name it is only done.
+// phase runs do and records a Phase of what was used and sent meanwhile. With an empty name it runs do only.
 func (r *runner) phase(ctx context.Context, name string, do func(context.Context) error) error {
 	if name == "" {
 		return do(ctx)
@@ -57,7 +57,7 @@
 	return all
 }
 
-// sample reads all counters, and ends the run where its processes hold too much memory.
+// sample reads the counters of all processes. It returns an error if they hold more memory than the plan allows.
 func (r *runner) sample() (measurement, error) {
 	if err := r.readAll(Command{Do: Observe}); err != nil {
 		return measurement{}, err
@@ -87,7 +87,7 @@
 	}
 	r.run.MaxRSS = max(r.run.MaxRSS, rss)
 	if rss > r.plan.MaxRSS {
-		return out, fmt.Errorf("all processes together hold %d bytes, more than %d", rss, r.plan.MaxRSS)
+		return out, fmt.Errorf("processes use %d bytes of memory in total, limit %d", rss, r.plan.MaxRSS)
 	}
 	return out, nil
 }
--- a/lab/scale/plan.go
+++ b/lab/scale/plan.go
@@ -9,54 +9,54 @@
 
 // Plan describes the runs of a measurement.
 type Plan struct {
-	Sizes          []int         `json:"sizes"` // sidecars, hollow and true together
+	Sizes          []int         `json:"sizes"` // hollow and real sidecars together
 	Repeats        int           `json:"repeats"`
-	Control        int           `json:"control"`  // true control machines
-	Real           int           `json:"real"`     // true sidecars
-	Zones          int           `json:"zones"`    // over which the sidecars are spread evenly
-	Services       int           `json:"services"` // of the configuration, over which they are spread, too
+	Control        int           `json:"control"`  // real control machines
+	Real           int           `json:"real"`     // real sidecars
+	Zones          int           `json:"zones"`    // across which the sidecars are spread evenly
+	Services       int           `json:"services"` // of the configuration, across which the sidecars are spread as well
 	Routes         int           `json:"routes"`   // of each service
-	StartsPerS     float64       `json:"perS"`     // sidecars that start a second
-	Settle         time.Duration `json:"settle"`   // from all ready to the quiet time
+	StartsPerS     float64       `json:"perS"`     // sidecars started per second
+	Settle         time.Duration `json:"settle"`   // from when all are ready to the quiet phase
 	Quiet          time.Duration `json:"quiet"`
 	Changes        int           `json:"changes"`
-	ChangeInterval time.Duration `json:"every"` // from a change to the next
+	ChangeInterval time.Duration `json:"every"` // between changes
 	RestartShare   float64       `json:"restart"`
-	RestartPeriod  time.Duration `json:"after"` // the restart, that is counted in
+	RestartPeriod  time.Duration `json:"after"` // measured from the restart
 	Target         int           `json:"target"`
-	MaxRSS         int64         `json:"mostRSSBytes"` // of all processes together; a run beyond it ends
+	MaxRSS         int64         `json:"mostRSSBytes"` // limit of all processes together; a run that exceeds it is aborted
 	Net            int           `json:"-"`
 	Folder         string        `json:"-"`
-	Programs       string        `json:"-"` // folder of firplank-proxy and firplank-control
-	Lab            string        `json:"-"` // firplank-lab
+	Programs       string        `json:"-"` // folder of the programs firplank-proxy and firplank-control
+	Lab            string        `json:"-"` // path of firplank-lab
 }
 
-// groupSize is how many hollow sidecars share a process.
+// groupSize is the maximum number of hollow sidecars in a process.
 const groupSize = 250
 
 const (
 	firstEdition   = 1
 	peerPort       = 7320
 	listenerHost   = 200
-	firstHollowNet = 16 // the third number of hollow sidecars' addresses begins here
+	firstHollowNet = 16 // first value of the third octet of hollow sidecars' addresses
 	maxSize        = 10000
 )
 
-// Check reports what cannot be run.
+// Check returns an error if the plan cannot be run.
 func (p *Plan) Check() error {
 	switch {
 	case len(p.Sizes) == 0 || p.Repeats < 1:
-		return fmt.Errorf("plan: no sizes, or no runs of them")
+		return fmt.Errorf("plan: no sizes or no repeats")
 	case p.Control < 3 || p.Control > 18:
-		return fmt.Errorf("plan: %d control machines; 3 to 18 can be run", p.Control)
+		return fmt.Errorf("plan: %d control machines, want 3 to 18", p.Control)
 	case p.Zones < 1 || p.Services < 1 || p.Routes < 1 || p.Changes < 1 || p.Quiet < time.Second || p.ChangeInterval <= 0:
-		return fmt.Errorf("plan: zones, services, routes, changes and times have to be above 0")
+		return fmt.Errorf("plan: zones, services, routes, changes and change interval must be above 0, quiet time at least 1 s")
 	case p.Real < 1 || p.Real > 100:
-		return fmt.Errorf("plan: %d true sidecars; 1 to 100 can be run", p.Real)
+		return fmt.Errorf("plan: %d real sidecars, want 1 to 100", p.Real)
 	}
 	for _, n := range p.Sizes {
 		if n <= p.Real || n > maxSize {
-			return fmt.Errorf("plan: %d sidecars with %d true ones; up to %d can be run", n, p.Real, maxSize)
+			return fmt.Errorf("plan: %d sidecars, want more than the %d real ones and at most %d", n, p.Real, maxSize)
 		}
 	}
 	return nil
@@ -67,10 +67,10 @@
 
 func (p *Plan) control(i int) string { return fmt.Sprintf("127.%d.0.%d:%d", p.Net, i+1, peerPort) }
 
-// seeds are the control machines that sidecars begin with.
+// seeds returns the addresses of the control machines that sidecars are started with.
 func (p *Plan) seeds() []string { return []string{p.control(0), p.control(1), p.control(2)} }
 
-// hollows are the hollow sidecars of a run of a size.
+// hollows returns the hollow sidecars of a run with the given number of sidecars.
 func (p *Plan) hollows(size int) []Spec {
 	all := make([]Spec, size-p.Real)
 	for i := range all {
@@ -87,7 +87,7 @@
 	return all
 }
 
-// document is a configuration of the plan's size; with each edition another route's deadline changes.
+// document returns a configuration of the plan's size. Each edition changes the time-outs of the routes of another service.
 func (p *Plan) document(edition uint32) config.Document {
 	d := config.Document{Version: fmt.Sprintf("%08x", edition)}
 	for i := range p.Services {
--- a/lab/scale/plan_test.go
+++ b/lab/scale/plan_test.go
@@ -10,8 +10,8 @@
 
 func testPlan() Plan {
 	return Plan{
-		Sizes: []int{100, 1000}, Repeats: 1, Control: 4, Real: 12, Zones: 8, Services: 330, Routes: 2, StartsPerS: 100, Quiet: time.Second, Changes: 1,
-		ChangeInterval: time.Second, Net: 78,
+		Sizes: []int{100, 1000}, Repeats: 1, Control: 4, Real: 12, Zones: 8, Services: 330, Routes: 2,
+		StartsPerS: 100, Quiet: time.Second, Changes: 1, ChangeInterval: time.Second, Net: 78,
 	}
 }
 
@@ -21,17 +21,17 @@
 		t.Fatal(err)
 	}
 	for name, spoil := range map[string]func(*Plan){
-		"no sizes":           func(p *Plan) { p.Sizes = nil },
-		"too large":          func(p *Plan) { p.Sizes = []int{maxSize + 1} },
-		"only true ones":     func(p *Plan) { p.Sizes = []int{12} },
-		"no majority":        func(p *Plan) { p.Control = 2 },
-		"no zone":            func(p *Plan) { p.Zones = 0 },
-		"hundreds of true":   func(p *Plan) { p.Real = 101 },
-		"no time to measure": func(p *Plan) { p.Quiet = 0 },
+		"no sizes":               func(p *Plan) { p.Sizes = nil },
+		"too large":              func(p *Plan) { p.Sizes = []int{maxSize + 1} },
+		"only real sidecars":     func(p *Plan) { p.Sizes = []int{12} },
+		"no majority":            func(p *Plan) { p.Control = 2 },
+		"no zone":                func(p *Plan) { p.Zones = 0 },
+		"too many real sidecars": func(p *Plan) { p.Real = 101 },
+		"no time to measure":     func(p *Plan) { p.Quiet = 0 },
 	} {
 		p := testPlan()
 		if spoil(&p); p.Check() == nil {
-			t.Errorf("%s is taken", name)
+			t.Errorf("%s: plan accepted", name)
 		}
 	}
 }
@@ -69,8 +69,8 @@
 			changed++
 		}
 	}
-	if changed != 2 { // the one that went back to its old time, and the one that has another now
-		t.Errorf("%d services have changed", changed)
+	if changed != 2 { // the one reset to its default time-out and the one with a new one
+		t.Errorf("%d services changed, want 2", changed)
 	}
 }
 
@@ -81,7 +81,7 @@
 	}
 	for _, broken := range []string{"", "42 (a) S 1 2", "42 (a) S 1 42 42 0 -1 4194304 100 0 0 0 x 50 0"} {
 		if _, err := cpuOf(broken); err == nil {
-			t.Errorf("%q is taken", broken)
+			t.Errorf("%q: accepted", broken)
 		}
 	}
 }
--- a/lab/scale/process.go
+++ b/lab/scale/process.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// clockTicks is the unit of processor times in /proc on Linux, per second.
+// clockTicks is the number of clock ticks per second, the unit of processor times in /proc on Linux.
 const clockTicks = 100
 
-// Sample is what a process has used since its start, as the kernel counts it.
+// Sample is the resource usage of a process since its start, as counted by the kernel.
 type Sample struct {
 	At      time.Time
 	CPU     time.Duration
-	RSS     int64 // bytes held now
-	Read    int64 // bytes of all read calls: sockets, files
-	Written int64 // ... and of all write calls
+	RSS     int64 // bytes, at present
+	Read    int64 // bytes of all read calls, on sockets and files
+	Written int64 // bytes of all write calls
 }
 
-// Take reads the counters of a process of ours.
+// ReadSample reads the counters of a process from /proc.
 func ReadSample(pid int) (Sample, error) {
 	s := Sample{At: time.Now()}
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
@@ -43,12 +43,12 @@
 	return s, nil
 }
 
-// cpuOf reads the processor time from the text of /proc/PID/stat, whose second field is a name in brackets that may
-// hold anything.
+// cpuOf parses the processor time in the text of /proc/PID/stat. The second field is a name in parentheses that may contain
+// any character.
 func cpuOf(stat string) (time.Duration, error) {
 	fields := strings.Fields(stat[strings.LastIndexByte(stat, ')')+1:])
 	if len(fields) < 13 {
-		return 0, fmt.Errorf("sample: %q holds no processor time", stat)
+		return 0, fmt.Errorf("sample: %q has no processor time", stat)
 	}
 	user, err := strconv.ParseInt(fields[11], 10, 64)
 	if err != nil {
@@ -61,7 +61,7 @@
 	return time.Duration(user+system) * time.Second / clockTicks, nil
 }
 
-// field returns the number after a name at the beginning of a line; 0 where there is none.
+// field returns the number after a name at the beginning of a line, or 0 if there is none.
 func field(text, name string) int64 {
 	for line := range strings.Lines(text) {
 		rest, ok := strings.CutPrefix(line, name)
@@ -76,16 +76,16 @@
 	return 0
 }
 
-// Usage is what a process used over a time.
+// Usage is the resource usage of a process over a period.
 type Usage struct {
 	Name     string  `json:"name"`
-	Cores    float64 `json:"cores"` // processor time a second
+	Cores    float64 `json:"cores"` // processor seconds per second
 	RSS      int64   `json:"rssBytes"`
 	ReadS    float64 `json:"readBytesS"`
 	WrittenS float64 `json:"writtenBytesS"`
 }
 
-// Between is what was used from one sample to a later one.
+// UsageBetween returns the usage from sample a to the later sample b.
 func UsageBetween(name string, a, b Sample) Usage {
 	s := b.At.Sub(a.At).Seconds()
 	return Usage{
--- a/lab/scale/report.go
+++ b/lab/scale/report.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 )
 
-// Report is all that a series of runs has measured.
+// Report holds the measurements of a series of runs.
 type Report struct {
 	Plan   Plan     `json:"plan"`
 	Runs   []*Run   `json:"runs"`
@@ -15,25 +15,25 @@
 	Slopes []Slope  `json:"slopes"`
 }
 
-// Slope is how one figure grows with the number of sidecars, and what it comes to at the target.
+// Slope is the growth of one figure with the number of sidecars, and its extrapolation to the target.
 type Slope struct {
 	Figure        string        `json:"figure"`
 	Unit          string        `json:"unit"`
-	Points        []Point       `json:"points"` // one a run
-	Fits          bool          `json:"fits"`   // whether there were sizes enough for Reach
+	Points        []Point       `json:"points"` // one for each run
+	Fits          bool          `json:"fits"`   // whether there were enough sizes for Extrapolation
 	Extrapolation Extrapolation `json:"reach"`
 }
 
-// figure is something that each run has one of; below 0: this run has none.
+// figure is a value that is calculated for each run. It is none for a run that lacks it.
 type figure struct {
 	name, unit string
 	value      func(*Run) float64
 }
 
-// none is the figure of a run that has none.
+// none is the value of a figure that a run lacks.
 const none = -1
 
-// Slopes fits all figures of the runs.
+// Slopes fits all figures of the runs and extrapolates them to target sidecars.
 func Slopes(runs []*Run, target int) []Slope {
 	var all []Slope
 	for _, f := range figures() {
@@ -83,7 +83,7 @@
 	return sum / float64(len(all))
 }
 
-// usageFigures are those that the kernel counts, of the true processes.
+// usageFigures returns the figures counted by the kernel, of the real processes.
 func usageFigures(phase string) []figure {
 	control := func(p *Phase) []Usage { return p.Control }
 	real := func(p *Phase) []Usage { return p.Real }
@@ -115,12 +115,12 @@
 	}
 }
 
-// linkFigures are those that are counted by links, of one machine of a role.
+// linkFigures returns the figures counted by link, per machine of a role.
 func linkFigures(phase string) []figure {
 	links := []struct {
 		link Link
 		name string
-		each func(*Run, *Phase) float64 // by how many the link's sum is shared
+		each func(*Run, *Phase) float64 // number of machines that share the link's sum
 	}{
 		{ControlToChild, "down to a relay", func(_ *Run, p *Phase) float64 { return float64(p.State.ControlChildren) }},
 		{ChildToControl, "up from a relay", func(_ *Run, p *Phase) float64 { return float64(p.State.ControlChildren) }},
@@ -156,7 +156,7 @@
 	}
 }
 
-// Write prints the report as tables.
+// Write writes the report as tables.
 func (r *Report) Write(out io.Writer) {
 	w := newTable(out, tabwriter.AlignRight)
 	w.printf("sidecars\trun\tof control\tof relays\t" +
@@ -203,7 +203,7 @@
 	w.flush()
 }
 
-// sizes are those of the runs, the smallest first.
+// sizes returns the sizes of the runs in ascending order, without duplicates.
 func (r *Report) sizes() (all []int) {
 	for _, run := range r.Runs {
 		all = append(all, run.Size)
@@ -212,7 +212,7 @@
 	return slices.Compact(all)
 }
 
-// at is the mean at a size, and how far single runs were from it at most.
+// formatMeanAt formats the mean at a size and the largest deviation of a single run from it.
 func (s *Slope) formatMeanAt(size int) string {
 	var all []float64
 	sum := 0.
--- a/lab/scale/run.go
+++ b/lab/scale/run.go
@@ -12,25 +12,25 @@
 	"firplank/mesh/config"
 )
 
-// Bounds of a run's waits.
+// Time-outs and poll interval of a run.
 const (
-	startTimeout  = 40 * time.Second // beyond the time that the starts themselves take
+	startTimeout  = 40 * time.Second // in addition to the time in which the sidecars are started
 	changeTimeout = 30 * time.Second
 	pollInterval  = 250 * time.Millisecond
 )
 
-// Phase is what was measured over a part of a run.
+// Phase holds the measurements of a phase of a run.
 type Phase struct {
 	Name    string  `json:"name"`
 	Seconds float64 `json:"seconds"`
 	Control []Usage `json:"control"`
 	Real    []Usage `json:"real"`
-	Hollow  []Usage `json:"hollow"` // the processes of hollow sidecars
+	Hollow  []Usage `json:"hollow"` // processes of hollow sidecars
 	Tallies []Tally `json:"tallies"`
-	State   State   `json:"state"` // at its end
+	State   State   `json:"state"` // at the end of the phase
 }
 
-// State is how many hollow sidecars there are of each kind.
+// State holds the number of hollow sidecars of each kind, and how often they left a stale parent.
 type State struct {
 	Sidecars        int `json:"sidecars"`
 	Ready           int `json:"ready"`
@@ -40,7 +40,7 @@
 	StaleParents    int `json:"left"`
 }
 
-// Times are the seconds until a condition is met at shares of the hollow sidecars.
+// Times holds percentiles of the seconds until a condition is met at the hollow sidecars, and the number of these.
 type Times struct {
 	P50   float64 `json:"p50"`
 	P99   float64 `json:"p99"`
@@ -52,27 +52,27 @@
 	return Times{P50: Percentile(all, 0.5), P99: Percentile(all, 0.99), Max: Percentile(all, 1), Count: len(all)}
 }
 
-// Change is one change of the configuration: seconds from the operator's call.
+// Change is one change of the configuration. Times are in seconds from the operator's call.
 type Change struct {
 	Edition uint32  `json:"edition"`
 	Acked   float64 `json:"acked"`
 	InForce Times   `json:"inForce"`
 }
 
-// Run is one run at a size.
+// Run holds the measurements of one run.
 type Run struct {
 	Size        int      `json:"size"`
 	Repeat      int      `json:"repeat"`
 	ConfigBytes int      `json:"configBytes"`
 	PackedBytes int      `json:"packedBytes"`
-	Ready       Times    `json:"ready"`     // from a sidecar's start until it is ready, at the first start
-	Restarted   Times    `json:"restarted"` // ... after the restart
+	Ready       Times    `json:"ready"`     // from a sidecar's first start until it is ready
+	Restarted   Times    `json:"restarted"` // the same after the restart
 	Phases      []Phase  `json:"phases"`
 	Changes     []Change `json:"changes"`
-	MaxRSS      int64    `json:"mostRSSBytes"` // of all processes together
+	MaxRSS      int64    `json:"mostRSSBytes"` // maximum of all processes together
 }
 
-// Phase returns a phase by its name; nil: there is none.
+// Phase returns the phase of a name, or nil if there is none.
 func (r *Run) Phase(name string) *Phase {
 	for i := range r.Phases {
 		if r.Phases[i].Name == name {
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// The phases.
+// Names of the phases.
 const (
 	StartPhase   = "start"
 	QuietPhase   = "quiet"
@@ -90,7 +90,7 @@
 	RestartPhase = "restart"
 )
 
-// runner is a run while it lasts.
+// runner holds the state of a run in progress.
 type runner struct {
 	plan     *Plan
 	run      *Run
@@ -98,13 +98,13 @@
 	listener *Listener
 	children []*child
 	edition  uint32
-	inForce  map[uint32][]int64 // when, by edition
+	inForce  map[uint32][]int64 // adoption times by edition, in nanoseconds of Unix time
 	readyS   []float64
-	tallies  []Tally // of the last reading
+	tallies  []Tally // of the last readAll
 	state    State
 }
 
-// Play plays one run and ends all that it has started.
+// RunOnce performs one run with size sidecars and stops every process that it started.
 func RunOnce(ctx context.Context, plan *Plan, size, repeat int) (*Run, error) {
 	r := &runner{plan: plan, run: &Run{Size: size, Repeat: repeat}, inForce: map[uint32][]int64{}}
 	defer r.end()
@@ -139,10 +139,10 @@
 	if r.mesh != nil {
 		r.mesh.Stop()
 	}
-	_ = os.RemoveAll(r.plan.Folder) // a temporary folder, which may stay
+	_ = os.RemoveAll(r.plan.Folder) // a temporary folder, which may be left behind
 }
 
-// start starts what is true and puts the first configuration.
+// startReal starts the real control machines and sidecars and the listener, and puts the first configuration.
 func (r *runner) startReal(ctx context.Context) error {
 	p := r.plan
 	var zones []string
@@ -188,7 +188,7 @@
 	return nil
 }
 
-// put puts the configuration of the present edition, at each control machine in turn until one takes it.
+// put sends the present edition to each control machine in turn until one accepts it, and returns when it began.
 func (r *runner) put(ctx context.Context) (began time.Time, err error) {
 	body, err := json.Marshal(r.plan.document(r.edition))
 	if err != nil {
@@ -206,7 +206,7 @@
 			return began, err
 		}
 	}
-	return began, fmt.Errorf("no control machine takes edition %d", r.edition)
+	return began, fmt.Errorf("no control machine accepted edition %d", r.edition)
 }
 
 // startHollow starts the hollow sidecars and waits until all are ready.
@@ -232,7 +232,7 @@
 	return nil
 }
 
-// change puts the changes and waits until the last is in force.
+// makeChanges puts the plan's changes and waits until the last is in force at all hollow sidecars.
 func (r *runner) makeChanges(ctx context.Context) error {
 	begins := map[uint32]time.Time{}
 	for range r.plan.Changes {
@@ -259,7 +259,7 @@
 	return err
 }
 
-// restart restarts a share of the hollow sidecars at once and counts for a while.
+// restart restarts a share of the hollow sidecars at once and waits until they are ready and the restart period has passed.
 func (r *runner) restart(ctx context.Context) error {
 	began := time.Now()
 	if err := r.readAll(Command{Do: Restart, Share: r.plan.RestartShare}); err != nil {
@@ -282,7 +282,7 @@
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("not within %v: %d of %d sidecars are ready", timeout, r.state.Ready, r.state.Sidecars)
+			return fmt.Errorf("condition not met within %v: %d of %d sidecars are ready", timeout, r.state.Ready, r.state.Sidecars)
 		}
 		if err := pause(ctx, pollInterval); err != nil {
 			return err
--- a/lab/scale/table.go
+++ b/lab/scale/table.go
@@ -6,11 +6,11 @@
 	"text/tabwriter"
 )
 
-// table writes a table with aligned columns. Errors of the writer are dropped: reports go to standard output, and where
-// that fails there is nothing to report to.
+// table writes a table with aligned columns. Write errors are ignored, because reports go to standard output and there is
+// no other place to report them.
 type table struct{ w *tabwriter.Writer }
 
-// newTable returns a table whose cells are padded on a side: 0, or tabwriter.AlignRight.
+// newTable returns a table. The flags are 0 for cells aligned left, or tabwriter.AlignRight.
 func newTable(out io.Writer, flags uint) table {
 	const tabWidth, padding = 8, 2
 	return table{tabwriter.NewWriter(out, 0, tabWidth, padding, ' ', flags)}
--- a/lab/scale/traffic.go
+++ b/lab/scale/traffic.go
@@ -7,7 +7,7 @@
 	"firplank/mesh/wire"
 )
 
-// Link says between which roles a frame passes, and in which direction.
+// Link is a pair of roles between which frames are sent, and their direction.
 type Link string
 
 // The links.
@@ -19,16 +19,16 @@
 	ControlToControl Link = "control>control"
 )
 
-// Sizes are the bytes of a frame by what they are made of.
+// Sizes holds the bytes of a frame by content.
 type Sizes struct {
-	Header        int64 `json:"header"`        // the frame with its length, ages and version, without what follows
+	Header        int64 `json:"header"`        // the frame with its length, ages and version, without the fields below
 	Entries       int64 `json:"entries"`       // complete directory entries
-	Alive         int64 `json:"alive"`         // entries that are only signs of life
-	Machines      int64 `json:"machines"`      // the control machines with their ages
-	Configuration int64 `json:"configuration"` // the configuration's text, packed, or differences of it
+	Alive         int64 `json:"alive"`         // liveness entries
+	Machines      int64 `json:"machines"`      // control machines with their ages
+	Configuration int64 `json:"configuration"` // compressed text of the configuration, or deltas
 }
 
-// Total is their sum.
+// Total returns the size of the frame.
 func (s Sizes) Total() int64 { return s.Header + s.Entries + s.Alive + s.Machines + s.Configuration }
 
 func (s *Sizes) add(o Sizes) {
@@ -47,12 +47,11 @@
 	s.Configuration -= o.Configuration
 }
 
-// maxSampled bounds the entries of a kind that are encoded to find their size; those of a longer list count by the
-// mean of so many, which differ in little but the length of names.
+// maxSampled bounds the entries of a kind that are encoded to measure their size. Longer lists are extrapolated from the
+// mean of that many entries, which differ in little but the length of names.
 const maxSampled = 16
 
-// Measure returns what a frame's bytes are made of. The total is exact for frames with up to sampled entries of each
-// kind.
+// Measure returns the bytes of a frame by content. The total is exact for frames with up to maxSampled entries of each kind.
 func Measure(f *wire.FrameT) Sizes {
 	f = normalize(*f)
 	bare := *f
@@ -79,15 +78,15 @@
 	for _, d := range f.Deltas {
 		s.Configuration += int64(len(d.Bytes))
 	}
-	if len(complete) <= maxSampled && len(alive) <= maxSampled { // what alignment and shared tables make of it
+	if len(complete) <= maxSampled && len(alive) <= maxSampled { // alignment and shared tables
 		s.Header += encodedSize(f) - s.Total()
 	}
 	return s
 }
 
-// normalize is a frame of the tree as it was before it was decoded: lists that it lacks come as empty ones, which
-// would be encoded. Frames of the register, of which only the listener sees some, count without the members and
-// records that a value holds.
+// normalize returns a frame of the tree as it was before it was encoded: decoding turns absent lists into empty ones, which
+// would be encoded. Frames of the register, some of which the listener receives, are counted without the members and
+// records of a value.
 func normalize(f wire.FrameT) *wire.FrameT {
 	if len(f.Incarnations) == 0 {
 		f.Incarnations = nil
@@ -98,20 +97,20 @@
 	if len(f.Machines) == 0 {
 		f.Machines = nil
 	}
-	if len(f.Entries) == 0 && f.Kind != wire.Update { // updates always have a list of entries
+	if len(f.Entries) == 0 && f.Kind != wire.Update { // updates always encode a list of entries
 		f.Entries = nil
 	}
 	if len(f.Rollouts) == 0 {
 		f.Rollouts = nil
 	}
 	f.Entries = normalizeEntries(f.Entries)
-	if f.Value != nil { // of an update, which has a text alone
+	if f.Value != nil { // the value of an update has a version and a text only
 		f.Value = &wire.ValueT{Version: f.Value.Version, Body: f.Value.Body}
 	}
 	return &f
 }
 
-// normalizeEntries is the same for entries, of which those without statistics have none.
+// normalizeEntries does the same for entries: an empty list of statistics becomes an absent one.
 func normalizeEntries(entries []*wire.EntryT) []*wire.EntryT {
 	normal := slices.Clone(entries)
 	for i, e := range normal {
@@ -126,8 +125,8 @@
 
 func encodedSize(f *wire.FrameT) int64 { return int64(len(wire.Encode(f))) }
 
-// entries is what entries add to a bare frame: the first of them, with a table of its fields, and each further one,
-// which shares that.
+// entriesSize returns the bytes that entries add to a bare frame. The first entry includes a table of its fields, which
+// the others share.
 func entriesSize(bare wire.FrameT, base int64, all []*wire.EntryT) int64 {
 	if len(all) == 0 {
 		return 0
@@ -143,13 +142,13 @@
 	return first + (sum-first)*int64(len(all)-1)/int64(len(some)-1)
 }
 
-// flow is what an account keeps apart.
+// flowKey is the key by which a TrafficCounter separates tallies.
 type flowKey struct {
 	link Link
 	kind byte
 }
 
-// Tally is what has passed on a link in frames of one kind.
+// Tally is the traffic on a link in frames of one kind.
 type Tally struct {
 	Link   Link   `json:"link"`
 	Kind   string `json:"kind"`
@@ -160,7 +159,7 @@
 // TrafficCounter counts frames by link and kind. It is not safe for concurrent use.
 type TrafficCounter struct{ tallies map[flowKey]*Tally }
 
-// NewTrafficCounter returns an empty account.
+// NewTrafficCounter returns a counter without tallies.
 func NewTrafficCounter() *TrafficCounter { return &TrafficCounter{tallies: map[flowKey]*Tally{}} }
 
 // Add counts a frame.
@@ -174,7 +173,7 @@
 	t.Sizes.add(sizes)
 }
 
-// Tallies returns copies of all, in no order.
+// Tallies returns copies of all tallies, in no particular order.
 func (a *TrafficCounter) Tallies() []Tally {
 	all := make([]Tally, 0, len(a.tallies))
 	for _, t := range a.tallies {
@@ -201,7 +200,7 @@
 	return "other"
 }
 
-// Sum adds up tallies of the same link and kind.
+// Sum returns the lists merged, with tallies of the same link and kind added up.
 func Sum(lists ...[]Tally) []Tally {
 	var out []Tally
 	for _, list := range lists {
@@ -217,7 +216,7 @@
 	return out
 }
 
-// Since returns what has come to tallies after an earlier reading of them.
+// Since returns the traffic counted in now but not in before, an earlier list of the same tallies.
 func Since(now, before []Tally) []Tally {
 	out := Sum(now)
 	for _, t := range before {
--- a/lab/scale/traffic_test.go
+++ b/lab/scale/traffic_test.go
@@ -58,7 +58,7 @@
 	}
 	f = codec.UpdateToFrame(&dissemination.Update{Version: 7, Deltas: oneDelta()}, nil, 0)
 	if s := Measure(f); s.Configuration != 100 || s.Entries+s.Alive+s.Machines != 0 {
-		t.Errorf("of a difference: %+v", s)
+		t.Errorf("frame with a delta: %+v", s)
 	}
 }
 
@@ -106,7 +106,7 @@
 		t.Errorf("%+v, want %+v", got, want)
 	}
 	if before[0].Frames != 1 {
-		t.Error("the earlier reading has changed")
+		t.Error("Tallies returned earlier have changed")
 	}
 }
 
