--- a/lab/count/count.go
+++ b/lab/count/count.go
@@ -39,7 +39,7 @@
 // FleetRecords holds the aggregated records of a folder of logs.
 type FleetRecords struct {
 	StepLength      time.Duration // duration of a step
-	StartTime       time.Time     // earliest record of any log
+	StartTime       time.Time     // earliest start or record in any log
 	Logs            int
 	Starts          int      // of sidecars: the number of "listening" messages
 	Steps           []*Step  // in time order; nil if nothing was recorded
--- a/lab/knownred/judge_test.go
+++ b/lab/knownred/judge_test.go
@@ -43,7 +43,7 @@
 		"a timeout":                                {begin + red + panics + fails, 1, 1},
 		"the package never ends":                   {begin + red, 1, 1},
 		"the package fails without a test":         {begin + fixed + fails, 1, 1},
-		"a build fails":                            {begin + red + fails + build, 1, 3}, // from the build event, the package event and a failure without a test
+		"a build fails":                            {begin + red + fails + build, 1, 3}, // build event, package event, no failed test
 		"a listed test is not run":                 {begin + passes, 0, 1},
 		"nothing is run":                           {"", 0, 2},
 		"the command fails without a failed event": {begin + fixed + passes, 2, 1},
