--- a/lab/doccomments/doccomments_test.go
+++ b/lab/doccomments/doccomments_test.go
@@ -17,8 +17,8 @@
 	}
 }
 
-// Planted: what lacks a comment is found, and nothing else.
-func TestMissingFinds(t *testing.T) {
+// Missing finds exactly the undocumented declarations of a sample file.
+func TestMissingFindsUndocumentedDeclarations(t *testing.T) {
 	source := `package planted
 
 type Bare struct{}
--- a/lab/knownred/judge.go
+++ b/lab/knownred/judge.go
@@ -5,8 +5,8 @@
 	"sort"
 )
 
-// judge returns what the list does not excuse, of a run that ended with a status.
-func judge(known []entry, r *results, status int) []string {
+// unexcusedFaults returns the failures of a test run that the list does not excuse. The status is the exit status of the run.
+func unexcusedFaults(known []entry, r *results, status int) []string {
 	var faults []string
 	listed := make(map[testID]bool)
 	for _, one := range known {
@@ -14,11 +14,11 @@
 			continue
 		}
 		listed[one.test] = true
-		if how := r.of(one.test); how == notRun || how == skipped {
+		if how := r.outcomeOf(one.test); how == notRun || how == skipped {
 			faults = append(faults, fmt.Sprintf("%s is listed, but %s", one.test, how))
 		}
 	}
-	for _, path := range r.builds {
+	for _, path := range r.failedBuilds {
 		faults = append(faults, "the build of "+path+" failed")
 	}
 	excused := 0
@@ -41,7 +41,7 @@
 	return faults
 }
 
-// packageFaults returns what is not excused of a package that did not pass.
+// packageFaults returns the failures of a package that did not pass, without those of listed tests.
 func (r *results) packageFaults(pkg string, listed map[testID]bool) []string {
 	var faults []string
 	if r.packages[pkg] == unfinished {
--- a/lab/knownred/results.go
+++ b/lab/knownred/results.go
@@ -21,10 +21,10 @@
 	actionBuildOut  = "build-output"
 )
 
-// mostLine bounds a line of the events.
-const mostLine = 16 << 20
+// maxLineBytes bounds the length of a line of the events.
+const maxLineBytes = 16 << 20
 
-// event is what go test -json prints a line of; see go doc test2json.
+// event is one line of the output of go test -json. See go doc test2json.
 type event struct {
 	Action      string
 	Package     string
@@ -45,18 +45,19 @@
 	skipped    outcome = "skipped"
 )
 
-// results are those of one run of the tests.
+// results holds the results of one test run.
 type results struct {
-	tests    map[testID]outcome // of test functions, not of their subtests
-	packages map[string]outcome
-	crashes  map[string][]string // by package: lines that tell of a panic, a data race or a fatal error
-	builds   []string            // that failed
-	order    []string            // packages, as they began
-	output   map[string][]string // by package, and of builds by import path
+	tests        map[testID]outcome // of test functions, not of their subtests
+	packages     map[string]outcome
+	crashes      map[string][]string // by package: lines that report a panic, a data race or a fatal error
+	failedBuilds []string            // import paths
+	order        []string            // packages in order of their first event
+	output       map[string][]string // by package, or by import path for builds
 }
 
-// crashSigns begin a line that the Go runtime or the race detector writes when more than an expectation of a test failed.
-var crashSigns = []string{"panic: ", "fatal error: ", "WARNING: DATA RACE", "goroutine ", "runtime: ",
+// crashPrefixes are beginnings of lines that the Go runtime or the race detector prints for failures other than those that a
+// test reports itself.
+var crashPrefixes = []string{"panic: ", "fatal error: ", "WARNING: DATA RACE", "goroutine ", "runtime: ",
 	"unexpected fault address", "SIG", "signal: "}
 
 func readResults(in io.Reader) (*results, error) {
@@ -65,11 +66,11 @@
 		output: make(map[string][]string),
 	}
 	lines := bufio.NewScanner(in)
-	lines.Buffer(nil, mostLine)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		var e event
 		if err := json.Unmarshal(lines.Bytes(), &e); err != nil {
-			return nil, fmt.Errorf("%q is no event: %w", lines.Text(), err)
+			return nil, fmt.Errorf("%q is not an event: %w", lines.Text(), err)
 		}
 		r.add(e)
 	}
@@ -79,14 +80,14 @@
 func (r *results) add(e event) {
 	switch e.Action {
 	case actionBuildFail:
-		r.builds = append(r.builds, e.ImportPath)
+		r.failedBuilds = append(r.failedBuilds, e.ImportPath)
 		return
 	case actionBuildOut:
 		r.output[e.ImportPath] = append(r.output[e.ImportPath], e.Output)
 		return
 	}
 	if e.FailedBuild != "" {
-		r.builds = append(r.builds, e.FailedBuild)
+		r.failedBuilds = append(r.failedBuilds, e.FailedBuild)
 	}
 	if _, known := r.packages[e.Package]; !known {
 		r.packages[e.Package] = unfinished
@@ -96,20 +97,20 @@
 		r.addOutput(e)
 		return
 	}
-	r.end(e)
+	r.setOutcome(e)
 }
 
 func (r *results) addOutput(e event) {
 	r.output[e.Package] = append(r.output[e.Package], e.Output)
-	for _, sign := range crashSigns {
+	for _, sign := range crashPrefixes {
 		if strings.HasPrefix(e.Output, sign) {
 			r.crashes[e.Package] = append(r.crashes[e.Package], strings.TrimSpace(e.Output))
 		}
 	}
 }
 
-// end notes that a test function or a package begins or ends.
-func (r *results) end(e event) {
+// setOutcome records the start or end of a test function or a package.
+func (r *results) setOutcome(e event) {
 	var how outcome
 	switch e.Action {
 	case actionRun:
@@ -131,16 +132,16 @@
 	}
 }
 
-func (r *results) of(test testID) outcome {
+func (r *results) outcomeOf(test testID) outcome {
 	if how, ok := r.tests[test]; ok {
 		return how
 	}
 	return notRun
 }
 
-// print writes a line for each package, and all that those printed that did not pass.
+// print prints the output of failed builds, a line for each package that passed or was skipped, and the output of the others.
 func (r *results) print(printer *output.Printer) {
-	for _, path := range r.builds {
+	for _, path := range r.failedBuilds {
 		printer.Print(strings.Join(r.output[path], ""))
 	}
 	for _, pkg := range r.order {
--- a/lab/scale/hollow_test.go
+++ b/lab/scale/hollow_test.go
@@ -13,8 +13,8 @@
 	"firplank/mesh/wire"
 )
 
-// changingParent is a control machine that sends a subscriber version 1, version 2 when that is in force, and nothing
-// after it.
+// changingParent is a control machine that sends a subscriber version 1, then version 2 once version 1 is acknowledged, and
+// nothing afterwards.
 type changingParent struct{ bodies [2][]byte }
 
 func (p *changingParent) HandleFrame(c *transport.Conn, f *wire.FrameT) {
@@ -33,9 +33,9 @@
 
 func (*changingParent) HandleClose(*transport.Conn) {}
 
-// A hollow sidecar puts each version in force, and leaves a parent that sends nothing more; both are counted.
+// A hollow sidecar puts each version in force and leaves a parent that has stopped sending. Both are counted.
 func TestHollowSidecarFollowsChangesAndLeavesAStaleParent(t *testing.T) {
-	p := plan()
+	p := testPlan()
 	parent := &changingParent{}
 	for i := range parent.bodies {
 		text, err := json.Marshal(p.document(uint32(i + 1)))
@@ -51,10 +51,10 @@
 	var serving sync.WaitGroup
 	serving.Go(func() { _ = transport.Serve(ln, parent) }) // until the listener is closed
 	defer serving.Wait()
-	defer func() { _ = ln.Close() }() // it has nothing to lose
+	defer func() { _ = ln.Close() }() // a listener has no buffered data
 	spec := p.hollows(p.Real + 1)[0]
 	spec.PeerAddr, spec.Seeds = freeAddress(t), []string{ln.Addr().String()}
-	ask, end := runGroup(t, GroupSpec{PerS: 1e6, Sidecars: []Spec{spec}})
+	ask, end := runGroup(t, GroupSpec{StartsPerS: 1e6, Sidecars: []Spec{spec}})
 	var versions []uint32
 	left := 0
 	for until := time.Now().Add(10 * time.Second); left == 0 && time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
@@ -62,7 +62,7 @@
 		for _, a := range s.Adoptions {
 			versions = append(versions, a.Edition)
 		}
-		left = s.Left
+		left = s.StaleParents
 	}
 	if !slices.Equal(versions, []uint32{1, 2}) || left == 0 {
 		t.Errorf("put in force %v, left its parent %d times", versions, left)
--- a/lab/scale/report.go
+++ b/lab/scale/report.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 )
 
-// Report is all that a series of runs has measured.
+// Report holds the measurements of a series of runs.
 type Report struct {
 	Plan   Plan     `json:"plan"`
 	Runs   []*Run   `json:"runs"`
@@ -15,35 +15,35 @@
 	Slopes []Slope  `json:"slopes"`
 }
 
-// Slope is how one figure grows with the number of sidecars, and what it comes to at the target.
+// Slope is the growth of one figure with the number of sidecars, and its extrapolation to the target.
 type Slope struct {
-	Figure string  `json:"figure"`
-	Unit   string  `json:"unit"`
-	Points []Point `json:"points"` // one a run
-	Fits   bool    `json:"fits"`   // whether there were sizes enough for Reach
-	Reach  Reach   `json:"reach"`
+	Figure        string        `json:"figure"`
+	Unit          string        `json:"unit"`
+	Points        []Point       `json:"points"` // one for each run
+	Fits          bool          `json:"fits"`   // whether there were enough sizes for Extrapolation
+	Extrapolation Extrapolation `json:"reach"`
 }
 
-// figure is something that each run has one of; below 0: this run has none.
+// figure is a value that is calculated for each run. It is none for a run that lacks it.
 type figure struct {
 	name, unit string
-	of         func(*Run) float64
+	value      func(*Run) float64
 }
 
-// none is the figure of a run that has none.
+// none is the value of a figure that a run lacks.
 const none = -1
 
-// Slopes fits all figures of the runs.
+// Slopes fits all figures of the runs and extrapolates them to target sidecars.
 func Slopes(runs []*Run, target int) []Slope {
 	var all []Slope
 	for _, f := range figures() {
 		s := Slope{Figure: f.name, Unit: f.unit}
 		for _, r := range runs {
-			if v := f.of(r); v > 0 {
+			if v := f.value(r); v > 0 {
 				s.Points = append(s.Points, Point{float64(r.Size), v})
 			}
 		}
-		if s.Reach, s.Fits = Extrapolate(s.Points, float64(target)); len(s.Points) > 0 {
+		if s.Extrapolation, s.Fits = Extrapolate(s.Points, float64(target)); len(s.Points) > 0 {
 			all = append(all, s)
 		}
 	}
@@ -52,7 +52,7 @@
 
 func figures() []figure {
 	var all []figure
-	for _, phase := range []string{QuietTime, ChangesOn, Restarts} {
+	for _, phase := range []string{QuietPhase, ChangesPhase, RestartPhase} {
 		all = append(all, usageFigures(phase)...)
 		all = append(all, linkFigures(phase)...)
 	}
@@ -66,7 +66,7 @@
 			return meanOf(r.Changes, func(c Change) float64 { return c.InForce.P99 })
 		}},
 		figure{"all: change in force, last", "s", func(r *Run) float64 {
-			return meanOf(r.Changes, func(c Change) float64 { return c.InForce.Most })
+			return meanOf(r.Changes, func(c Change) float64 { return c.InForce.Max })
 		}},
 		figure{"all: change acknowledged", "s", func(r *Run) float64 { return meanOf(r.Changes, func(c Change) float64 { return c.Acked }) }},
 	)
@@ -83,7 +83,7 @@
 	return sum / float64(len(all))
 }
 
-// usageFigures are those that the kernel counts, of the true processes.
+// usageFigures returns the figures counted by the kernel, of the real processes.
 func usageFigures(phase string) []figure {
 	control := func(p *Phase) []Usage { return p.Control }
 	real := func(p *Phase) []Usage { return p.Real }
@@ -92,55 +92,55 @@
 	read := func(u Usage) float64 { return u.ReadS / 1e3 }
 	written := func(u Usage) float64 { return u.WrittenS / 1e3 }
 	return []figure{
-		{phase + ": control, busiest: processor", "% of a core", usage(phase, control, cores)},
-		{phase + ": control, busiest: memory", "MB", usage(phase, control, memory)},
-		{phase + ": control, busiest: read", "kB/s", usage(phase, control, read)},
-		{phase + ": control, busiest: written", "kB/s", usage(phase, control, written)},
-		{phase + ": sidecar, busiest true one: processor", "% of a core", usage(phase, real, cores)},
-		{phase + ": sidecar, largest true one: memory", "MB", usage(phase, real, memory)},
+		{phase + ": control, busiest: processor", "% of a core", maxUsage(phase, control, cores)},
+		{phase + ": control, busiest: memory", "MB", maxUsage(phase, control, memory)},
+		{phase + ": control, busiest: read", "kB/s", maxUsage(phase, control, read)},
+		{phase + ": control, busiest: written", "kB/s", maxUsage(phase, control, written)},
+		{phase + ": sidecar, busiest true one: processor", "% of a core", maxUsage(phase, real, cores)},
+		{phase + ": sidecar, largest true one: memory", "MB", maxUsage(phase, real, memory)},
 	}
 }
 
-func usage(phase string, who func(*Phase) []Usage, what func(Usage) float64) func(*Run) float64 {
+func maxUsage(phase string, processes func(*Phase) []Usage, value func(Usage) float64) func(*Run) float64 {
 	return func(r *Run) float64 {
 		p := r.Phase(phase)
 		if p == nil {
 			return none
 		}
 		most := float64(none)
-		for _, u := range who(p) {
-			most = max(most, what(u))
+		for _, u := range processes(p) {
+			most = max(most, value(u))
 		}
 		return most
 	}
 }
 
-// linkFigures are those that are counted by links, of one machine of a role.
+// linkFigures returns the figures counted by link, per machine of a role.
 func linkFigures(phase string) []figure {
 	links := []struct {
 		link Link
 		name string
-		each func(*Run, *Phase) float64 // by how many the link's sum is shared
+		each func(*Run, *Phase) float64 // number of machines that share the link's sum
 	}{
-		{ControlToChild, "down to a relay", func(_ *Run, p *Phase) float64 { return float64(p.State.OfControl) }},
-		{ChildToControl, "up from a relay", func(_ *Run, p *Phase) float64 { return float64(p.State.OfControl) }},
-		{RelayToChild, "down to a leaf", func(_ *Run, p *Phase) float64 { return float64(p.State.OfRelay) }},
-		{ChildToRelay, "up from a leaf", func(_ *Run, p *Phase) float64 { return float64(p.State.OfRelay) }},
+		{ControlToChild, "down to a relay", func(_ *Run, p *Phase) float64 { return float64(p.State.ControlChildren) }},
+		{ChildToControl, "up from a relay", func(_ *Run, p *Phase) float64 { return float64(p.State.ControlChildren) }},
+		{RelayToChild, "down to a leaf", func(_ *Run, p *Phase) float64 { return float64(p.State.RelayChildren) }},
+		{ChildToRelay, "up from a leaf", func(_ *Run, p *Phase) float64 { return float64(p.State.RelayChildren) }},
 		{ControlToControl, "control to control, each link", func(_ *Run, p *Phase) float64 { return float64(len(p.Control)) }},
 	}
 	var all []figure
 	for _, l := range links {
 		all = append(all,
-			figure{phase + ": " + l.name + ": bytes", "kB/s", linked(phase, l.link, l.each, func(t Tally) float64 {
+			figure{phase + ": " + l.name + ": bytes", "kB/s", perMachine(phase, l.link, l.each, func(t Tally) float64 {
 				return float64(t.Sizes.Total()) / 1e3
 			})},
-			figure{phase + ": " + l.name + ": frames", "1/s", linked(phase, l.link, l.each, func(t Tally) float64 { return float64(t.Frames) })},
+			figure{phase + ": " + l.name + ": frames", "1/s", perMachine(phase, l.link, l.each, func(t Tally) float64 { return float64(t.Frames) })},
 		)
 	}
 	return all
 }
 
-func linked(phase string, link Link, each func(*Run, *Phase) float64, what func(Tally) float64) func(*Run) float64 {
+func perMachine(phase string, link Link, each func(*Run, *Phase) float64, what func(Tally) float64) func(*Run) float64 {
 	return func(r *Run) float64 {
 		p := r.Phase(phase)
 		if p == nil || each(r, p) == 0 {
@@ -156,7 +156,7 @@
 	}
 }
 
-// Write prints the report as tables.
+// Write writes the report as tables.
 func (r *Report) Write(out io.Writer) {
 	w := newTable(out, tabwriter.AlignRight)
 	w.printf("sidecars\trun\tof control\tof relays\t" +
@@ -164,15 +164,15 @@
 		"in force p50\tp99\tlast\tacked\trestarted p99\tlast, s\tmemory of all, MB\t\n")
 	for _, run := range r.Runs {
 		s := run.Phases[len(run.Phases)-1].State
-		w.printf("%d\t%d\t%d\t%d\t%d\t%d\t", run.Size, run.Repeat, s.OfControl, s.OfRelay, s.Relays, s.Left)
-		w.printf("%.2f\t%.2f\t%.2f\t", run.Ready.P50, run.Ready.P99, run.Ready.Most)
+		w.printf("%d\t%d\t%d\t%d\t%d\t%d\t", run.Size, run.Repeat, s.ControlChildren, s.RelayChildren, s.Relays, s.StaleParents)
+		w.printf("%.2f\t%.2f\t%.2f\t", run.Ready.P50, run.Ready.P99, run.Ready.Max)
 		of := func(get func(Change) float64) float64 { return meanOf(run.Changes, get) }
 		w.printf("%.3f\t%.3f\t%.3f\t%.3f\t",
 			of(func(c Change) float64 { return c.InForce.P50 }),
 			of(func(c Change) float64 { return c.InForce.P99 }),
-			of(func(c Change) float64 { return c.InForce.Most }),
+			of(func(c Change) float64 { return c.InForce.Max }),
 			of(func(c Change) float64 { return c.Acked }))
-		w.printf("%.2f\t%.2f\t%.0f\t\n", run.Restarted.P99, run.Restarted.Most, float64(run.MostRSS)/1e6)
+		w.printf("%.2f\t%.2f\t%.0f\t\n", run.Restarted.P99, run.Restarted.Max, float64(run.MaxRSS)/1e6)
 	}
 	w.flush()
 	r.writeSlopes(out)
@@ -191,19 +191,19 @@
 	for _, s := range r.Slopes {
 		w.printf("%s, %s", s.Figure, s.Unit)
 		for _, size := range r.sizes() {
-			w.printf("\t%s", s.at(size))
+			w.printf("\t%s", s.formatMeanAt(size))
 		}
 		if s.Fits {
-			reach := s.Reach
-			w.printf("\t%.2f (%.2f to %.2f)", reach.Growth.Power, reach.PowerLow, reach.PowerTop)
-			w.printf("\t%.3g to %.3g", reach.Low, reach.Top)
+			reach := s.Extrapolation
+			w.printf("\t%.2f (%.2f to %.2f)", reach.Growth.Power, reach.PowerLow, reach.PowerHigh)
+			w.printf("\t%.3g to %.3g", reach.Low, reach.High)
 		}
 		w.printf("\n")
 	}
 	w.flush()
 }
 
-// sizes are those of the runs, the smallest first.
+// sizes returns the sizes of the runs in ascending order, without duplicates.
 func (r *Report) sizes() (all []int) {
 	for _, run := range r.Runs {
 		all = append(all, run.Size)
@@ -212,8 +212,8 @@
 	return slices.Compact(all)
 }
 
-// at is the mean at a size, and how far single runs were from it at most.
-func (s *Slope) at(size int) string {
+// formatMeanAt formats the mean at a size and the largest deviation of a single run from it.
+func (s *Slope) formatMeanAt(size int) string {
 	var all []float64
 	sum := 0.
 	for _, p := range s.Points {
--- a/lab/scale/run.go
+++ b/lab/scale/run.go
@@ -12,67 +12,67 @@
 	"firplank/mesh/config"
 )
 
-// Bounds of a run's waits.
+// Time-outs and poll interval of a run.
 const (
-	startTimeout  = 40 * time.Second // beyond the time that the starts themselves take
+	startTimeout  = 40 * time.Second // in addition to the time in which the sidecars are started
 	changeTimeout = 30 * time.Second
 	pollInterval  = 250 * time.Millisecond
 )
 
-// Phase is what was measured over a part of a run.
+// Phase holds the measurements of a phase of a run.
 type Phase struct {
 	Name    string  `json:"name"`
 	Seconds float64 `json:"seconds"`
 	Control []Usage `json:"control"`
 	Real    []Usage `json:"real"`
-	Hollow  []Usage `json:"hollow"` // the processes of hollow sidecars
+	Hollow  []Usage `json:"hollow"` // processes of hollow sidecars
 	Tallies []Tally `json:"tallies"`
-	State   State   `json:"state"` // at its end
+	State   State   `json:"state"` // at the end of the phase
 }
 
-// State is how many hollow sidecars there are of each kind.
+// State holds the number of hollow sidecars of each kind, and how often they left a stale parent.
 type State struct {
-	Sidecars  int `json:"sidecars"`
-	Ready     int `json:"ready"`
-	Relays    int `json:"relays"`
-	OfControl int `json:"ofControl"`
-	OfRelay   int `json:"ofRelay"`
-	Left      int `json:"left"`
+	Sidecars        int `json:"sidecars"`
+	Ready           int `json:"ready"`
+	Relays          int `json:"relays"`
+	ControlChildren int `json:"ofControl"`
+	RelayChildren   int `json:"ofRelay"`
+	StaleParents    int `json:"left"`
 }
 
-// Times are the seconds until a condition is met at shares of the hollow sidecars.
+// Times holds percentiles of the seconds until a condition is met at the hollow sidecars, and the number of these.
 type Times struct {
-	P50  float64 `json:"p50"`
-	P99  float64 `json:"p99"`
-	Most float64 `json:"most"`
-	Of   int     `json:"of"`
+	P50   float64 `json:"p50"`
+	P99   float64 `json:"p99"`
+	Max   float64 `json:"most"`
+	Count int     `json:"of"`
 }
 
 func timesOf(all []float64) Times {
-	return Times{P50: Percentile(all, 0.5), P99: Percentile(all, 0.99), Most: Percentile(all, 1), Of: len(all)}
+	return Times{P50: Percentile(all, 0.5), P99: Percentile(all, 0.99), Max: Percentile(all, 1), Count: len(all)}
 }
 
-// Change is one change of the configuration: seconds from the operator's call.
+// Change is one change of the configuration. Times are in seconds from the operator's call.
 type Change struct {
 	Edition uint32  `json:"edition"`
 	Acked   float64 `json:"acked"`
 	InForce Times   `json:"inForce"`
 }
 
-// Run is one run at a size.
+// Run holds the measurements of one run.
 type Run struct {
 	Size        int      `json:"size"`
 	Repeat      int      `json:"repeat"`
 	ConfigBytes int      `json:"configBytes"`
 	PackedBytes int      `json:"packedBytes"`
-	Ready       Times    `json:"ready"`     // from a sidecar's start until it is ready, at the first start
-	Restarted   Times    `json:"restarted"` // ... after the restart
+	Ready       Times    `json:"ready"`     // from a sidecar's first start until it is ready
+	Restarted   Times    `json:"restarted"` // the same after the restart
 	Phases      []Phase  `json:"phases"`
 	Changes     []Change `json:"changes"`
-	MostRSS     int64    `json:"mostRSSBytes"` // of all processes together
+	MaxRSS      int64    `json:"mostRSSBytes"` // maximum of all processes together
 }
 
-// Phase returns a phase by its name; nil: there is none.
+// Phase returns the phase of a name, or nil if there is none.
 func (r *Run) Phase(name string) *Phase {
 	for i := range r.Phases {
 		if r.Phases[i].Name == name {
@@ -82,15 +82,15 @@
 	return nil
 }
 
-// The phases.
+// Names of the phases.
 const (
-	StartUp   = "start"
-	QuietTime = "quiet"
-	ChangesOn = "changes"
-	Restarts  = "restart"
+	StartPhase   = "start"
+	QuietPhase   = "quiet"
+	ChangesPhase = "changes"
+	RestartPhase = "restart"
 )
 
-// runner is a run while it lasts.
+// runner holds the state of a run in progress.
 type runner struct {
 	plan     *Plan
 	run      *Run
@@ -98,28 +98,28 @@
 	listener *Listener
 	children []*child
 	edition  uint32
-	inForce  map[uint32][]int64 // when, by edition
+	inForce  map[uint32][]int64 // adoption times by edition, in nanoseconds of Unix time
 	readyS   []float64
-	tallies  []Tally // of the last reading
+	tallies  []Tally // of the last readAll
 	state    State
 }
 
-// Play plays one run and ends all that it has started.
-func Play(ctx context.Context, plan *Plan, size, repeat int) (*Run, error) {
+// RunOnce performs one run with size sidecars and stops every process that it started.
+func RunOnce(ctx context.Context, plan *Plan, size, repeat int) (*Run, error) {
 	r := &runner{plan: plan, run: &Run{Size: size, Repeat: repeat}, inForce: map[uint32][]int64{}}
 	defer r.end()
-	if err := r.start(ctx); err != nil {
+	if err := r.startReal(ctx); err != nil {
 		return nil, err
 	}
 	steps := []struct {
 		name string
 		do   func(context.Context) error
 	}{
-		{StartUp, r.startHollow},
+		{StartPhase, r.startHollow},
 		{"", func(ctx context.Context) error { return pause(ctx, plan.Settle) }},
-		{QuietTime, func(ctx context.Context) error { return pause(ctx, plan.Quiet) }},
-		{ChangesOn, r.change},
-		{Restarts, r.restart},
+		{QuietPhase, func(ctx context.Context) error { return pause(ctx, plan.Quiet) }},
+		{ChangesPhase, r.makeChanges},
+		{RestartPhase, r.restart},
 	}
 	for _, s := range steps {
 		if err := r.phase(ctx, s.name, s.do); err != nil {
@@ -131,7 +131,7 @@
 
 func (r *runner) end() {
 	for _, c := range r.children {
-		c.end()
+		c.stop()
 	}
 	if r.listener != nil {
 		r.listener.Close()
@@ -139,11 +139,11 @@
 	if r.mesh != nil {
 		r.mesh.Stop()
 	}
-	_ = os.RemoveAll(r.plan.Folder) // a temporary folder, which may stay
+	_ = os.RemoveAll(r.plan.Folder) // a temporary folder, which may be left behind
 }
 
-// start starts what is true and puts the first configuration.
-func (r *runner) start(ctx context.Context) error {
+// startReal starts the real control machines and sidecars and the listener, and puts the first configuration.
+func (r *runner) startReal(ctx context.Context) error {
 	p := r.plan
 	var zones []string
 	for i := range p.Zones {
@@ -188,7 +188,7 @@
 	return nil
 }
 
-// put puts the configuration of the present edition, at each control machine in turn until one takes it.
+// put sends the present edition to each control machine in turn until one accepts it, and returns when it began.
 func (r *runner) put(ctx context.Context) (began time.Time, err error) {
 	body, err := json.Marshal(r.plan.document(r.edition))
 	if err != nil {
@@ -206,7 +206,7 @@
 			return began, err
 		}
 	}
-	return began, fmt.Errorf("no control machine takes edition %d", r.edition)
+	return began, fmt.Errorf("no control machine accepted edition %d", r.edition)
 }
 
 // startHollow starts the hollow sidecars and waits until all are ready.
@@ -214,7 +214,7 @@
 	all := r.plan.hollows(r.run.Size)
 	groups := (len(all) + groupSize - 1) / groupSize
 	for i := range groups {
-		spec := GroupSpec{PerS: r.plan.PerS / float64(groups)}
+		spec := GroupSpec{StartsPerS: r.plan.StartsPerS / float64(groups)}
 		for j := i; j < len(all); j += groups {
 			spec.Sidecars = append(spec.Sidecars, all[j])
 		}
@@ -224,7 +224,7 @@
 		}
 		r.children = append(r.children, c)
 	}
-	starts := time.Duration(float64(len(all)) / r.plan.PerS * float64(time.Second))
+	starts := time.Duration(float64(len(all)) / r.plan.StartsPerS * float64(time.Second))
 	if err := r.await(ctx, starts+startTimeout, func() bool { return r.state.Ready == len(all) }); err != nil {
 		return err
 	}
@@ -232,8 +232,8 @@
 	return nil
 }
 
-// change puts the changes and waits until the last is in force.
-func (r *runner) change(ctx context.Context) error {
+// makeChanges puts the plan's changes and waits until the last is in force at all hollow sidecars.
+func (r *runner) makeChanges(ctx context.Context) error {
 	begins := map[uint32]time.Time{}
 	for range r.plan.Changes {
 		r.edition++
@@ -243,7 +243,7 @@
 		}
 		begins[r.edition] = began
 		r.run.Changes = append(r.run.Changes, Change{Edition: r.edition, Acked: time.Since(began).Seconds()})
-		if err := pause(ctx, r.plan.Every-time.Since(began)); err != nil {
+		if err := pause(ctx, r.plan.ChangeInterval-time.Since(began)); err != nil {
 			return err
 		}
 	}
@@ -259,17 +259,17 @@
 	return err
 }
 
-// restart restarts a share of the hollow sidecars at once and counts for a while.
+// restart restarts a share of the hollow sidecars at once and waits until they are ready and the restart period has passed.
 func (r *runner) restart(ctx context.Context) error {
 	began := time.Now()
-	if err := r.readAll(Command{Do: Restart, Share: r.plan.Restart}); err != nil {
+	if err := r.readAll(Command{Do: Restart, Share: r.plan.RestartShare}); err != nil {
 		return err
 	}
 	if err := r.await(ctx, startTimeout, func() bool { return r.state.Ready == r.state.Sidecars }); err != nil {
 		return err
 	}
 	r.run.Restarted = timesOf(r.readyS)
-	return pause(ctx, r.plan.After-time.Since(began))
+	return pause(ctx, r.plan.RestartPeriod-time.Since(began))
 }
 
 // await polls the groups until done reports true, or the timeout has passed.
@@ -282,7 +282,7 @@
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("not within %v: %d of %d sidecars are ready", timeout, r.state.Ready, r.state.Sidecars)
+			return fmt.Errorf("condition not met within %v: %d of %d sidecars are ready", timeout, r.state.Ready, r.state.Sidecars)
 		}
 		if err := pause(ctx, pollInterval); err != nil {
 			return err
@@ -291,9 +291,9 @@
 }
 
 // readAll sends a command to all groups and collects their replies.
-func (r *runner) readAll(o Command) error {
+func (r *runner) readAll(command Command) error {
 	for _, c := range r.children {
-		if err := c.send(o); err != nil {
+		if err := c.send(command); err != nil {
 			return err
 		}
 	}
@@ -312,9 +312,9 @@
 		s.Sidecars += got.Sidecars
 		s.Ready += got.Ready
 		s.Relays += got.Relays
-		s.OfControl += got.OfControl
-		s.OfRelay += got.OfRelay
-		s.Left += got.Left
+		s.ControlChildren += got.ControlChildren
+		s.RelayChildren += got.RelayChildren
+		s.StaleParents += got.StaleParents
 	}
 	return nil
 }
--- a/lab/scale/traffic_test.go
+++ b/lab/scale/traffic_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestMeasureTellsWhatBytesAreMadeOf(t *testing.T) {
+func TestMeasureSplitsBytesByContent(t *testing.T) {
 	f := &wire.FrameT{Kind: wire.Update, Version: 7, Value: &wire.ValueT{Version: 7, Body: make([]byte, 5000)}}
 	for i := range 10 {
 		f.Entries = append(f.Entries, codec.EntryToWire(entry(i), 0), codec.LivenessToWire(entry(i), 0))
@@ -58,11 +58,11 @@
 	}
 	f = codec.UpdateToFrame(&dissemination.Update{Version: 7, Deltas: oneDelta()}, nil, 0)
 	if s := Measure(f); s.Configuration != 100 || s.Entries+s.Alive+s.Machines != 0 {
-		t.Errorf("of a difference: %+v", s)
+		t.Errorf("frame with a delta: %+v", s)
 	}
 }
 
-func TestMeasureOfLongListsIsCloseToWhatIsSent(t *testing.T) {
+func TestMeasureOfLongListsApproximatesEncodedSize(t *testing.T) {
 	f := &wire.FrameT{Kind: wire.Hello, From: "127.78.0.1:7320"}
 	for i := range 3000 {
 		f.Entries = append(f.Entries, codec.LivenessToWire(entry(i), 0))
@@ -70,10 +70,10 @@
 			f.Entries = append(f.Entries, codec.EntryToWire(entry(i), 0))
 		}
 	}
-	near(t, "bytes", float64(Measure(f).Total()), float64(encoded(f)), 0.01)
+	assertNear(t, "bytes", float64(Measure(f).Total()), float64(encodedSize(f)), 0.01)
 }
 
-func TestAccountKeepsLinksAndKindsApart(t *testing.T) {
+func TestTrafficCounterSeparatesLinksAndKinds(t *testing.T) {
 	a := NewTrafficCounter()
 	a.Add(ControlToChild, wire.Update, Sizes{Header: 10, Configuration: 90})
 	a.Add(ControlToChild, wire.Update, Sizes{Header: 10})
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestSinceLeavesWhatWasCountedBefore(t *testing.T) {
+func TestSinceSubtractsEarlierTallies(t *testing.T) {
 	a, b := NewTrafficCounter(), NewTrafficCounter()
 	a.Add(ChildToControl, wire.Report, Sizes{Header: 5, Alive: 50})
 	before := a.Tallies()
@@ -106,7 +106,7 @@
 		t.Errorf("%+v, want %+v", got, want)
 	}
 	if before[0].Frames != 1 {
-		t.Error("the earlier reading has changed")
+		t.Error("Tallies returned earlier have changed")
 	}
 }
 
