--- a/cmd/firplank-lab/compare.go
+++ b/cmd/firplank-lab/compare.go
@@ -99,7 +99,7 @@
 		subjects = slices.DeleteFunc(subjects, func(s run.Subject) bool { return !slices.Contains(c.Only, s.Name) })
 	}
 	all, err := run.Throughput(ctx, run.ThroughputOptions{
-		Subjects: subjects, InFlight: c.InFlight, Seconds: c.Seconds, Rounds: c.Rounds, Idle: c.Idle,
+		Subjects: subjects, InFlight: c.InFlight, Seconds: c.Seconds, Rounds: c.Rounds, IdleConns: c.Idle,
 	})
 	if err != nil {
 		return err
--- a/cmd/firplank-lab/standalone.go
+++ b/cmd/firplank-lab/standalone.go
@@ -92,7 +92,7 @@
 	if err != nil {
 		return err
 	}
-	return run.Stand(ctx, s, c.Dir, out)
+	return run.RunStandIns(ctx, s, c.Dir, out)
 }
 
 type clientsCommand struct {
@@ -106,7 +106,7 @@
 		return err
 	}
 	s.Sidecars = len(c.To)
-	r, err := run.Clients(ctx, s, c.To)
+	r, err := run.RunClients(ctx, s, c.To)
 	if err != nil {
 		return err
 	}
--- a/lab/run/config.go
+++ b/lab/run/config.go
@@ -17,15 +17,15 @@
 // object is a JSON object.
 type object = map[string]any
 
-var effectWords = map[string]string{"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}
+var effectSettings = map[string]string{"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}
 
 // reports are the figures of the servers' load reports, and the words that the settings have for them.
-var reports, reportWords = []string{"util", "qps"}, []string{"busy", "rate"}
+var reportFields, reportSettings = []string{"util", "qps"}, []string{"busy", "rate"}
 
 const (
-	zone        = "lab-1"
-	answerSlack = 8 // ms, of the settings
-	askWithin   = 6000
+	zone          = "lab-1"
+	answerSlackMS = 8 // ms, of the settings
+	queryWithinMS = 6000
 )
 
 // settings renders the scenario as the settings that a sidecar is given.
@@ -37,7 +37,7 @@
 			group = "all"
 		}
 		classes = append(classes, object{
-			"name": c.Name, "effect": effectWords[c.Effect], "group": group, "on_time_ms": c.AimMS,
+			"name": c.Name, "effect": effectSettings[c.Effect], "group": group, "on_time_ms": c.AimMS,
 			"hard_limit_ms": c.DeadlineMS, "window_ms": c.WindowMS, "worth": c.Worth, "late_worth": c.LateWorth,
 		})
 	}
@@ -53,23 +53,23 @@
 	for _, k := range s.Fleet.Kinds {
 		kinds = append(kinds, k.Name)
 	}
-	how := "subscribe"
+	discoveryMode := "subscribe"
 	if s.Roster.Mode == "push" {
-		how = "automatic"
+		discoveryMode = "automatic"
 	}
 	return object{
 		"classes": classes, "tenants": tenants, "kinds": kinds, "zones": []string{zone}, "zone": 0, "weights": "rough",
-		"discovery": how, "my_number": number, "peers_total": s.Sidecars, "quantum_ms": 2, "over_share_worth": 0.2,
+		"discovery": discoveryMode, "my_number": number, "peers_total": s.Sidecars, "quantum_ms": 2, "over_share_worth": 0.2,
 		"clients": object{"marks_retry": s.Clients.MarkRetries},
 		"limits": object{
 			"cancel": true, "conn_idle_ms": s.Fleet.IdleS * 1000, "connect_timeout_ms": 250, "max_attempts": 6,
 			"max_retry_after_ms": 2000, "open_cap": 20000, "parallel_tries": true, "probes": true, "retry_after": true,
 			"streams_per_conn": 1, "may_tell": s.Talk.Enabled,
 		},
-		"report":     object{"fields": reportWords, "via": "piggyback"},
+		"report":     object{"fields": reportSettings, "via": "piggyback"},
 		"result_mix": object{"whole": 0.55, "worst_window": 0.15, "worst_class": 0.05, "worst_tenant": 0.25},
 		"rules": object{
-			"answer_slack_ms": answerSlack, "ask_within_ms": askWithin, "cold_from": s.Fleet.ColdFrom,
+			"answer_slack_ms": answerSlackMS, "ask_within_ms": queryWithinMS, "cold_from": s.Fleet.ColdFrom,
 			"cold_ms": s.Fleet.ColdS * 1000, "drain_grace_ms": s.Fleet.DrainGraceMS, "fall_ms": s.Fleet.FallS * 1000,
 			"fall_multiple": s.Fleet.FallMultiple,
 		},
@@ -78,10 +78,10 @@
 
 // nodeOptions renders what a scenario adds to the sidecar's options: MessagePack-RPC, where clients or servers speak it, and
 // the folder of the contracts, where there are any, and who is reported to. Else it is empty.
-func nodeOptions(s *scenario.Scenario, listen, contracts string, carbon *receiver.Carbon) ([]byte, error) {
+func sidecarOptions(s *scenario.Scenario, listen, contracts string, carbon *receiver.Carbon) ([]byte, error) {
 	all := object{}
 	if s.Clients.RPC() || s.RPCServers() {
-		all["msgpack_rpc"] = rpcTable(s, listen)
+		all["msgpack_rpc"] = rpcOptions(s, listen)
 	}
 	if s.Clients.Held > 0 {
 		all["http"] = object{"idle_s": 3600, "waiting_share": 1}
@@ -90,7 +90,7 @@
 		all["broker"] = object{"contracts": contracts, "capacity_per_s": s.Broker.Capacity}
 	}
 	if carbon != nil {
-		all["graphite"] = object{"address": carbon.Addr(), "protocol": "pickle", "prefix": toldPrefix + ".{name}", "interval_s": 1}
+		all["graphite"] = object{"address": carbon.Addr(), "protocol": "pickle", "prefix": graphitePrefix + ".{name}", "interval_s": 1}
 	}
 	if s.Talk.Enabled {
 		all["fleet"] = object{"enabled": true, "most_per_s": s.Talk.MaxRequestsPerSecond}
@@ -106,7 +106,7 @@
 	return text, nil
 }
 
-func rpcTable(s *scenario.Scenario, listen string) object {
+func rpcOptions(s *scenario.Scenario, listen string) object {
 	table := object{"never_ran": []string{"never_ran"}, "probe": "alive"}
 	if s.Clients.RPC() {
 		table["listen"] = listen
--- a/lab/run/echo.go
+++ b/lab/run/echo.go
@@ -94,10 +94,10 @@
 }
 
 // counts are what the load of a throughput run came to so far.
-type counts struct{ served, refused, failed atomic.Int64 }
+type loadCounts struct{ served, refused, failed atomic.Int64 }
 
 // load keeps so many requests in flight at an address until ctx ends.
-func load(ctx context.Context, addr string, rpc bool, inFlight int, n *counts) error {
+func generateLoad(ctx context.Context, addr string, rpc bool, inFlight int, n *loadCounts) error {
 	if rpc {
 		return loadFrames(ctx, addr, inFlight, n)
 	}
@@ -116,10 +116,10 @@
 }
 
 // loadHTTP sends one request after the other on a connection.
-func loadHTTP(ctx context.Context, addr string, number int, n *counts) error {
+func loadHTTP(ctx context.Context, addr string, number int, n *loadCounts) error {
 	request := []byte("GET /api/lookup HTTP/1.1\r\nHost: lab.svc\r\nX-Trace-Id: 0000000000000000\r\nX-Qos: lookup\r\n" +
 		"X-Customer: north\r\nX-Object: 7f3a9c21e0b4d655\r\nX-Expires-In: 4000m\r\n\r\n")
-	at := bytes.Index(request, []byte("0000000000000000"))
+	idOffset := bytes.Index(request, []byte("0000000000000000"))
 	var in *bufio.Reader
 	var c net.Conn
 	defer func() {
@@ -135,11 +135,11 @@
 			}
 			in = bufio.NewReader(c)
 		}
-		copy(request[at:], fmt.Sprintf("%04x%012x", number, count))
+		copy(request[idOffset:], fmt.Sprintf("%04x%012x", number, count))
 		if _, err := c.Write(request); err != nil {
 			return fmt.Errorf("throughput: %w", err)
 		}
-		status, last, err := skipAnswer(in)
+		status, last, err := skipResponse(in)
 		if err != nil {
 			return fmt.Errorf("throughput: %w", err)
 		}
@@ -152,7 +152,7 @@
 	return nil
 }
 
-func (n *counts) count(status int) {
+func (n *loadCounts) count(status int) {
 	switch status {
 	case http.StatusOK:
 		n.served.Add(1)
@@ -163,10 +163,10 @@
 	}
 }
 
-var errAnswer = errors.New("an answer that a throughput run cannot read")
+var errMalformedResponse = errors.New("an answer that a throughput run cannot read")
 
 // skipAnswer reads past an answer with a Content-Length.
-func skipAnswer(in *bufio.Reader) (status int, last bool, err error) {
+func skipResponse(in *bufio.Reader) (status int, last bool, err error) {
 	length := -1
 	for first := true; ; first = false {
 		line, err := in.ReadSlice('\n')
@@ -177,20 +177,20 @@
 		switch name, value, _ := bytes.Cut(line, []byte(": ")); {
 		case first:
 			if len(line) < 12 {
-				return 0, false, errAnswer
+				return 0, false, errMalformedResponse
 			}
 			if status, err = strconv.Atoi(string(line[9:12])); err != nil {
-				return 0, false, errAnswer
+				return 0, false, errMalformedResponse
 			}
 		case len(line) == 0:
 			if length < 0 {
-				return 0, false, errAnswer
+				return 0, false, errMalformedResponse
 			}
 			_, err = in.Discard(length)
 			return status, last, err
 		case bytes.EqualFold(name, []byte("Content-Length")):
 			if length, err = strconv.Atoi(string(value)); err != nil {
-				return 0, false, errAnswer
+				return 0, false, errMalformedResponse
 			}
 		case bytes.EqualFold(name, []byte("Connection")):
 			last = bytes.EqualFold(value, []byte("close"))
@@ -199,7 +199,7 @@
 }
 
 // loadFrames keeps requests in flight on one connection: for each answer there is a next request.
-func loadFrames(ctx context.Context, addr string, inFlight int, n *counts) error {
+func loadFrames(ctx context.Context, addr string, inFlight int, n *loadCounts) error {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return fmt.Errorf("throughput: %w", err)
@@ -220,13 +220,13 @@
 	for {
 		if len(out) > 0 && in.Buffered() == 0 || len(out) > 32<<10 {
 			if _, err := c.Write(out); err != nil {
-				return ended(ctx, err)
+				return ignoreAfterEnd(ctx, err)
 			}
 			out = out[:0]
 		}
 		f, err := in.Next()
 		if err != nil {
-			return ended(ctx, err)
+			return ignoreAfterEnd(ctx, err)
 		}
 		switch {
 		case !f.Failed():
@@ -242,7 +242,7 @@
 }
 
 // ended drops the error of a connection that was closed at the run's end.
-func ended(ctx context.Context, err error) error {
+func ignoreAfterEnd(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
 	}
--- a/lab/run/faults.go
+++ b/lab/run/faults.go
@@ -12,28 +12,28 @@
 )
 
 // deed is one thing to do at a time.
-type deed struct {
+type timedAction struct {
 	at time.Duration
 	do func(context.Context) error
 }
 
 // awayAfter is how long after SIGTERM clients go on opening connections to a sidecar.
-const awayAfter = 300 * time.Millisecond
+const connectAfterTerm = 300 * time.Millisecond
 
 // playFaults makes the faults happen until ctx ends; then what stopped is let go on.
-func (st *stage) playFaults(ctx context.Context, offset time.Duration) {
-	var deeds []deed
+func (st *testbed) playFaults(ctx context.Context, offset time.Duration) {
+	var deeds []timedAction
 	for i := range st.s.Faults {
 		f := &st.s.Faults[i]
-		begin, end := st.deeds(i, f)
+		begin, end := st.faultActions(i, f)
 		if begin != nil {
-			deeds = append(deeds, deed{offset + f.At(), begin})
+			deeds = append(deeds, timedAction{offset + f.At(), begin})
 		}
 		if end != nil && f.ForS > 0 {
-			deeds = append(deeds, deed{offset + f.At() + f.For(), end})
+			deeds = append(deeds, timedAction{offset + f.At() + f.For(), end})
 		}
 	}
-	slices.SortStableFunc(deeds, func(a, b deed) int { return int(a.at - b.at) })
+	slices.SortStableFunc(deeds, func(a, b timedAction) int { return int(a.at - b.at) })
 	for _, d := range deeds {
 		select {
 		case <-time.After(d.at - st.clock()):
@@ -43,24 +43,24 @@
 			break
 		}
 		if err := d.do(ctx); err != nil {
-			st.failed(err)
+			st.recordError(err)
 		}
 	}
 	for _, n := range st.nodes {
 		if n.running() {
-			_ = n.pause(false) // fails only where the process has ended
+			_ = n.setPaused(false) // fails only where the process has ended
 		}
 	}
 }
 
-func (st *stage) failed(err error) {
+func (st *testbed) recordError(err error) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.faults = append(st.faults, err)
+	st.errs = append(st.errs, err)
 }
 
 // struck returns the servers that a fault strikes, as the fleet is now.
-func (st *stage) struck(fault int) (slots []*slot) {
+func (st *testbed) targetServers(fault int) (slots []*slot) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	var from []scenario.Candidate
@@ -73,7 +73,7 @@
 	return slots
 }
 
-func (st *stage) struckNodes(fault int) (nodes []*process) {
+func (st *testbed) targetSidecars(fault int) (nodes []*process) {
 	var from []scenario.Candidate
 	for _, n := range st.nodes {
 		from = append(from, scenario.Candidate{Number: n.number})
@@ -85,22 +85,22 @@
 }
 
 // deeds returns what begins a fault and what ends it.
-func (st *stage) deeds(i int, f *scenario.Fault) (begin, end func(context.Context) error) {
+func (st *testbed) faultActions(i int, f *scenario.Fault) (begin, end func(context.Context) error) {
 	if f.Kind == "recontract" {
-		return func(context.Context) error { return st.recontract(f) }, nil
+		return func(context.Context) error { return st.changeBudget(f) }, nil
 	}
 	switch f.Subject() {
 	case scenario.SubjectRoster:
-		return st.rosterDeeds(f)
+		return st.rosterActions(f)
 	case scenario.SubjectLinks:
-		return st.linkDeeds(f)
+		return st.linkActions(f)
 	case scenario.SubjectSidecars:
 		var nodes []*process
 		return func(ctx context.Context) error {
-				nodes = st.struckNodes(i)
-				return each(nodes, func(n *process) error { return st.strikeNode(ctx, f, n) })
+				nodes = st.targetSidecars(i)
+				return forEach(nodes, func(n *process) error { return st.applyToSidecar(ctx, f, n) })
 			}, func(ctx context.Context) error {
-				return each(nodes, func(n *process) error { return st.relieveNode(ctx, f, n) })
+				return forEach(nodes, func(n *process) error { return st.revertOnSidecar(ctx, f, n) })
 			}
 	case scenario.SubjectClients:
 		if f.Kind == "flood" {
@@ -124,17 +124,17 @@
 	var slots []*slot
 	return func(context.Context) error {
 			if f.Kind == "grow" {
-				return st.grow(int(f.Size))
+				return st.addServers(int(f.Size))
 			}
-			slots = st.struck(i)
-			return each(slots, func(sl *slot) error { return st.strike(f, sl) })
+			slots = st.targetServers(i)
+			return forEach(slots, func(sl *slot) error { return st.applyToServer(f, sl) })
 		}, func(context.Context) error {
-			return each(slots, func(sl *slot) error { return st.relieve(f, sl) })
+			return forEach(slots, func(sl *slot) error { return st.revertOnServer(f, sl) })
 		}
 }
 
 // recontract changes a tenant's budget and tells all sidecars that run.
-func (st *stage) recontract(f *scenario.Fault) error {
+func (st *testbed) changeBudget(f *scenario.Fault) error {
 	if !st.s.EnforcesContracts() {
 		return nil
 	}
@@ -148,7 +148,7 @@
 	if err != nil {
 		return err
 	}
-	return each(st.nodes, func(n *process) error {
+	return forEach(st.nodes, func(n *process) error {
 		if !n.running() {
 			return nil // it reads them when it starts
 		}
@@ -156,7 +156,7 @@
 	})
 }
 
-func each[T any](all []T, do func(T) error) error {
+func forEach[T any](all []T, do func(T) error) error {
 	for _, x := range all {
 		if err := do(x); err != nil {
 			return err
@@ -165,7 +165,7 @@
 	return nil
 }
 
-func (st *stage) grow(n int) error {
+func (st *testbed) addServers(n int) error {
 	for i := range n {
 		if _, err := st.addServer(st.s.Fleet.Kinds[i%len(st.s.Fleet.Kinds)], true); err != nil {
 			return err
@@ -174,7 +174,7 @@
 	return nil
 }
 
-func (st *stage) strike(f *scenario.Fault, sl *slot) error {
+func (st *testbed) applyToServer(f *scenario.Fault, sl *slot) error {
 	switch f.Kind {
 	case "slow":
 		sl.server.SetSlow(f.Size)
@@ -182,7 +182,7 @@
 		sl.server.Crash()
 		st.roster.Set(sl.entry, "gone")
 	case "replace":
-		return st.replace(sl)
+		return st.replaceServer(sl)
 	case "silent":
 		sl.server.SetSilent(-1, true)
 	case "cut":
@@ -200,7 +200,7 @@
 	return nil
 }
 
-func (st *stage) relieve(f *scenario.Fault, sl *slot) error {
+func (st *testbed) revertOnServer(f *scenario.Fault, sl *slot) error {
 	switch f.Kind {
 	case "slow":
 		sl.server.SetSlow(1)
@@ -228,7 +228,7 @@
 }
 
 // replace starts another server at the address of one that dies.
-func (st *stage) replace(sl *slot) error {
+func (st *testbed) replaceServer(sl *slot) error {
 	sl.server.Crash()
 	st.roster.Set(sl.entry, "gone")
 	next, err := sl.server.Replace(sl.server.ID() + "r")
@@ -244,7 +244,7 @@
 	return nil
 }
 
-func (st *stage) rosterDeeds(f *scenario.Fault) (begin, end func(context.Context) error) {
+func (st *testbed) rosterActions(f *scenario.Fault) (begin, end func(context.Context) error) {
 	do := func(f func()) func(context.Context) error {
 		return func(context.Context) error { f(); return nil }
 	}
@@ -265,19 +265,19 @@
 	return do(st.roster.Restart), nil
 }
 
-func (st *stage) strikeNode(ctx context.Context, f *scenario.Fault, n *process) error {
+func (st *testbed) applyToSidecar(ctx context.Context, f *scenario.Fault, n *process) error {
 	switch f.Kind {
 	case "kill":
 		if err := n.signal(syscall.SIGKILL); err != nil {
 			return err
 		}
 		st.judge.SidecarDown(n.number, st.clock())
-		err := n.awaitEnd()
-		st.noteAllDown()
+		err := n.awaitExit()
+		st.recordAllDown()
 		return err
 	case "stop":
 		st.judge.SidecarDown(n.number, st.clock())
-		return n.pause(true)
+		return n.setPaused(true)
 	case "hup":
 		if _, err := writeConfig(st.dir, st.s, n.number, n.address(), st.roster.SecondAddr(n.number),
 			st.roster.Current(n.number), st.links); err != nil {
@@ -290,25 +290,25 @@
 		}
 		st.tasks.Go(func() {
 			select {
-			case <-time.After(awayAfter):
+			case <-time.After(connectAfterTerm):
 			case <-ctx.Done():
 			}
 			st.callers.SetShuttingDown(n.number, true)
-			if err := n.awaitEnd(); err != nil {
-				st.failed(err)
+			if err := n.awaitExit(); err != nil {
+				st.recordError(err)
 			}
-			st.startAgain(n)
+			st.restartSidecar(n)
 		})
 	}
 	return nil
 }
 
-func (st *stage) relieveNode(_ context.Context, f *scenario.Fault, n *process) error {
+func (st *testbed) revertOnSidecar(_ context.Context, f *scenario.Fault, n *process) error {
 	switch f.Kind {
 	case "kill":
-		st.tasks.Go(func() { st.startAgain(n) })
+		st.tasks.Go(func() { st.restartSidecar(n) })
 	case "stop":
-		err := n.pause(false)
+		err := n.setPaused(false)
 		st.judge.SidecarUp(n.number, st.clock()+st.slack)
 		return err
 	}
@@ -316,8 +316,8 @@
 }
 
 // startAgain starts a sidecar that has ended; its clients use it once it is ready.
-func (st *stage) startAgain(n *process) {
-	ctx, cancel := context.WithTimeout(context.Background(), startPatience)
+func (st *testbed) restartSidecar(n *process) {
+	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 	st.judge.SidecarStarted(n.number, st.clock())
 	err := n.start(ctx)
@@ -325,7 +325,7 @@
 		err = n.awaitReady(ctx)
 	}
 	if err != nil {
-		st.failed(fmt.Errorf("start again: %w", err))
+		st.recordError(fmt.Errorf("start again: %w", err))
 		return
 	}
 	st.judge.SidecarUp(n.number, st.clock())
--- a/lab/run/faulty_test.go
+++ b/lab/run/faulty_test.go
@@ -19,15 +19,15 @@
 	"firplank/lab/standin"
 )
 
-func untilTold() context.Context {
+func untilTerminated() context.Context {
 	ctx, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	return ctx
 }
 
 // faultyProxy forwards requests and breaks one rule on purpose.
 type faultyProxy struct {
-	fault string
-	disc  string
+	fault     string
+	discovery string
 
 	mu       sync.Mutex
 	list     standin.List
@@ -38,7 +38,7 @@
 }
 
 // faulty runs a faulty proxy in this process until SIGTERM.
-func faulty(name string) {
+func runFaultyProxy(name string) {
 	text, err := os.ReadFile(os.Getenv("NODE_CONFIG"))
 	if err != nil {
 		os.Exit(1)
@@ -51,7 +51,7 @@
 		os.Exit(1)
 	}
 	p := &faultyProxy{
-		fault: strings.TrimPrefix(name, "faulty:"), disc: cfg.Discovery, list: cfg.Known,
+		fault: strings.TrimPrefix(name, "faulty:"), discovery: cfg.Discovery, list: cfg.Known,
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}},
 	}
 	ln, err := net.Listen("tcp", os.Getenv("NODE_LISTEN"))
@@ -72,7 +72,7 @@
 	go p.follow()
 	server := &http.Server{Handler: p}
 	go func() { _ = server.Serve(ln) }()
-	<-untilTold().Done()
+	<-untilTerminated().Done()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	_ = server.Shutdown(ctx)
@@ -80,11 +80,11 @@
 
 func (p *faultyProxy) follow() {
 	for {
-		resp, err := http.Get("http://" + p.disc + "/discovery/hosts")
+		resp, err := http.Get("http://" + p.discovery + "/discovery/hosts")
 		if err == nil {
 			var l standin.List
 			if json.NewDecoder(resp.Body).Decode(&l) == nil && l.Complete {
-				p.take(l)
+				p.update(l)
 			}
 			_ = resp.Body.Close()
 		}
@@ -92,7 +92,7 @@
 	}
 }
 
-func (p *faultyProxy) take(l standin.List) {
+func (p *faultyProxy) update(l standin.List) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, m := range l.Members {
@@ -121,7 +121,7 @@
 }
 
 func (p *faultyProxy) forward(r *http.Request, body []byte, server string) (int, []byte) {
-	ctx, cancel := context.WithTimeout(context.Background(), left(r))
+	ctx, cancel := context.WithTimeout(context.Background(), remainingTime(r))
 	defer cancel()
 	out, err := http.NewRequestWithContext(ctx, r.Method, "http://"+server+r.RequestURI, bytes.NewReader(body))
 	if err != nil {
@@ -143,7 +143,7 @@
 	return resp.StatusCode, text
 }
 
-func left(r *http.Request) time.Duration {
+func remainingTime(r *http.Request) time.Duration {
 	us, _ := strconv.Atoi(strings.TrimSuffix(r.Header.Get("X-Expires-In"), "u"))
 	return time.Duration(us) * time.Microsecond
 }
@@ -157,9 +157,9 @@
 	p.n++
 	n, previous := p.n, p.previous
 	p.mu.Unlock()
-	strikes := n%5 == 0
+	injectFault := n%5 == 0
 	server := p.server(n)
-	if strikes && p.fault == "invents" {
+	if injectFault && p.fault == "invents" {
 		_, _ = io.WriteString(w, r.Header.Get("X-Trace-Id")+" by nobody.\n")
 		return
 	}
@@ -167,26 +167,26 @@
 	p.mu.Lock()
 	p.previous = text
 	p.mu.Unlock()
-	if !strikes {
+	if !injectFault {
 		w.WriteHeader(status)
 		_, _ = w.Write(text)
 		return
 	}
-	if status, text, answered := p.strike(w, r, body, n, status, text, previous); !answered {
+	if status, text, answered := p.applyFault(w, r, body, n, status, text, previous); !answered {
 		w.WriteHeader(status)
 		_, _ = w.Write(text)
 	}
 }
 
 // strike does what the proxy's fault is to a request that was forwarded, and returns the answer that is still to be written.
-func (p *faultyProxy) strike(
+func (p *faultyProxy) applyFault(
 	w http.ResponseWriter, r *http.Request, body []byte, n, status int, text, previous []byte,
 ) (int, []byte, bool) {
 	switch p.fault {
 	case "loses":
 		panic(http.ErrAbortHandler)
 	case "late":
-		time.Sleep(left(r) + 2*extra)
+		time.Sleep(remainingTime(r) + 2*extraSlack)
 	case "answers_twice":
 		c, _, err := w.(http.Hijacker).Hijack()
 		if err == nil {
@@ -209,7 +209,7 @@
 	case "sends_after":
 		if r.Method == http.MethodGet {
 			header, to := r.Clone(context.Background()), p.server(n+1)
-			time.AfterFunc(2*extra, func() { p.forward(header, body, to) })
+			time.AfterFunc(2*extraSlack, func() { p.forward(header, body, to) })
 		}
 	}
 	return status, text, false
--- a/lab/run/talk.go
+++ b/lab/run/fleetsums.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	lookEvery = time.Second
-	lookWait  = 2 * time.Second
+	fleetCheckInterval = time.Second
+	fleetCheckTimeout  = 2 * time.Second
 )
 
-var operatorsAt = regexp.MustCompile(`operators_address=(\S+)\n`)
+var operatorsAddressLine = regexp.MustCompile(`operators_address=(\S+)\n`)
 
 // operators is where the process shows its pages; empty: not yet.
-func (p *process) operators() string {
-	if m := operatorsAt.FindStringSubmatch(p.log.String()); m != nil {
+func (p *process) operatorsAddress() string {
+	if m := operatorsAddressLine.FindStringSubmatch(p.log.String()); m != nil {
 		return m[1]
 	}
 	return ""
@@ -45,7 +45,7 @@
 }
 
 // linkDeeds changes links between sidecars.
-func (st *stage) linkDeeds(f *scenario.Fault) (begin, end func(context.Context) error) {
+func (st *testbed) linkActions(f *scenario.Fault) (begin, end func(context.Context) error) {
 	if f.Kind == "link_garbage" {
 		return func(ctx context.Context) error {
 			to, err := scenario.Group(f.To, st.s.Sidecars)
@@ -56,7 +56,7 @@
 				ctx, cancel := context.WithTimeout(ctx, f.For())
 				defer cancel()
 				if err := st.links.Flood(ctx, to, f.Size); err != nil {
-					st.failed(err)
+					st.recordError(err)
 				}
 			})
 			return nil
@@ -86,10 +86,10 @@
 }
 
 // status asks a sidecar what it makes of the fleet.
-func (st *stage) status(ctx context.Context, n *process) (*peers.Status, error) {
-	ctx, cancel := context.WithTimeout(ctx, lookWait)
+func (st *testbed) fleetStatus(ctx context.Context, n *process) (*peers.Status, error) {
+	ctx, cancel := context.WithTimeout(ctx, fleetCheckTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.operators()+"/fleet", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.operatorsAddress()+"/fleet", nil)
 	if err != nil {
 		return nil, err
 	}
@@ -105,18 +105,18 @@
 	return s, json.NewDecoder(resp.Body).Decode(s)
 }
 
-func sums(s *peers.Status) (taken, ended uint64) {
+func sumCounts(s *peers.Status) (accepted, ended uint64) {
 	for _, c := range s.Sums.Cells {
-		taken += c.Received
+		accepted += c.Received
 		ended += c.Served + c.RefusedCapacity + c.RefusedBudget + c.RefusedOther + c.Failed
 	}
-	return taken, ended
+	return accepted, ended
 }
 
 // watchSums holds what sidecars tell of the fleet against what clients saw, until ctx ends: at least what they say has
 // been sent by then, and at most what they say is no less than what was answered before.
-func (st *stage) watchSums(ctx context.Context) {
-	tick := time.NewTicker(lookEvery)
+func (st *testbed) checkSums(ctx context.Context) {
+	tick := time.NewTicker(fleetCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -128,21 +128,21 @@
 			if !n.running() || n.isPaused() {
 				continue
 			}
-			before, _ := st.seen.taken()
-			s, err := st.status(ctx, n)
+			before, _ := st.recorder.acceptedBounds()
+			s, err := st.fleetStatus(ctx, n)
 			if err != nil {
 				continue // it was killed or stopped meanwhile, which others look at
 			}
-			_, after := st.seen.taken()
+			_, after := st.recorder.acceptedBounds()
 			st.mu.Lock()
-			st.looks++
+			st.fleetChecks++
 			st.mu.Unlock()
-			taken, ended := sums(s)
-			if max(taken, ended) > uint64(after) {
-				st.failed(fmt.Errorf("sidecar %d tells of at least %d taken and %d ended, and %d were sent", n.number, taken, ended, after))
+			accepted, ended := sumCounts(s)
+			if max(accepted, ended) > uint64(after) {
+				st.recordError(fmt.Errorf("sidecar %d tells of at least %d taken and %d ended, and %d were sent", n.number, accepted, ended, after))
 			}
-			if s.Sums.UnboundedMembers == 0 && !s.Stale && taken+s.Sums.Unreported+st.lostCounts() < uint64(before) {
-				st.failed(fmt.Errorf("sidecar %d tells of at most %d taken, and %d were answered", n.number, taken+s.Sums.Unreported, before))
+			if s.Sums.UnboundedMembers == 0 && !s.Stale && accepted+s.Sums.Unreported+st.forgottenRequests() < uint64(before) {
+				st.recordError(fmt.Errorf("sidecar %d tells of at most %d taken, and %d were answered", n.number, accepted+s.Sums.Unreported, before))
 			}
 		}
 	}
@@ -150,67 +150,67 @@
 
 // agreeSums waits until all that run tell the same sums, which are what clients sent where no process was killed, and
 // fails where that takes longer than the scenario says.
-func (st *stage) agreeSums(ctx context.Context) {
-	least, sent := st.seen.taken()
+func (st *testbed) awaitEqualSums(ctx context.Context) {
+	leastAccepted, sent := st.recorder.acceptedBounds()
 	killed, stopped := false, false
 	for i := range st.s.Faults {
 		k := st.s.Faults[i].Kind
 		killed, stopped = killed || k == "kill" || k == "term", stopped || k == "stop"
 	}
-	begin, why := time.Now(), ""
+	begin, mismatch := time.Now(), ""
 	for time.Since(begin) < scenario.MS(st.s.Talk.AgreeWithinS*1000) && ctx.Err() == nil {
 		var first *peers.Status
-		why = ""
+		mismatch = ""
 		for _, n := range st.nodes {
-			s, err := st.status(ctx, n)
+			s, err := st.fleetStatus(ctx, n)
 			if err != nil {
-				why = fmt.Sprintf("sidecar %d: %v", n.number, err)
+				mismatch = fmt.Sprintf("sidecar %d: %v", n.number, err)
 				break
 			}
 			if first == nil {
 				first = s
 			}
-			a, _ := sums(first)
-			b, ended := sums(s)
+			firstAccepted, _ := sumCounts(first)
+			accepted, ended := sumCounts(s)
 			switch {
 			case fmt.Sprint(first.Sums.Cells) != fmt.Sprint(s.Sums.Cells):
-				why = fmt.Sprintf("sidecar %d tells %d and sidecar %d %d", first.Number, a, n.number, b)
-			case stopped && !killed && b < uint64(least): // what was sent to a process that stood still may never have been read
-				why = fmt.Sprintf("sidecar %d tells %d taken, and %d were answered", n.number, b, least)
-			case !killed && !stopped && (b != uint64(sent) || ended != uint64(sent)):
-				why = fmt.Sprintf("sidecar %d tells %d taken and %d ended, and %d were sent", n.number, b, ended, sent)
-			case b > uint64(sent):
-				why = fmt.Sprintf("sidecar %d tells %d taken, and %d were sent", n.number, b, sent)
+				mismatch = fmt.Sprintf("sidecar %d tells %d and sidecar %d %d", first.Number, firstAccepted, n.number, accepted)
+			case stopped && !killed && accepted < uint64(leastAccepted): // what was sent to a process that stood still may never have been read
+				mismatch = fmt.Sprintf("sidecar %d tells %d taken, and %d were answered", n.number, accepted, leastAccepted)
+			case !killed && !stopped && (accepted != uint64(sent) || ended != uint64(sent)):
+				mismatch = fmt.Sprintf("sidecar %d tells %d taken and %d ended, and %d were sent", n.number, accepted, ended, sent)
+			case accepted > uint64(sent):
+				mismatch = fmt.Sprintf("sidecar %d tells %d taken, and %d were sent", n.number, accepted, sent)
 			}
-			if why != "" {
+			if mismatch != "" {
 				break
 			}
 		}
-		if why == "" {
-			st.agreed = time.Since(begin)
+		if mismatch == "" {
+			st.sumsEqualAfter = time.Since(begin)
 			return
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	st.failed(fmt.Errorf("sums after %v: %s", time.Since(begin).Round(time.Millisecond), why))
+	st.recordError(fmt.Errorf("sums after %v: %s", time.Since(begin).Round(time.Millisecond), mismatch))
 }
 
 // noteAllDown notes that no sidecar runs: what all had counted nobody remembers.
-func (st *stage) noteAllDown() {
+func (st *testbed) recordAllDown() {
 	for _, n := range st.nodes {
 		if n.running() {
 			return
 		}
 	}
-	_, most := st.seen.taken()
+	_, most := st.recorder.acceptedBounds()
 	st.mu.Lock()
-	st.unremembered = uint64(most)
+	st.sentBeforeAllDown = uint64(most)
 	st.mu.Unlock()
 }
 
 // lostCounts is how many requests were sent before the last time at which no sidecar ran.
-func (st *stage) lostCounts() uint64 {
+func (st *testbed) forgottenRequests() uint64 {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	return st.unremembered
+	return st.sentBeforeAllDown
 }
--- a/lab/run/html.go
+++ b/lab/run/html.go
@@ -17,7 +17,7 @@
 // HTML writes the report as one page that needs nothing else.
 func (r *Report) HTML(w io.Writer) error {
 	if err := page.Execute(w, map[string]any{
-		"R": r, "Served": r.servedPlot(), "Latency": r.latencyPlot(), "Load": r.loadPlot(), "Told": r.toldPlot(),
+		"R": r, "Served": r.servedPlot(), "Latency": r.latencyPlot(), "Load": r.loadPlot(), "Told": r.reportedPlot(),
 	}); err != nil {
 		return fmt.Errorf("page: %w", err)
 	}
@@ -74,18 +74,18 @@
 func (r *Report) loadPlot() template.HTML {
 	var lines []line
 	top, width := 1.0, r.LengthS/buckets
-	for i, id := range r.order {
+	for i, id := range r.serverOrder {
 		// Colours stand a golden angle apart, so that any number of servers can be told from their neighbours.
 		l := line{name: id, colour: fmt.Sprintf("hsl(%.0f 60%% 45%%)", math.Mod(float64(i)*137.5, 360))}
-		const over = 4 // buckets that a point averages, or single requests would be all that is seen
+		const bucketsPerPoint = 4 // buckets that a point averages, or single requests would be all that is seen
 		counts := r.Servers[id]
-		for at := 0; at+over <= len(counts); at += over {
+		for at := 0; at+bucketsPerPoint <= len(counts); at += bucketsPerPoint {
 			sum := 0
-			for _, n := range counts[at : at+over] {
+			for _, n := range counts[at : at+bucketsPerPoint] {
 				sum += n
 			}
-			rate := float64(sum) / (over * width)
-			l.points = append(l.points, [2]float64{(float64(at) + over/2) * width, rate})
+			rate := float64(sum) / (bucketsPerPoint * width)
+			l.points = append(l.points, [2]float64{(float64(at) + bucketsPerPoint/2) * width, rate})
 			top = max(top, rate)
 		}
 		lines = append(lines, l)
--- a/lab/run/html_test.go
+++ b/lab/run/html_test.go
@@ -15,7 +15,7 @@
 )
 
 // The page stands alone, its plots are well-formed, and what a scenario's author wrote is text in it.
-func TestPageStandsAlone(t *testing.T) {
+func TestPageIsSelfContained(t *testing.T) {
 	s, err := scenario.Parse("odd.toml", []byte("name = \"<b>odd</b>\"\n[[fault]]\nkind = \"crash\"\nat_s = 2\nfor_s = 3\ntarget = \"all\"\n"))
 	if err != nil {
 		t.Fatal(err)
--- a/lab/run/norace_test.go
+++ b/lab/run/norace_test.go
@@ -2,4 +2,4 @@
 
 package run
 
-const rush = "[limits]\ncores = 0.25\n[clients]\nretries = 0\n[[fault]]\nkind = \"surge\"\nat_s = 1\nfor_s = 1.5\nsize = 20\n"
+const overload = "[limits]\ncores = 0.25\n[clients]\nretries = 0\n[[fault]]\nkind = \"surge\"\nat_s = 1\nfor_s = 1.5\nsize = 20\n"
--- a/lab/run/process.go
+++ b/lab/run/process.go
@@ -30,9 +30,9 @@
 }
 
 const (
-	startPatience = 30 * time.Second
-	endPatience   = 15 * time.Second
-	keptLog       = 64 << 10 // bytes of a sidecar's log, its last ones
+	startTimeout = 30 * time.Second
+	stopTimeout  = 15 * time.Second
+	keptLogBytes = 64 << 10 // bytes of a sidecar's log, its last ones
 )
 
 // process is one sidecar process, and those that follow it at its address.
@@ -45,22 +45,22 @@
 	options func(listen string) ([]byte, error)
 	rpc     bool // it listens for MessagePack-RPC
 
-	mu    sync.Mutex
-	addr  string // known once it has listened
-	cmd   *exec.Cmd
-	ended chan struct{} // closed when cmd has ended
-	place *standin.Reservation
-	rpcAt string // its address for MessagePack-RPC, once known
-	kept  *standin.Reservation
-	log   tail
-	use   Use
-	exit  error
+	mu              sync.Mutex
+	addr            string // known once it has listened
+	cmd             *exec.Cmd
+	ended           chan struct{} // closed when cmd has ended
+	httpReservation *standin.Reservation
+	rpcAddr         string // its address for MessagePack-RPC, once known
+	rpcReservation  *standin.Reservation
+	log             logTail
+	use             ResourceUsage
+	exitErr         error
 
 	paused bool // by a fault
 }
 
 // Use is what sidecars took of the machine, over all their processes.
-type Use struct {
+type ResourceUsage struct {
 	CPU      time.Duration `json:"cpu_ns"`
 	MemoryKB int64         `json:"memory_kb"` // the most that one process held
 }
@@ -72,7 +72,7 @@
 }
 
 // tail keeps the end of a log and finds the address in it.
-type tail struct {
+type logTail struct {
 	mu    sync.Mutex
 	text  []byte
 	rpc   bool // there are two addresses to be found
@@ -80,16 +80,16 @@
 }
 
 var (
-	listening    = regexp.MustCompile(`msg=listening address=(\S+)\n`)
-	listeningRPC = regexp.MustCompile(`rpc_address=(\S+)\n`)
+	listeningLine  = regexp.MustCompile(`msg=listening address=(\S+)\n`)
+	rpcAddressLine = regexp.MustCompile(`rpc_address=(\S+)\n`)
 )
 
-func (t *tail) Write(p []byte) (int, error) {
+func (t *logTail) Write(p []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.text = append(t.text, p...)
 	if t.found != nil {
-		m, r := listening.FindSubmatch(t.text), listeningRPC.FindSubmatch(t.text)
+		m, r := listeningLine.FindSubmatch(t.text), rpcAddressLine.FindSubmatch(t.text)
 		if m != nil && (r != nil || !t.rpc) {
 			at := addresses{http: string(m[1])}
 			if r != nil {
@@ -99,13 +99,13 @@
 			t.found = nil
 		}
 	}
-	if len(t.text) > 2*keptLog {
-		t.text = append(t.text[:0], t.text[len(t.text)-keptLog:]...)
+	if len(t.text) > 2*keptLogBytes {
+		t.text = append(t.text[:0], t.text[len(t.text)-keptLogBytes:]...)
 	}
 	return len(p), nil
 }
 
-func (t *tail) String() string {
+func (t *logTail) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return string(bytes.ToValidUTF8(t.text, []byte("?")))
@@ -129,12 +129,12 @@
 	select {
 	case at := <-found:
 		p.mu.Lock()
-		p.addr, p.rpcAt = at.http, at.rpc
+		p.addr, p.rpcAddr = at.http, at.rpc
 		p.mu.Unlock()
 		return nil
 	case <-ended:
-		return fmt.Errorf("sidecar %d ended before it listened: %w\n%s", p.number, p.exit, p.log.String())
-	case <-time.After(startPatience):
+		return fmt.Errorf("sidecar %d ended before it listened: %w\n%s", p.number, p.exitErr, p.log.String())
+	case <-time.After(startTimeout):
 		return fmt.Errorf("sidecar %d does not listen\n%s", p.number, p.log.String())
 	case <-ctx.Done():
 		return ctx.Err()
@@ -149,8 +149,8 @@
 	p.log.text, p.log.rpc, p.log.found = nil, p.rpc, found
 	p.log.mu.Unlock()
 	listen := cmp.Or(p.addr, "127.0.0.1:0")
-	p.release()
-	args, env, err := p.withOptions()
+	p.releaseAddresses()
+	args, env, err := p.argsAndEnv()
 	if err != nil {
 		return nil, err
 	}
@@ -164,20 +164,20 @@
 	ended := make(chan struct{})
 	p.cmd, p.ended, p.paused = cmd, ended, false
 	if p.cores > 0 && p.cores < 1 {
-		go p.hold(cmd.Process, ended)
+		go p.limitCPU(cmd.Process, ended)
 	}
 	go func() {
 		defer close(ended)
-		p.noteEnd(cmd, cmd.Wait())
+		p.recordExit(cmd, cmd.Wait())
 	}()
 	return ended, nil
 }
 
 // noteEnd notes what an ended process took, and keeps its addresses for the next one.
-func (p *process) noteEnd(cmd *exec.Cmd, exit error) {
+func (p *process) recordExit(cmd *exec.Cmd, exit error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.exit = exit
+	p.exitErr = exit
 	if st := cmd.ProcessState; st != nil {
 		p.use.CPU += st.UserTime() + st.SystemTime()
 		if ru, ok := st.SysUsage().(*syscall.Rusage); ok {
@@ -185,22 +185,22 @@
 		}
 	}
 	if p.addr != "" {
-		p.place = standin.Reserve(p.addr)
+		p.httpReservation = standin.Reserve(p.addr)
 	}
-	if p.rpcAt != "" {
-		p.kept = standin.Reserve(p.rpcAt)
+	if p.rpcAddr != "" {
+		p.rpcReservation = standin.Reserve(p.rpcAddr)
 	}
 }
 
 // release frees the addresses that are kept while nothing listens there. The caller holds mu.
-func (p *process) release() {
-	p.place.Release()
-	p.kept.Release()
-	p.place, p.kept = nil, nil
+func (p *process) releaseAddresses() {
+	p.httpReservation.Release()
+	p.rpcReservation.Release()
+	p.httpReservation, p.rpcReservation = nil, nil
 }
 
 // withOptions returns the program's arguments and variables, with a file of options if there are any. The caller holds mu.
-func (p *process) withOptions() (args, env []string, err error) {
+func (p *process) argsAndEnv() (args, env []string, err error) {
 	args, env = p.program.Args, p.program.Env
 	path := p.program.Options
 	if p.options != nil {
@@ -210,12 +210,12 @@
 				return nil, nil, fmt.Errorf("options: %w", err)
 			}
 		}
-		more, err := p.options(cmp.Or(p.rpcAt, "127.0.0.1:0"))
+		scenarioOptions, err := p.options(cmp.Or(p.rpcAddr, "127.0.0.1:0"))
 		if err != nil {
 			return nil, nil, err
 		}
 		path = p.config + ".toml"
-		if err := replaceFile(path, append(append(text, '\n'), more...)); err != nil {
+		if err := replaceFile(path, append(append(text, '\n'), scenarioOptions...)); err != nil {
 			return nil, nil, fmt.Errorf("options: %w", err)
 		}
 	}
@@ -231,7 +231,7 @@
 
 // awaitReady waits until the sidecar says that it serves.
 func (p *process) awaitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, startPatience)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
 	for {
@@ -266,7 +266,7 @@
 }
 
 // awaitEnd waits until the process has ended, and ends it by force when that takes too long.
-func (p *process) awaitEnd() error {
+func (p *process) awaitExit() error {
 	p.mu.Lock()
 	ended := p.ended
 	p.mu.Unlock()
@@ -275,7 +275,7 @@
 	}
 	select {
 	case <-ended:
-	case <-time.After(endPatience):
+	case <-time.After(stopTimeout):
 		_ = p.signal(syscall.SIGKILL) // fails only where the process has ended
 		<-ended
 		return fmt.Errorf("sidecar %d did not end on SIGTERM\n%s", p.number, p.log.String())
@@ -290,18 +290,18 @@
 	p.mu.Unlock()
 	if cmd != nil {
 		_ = p.signal(syscall.SIGKILL) // fails only where the process has ended
-		_ = p.awaitEnd()              // it was killed: how it ended says nothing
+		_ = p.awaitExit()             // it was killed: how it ended says nothing
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.release()
+	p.releaseAddresses()
 }
 
 // rpcAddress is where clients of MessagePack-RPC find the sidecar.
 func (p *process) rpcAddress() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.rpcAt
+	return p.rpcAddr
 }
 
 // running reports whether the process runs.
@@ -318,12 +318,12 @@
 }
 
 // pause stops the process, or lets it go on.
-func (p *process) pause(on bool) error {
+func (p *process) setPaused(on bool) error {
 	p.mu.Lock()
-	was := p.paused
+	wasPaused := p.paused
 	p.paused = on
 	p.mu.Unlock()
-	if !on && !was {
+	if !on && !wasPaused {
 		return nil // it may be stopped for its part of a core, and has to stay so
 	}
 	if on {
@@ -333,16 +333,16 @@
 }
 
 // holdPeriod is the time in which a process may use its part of a core.
-const holdPeriod = 50 * time.Millisecond
+const cpuQuotaPeriod = 50 * time.Millisecond
 
 // hold keeps a process to its part of a core until it has ended: who has used it up is stopped until the next period,
 // as a quota of the kernel's would do, for which one needs privileges.
-func (p *process) hold(process *os.Process, ended <-chan struct{}) {
+func (p *process) limitCPU(process *os.Process, ended <-chan struct{}) {
 	pid := process.Pid
 	tick := time.NewTicker(time.Millisecond)
 	defer tick.Stop()
-	quota := time.Duration(p.cores * float64(holdPeriod))
-	start, from := time.Now(), processTime(pid)
+	quota := time.Duration(p.cores * float64(cpuQuotaPeriod))
+	start, usedBefore := time.Now(), processTime(pid)
 	stopped := false
 	for {
 		select {
@@ -350,11 +350,11 @@
 		case <-ended:
 			return
 		}
-		used := processTime(pid) - from
+		used := processTime(pid) - usedBefore
 		switch now := time.Now(); {
-		case now.Sub(start) >= holdPeriod:
+		case now.Sub(start) >= cpuQuotaPeriod:
 			start = now
-			from += min(used, quota) // what went beyond is owed
+			usedBefore += min(used, quota) // what went beyond is owed
 			switch {
 			case !stopped:
 			case used >= 2*quota:
--- a/lab/run/record.go
+++ b/lab/run/record.go
@@ -15,14 +15,14 @@
 	*judge.Judge
 	bucket time.Duration
 
-	mu       sync.Mutex
-	offset   time.Duration
-	sent     int
-	answered int
-	final    int              // of those, the ones that were no broken connection
-	servers  map[string][]int // attempts by bucket
-	attempts int
-	order    []string
+	mu             sync.Mutex
+	offset         time.Duration
+	sent           int
+	answered       int
+	finalResponses int              // of those, the ones that were no broken connection
+	servers        map[string][]int // attempts by bucket
+	attempts       int
+	serverOrder    []string
 }
 
 func newRecorder(j *judge.Judge, length time.Duration) *recorder {
@@ -30,7 +30,7 @@
 }
 
 // begin says when the clients begin.
-func (r *recorder) begin(offset time.Duration) {
+func (r *recorder) setOffset(offset time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.offset = offset
@@ -44,7 +44,7 @@
 	r.attempts++
 	if r.servers[server] == nil {
 		r.servers[server] = make([]int, buckets)
-		r.order = append(r.order, server)
+		r.serverOrder = append(r.serverOrder, server)
 	}
 	if at := int((first - r.offset) / r.bucket); at >= 0 && at < buckets {
 		r.servers[server][at]++
@@ -66,7 +66,7 @@
 	defer r.mu.Unlock()
 	r.answered++
 	if a != judge.Broken {
-		r.final++
+		r.finalResponses++
 	}
 }
 
@@ -77,8 +77,8 @@
 }
 
 // taken returns bounds of how many requests sidecars have taken: so many have their final answer, and so many were sent.
-func (r *recorder) taken() (least, most int) {
+func (r *recorder) acceptedBounds() (least, most int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.final, r.sent
+	return r.finalResponses, r.sent
 }
--- a/lab/run/report.go
+++ b/lab/run/report.go
@@ -30,8 +30,8 @@
 	P999    float64 `json:"p99_9_ms"`
 	Worth   float64 `json:"worth"` // share of the worth asked for
 
-	took         []time.Duration
-	asked, found float64
+	latencies               []time.Duration
+	worthAsked, worthServed float64
 }
 
 // Team is what a tenant with a contract was served of what it was entitled to: what its budget had room for of what it asked.
@@ -54,40 +54,40 @@
 
 // Report is what a run comes to.
 type Report struct {
-	Scenario     string           `json:"scenario"`
-	Program      string           `json:"program"`
-	Seed         uint64           `json:"seed"`
-	LengthS      float64          `json:"length_s"`
-	Rows         []Row            `json:"rows"`
-	Total        Row              `json:"total"`
-	Teams        []Team           `json:"teams,omitempty"`
-	Fairness     float64          `json:"fairness,omitempty"` // Jain's index of the teams' shares: 1 is the same for all
-	RefusalP99   float64          `json:"refusal_p99_ms"`     // how long a refused try took
-	Attempts     int              `json:"attempts"`           // that reached servers
-	Verdict      *judge.Verdict   `json:"verdict"`
-	Crashes      []string         `json:"crashes"`
-	Use          Use              `json:"use"`
-	RosterCalls  int              `json:"roster_calls"`
-	Looks        int              `json:"looks,omitempty"`     // at what sidecars tell of the fleet
-	Agreed       time.Duration    `json:"agreed_ns,omitempty"` // after the day, until all told the same
-	Carried      int              `json:"datagrams,omitempty"` // between sidecars
-	LostOnTheWay int              `json:"datagrams_lost,omitempty"`
-	Late         time.Duration    `json:"late_ns"` // by which the clients' own latest start missed its plan
-	Points       []Point          `json:"points"`
-	Servers      map[string][]int `json:"servers"` // attempts over time
-	Faults       []scenario.Fault `json:"faults"`
-	Told         []Told           `json:"told,omitempty"` // by class, where the sidecars reported
+	Scenario       string           `json:"scenario"`
+	Program        string           `json:"program"`
+	Seed           uint64           `json:"seed"`
+	LengthS        float64          `json:"length_s"`
+	Rows           []Row            `json:"rows"`
+	Total          Row              `json:"total"`
+	Teams          []Team           `json:"teams,omitempty"`
+	Fairness       float64          `json:"fairness,omitempty"` // Jain's index of the teams' shares: 1 is the same for all
+	RefusalP99     float64          `json:"refusal_p99_ms"`     // how long a refused try took
+	Attempts       int              `json:"attempts"`           // that reached servers
+	Verdict        *judge.Verdict   `json:"verdict"`
+	Crashes        []string         `json:"crashes"`
+	Use            ResourceUsage    `json:"use"`
+	RosterCalls    int              `json:"roster_calls"`
+	FleetChecks    int              `json:"looks,omitempty"`     // at what sidecars tell of the fleet
+	SumsEqualAfter time.Duration    `json:"agreed_ns,omitempty"` // after the day, until all told the same
+	Datagrams      int              `json:"datagrams,omitempty"` // between sidecars
+	DatagramsLost  int              `json:"datagrams_lost,omitempty"`
+	Late           time.Duration    `json:"late_ns"` // by which the clients' own latest start missed its plan
+	Points         []Point          `json:"points"`
+	Servers        map[string][]int `json:"servers"` // attempts over time
+	Faults         []scenario.Fault `json:"faults"`
+	Reported       []ReportedClass  `json:"told,omitempty"` // by class, where the sidecars reported
 
-	order []string
+	serverOrder []string
 }
 
 // Good reports whether no rule was broken and nothing crashed.
 func (r *Report) Good() bool { return r.Verdict.Passed() && len(r.Crashes) == 0 }
 
-func newReport(s *scenario.Scenario, tallies []standin.ArrivalOutcome, v *judge.Verdict, seen *recorder) *Report {
+func newReport(s *scenario.Scenario, tallies []standin.ArrivalOutcome, v *judge.Verdict, rec *recorder) *Report {
 	r := &Report{
 		Scenario: s.Name, Seed: s.Seed, LengthS: s.LengthS, Verdict: v, Faults: s.Faults,
-		Servers: seen.servers, Attempts: seen.attempts, order: seen.order,
+		Servers: rec.servers, Attempts: rec.attempts, serverOrder: rec.serverOrder,
 	}
 	rows := map[[2]int]*Row{}
 	total := &Row{Class: "all", Tenant: "all"}
@@ -106,7 +106,7 @@
 		if t.RefusedIn > 0 {
 			refusals = append(refusals, t.RefusedIn)
 		}
-		p := &points[min(buckets-1, max(0, int(t.At/seen.bucket)))]
+		p := &points[min(buckets-1, max(0, int(t.At/rec.bucket)))]
 		p.asked++
 		if t.End == scenario.Served {
 			p.served++
@@ -116,15 +116,15 @@
 	for c := range s.Classes {
 		for t := range s.Tenants {
 			if row := rows[[2]int{c, t}]; row != nil {
-				row.close()
+				row.finish()
 				r.Rows = append(r.Rows, *row)
 			}
 		}
 	}
-	total.close()
+	total.finish()
 	r.addTeams(s, tallies)
 	r.Total, r.RefusalP99 = *total, Quantile(refusals, 0.99)
-	r.addPoints(points, seen.bucket)
+	r.addPoints(points, rec.bucket)
 	return r
 }
 
@@ -162,7 +162,7 @@
 		team := Team{Name: s.Tenants[tenant].Name, Asked: e.Requested, Entitled: e.Granted}
 		for _, row := range r.Rows {
 			if row.Tenant == team.Name {
-				team.Served += row.found
+				team.Served += row.worthServed
 			}
 		}
 		if team.Entitled > 0 {
@@ -179,16 +179,16 @@
 func (r *Row) add(t *standin.ArrivalOutcome, c *scenario.Class) {
 	r.Asked++
 	r.Tries += t.Tries
-	r.asked += c.Worth
+	r.worthAsked += c.Worth
 	switch t.End {
 	case scenario.Served:
-		r.took = append(r.took, t.Took)
+		r.latencies = append(r.latencies, t.Took)
 		if t.Took <= scenario.MS(c.AimMS) {
 			r.InAim++
-			r.found += c.Worth
+			r.worthServed += c.Worth
 		} else {
 			r.Late++
-			r.found += c.Worth * c.LateWorth
+			r.worthServed += c.Worth * c.LateWorth
 		}
 	case scenario.Refused:
 		r.Refused++
@@ -199,10 +199,10 @@
 	}
 }
 
-func (r *Row) close() {
-	r.P50, r.P99, r.P999 = Quantile(r.took, 0.5), Quantile(r.took, 0.99), Quantile(r.took, 0.999)
-	if r.asked > 0 {
-		r.Worth = r.found / r.asked
+func (r *Row) finish() {
+	r.P50, r.P99, r.P999 = Quantile(r.latencies, 0.5), Quantile(r.latencies, 0.99), Quantile(r.latencies, 0.999)
+	if r.worthAsked > 0 {
+		r.Worth = r.worthServed / r.worthAsked
 	}
 }
 
@@ -241,9 +241,9 @@
 		v.Tries, r.Attempts, r.RefusalP99, v.Excused)
 	printer.Printf("sidecars: %.2f s of processor, %.1f MB at most; roster: %d calls; clients at most %v behind their plan\n",
 		r.Use.CPU.Seconds(), float64(r.Use.MemoryKB)/1024, r.RosterCalls, r.Late.Round(time.Millisecond/10))
-	if r.Looks > 0 {
+	if r.FleetChecks > 0 {
 		printer.Printf("fleet: %d looks at the sums that sidecars tell, all agreed %v after the day; %d datagrams, %d lost on the way\n",
-			r.Looks, r.Agreed.Round(time.Millisecond), r.Carried, r.LostOnTheWay)
+			r.FleetChecks, r.SumsEqualAfter.Round(time.Millisecond), r.Datagrams, r.DatagramsLost)
 	}
 	for _, rule := range judge.Rules {
 		state := "kept"
--- a/lab/run/told.go
+++ b/lab/run/reported.go
@@ -13,10 +13,10 @@
 )
 
 // toldPrefix is what the sidecars of a run report under.
-const toldPrefix = "lab"
+const graphitePrefix = "lab"
 
 // Told is what a stand-in for Graphite was told of a class, over all sidecars.
-type Told struct {
+type ReportedClass struct {
 	Class   string       `json:"class"`
 	Served  int          `json:"served"` // tries, as in the sums of the intervals
 	Refused int          `json:"refused"`
@@ -25,14 +25,14 @@
 }
 
 // told reads the receiver's series; begin is when the clients began.
-func told(s *scenario.Scenario, carbon *receiver.Carbon, begin time.Time) (all []Told) {
+func reportedClasses(s *scenario.Scenario, carbon *receiver.Carbon, begin time.Time) (all []ReportedClass) {
 	for _, c := range s.Classes {
-		t := Told{Class: c.Name, Points: make([][2]float64, int(s.LengthS)+1)}
+		t := ReportedClass{Class: c.Name, Points: make([][2]float64, int(s.LengthS)+1)}
 		for i := range t.Points {
 			t.Points[i][0] = float64(i)
 		}
 		for i := range s.Sidecars {
-			path := fmt.Sprintf("%s.n%d.requests.%s.", toldPrefix, i+1, report.Escape(c.Name, math.MaxInt))
+			path := fmt.Sprintf("%s.n%d.requests.%s.", graphitePrefix, i+1, report.Escape(c.Name, math.MaxInt))
 			t.Refused += int(carbon.Sum(path + "refused.count"))
 			t.Failed += int(carbon.Sum(path + "failed.count"))
 			for _, p := range carbon.Series(path + "served.count") {
@@ -48,14 +48,14 @@
 }
 
 // toldPlot draws what the receiver was told; empty where nobody was.
-func (r *Report) toldPlot() template.HTML {
-	if len(r.Told) == 0 {
+func (r *Report) reportedPlot() template.HTML {
+	if len(r.Reported) == 0 {
 		return ""
 	}
 	var lines []line
 	var table strings.Builder
 	top := 1.0
-	for i, t := range r.Told {
+	for i, t := range r.Reported {
 		for _, p := range t.Points {
 			top = max(top, p[1])
 		}
--- a/lab/run/reporting.go
+++ b/lab/run/reporting.go
@@ -41,16 +41,16 @@
 	P50      time.Duration `json:"p50_ns"`
 	P99      time.Duration `json:"p99_ns"`
 	CPU      float64       `json:"cpu_part"` // of one core
-	Told     int64         `json:"told"`     // requests that the receivers were told of; -1: there is none that reads
+	Reported int64         `json:"told"`     // requests that the receivers were told of; -1: there is none that reads
 }
 
 // side is one sidecar of the measurement.
-type side struct {
-	name    string
-	options object
-	process *process
-	took    *hdrhistogram.Histogram
-	told    func() int64
+type reportingVariant struct {
+	name      string
+	options   object
+	process   *process
+	latencies *hdrhistogram.Histogram
+	reported  func() int64
 }
 
 // Reporting measures what reporting costs requests: sidecars without it, with receivers that read and with one that takes
@@ -82,70 +82,72 @@
 		return nil, fmt.Errorf("reporting: %w", err)
 	}
 	defer socket.Stop()
-	sides := reportingSides(carbon, stalled, socket)
-	roster, end, err := echoFleet(sc, false, len(sides))
+	variants := reportingVariants(carbon, stalled, socket)
+	roster, closeFleet, err := echoFleet(sc, false, len(variants))
 	if err != nil {
 		return nil, err
 	}
-	defer end()
-	for i, s := range sides {
+	defer closeFleet()
+	for i, s := range variants {
 		if err := s.start(ctx, dir, sc, roster, i, o.Program); err != nil {
 			return nil, fmt.Errorf("reporting: %s: %w", s.name, err)
 		}
 		defer s.process.close()
 	}
-	if err := ask(ctx, sides, o.Workers, o.Seconds/4); err != nil { // to warm up
+	if err := sendRequests(ctx, variants, o.Workers, o.Seconds/4); err != nil { // to warm up
 		return nil, err
 	}
-	return measureSides(ctx, sides, o)
+	return measureVariants(ctx, variants, o)
 }
 
 // reportingSides are the ways of reporting that are compared.
-func reportingSides(carbon, stalled *receiver.Carbon, socket *receiver.Socket) []*side {
+func reportingVariants(carbon, stalled *receiver.Carbon, socket *receiver.Socket) []*reportingVariant {
 	collectd := object{"unix_socket": socket.Addr(), "interval_s": 1, "host": "lab"}
-	return []*side{
-		{name: "off", told: func() int64 { return -1 }},
+	return []*reportingVariant{
+		{name: "off", reported: func() int64 { return -1 }},
 		{name: "on", options: object{
 			"graphite": object{"address": carbon.Addr(), "prefix": "on", "interval_s": 1}, "collectd": collectd,
-		}, told: func() int64 { return int64(carbon.Sum("on.requests.lookup.served.count")) }},
+		}, reported: func() int64 { return int64(carbon.Sum("on.requests.lookup.served.count")) }},
 		{name: "stalled", options: object{
 			"graphite": object{"address": stalled.Addr(), "prefix": "stalled", "interval_s": 1},
-		}, told: func() int64 { return -1 }},
-		{name: "off again", told: func() int64 { return -1 }},
+		}, reported: func() int64 { return -1 }},
+		{name: "off again", reported: func() int64 { return -1 }},
 	}
 }
 
 // measureSides asks all sides for the time of the measurement, and returns what it took them.
-func measureSides(ctx context.Context, sides []*side, o ReportingOptions) ([]ReportingCost, error) {
-	cpu, begun := make([]time.Duration, len(sides)), time.Now()
-	for i, s := range sides {
-		s.took.Reset()
+func measureVariants(ctx context.Context, variants []*reportingVariant, o ReportingOptions) ([]ReportingCost, error) {
+	cpu, begun := make([]time.Duration, len(variants)), time.Now()
+	for i, s := range variants {
+		s.latencies.Reset()
 		cpu[i] = processTime(s.process.cmd.Process.Pid)
 	}
-	if err := ask(ctx, sides, o.Workers, o.Seconds); err != nil {
+	if err := sendRequests(ctx, variants, o.Workers, o.Seconds); err != nil {
 		return nil, err
 	}
 	var all []ReportingCost
-	for i, s := range sides {
+	for i, s := range variants {
 		used := processTime(s.process.cmd.Process.Pid) - cpu[i]
 		all = append(all, ReportingCost{
-			Name: s.name, Requests: s.took.TotalCount(), CPU: used.Seconds() / time.Since(begun).Seconds(),
-			P50: time.Duration(s.took.ValueAtQuantile(50)), P99: time.Duration(s.took.ValueAtQuantile(99)),
+			Name: s.name, Requests: s.latencies.TotalCount(), CPU: used.Seconds() / time.Since(begun).Seconds(),
+			P50: time.Duration(s.latencies.ValueAtQuantile(50)), P99: time.Duration(s.latencies.ValueAtQuantile(99)),
 		})
 	}
 	time.Sleep(1500 * time.Millisecond) // the interval in which the last requests were
-	for i, s := range sides {
-		all[i].Told = s.told()
+	for i, s := range variants {
+		all[i].Reported = s.reported()
 	}
 	return all, nil
 }
 
-func (s *side) start(ctx context.Context, dir string, sc *scenario.Scenario, roster *standin.Roster, number int, program Program) error {
+func (s *reportingVariant) start(
+	ctx context.Context, dir string, sc *scenario.Scenario, roster *standin.Roster, number int, program Program,
+) error {
 	path, err := writeConfig(dir, sc, number, "127.0.0.1:0", roster.Addr(number), roster.Current(number), nil)
 	if err != nil {
 		return err
 	}
-	s.took = hdrhistogram.New(1000, int64(time.Minute), 3)
+	s.latencies = hdrhistogram.New(1000, int64(time.Minute), 3)
 	s.process = &process{number: number, program: program, config: path}
 	s.process.program.Env = append(slices.Clone(program.Env), "GOMAXPROCS=1")
 	if s.options != nil {
@@ -165,34 +167,34 @@
 }
 
 // ask has workers ask all sides in turn for a time.
-func ask(ctx context.Context, sides []*side, workers int, seconds float64) error {
+func sendRequests(ctx context.Context, variants []*reportingVariant, workers int, seconds float64) error {
 	until := time.Now().Add(time.Duration(seconds * float64(time.Second)))
-	var asking sync.WaitGroup
+	var workersRunning sync.WaitGroup
 	var mu sync.Mutex
 	var failed error
 	var number atomic.Int64
 	for w := range workers {
-		asking.Go(func() {
+		workersRunning.Go(func() {
 			err := func() error {
 				order := rand.New(rand.NewPCG(7, uint64(w)))
-				lines := make([]*kept, len(sides))
-				for i, s := range sides {
+				conns := make([]*keptConn, len(variants))
+				for i, s := range variants {
 					c, err := net.Dial("tcp", s.process.address())
 					if err != nil {
 						return err
 					}
 					defer func() { _ = c.Close() }() // the connection is released even where this fails
-					lines[i] = &kept{c, bufio.NewReader(c)}
+					conns[i] = &keptConn{c, bufio.NewReader(c)}
 				}
 				for time.Now().Before(until) && ctx.Err() == nil {
-					for _, i := range order.Perm(len(sides)) {
+					for _, i := range order.Perm(len(variants)) {
 						began := time.Now()
-						if err := lines[i].get(number.Add(1)); err != nil {
-							return fmt.Errorf("%s: %w", sides[i].name, err)
+						if err := conns[i].get(number.Add(1)); err != nil {
+							return fmt.Errorf("%s: %w", variants[i].name, err)
 						}
 						took := time.Since(began)
 						mu.Lock()
-						_ = sides[i].took.RecordValue(int64(took)) // fails only above the histogram's range
+						_ = variants[i].latencies.RecordValue(int64(took)) // fails only above the histogram's range
 						mu.Unlock()
 					}
 				}
@@ -205,17 +207,17 @@
 			}
 		})
 	}
-	asking.Wait()
+	workersRunning.Wait()
 	return failed
 }
 
 // kept is a kept connection, on which one request at a time is asked.
-type kept struct {
+type keptConn struct {
 	net.Conn
 	in *bufio.Reader
 }
 
-func (l *kept) get(number int64) error {
+func (l *keptConn) get(number int64) error {
 	_ = l.SetDeadline(time.Now().Add(10 * time.Second)) // fails only on a closed connection, as the next call on it does
 	if _, err := io.WriteString(l, "GET /api HTTP/1.1\r\nHost: a\r\nX-Trace-Id: r"+strconv.FormatInt(time.Now().UnixNano(), 36)+
 		strconv.FormatInt(number, 36)+"\r\nX-Qos: lookup\r\nX-Customer: north\r\n\r\n"); err != nil {
@@ -239,7 +241,7 @@
 	t.Println("reporting\trequests\tp50 us\tratio\tp99 us\tratio\tpart of a core\ttold of\t")
 	for _, c := range all {
 		t.Printf("%s\t%d\t%.1f\t%.3f\t%.1f\t%.3f\t%.4f\t%d\t\n", c.Name, c.Requests, float64(c.P50)/1000, float64(c.P50)/float64(all[0].P50),
-			float64(c.P99)/1000, float64(c.P99)/float64(all[0].P99), c.CPU, c.Told)
+			float64(c.P99)/1000, float64(c.P99)/float64(all[0].P99), c.CPU, c.Reported)
 	}
 	return t.Flush()
 }
--- a/lab/run/run.go
+++ b/lab/run/run.go
@@ -26,9 +26,9 @@
 
 const (
 	// ruleSlack is what sockets and a busy machine add to the time limits of the rules.
-	ruleSlack = 50 * time.Millisecond
-	toldAfter = 6 * time.Second // what the roster has counts as told by then
-	settle    = 100 * time.Millisecond
+	ruleSlack        = 50 * time.Millisecond
+	rosterDelayLimit = 6 * time.Second // what the roster has counts as told by then
+	settleTime       = 100 * time.Millisecond
 )
 
 // Options are what a run is given beside its scenario.
@@ -36,7 +36,7 @@
 	Program  Program
 	Progress func(Progress) // called some times a second; nil: not at all
 	// Extra is what a machine that is not all the run's adds to the time limits of the rules.
-	Extra time.Duration
+	ExtraSlack time.Duration
 	// Graphite has the sidecars report to a stand-in for Graphite, of which Report.Told is then made.
 	Graphite bool
 }
@@ -57,29 +57,29 @@
 }
 
 // stage is all that a run has started.
-type stage struct {
-	s      *scenario.Scenario
-	clock  standin.Clock
-	judge  *judge.Judge
-	seen   *recorder
-	cells  []*standin.Cell
-	all    *standin.Cell // the memory of keys that every server shares
-	roster *standin.Roster
-	carbon *receiver.Carbon // nil: nobody is reported to
-	nodes  []*process
-	links  *relay.Relay  // between sidecars; nil: they do not talk
-	agreed time.Duration // after which all told the same sums
-	looks  int           // at what sidecars tell
+type testbed struct {
+	s              *scenario.Scenario
+	clock          standin.Clock
+	judge          *judge.Judge
+	recorder       *recorder
+	cells          []*standin.Cell
+	sharedKeys     *standin.Cell // the memory of keys that every server shares
+	roster         *standin.Roster
+	carbon         *receiver.Carbon // nil: nobody is reported to
+	nodes          []*process
+	links          *relay.Relay  // between sidecars; nil: they do not talk
+	sumsEqualAfter time.Duration // after which all told the same sums
+	fleetChecks    int           // at what sidecars tell
 
-	unremembered uint64 // requests of lives that ended together with all others
-	callers      *standin.Clients
-	dir          string
-	slack        time.Duration // beyond the time limits of the rules
+	sentBeforeAllDown uint64 // requests of lives that ended together with all others
+	callers           *standin.Clients
+	dir               string
+	slack             time.Duration // beyond the time limits of the rules
 
 	mu      sync.Mutex
 	budgets map[string]float64 // by tenant: what its budget is multiplied by
 	fleet   []*slot
-	faults  []error
+	errs    []error
 	tasks   sync.WaitGroup
 }
 
@@ -94,7 +94,7 @@
 		return nil, fmt.Errorf("run: %w", err)
 	}
 	defer func() { _ = os.RemoveAll(dir) }() // a temporary folder, which may stay
-	st := &stage{s: s, dir: dir, all: standin.NewCell(), slack: ruleSlack + opts.Extra}
+	st := &testbed{s: s, dir: dir, sharedKeys: standin.NewCell(), slack: ruleSlack + opts.ExtraSlack}
 	defer st.close()
 	if opts.Graphite {
 		if st.carbon, err = receiver.NewCarbon(true); err != nil {
@@ -108,15 +108,15 @@
 }
 
 // buildServers starts the servers, the roster and the judge.
-func (st *stage) buildServers() error {
+func (st *testbed) buildServers() error {
 	s := st.s
 	st.clock = standin.StartClock()
 	st.judge = judge.New(judge.Config{
-		Classes: judgedClasses(s), Slack: answerSlack*time.Millisecond + st.slack,
-		DrainGrace: scenario.MS(s.Fleet.DrainGraceMS) + st.slack, NotifiedAfter: toldAfter, ArrivalSlack: st.slack,
-		PollWithin: asked(s),
+		Classes: judgeClasses(s), Slack: answerSlackMS*time.Millisecond + st.slack,
+		DrainGrace: scenario.MS(s.Fleet.DrainGraceMS) + st.slack, NotifiedAfter: rosterDelayLimit, ArrivalSlack: st.slack,
+		PollWithin: queryLimit(s),
 	})
-	st.seen = newRecorder(st.judge, s.Length())
+	st.recorder = newRecorder(st.judge, s.Length())
 	for range s.Fleet.Cells {
 		st.cells = append(st.cells, standin.NewCell())
 	}
@@ -143,17 +143,17 @@
 }
 
 // asked is the limit for asking where sidecars ask the roster; 0 where it tells them.
-func asked(s *scenario.Scenario) time.Duration {
+func queryLimit(s *scenario.Scenario) time.Duration {
 	if s.Roster.Mode == "push" {
 		return 0
 	}
-	return askWithin * time.Millisecond
+	return queryWithinMS * time.Millisecond
 }
 
 // contracts is the folder of the tenants' contracts.
-func (st *stage) contracts() string { return filepath.Join(st.dir, "contracts") }
+func (st *testbed) contracts() string { return filepath.Join(st.dir, "contracts") }
 
-func (st *stage) build(ctx context.Context, program Program) error {
+func (st *testbed) build(ctx context.Context, program Program) error {
 	if err := st.buildServers(); err != nil {
 		return err
 	}
@@ -176,7 +176,7 @@
 		}
 		n := &process{number: i, program: program, config: path, cores: s.Limits.Cores, rpc: s.Clients.RPC()}
 		if s.Clients.RPC() || s.RPCServers() || s.EnforcesContracts() || s.Clients.Held > 0 || st.carbon != nil || s.Talk.Enabled {
-			n.options = func(listen string) ([]byte, error) { return nodeOptions(s, listen, st.contracts(), st.carbon) }
+			n.options = func(listen string) ([]byte, error) { return sidecarOptions(s, listen, st.contracts(), st.carbon) }
 		}
 		st.nodes = append(st.nodes, n)
 	}
@@ -193,7 +193,7 @@
 	return nil
 }
 
-func judgedClasses(s *scenario.Scenario) (all []judge.Class) {
+func judgeClasses(s *scenario.Scenario) (all []judge.Class) {
 	for _, c := range s.Classes {
 		all = append(all, judge.Class{Effect: c.Effect, Group: c.Group, Window: scenario.MS(c.WindowMS)})
 	}
@@ -201,7 +201,7 @@
 }
 
 // addServer starts one more server and lists it.
-func (st *stage) addServer(k scenario.Kind, cold bool) (*slot, error) {
+func (st *testbed) addServer(k scenario.Kind, cold bool) (*slot, error) {
 	st.mu.Lock()
 	number := len(st.fleet)
 	st.mu.Unlock()
@@ -215,7 +215,7 @@
 	}
 	classes := map[string]standin.ServerClass{}
 	for i, c := range st.s.Classes {
-		memory := st.all
+		memory := st.sharedKeys
 		if c.Group == "cell" {
 			memory = st.cells[cell]
 		}
@@ -225,9 +225,9 @@
 		}
 	}
 	server, err := standin.NewServer(standin.ServerConfig{
-		ID: fmt.Sprintf("s-%02d", number), Cell: cell, Spec: spec, Cold: cold, Classes: classes, Reports: reports, Probes: true,
+		ID: fmt.Sprintf("s-%02d", number), Cell: cell, Spec: spec, Cold: cold, Classes: classes, Reports: reportFields, Probes: true,
 		HandshakeWork: scenario.MS(f.HandshakeMS), MaxConns: f.MaxConns, IdleTimeout: scenario.MS(f.IdleS * 1000),
-		RPC: k.RPC(), Clock: st.clock, Observer: st.seen,
+		RPC: k.RPC(), Clock: st.clock, Observer: st.recorder,
 	}, st.s.Sidecars)
 	if err != nil {
 		return nil, err
@@ -247,7 +247,7 @@
 }
 
 // play plays the plan on what was started, ends it and reports.
-func (st *stage) play(ctx context.Context, plan *scenario.Plan, opts Options) (*Report, error) {
+func (st *testbed) play(ctx context.Context, plan *scenario.Plan, opts Options) (*Report, error) {
 	addrs, rpcAddrs := st.addresses()
 	held, err := standin.OpenHeldConns(ctx, addrs, st.s.Clients.Held)
 	if err != nil {
@@ -256,17 +256,17 @@
 	defer held.Close()
 	// The plan's times count from here; all else goes by the one clock.
 	offset := st.clock()
-	st.seen.begin(offset)
+	st.recorder.setOffset(offset)
 	st.callers = standin.NewClients(standin.ClientsConfig{
-		Scenario: st.s, Plan: shifted(plan, offset), Addrs: addrs, RPCAddrs: rpcAddrs, Clock: st.clock, Observer: st.seen, Held: held,
-		MaxOpenConns: max(16, st.s.Limits.Sockets/3), Linger: answerSlack*time.Millisecond + st.slack,
+		Scenario: st.s, Plan: shiftPlan(plan, offset), Addrs: addrs, RPCAddrs: rpcAddrs, Clock: st.clock, Observer: st.recorder, Held: held,
+		MaxOpenConns: max(16, st.s.Limits.Sockets/3), Linger: answerSlackMS*time.Millisecond + st.slack,
 	})
-	tallies := st.callAmongFaults(ctx, offset, opts)
-	time.Sleep(settle) // what is on its way to a server past its answer has to be seen
+	tallies := st.runClientsAndFaults(ctx, offset, opts)
+	time.Sleep(settleTime) // what is on its way to a server past its answer has to be seen
 	if st.s.Talk.Enabled {
-		st.agreeSums(ctx)
+		st.awaitEqualSums(ctx)
 	}
-	use, crashes, err := st.endSidecars()
+	use, crashes, err := st.stopSidecars()
 	if err != nil {
 		return nil, err
 	}
@@ -281,7 +281,7 @@
 }
 
 // addresses returns where the sidecars listen for HTTP, and for MessagePack-RPC where clients speak that.
-func (st *stage) addresses() (addrs, rpcAddrs []string) {
+func (st *testbed) addresses() (addrs, rpcAddrs []string) {
 	for _, n := range st.nodes {
 		addrs = append(addrs, n.address())
 		if st.s.Clients.RPC() {
@@ -292,7 +292,7 @@
 }
 
 // shifted is a plan that begins later.
-func shifted(plan *scenario.Plan, offset time.Duration) *scenario.Plan {
+func shiftPlan(plan *scenario.Plan, offset time.Duration) *scenario.Plan {
 	later := &scenario.Plan{Arrivals: slices.Clone(plan.Arrivals)}
 	for i := range later.Arrivals {
 		later.Arrivals[i].At += offset
@@ -301,7 +301,7 @@
 }
 
 // callAmongFaults plays the clients, and the faults beside them, until all clients have ended.
-func (st *stage) callAmongFaults(ctx context.Context, offset time.Duration, opts Options) []standin.ArrivalOutcome {
+func (st *testbed) runClientsAndFaults(ctx context.Context, offset time.Duration, opts Options) []standin.ArrivalOutcome {
 	faultsCtx, endFaults := context.WithCancel(ctx)
 	defer endFaults()
 	var faults sync.WaitGroup
@@ -310,7 +310,7 @@
 		faults.Go(func() { st.progress(faultsCtx, offset, opts.Progress) })
 	}
 	if st.s.Talk.Enabled {
-		faults.Go(func() { st.watchSums(faultsCtx) })
+		faults.Go(func() { st.checkSums(faultsCtx) })
 	}
 	tallies := st.callers.Run(ctx)
 	endFaults()
@@ -320,18 +320,18 @@
 }
 
 // endSidecars ends those that run, and tells what all used and which ended by themselves.
-func (st *stage) endSidecars() (use Use, crashes []string, err error) {
+func (st *testbed) stopSidecars() (use ResourceUsage, crashes []string, err error) {
 	for _, n := range st.nodes {
 		if !n.running() {
-			crashes = append(crashes, fmt.Sprintf("sidecar %d has ended: %v\n%s", n.number, n.exit, n.log.String()))
+			crashes = append(crashes, fmt.Sprintf("sidecar %d has ended: %v\n%s", n.number, n.exitErr, n.log.String()))
 			continue
 		}
 		if err := n.signal(syscall.SIGTERM); err != nil {
-			return Use{}, nil, err
+			return ResourceUsage{}, nil, err
 		}
 	}
 	for _, n := range st.nodes {
-		if err := n.awaitEnd(); err != nil {
+		if err := n.awaitExit(); err != nil {
 			crashes = append(crashes, err.Error())
 		}
 		use.CPU += n.use.CPU
@@ -341,7 +341,7 @@
 }
 
 // report has the judge close, and reports on all that was seen, by the plan's times.
-func (st *stage) report(tallies []standin.ArrivalOutcome, offset time.Duration) *Report {
+func (st *testbed) report(tallies []standin.ArrivalOutcome, offset time.Duration) *Report {
 	verdict := st.judge.Close(st.clock())
 	for i := range verdict.Findings {
 		verdict.Findings[i].At -= offset
@@ -349,22 +349,22 @@
 	for i := range tallies {
 		tallies[i].At -= offset
 	}
-	r := newReport(st.s, tallies, verdict, st.seen)
+	r := newReport(st.s, tallies, verdict, st.recorder)
 	if st.carbon != nil {
-		r.Told = told(st.s, st.carbon, time.Now().Add(offset-st.clock()))
+		r.Reported = reportedClasses(st.s, st.carbon, time.Now().Add(offset-st.clock()))
 	}
 	r.RosterCalls, r.Late = st.roster.Calls(), st.callers.MaxStartDelay()
-	r.Looks, r.Agreed = st.looks, st.agreed
+	r.FleetChecks, r.SumsEqualAfter = st.fleetChecks, st.sumsEqualAfter
 	if st.links != nil {
-		r.Carried, r.LostOnTheWay = st.links.Counts()
+		r.Datagrams, r.DatagramsLost = st.links.Counts()
 	}
-	for _, err := range st.faults {
+	for _, err := range st.errs {
 		r.Crashes = append(r.Crashes, err.Error())
 	}
 	return r
 }
 
-func (st *stage) progress(ctx context.Context, offset time.Duration, show func(Progress)) {
+func (st *testbed) progress(ctx context.Context, offset time.Duration, show func(Progress)) {
 	tick := time.NewTicker(250 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -374,7 +374,7 @@
 			return
 		}
 		p := Progress{At: st.clock() - offset, Length: st.s.Length()}
-		p.Sent, p.Answered = st.seen.counts()
+		p.Sent, p.Answered = st.recorder.counts()
 		for i := range st.s.Faults {
 			if f := &st.s.Faults[i]; p.At >= f.At() && p.At < f.At()+max(f.For(), 500*time.Millisecond) {
 				p.Faults = append(p.Faults, f.Kind)
@@ -384,7 +384,7 @@
 	}
 }
 
-func (st *stage) closeServers() {
+func (st *testbed) closeServers() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	for _, sl := range st.fleet {
@@ -392,7 +392,7 @@
 	}
 }
 
-func (st *stage) close() {
+func (st *testbed) close() {
 	for _, n := range st.nodes {
 		n.close()
 	}
--- a/lab/run/run_test.go
+++ b/lab/run/run_test.go
@@ -20,44 +20,44 @@
 )
 
 // role is the variable by which this test's binary starts itself as a sidecar, as a peer or as a faulty proxy.
-const role = "FIRPLANK_LAB_ROLE"
+const roleVar = "FIRPLANK_LAB_ROLE"
 
 // optionsVar tells it then which options to use.
 const optionsVar = "FIRPLANK_LAB_OPTIONS"
 
 func TestMain(m *testing.M) {
-	switch r := os.Getenv(role); {
+	switch r := os.Getenv(roleVar); {
 	case r == "sidecar":
 		if err := sidecar.Main(os.Getenv, os.Getenv(optionsVar), os.Stderr); err != nil {
 			_, _ = os.Stderr.WriteString(err.Error())
 			os.Exit(1)
 		}
 	case strings.HasPrefix(r, "peer:"):
-		if err := peer.Run(untilTold(), strings.TrimPrefix(r, "peer:"), os.Getenv); err != nil {
+		if err := peer.Run(untilTerminated(), strings.TrimPrefix(r, "peer:"), os.Getenv); err != nil {
 			os.Exit(1)
 		}
 	case r != "":
-		faulty(r)
+		runFaultyProxy(r)
 	default:
 		goleak.VerifyTestMain(m)
 	}
 }
 
-func as(t *testing.T, name string) Program {
+func testProgram(t *testing.T, name string) Program {
 	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Program{Args: []string{self}, Env: []string{role + "=" + name}, OptionsVar: optionsVar}
+	return Program{Args: []string{self}, Env: []string{roleVar + "=" + name}, OptionsVar: optionsVar}
 }
 
 // extra is what a loaded machine and the race detector add to the time limits of the rules.
-const extra = 700 * time.Millisecond
+const extraSlack = 700 * time.Millisecond
 
-func play(t *testing.T, program Program, text string) *Report {
+func playText(t *testing.T, program Program, text string) *Report {
 	t.Helper()
-	return playWith(t, Options{Program: program, Extra: extra}, text)
+	return playWith(t, Options{Program: program, ExtraSlack: extraSlack}, text)
 }
 
 func playWith(t *testing.T, opts Options, text string) *Report {
@@ -75,7 +75,7 @@
 	return r
 }
 
-func good(t *testing.T, r *Report) {
+func requirePass(t *testing.T, r *Report) {
 	t.Helper()
 	if !r.Good() {
 		var b bytes.Buffer
@@ -86,11 +86,12 @@
 	}
 }
 
-func TestCalmDay(t *testing.T) {
-	r := playWith(t, Options{Program: as(t, "sidecar"), Extra: extra, Graphite: true}, "rate = 60\nlength_s = 3\nsidecars = 2\n")
-	good(t, r)
+func TestScenarioWithoutFaults(t *testing.T) {
+	r := playWith(t, Options{Program: testProgram(t, "sidecar"), ExtraSlack: extraSlack, Graphite: true},
+		"rate = 60\nlength_s = 3\nsidecars = 2\n")
+	requirePass(t, r)
 	served := 0
-	for _, told := range r.Told {
+	for _, told := range r.Reported {
 		served += told.Served
 	}
 	if served != r.Total.InAim+r.Total.Late {
@@ -178,7 +179,7 @@
 		t.Run(c.proxy, func(t *testing.T) {
 			t.Parallel()
 			text := faultyScenario + c.more
-			r := play(t, as(t, c.proxy), text)
+			r := playText(t, testProgram(t, c.proxy), text)
 			for _, rule := range judge.Rules {
 				if broken := r.Verdict.Counts[rule] > 0; broken != (rule == c.want) {
 					t.Errorf("rule %q: broken is %v: %v", rule, broken, r.Verdict.Findings)
@@ -192,15 +193,15 @@
 }
 
 // A sidecar that ends by itself is a crash, whatever the judge finds.
-func TestCrashIsSeen(t *testing.T) {
-	r := play(t, as(t, "faulty:dies"), "rate = 40\nlength_s = 2\nsidecars = 1\n")
+func TestCrashIsReported(t *testing.T) {
+	r := playText(t, testProgram(t, "faulty:dies"), "rate = 40\nlength_s = 2\nsidecars = 1\n")
 	if len(r.Crashes) == 0 || !strings.Contains(r.Crashes[0], "has ended") {
 		t.Errorf("crashes %v", r.Crashes)
 	}
 }
 
 // pairs are the protocols of clients and of servers.
-var pairs = map[string]string{
+var protocolPairs = map[string]string{
 	"HTTP to HTTP": "", "HTTP to RPC": "[fleet]\nprotocol = \"msgpack-rpc\"\n", "RPC to HTTP": "protocol = \"msgpack-rpc\"\n",
 	"RPC to RPC": "protocol = \"msgpack-rpc\"\n[fleet]\nprotocol = \"msgpack-rpc\"\n",
 }
@@ -248,10 +249,10 @@
 		"answers with more than belongs to them": few + spoil("cell:0", "second_copy") + spoil("server:1", "bad_report") +
 			spoil("server:3", "wrong_id") + clients,
 	} {
-		for pair, protocols := range pairs {
+		for pair, protocols := range protocolPairs {
 			t.Run(name+"/"+pair, func(t *testing.T) {
 				t.Parallel()
-				good(t, play(t, as(t, "sidecar"), text+protocols))
+				requirePass(t, playText(t, testProgram(t, "sidecar"), text+protocols))
 			})
 		}
 	}
@@ -259,8 +260,8 @@
 
 // A keyed request is in flight when its sidecar is killed: the client's retry reaches another sidecar within the window,
 // and the servers run it once.
-func TestKeyedRequestsOutliveAKill(t *testing.T) {
-	r := play(t, as(t, "sidecar"), `
+func TestKeyedRequestsSurviveKilledSidecar(t *testing.T) {
+	r := playText(t, testProgram(t, "sidecar"), `
 rate = 120
 length_s = 4
 sidecars = 5
@@ -292,7 +293,7 @@
 at_s = 2
 for_s = 0.4
 `)
-	good(t, r)
+	requirePass(t, r)
 	if r.Verdict.Excused == 0 {
 		t.Error("nothing was in flight at the kills")
 	}
@@ -305,8 +306,8 @@
 }
 
 // A sidecar on a part of a core is held to it.
-func TestPartOfACore(t *testing.T) {
-	r := play(t, as(t, "faulty:spins"), "rate = 20\nlength_s = 3\nsidecars = 1\n[limits]\ncores = 0.25\n[clients]\nretries = 0\n")
+func TestCPUQuotaIsEnforced(t *testing.T) {
+	r := playText(t, testProgram(t, "faulty:spins"), "rate = 20\nlength_s = 3\nsidecars = 1\n[limits]\ncores = 0.25\n[clients]\nretries = 0\n")
 	// Some more for the start, and for what it does before it is first looked at.
 	if used := r.Use.CPU.Seconds(); used < 0.3 || used > 0.25*3+1 {
 		t.Errorf("%.2f s of processor in 3 s at a quarter of a core", used)
@@ -315,21 +316,21 @@
 
 // Many times the usual load comes at once on a sidecar with a part of a core: it turns away what it cannot carry, loses
 // nothing, and still serves.
-func TestRushIsTurnedAway(t *testing.T) {
-	program := as(t, "sidecar")
+func TestOverloadIsShed(t *testing.T) {
+	program := testProgram(t, "sidecar")
 	program.Options = "testdata/door.toml"
-	r := play(t, program, "rate = 60\nlength_s = 4\nsidecars = 1\n"+rush)
-	good(t, r)
+	r := playText(t, program, "rate = 60\nlength_s = 4\nsidecars = 1\n"+overload)
+	requirePass(t, r)
 	if r.Total.Refused == 0 || r.Total.InAim == 0 {
 		t.Errorf("%d refused, %d served in aim", r.Total.Refused, r.Total.InAim)
 	}
 }
 
 // Connections that were held in silence all ask at once: each has its answer, on the connection that it was held for.
-func TestHeldConnectionsRush(t *testing.T) {
-	program := as(t, "sidecar")
+func TestHeldConnectionsSendAtOnce(t *testing.T) {
+	program := testProgram(t, "sidecar")
 	program.Options = "testdata/door.toml"
-	r := play(t, program, `
+	r := playText(t, program, `
 rate = 20
 length_s = 6
 sidecars = 2
@@ -343,7 +344,7 @@
 for_s = 1
 kind = "rush"
 `)
-	good(t, r)
+	requirePass(t, r)
 	if r.Total.Asked < 600 || r.Total.InAim+r.Total.Late < 100 || r.Total.Lost > 0 {
 		t.Errorf("%+v", r.Total)
 	}
@@ -353,7 +354,7 @@
 	for _, policy := range append(slices.Clone(peer.Policies), peer.Fast) {
 		t.Run(policy, func(t *testing.T) {
 			t.Parallel()
-			r := play(t, as(t, "peer:"+policy), "rate = 40\nlength_s = 2\nsidecars = 1\n")
+			r := playText(t, testProgram(t, "peer:"+policy), "rate = 40\nlength_s = 2\nsidecars = 1\n")
 			if len(r.Crashes) > 0 || r.Total.InAim+r.Total.Late < r.Total.Asked/2 {
 				t.Errorf("total %+v, crashes %v", r.Total, r.Crashes)
 			}
@@ -364,13 +365,13 @@
 // playAll plays built-in scenarios at once.
 func playAll(t *testing.T, names []string) (reports []*Report, errs []error) {
 	reports, errs = make([]*Report, len(names)), make([]error, len(names))
-	program := as(t, "sidecar")
+	program := testProgram(t, "sidecar")
 	var playing sync.WaitGroup
 	for i, name := range names {
 		playing.Go(func() {
 			s, err := scenario.Open(name)
 			if err == nil {
-				reports[i], err = Play(t.Context(), s, Options{Program: program, Extra: extra})
+				reports[i], err = Play(t.Context(), s, Options{Program: program, ExtraSlack: extraSlack})
 			}
 			errs[i] = err
 		})
@@ -381,7 +382,7 @@
 
 // What sidecars tell one another holds the truth through a cut through the fleet, and kills and restarts mid-work; the
 // laboratory looks at it from outside each second, and wants all to agree afterwards.
-func TestTalkHoldsTheTruth(t *testing.T) {
+func TestSharedSumsStayWithinBounds(t *testing.T) {
 	t.Parallel()
 	names := []string{"talk-split", "talk-restart"}
 	reports, errs := playAll(t, names)
@@ -389,9 +390,9 @@
 		if errs[i] != nil {
 			t.Fatal(names[i], errs[i])
 		}
-		good(t, r)
-		if r.Looks < 40 || r.Carried == 0 {
-			t.Errorf("%s: %d looks, %d datagrams", names[i], r.Looks, r.Carried)
+		requirePass(t, r)
+		if r.FleetChecks < 40 || r.Datagrams == 0 {
+			t.Errorf("%s: %d looks, %d datagrams", names[i], r.FleetChecks, r.Datagrams)
 		}
 	}
 }
@@ -399,7 +400,7 @@
 // Days in the shape of the fleet's: many sidecars with little traffic each, of which all are restarted while servers are
 // replaced, or which all keep on while most servers change; and one whose roster fails in every way during a release.
 // They wait more than they work, so that all are played at once.
-func TestFleetDays(t *testing.T) {
+func TestFleetScenarios(t *testing.T) {
 	t.Parallel()
 	names := []string{"fleet-roll", "fleet-join", "long-deadlines", "roster-broken"}
 	reports, errs := playAll(t, names)
@@ -407,6 +408,6 @@
 		if errs[i] != nil {
 			t.Fatal(names[i], errs[i])
 		}
-		good(t, r)
+		requirePass(t, r)
 	}
 }
--- a/lab/run/alone.go
+++ b/lab/run/standalone.go
@@ -13,9 +13,9 @@
 
 // Stand starts the servers and the roster of a scenario, writes a configuration for each of its sidecars to dir, says so
 // on out, and plays the faults of servers and roster until ctx ends. Nobody judges.
-func Stand(ctx context.Context, s *scenario.Scenario, dir string, out io.Writer) error {
+func RunStandIns(ctx context.Context, s *scenario.Scenario, dir string, out io.Writer) error {
 	printer := output.New(out)
-	st := &stage{s: s, dir: dir, all: standin.NewCell()}
+	st := &testbed{s: s, dir: dir, sharedKeys: standin.NewCell()}
 	defer st.close()
 	if err := st.buildServers(); err != nil {
 		return err
@@ -30,16 +30,16 @@
 	for _, sl := range st.fleet {
 		printer.Printf("server %s in cell %d at %s\n", sl.server.ID(), sl.candidate.Cell, sl.server.Addr(0))
 	}
-	var mine []scenario.Fault
+	var standInFaults []scenario.Fault
 	for _, f := range s.Faults {
 		if f.Subject() == scenario.SubjectServers || f.Subject() == scenario.SubjectRoster {
-			mine = append(mine, f)
+			standInFaults = append(standInFaults, f)
 		}
 	}
-	s.Faults = mine
+	s.Faults = standInFaults
 	st.playFaults(ctx, st.clock())
 	<-ctx.Done()
-	for _, err := range st.faults {
+	for _, err := range st.errs {
 		return err
 	}
 	return printer.Err()
@@ -47,25 +47,25 @@
 
 // Clients plays the clients of a scenario against sidecars at the given addresses. What servers saw is not known, so
 // only the rules on answers are judged.
-func Clients(ctx context.Context, s *scenario.Scenario, addrs []string) (*Report, error) {
+func RunClients(ctx context.Context, s *scenario.Scenario, addrs []string) (*Report, error) {
 	plan, err := s.Draw()
 	if err != nil {
 		return nil, err
 	}
 	clock := standin.StartClock()
-	j := judge.New(judge.Config{Classes: judgedClasses(s), Slack: ruleSlack, NoServerEvents: true})
-	seen := newRecorder(j, s.Length())
+	j := judge.New(judge.Config{Classes: judgeClasses(s), Slack: ruleSlack, NoServerEvents: true})
+	rec := newRecorder(j, s.Length())
 	var rpcAddrs []string
 	if s.Clients.RPC() {
 		rpcAddrs = addrs
 	}
 	callers := standin.NewClients(standin.ClientsConfig{
-		Scenario: s, Plan: plan, Addrs: addrs, RPCAddrs: rpcAddrs, Clock: clock, Observer: seen, MaxOpenConns: max(16, s.Limits.Sockets/3),
-		Linger: answerSlack*time.Millisecond + ruleSlack,
+		Scenario: s, Plan: plan, Addrs: addrs, RPCAddrs: rpcAddrs, Clock: clock, Observer: rec, MaxOpenConns: max(16, s.Limits.Sockets/3),
+		Linger: answerSlackMS*time.Millisecond + ruleSlack,
 	})
 	tallies := callers.Run(ctx)
-	time.Sleep(settle)
-	r := newReport(s, tallies, j.Close(clock()), seen)
+	time.Sleep(settleTime)
+	r := newReport(s, tallies, j.Close(clock()), rec)
 	r.Program, r.Late = "the sidecars given", callers.MaxStartDelay()
 	return r, nil
 }
--- a/lab/run/teams_test.go
+++ b/lab/run/teams_test.go
@@ -9,7 +9,7 @@
 )
 
 // teams plays the scenario of three teams, with or without its faults.
-func teams(t *testing.T, faults bool) *Report {
+func playTeams(t *testing.T, faults bool) *Report {
 	t.Helper()
 	s, err := scenario.Open("teams")
 	if err != nil {
@@ -20,11 +20,11 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
-	r, err := Play(ctx, s, Options{Program: as(t, "sidecar"), Extra: extra})
+	r, err := Play(ctx, s, Options{Program: testProgram(t, "sidecar"), ExtraSlack: extraSlack})
 	if err != nil {
 		t.Fatal(err)
 	}
-	good(t, r)
+	requirePass(t, r)
 	return r
 }
 
@@ -40,23 +40,23 @@
 // One team surges to ten times its usual with retries, another's budget is halved under way. Each is served what it was
 // promised, and the third notices nothing.
 func TestThreeTeams(t *testing.T) {
-	calm, rough := teams(t, false), teams(t, true)
+	withoutFaults, withFaults := playTeams(t, false), playTeams(t, true)
 	inAim := func(r *Report) float64 {
 		row := r.row("reserve", "inspection")
 		return float64(row.InAim) / float64(max(1, row.Asked))
 	}
-	if before, beside := inAim(calm), inAim(rough); beside < before-0.01 {
-		t.Errorf("reserves of the quiet team in aim: %.3f without the surge, %.3f beside it", before, beside)
+	if before, during := inAim(withoutFaults), inAim(withFaults); during < before-0.01 {
+		t.Errorf("reserves of the quiet team in aim: %.3f without the surge, %.3f beside it", before, during)
 	}
-	for _, team := range rough.Teams {
+	for _, team := range withFaults.Teams {
 		if team.Share < 0.96 || team.Share > 1.04 {
 			t.Errorf("%s was served %.0f of the %.0f that it was entitled to", team.Name, team.Served, team.Entitled)
 		}
 	}
-	if rough.Fairness < 0.99 {
-		t.Errorf("fairness %.3f", rough.Fairness)
+	if withFaults.Fairness < 0.99 {
+		t.Errorf("fairness %.3f", withFaults.Fairness)
 	}
-	if insurers := rough.Teams[1]; insurers.Asked < 4*insurers.Entitled {
+	if insurers := withFaults.Teams[1]; insurers.Asked < 4*insurers.Entitled {
 		t.Errorf("the surge asked for %.0f only", insurers.Asked)
 	}
 }
--- a/lab/run/throughput.go
+++ b/lab/run/throughput.go
@@ -28,28 +28,28 @@
 
 // ThroughputOptions say what to measure.
 type ThroughputOptions struct {
-	Subjects []Subject
-	InFlight []int
-	Seconds  float64 // of each measurement
-	Rounds   int     // the subjects take turns so often
-	Idle     int     // connections that are opened and say nothing, for the memory that each costs; 0: not measured
+	Subjects  []Subject
+	InFlight  []int
+	Seconds   float64 // of each measurement
+	Rounds    int     // the subjects take turns so often
+	IdleConns int     // connections that are opened and say nothing, for the memory that each costs; 0: not measured
 }
 
 // Measured is the throughput of a subject, the median of its rounds.
-type Measured struct {
-	Name     string  `json:"name"`
-	InFlight int     `json:"in_flight"`
-	PerS     float64 `json:"per_s"`
-	PerCPU   float64 `json:"per_cpu_s"` // requests in a second of the processor
-	CPU      float64 `json:"cpu_us"`    // processor time of a request
-	Least    float64 `json:"least_per_cpu_s"`
-	Most     float64 `json:"most_per_cpu_s"`
-	Refused  int64   `json:"refused"`
-	Failed   int64   `json:"failed"`
-	MemoryKB int64   `json:"memory_kb"`
-	IdleB    int64   `json:"idle_bytes"` // of memory for each idle connection
+type ThroughputResult struct {
+	Name          string  `json:"name"`
+	InFlight      int     `json:"in_flight"`
+	PerS          float64 `json:"per_s"`
+	PerCPU        float64 `json:"per_cpu_s"` // requests in a second of the processor
+	CPU           float64 `json:"cpu_us"`    // processor time of a request
+	LeastPerCPU   float64 `json:"least_per_cpu_s"`
+	MostPerCPU    float64 `json:"most_per_cpu_s"`
+	Refused       int64   `json:"refused"`
+	Failed        int64   `json:"failed"`
+	MemoryKB      int64   `json:"memory_kb"`
+	IdleConnBytes int64   `json:"idle_bytes"` // of memory for each idle connection
 
-	rounds []Measured
+	rounds []ThroughputResult
 }
 
 const throughputScenario = `
@@ -88,8 +88,8 @@
 // Throughput measures how many requests each subject passes on, and what one costs it, with a number of requests in flight
 // all the time. Each subject is one process on one core; servers answer at once. The subjects take turns, so that a
 // machine whose speed changes does so for all of them.
-func Throughput(ctx context.Context, o ThroughputOptions) ([]Measured, error) {
-	all := map[string][]Measured{}
+func Throughput(ctx context.Context, o ThroughputOptions) ([]ThroughputResult, error) {
+	all := map[string][]ThroughputResult{}
 	var order []string
 	for range o.Rounds {
 		for _, n := range o.InFlight {
@@ -106,13 +106,13 @@
 			}
 		}
 	}
-	var out []Measured
+	var out []ThroughputResult
 	for _, key := range order {
 		rounds := all[key]
-		slices.SortFunc(rounds, func(a, b Measured) int { return int(a.PerCPU - b.PerCPU) })
+		slices.SortFunc(rounds, func(a, b ThroughputResult) int { return int(a.PerCPU - b.PerCPU) })
 		m := rounds[len(rounds)/2]
 		m.rounds = rounds
-		m.Least, m.Most = rounds[0].PerCPU, rounds[len(rounds)-1].PerCPU
+		m.LeastPerCPU, m.MostPerCPU = rounds[0].PerCPU, rounds[len(rounds)-1].PerCPU
 		out = append(out, m)
 	}
 	return out, nil
@@ -145,7 +145,7 @@
 	return roster, end, nil
 }
 
-func measure(ctx context.Context, s *Subject, inFlight int, o ThroughputOptions) (*Measured, error) {
+func measure(ctx context.Context, s *Subject, inFlight int, o ThroughputOptions) (*ThroughputResult, error) {
 	protocol := scenario.HTTP
 	if s.RPC {
 		protocol = scenario.MsgpackRPC
@@ -171,7 +171,7 @@
 	p := &process{program: s.Program, config: path, rpc: s.RPC}
 	p.program.Env = append(slices.Clone(p.program.Env), "GOMAXPROCS=1")
 	if s.RPC {
-		p.options = func(listen string) ([]byte, error) { return nodeOptions(sc, listen, "", nil) }
+		p.options = func(listen string) ([]byte, error) { return sidecarOptions(sc, listen, "", nil) }
 	}
 	defer p.close()
 	if err := p.start(ctx); err != nil {
@@ -184,9 +184,9 @@
 	if s.RPC {
 		addr = p.rpcAddress()
 	}
-	m := &Measured{Name: s.Name, InFlight: inFlight}
-	if o.Idle > 0 {
-		if m.IdleB, err = idleMemory(p.cmd.Process.Pid, addr, o.Idle); err != nil {
+	m := &ThroughputResult{Name: s.Name, InFlight: inFlight}
+	if o.IdleConns > 0 {
+		if m.IdleConnBytes, err = idleConnBytes(p.cmd.Process.Pid, addr, o.IdleConns); err != nil {
 			return nil, err
 		}
 	}
@@ -194,32 +194,32 @@
 }
 
 // run measures after a warm-up of a third of the time.
-func (m *Measured) run(ctx context.Context, p *process, addr string, rpc bool, o ThroughputOptions) error {
+func (m *ThroughputResult) run(ctx context.Context, p *process, addr string, rpc bool, o ThroughputOptions) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	var n counts
+	var n loadCounts
 	var loading sync.WaitGroup
-	broken := make(chan error, 1)
-	loading.Go(func() { broken <- load(ctx, addr, rpc, m.InFlight, &n) })
-	lasts := time.Duration(o.Seconds * float64(time.Second))
+	loadErr := make(chan error, 1)
+	loading.Go(func() { loadErr <- generateLoad(ctx, addr, rpc, m.InFlight, &n) })
+	duration := time.Duration(o.Seconds * float64(time.Second))
 	pid := p.cmd.Process.Pid
 	select {
-	case <-time.After(lasts / 3):
-	case err := <-broken:
+	case <-time.After(duration / 3):
+	case err := <-loadErr:
 		return err
 	}
 	served, cpu, begun := n.served.Load(), processTime(pid), time.Now()
 	select {
-	case <-time.After(lasts):
-	case err := <-broken:
+	case <-time.After(duration):
+	case err := <-loadErr:
 		return err
 	}
 	served, cpu = n.served.Load()-served, processTime(pid)-cpu
 	took := time.Since(begun)
-	m.MemoryKB = resident(pid) >> 10
+	m.MemoryKB = residentBytes(pid) >> 10
 	stop()
 	loading.Wait()
-	if err := <-broken; err != nil {
+	if err := <-loadErr; err != nil {
 		return err
 	}
 	m.Refused, m.Failed = n.refused.Load(), n.failed.Load()
@@ -235,7 +235,7 @@
 var residentLine = regexp.MustCompile(`(?m)^VmRSS:\s+(\d+) kB$`)
 
 // resident is how many bytes of memory a process holds; 0 where that cannot be read.
-func resident(pid int) int64 {
+func residentBytes(pid int) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0
@@ -250,8 +250,8 @@
 
 // idleMemory opens connections that say nothing and tells by how much the process grows for each. The kernel's part of
 // them is not in it.
-func idleMemory(pid int, addr string, n int) (int64, error) {
-	before := resident(pid)
+func idleConnBytes(pid int, addr string, n int) (int64, error) {
+	before := residentBytes(pid)
 	conns := make([]net.Conn, 0, n)
 	defer func() {
 		for _, c := range conns {
@@ -266,11 +266,11 @@
 		conns = append(conns, c)
 	}
 	time.Sleep(300 * time.Millisecond) // until the last is taken in
-	return (resident(pid) - before) / int64(n), nil
+	return (residentBytes(pid) - before) / int64(n), nil
 }
 
 // ThroughputTable writes what was measured, with the ratio to the first subject at the same number in flight.
-func ThroughputTable(out io.Writer, all []Measured) error {
+func ThroughputTable(out io.Writer, all []ThroughputResult) error {
 	t := output.NewTable(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	t.Println("through\tin flight\trequests/s\tper processor s\tleast\tmost\tus a " +
 		"request\tratio\trefused\tfailed\tMB\tbytes an idle connection\t")
@@ -279,14 +279,14 @@
 		if first[m.InFlight] == 0 {
 			first[m.InFlight] = m.PerCPU
 		}
-		t.Printf("%s\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\t%.2f\t%d\t%d\t%.0f\t%d\t\n", m.Name, m.InFlight, m.PerS, m.PerCPU, m.Least,
-			m.Most, m.CPU, m.PerCPU/first[m.InFlight], m.Refused, m.Failed, float64(m.MemoryKB)/1024, m.IdleB)
+		t.Printf("%s\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\t%.2f\t%d\t%d\t%.0f\t%d\t\n", m.Name, m.InFlight, m.PerS, m.PerCPU, m.LeastPerCPU,
+			m.MostPerCPU, m.CPU, m.PerCPU/first[m.InFlight], m.Refused, m.Failed, float64(m.MemoryKB)/1024, m.IdleConnBytes)
 	}
 	return t.Flush()
 }
 
 // ThroughputBench writes each round as a line of Go's benchmarks, for tools that compare such lines.
-func ThroughputBench(out io.Writer, all []Measured) error {
+func ThroughputBench(out io.Writer, all []ThroughputResult) error {
 	for _, m := range all {
 		for _, r := range m.rounds {
 			if _, err := fmt.Fprintf(out, "BenchmarkThrough/%s/inflight=%d 1 %.0f ns/op %.0f req/s\n", r.Name, r.InFlight,
