--- a/lab/run/config.go
+++ b/lab/run/config.go
@@ -19,16 +19,16 @@
 
 var effectSettings = map[string]string{"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}
 
-// reports are the figures of the servers' load reports, and the words that the settings have for them.
+// reportFields are the fields of the servers' load reports, and reportSettings their names in the settings.
 var reportFields, reportSettings = []string{"util", "qps"}, []string{"busy", "rate"}
 
 const (
 	zone          = "lab-1"
-	answerSlackMS = 8 // ms, of the settings
+	answerSlackMS = 8 // the setting answer_slack_ms
 	queryWithinMS = 6000
 )
 
-// settings renders the scenario as the settings that a sidecar is given.
+// settings returns the scenario as the settings section of a sidecar's configuration.
 func settings(s *scenario.Scenario, number int) object {
 	var classes, tenants, kinds []any
 	for _, c := range s.Classes {
@@ -46,7 +46,7 @@
 		shares += t.Share
 	}
 	for _, t := range s.Tenants {
-		// Shares are of what the fleet can do, told in requests of the usual mix.
+		// A share is a part of the fleet's capacity, in requests a second of the scenario's mix of classes.
 		allowance := t.Share / shares * s.Rate * s.Capacity() / s.Demand() * 0.85
 		tenants = append(tenants, object{"name": t.Name, "share": t.Share / shares, "allowance_per_s": allowance})
 	}
@@ -76,8 +76,9 @@
 	}
 }
 
-// nodeOptions renders what a scenario adds to the sidecar's options: MessagePack-RPC, where clients or servers speak it, and
-// the folder of the contracts, where there are any, and who is reported to. Else it is empty.
+// sidecarOptions returns the options that a scenario adds to a sidecar's options file, as TOML: MessagePack-RPC where clients
+// or servers use it, held connections, the folder of the contracts, the Graphite receiver, and the exchange between sidecars.
+// It returns nil if there are none.
 func sidecarOptions(s *scenario.Scenario, listen, contracts string, carbon *receiver.Carbon) ([]byte, error) {
 	all := object{}
 	if s.Clients.RPC() || s.RPCServers() {
@@ -129,7 +130,7 @@
 	return table
 }
 
-// writeContracts writes the tenants' contracts, their budgets multiplied by factors, to a folder.
+// writeContracts writes the tenants' contracts to a folder, with each budget multiplied by the tenant's factor (1 by default).
 func writeContracts(dir string, s *scenario.Scenario, factors map[string]float64) error {
 	var teams, classes []object
 	for _, c := range s.Classes {
@@ -163,7 +164,7 @@
 	return nil
 }
 
-// writeConfig writes the file that NODE_CONFIG names, as a whole.
+// writeConfig atomically writes the configuration that NODE_CONFIG names, and returns its path.
 func writeConfig(dir string, s *scenario.Scenario, number int, listen, discovery string, known standin.List,
 	links *relay.Relay) (string, error) {
 	file := object{
@@ -186,7 +187,7 @@
 	return path, nil
 }
 
-// replaceFile writes a file as a whole.
+// replaceFile replaces a file atomically, so that a reader never sees a part of it.
 func replaceFile(path string, text []byte) error {
 	if err := os.WriteFile(path+".new", text, 0o600); err != nil {
 		return err
--- a/lab/run/echo.go
+++ b/lab/run/echo.go
@@ -17,10 +17,10 @@
 	codec "firplank/msgpackrpc"
 )
 
-// echoBody is what the servers of a throughput run answer: some 60 bytes, as a looked-up plate has.
+// echoBody is the response body of the servers in a throughput run: about 60 bytes, the size of a plate lookup result.
 var echoBody = []byte(`{"plate":"asahikawa 500 a 12-34","district":"kamikawa","ok":1}`)
 
-// echoServer answers at once, so that what is measured is what stands before it.
+// echoServer responds immediately, so that the measured cost is that of the sidecar or proxy in front of it.
 type echoServer struct {
 	ln   net.Listener
 	http *http.Server
@@ -41,7 +41,7 @@
 			w.Header().Set("Content-Type", "application/json")
 			_, _ = w.Write(echoBody) // fails only where the client is gone
 		})}
-		e.tasks.Go(func() { _ = e.http.Serve(ln) }) // until Close, of which it says nothing else
+		e.tasks.Go(func() { _ = e.http.Serve(ln) }) // returns after Close, with no other error of interest
 		return e, nil
 	}
 	e.tasks.Go(func() {
@@ -59,7 +59,7 @@
 	return e, nil
 }
 
-// echoFrames answers requests until the connection ends, those that came together in one piece.
+// echoFrames responds to requests until the connection ends. Responses to requests that arrived together go out in one write.
 func echoFrames(c net.Conn) {
 	defer func() { _ = c.Close() }() // the connection is released even where this fails
 	result := append([]byte{0xd9, byte(len(echoBody))}, echoBody...)
@@ -93,10 +93,10 @@
 	e.tasks.Wait()
 }
 
-// counts are what the load of a throughput run came to so far.
+// loadCounts are the outcomes of a throughput run's requests so far.
 type loadCounts struct{ served, refused, failed atomic.Int64 }
 
-// load keeps so many requests in flight at an address until ctx ends.
+// generateLoad keeps inFlight requests in flight at an address until ctx ends.
 func generateLoad(ctx context.Context, addr string, rpc bool, inFlight int, n *loadCounts) error {
 	if rpc {
 		return loadFrames(ctx, addr, inFlight, n)
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// loadHTTP sends one request after the other on a connection.
+// loadHTTP sends one request after the other on a connection, and reconnects when the server closes it.
 func loadHTTP(ctx context.Context, addr string, number int, n *loadCounts) error {
 	request := []byte("GET /api/lookup HTTP/1.1\r\nHost: lab.svc\r\nX-Trace-Id: 0000000000000000\r\nX-Qos: lookup\r\n" +
 		"X-Customer: north\r\nX-Object: 7f3a9c21e0b4d655\r\nX-Expires-In: 4000m\r\n\r\n")
@@ -163,9 +163,9 @@
 	}
 }
 
-var errMalformedResponse = errors.New("an answer that a throughput run cannot read")
+var errMalformedResponse = errors.New("malformed response or response without Content-Length")
 
-// skipAnswer reads past an answer with a Content-Length.
+// skipResponse reads a response with a Content-Length. last reports whether the connection ends with it.
 func skipResponse(in *bufio.Reader) (status int, last bool, err error) {
 	length := -1
 	for first := true; ; first = false {
@@ -198,7 +198,7 @@
 	}
 }
 
-// loadFrames keeps requests in flight on one connection: for each answer there is a next request.
+// loadFrames keeps inFlight requests in flight on one connection: each response is followed by the next request.
 func loadFrames(ctx context.Context, addr string, inFlight int, n *loadCounts) error {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -241,7 +241,7 @@
 	}
 }
 
-// ended drops the error of a connection that was closed at the run's end.
+// ignoreAfterEnd drops the error of a connection that was closed at the end of the run.
 func ignoreAfterEnd(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
--- a/lab/run/faults.go
+++ b/lab/run/faults.go
@@ -11,16 +11,16 @@
 	"firplank/lab/standin"
 )
 
-// deed is one thing to do at a time.
+// timedAction is the begin or end of a fault, with its time on the testbed's clock.
 type timedAction struct {
 	at time.Duration
 	do func(context.Context) error
 }
 
-// awayAfter is how long after SIGTERM clients go on opening connections to a sidecar.
+// connectAfterTerm is how long clients keep opening connections to a sidecar after its SIGTERM.
 const connectAfterTerm = 300 * time.Millisecond
 
-// playFaults makes the faults happen until ctx ends; then what stopped is let go on.
+// playFaults begins and ends the faults at their times until ctx ends, and then resumes the sidecars that are still paused.
 func (st *testbed) playFaults(ctx context.Context, offset time.Duration) {
 	var deeds []timedAction
 	for i := range st.s.Faults {
@@ -59,7 +59,7 @@
 	st.errs = append(st.errs, err)
 }
 
-// struck returns the servers that a fault strikes, as the fleet is now.
+// targetServers returns the servers that a fault affects, chosen from the present fleet.
 func (st *testbed) targetServers(fault int) (slots []*slot) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -84,7 +84,7 @@
 	return nodes
 }
 
-// deeds returns what begins a fault and what ends it.
+// faultActions returns the functions that begin and end a fault. Either may be nil.
 func (st *testbed) faultActions(i int, f *scenario.Fault) (begin, end func(context.Context) error) {
 	if f.Kind == "recontract" {
 		return func(context.Context) error { return st.changeBudget(f) }, nil
@@ -119,7 +119,7 @@
 				return nil
 			}, nil
 		}
-		return nil, nil // a surge is drawn into the plan
+		return nil, nil // a surge is part of the plan
 	}
 	var slots []*slot
 	return func(context.Context) error {
@@ -133,7 +133,7 @@
 		}
 }
 
-// recontract changes a tenant's budget and tells all sidecars that run.
+// changeBudget changes a tenant's budget in its contract, and has all running sidecars reload the contracts.
 func (st *testbed) changeBudget(f *scenario.Fault) error {
 	if !st.s.EnforcesContracts() {
 		return nil
@@ -150,7 +150,7 @@
 	}
 	return forEach(st.nodes, func(n *process) error {
 		if !n.running() {
-			return nil // it reads them when it starts
+			return nil // it reads the contracts when it starts
 		}
 		return n.signal(syscall.SIGHUP)
 	})
@@ -227,7 +227,7 @@
 	return nil
 }
 
-// replace starts another server at the address of one that dies.
+// replaceServer crashes a server and starts another one at its address.
 func (st *testbed) replaceServer(sl *slot) error {
 	sl.server.Crash()
 	st.roster.Set(sl.entry, "gone")
@@ -315,7 +315,7 @@
 	return nil
 }
 
-// startAgain starts a sidecar that has ended; its clients use it once it is ready.
+// restartSidecar starts a sidecar whose process has exited. Its clients use it once it is ready.
 func (st *testbed) restartSidecar(n *process) {
 	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
@@ -325,7 +325,7 @@
 		err = n.awaitReady(ctx)
 	}
 	if err != nil {
-		st.recordError(fmt.Errorf("start again: %w", err))
+		st.recordError(fmt.Errorf("restart: %w", err))
 		return
 	}
 	st.judge.SidecarUp(n.number, st.clock())
--- a/lab/run/faulty_test.go
+++ b/lab/run/faulty_test.go
@@ -24,7 +24,7 @@
 	return ctx
 }
 
-// faultyProxy forwards requests and breaks one rule on purpose.
+// faultyProxy forwards requests and breaks one rule of the judge on purpose.
 type faultyProxy struct {
 	fault     string
 	discovery string
@@ -37,7 +37,7 @@
 	client   *http.Client
 }
 
-// faulty runs a faulty proxy in this process until SIGTERM.
+// runFaultyProxy runs a faulty proxy in this process until SIGTERM.
 func runFaultyProxy(name string) {
 	text, err := os.ReadFile(os.Getenv("NODE_CONFIG"))
 	if err != nil {
@@ -64,7 +64,7 @@
 		time.AfterFunc(time.Second, func() { os.Exit(3) })
 	case "spins":
 		go func() {
-			//lint:ignore SA5002 a proxy that uses a core up is the fault
+			//lint:ignore SA5002 the fault is a proxy that uses a whole core
 			for {
 			}
 		}()
@@ -178,7 +178,8 @@
 	}
 }
 
-// strike does what the proxy's fault is to a request that was forwarded, and returns the answer that is still to be written.
+// applyFault applies the proxy's fault to a forwarded request. It returns the response to be written, and whether it has already
+// written one.
 func (p *faultyProxy) applyFault(
 	w http.ResponseWriter, r *http.Request, body []byte, n, status int, text, previous []byte,
 ) (int, []byte, bool) {
--- a/lab/run/fleetsums.go
+++ b/lab/run/fleetsums.go
@@ -20,7 +20,7 @@
 
 var operatorsAddressLine = regexp.MustCompile(`operators_address=(\S+)\n`)
 
-// operators is where the process shows its pages; empty: not yet.
+// operatorsAddress returns the address of the operators' pages; empty if the process has not logged it yet.
 func (p *process) operatorsAddress() string {
 	if m := operatorsAddressLine.FindStringSubmatch(p.log.String()); m != nil {
 		return m[1]
@@ -28,7 +28,7 @@
 	return ""
 }
 
-// changeLink begins or ends a fault of a link.
+// changeLink begins or ends a fault on a link.
 func changeLink(f *scenario.Fault, l *relay.Link, on bool) {
 	switch f.Kind {
 	case "link_cut":
@@ -44,7 +44,7 @@
 	}
 }
 
-// linkDeeds changes links between sidecars.
+// linkActions returns the functions that begin and end a fault on links between sidecars.
 func (st *testbed) linkActions(f *scenario.Fault) (begin, end func(context.Context) error) {
 	if f.Kind == "link_garbage" {
 		return func(ctx context.Context) error {
@@ -65,7 +65,7 @@
 	do := func(on bool) func(context.Context) error {
 		return func(context.Context) error {
 			if st.links == nil {
-				return fmt.Errorf("%s: the sidecars do not talk: want [talk] enabled", f.Kind)
+				return fmt.Errorf("%s: the exchange between sidecars is off: want [talk] enabled", f.Kind)
 			}
 			from, err := scenario.Group(f.From, st.s.Sidecars)
 			if err != nil {
@@ -85,7 +85,7 @@
 	return do(true), do(false)
 }
 
-// status asks a sidecar what it makes of the fleet.
+// fleetStatus queries a sidecar's view of the fleet from its operators' pages.
 func (st *testbed) fleetStatus(ctx context.Context, n *process) (*peers.Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, fleetCheckTimeout)
 	defer cancel()
@@ -97,7 +97,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = resp.Body.Close() }() // the body has been read, or is not wanted
+	defer func() { _ = resp.Body.Close() }() // the body has been read or is not needed
 	if resp.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("fleet: %s", resp.Status)
 	}
@@ -113,8 +113,8 @@
 	return accepted, ended
 }
 
-// watchSums holds what sidecars tell of the fleet against what clients saw, until ctx ends: at least what they say has
-// been sent by then, and at most what they say is no less than what was answered before.
+// checkSums compares the sidecars' fleet-wide sums with the clients' counts until ctx ends. A sidecar's lower bound must not
+// exceed the number of requests sent by then, and its upper bound must not be below the number answered before the query.
 func (st *testbed) checkSums(ctx context.Context) {
 	tick := time.NewTicker(fleetCheckInterval)
 	defer tick.Stop()
@@ -131,7 +131,7 @@
 			before, _ := st.recorder.acceptedBounds()
 			s, err := st.fleetStatus(ctx, n)
 			if err != nil {
-				continue // it was killed or stopped meanwhile, which others look at
+				continue // it was killed or stopped meanwhile; crashes are found by stopSidecars
 			}
 			_, after := st.recorder.acceptedBounds()
 			st.mu.Lock()
@@ -139,17 +139,17 @@
 			st.mu.Unlock()
 			accepted, ended := sumCounts(s)
 			if max(accepted, ended) > uint64(after) {
-				st.recordError(fmt.Errorf("sidecar %d tells of at least %d taken and %d ended, and %d were sent", n.number, accepted, ended, after))
+				st.recordError(fmt.Errorf("sidecar %d reports at least %d accepted and %d ended, but %d were sent", n.number, accepted, ended, after))
 			}
 			if s.Sums.UnboundedMembers == 0 && !s.Stale && accepted+s.Sums.Unreported+st.forgottenRequests() < uint64(before) {
-				st.recordError(fmt.Errorf("sidecar %d tells of at most %d taken, and %d were answered", n.number, accepted+s.Sums.Unreported, before))
+				st.recordError(fmt.Errorf("sidecar %d reports at most %d accepted, but %d were answered", n.number, accepted+s.Sums.Unreported, before))
 			}
 		}
 	}
 }
 
-// agreeSums waits until all that run tell the same sums, which are what clients sent where no process was killed, and
-// fails where that takes longer than the scenario says.
+// awaitEqualSums waits until all sidecars report the same sums, and records an error if that takes longer than the scenario
+// allows. If no process was killed or stopped, the sums must equal the number of requests sent.
 func (st *testbed) awaitEqualSums(ctx context.Context) {
 	leastAccepted, sent := st.recorder.acceptedBounds()
 	killed, stopped := false, false
@@ -174,13 +174,13 @@
 			accepted, ended := sumCounts(s)
 			switch {
 			case fmt.Sprint(first.Sums.Cells) != fmt.Sprint(s.Sums.Cells):
-				mismatch = fmt.Sprintf("sidecar %d tells %d and sidecar %d %d", first.Number, firstAccepted, n.number, accepted)
-			case stopped && !killed && accepted < uint64(leastAccepted): // what was sent to a process that stood still may never have been read
-				mismatch = fmt.Sprintf("sidecar %d tells %d taken, and %d were answered", n.number, accepted, leastAccepted)
+				mismatch = fmt.Sprintf("sidecar %d reports %d and sidecar %d %d", first.Number, firstAccepted, n.number, accepted)
+			case stopped && !killed && accepted < uint64(leastAccepted): // a stopped process may never read a request sent to it
+				mismatch = fmt.Sprintf("sidecar %d reports %d accepted, but %d were answered", n.number, accepted, leastAccepted)
 			case !killed && !stopped && (accepted != uint64(sent) || ended != uint64(sent)):
-				mismatch = fmt.Sprintf("sidecar %d tells %d taken and %d ended, and %d were sent", n.number, accepted, ended, sent)
+				mismatch = fmt.Sprintf("sidecar %d reports %d accepted and %d ended, but %d were sent", n.number, accepted, ended, sent)
 			case accepted > uint64(sent):
-				mismatch = fmt.Sprintf("sidecar %d tells %d taken, and %d were sent", n.number, accepted, sent)
+				mismatch = fmt.Sprintf("sidecar %d reports %d accepted, but %d were sent", n.number, accepted, sent)
 			}
 			if mismatch != "" {
 				break
@@ -192,10 +192,10 @@
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	st.recordError(fmt.Errorf("sums after %v: %s", time.Since(begin).Round(time.Millisecond), mismatch))
+	st.recordError(fmt.Errorf("sums still differ after %v: %s", time.Since(begin).Round(time.Millisecond), mismatch))
 }
 
-// noteAllDown notes that no sidecar runs: what all had counted nobody remembers.
+// recordAllDown records the number of requests sent so far if no sidecar runs, as their counts are lost then.
 func (st *testbed) recordAllDown() {
 	for _, n := range st.nodes {
 		if n.running() {
@@ -208,7 +208,7 @@
 	st.mu.Unlock()
 }
 
-// lostCounts is how many requests were sent before the last time at which no sidecar ran.
+// forgottenRequests returns the number of requests sent before the last time at which no sidecar ran.
 func (st *testbed) forgottenRequests() uint64 {
 	st.mu.Lock()
 	defer st.mu.Unlock()
--- a/lab/run/html.go
+++ b/lab/run/html.go
@@ -8,13 +8,13 @@
 	"strings"
 )
 
-// The plots' measures, in pixels.
+// Dimensions of the plots, in pixels.
 const (
 	plotWidth, plotHeight = 860.0, 180.0
 	plotLeft, plotTop     = 60.0, 12.0
 )
 
-// HTML writes the report as one page that needs nothing else.
+// HTML writes the report as one self-contained page.
 func (r *Report) HTML(w io.Writer) error {
 	if err := page.Execute(w, map[string]any{
 		"R": r, "Served": r.servedPlot(), "Latency": r.latencyPlot(), "Load": r.loadPlot(), "Told": r.reportedPlot(),
@@ -75,9 +75,9 @@
 	var lines []line
 	top, width := 1.0, r.LengthS/buckets
 	for i, id := range r.serverOrder {
-		// Colours stand a golden angle apart, so that any number of servers can be told from their neighbours.
+		// The hues are a golden angle apart, which keeps neighbours distinguishable for any number of servers.
 		l := line{name: id, colour: fmt.Sprintf("hsl(%.0f 60%% 45%%)", math.Mod(float64(i)*137.5, 360))}
-		const bucketsPerPoint = 4 // buckets that a point averages, or single requests would be all that is seen
+		const bucketsPerPoint = 4 // averaged for a point; in a single bucket individual requests dominate
 		counts := r.Servers[id]
 		for at := 0; at+bucketsPerPoint <= len(counts); at += bucketsPerPoint {
 			sum := 0
@@ -93,7 +93,7 @@
 	return r.plot(top, lines)
 }
 
-// plot draws lines over the time of the run, with the faults as bands behind them.
+// plot draws lines over the time of the run, with the faults as bands in the background.
 func (r *Report) plot(top float64, lines []line) template.HTML {
 	x := func(at float64) float64 { return plotLeft + plotWidth*min(1, at/r.LengthS) }
 	y := func(v float64) float64 { return plotTop + plotHeight*(1-min(1, v/top)) }
--- a/lab/run/html_test.go
+++ b/lab/run/html_test.go
@@ -14,7 +14,7 @@
 	"firplank/lab/standin"
 )
 
-// The page stands alone, its plots are well-formed, and what a scenario's author wrote is text in it.
+// Guards against a report page that loads external resources, has malformed plots, or contains unescaped text of a scenario.
 func TestPageIsSelfContained(t *testing.T) {
 	s, err := scenario.Parse("odd.toml", []byte("name = \"<b>odd</b>\"\n[[fault]]\nkind = \"crash\"\nat_s = 2\nfor_s = 3\ntarget = \"all\"\n"))
 	if err != nil {
@@ -36,7 +36,7 @@
 	text := page.String()
 	for _, not := range []string{"<b>odd", "http-equiv", "<script", "<link", "src="} {
 		if strings.Contains(text, not) {
-			t.Errorf("the page holds %s", not)
+			t.Errorf("the page contains %s", not)
 		}
 	}
 	plots := 0
@@ -91,6 +91,6 @@
 		}
 	}
 	if Quantile(nil, 0.5) != 0 {
-		t.Error("of nothing")
+		t.Error("quantile of an empty slice is not 0")
 	}
 }
--- a/lab/run/process.go
+++ b/lab/run/process.go
@@ -19,12 +19,12 @@
 	"firplank/lab/standin"
 )
 
-// Program is how a sidecar is started: a command that is configured by NODE_CONFIG.
+// Program is the command that starts a sidecar. The sidecar reads its configuration from NODE_CONFIG.
 type Program struct {
 	Args []string
 	Env  []string // further variables, NAME=value
-	// Options is a file of options for each sidecar, to which a scenario may add. OptionsVar is the variable that tells
-	// which file it is; empty: it is told by --config.
+	// Options is the options file of each sidecar, to which a scenario may add. OptionsVar is the environment variable that
+	// carries its path. If it is empty, the path is passed as --config.
 	Options    string
 	OptionsVar string
 }
@@ -32,50 +32,50 @@
 const (
 	startTimeout = 30 * time.Second
 	stopTimeout  = 15 * time.Second
-	keptLogBytes = 64 << 10 // bytes of a sidecar's log, its last ones
+	keptLogBytes = 64 << 10 // the end of a sidecar's log that is kept for error messages
 )
 
-// process is one sidecar process, and those that follow it at its address.
+// process is a sidecar's process, and after restarts its successors at the same addresses.
 type process struct {
 	number  int
 	program Program
 	config  string
-	cores   float64 // that it may use; below 1 it is held to that
-	// options renders what the scenario adds to the program's options, for an address of MessagePack-RPC; nil: nothing.
+	cores   float64 // CPU cores that it may use; limitCPU enforces values below 1
+	// options returns what the scenario adds to the program's options, given the address for MessagePack-RPC; nil: nothing.
 	options func(listen string) ([]byte, error)
-	rpc     bool // it listens for MessagePack-RPC
+	rpc     bool // whether it listens for MessagePack-RPC
 
 	mu              sync.Mutex
-	addr            string // known once it has listened
+	addr            string // empty until it first listens
 	cmd             *exec.Cmd
 	ended           chan struct{} // closed when cmd has ended
 	httpReservation *standin.Reservation
-	rpcAddr         string // its address for MessagePack-RPC, once known
+	rpcAddr         string // its address for MessagePack-RPC; empty until it first listens
 	rpcReservation  *standin.Reservation
 	log             logTail
 	use             ResourceUsage
 	exitErr         error
 
-	paused bool // by a fault
+	paused bool // whether a fault has stopped it
 }
 
-// Use is what sidecars took of the machine, over all their processes.
+// ResourceUsage is the CPU time and memory that sidecars used, over all their processes.
 type ResourceUsage struct {
 	CPU      time.Duration `json:"cpu_ns"`
-	MemoryKB int64         `json:"memory_kb"` // the most that one process held
+	MemoryKB int64         `json:"memory_kb"` // the highest resident set of one process
 }
 
-// addresses are where a sidecar listens.
+// addresses are the listen addresses of a sidecar.
 type addresses struct {
 	http string
-	rpc  string // empty: for no MessagePack-RPC
+	rpc  string // empty if it does not listen for MessagePack-RPC
 }
 
-// tail keeps the end of a log and finds the address in it.
+// logTail keeps the end of a log and finds the listen addresses in it.
 type logTail struct {
 	mu    sync.Mutex
 	text  []byte
-	rpc   bool // there are two addresses to be found
+	rpc   bool // whether a MessagePack-RPC address is expected too
 	found chan addresses
 }
 
@@ -111,15 +111,15 @@
 	return string(bytes.ToValidUTF8(t.text, []byte("?")))
 }
 
-// isPaused reports whether a fault has stopped it.
+// isPaused reports whether a fault has stopped the process.
 func (p *process) isPaused() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.paused
 }
 
-// start starts the process and waits until it listens; the first time at an address that the kernel chooses, later at
-// the same one.
+// start starts the process and waits until it listens. The kernel chooses the address at the first start; later starts reuse
+// it.
 func (p *process) start(ctx context.Context) error {
 	found := make(chan addresses, 1)
 	ended, err := p.spawn(found)
@@ -133,15 +133,15 @@
 		p.mu.Unlock()
 		return nil
 	case <-ended:
-		return fmt.Errorf("sidecar %d ended before it listened: %w\n%s", p.number, p.exitErr, p.log.String())
+		return fmt.Errorf("sidecar %d exited before it listened: %w\n%s", p.number, p.exitErr, p.log.String())
 	case <-time.After(startTimeout):
-		return fmt.Errorf("sidecar %d does not listen\n%s", p.number, p.log.String())
+		return fmt.Errorf("sidecar %d: timed out waiting for it to listen\n%s", p.number, p.log.String())
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// spawn starts the program, and returns what is closed when it has ended. Where it listens comes on found.
+// spawn starts the program and returns a channel that is closed when it has exited. Its listen addresses are sent on found.
 func (p *process) spawn(found chan addresses) (<-chan struct{}, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -157,7 +157,7 @@
 	cmd := exec.Command(args[0], args[1:]...)
 	cmd.Env = append(append(os.Environ(), env...), "NODE_CONFIG="+p.config, "NODE_LISTEN="+listen)
 	cmd.Stderr = &p.log
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it must not outlive the laboratory
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it must not outlive the laboratory process
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
@@ -173,7 +173,7 @@
 	return ended, nil
 }
 
-// noteEnd notes what an ended process took, and keeps its addresses for the next one.
+// recordExit records the resources that an exited process used, and reserves its addresses for the next one.
 func (p *process) recordExit(cmd *exec.Cmd, exit error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -192,14 +192,15 @@
 	}
 }
 
-// release frees the addresses that are kept while nothing listens there. The caller holds mu.
+// releaseAddresses ends the reservations of the addresses, so that a process can listen there. The caller holds mu.
 func (p *process) releaseAddresses() {
 	p.httpReservation.Release()
 	p.rpcReservation.Release()
 	p.httpReservation, p.rpcReservation = nil, nil
 }
 
-// withOptions returns the program's arguments and variables, with a file of options if there are any. The caller holds mu.
+// argsAndEnv returns the program's arguments and environment variables, with the options file if there is one. The caller holds
+// mu.
 func (p *process) argsAndEnv() (args, env []string, err error) {
 	args, env = p.program.Args, p.program.Env
 	path := p.program.Options
@@ -229,7 +230,7 @@
 	return args, env, nil
 }
 
-// awaitReady waits until the sidecar says that it serves.
+// awaitReady waits until the sidecar reports on /up that it serves.
 func (p *process) awaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -237,7 +238,7 @@
 	for {
 		resp, err := client.Get("http://" + p.address() + "/up")
 		if err == nil {
-			_ = resp.Body.Close() // the body has been read, or is not wanted
+			_ = resp.Body.Close() // the body has been read or is not needed
 			if resp.StatusCode == http.StatusOK {
 				return nil
 			}
@@ -265,7 +266,7 @@
 	return nil
 }
 
-// awaitEnd waits until the process has ended, and ends it by force when that takes too long.
+// awaitExit waits until the process has exited, and kills it after stopTimeout.
 func (p *process) awaitExit() error {
 	p.mu.Lock()
 	ended := p.ended
@@ -278,26 +279,26 @@
 	case <-time.After(stopTimeout):
 		_ = p.signal(syscall.SIGKILL) // fails only where the process has ended
 		<-ended
-		return fmt.Errorf("sidecar %d did not end on SIGTERM\n%s", p.number, p.log.String())
+		return fmt.Errorf("sidecar %d did not exit on SIGTERM\n%s", p.number, p.log.String())
 	}
 	return nil
 }
 
-// close ends the process, if it runs, and frees its address.
+// close kills the process if it runs, and releases its addresses.
 func (p *process) close() {
 	p.mu.Lock()
 	cmd := p.cmd
 	p.mu.Unlock()
 	if cmd != nil {
 		_ = p.signal(syscall.SIGKILL) // fails only where the process has ended
-		_ = p.awaitExit()             // it was killed: how it ended says nothing
+		_ = p.awaitExit()             // it was killed, so its exit status is of no interest
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.releaseAddresses()
 }
 
-// rpcAddress is where clients of MessagePack-RPC find the sidecar.
+// rpcAddress returns the sidecar's address for MessagePack-RPC.
 func (p *process) rpcAddress() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -317,14 +318,14 @@
 	}
 }
 
-// pause stops the process, or lets it go on.
+// setPaused stops the process or resumes it.
 func (p *process) setPaused(on bool) error {
 	p.mu.Lock()
 	wasPaused := p.paused
 	p.paused = on
 	p.mu.Unlock()
 	if !on && !wasPaused {
-		return nil // it may be stopped for its part of a core, and has to stay so
+		return nil // limitCPU may have stopped it, and resumes it by itself
 	}
 	if on {
 		return p.signal(syscall.SIGSTOP)
@@ -332,11 +333,11 @@
 	return p.signal(syscall.SIGCONT)
 }
 
-// holdPeriod is the time in which a process may use its part of a core.
+// cpuQuotaPeriod is the period over which a process may use its share of a core.
 const cpuQuotaPeriod = 50 * time.Millisecond
 
-// hold keeps a process to its part of a core until it has ended: who has used it up is stopped until the next period,
-// as a quota of the kernel's would do, for which one needs privileges.
+// limitCPU limits a process to its share of a core until it has exited. A process that has used up its quota is stopped until
+// the next period, as with the kernel's CPU quota, which would need privileges.
 func (p *process) limitCPU(process *os.Process, ended <-chan struct{}) {
 	pid := process.Pid
 	tick := time.NewTicker(time.Millisecond)
@@ -354,11 +355,11 @@
 		switch now := time.Now(); {
 		case now.Sub(start) >= cpuQuotaPeriod:
 			start = now
-			usedBefore += min(used, quota) // what went beyond is owed
+			usedBefore += min(used, quota) // use above the quota counts in the next period
 			switch {
 			case !stopped:
 			case used >= 2*quota:
-				_ = process.Signal(syscall.SIGSTOP) // the end of a fault may have let it go on
+				_ = process.Signal(syscall.SIGSTOP) // the end of a fault may have resumed it
 			default:
 				p.mu.Lock()
 				if !p.paused {
@@ -374,10 +375,10 @@
 	}
 }
 
-// processTime is the processor time that a process has used; 0 once it is gone.
+// processTime returns the CPU time that a process has used; 0 once it is gone.
 func processTime(pid int) time.Duration {
 	var ts syscall.Timespec
-	clock := int32(^pid)<<3 | 2 // the clock of a whole process, as clock_getcpuclockid(3) has it
+	clock := int32(^pid)<<3 | 2 // the clock of the whole process, see clock_getcpuclockid(3)
 	if _, _, errno := syscall.Syscall(syscall.SYS_CLOCK_GETTIME, uintptr(clock), uintptr(unsafe.Pointer(&ts)), 0); errno != 0 {
 		return 0
 	}
--- a/lab/run/record.go
+++ b/lab/run/record.go
@@ -7,10 +7,10 @@
 	"firplank/lab/judge"
 )
 
-// buckets is how many points a plot has over the length of a run.
+// buckets is the number of plot points over the length of a run.
 const buckets = 100
 
-// recorder passes on what is seen to the judge and counts it over time.
+// recorder passes observations of requests, responses and attempts to the judge and counts them over time.
 type recorder struct {
 	*judge.Judge
 	bucket time.Duration
@@ -19,8 +19,8 @@
 	offset         time.Duration
 	sent           int
 	answered       int
-	finalResponses int              // of those, the ones that were no broken connection
-	servers        map[string][]int // attempts by bucket
+	finalResponses int              // of the answered ones, those that were not a broken connection
+	servers        map[string][]int // attempts by server and bucket
 	attempts       int
 	serverOrder    []string
 }
@@ -29,7 +29,7 @@
 	return &recorder{Judge: j, bucket: length / buckets, servers: map[string][]int{}}
 }
 
-// begin says when the clients begin.
+// setOffset sets the time at which the clients begin.
 func (r *recorder) setOffset(offset time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -59,7 +59,7 @@
 	r.sent++
 }
 
-// Answered counts an answer.
+// Answered counts a response.
 func (r *recorder) Answered(trace string, at time.Duration, a judge.Answer, made string) {
 	r.Judge.Answered(trace, at, a, made)
 	r.mu.Lock()
@@ -76,7 +76,8 @@
 	return r.sent, r.answered
 }
 
-// taken returns bounds of how many requests sidecars have taken: so many have their final answer, and so many were sent.
+// acceptedBounds returns bounds on the number of requests that sidecars have accepted: at least those with a final response, and
+// at most those sent.
 func (r *recorder) acceptedBounds() (least, most int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/lab/run/report.go
+++ b/lab/run/report.go
@@ -14,7 +14,7 @@
 	"firplank/lab/standin"
 )
 
-// Row is what became of the first tries of one class and tenant, with their retries.
+// Row counts the outcomes of the requests of one class and tenant, each with its retries.
 type Row struct {
 	Class   string  `json:"class"`
 	Tenant  string  `json:"tenant"`
@@ -25,34 +25,35 @@
 	Failed  int     `json:"failed"`
 	Lost    int     `json:"lost"`
 	Tries   int     `json:"tries"`
-	P50     float64 `json:"p50_ms"` // of those that were served, from the planned time of the first try
+	P50     float64 `json:"p50_ms"` // of the served ones, from the planned time of the first try
 	P99     float64 `json:"p99_ms"`
 	P999    float64 `json:"p99_9_ms"`
-	Worth   float64 `json:"worth"` // share of the worth asked for
+	Worth   float64 `json:"worth"` // part of the requested worth that was served
 
 	latencies               []time.Duration
 	worthAsked, worthServed float64
 }
 
-// Team is what a tenant with a contract was served of what it was entitled to: what its budget had room for of what it asked.
+// Team compares what a tenant with a contract was served with its entitlement, which is the part of its requests that its budget
+// had room for.
 type Team struct {
 	Name     string  `json:"name"`
 	Asked    float64 `json:"asked_worth"`
 	Entitled float64 `json:"entitled_worth"`
 	Served   float64 `json:"served_worth"`
-	Share    float64 `json:"share"` // served of entitled
+	Share    float64 `json:"share"` // Served divided by Entitled
 }
 
-// Point is one moment of the plots.
+// Point is one bucket of the plots.
 type Point struct {
 	At     float64 `json:"at_s"`
 	Asked  int     `json:"asked"`
-	Served float64 `json:"served"` // share of those asked for then that were served
+	Served float64 `json:"served"` // part of the requests of that time that were served
 	P50    float64 `json:"p50_ms"`
 	P99    float64 `json:"p99_ms"`
 }
 
-// Report is what a run comes to.
+// Report is the result of a run.
 type Report struct {
 	Scenario       string           `json:"scenario"`
 	Program        string           `json:"program"`
@@ -61,22 +62,22 @@
 	Rows           []Row            `json:"rows"`
 	Total          Row              `json:"total"`
 	Teams          []Team           `json:"teams,omitempty"`
-	Fairness       float64          `json:"fairness,omitempty"` // Jain's index of the teams' shares: 1 is the same for all
-	RefusalP99     float64          `json:"refusal_p99_ms"`     // how long a refused try took
-	Attempts       int              `json:"attempts"`           // that reached servers
+	Fairness       float64          `json:"fairness,omitempty"` // Jain's index of the teams' shares; 1: all are equal
+	RefusalP99     float64          `json:"refusal_p99_ms"`     // time to the response of a refused try
+	Attempts       int              `json:"attempts"`           // attempts that reached servers
 	Verdict        *judge.Verdict   `json:"verdict"`
 	Crashes        []string         `json:"crashes"`
 	Use            ResourceUsage    `json:"use"`
 	RosterCalls    int              `json:"roster_calls"`
-	FleetChecks    int              `json:"looks,omitempty"`     // at what sidecars tell of the fleet
-	SumsEqualAfter time.Duration    `json:"agreed_ns,omitempty"` // after the day, until all told the same
-	Datagrams      int              `json:"datagrams,omitempty"` // between sidecars
+	FleetChecks    int              `json:"looks,omitempty"`     // checks of the sidecars' fleet-wide sums
+	SumsEqualAfter time.Duration    `json:"agreed_ns,omitempty"` // time from the end of the run until all sidecars reported equal sums
+	Datagrams      int              `json:"datagrams,omitempty"` // sent between sidecars
 	DatagramsLost  int              `json:"datagrams_lost,omitempty"`
-	Late           time.Duration    `json:"late_ns"` // by which the clients' own latest start missed its plan
+	Late           time.Duration    `json:"late_ns"` // the largest delay of a client's request behind its planned time
 	Points         []Point          `json:"points"`
 	Servers        map[string][]int `json:"servers"` // attempts over time
 	Faults         []scenario.Fault `json:"faults"`
-	Reported       []ReportedClass  `json:"told,omitempty"` // by class, where the sidecars reported
+	Reported       []ReportedClass  `json:"told,omitempty"` // by class; empty without a Graphite receiver
 
 	serverOrder []string
 }
@@ -128,13 +129,13 @@
 	return r
 }
 
-// bucketCount is what was asked for within one bucket of the day, and how it went.
+// bucketCount counts the requests of one bucket of the run and their outcomes.
 type bucketCount struct {
 	asked, served int
 	took          []time.Duration
 }
 
-// addPoints makes the plots' points of the buckets in which anything was asked for.
+// addPoints adds a plot point for each bucket that has requests.
 func (r *Report) addPoints(points []bucketCount, bucket time.Duration) {
 	for i, p := range points {
 		if p.asked > 0 {
@@ -146,7 +147,7 @@
 	}
 }
 
-// addTeams reckons what each team was served, and Jain's index of it. Tallies are in the order of their times.
+// addTeams computes each team's served share of its entitlement, and Jain's index over the teams. Tallies are sorted by time.
 func (r *Report) addTeams(s *scenario.Scenario, tallies []standin.ArrivalOutcome) {
 	sum, squares := 0.0, 0.0
 	for tenant := range s.Tenants {
@@ -206,7 +207,7 @@
 	}
 }
 
-// Quantile returns the q-quantile in milliseconds, by rank; 0 where there is nothing.
+// Quantile sorts all and returns its q-quantile in milliseconds, by rank; 0 for an empty slice.
 func Quantile(all []time.Duration, q float64) float64 {
 	if len(all) == 0 {
 		return 0
@@ -216,7 +217,7 @@
 	return float64(all[at]) / float64(time.Millisecond)
 }
 
-// Table writes the report for a person.
+// Table writes the report as text.
 func (r *Report) Table(w io.Writer) error {
 	printer := output.New(w)
 	printer.Printf("%s, seed %d, %v s, through %s\n\n", r.Scenario, r.Seed, r.LengthS, r.Program)
@@ -237,12 +238,12 @@
 		printer.Printf("fairness between teams (Jain's index): %.3f\n", r.Fairness)
 	}
 	v := r.Verdict
-	printer.Printf("\n%d tries, %d attempts at servers, refused tries answered within %.1f ms (p99), %d excused as their sidecar was down\n",
-		v.Tries, r.Attempts, r.RefusalP99, v.Excused)
-	printer.Printf("sidecars: %.2f s of processor, %.1f MB at most; roster: %d calls; clients at most %v behind their plan\n",
+	printer.Printf("\n%d tries, %d attempts at servers, refused tries answered within %.1f ms (p99), "+
+		"%d excused because their sidecar was down\n", v.Tries, r.Attempts, r.RefusalP99, v.Excused)
+	printer.Printf("sidecars: %.2f s of CPU time, %.1f MB at most; roster: %d calls; clients at most %v behind their plan\n",
 		r.Use.CPU.Seconds(), float64(r.Use.MemoryKB)/1024, r.RosterCalls, r.Late.Round(time.Millisecond/10))
 	if r.FleetChecks > 0 {
-		printer.Printf("fleet: %d looks at the sums that sidecars tell, all agreed %v after the day; %d datagrams, %d lost on the way\n",
+		printer.Printf("fleet: %d checks of the sidecars' sums, all equal %v after the run; %d datagrams, %d lost in transit\n",
 			r.FleetChecks, r.SumsEqualAfter.Round(time.Millisecond), r.Datagrams, r.DatagramsLost)
 	}
 	for _, rule := range judge.Rules {
--- a/lab/run/reported.go
+++ b/lab/run/reported.go
@@ -12,19 +12,19 @@
 	"firplank/report"
 )
 
-// toldPrefix is what the sidecars of a run report under.
+// graphitePrefix is the prefix of the Graphite paths of a run's sidecars.
 const graphitePrefix = "lab"
 
-// Told is what a stand-in for Graphite was told of a class, over all sidecars.
+// ReportedClass is what the stand-in for Graphite received about a class, over all sidecars.
 type ReportedClass struct {
 	Class   string       `json:"class"`
-	Served  int          `json:"served"` // tries, as in the sums of the intervals
+	Served  int          `json:"served"` // tries, summed over the reporting intervals
 	Refused int          `json:"refused"`
 	Failed  int          `json:"failed"`
-	Points  [][2]float64 `json:"points"` // second of the run, served in the second before
+	Points  [][2]float64 `json:"points"` // second of the run, and the tries served in the second before it
 }
 
-// told reads the receiver's series; begin is when the clients began.
+// reportedClasses reads the receiver's series. begin is the time at which the clients began.
 func reportedClasses(s *scenario.Scenario, carbon *receiver.Carbon, begin time.Time) (all []ReportedClass) {
 	for _, c := range s.Classes {
 		t := ReportedClass{Class: c.Name, Points: make([][2]float64, int(s.LengthS)+1)}
@@ -47,7 +47,7 @@
 	return all
 }
 
-// toldPlot draws what the receiver was told; empty where nobody was.
+// reportedPlot draws what the receiver got; it is empty without a receiver.
 func (r *Report) reportedPlot() template.HTML {
 	if len(r.Reported) == 0 {
 		return ""
@@ -62,6 +62,6 @@
 		lines = append(lines, line{name: t.Class, colour: fmt.Sprintf("hsl(%.0f 60%% 45%%)", math.Mod(float64(i)*137.5, 360)), points: t.Points})
 		fmt.Fprintf(&table, "<tr><td>%s<td>%d<td>%d<td>%d</tr>", template.HTMLEscapeString(t.Class), t.Served, t.Refused, t.Failed)
 	}
-	return "<h2>Tries served a second, by class, as Graphite was told</h2>" + r.plot(top, lines) +
+	return "<h2>Tries served a second, by class, as reported to Graphite</h2>" + r.plot(top, lines) +
 		template.HTML("<table><tr><th>class<th>served<th>refused<th>failed</tr>"+table.String()+"</table>")
 }
--- a/lab/run/reporting.go
+++ b/lab/run/reporting.go
@@ -27,24 +27,24 @@
 	"firplank/lab/standin"
 )
 
-// ReportingOptions say how the cost of reporting is measured.
+// ReportingOptions configure the measurement of the cost of reporting.
 type ReportingOptions struct {
 	Program Program
-	Workers int     // that ask one request after the other
+	Workers int     // each sends one request after the other
 	Seconds float64 // of the measurement
 }
 
-// ReportingCost is what requests took through a sidecar with one way of reporting.
+// ReportingCost is the latency and CPU use of requests through a sidecar with one configuration of reporting.
 type ReportingCost struct {
 	Name     string        `json:"name"`
 	Requests int64         `json:"requests"`
 	P50      time.Duration `json:"p50_ns"`
 	P99      time.Duration `json:"p99_ns"`
-	CPU      float64       `json:"cpu_part"` // of one core
-	Reported int64         `json:"told"`     // requests that the receivers were told of; -1: there is none that reads
+	CPU      float64       `json:"cpu_part"` // part of one core
+	Reported int64         `json:"told"`     // requests that the receiver counted; -1: no receiver that reads
 }
 
-// side is one sidecar of the measurement.
+// reportingVariant is one sidecar of the measurement, with its configuration of reporting.
 type reportingVariant struct {
 	name      string
 	options   object
@@ -53,9 +53,9 @@
 	reported  func() int64
 }
 
-// Reporting measures what reporting costs requests: sidecars without it, with receivers that read and with one that takes
-// connections and never reads stand beside each other, and every worker asks them in turn, in a new order each time, so that
-// whatever else the machine does meets all of them.
+// Reporting measures how much reporting adds to the cost of requests. It compares sidecars without reporting, with receivers
+// that read, and with a receiver that accepts connections and never reads. Every worker sends a request to each of them in
+// turn, in a new random order each time, so that other load on the machine affects all of them alike.
 func Reporting(ctx context.Context, o ReportingOptions) ([]ReportingCost, error) {
 	sc, err := scenario.Parse("reporting.toml", fmt.Appendf(nil, throughputScenario, scenario.HTTP, scenario.HTTP))
 	if err != nil {
@@ -65,7 +65,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("reporting: %w", err)
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // a temporary folder, which may stay
+	defer func() { _ = os.RemoveAll(dir) }() // a temporary folder, which may remain
 	carbon, err := receiver.NewCarbon(false)
 	if err != nil {
 		return nil, fmt.Errorf("reporting: %w", err)
@@ -94,13 +94,13 @@
 		}
 		defer s.process.close()
 	}
-	if err := sendRequests(ctx, variants, o.Workers, o.Seconds/4); err != nil { // to warm up
+	if err := sendRequests(ctx, variants, o.Workers, o.Seconds/4); err != nil { // warm-up
 		return nil, err
 	}
 	return measureVariants(ctx, variants, o)
 }
 
-// reportingSides are the ways of reporting that are compared.
+// reportingVariants returns the configurations of reporting that are compared.
 func reportingVariants(carbon, stalled *receiver.Carbon, socket *receiver.Socket) []*reportingVariant {
 	collectd := object{"unix_socket": socket.Addr(), "interval_s": 1, "host": "lab"}
 	return []*reportingVariant{
@@ -115,7 +115,7 @@
 	}
 }
 
-// measureSides asks all sides for the time of the measurement, and returns what it took them.
+// measureVariants sends requests to all variants for the time of the measurement, and returns the cost of each.
 func measureVariants(ctx context.Context, variants []*reportingVariant, o ReportingOptions) ([]ReportingCost, error) {
 	cpu, begun := make([]time.Duration, len(variants)), time.Now()
 	for i, s := range variants {
@@ -133,7 +133,7 @@
 			P50: time.Duration(s.latencies.ValueAtQuantile(50)), P99: time.Duration(s.latencies.ValueAtQuantile(99)),
 		})
 	}
-	time.Sleep(1500 * time.Millisecond) // the interval in which the last requests were
+	time.Sleep(1500 * time.Millisecond) // until the interval of the last requests has been reported
 	for i, s := range variants {
 		all[i].Reported = s.reported()
 	}
@@ -166,7 +166,7 @@
 	return s.process.awaitReady(ctx)
 }
 
-// ask has workers ask all sides in turn for a time.
+// sendRequests has workers send requests to all variants in turn for a time.
 func sendRequests(ctx context.Context, variants []*reportingVariant, workers int, seconds float64) error {
 	until := time.Now().Add(time.Duration(seconds * float64(time.Second)))
 	var workersRunning sync.WaitGroup
@@ -211,7 +211,7 @@
 	return failed
 }
 
-// kept is a kept connection, on which one request at a time is asked.
+// keptConn is a persistent connection with one request in flight at a time.
 type keptConn struct {
 	net.Conn
 	in *bufio.Reader
@@ -227,7 +227,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = resp.Body.Close() }() // the body has been read, or is not wanted
+	defer func() { _ = resp.Body.Close() }() // the body has been read or is not needed
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("answered %s", resp.Status)
 	}
@@ -235,7 +235,7 @@
 	return err
 }
 
-// ReportingTable writes what was measured, with the ratios to the first.
+// ReportingTable writes the measurements, with their ratios to the first one.
 func ReportingTable(out io.Writer, all []ReportingCost) error {
 	t := output.NewTable(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	t.Println("reporting\trequests\tp50 us\tratio\tp99 us\tratio\tpart of a core\ttold of\t")
--- a/lab/run/run.go
+++ b/lab/run/run.go
@@ -1,9 +1,8 @@
-// Package run plays a scenario: it starts the stand-ins and real sidecar processes, lets the clients loose, makes the
-// faults happen at their times, and ends with a report. It owns the processes and the order of things; what a fault
-// does to a server is in lab/standin, what is drawn in lab/scenario, and what was broken in lab/judge.
+// Package run plays a scenario: it starts the stand-ins and real sidecar processes, runs the clients, begins and ends the
+// faults at their times, and returns a report. It owns the processes and the sequence of a run. The effect of a fault on a
+// server is in lab/standin, the random plan in lab/scenario, and the check of the rules in lab/judge.
 //
-// Everything that a run starts has ended when Play returns: processes are waited for by id, sockets closed, goroutines
-// joined.
+// Everything that a run starts has ended when Play returns: processes are waited for, sockets closed, goroutines joined.
 package run
 
 import (
@@ -25,65 +24,65 @@
 )
 
 const (
-	// ruleSlack is what sockets and a busy machine add to the time limits of the rules.
+	// ruleSlack is added to the time limits of the rules, for delays in sockets and on a busy machine.
 	ruleSlack        = 50 * time.Millisecond
-	rosterDelayLimit = 6 * time.Second // what the roster has counts as told by then
+	rosterDelayLimit = 6 * time.Second // after which a change in the roster counts as known to the sidecars
 	settleTime       = 100 * time.Millisecond
 )
 
-// Options are what a run is given beside its scenario.
+// Options configure a run beside its scenario.
 type Options struct {
 	Program  Program
-	Progress func(Progress) // called some times a second; nil: not at all
-	// Extra is what a machine that is not all the run's adds to the time limits of the rules.
+	Progress func(Progress) // called several times a second; nil: no progress reports
+	// ExtraSlack is added to the time limits of the rules on a machine that has other load too.
 	ExtraSlack time.Duration
-	// Graphite has the sidecars report to a stand-in for Graphite, of which Report.Told is then made.
+	// Graphite makes the sidecars report to a stand-in for Graphite, from which Report.Reported is filled.
 	Graphite bool
 }
 
-// Progress is how far a run is.
+// Progress is the progress of a run.
 type Progress struct {
 	At, Length time.Duration
 	Sent       int
 	Answered   int
-	Faults     []string // that are on
+	Faults     []string // the kinds that are active
 }
 
-// slot is a server of the fleet, whatever its id is at the time.
+// slot is a place in the fleet. The server in it changes when a fault replaces the server.
 type slot struct {
 	candidate scenario.Candidate
 	server    *standin.Server
 	entry     standin.Entry
 }
 
-// stage is all that a run has started.
+// testbed is everything that a run has started.
 type testbed struct {
 	s              *scenario.Scenario
 	clock          standin.Clock
 	judge          *judge.Judge
 	recorder       *recorder
 	cells          []*standin.Cell
-	sharedKeys     *standin.Cell // the memory of keys that every server shares
+	sharedKeys     *standin.Cell // the memory of idempotency keys that all servers share
 	roster         *standin.Roster
-	carbon         *receiver.Carbon // nil: nobody is reported to
+	carbon         *receiver.Carbon // nil: sidecars don't report
 	nodes          []*process
-	links          *relay.Relay  // between sidecars; nil: they do not talk
-	sumsEqualAfter time.Duration // after which all told the same sums
-	fleetChecks    int           // at what sidecars tell
+	links          *relay.Relay  // between sidecars; nil: they exchange no updates
+	sumsEqualAfter time.Duration // time from the end of the run until all sidecars reported equal sums
+	fleetChecks    int           // checks of the sidecars' sums
 
-	sentBeforeAllDown uint64 // requests of lives that ended together with all others
+	sentBeforeAllDown uint64 // requests sent before the last time at which no sidecar ran
 	callers           *standin.Clients
 	dir               string
-	slack             time.Duration // beyond the time limits of the rules
+	slack             time.Duration // added to the time limits of the rules
 
 	mu      sync.Mutex
-	budgets map[string]float64 // by tenant: what its budget is multiplied by
+	budgets map[string]float64 // by tenant: the factor of its budget
 	fleet   []*slot
 	errs    []error
 	tasks   sync.WaitGroup
 }
 
-// Play plays a scenario that passed its check.
+// Play plays a validated scenario and returns the report. Broken rules are in the report and are no error.
 func Play(ctx context.Context, s *scenario.Scenario, opts Options) (*Report, error) {
 	plan, err := s.Draw()
 	if err != nil {
@@ -142,7 +141,7 @@
 	return nil
 }
 
-// asked is the limit for asking where sidecars ask the roster; 0 where it tells them.
+// queryLimit is the time within which a sidecar has to query the roster; 0 if the roster pushes its list.
 func queryLimit(s *scenario.Scenario) time.Duration {
 	if s.Roster.Mode == "push" {
 		return 0
@@ -150,7 +149,7 @@
 	return queryWithinMS * time.Millisecond
 }
 
-// contracts is the folder of the tenants' contracts.
+// contracts returns the path of the folder with the tenants' contracts.
 func (st *testbed) contracts() string { return filepath.Join(st.dir, "contracts") }
 
 func (st *testbed) build(ctx context.Context, program Program) error {
@@ -200,7 +199,7 @@
 	return all
 }
 
-// addServer starts one more server and lists it.
+// addServer starts another server and adds it to the roster.
 func (st *testbed) addServer(k scenario.Kind, cold bool) (*slot, error) {
 	st.mu.Lock()
 	number := len(st.fleet)
@@ -246,7 +245,7 @@
 	return sl, nil
 }
 
-// play plays the plan on what was started, ends it and reports.
+// play plays the plan on the testbed, stops the sidecars and servers, and returns the report.
 func (st *testbed) play(ctx context.Context, plan *scenario.Plan, opts Options) (*Report, error) {
 	addrs, rpcAddrs := st.addresses()
 	held, err := standin.OpenHeldConns(ctx, addrs, st.s.Clients.Held)
@@ -254,7 +253,7 @@
 		return nil, err
 	}
 	defer held.Close()
-	// The plan's times count from here; all else goes by the one clock.
+	// The plan's times are relative to this moment, all other times to the testbed's clock.
 	offset := st.clock()
 	st.recorder.setOffset(offset)
 	st.callers = standin.NewClients(standin.ClientsConfig{
@@ -262,7 +261,7 @@
 		MaxOpenConns: max(16, st.s.Limits.Sockets/3), Linger: answerSlackMS*time.Millisecond + st.slack,
 	})
 	tallies := st.runClientsAndFaults(ctx, offset, opts)
-	time.Sleep(settleTime) // what is on its way to a server past its answer has to be seen
+	time.Sleep(settleTime) // attempts that are still in flight after their response have to be recorded
 	if st.s.Talk.Enabled {
 		st.awaitEqualSums(ctx)
 	}
@@ -280,7 +279,7 @@
 	return r, nil
 }
 
-// addresses returns where the sidecars listen for HTTP, and for MessagePack-RPC where clients speak that.
+// addresses returns the sidecars' addresses for HTTP, and those for MessagePack-RPC where clients use it.
 func (st *testbed) addresses() (addrs, rpcAddrs []string) {
 	for _, n := range st.nodes {
 		addrs = append(addrs, n.address())
@@ -291,7 +290,7 @@
 	return addrs, rpcAddrs
 }
 
-// shifted is a plan that begins later.
+// shiftPlan returns a copy of a plan that begins later by offset.
 func shiftPlan(plan *scenario.Plan, offset time.Duration) *scenario.Plan {
 	later := &scenario.Plan{Arrivals: slices.Clone(plan.Arrivals)}
 	for i := range later.Arrivals {
@@ -300,7 +299,7 @@
 	return later
 }
 
-// callAmongFaults plays the clients, and the faults beside them, until all clients have ended.
+// runClientsAndFaults runs the clients, with the faults at the same time, until all clients have ended.
 func (st *testbed) runClientsAndFaults(ctx context.Context, offset time.Duration, opts Options) []standin.ArrivalOutcome {
 	faultsCtx, endFaults := context.WithCancel(ctx)
 	defer endFaults()
@@ -319,7 +318,7 @@
 	return tallies
 }
 
-// endSidecars ends those that run, and tells what all used and which ended by themselves.
+// stopSidecars stops the running sidecars, and returns the resources that all used and the crashes.
 func (st *testbed) stopSidecars() (use ResourceUsage, crashes []string, err error) {
 	for _, n := range st.nodes {
 		if !n.running() {
@@ -340,7 +339,7 @@
 	return use, crashes, nil
 }
 
-// report has the judge close, and reports on all that was seen, by the plan's times.
+// report closes the judge and returns the report, with times relative to the start of the plan.
 func (st *testbed) report(tallies []standin.ArrivalOutcome, offset time.Duration) *Report {
 	verdict := st.judge.Close(st.clock())
 	for i := range verdict.Findings {
--- a/lab/run/run_test.go
+++ b/lab/run/run_test.go
@@ -19,10 +19,10 @@
 	"firplank/lab/scenario"
 )
 
-// role is the variable by which this test's binary starts itself as a sidecar, as a peer or as a faulty proxy.
+// roleVar is the environment variable with which the test binary starts itself as a sidecar, a peer or a faulty proxy.
 const roleVar = "FIRPLANK_LAB_ROLE"
 
-// optionsVar tells it then which options to use.
+// optionsVar is the environment variable with the path of its options file.
 const optionsVar = "FIRPLANK_LAB_OPTIONS"
 
 func TestMain(m *testing.M) {
@@ -52,7 +52,7 @@
 	return Program{Args: []string{self}, Env: []string{roleVar + "=" + name}, OptionsVar: optionsVar}
 }
 
-// extra is what a loaded machine and the race detector add to the time limits of the rules.
+// extraSlack is added to the time limits of the rules, for a loaded machine and the race detector.
 const extraSlack = 700 * time.Millisecond
 
 func playText(t *testing.T, program Program, text string) *Report {
@@ -95,7 +95,7 @@
 		served += told.Served
 	}
 	if served != r.Total.InAim+r.Total.Late {
-		t.Errorf("Graphite was told of %d served, the clients of %d", served, r.Total.InAim+r.Total.Late)
+		t.Errorf("Graphite received %d served, the clients %d", served, r.Total.InAim+r.Total.Late)
 	}
 	if r.Total.Asked < 100 || r.Total.InAim+r.Total.Late < r.Total.Asked*9/10 {
 		t.Errorf("total %+v", r.Total)
@@ -104,7 +104,7 @@
 		t.Errorf("use %+v, %d attempts", r.Use, r.Attempts)
 	}
 	var page, report bytes.Buffer
-	if err := r.HTML(&page); err != nil || !strings.Contains(page.String(), "as Graphite was told</h2><svg") ||
+	if err := r.HTML(&page); err != nil || !strings.Contains(page.String(), "as reported to Graphite</h2><svg") ||
 		strings.Contains(page.String(), "src=") {
 		t.Errorf("page of %d bytes, %v", page.Len(), err)
 	}
@@ -113,7 +113,7 @@
 	}
 }
 
-// faultyScenario is what faulty proxies are played in.
+// faultyScenario is the scenario that the faulty proxies run in.
 const faultyScenario = `
 length_s = 2.5
 rate = 60
@@ -154,8 +154,8 @@
 worth = 1
 `
 
-// Each faulty proxy breaks one rule on purpose, and the judge names it. The first one breaks none: what is found is not
-// the laboratory's own doing.
+// Each faulty proxy breaks one rule on purpose, and the judge must report that rule and no other. The first proxy breaks none,
+// which guards against findings that the laboratory causes itself.
 func TestJudgeCatchesFaultyProxies(t *testing.T) {
 	const drains = "[[fault]]\nat_s = 0.4\nfor_s = 20\nkind = \"drain\"\ntarget = \"server:0\"\n"
 	const grows = "[[fault]]\nat_s = 0.2\nkind = \"grow\"\nsize = 1\n"
@@ -192,7 +192,7 @@
 	}
 }
 
-// A sidecar that ends by itself is a crash, whatever the judge finds.
+// A sidecar that exits without being stopped is reported as a crash, whatever the judge finds.
 func TestCrashIsReported(t *testing.T) {
 	r := playText(t, testProgram(t, "faulty:dies"), "rate = 40\nlength_s = 2\nsidecars = 1\n")
 	if len(r.Crashes) == 0 || !strings.Contains(r.Crashes[0], "has ended") {
@@ -200,16 +200,16 @@
 	}
 }
 
-// pairs are the protocols of clients and of servers.
+// protocolPairs are the protocols of clients and servers.
 var protocolPairs = map[string]string{
 	"HTTP to HTTP": "", "HTTP to RPC": "[fleet]\nprotocol = \"msgpack-rpc\"\n", "RPC to HTTP": "protocol = \"msgpack-rpc\"\n",
 	"RPC to RPC": "protocol = \"msgpack-rpc\"\n[fleet]\nprotocol = \"msgpack-rpc\"\n",
 }
 
-// Every kind of fault is caused at real sidecars, with every pair of protocols, and the rules hold: one final answer for
-// every request, nothing run twice, drains kept. What is served is not judged here: that hangs on the machine.
+// The rules hold with real sidecars under every kind of fault and every pair of protocols: one final response for every
+// request, nothing run twice, no requests to drained servers. The served share depends on the machine and is not judged.
 func TestConformance(t *testing.T) {
-	// The protocol of clients stands at the end of their table, which is the last.
+	// The clients table is last in each scenario, so that protocolPairs can append the protocol of clients to it.
 	const few = "rate = 50\nsidecars = 2\nlength_s = 4\n"
 	const clients = "[clients]\nretries = 1\nfailover = true\n"
 	fault := func(kind, target string, at, lasts float64, more ...string) string {
@@ -258,8 +258,8 @@
 	}
 }
 
-// A keyed request is in flight when its sidecar is killed: the client's retry reaches another sidecar within the window,
-// and the servers run it once.
+// Sidecars are killed while keyed requests are in flight. Guards against lost or repeated requests: the client's retry reaches
+// another sidecar within the window, and the servers run the request once.
 func TestKeyedRequestsSurviveKilledSidecar(t *testing.T) {
 	r := playText(t, testProgram(t, "sidecar"), `
 rate = 120
@@ -305,17 +305,17 @@
 	}
 }
 
-// A sidecar on a part of a core is held to it.
+// A sidecar with a share of a core is limited to it.
 func TestCPUQuotaIsEnforced(t *testing.T) {
 	r := playText(t, testProgram(t, "faulty:spins"), "rate = 20\nlength_s = 3\nsidecars = 1\n[limits]\ncores = 0.25\n[clients]\nretries = 0\n")
-	// Some more for the start, and for what it does before it is first looked at.
+	// The extra second covers the start and the time before the first check.
 	if used := r.Use.CPU.Seconds(); used < 0.3 || used > 0.25*3+1 {
-		t.Errorf("%.2f s of processor in 3 s at a quarter of a core", used)
+		t.Errorf("%.2f s of CPU time in 3 s at a quarter of a core", used)
 	}
 }
 
-// Many times the usual load comes at once on a sidecar with a part of a core: it turns away what it cannot carry, loses
-// nothing, and still serves.
+// A sidecar with a share of a core gets many times its usual load at once. It rejects the requests above its capacity, loses
+// none, and still serves.
 func TestOverloadIsShed(t *testing.T) {
 	program := testProgram(t, "sidecar")
 	program.Options = "testdata/door.toml"
@@ -326,7 +326,7 @@
 	}
 }
 
-// Connections that were held in silence all ask at once: each has its answer, on the connection that it was held for.
+// Idle connections all send a request at the same time. Each request gets its response, on the same connection.
 func TestHeldConnectionsSendAtOnce(t *testing.T) {
 	program := testProgram(t, "sidecar")
 	program.Options = "testdata/door.toml"
@@ -362,7 +362,7 @@
 	}
 }
 
-// playAll plays built-in scenarios at once.
+// playAll plays built-in scenarios in parallel.
 func playAll(t *testing.T, names []string) (reports []*Report, errs []error) {
 	reports, errs = make([]*Report, len(names)), make([]error, len(names))
 	program := testProgram(t, "sidecar")
@@ -380,8 +380,8 @@
 	return reports, errs
 }
 
-// What sidecars tell one another holds the truth through a cut through the fleet, and kills and restarts mid-work; the
-// laboratory looks at it from outside each second, and wants all to agree afterwards.
+// The fleet-wide sums that sidecars exchange stay within the clients' counts during a network partition, and during kills and
+// restarts under load. The sums are checked each second, and all sidecars must report equal sums afterwards.
 func TestSharedSumsStayWithinBounds(t *testing.T) {
 	t.Parallel()
 	names := []string{"talk-split", "talk-restart"}
@@ -392,14 +392,14 @@
 		}
 		requirePass(t, r)
 		if r.FleetChecks < 40 || r.Datagrams == 0 {
-			t.Errorf("%s: %d looks, %d datagrams", names[i], r.FleetChecks, r.Datagrams)
+			t.Errorf("%s: %d checks, %d datagrams", names[i], r.FleetChecks, r.Datagrams)
 		}
 	}
 }
 
-// Days in the shape of the fleet's: many sidecars with little traffic each, of which all are restarted while servers are
-// replaced, or which all keep on while most servers change; and one whose roster fails in every way during a release.
-// They wait more than they work, so that all are played at once.
+// Scenarios with many sidecars and little traffic each: all sidecars restart while servers are replaced, most servers change
+// under running sidecars, and a roster fails in every way during a release. They spend most of the time waiting, so all run in
+// parallel.
 func TestFleetScenarios(t *testing.T) {
 	t.Parallel()
 	names := []string{"fleet-roll", "fleet-join", "long-deadlines", "roster-broken"}
--- a/lab/run/standalone.go
+++ b/lab/run/standalone.go
@@ -11,8 +11,9 @@
 	"firplank/lab/standin"
 )
 
-// Stand starts the servers and the roster of a scenario, writes a configuration for each of its sidecars to dir, says so
-// on out, and plays the faults of servers and roster until ctx ends. Nobody judges.
+// RunStandIns starts the servers and the roster of a scenario without sidecars or clients. It writes a configuration for each
+// sidecar to dir, prints the paths and the server addresses on out, and plays the faults of servers and roster until ctx ends.
+// Nothing is judged.
 func RunStandIns(ctx context.Context, s *scenario.Scenario, dir string, out io.Writer) error {
 	printer := output.New(out)
 	st := &testbed{s: s, dir: dir, sharedKeys: standin.NewCell()}
@@ -45,8 +46,8 @@
 	return printer.Err()
 }
 
-// Clients plays the clients of a scenario against sidecars at the given addresses. What servers saw is not known, so
-// only the rules on answers are judged.
+// RunClients plays the clients of a scenario against sidecars at the given addresses. The requests that servers received are
+// not known, so only the rules on responses are judged.
 func RunClients(ctx context.Context, s *scenario.Scenario, addrs []string) (*Report, error) {
 	plan, err := s.Draw()
 	if err != nil {
--- a/lab/run/teams_test.go
+++ b/lab/run/teams_test.go
@@ -8,7 +8,7 @@
 	"firplank/lab/scenario"
 )
 
-// teams plays the scenario of three teams, with or without its faults.
+// playTeams plays the scenario with three teams, with or without its faults.
 func playTeams(t *testing.T, faults bool) *Report {
 	t.Helper()
 	s, err := scenario.Open("teams")
@@ -37,8 +37,8 @@
 	return &Row{}
 }
 
-// One team surges to ten times its usual with retries, another's budget is halved under way. Each is served what it was
-// promised, and the third notices nothing.
+// One team surges to ten times its usual load with retries, and another's budget is halved during the run. Guards against a
+// surge that takes capacity from other teams: each team is served its entitlement, and the third team is unaffected.
 func TestThreeTeams(t *testing.T) {
 	withoutFaults, withFaults := playTeams(t, false), playTeams(t, true)
 	inAim := func(r *Report) float64 {
@@ -57,6 +57,6 @@
 		t.Errorf("fairness %.3f", withFaults.Fairness)
 	}
 	if insurers := withFaults.Teams[1]; insurers.Asked < 4*insurers.Entitled {
-		t.Errorf("the surge asked for %.0f only", insurers.Asked)
+		t.Errorf("the surge asked for a worth of only %.0f", insurers.Asked)
 	}
 }
--- a/lab/run/throughput.go
+++ b/lab/run/throughput.go
@@ -23,31 +23,31 @@
 type Subject struct {
 	Name    string
 	Program Program
-	RPC     bool // clients and servers speak MessagePack-RPC
+	RPC     bool // clients and servers use MessagePack-RPC
 }
 
-// ThroughputOptions say what to measure.
+// ThroughputOptions configure a throughput measurement.
 type ThroughputOptions struct {
 	Subjects  []Subject
 	InFlight  []int
 	Seconds   float64 // of each measurement
-	Rounds    int     // the subjects take turns so often
-	IdleConns int     // connections that are opened and say nothing, for the memory that each costs; 0: not measured
+	Rounds    int     // times that the subjects take turns
+	IdleConns int     // idle connections to open, for the memory of each; 0: not measured
 }
 
-// Measured is the throughput of a subject, the median of its rounds.
+// ThroughputResult is the throughput of a subject: the median of its rounds by requests per CPU second.
 type ThroughputResult struct {
 	Name          string  `json:"name"`
 	InFlight      int     `json:"in_flight"`
 	PerS          float64 `json:"per_s"`
-	PerCPU        float64 `json:"per_cpu_s"` // requests in a second of the processor
-	CPU           float64 `json:"cpu_us"`    // processor time of a request
+	PerCPU        float64 `json:"per_cpu_s"` // requests per second of CPU time
+	CPU           float64 `json:"cpu_us"`    // CPU time per request, in microseconds
 	LeastPerCPU   float64 `json:"least_per_cpu_s"`
 	MostPerCPU    float64 `json:"most_per_cpu_s"`
 	Refused       int64   `json:"refused"`
 	Failed        int64   `json:"failed"`
 	MemoryKB      int64   `json:"memory_kb"`
-	IdleConnBytes int64   `json:"idle_bytes"` // of memory for each idle connection
+	IdleConnBytes int64   `json:"idle_bytes"` // memory per idle connection
 
 	rounds []ThroughputResult
 }
@@ -85,9 +85,9 @@
 share = 1
 `
 
-// Throughput measures how many requests each subject passes on, and what one costs it, with a number of requests in flight
-// all the time. Each subject is one process on one core; servers answer at once. The subjects take turns, so that a
-// machine whose speed changes does so for all of them.
+// Throughput measures the requests per second of each subject and their CPU time, with a constant number of requests in
+// flight. Each subject is one process on one core, and the servers respond immediately. The subjects take turns, so that
+// changes in the machine's speed affect all of them.
 func Throughput(ctx context.Context, o ThroughputOptions) ([]ThroughputResult, error) {
 	all := map[string][]ThroughputResult{}
 	var order []string
@@ -118,7 +118,7 @@
 	return out, nil
 }
 
-// echoFleet starts servers that answer at once, and their roster.
+// echoFleet starts servers that respond immediately, and their roster. end closes them.
 func echoFleet(sc *scenario.Scenario, rpc bool, sidecars int) (_ *standin.Roster, end func(), err error) {
 	roster, err := standin.NewRoster(standin.RosterConfig{MaxQueueWait: time.Second, Clock: standin.StartClock(),
 		Observer: judge.New(judge.Config{})}, sidecars)
@@ -158,7 +158,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("throughput: %w", err)
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // a temporary folder, which may stay
+	defer func() { _ = os.RemoveAll(dir) }() // a temporary folder, which may remain
 	roster, end, err := echoFleet(sc, s.RPC, 1)
 	if err != nil {
 		return nil, err
@@ -193,7 +193,7 @@
 	return m, m.run(ctx, p, addr, s.RPC, o)
 }
 
-// run measures after a warm-up of a third of the time.
+// run measures for o.Seconds, after a warm-up of a third of that time.
 func (m *ThroughputResult) run(ctx context.Context, p *process, addr string, rpc bool, o ThroughputOptions) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -234,7 +234,7 @@
 
 var residentLine = regexp.MustCompile(`(?m)^VmRSS:\s+(\d+) kB$`)
 
-// resident is how many bytes of memory a process holds; 0 where that cannot be read.
+// residentBytes returns the resident memory of a process; 0 if it cannot be read.
 func residentBytes(pid int) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -248,8 +248,8 @@
 	return kb << 10
 }
 
-// idleMemory opens connections that say nothing and tells by how much the process grows for each. The kernel's part of
-// them is not in it.
+// idleConnBytes opens idle connections and returns by how much the resident memory of the process grows for each. Kernel memory
+// is not included.
 func idleConnBytes(pid int, addr string, n int) (int64, error) {
 	before := residentBytes(pid)
 	conns := make([]net.Conn, 0, n)
@@ -265,11 +265,11 @@
 		}
 		conns = append(conns, c)
 	}
-	time.Sleep(300 * time.Millisecond) // until the last is taken in
+	time.Sleep(300 * time.Millisecond) // until the last one is accepted
 	return (residentBytes(pid) - before) / int64(n), nil
 }
 
-// ThroughputTable writes what was measured, with the ratio to the first subject at the same number in flight.
+// ThroughputTable writes the results, with the ratio to the first subject at the same number in flight.
 func ThroughputTable(out io.Writer, all []ThroughputResult) error {
 	t := output.NewTable(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	t.Println("through\tin flight\trequests/s\tper processor s\tleast\tmost\tus a " +
@@ -285,7 +285,7 @@
 	return t.Flush()
 }
 
-// ThroughputBench writes each round as a line of Go's benchmarks, for tools that compare such lines.
+// ThroughputBench writes each round as a line in the format of Go's benchmarks, for tools that compare such lines.
 func ThroughputBench(out io.Writer, all []ThroughputResult) error {
 	for _, m := range all {
 		for _, r := range m.rounds {
