--- a/cmd/firplank-lab/standalone.go
+++ b/cmd/firplank-lab/standalone.go
@@ -63,8 +63,9 @@
 		request += "Content-Length: 0\r\n"
 	}
 	cfg := load.Config{
-		Addr: c.Addr, Connections: c.Connections, Active: c.Active, Rate: c.Rate, Rush: c.Rush, Pace: c.Pace, Sources: c.Sources, Seed: c.Seed,
-		Length: time.Duration(c.Seconds * float64(time.Second)), Wait: time.Duration(c.Wait * float64(time.Second)),
+		Addr: c.Addr, Connections: c.Connections, Active: c.Active, Rate: c.Rate, Rush: c.Rush,
+		ConnectionsPerSecond: c.Pace, Sources: c.Sources, Seed: c.Seed,
+		Length: time.Duration(c.Seconds * float64(time.Second)), ResponseTimeout: time.Duration(c.Wait * float64(time.Second)),
 		Request: request + "\r\n", PID: c.PID,
 	}
 	if c.Greet != "" {
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -18,7 +18,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const ask = "GET /x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: {n}\r\n\r\n"
+const requestText = "GET /x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: {n}\r\n\r\n"
 
 func serve(t *testing.T, h http.HandlerFunc) string {
 	t.Helper()
@@ -29,7 +29,7 @@
 
 func run(t *testing.T, cfg Config) *Result {
 	t.Helper()
-	cfg.Request = ask
+	cfg.Request = requestText
 	r, err := Run(t.Context(), cfg)
 	if err != nil {
 		t.Fatal(err)
@@ -38,7 +38,7 @@
 }
 
 // Every answer is counted under what it is, and each request has a number of its own.
-func TestCounts(t *testing.T) {
+func TestResponsesCountedByStatus(t *testing.T) {
 	var n atomic.Int64
 	seen := make(chan string, 1000)
 	addr := serve(t, func(w http.ResponseWriter, r *http.Request) {
@@ -46,7 +46,7 @@
 		w.WriteHeader([]int{200, 503, 500, 429}[n.Add(1)%4])
 	})
 	r := run(t, Config{Addr: addr, Connections: 40, Active: 10, Rate: 400, Length: time.Second / 2})
-	if r.Held != 40 || r.HeldAfter != 40 || r.Lost != 0 || int64(r.Sent) != n.Load() {
+	if r.Held != 40 || r.HeldAtEnd != 40 || r.Lost != 0 || int64(r.Sent) != n.Load() {
 		t.Errorf("%+v for %d requests", r, n.Load())
 	}
 	if r.Served.Count+r.Refused.Count+r.Failed.Count != int64(r.Sent) || r.Refused.Count < r.Served.Count {
@@ -68,7 +68,7 @@
 }
 
 // A server that stalls makes all latencies long that were planned meanwhile, not only that of the request it stalls on.
-func TestNoOmission(t *testing.T) {
+func TestLatencyCountsFromPlannedStart(t *testing.T) {
 	var first atomic.Bool
 	addr := serve(t, func(http.ResponseWriter, *http.Request) {
 		if first.CompareAndSwap(false, true) {
@@ -82,7 +82,7 @@
 }
 
 // In a rush each connection sends one request; those that the server has closed meanwhile are opened again.
-func TestRush(t *testing.T) {
+func TestRushReopensClosedConnections(t *testing.T) {
 	addr := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/up" && r.RemoteAddr[len(r.RemoteAddr)-1]%2 == 0 {
 			w.Header().Set("Connection", "close")
@@ -91,14 +91,14 @@
 	r := run(t, Config{
 		Addr: addr, Connections: 200, Rush: true, Length: 200 * time.Millisecond, Sources: 3, Greeting: "GET /up HTTP/1.1\r\nHost: a\r\n\r\n",
 	})
-	if r.Sent != 200 || r.Served.Count != 200 || r.Lost != 0 || r.Again == 0 || r.Held+r.Again != 200 {
+	if r.Sent != 200 || r.Served.Count != 200 || r.Lost != 0 || r.Reopened == 0 || r.Held+r.Reopened != 200 {
 		t.Errorf("%+v", r)
 	}
 }
 
 // A request whose connection ends before its answer is lost, and so is one that nobody answers; a kept connection that is
 // found closed is no loss.
-func TestLost(t *testing.T) {
+func TestLostRequestsCounted(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -130,22 +130,24 @@
 			})
 		}
 	})
-	r := run(t, Config{Addr: ln.Addr().String(), Connections: 3, Rush: true, Length: 50 * time.Millisecond, Wait: 300 * time.Millisecond})
-	if r.Lost != 2 || r.Served.Count != 1 || r.Again != 1 {
+	r := run(t, Config{
+		Addr: ln.Addr().String(), Connections: 3, Rush: true, Length: 50 * time.Millisecond, ResponseTimeout: 300 * time.Millisecond,
+	})
+	if r.Lost != 2 || r.Served.Count != 1 || r.Reopened != 1 {
 		t.Errorf("%+v", r)
 	}
 }
 
-func TestChecks(t *testing.T) {
+func TestConfigOutOfRangeRejected(t *testing.T) {
 	for name, cfg := range map[string]Config{
 		"another machine": {Addr: "192.0.2.1:80", Connections: 1, Length: 1},
 		"a name":          {Addr: "localhost:80", Connections: 1, Length: 1},
-		"too many":        {Addr: "127.0.0.1:80", Connections: mostConnections + 1, Length: 1},
+		"too many":        {Addr: "127.0.0.1:80", Connections: maxConnections + 1, Length: 1},
 		"too long":        {Addr: "127.0.0.1:80", Connections: 1, Length: time.Hour},
 		"too fast":        {Addr: "127.0.0.1:80", Connections: 1, Length: time.Minute, Rate: 1e9},
 		"more than all":   {Addr: "127.0.0.1:80", Connections: 1, Active: 2, Length: 1},
 	} {
-		cfg.Request = ask
+		cfg.Request = requestText
 		if _, err := Run(t.Context(), cfg); err == nil {
 			t.Errorf("%s: taken", name)
 		}
--- a/lab/load/run_linux.go
+++ b/lab/load/run_linux.go
@@ -18,41 +18,41 @@
 
 // conn is one connection. Its lock guards all but number.
 type conn struct {
-	load   *loader
+	loader *loader
 	number int
 
-	mu      sync.Mutex
-	fd      int // -1: there is none
-	place   poller.Registration
-	open    bool // a request is on its way or waits
-	planned time.Duration
-	greeted bool // the request is the greeting
-	fresh   bool // the connection was opened for the request
-	got     []byte
-	waiting []time.Duration // planned starts that found a request open
+	mu               sync.Mutex
+	fd               int // -1: there is none
+	registration     poller.Registration
+	inFlight         bool // a request is on its way or waits
+	planned          time.Duration
+	isGreeting       bool // the request is the greeting
+	openedForRequest bool // the connection was opened for the request
+	received         []byte
+	waiting          []time.Duration // planned starts that found a request open
 }
 
 type loader struct {
-	cfg    *Config
-	to     unix.SockaddrInet4
-	poller *poller.Poller
-	conns  []*conn
-	start  time.Time // planned times count from here
+	cfg        *Config
+	serverAddr unix.SockaddrInet4
+	poller     *poller.Poller
+	conns      []*conn
+	start      time.Time // planned times count from here
 
 	scratch []byte // the poller's
 
-	mu                      sync.Mutex
-	r                       Result
-	served, refused, failed times
-	pending                 int           // requests begun and not ended, and those that wait
-	over                    chan struct{} // closed when all are drawn and none is pending
-	drawn                   bool
-	number                  uint64
-	greeted, greetedAll     int
-	greetings               chan struct{}
-	last                    time.Duration
-	request                 []byte
-	requestAt               []int // where numbers go
+	mu                              sync.Mutex
+	result                          Result
+	served, refused, failed         latencyHistogram
+	pending                         int           // requests begun and not ended, and those that wait
+	done                            chan struct{} // closed when all are drawn and none is pending
+	allStarted                      bool
+	lastNumber                      uint64
+	pendingGreetings, greetingsSent int
+	greetingsDone                   chan struct{}
+	lastResponse                    time.Duration
+	request                         []byte
+	numberOffsets                   []int // where numbers go
 }
 
 // Run plays a load until the last answer has come or its time is up, or ctx ends.
@@ -66,48 +66,49 @@
 		return nil, fmt.Errorf("load: %w", err)
 	}
 	l := &loader{
-		cfg: &cfg, to: unix.SockaddrInet4{Port: int(addr.Port()), Addr: addr.Addr().As4()}, poller: p, scratch: make([]byte, 64<<10),
-		served: newTimes(), refused: newTimes(), failed: newTimes(), over: make(chan struct{}), greetings: make(chan struct{}),
+		cfg: &cfg, serverAddr: unix.SockaddrInet4{Port: int(addr.Port()), Addr: addr.Addr().As4()}, poller: p, scratch: make([]byte, 64<<10),
+		served: newLatencyHistogram(), refused: newLatencyHistogram(), failed: newLatencyHistogram(),
+		done: make(chan struct{}), greetingsDone: make(chan struct{}),
 	}
-	l.template()
+	l.prepareRequest()
 	var polling sync.WaitGroup
 	polling.Go(func() { p.Run(func() {}, nil) })
 	defer polling.Wait()
 	defer p.Close()
 	defer l.closeAll()
-	l.r.MemoryKB[0] = memory(cfg.PID)
-	if err := l.ramp(ctx); err != nil {
+	l.result.MemoryKB[0] = residentKB(cfg.PID)
+	if err := l.openConnections(ctx); err != nil {
 		return nil, err
 	}
-	l.r.MemoryKB[1] = memory(cfg.PID)
-	l.r.Per = float64(l.r.MemoryKB[1]-l.r.MemoryKB[0]) * 1024 / float64(max(1, l.r.Held))
-	plan, cpu := cfg.plan(), processor(cfg.PID)
+	l.result.MemoryKB[1] = residentKB(cfg.PID)
+	l.result.BytesPerConnection = float64(l.result.MemoryKB[1]-l.result.MemoryKB[0]) * 1024 / float64(max(1, l.result.Held))
+	plan, cpu := cfg.plan(), cpuTime(cfg.PID)
 	l.mu.Lock()
 	l.start = time.Now()
 	l.mu.Unlock()
 	for _, s := range plan {
-		if err := pause(ctx, s.at-time.Since(l.start)); err != nil {
+		if err := sleep(ctx, s.at-time.Since(l.start)); err != nil {
 			return nil, err
 		}
-		l.conns[s.conn].begin(s.at)
+		l.conns[s.conn].beginRequest(s.at)
 	}
 	l.mu.Lock()
-	l.drawn = true
-	l.settle()
+	l.allStarted = true
+	l.checkDone()
 	l.mu.Unlock()
 	select {
-	case <-l.over:
-	case <-time.After(cfg.Wait):
+	case <-l.done:
+	case <-time.After(cfg.ResponseTimeout):
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	l.r.CPU = processor(cfg.PID) - cpu
-	l.r.MemoryKB[2] = memory(cfg.PID)
-	return l.result(), nil
+	l.result.CPU = cpuTime(cfg.PID) - cpu
+	l.result.MemoryKB[2] = residentKB(cfg.PID)
+	return l.finalResult(), nil
 }
 
 // pause waits for a time, if that is above 0, or until ctx ends, which is an error.
-func pause(ctx context.Context, wait time.Duration) error {
+func sleep(ctx context.Context, wait time.Duration) error {
 	if wait <= 0 {
 		return nil
 	}
@@ -119,18 +120,18 @@
 	}
 }
 
-func (l *loader) result() *Result {
+func (l *loader) finalResult() *Result {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.r.Lost += l.pending
-	l.r.Took = l.last
-	l.r.Served, l.r.Refused, l.r.Failed = l.served.latency(), l.refused.latency(), l.failed.latency()
+	l.result.Lost += l.pending
+	l.result.Duration = l.lastResponse
+	l.result.Served, l.result.Refused, l.result.Failed = l.served.latency(), l.refused.latency(), l.failed.latency()
 	for _, c := range l.conns {
 		if c.fd >= 0 {
-			l.r.HeldAfter++
+			l.result.HeldAtEnd++
 		}
 	}
-	r := l.r
+	r := l.result
 	return &r
 }
 
@@ -143,51 +144,51 @@
 }
 
 // ramp opens the connections, and waits for the greetings' answers.
-func (l *loader) ramp(ctx context.Context) error {
+func (l *loader) openConnections(ctx context.Context) error {
 	begun := time.Now()
 	for i := range l.cfg.Connections {
-		if l.cfg.Pace > 0 {
-			wait := time.Duration(float64(i)/l.cfg.Pace*float64(time.Second)) - time.Since(begun)
-			if err := pause(ctx, wait); err != nil {
+		if l.cfg.ConnectionsPerSecond > 0 {
+			wait := time.Duration(float64(i)/l.cfg.ConnectionsPerSecond*float64(time.Second)) - time.Since(begun)
+			if err := sleep(ctx, wait); err != nil {
 				return err
 			}
 		}
-		c := &conn{load: l, number: i, fd: -1}
+		c := &conn{loader: l, number: i, fd: -1}
 		l.conns = append(l.conns, c)
 		c.mu.Lock()
 		err := c.dial()
 		if err == nil && l.cfg.Greeting != "" {
-			c.open, c.greeted = true, true
+			c.inFlight, c.isGreeting = true, true
 			l.mu.Lock()
-			l.greeted++
+			l.pendingGreetings++
 			l.mu.Unlock()
 			c.write([]byte(l.cfg.Greeting))
 		}
 		c.mu.Unlock()
 		if err != nil {
-			l.r.Undialled++
-			if l.r.Undialled > 100 && l.r.Undialled*2 > i {
-				return fmt.Errorf("load: %d of %d connections did not come up: %w", l.r.Undialled, i+1, err)
+			l.result.DialFailures++
+			if l.result.DialFailures > 100 && l.result.DialFailures*2 > i {
+				return fmt.Errorf("load: %d of %d connections did not come up: %w", l.result.DialFailures, i+1, err)
 			}
 		}
 	}
 	l.mu.Lock()
-	l.greetedAll = l.cfg.Connections
-	if l.greeted == 0 {
-		close(l.greetings)
+	l.greetingsSent = l.cfg.Connections
+	if l.pendingGreetings == 0 {
+		close(l.greetingsDone)
 	}
 	l.mu.Unlock()
 	select {
-	case <-l.greetings:
-	case <-time.After(l.cfg.Wait):
+	case <-l.greetingsDone:
+	case <-time.After(l.cfg.ResponseTimeout):
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	l.r.Ramp = time.Since(begun)
+	l.result.Ramp = time.Since(begun)
 	for _, c := range l.conns {
 		c.mu.Lock()
 		if c.fd >= 0 {
-			l.r.Held++
+			l.result.Held++
 		}
 		c.mu.Unlock()
 	}
@@ -195,7 +196,7 @@
 }
 
 // template finds where the numbers go.
-func (l *loader) template() {
+func (l *loader) prepareRequest() {
 	const digits = "0000000000000000"
 	text := []byte(l.cfg.Request)
 	for {
@@ -203,7 +204,7 @@
 		if at < 0 {
 			break
 		}
-		l.requestAt = append(l.requestAt, at)
+		l.numberOffsets = append(l.numberOffsets, at)
 		text = append(append(append([]byte(nil), text[:at]...), digits...), text[at+3:]...)
 	}
 	l.request = text
@@ -211,7 +212,7 @@
 
 // dial opens the connection. The caller holds mu.
 func (c *conn) dial() error {
-	l := c.load
+	l := c.loader
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return fmt.Errorf("load: %w", err)
@@ -222,14 +223,14 @@
 	_ = unix.SetsockoptTimeval(fd, unix.SOL_SOCKET, unix.SO_SNDTIMEO, &unix.Timeval{Sec: 3}) // for connect
 	from := &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, byte(1 + c.number%l.cfg.Sources)}}
 	if err = unix.Bind(fd, from); err == nil {
-		err = unix.Connect(fd, &l.to)
+		err = unix.Connect(fd, &l.serverAddr)
 	}
 	if err == nil {
 		err = unix.SetNonblock(fd, true)
 	}
 	if err == nil {
 		c.fd = fd
-		err = l.poller.Register(fd, c, &c.place)
+		err = l.poller.Register(fd, c, &c.registration)
 	}
 	if err != nil {
 		_ = unix.Close(fd) // the descriptor is released even where this fails
@@ -242,23 +243,23 @@
 // close closes the connection. The caller holds mu.
 func (c *conn) close() {
 	if c.fd >= 0 {
-		c.load.poller.Unregister(c.place)
+		c.loader.poller.Unregister(c.registration)
 		_ = unix.Close(c.fd) // the descriptor is released even where this fails
-		c.fd, c.got = -1, nil
+		c.fd, c.received = -1, nil
 	}
 }
 
 // begin begins the request that was planned for a time; where one is open it waits.
-func (c *conn) begin(planned time.Duration) {
-	l := c.load
+func (c *conn) beginRequest(planned time.Duration) {
+	l := c.loader
 	l.mu.Lock()
 	l.pending++
-	l.r.Sent++
-	l.r.Late = max(l.r.Late, float64(time.Since(l.start)-planned)/float64(time.Millisecond))
+	l.result.Sent++
+	l.result.MaxStartDelayMS = max(l.result.MaxStartDelayMS, float64(time.Since(l.start)-planned)/float64(time.Millisecond))
 	l.mu.Unlock()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.open {
+	if c.inFlight {
 		c.waiting = append(c.waiting, planned)
 		return
 	}
@@ -267,25 +268,25 @@
 
 // send sends a request. The caller holds mu.
 func (c *conn) send(planned time.Duration) {
-	l := c.load
-	c.open, c.planned, c.greeted, c.fresh = true, planned, false, c.fd < 0
-	if c.fresh {
+	l := c.loader
+	c.inFlight, c.planned, c.isGreeting, c.openedForRequest = true, planned, false, c.fd < 0
+	if c.openedForRequest {
 		if c.dial() != nil {
-			c.end(lost)
+			c.finishRequest(statusLost)
 			return
 		}
 		l.mu.Lock()
-		l.r.Again++
+		l.result.Reopened++
 		l.mu.Unlock()
 	}
 	l.mu.Lock()
-	l.number++
-	n := l.number
+	l.lastNumber++
+	n := l.lastNumber
 	l.mu.Unlock()
 	text := l.request
-	if len(l.requestAt) > 0 {
+	if len(l.numberOffsets) > 0 {
 		text = bytes.Clone(text)
-		for _, at := range l.requestAt {
+		for _, at := range l.numberOffsets {
 			copy(text[at:], fmt.Sprintf("%016x", n))
 		}
 	}
@@ -295,39 +296,39 @@
 // write writes a request, which is short enough for the kernel. The caller holds mu.
 func (c *conn) write(text []byte) {
 	if n, err := unix.Write(c.fd, text); err != nil || n < len(text) {
-		c.ended()
+		c.handleClose()
 	}
 }
 
 const (
-	lost       = 0       // what a request comes to that has no status
-	mostAnswer = 1 << 20 // bytes of an answer, beyond which it is none
+	statusLost       = 0       // what a request comes to that has no status
+	maxResponseBytes = 1 << 20 // bytes of an answer, beyond which it is none
 )
 
 // end ends the open request with a status. The caller holds mu.
-func (c *conn) end(status int) {
-	l := c.load
-	c.open = false
+func (c *conn) finishRequest(status int) {
+	l := c.loader
+	c.inFlight = false
 	l.mu.Lock()
 	took := time.Since(l.start) - c.planned
 	switch {
-	case c.greeted:
-		if l.greeted--; l.greeted == 0 && l.greetedAll > 0 {
-			close(l.greetings)
+	case c.isGreeting:
+		if l.pendingGreetings--; l.pendingGreetings == 0 && l.greetingsSent > 0 {
+			close(l.greetingsDone)
 		}
-	case took > l.cfg.Wait || status == lost:
-		l.r.Lost++
+	case took > l.cfg.ResponseTimeout || status == statusLost:
+		l.result.Lost++
 	case status >= 200 && status < 300:
-		l.served.add(took)
+		l.served.record(took)
 	case status == 429 || status == 503:
-		l.refused.add(took)
+		l.refused.record(took)
 	default:
-		l.failed.add(took)
+		l.failed.record(took)
 	}
-	if !c.greeted {
+	if !c.isGreeting {
 		l.pending--
-		l.last = max(l.last, time.Since(l.start))
-		l.settle()
+		l.lastResponse = max(l.lastResponse, time.Since(l.start))
+		l.checkDone()
 	}
 	l.mu.Unlock()
 	if len(c.waiting) > 0 {
@@ -338,12 +339,12 @@
 }
 
 // settle tells when all is over. The caller holds mu.
-func (l *loader) settle() {
-	if l.drawn && l.pending == 0 {
+func (l *loader) checkDone() {
+	if l.allStarted && l.pending == 0 {
 		select {
-		case <-l.over:
+		case <-l.done:
 		default:
-			close(l.over)
+			close(l.done)
 		}
 	}
 }
@@ -356,31 +357,31 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for c.fd >= 0 {
-		n, err := unix.Read(c.fd, c.load.scratch)
+		n, err := unix.Read(c.fd, c.loader.scratch)
 		switch {
 		case err == unix.EINTR:
 			continue
 		case err == unix.EAGAIN:
 			return
 		case err != nil || n == 0:
-			c.ended()
+			c.handleClose()
 			return
 		}
-		c.got = append(c.got, c.load.scratch[:n]...)
-		status, last, whole := answer(c.got)
-		if !whole && len(c.got) > mostAnswer {
-			c.ended()
+		c.received = append(c.received, c.loader.scratch[:n]...)
+		status, last, whole := parseResponse(c.received)
+		if !whole && len(c.received) > maxResponseBytes {
+			c.handleClose()
 			return
 		}
 		if !whole {
 			continue
 		}
-		c.got = nil
+		c.received = nil
 		if last {
 			c.close()
 		}
-		if c.open {
-			c.end(status)
+		if c.inFlight {
+			c.finishRequest(status)
 		}
 		if last {
 			return
@@ -390,24 +391,24 @@
 
 // ended takes in that the server has closed. A request that has crossed with that is sent once more, as any client does that
 // finds its kept connection closed. The caller holds mu.
-func (c *conn) ended() {
-	crossed := len(c.got) == 0 && !c.fresh && !c.greeted
+func (c *conn) handleClose() {
+	crossed := len(c.received) == 0 && !c.openedForRequest && !c.isGreeting
 	c.close()
-	if c.open && crossed {
+	if c.inFlight && crossed {
 		c.send(c.planned)
 		return
 	}
-	if c.open {
-		c.end(lost)
+	if c.inFlight {
+		c.finishRequest(statusLost)
 		return
 	}
-	c.load.mu.Lock()
-	c.load.r.Closed++
-	c.load.mu.Unlock()
+	c.loader.mu.Lock()
+	c.loader.result.Closed++
+	c.loader.mu.Unlock()
 }
 
 // answer reads an answer with a Content-Length: its status, whether the connection ends with it, and whether it is whole.
-func answer(b []byte) (status int, last, whole bool) {
+func parseResponse(b []byte) (status int, last, whole bool) {
 	end := bytes.Index(b, []byte("\r\n\r\n"))
 	if end < 0 || len(b) < 12 {
 		return 0, false, false
@@ -432,7 +433,7 @@
 )
 
 // memory is how many KB a process holds; 0 where that cannot be read.
-func memory(pid int) int64 {
+func residentKB(pid int) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0
@@ -445,7 +446,7 @@
 }
 
 // processor is what a process has used, in the kernel's hundredths of a second.
-func processor(pid int) time.Duration {
+func cpuTime(pid int) time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
