--- a/lab/peer/fast.go
+++ b/lab/peer/fast.go
@@ -35,7 +35,7 @@
 			r.Request.UseHostHeader = true
 			r.Request.Header.SetHost(host)
 			r.Request.Header.Del("Connection")
-			if err := client.DoTimeout(&r.Request, &r.Response, left(string(r.Request.Header.Peek("X-Expires-In")))); err != nil {
+			if err := client.DoTimeout(&r.Request, &r.Response, remainingTime(string(r.Request.Header.Peek("X-Expires-In")))); err != nil {
 				r.Response.Reset()
 				r.SetStatusCode(fasthttp.StatusBadGateway)
 				return
--- a/lab/peer/peer.go
+++ b/lab/peer/peer.go
@@ -27,14 +27,14 @@
 var Policies = []string{"round_robin", "random", "least_of_two"}
 
 // pollEvery is how often the roster is asked, as such proxies are commonly set up.
-const pollEvery = time.Second
+const pollInterval = time.Second
 
 type backend struct {
-	addr string
-	open atomic.Int64
+	addr     string
+	inFlight atomic.Int64
 }
 
-type chosen struct{}
+type backendKey struct{}
 
 // proxy is a reverse proxy over a list that is asked for again and again.
 type proxy struct {
@@ -64,7 +64,7 @@
 		return fmt.Errorf("peer: %w", err)
 	}
 	p := &proxy{policy: policy}
-	p.take(cfg.Known)
+	p.update(cfg.Known)
 	ln, err := net.Listen("tcp", getenv("NODE_LISTEN"))
 	if err != nil {
 		return fmt.Errorf("peer: %w", err)
@@ -83,7 +83,7 @@
 }
 
 // patience is how long a server that ends waits for the requests that it has.
-const patience = 3 * time.Second
+const shutdownTimeout = 3 * time.Second
 
 // serveUntil serves until ctx ends, and then ends the server.
 func serveUntil(ctx context.Context, ln net.Listener, serve func(net.Listener) error, shutdown func(context.Context) error) error {
@@ -94,9 +94,9 @@
 		return fmt.Errorf("peer: %w", err)
 	case <-ctx.Done():
 	}
-	limit, cancel := context.WithTimeout(context.Background(), patience)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	if err := shutdown(limit); err != nil && limit.Err() == nil {
+	if err := shutdown(shutdownCtx); err != nil && shutdownCtx.Err() == nil {
 		return fmt.Errorf("peer: %w", err)
 	}
 	return nil
@@ -105,7 +105,7 @@
 func (p *proxy) handler() http.Handler {
 	reverse := &httputil.ReverseProxy{
 		Rewrite: func(r *httputil.ProxyRequest) {
-			b := r.In.Context().Value(chosen{}).(*backend)
+			b := r.In.Context().Value(backendKey{}).(*backend)
 			r.Out.URL.Scheme, r.Out.URL.Host = "http", b.addr
 			r.Out.Host = r.In.Host
 		},
@@ -125,16 +125,16 @@
 			http.Error(w, "no server", http.StatusBadGateway)
 			return
 		}
-		b.open.Add(1)
-		defer b.open.Add(-1)
-		ctx, cancel := context.WithTimeout(context.WithValue(r.Context(), chosen{}, b), left(r.Header.Get("X-Expires-In")))
+		b.inFlight.Add(1)
+		defer b.inFlight.Add(-1)
+		ctx, cancel := context.WithTimeout(context.WithValue(r.Context(), backendKey{}, b), remainingTime(r.Header.Get("X-Expires-In")))
 		defer cancel()
 		reverse.ServeHTTP(w, r.WithContext(ctx))
 	})
 }
 
 // left reads the time that a client waits, a little less so that it still gets the answer.
-func left(text string) time.Duration {
+func remainingTime(text string) time.Duration {
 	if us, err := strconv.ParseFloat(strings.TrimSuffix(text, "u"), 64); err == nil {
 		return time.Duration(us)*time.Microsecond - 5*time.Millisecond
 	}
@@ -153,7 +153,7 @@
 		return all[rand.IntN(len(all))]
 	case "least_of_two":
 		a, b := all[rand.IntN(len(all))], all[rand.IntN(len(all))]
-		if b.open.Load() < a.open.Load() {
+		if b.inFlight.Load() < a.inFlight.Load() {
 			return b
 		}
 		return a
@@ -162,19 +162,19 @@
 }
 
 // take keeps the servers that are ready; those known before keep their counts.
-func (p *proxy) take(l standin.List) {
+func (p *proxy) update(l standin.List) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	known := map[string]*backend{}
+	previous := map[string]*backend{}
 	for _, b := range p.backends {
-		known[b.addr] = b
+		previous[b.addr] = b
 	}
 	var next []*backend
 	for _, m := range l.Members {
 		if m.Phase != "ready" {
 			continue
 		}
-		b := known[m.HostPort]
+		b := previous[m.HostPort]
 		if b == nil {
 			b = &backend{addr: m.HostPort}
 		}
@@ -187,7 +187,7 @@
 	client := &http.Client{Timeout: 2 * time.Second}
 	for {
 		select {
-		case <-time.After(pollEvery):
+		case <-time.After(pollInterval):
 		case <-ctx.Done():
 			client.CloseIdleConnections()
 			return
@@ -200,7 +200,7 @@
 		err = json.NewDecoder(io.LimitReader(resp.Body, 4<<20)).Decode(&l)
 		_ = resp.Body.Close() // the body has been read, or is not wanted
 		if err == nil && resp.StatusCode == http.StatusOK && l.Complete {
-			p.take(l)
+			p.update(l)
 		}
 	}
 }
