--- a/internal/reporting/reporting_test.go
+++ b/internal/reporting/reporting_test.go
@@ -83,11 +83,11 @@
 	if got := carbon.Sum(path + "count"); got != 137 && got != 142 {
 		t.Errorf("the intervals' counts add up to %v", got)
 	}
-	if got := socket.Derived(id, 1); got > 142-30 {
+	if got := socket.DeriveGrowth(id, 1); got > 142-30 {
 		t.Errorf("spike: growth of %v in collectd", got)
 	}
-	if _, other := carbon.Overwritten(); other > 0 || socket.Old() > 0 {
-		t.Errorf("%d points overwritten, %d values too old", other, socket.Old())
+	if _, other := carbon.Overwritten(); other > 0 || socket.TooOld() > 0 {
+		t.Errorf("%d points overwritten, %d values too old", other, socket.TooOld())
 	}
 }
 
--- a/lab/receiver/carbon.go
+++ b/lab/receiver/carbon.go
@@ -16,21 +16,21 @@
 // Carbon stands in for Graphite's receiver. It keeps one value for each path and second: a later one goes before.
 type Carbon struct {
 	service
-	faults
-	pickled bool
+	decodeErrors
+	pickle bool
 
-	mu      sync.Mutex
-	series  map[string]map[int64]float64
-	points  int
-	again   int // points that were there already, with the same value
-	changed int // ... with another
-	cut     int // bytes after which the next connection is reset or held; 0: none is
-	hold    bool
+	mu              sync.Mutex
+	series          map[string]map[int64]float64
+	points          int
+	repeatedPoints  int // points that were there already, with the same value
+	changedPoints   int // ... with another
+	faultAfterBytes int // bytes after which the next connection is reset or held; 0: none is
+	stallAtFault    bool
 }
 
 // NewCarbon starts one on loopback; pickled says which of the two forms it takes.
 func NewCarbon(pickled bool) (*Carbon, error) {
-	c := &Carbon{pickled: pickled, series: map[string]map[int64]float64{}}
+	c := &Carbon{pickle: pickled, series: map[string]map[int64]float64{}}
 	c.service = service{network: "tcp", addr: "127.0.0.1:0", serve: c.read}
 	return c, c.Start()
 }
@@ -39,47 +39,47 @@
 func (c *Carbon) ResetAfter(bytes int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cut, c.hold = bytes, false
+	c.faultAfterBytes, c.stallAtFault = bytes, false
 }
 
 // StallAfter has the next connection kept open, and not read any more after so many bytes.
 func (c *Carbon) StallAfter(bytes int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cut, c.hold = bytes, true
+	c.faultAfterBytes, c.stallAtFault = bytes, true
 }
 
 // limited passes so many bytes and then fails.
-type limited struct {
+type truncatedConn struct {
 	net.Conn
-	left int
+	remaining int
 }
 
-func (l *limited) Read(b []byte) (int, error) {
-	if l.left == 0 {
+func (l *truncatedConn) Read(b []byte) (int, error) {
+	if l.remaining == 0 {
 		return 0, io.ErrUnexpectedEOF
 	}
-	n, err := l.Conn.Read(b[:min(len(b), l.left)])
-	l.left -= n
+	n, err := l.Conn.Read(b[:min(len(b), l.remaining)])
+	l.remaining -= n
 	return n, err
 }
 
 func (c *Carbon) read(conn net.Conn) {
 	c.mu.Lock()
-	cut, hold := c.cut, c.hold
-	c.cut = 0
+	faultAfterBytes, stallAtFault := c.faultAfterBytes, c.stallAtFault
+	c.faultAfterBytes = 0
 	c.mu.Unlock()
 	var from io.Reader = conn
-	if cut > 0 {
-		from = &limited{conn, cut}
-		if hold {
+	if faultAfterBytes > 0 {
+		from = &truncatedConn{conn, faultAfterBytes}
+		if stallAtFault {
 			defer c.awaitStop()
 		} else {
 			defer reset(conn)
 		}
 	}
 	in := bufio.NewReaderSize(from, 64<<10)
-	if c.pickled {
+	if c.pickle {
 		c.readPickles(in)
 		return
 	}
@@ -88,14 +88,14 @@
 		if err != nil { // half a line is none
 			return
 		}
-		if err := c.line(strings.TrimSuffix(line, "\n")); err != nil {
-			c.bad(err)
+		if err := c.addLine(strings.TrimSuffix(line, "\n")); err != nil {
+			c.record(err)
 		}
 	}
 }
 
 // line takes "PATH VALUE TIME".
-func (c *Carbon) line(text string) error {
+func (c *Carbon) addLine(text string) error {
 	parts := strings.Split(text, " ")
 	if len(parts) != 3 || parts[0] == "" {
 		return fmt.Errorf("%w: line %q", ErrMalformed, text)
@@ -105,11 +105,11 @@
 	if err != nil || err2 != nil {
 		return fmt.Errorf("%w: line %q", ErrMalformed, text)
 	}
-	return c.take(parts[0], at, v)
+	return c.addPoint(parts[0], at, v)
 }
 
 // mostPickle is the longest list that the receiver takes.
-const mostPickle = 1 << 20
+const maxPickleBytes = 1 << 20
 
 func (c *Carbon) readPickles(in *bufio.Reader) {
 	for {
@@ -118,8 +118,8 @@
 			return
 		}
 		n := binary.BigEndian.Uint32(size[:])
-		if n > mostPickle {
-			c.bad(fmt.Errorf("%w: a list of %d bytes", ErrMalformed, n))
+		if n > maxPickleBytes {
+			c.record(fmt.Errorf("%w: a list of %d bytes", ErrMalformed, n))
 			return
 		}
 		text := make([]byte, n)
@@ -128,17 +128,17 @@
 		}
 		list, err := Unpickle(text)
 		if err != nil {
-			c.bad(err)
+			c.record(err)
 			continue
 		}
-		if err := c.takeList(list); err != nil {
-			c.bad(err)
+		if err := c.addList(list); err != nil {
+			c.record(err)
 		}
 	}
 }
 
 // takeList takes [(path, (time, value)), ...].
-func (c *Carbon) takeList(list any) error {
+func (c *Carbon) addList(list any) error {
 	all, ok := list.([]any)
 	for _, p := range all {
 		pair, isPair := p.(Tuple)
@@ -163,7 +163,7 @@
 		if !isTime {
 			return fmt.Errorf("%w: no time or value: %v", ErrMalformed, p)
 		}
-		if err := c.take(path, at, value); err != nil {
+		if err := c.addPoint(path, at, value); err != nil {
 			return err
 		}
 	}
@@ -173,7 +173,7 @@
 	return nil
 }
 
-func (c *Carbon) take(path string, at int64, v float64) error {
+func (c *Carbon) addPoint(path string, at int64, v float64) error {
 	if strings.ContainsAny(path, " \n\t()*?[]{}") || strings.HasPrefix(path, ".") || strings.Contains(path, "..") {
 		return fmt.Errorf("%w: path %q", ErrMalformed, path)
 	}
@@ -184,11 +184,11 @@
 	}
 	switch old, there := c.series[path][at]; {
 	case there && old == v:
-		c.again++
+		c.repeatedPoints++
 	case there:
-		c.changed++
-	case c.points == mostPoints:
-		return fmt.Errorf("%w: more than %d points", ErrMalformed, mostPoints)
+		c.changedPoints++
+	case c.points == maxPoints:
+		return fmt.Errorf("%w: more than %d points", ErrMalformed, maxPoints)
 	default:
 		c.points++
 	}
@@ -200,7 +200,7 @@
 func (c *Carbon) Overwritten() (same, other int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.again, c.changed
+	return c.repeatedPoints, c.changedPoints
 }
 
 // Paths returns the names of all series, sorted.
--- a/lab/receiver/collectd.go
+++ b/lab/receiver/collectd.go
@@ -50,12 +50,12 @@
 
 // decoder holds the parts that stand until another comes.
 type decoder struct {
-	users   Users
-	lists   []ValueList
-	names   [6]string // by the number of the part
-	at      time.Time
-	every   time.Duration
-	trusted bool
+	users    Users
+	lists    []ValueList
+	names    [6]string // by the number of the part
+	at       time.Time
+	interval time.Duration
+	trusted  bool
 }
 
 func (d *decoder) parts(b []byte, trusted bool) error {
@@ -157,7 +157,7 @@
 		if kind == 1 || kind == 8 {
 			d.at = time.Unix(seconds, fraction)
 		} else {
-			d.every = time.Duration(seconds)*time.Second + time.Duration(fraction)
+			d.interval = time.Duration(seconds)*time.Second + time.Duration(fraction)
 		}
 	case 6:
 		return d.values(body)
@@ -173,7 +173,7 @@
 	if len(body) != 2+9*n || n == 0 {
 		return fmt.Errorf("%d values in %d bytes", n, len(body))
 	}
-	l := ValueList{ID: d.id(), At: d.at, Interval: d.every}
+	l := ValueList{ID: d.id(), At: d.at, Interval: d.interval}
 	for i := range n {
 		raw := body[2+n+8*i:]
 		kind := Kind(body[2+i])
@@ -197,17 +197,17 @@
 }
 
 func (d *decoder) id() string {
-	return identify(d.names[0], d.names[2], d.names[3], d.names[4], d.names[5])
+	return identifier(d.names[0], d.names[2], d.names[3], d.names[4], d.names[5])
 }
 
-func identify(host, plugin, instance, kind, of string) string {
+func identifier(host, plugin, pluginInstance, kind, typeInstance string) string {
 	id := host + "/" + plugin
-	if instance != "" {
-		id += "-" + instance
+	if pluginInstance != "" {
+		id += "-" + pluginInstance
 	}
 	id += "/" + kind
-	if of != "" {
-		id += "-" + of
+	if typeInstance != "" {
+		id += "-" + typeInstance
 	}
 	return id
 }
@@ -215,14 +215,14 @@
 // Values keeps what a collectd was told: for each list that was taken its time and values. A list that is not later than the
 // one before of its name is not taken, as collectd does.
 type Values struct {
-	faults
-	mu    sync.Mutex
-	lists map[string][]ValueList
-	old   int
-	kept  int
+	decodeErrors
+	mu     sync.Mutex
+	lists  map[string][]ValueList
+	tooOld int
+	points int
 }
 
-func (v *Values) take(l ValueList) error {
+func (v *Values) add(l ValueList) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.lists == nil {
@@ -230,25 +230,25 @@
 	}
 	before := v.lists[l.ID]
 	if n := len(before); n > 0 && !l.At.After(before[n-1].At) {
-		v.old++
+		v.tooOld++
 		return fmt.Errorf("value too old: %s", l.ID)
 	}
-	if v.kept += len(l.Values); v.kept > mostPoints {
-		return fmt.Errorf("more than %d values", mostPoints)
+	if v.points += len(l.Values); v.points > maxPoints {
+		return fmt.Errorf("more than %d values", maxPoints)
 	}
 	v.lists[l.ID] = append(before, l)
 	return nil
 }
 
 // Old returns how many lists came too late.
-func (v *Values) Old() int {
+func (v *Values) TooOld() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.old
+	return v.tooOld
 }
 
 // Of returns the lists of a name, in the order of time.
-func (v *Values) Of(id string) []ValueList {
+func (v *Values) Lists(id string) []ValueList {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return slices.Clone(v.lists[id])
@@ -256,15 +256,15 @@
 
 // Last is a value of the latest list of a name.
 func (v *Values) Last(id string, at int) float64 {
-	if all := v.Of(id); len(all) > 0 && at < len(all[len(all)-1].Values) {
+	if all := v.Lists(id); len(all) > 0 && at < len(all[len(all)-1].Values) {
 		return all[len(all)-1].Values[at]
 	}
 	return 0
 }
 
 // Derived is how much a DERIVE with a least of 0 has grown over all lists: what fell began anew, and is no growth.
-func (v *Values) Derived(id string, at int) (sum float64) {
-	all := v.Of(id)
+func (v *Values) DeriveGrowth(id string, at int) (sum float64) {
+	all := v.Lists(id)
 	for i := 1; i < len(all); i++ {
 		if d := all[i].Values[at] - all[i-1].Values[at]; d > 0 {
 			sum += d
@@ -281,9 +281,9 @@
 	tasks sync.WaitGroup
 	drop  func(n int) bool // which packets get lost on their way, by their number from 0; nil: none
 
-	counting sync.Mutex
-	packets  int
-	longest  int
+	countersMu sync.Mutex
+	packets    int
+	longest    int
 }
 
 // NewNetwork starts one on loopback.
@@ -308,8 +308,8 @@
 
 // Packets tells how many have come, and the bytes of the longest.
 func (n *Network) Packets() (count, longest int) {
-	n.counting.Lock()
-	defer n.counting.Unlock()
+	n.countersMu.Lock()
+	defer n.countersMu.Unlock()
 	return n.packets, n.longest
 }
 
@@ -320,20 +320,20 @@
 		if err != nil {
 			return
 		}
-		n.counting.Lock()
+		n.countersMu.Lock()
 		number := n.packets
 		n.packets++
 		n.longest = max(n.longest, size)
-		n.counting.Unlock()
+		n.countersMu.Unlock()
 		if n.drop != nil && n.drop(number) {
 			continue
 		}
 		lists, err := n.users.Decode(b[:size])
 		if err != nil {
-			n.bad(err)
+			n.record(err)
 		}
 		for _, l := range lists {
-			_ = n.take(l) // counts what it does not take
+			_ = n.add(l) // counts what it does not take
 		}
 	}
 }
--- a/lab/receiver/pickle.go
+++ b/lab/receiver/pickle.go
@@ -19,7 +19,7 @@
 	for {
 		done, err := u.step()
 		if err != nil {
-			return nil, fmt.Errorf("%w: pickle at byte %d: %w", ErrMalformed, u.at, err)
+			return nil, fmt.Errorf("%w: pickle at byte %d: %w", ErrMalformed, u.offset, err)
 		}
 		if done {
 			if len(u.stack) != 1 {
@@ -34,18 +34,18 @@
 }
 
 type unpickler struct {
-	text  []byte
-	at    int
-	stack []any
-	memo  map[uint32]any
+	text   []byte
+	offset int
+	stack  []any
+	memo   map[uint32]any
 }
 
-func (u *unpickler) take(n int) ([]byte, error) {
-	if n < 0 || n > len(u.text)-u.at {
+func (u *unpickler) next(n int) ([]byte, error) {
+	if n < 0 || n > len(u.text)-u.offset {
 		return nil, fmt.Errorf("%d more bytes are wanted", n)
 	}
-	b := u.text[u.at : u.at+n]
-	u.at += n
+	b := u.text[u.offset : u.offset+n]
+	u.offset += n
 	return b, nil
 }
 
@@ -91,7 +91,7 @@
 }
 
 // fixed are codes followed by a number of bytes, and what is made of these.
-var fixed = map[byte]struct {
+var fixedSizeOpcodes = map[byte]struct {
 	size int
 	make func([]byte) any // nil: nothing
 }{
@@ -103,23 +103,23 @@
 }
 
 // texts are codes followed by a length of so many bytes and a text.
-var texts = map[byte]int{'X': 4, 'T': 4, 'U': 1, 0x8c: 1}
+var stringOpcodes = map[byte]int{'X': 4, 'T': 4, 'U': 1, 0x8c: 1}
 
 // step does what the next code asks for; done is true after the last one.
 func (u *unpickler) step() (done bool, err error) {
-	b, err := u.take(1)
+	b, err := u.next(1)
 	if err != nil {
 		return false, err
 	}
 	code := b[0]
-	if f, ok := fixed[code]; ok {
-		b, err := u.take(f.size)
+	if f, ok := fixedSizeOpcodes[code]; ok {
+		b, err := u.next(f.size)
 		if err == nil && f.make != nil {
 			u.push(f.make(b))
 		}
 		return false, err
 	}
-	if size, ok := texts[code]; ok {
+	if size, ok := stringOpcodes[code]; ok {
 		return false, u.string(size)
 	}
 	if code == '.' { // STOP
@@ -130,7 +130,7 @@
 
 // string pushes a text, before which its length stands in so many bytes.
 func (u *unpickler) string(size int) error {
-	b, err := u.take(size)
+	b, err := u.next(size)
 	if err != nil {
 		return err
 	}
@@ -138,7 +138,7 @@
 	if size == 4 {
 		n = int(binary.LittleEndian.Uint32(b))
 	}
-	if b, err = u.take(n); err == nil {
+	if b, err = u.next(n); err == nil {
 		u.push(string(b))
 	}
 	return err
@@ -185,12 +185,12 @@
 }
 
 func (u *unpickler) long() error {
-	b, err := u.take(1)
+	b, err := u.next(1)
 	if err != nil {
 		return err
 	}
 	n := int(b[0])
-	if b, err = u.take(n); err != nil {
+	if b, err = u.next(n); err != nil {
 		return err
 	}
 	if n > 8 {
@@ -208,15 +208,15 @@
 }
 
 // index reads the place in the memo that a code is followed by.
-func (u *unpickler) index(code byte) (uint32, error) {
+func (u *unpickler) memoIndex(code byte) (uint32, error) {
 	if code == 'q' || code == 'h' {
-		b, err := u.take(1)
+		b, err := u.next(1)
 		if err != nil {
 			return 0, err
 		}
 		return uint32(b[0]), nil
 	}
-	b, err := u.take(4)
+	b, err := u.next(4)
 	if err != nil {
 		return 0, err
 	}
@@ -227,7 +227,7 @@
 	at := uint32(len(u.memo))
 	if code != 0x94 {
 		var err error
-		if at, err = u.index(code); err != nil {
+		if at, err = u.memoIndex(code); err != nil {
 			return err
 		}
 	}
@@ -239,7 +239,7 @@
 }
 
 func (u *unpickler) get(code byte) error {
-	at, err := u.index(code)
+	at, err := u.memoIndex(code)
 	if err != nil {
 		return err
 	}
--- a/lab/receiver/receiver.go
+++ b/lab/receiver/receiver.go
@@ -64,7 +64,7 @@
 				_ = c.Close() // the connection is released even where this fails
 			case !stalled:
 				s.tasks.Go(func() {
-					defer s.drop(c)
+					defer s.closeConn(c)
 					s.serve(c)
 				})
 			}
@@ -73,7 +73,7 @@
 	return nil
 }
 
-func (s *service) drop(c net.Conn) {
+func (s *service) closeConn(c net.Conn) {
 	s.mu.Lock()
 	delete(s.conns, c)
 	s.mu.Unlock()
@@ -118,28 +118,28 @@
 }
 
 // faults keeps the first of what could not be read.
-type faults struct {
-	mu  sync.Mutex
-	all []error
+type decodeErrors struct {
+	mu   sync.Mutex
+	errs []error
 }
 
-func (f *faults) bad(err error) {
+func (f *decodeErrors) record(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.all) < 100 {
-		f.all = append(f.all, err)
+	if len(f.errs) < 100 {
+		f.errs = append(f.errs, err)
 	}
 }
 
 // Malformed returns what could not be read.
-func (f *faults) Malformed() []error {
+func (f *decodeErrors) Malformed() []error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.all)
+	return slices.Clone(f.errs)
 }
 
 // mostPoints bounds what a receiver keeps.
-const mostPoints = 4 << 20
+const maxPoints = 4 << 20
 
 // Point is a value at a time.
 type Point struct {
--- a/lab/receiver/receiver_test.go
+++ b/lab/receiver/receiver_test.go
@@ -29,7 +29,7 @@
 }
 
 // What other writers send is read: protocol 0's successors with memo and frames.
-func TestUnpickleOfOtherWriters(t *testing.T) {
+func TestUnpickleProtocol4(t *testing.T) {
 	got, err := Unpickle([]byte("\x80\x04\x95\x19\x00\x00\x00\x00\x00\x00\x00]\x94\x8c\x01a\x94J\xff\xff\xff\xffM\x02\x01\x86\x94\x86\x94a."))
 	list, ok := got.([]any)
 	if err != nil || !ok || len(list) != 1 {
@@ -41,13 +41,13 @@
 }
 
 // A receiver that stops comes back at its address with what it had; half a line is none.
-func TestCarbonComesBack(t *testing.T) {
+func TestCarbonRestartKeepsPoints(t *testing.T) {
 	c, err := NewCarbon(false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Stop()
-	say := func(text string) {
+	send := func(text string) {
 		conn, err := net.Dial("tcp", c.Addr())
 		if err != nil {
 			t.Fatal(err)
@@ -58,7 +58,7 @@
 		_, _ = conn.Read(make([]byte, 1))
 		_ = conn.Close()
 	}
-	say("a.b 1 100\na.b 2 110\na.b 3")
+	send("a.b 1 100\na.b 2 110\na.b 3")
 	c.Stop()
 	if _, err := net.Dial("tcp", c.Addr()); err == nil {
 		t.Error("takes connections while it is stopped")
@@ -66,7 +66,7 @@
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
-	say("a.b 2 110\na.b 7 120\n")
+	send("a.b 2 110\na.b 7 120\n")
 	if same, other := c.Overwritten(); c.Sum("a.b") != 10 || c.Last("a.b") != 7 || same != 1 || other != 0 || len(c.Malformed()) > 0 {
 		t.Errorf("sum %v, %d again, %d changed, %v", c.Sum("a.b"), same, other, c.Malformed())
 	}
--- a/lab/receiver/unix.go
+++ b/lab/receiver/unix.go
@@ -32,9 +32,9 @@
 		answer := "0 Success: 1 value has been dispatched.\n"
 		l, err := ParsePutval(strings.TrimSuffix(line, "\n"))
 		if err != nil {
-			s.bad(err)
+			s.record(err)
 		} else {
-			err = s.take(*l)
+			err = s.add(*l)
 		}
 		if err != nil {
 			answer = "-1 " + err.Error() + "\n"
