--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -1,8 +1,8 @@
-// Package load holds connections to one HTTP address on loopback and sends requests on some of them, at times that are drawn
-// ahead: a slow answer does not put off the next request (open loop), and what a request waits for a connection counts as its
-// latency. It owns the plan and the figures; it judges nothing and knows no class but as text of a request.
+// Package load is an open-loop load generator for one HTTP address on loopback. It holds connections open and sends requests on
+// some of them at times that are planned in advance: a slow response does not delay the next request, and the time that a
+// request waits for its connection counts as latency. It measures and judges nothing.
 //
-// load.go is the plan and what came of it, run_linux.go plays it over bare descriptors. Begin with Run.
+// load.go has the plan and the result, run_linux.go sends the requests over raw sockets. Begin with Run.
 package load
 
 import (
@@ -20,40 +20,40 @@
 	"firplank/internal/output"
 )
 
-// Config says what to load.
+// Config configures a load.
 type Config struct {
-	Addr                 string        // of the server: an IP address of loopback, and a port
-	Connections          int           // held all the time
-	Active               int           // of them, those that requests go out on; 0: all
-	Rate                 float64       // requests a second, Poisson, unless Rush is set
-	Rush                 bool          // in place of Rate each active connection sends one request, evenly over Length
-	Length               time.Duration // for which requests are begun
-	ConnectionsPerSecond float64       // connections opened a second; 0: as fast as they come up
-	Sources              int           // addresses of 127.0.0.0/8 that connections come from; 0: as many as ports ask for
-	ResponseTimeout      time.Duration // for an answer; 0: 5 s
+	Addr                 string        // of the server: a loopback IPv4 address and a port
+	Connections          int           // held open during the load
+	Active               int           // the connections that send requests; 0: all
+	Rate                 float64       // requests a second, as a Poisson process; unused with Rush
+	Rush                 bool          // each active connection sends one request, evenly spread over Length
+	Length               time.Duration // time over which requests are started
+	ConnectionsPerSecond float64       // rate at which connections are opened; 0: unlimited
+	Sources              int           // source addresses in 127.0.0.0/8; 0: as many as the number of ports requires
+	ResponseTimeout      time.Duration // 0: 5 s
 	Seed                 uint64
-	// Greeting is a request that each connection sends when it is up, so that a server knows it; empty: none. Request is what
-	// the others send, with {n} for a number of 16 digits that is another each time.
+	// Greeting is a request that each connection sends once it is open, so that the server has seen a request on it; empty: none.
+	// Request is the text of the other requests, in which {n} is replaced with a unique number of 16 digits.
 	Greeting, Request string
-	PID               int // of the server, whose memory and processor time are measured; 0: nobody's
+	PID               int // of the server, whose memory and CPU time are measured; 0: not measured
 }
 
-// Bounds of what may be asked of the machine.
+// Limits of a configuration, which protect the machine.
 const (
 	maxConnections       = 200_000
 	maxRequests          = 20_000_000
-	connectionsPerSource = 20_000 // connections from one address, of the 28,000 ports that the kernel gives out
+	connectionsPerSource = 20_000 // per source address; the kernel has 28,000 ephemeral ports for each
 	maxLength            = 10 * time.Minute
 )
 
-// check fills in what was left out and reports what cannot be.
+// check sets defaults and returns an error for an invalid configuration.
 func (c *Config) check() error {
 	addr, err := netip.ParseAddrPort(c.Addr)
 	if err != nil {
 		return fmt.Errorf("load: address: %w", err)
 	}
 	if !addr.Addr().IsLoopback() || !addr.Addr().Is4() {
-		return fmt.Errorf("load: %s is no address of 127.0.0.0/8: nothing else is loaded", c.Addr)
+		return fmt.Errorf("load: %s is not in 127.0.0.0/8: want a loopback address", c.Addr)
 	}
 	if c.Connections < 1 || c.Connections > maxConnections {
 		return fmt.Errorf("load: %d connections: want 1 to %d", c.Connections, maxConnections)
@@ -62,13 +62,13 @@
 		c.Active = c.Connections
 	}
 	if c.Active < 0 || c.Active > c.Connections {
-		return fmt.Errorf("load: %d of %d connections active", c.Active, c.Connections)
+		return fmt.Errorf("load: %d active connections of %d: want 0 to the number of connections", c.Active, c.Connections)
 	}
 	if c.Length <= 0 || c.Length > maxLength {
-		return fmt.Errorf("load: a length of %v: want more than 0 and at most %v", c.Length, maxLength)
+		return fmt.Errorf("load: length %v: want more than 0 and at most %v", c.Length, maxLength)
 	}
 	if !c.Rush && !(c.Rate >= 0 && c.Rate*c.Length.Seconds() <= maxRequests) {
-		return fmt.Errorf("load: %v requests a second for %v: at most %d in all", c.Rate, c.Length, maxRequests)
+		return fmt.Errorf("load: %v requests a second for %v: want at most %d requests", c.Rate, c.Length, maxRequests)
 	}
 	if c.Sources == 0 {
 		c.Sources = (c.Connections + connectionsPerSource - 1) / connectionsPerSource
@@ -80,18 +80,18 @@
 		c.ResponseTimeout = 5 * time.Second
 	}
 	if !strings.HasSuffix(c.Request, "\r\n\r\n") {
-		return errors.New("load: the request does not end with an empty line")
+		return errors.New("load: request does not end with an empty line")
 	}
 	return nil
 }
 
-// start is when a request is begun, and on which of the active connections.
+// plannedStart is the planned time of a request, and the active connection that sends it.
 type plannedStart struct {
 	at   time.Duration
 	conn int
 }
 
-// plan draws the starts of a checked configuration ahead.
+// plan draws the starts of all requests of a checked configuration from its seed.
 func (c *Config) plan() []plannedStart {
 	r := rand.New(rand.NewPCG(c.Seed, 0x10ad))
 	if c.Rush {
@@ -114,7 +114,7 @@
 	}
 }
 
-// Latency is a distribution of times, from the planned start on, within a thousandth.
+// Latency is a distribution of latencies in milliseconds, counted from the planned start, with three significant digits.
 type Latency struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -124,14 +124,14 @@
 	Max   float64 `json:"most_ms"`
 }
 
-// times keeps latencies in microseconds, up to ten minutes, with three digits.
+// latencyHistogram records latencies in microseconds up to maxLength, with three significant digits.
 type latencyHistogram struct{ h *hdrhistogram.Histogram }
 
 func newLatencyHistogram() latencyHistogram {
 	return latencyHistogram{hdrhistogram.New(1, int64(maxLength/time.Microsecond), 3)}
 }
 
-// Fails only above the histogram's range.
+// RecordValue fails only above the histogram's range.
 func (t latencyHistogram) record(d time.Duration) { _ = t.h.RecordValue(max(1, d.Microseconds())) }
 
 func (t latencyHistogram) latency() Latency {
@@ -143,39 +143,39 @@
 	return l
 }
 
-// Result is what came of a load.
+// Result is the result of a load.
 type Result struct {
-	Held         int           `json:"held"`       // connections that were up when requests began
-	HeldAtEnd    int           `json:"held_after"` // ... and when the last had ended
-	DialFailures int           `json:"undialled"`  // that did not come up
-	Ramp         time.Duration `json:"ramp_ns"`    // which it took to open them
-	Closed       int           `json:"closed"`     // by the server, without a request open
-	Reopened     int           `json:"again"`      // opened once more, as a request needed one
+	Held         int           `json:"held"`       // connections that were open when requests began
+	HeldAtEnd    int           `json:"held_after"` // connections that were open when the last request had ended
+	DialFailures int           `json:"undialled"`  // connections that could not be opened
+	Ramp         time.Duration `json:"ramp_ns"`    // time to open the connections
+	Closed       int           `json:"closed"`     // by the server, without a request in flight
+	Reopened     int           `json:"again"`      // connections reopened for a request
 
 	Sent            int     `json:"sent"`
 	Served          Latency `json:"served"`  // 2xx
 	Refused         Latency `json:"refused"` // 429 and 503
-	Failed          Latency `json:"failed"`  // any other answer
-	Lost            int     `json:"lost"`    // no answer in time, or the connection ended before one
-	MaxStartDelayMS float64 `json:"late_ms"` // by which the latest request was begun behind its plan: the load's own fault
+	Failed          Latency `json:"failed"`  // any other response
+	Lost            int     `json:"lost"`    // no response in time, or the connection ended before it
+	MaxStartDelayMS float64 `json:"late_ms"` // largest delay of a request behind its plan, caused by the generator
 
-	Duration           time.Duration `json:"took_ns"`   // from the first planned start to the last answer
-	MemoryKB           [3]int64      `json:"memory_kb"` // of the server: before, with all connections held, at the end
-	CPU                time.Duration `json:"cpu_ns"`    // of the server, while requests were open
+	Duration           time.Duration `json:"took_ns"`   // from the first planned start to the last response
+	MemoryKB           [3]int64      `json:"memory_kb"` // of the server: before, with all connections open, and at the end
+	CPU                time.Duration `json:"cpu_ns"`    // of the server, during the requests
 	BytesPerConnection float64       `json:"bytes_a_connection"`
 }
 
-// Table writes the result for a person.
+// Table writes the result as text.
 func (r *Result) Table(w io.Writer) error {
 	printer := output.New(w)
-	printer.Printf("%d connections held (%d did not come up) after %v; %d at the end; %d closed by the server, %d opened again\n",
+	printer.Printf("%d connections held (%d could not be opened) after %v; %d at the end; %d closed by the server, %d reopened\n",
 		r.Held, r.DialFailures, r.Ramp.Round(time.Millisecond), r.HeldAtEnd, r.Closed, r.Reopened)
 	if r.MemoryKB[1] > 0 {
-		printer.Printf("server: %.1f MB before, %.1f MB with them (%.0f bytes a connection), %.1f MB at the end; %v of processor\n",
+		printer.Printf("server: %.1f MB before, %.1f MB with them (%.0f bytes a connection), %.1f MB at the end; %v of CPU time\n",
 			float64(r.MemoryKB[0])/1024, float64(r.MemoryKB[1])/1024, r.BytesPerConnection, float64(r.MemoryKB[2])/1024,
 			r.CPU.Round(time.Millisecond))
 	}
-	printer.Printf("%d requests within %v, %d lost; the load itself was at most %.1f ms behind its plan\n", r.Sent,
+	printer.Printf("%d requests within %v, %d lost; the generator was at most %.1f ms behind its plan\n", r.Sent,
 		r.Duration.Round(time.Millisecond), r.Lost, r.MaxStartDelayMS)
 	t := output.NewTable(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	t.Println("answers\tcount\tp50 ms\tp90 ms\tp99 ms\tp99.9 ms\tmost ms\t")
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -37,7 +37,7 @@
 	return r
 }
 
-// Every answer is counted under what it is, and each request has a number of its own.
+// Every response is counted by its status, and each request has a unique number.
 func TestResponsesCountedByStatus(t *testing.T) {
 	var n atomic.Int64
 	seen := make(chan string, 1000)
@@ -59,7 +59,7 @@
 	}
 	slices.Sort(all)
 	if len(slices.Compact(all)) != r.Sent {
-		t.Error("numbers come twice")
+		t.Error("a number was sent twice")
 	}
 	var out bytes.Buffer
 	if err := r.Table(&out); err != nil || !strings.Contains(out.String(), "40 connections held") {
@@ -67,7 +67,8 @@
 	}
 }
 
-// A server that stalls makes all latencies long that were planned meanwhile, not only that of the request it stalls on.
+// Guards against coordinated omission: a stall of the server counts in the latency of all requests planned during it, not only
+// of the one that was in flight.
 func TestLatencyCountsFromPlannedStart(t *testing.T) {
 	var first atomic.Bool
 	addr := serve(t, func(http.ResponseWriter, *http.Request) {
@@ -81,7 +82,7 @@
 	}
 }
 
-// In a rush each connection sends one request; those that the server has closed meanwhile are opened again.
+// With Rush each connection sends one request. Connections that the server has closed before are reopened.
 func TestRushReopensClosedConnections(t *testing.T) {
 	addr := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/up" && r.RemoteAddr[len(r.RemoteAddr)-1]%2 == 0 {
@@ -96,8 +97,8 @@
 	}
 }
 
-// A request whose connection ends before its answer is lost, and so is one that nobody answers; a kept connection that is
-// found closed is no loss.
+// A request is lost if its connection ends during the response or if no response comes in time. A request on an idle connection
+// that the server has closed is sent again and is not lost.
 func TestLostRequestsCounted(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -119,11 +120,11 @@
 				var b [200]byte
 				_, _ = c.Read(b[:])
 				switch {
-				case i == 0: // half an answer
+				case i == 0: // a part of a response
 					_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Le")
-				case i == 1: // none
+				case i == 1: // no response
 					<-over
-				case i == 2: // closed as the request comes, and answered the next time
+				case i == 2: // closed on the request, which gets a response on the next connection
 				default:
 					_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 				}
@@ -149,7 +150,7 @@
 	} {
 		cfg.Request = requestText
 		if _, err := Run(t.Context(), cfg); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 }
--- a/lab/load/run_linux.go
+++ b/lab/load/run_linux.go
@@ -16,20 +16,20 @@
 	"firplank/internal/poller"
 )
 
-// conn is one connection. Its lock guards all but number.
+// conn is one connection. mu guards all fields but loader and number.
 type conn struct {
 	loader *loader
 	number int
 
 	mu               sync.Mutex
-	fd               int // -1: there is none
+	fd               int // -1: not open
 	registration     poller.Registration
-	inFlight         bool // a request is on its way or waits
+	inFlight         bool // a request or the greeting is in flight
 	planned          time.Duration
-	isGreeting       bool // the request is the greeting
-	openedForRequest bool // the connection was opened for the request
+	isGreeting       bool // the request in flight is the greeting
+	openedForRequest bool // the connection was opened for the request in flight
 	received         []byte
-	waiting          []time.Duration // planned starts that found a request open
+	waiting          []time.Duration // planned starts that came while a request was in flight
 }
 
 type loader struct {
@@ -37,25 +37,25 @@
 	serverAddr unix.SockaddrInet4
 	poller     *poller.Poller
 	conns      []*conn
-	start      time.Time // planned times count from here
+	start      time.Time // planned times are relative to it
 
-	scratch []byte // the poller's
+	scratch []byte // read buffer of the polling goroutine
 
 	mu                              sync.Mutex
 	result                          Result
 	served, refused, failed         latencyHistogram
-	pending                         int           // requests begun and not ended, and those that wait
-	done                            chan struct{} // closed when all are drawn and none is pending
+	pending                         int           // requests in flight or waiting
+	done                            chan struct{} // closed when all have been started and none is pending
 	allStarted                      bool
 	lastNumber                      uint64
 	pendingGreetings, greetingsSent int
 	greetingsDone                   chan struct{}
 	lastResponse                    time.Duration
 	request                         []byte
-	numberOffsets                   []int // where numbers go
+	numberOffsets                   []int // offsets of the numbers in request
 }
 
-// Run plays a load until the last answer has come or its time is up, or ctx ends.
+// Run generates a load until the last response has arrived or timed out, or until ctx ends.
 func Run(ctx context.Context, cfg Config) (*Result, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
@@ -107,7 +107,7 @@
 	return l.finalResult(), nil
 }
 
-// pause waits for a time, if that is above 0, or until ctx ends, which is an error.
+// sleep waits for a time, if it is above 0. It returns an error if ctx ends first.
 func sleep(ctx context.Context, wait time.Duration) error {
 	if wait <= 0 {
 		return nil
@@ -143,7 +143,7 @@
 	}
 }
 
-// ramp opens the connections, and waits for the greetings' answers.
+// openConnections opens the connections and waits for the responses to the greetings.
 func (l *loader) openConnections(ctx context.Context) error {
 	begun := time.Now()
 	for i := range l.cfg.Connections {
@@ -168,7 +168,7 @@
 		if err != nil {
 			l.result.DialFailures++
 			if l.result.DialFailures > 100 && l.result.DialFailures*2 > i {
-				return fmt.Errorf("load: %d of %d connections did not come up: %w", l.result.DialFailures, i+1, err)
+				return fmt.Errorf("load: %d of %d connections could not be opened: %w", l.result.DialFailures, i+1, err)
 			}
 		}
 	}
@@ -195,7 +195,7 @@
 	return nil
 }
 
-// template finds where the numbers go.
+// prepareRequest replaces each {n} of the request with a placeholder and records its offset.
 func (l *loader) prepareRequest() {
 	const digits = "0000000000000000"
 	text := []byte(l.cfg.Request)
@@ -217,10 +217,10 @@
 	if err != nil {
 		return fmt.Errorf("load: %w", err)
 	}
-	// The port is chosen with the other side known, so that each source has all of them for each.
+	// The kernel chooses the port at connect, when the destination is known, so that each source address has all ports for it.
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_IP, unix.IP_BIND_ADDRESS_NO_PORT, 1)             // the connection works without the option
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)                        // the connection works without the option
-	_ = unix.SetsockoptTimeval(fd, unix.SOL_SOCKET, unix.SO_SNDTIMEO, &unix.Timeval{Sec: 3}) // for connect
+	_ = unix.SetsockoptTimeval(fd, unix.SOL_SOCKET, unix.SO_SNDTIMEO, &unix.Timeval{Sec: 3}) // the time-out of connect
 	from := &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, byte(1 + c.number%l.cfg.Sources)}}
 	if err = unix.Bind(fd, from); err == nil {
 		err = unix.Connect(fd, &l.serverAddr)
@@ -249,7 +249,7 @@
 	}
 }
 
-// begin begins the request that was planned for a time; where one is open it waits.
+// beginRequest sends the request that was planned for a time, or queues it while another one is in flight.
 func (c *conn) beginRequest(planned time.Duration) {
 	l := c.loader
 	l.mu.Lock()
@@ -293,7 +293,7 @@
 	c.write(text)
 }
 
-// write writes a request, which is short enough for the kernel. The caller holds mu.
+// write writes a request, which is small enough for the kernel's send buffer. The caller holds mu.
 func (c *conn) write(text []byte) {
 	if n, err := unix.Write(c.fd, text); err != nil || n < len(text) {
 		c.handleClose()
@@ -301,11 +301,11 @@
 }
 
 const (
-	statusLost       = 0       // what a request comes to that has no status
-	maxResponseBytes = 1 << 20 // bytes of an answer, beyond which it is none
+	statusLost       = 0       // status of a request without a response
+	maxResponseBytes = 1 << 20 // a longer response ends the connection
 )
 
-// end ends the open request with a status. The caller holds mu.
+// finishRequest records the status of the request in flight and sends the next one that waits. The caller holds mu.
 func (c *conn) finishRequest(status int) {
 	l := c.loader
 	c.inFlight = false
@@ -338,7 +338,7 @@
 	}
 }
 
-// settle tells when all is over. The caller holds mu.
+// checkDone closes done if all requests have been started and have ended. The caller holds mu.
 func (l *loader) checkDone() {
 	if l.allStarted && l.pending == 0 {
 		select {
@@ -389,8 +389,8 @@
 	}
 }
 
-// ended takes in that the server has closed. A request that has crossed with that is sent once more, as any client does that
-// finds its kept connection closed. The caller holds mu.
+// handleClose handles a connection that the server has closed. A request that was sent on a reused connection and got no bytes
+// of a response is sent once more, as HTTP clients do with a stale connection. The caller holds mu.
 func (c *conn) handleClose() {
 	crossed := len(c.received) == 0 && !c.openedForRequest && !c.isGreeting
 	c.close()
@@ -407,7 +407,8 @@
 	c.loader.mu.Unlock()
 }
 
-// answer reads an answer with a Content-Length: its status, whether the connection ends with it, and whether it is whole.
+// parseResponse parses a response with a Content-Length. It returns its status, whether the connection ends with it, and whether
+// it is complete.
 func parseResponse(b []byte) (status int, last, whole bool) {
 	end := bytes.Index(b, []byte("\r\n\r\n"))
 	if end < 0 || len(b) < 12 {
@@ -432,7 +433,7 @@
 	statFields   = regexp.MustCompile(`\) \S+ (?:\S+ ){10}(\d+) (\d+) `)
 )
 
-// memory is how many KB a process holds; 0 where that cannot be read.
+// residentKB returns the resident memory of a process in KB; 0 if it cannot be read.
 func residentKB(pid int) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -445,7 +446,7 @@
 	return 0
 }
 
-// processor is what a process has used, in the kernel's hundredths of a second.
+// cpuTime returns the CPU time of a process, which the kernel counts in hundredths of a second; 0 if it cannot be read.
 func cpuTime(pid int) time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
--- a/lab/load/run_other.go
+++ b/lab/load/run_other.go
@@ -7,5 +7,5 @@
 	"errors"
 )
 
-// Run is there on Linux only.
+// Run is supported on Linux only.
 func Run(context.Context, Config) (*Result, error) { return nil, errors.ErrUnsupported }
