--- a/lab/peer/fast.go
+++ b/lab/peer/fast.go
@@ -8,10 +8,11 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Fast is the name of the proxy on fasthttp, which goes round: a peer for what a request costs, not for what is decided.
+// Fast is the policy name of the proxy on fasthttp, which uses round robin. It is for comparing the cost of a request, not the
+// choice of servers.
 const Fast = "fasthttp"
 
-// serveFast serves as the proxy does, on fasthttp.
+// serveFast serves like the other policies, but on fasthttp.
 func (p *proxy) serveFast(ctx context.Context, ln net.Listener) error {
 	client := &fasthttp.Client{
 		MaxConnsPerHost: 10_000, ReadTimeout: 5 * time.Second, WriteTimeout: 5 * time.Second, NoDefaultUserAgentHeader: true,
--- a/lab/peer/peer.go
+++ b/lab/peer/peer.go
@@ -1,6 +1,6 @@
-// Package peer is what a user would take in place of firplank, for comparison: the standard library's reverse proxy
-// with a common way of choosing a server. It follows the same roster and answers in the same words, tries once, and
-// keeps none of the rules on purpose. It owns no decision of firplank's.
+// Package peer is a reference proxy to compare firplank with: the standard library's reverse proxy with a common load balancing
+// policy. It uses the same configuration, roster and HTTP headers as firplank, does not retry, and makes no effort to keep the
+// laboratory's rules. It shares no code with firplank's load balancing.
 package peer
 
 import (
@@ -23,10 +23,10 @@
 	"firplank/lab/standin"
 )
 
-// Policies are the ways of choosing.
+// Policies are the supported load balancing policies.
 var Policies = []string{"round_robin", "random", "least_of_two"}
 
-// pollEvery is how often the roster is asked, as such proxies are commonly set up.
+// pollInterval is the interval of roster queries, a common setting of such proxies.
 const pollInterval = time.Second
 
 type backend struct {
@@ -36,7 +36,7 @@
 
 type backendKey struct{}
 
-// proxy is a reverse proxy over a list that is asked for again and again.
+// proxy is a reverse proxy to the servers of a roster that it polls.
 type proxy struct {
 	policy string
 	next   atomic.Uint64
@@ -45,7 +45,7 @@
 	backends []*backend
 }
 
-// Run serves as the configuration that NODE_CONFIG names says, until ctx ends.
+// Run serves with the configuration that NODE_CONFIG names, until ctx ends.
 func Run(ctx context.Context, policy string, getenv func(string) string) error {
 	text, err := os.ReadFile(getenv("NODE_CONFIG"))
 	if err != nil {
@@ -82,10 +82,10 @@
 	return serveUntil(ctx, ln, server.Serve, server.Shutdown)
 }
 
-// patience is how long a server that ends waits for the requests that it has.
+// shutdownTimeout is how long a shutdown waits for requests in flight.
 const shutdownTimeout = 3 * time.Second
 
-// serveUntil serves until ctx ends, and then ends the server.
+// serveUntil serves until ctx ends, and then shuts the server down gracefully.
 func serveUntil(ctx context.Context, ln net.Listener, serve func(net.Listener) error, shutdown func(context.Context) error) error {
 	failed := make(chan error, 1)
 	go func() { failed <- serve(ln) }()
@@ -133,7 +133,7 @@
 	})
 }
 
-// left reads the time that a client waits, a little less so that it still gets the answer.
+// remainingTime parses X-Expires-In, the time that a client waits, and subtracts 5 ms so that the response still arrives in time.
 func remainingTime(text string) time.Duration {
 	if us, err := strconv.ParseFloat(strings.TrimSuffix(text, "u"), 64); err == nil {
 		return time.Duration(us)*time.Microsecond - 5*time.Millisecond
@@ -161,7 +161,7 @@
 	return all[p.next.Add(1)%uint64(len(all))]
 }
 
-// take keeps the servers that are ready; those known before keep their counts.
+// update replaces the servers with the ready ones of a list. Servers that were known before keep their counts.
 func (p *proxy) update(l standin.List) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -194,11 +194,11 @@
 		}
 		resp, err := client.Get("http://" + addr + "/discovery/hosts")
 		if err != nil {
-			continue // the last list stays
+			continue // the last list stays in use
 		}
 		var l standin.List
 		err = json.NewDecoder(io.LimitReader(resp.Body, 4<<20)).Decode(&l)
-		_ = resp.Body.Close() // the body has been read, or is not wanted
+		_ = resp.Body.Close() // the body has been read or is not needed
 		if err == nil && resp.StatusCode == http.StatusOK && l.Complete {
 			p.update(l)
 		}
