--- a/lab/receiver/carbon.go
+++ b/lab/receiver/carbon.go
@@ -13,7 +13,8 @@
 	"time"
 )
 
-// Carbon stands in for Graphite's receiver. It keeps one value for each path and second: a later one goes before.
+// Carbon is a stand-in for Graphite's receiver. It keeps one value for each path and second; a later value replaces an earlier
+// one.
 type Carbon struct {
 	service
 	decodeErrors
@@ -22,34 +23,34 @@
 	mu              sync.Mutex
 	series          map[string]map[int64]float64
 	points          int
-	repeatedPoints  int // points that were there already, with the same value
-	changedPoints   int // ... with another
-	faultAfterBytes int // bytes after which the next connection is reset or held; 0: none is
+	repeatedPoints  int // points received again with the same value
+	changedPoints   int // points received again with another value
+	faultAfterBytes int // bytes after which the next connection is reset or stalls; 0: no fault
 	stallAtFault    bool
 }
 
-// NewCarbon starts one on loopback; pickled says which of the two forms it takes.
+// NewCarbon starts a receiver on loopback, for the pickle protocol or the plaintext protocol.
 func NewCarbon(pickled bool) (*Carbon, error) {
 	c := &Carbon{pickle: pickled, series: map[string]map[int64]float64{}}
 	c.service = service{network: "tcp", addr: "127.0.0.1:0", serve: c.read}
 	return c, c.Start()
 }
 
-// ResetAfter has the next connection reset after so many bytes, in the middle of whatever that is.
+// ResetAfter makes the receiver reset the next connection after a number of bytes, which may be in the middle of a message.
 func (c *Carbon) ResetAfter(bytes int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.faultAfterBytes, c.stallAtFault = bytes, false
 }
 
-// StallAfter has the next connection kept open, and not read any more after so many bytes.
+// StallAfter makes the receiver stop reading from the next connection after a number of bytes, and keep it open.
 func (c *Carbon) StallAfter(bytes int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.faultAfterBytes, c.stallAtFault = bytes, true
 }
 
-// limited passes so many bytes and then fails.
+// truncatedConn is a connection whose reads fail after a number of bytes.
 type truncatedConn struct {
 	net.Conn
 	remaining int
@@ -85,7 +86,7 @@
 	}
 	for {
 		line, err := in.ReadString('\n')
-		if err != nil { // half a line is none
+		if err != nil { // an incomplete line is dropped
 			return
 		}
 		if err := c.addLine(strings.TrimSuffix(line, "\n")); err != nil {
@@ -94,7 +95,7 @@
 	}
 }
 
-// line takes "PATH VALUE TIME".
+// addLine adds the point of a line "PATH VALUE TIME".
 func (c *Carbon) addLine(text string) error {
 	parts := strings.Split(text, " ")
 	if len(parts) != 3 || parts[0] == "" {
@@ -108,7 +109,7 @@
 	return c.addPoint(parts[0], at, v)
 }
 
-// mostPickle is the longest list that the receiver takes.
+// maxPickleBytes is the largest pickled list that the receiver accepts.
 const maxPickleBytes = 1 << 20
 
 func (c *Carbon) readPickles(in *bufio.Reader) {
@@ -137,18 +138,18 @@
 	}
 }
 
-// takeList takes [(path, (time, value)), ...].
+// addList adds the points of [(path, (time, value)), ...].
 func (c *Carbon) addList(list any) error {
 	all, ok := list.([]any)
 	for _, p := range all {
 		pair, isPair := p.(Tuple)
 		if !isPair || len(pair) != 2 {
-			return fmt.Errorf("%w: no point: %v", ErrMalformed, p)
+			return fmt.Errorf("%w: not a point: %v", ErrMalformed, p)
 		}
 		path, isPath := pair[0].(string)
 		point, isPoint := pair[1].(Tuple)
 		if !isPath || !isPoint || len(point) != 2 {
-			return fmt.Errorf("%w: no point: %v", ErrMalformed, p)
+			return fmt.Errorf("%w: not a point: %v", ErrMalformed, p)
 		}
 		at, isTime := point[0].(int64)
 		value := 0.0
@@ -161,14 +162,14 @@
 			isTime = false
 		}
 		if !isTime {
-			return fmt.Errorf("%w: no time or value: %v", ErrMalformed, p)
+			return fmt.Errorf("%w: point without time or value: %v", ErrMalformed, p)
 		}
 		if err := c.addPoint(path, at, value); err != nil {
 			return err
 		}
 	}
 	if !ok {
-		return fmt.Errorf("%w: no list", ErrMalformed)
+		return fmt.Errorf("%w: not a list", ErrMalformed)
 	}
 	return nil
 }
@@ -196,7 +197,7 @@
 	return nil
 }
 
-// Overwritten tells how many points came again with the same value and with another.
+// Overwritten returns how many points were received again with the same value and with another one.
 func (c *Carbon) Overwritten() (same, other int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/lab/receiver/collectd.go
+++ b/lab/receiver/collectd.go
@@ -16,10 +16,10 @@
 	"time"
 )
 
-// Kind is how a value of collectd's is meant.
+// Kind is the data source type of a collectd value.
 type Kind uint8
 
-// The kinds, by their numbers on the wire.
+// The kinds, with their numbers on the wire.
 const (
 	CounterKind Kind = iota
 	GaugeKind
@@ -27,7 +27,7 @@
 	AbsoluteKind
 )
 
-// ValueList is what one list told.
+// ValueList is a list of values received for one identifier and time.
 type ValueList struct {
 	ID       string // HOST/PLUGIN-INSTANCE/TYPE-INSTANCE
 	At       time.Time
@@ -36,10 +36,10 @@
 	Values   []float64
 }
 
-// Users are the passwords by which packets may be signed or encrypted. Where there are any, others are not taken.
+// Users are the passwords of users that may sign or encrypt packets. If there are any, other packets are rejected.
 type Users map[string]string
 
-// Decode reads a packet of the binary protocol.
+// Decode decodes a packet of collectd's binary protocol.
 func (u Users) Decode(packet []byte) ([]ValueList, error) {
 	d := &decoder{users: u}
 	if err := d.parts(packet, len(u) == 0); err != nil {
@@ -48,11 +48,11 @@
 	return d.lists, nil
 }
 
-// decoder holds the parts that stand until another comes.
+// decoder holds the values of parts, which apply to the following value lists until a part of the same type replaces them.
 type decoder struct {
 	users    Users
 	lists    []ValueList
-	names    [6]string // by the number of the part
+	names    [6]string // by part type
 	at       time.Time
 	interval time.Duration
 	trusted  bool
@@ -62,11 +62,11 @@
 	d.trusted = d.trusted || trusted
 	for len(b) > 0 {
 		if len(b) < 4 {
-			return fmt.Errorf("%d bytes are no part", len(b))
+			return fmt.Errorf("%d bytes are too short for a part", len(b))
 		}
 		kind, size := binary.BigEndian.Uint16(b), int(binary.BigEndian.Uint16(b[2:]))
 		if size < 4 || size > len(b) {
-			return fmt.Errorf("part %#x has a length of %d, of %d", kind, size, len(b))
+			return fmt.Errorf("part %#x has length %d, with %d bytes left", kind, size, len(b))
 		}
 		body := b[4:size]
 		b = b[size:]
@@ -84,7 +84,7 @@
 			if err := d.parts(clear, true); err != nil {
 				return err
 			}
-			d.trusted = false // what follows stands outside of it
+			d.trusted = false // the parts after it are outside the encrypted part
 			continue
 		}
 		if !d.trusted {
@@ -99,7 +99,7 @@
 
 func (d *decoder) signature(body, rest []byte) error {
 	if len(body) < sha256.Size {
-		return fmt.Errorf("a signature of %d bytes", len(body))
+		return fmt.Errorf("signature of %d bytes is too short", len(body))
 	}
 	user := body[sha256.Size:]
 	password, known := d.users[string(user)]
@@ -107,7 +107,7 @@
 	mac.Write(user)
 	mac.Write(rest)
 	if !known || !hmac.Equal(mac.Sum(nil), body[:sha256.Size]) {
-		return fmt.Errorf("the signature of %q does not hold", user)
+		return fmt.Errorf("invalid signature of user %q", user)
 	}
 	d.trusted = true
 	return nil
@@ -115,11 +115,11 @@
 
 func (d *decoder) decrypt(body []byte) ([]byte, error) {
 	if len(body) < 2 {
-		return nil, fmt.Errorf("encrypted: no name")
+		return nil, fmt.Errorf("encrypted part without a user name")
 	}
 	n := int(binary.BigEndian.Uint16(body))
 	if len(body) < 2+n+aes.BlockSize+sha1.Size {
-		return nil, fmt.Errorf("encrypted: %d bytes", len(body))
+		return nil, fmt.Errorf("encrypted part of %d bytes is too short", len(body))
 	}
 	user, iv := body[2:2+n], body[2+n:2+n+aes.BlockSize]
 	password, known := d.users[string(user)]
@@ -133,7 +133,7 @@
 	cipher.NewOFB(block, iv).XORKeyStream(clear, body[2+n+aes.BlockSize:])
 	sum := sha1.Sum(clear[sha1.Size:])
 	if !known || !bytes.Equal(sum[:], clear[:sha1.Size]) {
-		return nil, fmt.Errorf("what %q encrypted cannot be read", user)
+		return nil, fmt.Errorf("decryption failed for user %q", user)
 	}
 	return clear[sha1.Size:], nil
 }
@@ -142,7 +142,7 @@
 	switch kind {
 	case 0, 2, 3, 4, 5:
 		if len(body) == 0 || body[len(body)-1] != 0 || bytes.IndexByte(body, 0) != len(body)-1 {
-			return fmt.Errorf("part %#x is no text", kind)
+			return fmt.Errorf("part %#x is not a null-terminated string", kind)
 		}
 		d.names[kind] = string(body[:len(body)-1])
 	case 1, 7, 8, 9:
@@ -162,12 +162,12 @@
 	case 6:
 		return d.values(body)
 	}
-	return nil // what is not known is passed over
+	return nil // unknown parts are skipped
 }
 
 func (d *decoder) values(body []byte) error {
 	if len(body) < 2 {
-		return fmt.Errorf("values without a number")
+		return fmt.Errorf("values part without a count")
 	}
 	n := int(binary.BigEndian.Uint16(body))
 	if len(body) != 2+9*n || n == 0 {
@@ -185,7 +185,7 @@
 			v = float64(binary.BigEndian.Uint64(raw))
 		case DeriveKind:
 		default:
-			return fmt.Errorf("a value of kind %d", kind)
+			return fmt.Errorf("unknown value kind %d", kind)
 		}
 		l.Kinds, l.Values = append(l.Kinds, kind), append(l.Values, v)
 	}
@@ -212,8 +212,8 @@
 	return id
 }
 
-// Values keeps what a collectd was told: for each list that was taken its time and values. A list that is not later than the
-// one before of its name is not taken, as collectd does.
+// Values stores the accepted value lists. As in collectd, a list is rejected if it is not later than the previous one of its
+// identifier.
 type Values struct {
 	decodeErrors
 	mu     sync.Mutex
@@ -240,21 +240,21 @@
 	return nil
 }
 
-// Old returns how many lists came too late.
+// TooOld returns how many lists were rejected because they were not later than the previous one.
 func (v *Values) TooOld() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.tooOld
 }
 
-// Of returns the lists of a name, in the order of time.
+// Lists returns the lists of an identifier, in the order of time.
 func (v *Values) Lists(id string) []ValueList {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return slices.Clone(v.lists[id])
 }
 
-// Last is a value of the latest list of a name.
+// Last returns a value of the latest list of an identifier; 0 if there is none.
 func (v *Values) Last(id string, at int) float64 {
 	if all := v.Lists(id); len(all) > 0 && at < len(all[len(all)-1].Values) {
 		return all[len(all)-1].Values[at]
@@ -262,7 +262,8 @@
 	return 0
 }
 
-// Derived is how much a DERIVE with a least of 0 has grown over all lists: what fell began anew, and is no growth.
+// DeriveGrowth returns how much a DERIVE value with a minimum of 0 has grown over all lists. A decrease means that the counter
+// restarted, and does not count.
 func (v *Values) DeriveGrowth(id string, at int) (sum float64) {
 	all := v.Lists(id)
 	for i := 1; i < len(all); i++ {
@@ -273,20 +274,20 @@
 	return sum
 }
 
-// Network stands in for collectd's network plugin.
+// Network is a stand-in for collectd's network plugin.
 type Network struct {
 	Values
 	users Users
 	conn  *net.UDPConn
 	tasks sync.WaitGroup
-	drop  func(n int) bool // which packets get lost on their way, by their number from 0; nil: none
+	drop  func(n int) bool // whether packet n, counted from 0, is dropped; nil: none is
 
 	countersMu sync.Mutex
 	packets    int
 	longest    int
 }
 
-// NewNetwork starts one on loopback.
+// NewNetwork starts a receiver on loopback. drop reports whether packet n, counted from 0, is dropped; nil drops none.
 func NewNetwork(users Users, drop func(n int) bool) (*Network, error) {
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -297,16 +298,16 @@
 	return n, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address that it listens on.
 func (n *Network) Addr() string { return n.conn.LocalAddr().String() }
 
-// Close ends it.
+// Close stops the receiver and waits for its goroutine.
 func (n *Network) Close() {
 	_ = n.conn.Close() // the connection is released even where this fails
 	n.tasks.Wait()
 }
 
-// Packets tells how many have come, and the bytes of the longest.
+// Packets returns how many packets were received, and the size of the longest in bytes.
 func (n *Network) Packets() (count, longest int) {
 	n.countersMu.Lock()
 	defer n.countersMu.Unlock()
@@ -333,7 +334,7 @@
 			n.record(err)
 		}
 		for _, l := range lists {
-			_ = n.add(l) // counts what it does not take
+			_ = n.add(l) // it counts rejected lists itself
 		}
 	}
 }
--- a/lab/receiver/pickle.go
+++ b/lab/receiver/pickle.go
@@ -9,11 +9,11 @@
 // Tuple is a tuple of a pickled value.
 type Tuple []any
 
-// mark is what MARK puts on the stack.
+// mark is the value that the MARK opcode pushes on the stack.
 type mark struct{}
 
-// Unpickle reads a pickled value by the protocol's description: lists, tuples, text, whole numbers and floats of protocols 1
-// to 4, as whoever sends points may write them. It makes nothing else, and never more than the text has room for.
+// Unpickle decodes a pickled value by the protocol's description: lists, tuples, strings, integers and floats of protocols 1 to
+// 4, which any sender of points may use. It supports no other types, and the size of the result is bounded by that of the text.
 func Unpickle(text []byte) (any, error) {
 	u := &unpickler{text: text, memo: map[uint32]any{}}
 	for {
@@ -42,7 +42,7 @@
 
 func (u *unpickler) next(n int) ([]byte, error) {
 	if n < 0 || n > len(u.text)-u.offset {
-		return nil, fmt.Errorf("%d more bytes are wanted", n)
+		return nil, fmt.Errorf("truncated: want %d more bytes", n)
 	}
 	b := u.text[u.offset : u.offset+n]
 	u.offset += n
@@ -51,7 +51,7 @@
 
 func (u *unpickler) push(v any) { u.stack = append(u.stack, v) }
 
-// popMark takes what lies above the last mark.
+// popMark removes the last mark and the values above it, and returns these values.
 func (u *unpickler) popMark() ([]any, error) {
 	for i := len(u.stack) - 1; i >= 0; i-- {
 		if _, ok := u.stack[i].(mark); ok {
@@ -65,13 +65,13 @@
 
 func (u *unpickler) tuple(n int) error {
 	if len(u.stack) < n {
-		return fmt.Errorf("a tuple of %d of %d values", n, len(u.stack))
+		return fmt.Errorf("tuple of %d with %d values on the stack", n, len(u.stack))
 	}
 	t := append(Tuple(nil), u.stack[len(u.stack)-n:]...)
 	u.stack = u.stack[:len(u.stack)-n]
 	for _, v := range t {
 		if _, ok := v.(mark); ok {
-			return fmt.Errorf("a mark in a tuple")
+			return fmt.Errorf("mark in a tuple")
 		}
 	}
 	u.push(t)
@@ -80,7 +80,7 @@
 
 func (u *unpickler) extend(more []any) error {
 	if len(u.stack) == 0 {
-		return fmt.Errorf("nothing to append to")
+		return fmt.Errorf("stack is empty, no list to append to")
 	}
 	l, ok := u.stack[len(u.stack)-1].(*[]any)
 	if !ok {
@@ -90,10 +90,10 @@
 	return nil
 }
 
-// fixed are codes followed by a number of bytes, and what is made of these.
+// fixedSizeOpcodes are the opcodes that are followed by a fixed number of bytes, with the value to push for them.
 var fixedSizeOpcodes = map[byte]struct {
 	size int
-	make func([]byte) any // nil: nothing
+	make func([]byte) any // nil: nothing is pushed
 }{
 	0x80: {1, nil}, 0x95: {8, nil}, // PROTO, FRAME
 	'J': {4, func(b []byte) any { return int64(int32(binary.LittleEndian.Uint32(b))) }},
@@ -102,10 +102,10 @@
 	'G': {8, func(b []byte) any { return math.Float64frombits(binary.BigEndian.Uint64(b)) }},
 }
 
-// texts are codes followed by a length of so many bytes and a text.
+// stringOpcodes are the opcodes that are followed by a length and a string, with the size of the length in bytes.
 var stringOpcodes = map[byte]int{'X': 4, 'T': 4, 'U': 1, 0x8c: 1}
 
-// step does what the next code asks for; done is true after the last one.
+// step executes the next opcode; done is true after STOP.
 func (u *unpickler) step() (done bool, err error) {
 	b, err := u.next(1)
 	if err != nil {
@@ -128,7 +128,7 @@
 	return false, u.build(code)
 }
 
-// string pushes a text, before which its length stands in so many bytes.
+// string pushes a string that follows its length, which has size bytes.
 func (u *unpickler) string(size int) error {
 	b, err := u.next(size)
 	if err != nil {
@@ -144,7 +144,7 @@
 	return err
 }
 
-// build does what a code asks for that makes something of the stack or the memo.
+// build executes an opcode that works on the stack or the memo.
 func (u *unpickler) build(code byte) error {
 	switch code {
 	case ']':
@@ -159,7 +159,7 @@
 		return u.extend(more)
 	case 'a': // APPEND
 		if len(u.stack) == 0 {
-			return fmt.Errorf("nothing to append")
+			return fmt.Errorf("stack is empty, nothing to append")
 		}
 		v := u.stack[len(u.stack)-1]
 		u.stack = u.stack[:len(u.stack)-1]
@@ -179,7 +179,7 @@
 	case 'h', 'j': // BINGET, LONG_BINGET
 		return u.get(code)
 	default:
-		return fmt.Errorf("code 0x%02x is not taken", code)
+		return fmt.Errorf("opcode 0x%02x is not supported", code)
 	}
 	return nil
 }
@@ -194,7 +194,7 @@
 		return err
 	}
 	if n > 8 {
-		return fmt.Errorf("a number of %d bytes", n)
+		return fmt.Errorf("integer of %d bytes is too long", n)
 	}
 	v := int64(0)
 	for i := n - 1; i >= 0; i-- {
@@ -207,7 +207,7 @@
 	return nil
 }
 
-// index reads the place in the memo that a code is followed by.
+// memoIndex reads the memo index that follows an opcode.
 func (u *unpickler) memoIndex(code byte) (uint32, error) {
 	if code == 'q' || code == 'h' {
 		b, err := u.next(1)
@@ -232,7 +232,7 @@
 		}
 	}
 	if len(u.stack) == 0 {
-		return fmt.Errorf("nothing to remember")
+		return fmt.Errorf("stack is empty, nothing to memoize")
 	}
 	u.memo[at] = u.stack[len(u.stack)-1]
 	return nil
@@ -245,10 +245,10 @@
 	}
 	v, ok := u.memo[at]
 	if !ok {
-		return fmt.Errorf("nothing is remembered at %d", at)
+		return fmt.Errorf("memo has no value at %d", at)
 	}
 	if _, shared := v.(*[]any); shared {
-		return fmt.Errorf("a list in two places is not taken")
+		return fmt.Errorf("shared list is not supported")
 	}
 	u.push(v)
 	return nil
--- a/lab/receiver/receiver.go
+++ b/lab/receiver/receiver.go
@@ -1,8 +1,8 @@
-// Package receiver stands in for monitoring: Graphite's receiver of lines and pickled lists over TCP, and collectd's network
-// plugin and Unix socket. Each decodes by the public descriptions of the formats, with no code of the encoders', keeps what
-// it was told, and can stop, come back, reset, stall and take half a line. What each keeps is bounded.
+// Package receiver has stand-ins for monitoring systems: Graphite's receiver of lines and pickled lists over TCP, and collectd's
+// network plugin and Unix socket. They decode by the public descriptions of the formats and share no code with the encoders.
+// They store what they receive, up to a bound, and can stop, restart at the same address, reset connections, and stall.
 //
-// carbon.go and pickle.go are Graphite's, collectd.go and unix.go collectd's. Begin with Carbon.
+// carbon.go and pickle.go are for Graphite, collectd.go and unix.go for collectd. Begin with Carbon.
 package receiver
 
 import (
@@ -13,10 +13,10 @@
 	"time"
 )
 
-// ErrMalformed is what every decoder's error is.
+// ErrMalformed is wrapped by every error of a decoder.
 var ErrMalformed = errors.New("malformed")
 
-// service is a listener that can stop and come back at its address.
+// service is a listener that can stop and restart at the same address.
 type service struct {
 	network, addr string
 	serve         func(net.Conn)
@@ -29,14 +29,14 @@
 	tasks   sync.WaitGroup
 }
 
-// Addr is where it listens, also while it is stopped.
+// Addr returns the address that it listens on, also while it is stopped.
 func (s *service) Addr() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.addr
 }
 
-// Start listens, again after Stop.
+// Start starts listening, also after Stop.
 func (s *service) Start() error {
 	ln, err := net.Listen(s.network, s.Addr())
 	if err != nil {
@@ -80,7 +80,7 @@
 	_ = c.Close() // the connection is released even where this fails
 }
 
-// Stop listens no more and ends all connections.
+// Stop stops listening, closes all connections and waits for their goroutines.
 func (s *service) Stop() {
 	s.mu.Lock()
 	if s.ln != nil {
@@ -102,14 +102,14 @@
 	<-stopped
 }
 
-// Stall has connections taken from now on and never read.
+// Stall sets whether new connections are accepted but never read.
 func (s *service) Stall(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stalled = on
 }
 
-// reset ends a connection so that its peer hears of it at once.
+// reset closes a connection with a TCP reset.
 func reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0) // without it the connection closes in the ordinary way
@@ -117,7 +117,7 @@
 	_ = c.Close() // the connection is released even where this fails
 }
 
-// faults keeps the first of what could not be read.
+// decodeErrors keeps the first 100 decoding errors.
 type decodeErrors struct {
 	mu   sync.Mutex
 	errs []error
@@ -131,14 +131,14 @@
 	}
 }
 
-// Malformed returns what could not be read.
+// Malformed returns the decoding errors.
 func (f *decodeErrors) Malformed() []error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.errs)
 }
 
-// mostPoints bounds what a receiver keeps.
+// maxPoints is the maximum number of points that a receiver stores.
 const maxPoints = 4 << 20
 
 // Point is a value at a time.
--- a/lab/receiver/receiver_test.go
+++ b/lab/receiver/receiver_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Bytes of any kind are read or refused, and nothing else happens.
+// The decoders accept any input or return ErrMalformed, and don't panic.
 func FuzzDecoders(f *testing.F) {
 	f.Add([]byte("\x80\x02]q\x00(X\x01\x00\x00\x00aJ\x01\x00\x00\x00J\x02\x00\x00\x00\x86\x86e."))
 	f.Add([]byte("\x80\x04\x95\x10\x00\x00\x00\x00\x00\x00\x00]\x94(\x8c\x01a\x94K\x01M\x02\x01\x86\x94\x86\x94h\x01\x85e."))
@@ -28,7 +28,7 @@
 	})
 }
 
-// What other writers send is read: protocol 0's successors with memo and frames.
+// A pickle of protocol 4 with a memo and frames, which other senders write, is decoded.
 func TestUnpickleProtocol4(t *testing.T) {
 	got, err := Unpickle([]byte("\x80\x04\x95\x19\x00\x00\x00\x00\x00\x00\x00]\x94\x8c\x01a\x94J\xff\xff\xff\xffM\x02\x01\x86\x94\x86\x94a."))
 	list, ok := got.([]any)
@@ -40,7 +40,7 @@
 	}
 }
 
-// A receiver that stops comes back at its address with what it had; half a line is none.
+// A receiver that restarts has the same address and still has its points. An incomplete line is dropped.
 func TestCarbonRestartKeepsPoints(t *testing.T) {
 	c, err := NewCarbon(false)
 	if err != nil {
@@ -61,7 +61,7 @@
 	send("a.b 1 100\na.b 2 110\na.b 3")
 	c.Stop()
 	if _, err := net.Dial("tcp", c.Addr()); err == nil {
-		t.Error("takes connections while it is stopped")
+		t.Error("accepts connections while it is stopped")
 	}
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
--- a/lab/receiver/unix.go
+++ b/lab/receiver/unix.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// Socket stands in for collectd's Unix socket, of whose commands it knows PUTVAL.
+// Socket is a stand-in for collectd's Unix socket. It supports the command PUTVAL only.
 type Socket struct {
 	service
 	Values
 }
 
-// NewSocket starts one at a path.
+// NewSocket starts a socket at a path.
 func NewSocket(path string) (*Socket, error) {
 	s := &Socket{}
 	s.service = service{network: "unix", addr: path, serve: s.read}
@@ -45,7 +45,7 @@
 	}
 }
 
-// ParsePutval reads a PUTVAL command: PUTVAL "IDENTIFIER" [interval=SECONDS] TIME:VALUE[:VALUE...].
+// ParsePutval parses a PUTVAL command: PUTVAL "IDENTIFIER" [interval=SECONDS] TIME:VALUE[:VALUE...].
 func ParsePutval(line string) (*ValueList, error) {
 	bad := func(what string) error { return fmt.Errorf("%w: %s in %q", ErrMalformed, what, line) }
 	rest, ok := strings.CutPrefix(line, "PUTVAL ")
