--- a/lab/run/fleetsums.go
+++ b/lab/run/fleetsums.go
@@ -192,7 +192,7 @@
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	st.recordError(fmt.Errorf("sums still differ after %v: %s", time.Since(begin).Round(time.Millisecond), mismatch))
+	st.recordError(fmt.Errorf("no equal sums after %v: %s", time.Since(begin).Round(time.Millisecond), mismatch))
 }
 
 // recordAllDown records the number of requests sent so far if no sidecar runs, as their counts are lost then.
--- a/lab/run/report.go
+++ b/lab/run/report.go
@@ -238,8 +238,8 @@
 		printer.Printf("fairness between teams (Jain's index): %.3f\n", r.Fairness)
 	}
 	v := r.Verdict
-	printer.Printf("\n%d tries, %d attempts at servers, refused tries answered within %.1f ms (p99), "+
-		"%d excused because their sidecar was down\n", v.Tries, r.Attempts, r.RefusalP99, v.Excused)
+	printer.Printf("\n%d tries, %d attempts at servers, refused tries answered within %.1f ms (p99), %d excused as their sidecar was down\n",
+		v.Tries, r.Attempts, r.RefusalP99, v.Excused)
 	printer.Printf("sidecars: %.2f s of CPU time, %.1f MB at most; roster: %d calls; clients at most %v behind their plan\n",
 		r.Use.CPU.Seconds(), float64(r.Use.MemoryKB)/1024, r.RosterCalls, r.Late.Round(time.Millisecond/10))
 	if r.FleetChecks > 0 {
