--- a/mesh/timing/control.go
+++ b/mesh/timing/control.go
@@ -38,7 +38,7 @@
 }
 
 // Register is the timing of the register's rounds. The rules ACKS and RECOVER depend on it. The time-outs adapt to the times that replies
-// take (type pace of package register).
+// take (type retryPolicy of package register).
 type Register struct {
 	// MinPhaseTimeout is the time-out of a phase while replies are fast: 350 ms, or less if a membership change has to fit into syncS.
 	MinPhaseTimeout time.Duration
